--- a/internal/clock/sources_test.go
+++ b/internal/clock/sources_test.go
@@ -11,11 +11,18 @@
 // wallReading is what reads the wall clock, or compares an instant of steady time with it.
 var wallReading = regexp.MustCompile(`time\.Now\(\)\.(Round|Unix|UTC|Format|Truncate)|time\.Until\(`)
 
+// root is the top folder of the module, from this package's.
+const root = "../.."
+
 // TestNoWallClockInTheCore: the packages through which requests go read the steady clock; only this package reads the wall clock.
 func TestNoWallClockInTheCore(t *testing.T) {
-	for _, folder := range []string{"node", "gate", "resp", "runtime", "runtime/redelivery", "catalogue", "directory", "seats", "linger", "handover",
-		"claims", "claims/holding", "tandem", "bookings", "uwsgi", "uwsgi/choice", "ops", "retune", "lograte", "latency", "../cmd/sloehitch"} {
-		files, err := filepath.Glob(filepath.Join("..", folder, "*.go"))
+	for _, folder := range []string{
+		"internal/node", "internal/gate", "internal/resp", "internal/runtime", "internal/runtime/redelivery", "internal/catalogue",
+		"internal/directory", "internal/seats", "internal/linger", "internal/handover", "internal/claims", "internal/claims/holding",
+		"internal/tandem", "internal/bookings", "internal/uwsgi", "internal/uwsgi/choice", "internal/ops", "internal/retune",
+		"internal/lograte", "internal/latency", "cmd/sloehitch",
+	} {
+		files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", folder, len(files), err)
 		}
