--- a/client/uwsgi/client.go
+++ b/client/uwsgi/client.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"sloehitch/internal/endpoint"
-	"sloehitch/internal/uwsgi/packet"
+	"sloehitch/internal/frontend/uwsgi/packet"
 )
 
 // Client sends requests to one address. Its zero value but for Address is ready; it may be used from many goroutines, and must not be
--- a/cmd/sloehitch/outs.go
+++ b/cmd/sloehitch/outs.go
@@ -13,10 +13,10 @@
 	"sloehitch/internal/config"
 	"sloehitch/internal/endpoint"
 	"sloehitch/internal/fleet"
+	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/permit"
 	"sloehitch/internal/store"
-	"sloehitch/internal/uwsgi/choice"
 )
 
 // replaceExit is the code that a process ends with which another is to take the place of (EX_TEMPFAIL of sysexits.h: try again).
@@ -112,7 +112,7 @@
 	}
 	d.serving.Unlock()
 	for _, s := range d.servers.Servers() {
-		below[cmp.Or(listed[s.Name], s.Name)] = permit.Below{Uses: s.State != choice.Draining, Open: s.Open, Well: s.State == choice.In || s.State == choice.Warming}
+		below[cmp.Or(listed[s.Name], s.Name)] = permit.Below{Uses: s.State != balancer.Draining, Open: s.Open, Well: s.State == balancer.In || s.State == balancer.Warming}
 	}
 	return below
 }
--- a/cmd/sloehitch/rules_test.go
+++ b/cmd/sloehitch/rules_test.go
@@ -17,11 +17,11 @@
 
 	"sloehitch/internal/config"
 	"sloehitch/internal/describe"
+	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/ops"
 	"sloehitch/internal/standin"
 	"sloehitch/internal/store"
-	"sloehitch/internal/uwsgi/packet"
 )
 
 const api = `{"openapi":"3.0.3","info":{"title":"booking","version":"1"},"paths":{
--- a/cmd/sloehitch/serve.go
+++ b/cmd/sloehitch/serve.go
@@ -24,6 +24,9 @@
 	"sloehitch/internal/directory"
 	"sloehitch/internal/endpoint"
 	"sloehitch/internal/fleet"
+	"sloehitch/internal/frontend/resp"
+	"sloehitch/internal/frontend/uwsgi"
+	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/gate"
 	"sloehitch/internal/handover"
 	"sloehitch/internal/latency"
@@ -32,15 +35,12 @@
 	"sloehitch/internal/limits"
 	"sloehitch/internal/metrics"
 	"sloehitch/internal/node"
-	"sloehitch/internal/resp"
 	"sloehitch/internal/runtime"
 	"sloehitch/internal/store"
 	"sloehitch/internal/tandem"
 	"sloehitch/internal/tlskeys"
 	"sloehitch/internal/traces"
 	"sloehitch/internal/trial"
-	"sloehitch/internal/uwsgi"
-	"sloehitch/internal/uwsgi/choice"
 	"sloehitch/logic"
 )
 
@@ -251,7 +251,7 @@
 	if err != nil {
 		return err
 	}
-	rules := choice.Default()
+	rules := balancer.Default()
 	rules.Most = u.ServerMost
 	d.servers = uwsgi.NewPool(uwsgi.PoolOptions{Rules: rules, Seed: seed(l.platform.Seed), Keys: below, Name: u.ServersTLS.Name, Over: d.runOver, Limits: d.limits, Log: d.log})
 	d.listed = slices.Clone(u.Servers)
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/kong"
 
 	"sloehitch/client/uwsgi"
-	"sloehitch/internal/uwsgi/packet"
+	"sloehitch/internal/frontend/uwsgi/packet"
 )
 
 var cli struct {
--- a/internal/conformance/cases.go
+++ b/internal/conformance/cases.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
+	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/script"
-	"sloehitch/internal/uwsgi/packet"
 )
 
 // Where cases come from.
--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -17,8 +17,8 @@
 
 	client "sloehitch/client/uwsgi"
 	"sloehitch/internal/endpoint"
+	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/script"
-	"sloehitch/internal/uwsgi/packet"
 )
 
 // Want is what a speaker may answer.
--- a/internal/seats/seats.go
+++ b/internal/frontend/connlimit/seats.go
@@ -1,5 +1,5 @@
-// Package seats holds the bounded number of places for connections in a front, and says who has to make room.
-package seats
+// Package connlimit holds the bounded number of places for connections in a front, and says who has to make room.
+package connlimit
 
 import (
 	"sync"
--- a/internal/seats/seats_test.go
+++ b/internal/frontend/connlimit/seats_test.go
@@ -1,4 +1,4 @@
-package seats
+package connlimit
 
 import (
 	"testing"
--- a/internal/linger/linger.go
+++ b/internal/frontend/gracefulclose/linger.go
@@ -1,6 +1,6 @@
-// Package linger closes connections without a reset. A close over unread bytes resets a connection, and what is on its way
+// Package gracefulclose closes connections without a reset. A close over unread bytes resets a connection, and what is on its way
 // to the peer goes with it.
-package linger
+package gracefulclose
 
 import (
 	"errors"
--- a/internal/linger/linger_test.go
+++ b/internal/frontend/gracefulclose/linger_test.go
@@ -1,4 +1,4 @@
-package linger
+package gracefulclose
 
 import (
 	"errors"
--- a/internal/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"github.com/tidwall/redcon"
+	"sloehitch/internal/frontend/connlimit"
 	"sloehitch/internal/node"
-	"sloehitch/internal/seats"
 )
 
 // conn is one balancer's connection.
 type conn struct {
 	front  *Front
 	net    *guarded
-	seat   *seats.Seat
+	seat   *connlimit.Seat
 	served bool // its read loop was entered
 	bad    int  // messages that could not be taken
 	spoken int  // messages so far
@@ -232,14 +232,14 @@
 }
 
 // state is what the connection is doing; the caller holds mu.
-func (k *conn) state() seats.State {
+func (k *conn) state() connlimit.State {
 	if len(k.open) > 0 || len(k.out) > 0 || k.writing {
-		return seats.Busy
+		return connlimit.Busy
 	}
 	if k.spoken == 1 {
-		return seats.Once
+		return connlimit.Once
 	}
-	return seats.Idle
+	return connlimit.Idle
 }
 
 // owes says whether an answer is owed on the connection or still to be written. Where none is, the connection is about to end, and its peer is
--- a/internal/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -15,10 +15,10 @@
 	"github.com/tidwall/redcon"
 
 	"sloehitch/internal/clock"
+	"sloehitch/internal/frontend/connlimit"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
-	"sloehitch/internal/seats"
 )
 
 // Core is what the front asks of the node.
@@ -54,7 +54,7 @@
 	opts Options
 	log  *lograte.Logger
 
-	seats   *seats.Table
+	seats   *connlimit.Table
 	classes atomic.Pointer[map[string]int] // as of the latest Retune
 	pending atomic.Int64                   // connections accepted and not yet among conns
 	closing atomic.Int64                   // listeners that are to close and may still hand out connections
@@ -77,7 +77,7 @@
 		o.Stamps = clock.NewStamps(o.Limits.Ahead, o.Limits.Behind, nil)
 	}
 	f := &Front{opts: o, log: lograte.New(o.Log, o.Limits.LogEvery), conns: map[*conn]struct{}{}, closed: make(chan struct{}), unseated: make(chan struct{}, o.Limits.Unseated),
-		evicted: evictions{most: o.Limits.Evicted, unread: o.Limits.Unseated}, seats: seats.New(o.Limits.Connections, o.Limits.Newcomer, o.Limits.Quiet)}
+		evicted: evictions{most: o.Limits.Evicted, unread: o.Limits.Unseated}, seats: connlimit.New(o.Limits.Connections, o.Limits.Newcomer, o.Limits.Quiet)}
 	f.classes.Store(&o.Classes)
 	return f
 }
--- a/internal/resp/guard.go
+++ b/internal/frontend/resp/guard.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"sloehitch/internal/linger"
-	"sloehitch/internal/seats"
+	"sloehitch/internal/frontend/connlimit"
+	"sloehitch/internal/frontend/gracefulclose"
 	"sloehitch/internal/sockerr"
 )
 
@@ -23,7 +23,7 @@
 	bad      error
 	limit    time.Duration // for a message to come whole, and for the first one to come
 	since    time.Time     // when that time began
-	seat     *seats.Seat
+	seat     *connlimit.Seat
 	unseated bool // there is no place for it: it is refused and ends
 	spare    int  // bytes that may still be read once the reading is to stop
 
@@ -117,8 +117,8 @@
 		return g.readRest(b)
 	}
 	// The deadline may have passed while the process stood still, and what came meanwhile came in time.
-	n, arrived := linger.ReadArrived(g.Conn, b, false)
-	if errors.Is(arrived, linger.ErrNothing) {
+	n, arrived := gracefulclose.ReadArrived(g.Conn, b, false)
+	if errors.Is(arrived, gracefulclose.ErrNothing) {
 		return 0, err
 	}
 	return n, arrived
@@ -135,8 +135,8 @@
 func (g *guarded) readRest(b []byte) (int, error) {
 	for g.spare > 0 {
 		last := g.owes == nil || !g.owes()
-		n, err := linger.ReadArrived(g.Conn, b, last)
-		if !errors.Is(err, linger.ErrNothing) {
+		n, err := gracefulclose.ReadArrived(g.Conn, b, last)
+		if !errors.Is(err, gracefulclose.ErrNothing) {
 			g.spare -= n
 			return n, err
 		}
--- a/internal/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"sloehitch/internal/linger"
+	"sloehitch/internal/frontend/gracefulclose"
 	"sloehitch/internal/sockerr"
 )
 
@@ -51,7 +51,7 @@
 func (l *Listener) closeOnceEmpty() {
 	d := l.Listener.(interface{ SetDeadline(time.Time) error })
 	switch {
-	case linger.Waiting(l.Listener, l.quiet):
+	case gracefulclose.Waiting(l.Listener, l.quiet):
 		l.quiet = false
 		_ = d.SetDeadline(time.Time{}) // the next Accept takes what waits, whenever it has its turn
 	case !l.quiet && d.SetDeadline(time.Now().Add(lastLook)) == nil:
--- a/internal/resp/output.go
+++ b/internal/frontend/resp/output.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/tidwall/redcon"
-	"sloehitch/internal/linger"
+	"sloehitch/internal/frontend/gracefulclose"
 	"sloehitch/internal/sockerr"
 )
 
@@ -131,7 +131,7 @@
 		if k.net.unseated {
 			span /= unseatedPart
 		}
-		linger.End(k.net.Conn, span)
+		gracefulclose.End(k.net.Conn, span)
 		k.close()
 	}()
 }
--- a/internal/uwsgi/choice/choice.go
+++ b/internal/frontend/uwsgi/balancer/choice.go
@@ -1,7 +1,7 @@
-// Package choice decides which of several servers gets a request, how many each gets at once, who waits, who is left out,
+// Package balancer decides which of several servers gets a request, how many each gets at once, who waits, who is left out,
 // and whether a request is tried again. It does no I/O and has no clock: each call is given the time, which must not go
 // back. The same calls with the same seed give the same choices. It is not safe for concurrent use.
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/internal/uwsgi/choice/ramp.go
+++ b/internal/frontend/uwsgi/balancer/ramp.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"math"
--- a/internal/uwsgi/caller.go
+++ b/internal/frontend/uwsgi/caller.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	closing "sloehitch/internal/linger"
+	closing "sloehitch/internal/frontend/gracefulclose"
 )
 
 // evictedPart is the part of limits.Linger that a caller without a place has to end its connection.
--- a/internal/uwsgi/evict_test.go
+++ b/internal/frontend/uwsgi/evict_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/standin"
-	"sloehitch/internal/uwsgi/packet"
 )
 
 // TestARequestOfACallerThatMakesRoom: a caller's request arrives while the process stands still, and as it goes on another takes the caller's place
--- a/internal/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -19,11 +19,11 @@
 	"time"
 
 	"sloehitch/internal/clock"
+	"sloehitch/internal/frontend/connlimit"
+	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
-	"sloehitch/internal/seats"
-	"sloehitch/internal/uwsgi/packet"
 )
 
 // Core is what the front asks of the node.
@@ -74,7 +74,7 @@
 	opts   Options
 	log    *lograte.Logger
 	prefix string
-	seats  *seats.Table
+	seats  *connlimit.Table
 
 	mu      sync.Mutex
 	next    uint64
@@ -89,7 +89,7 @@
 		o.Modifiers = []byte{0}
 	}
 	return &Front{opts: o, log: lograte.New(o.Log, o.Limits.LogEvery), sources: map[string]int{},
-		seats: seats.New(o.Limits.UwsgiConns, o.Limits.Newcomer, o.Limits.Quiet), prefix: "uwsgi-" + strconv.FormatUint(rand.Uint64(), 36) + "-"}
+		seats: connlimit.New(o.Limits.UwsgiConns, o.Limits.Newcomer, o.Limits.Quiet), prefix: "uwsgi-" + strconv.FormatUint(rand.Uint64(), 36) + "-"}
 }
 
 // Serve serves what comes in on ln until it is closed.
@@ -166,7 +166,7 @@
 var errPing = errors.New("ping")
 
 // serve reads one request, has it answered and closes the connection.
-func (f *Front) serve(k *caller, seat *seats.Seat, host string) {
+func (f *Front) serve(k *caller, seat *connlimit.Seat, host string) {
 	lim, c := f.opts.Limits, k.Conn
 	if err := k.readBy(time.Now().Add(lim.Message)); err != nil {
 		return
@@ -185,7 +185,7 @@
 		f.refuseInput(c, err)
 		return
 	}
-	if !seat.Set(seats.Busy) { // it made room after its request had arrived
+	if !seat.Set(connlimit.Busy) { // it made room after its request had arrived
 		f.count(func(n *Counts) { n.Crowded++ })
 		lim.Linger /= evictedPart
 		f.write(c, response(http.StatusServiceUnavailable, lim.RecordBack))
--- a/internal/uwsgi/job.go
+++ b/internal/frontend/uwsgi/job.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/limits"
-	"sloehitch/internal/uwsgi/packet"
 )
 
 // job is a request between the front that read it and the pool that takes it to a server. The front fills it, hands it over and waits
--- a/internal/uwsgi/pool.go
+++ b/internal/frontend/uwsgi/pool.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"sloehitch/internal/endpoint"
+	"sloehitch/internal/frontend/uwsgi/balancer"
+	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/gate"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/tlskeys"
-	"sloehitch/internal/uwsgi/choice"
-	"sloehitch/internal/uwsgi/packet"
 	"sloehitch/logic"
 )
 
@@ -26,7 +26,7 @@
 
 // PoolOptions are what a pool is made of.
 type PoolOptions struct {
-	Rules  choice.Rules
+	Rules  balancer.Rules
 	Seed   uint64
 	Keys   *tlskeys.Keys  // for servers with TLS; nil: the system's authorities, no certificate of our own
 	Name   string         // that their certificates must have; empty: the address's host
@@ -68,7 +68,7 @@
 	events Events
 
 	mu     sync.Mutex
-	choice *choice.Pool
+	choice *balancer.Pool
 	ends   map[string]endpoint.Endpoint // by name, also of servers that are leaving
 	jobs   map[string]*job              // read by the front, not started yet
 	runs   map[string]*run
@@ -112,7 +112,7 @@
 
 // NewPool returns a pool without servers. Serve must be called before it gets work.
 func NewPool(o PoolOptions) *Pool {
-	return &Pool{opts: o, log: lograte.New(o.Log, o.Limits.LogEvery), choice: choice.New(o.Rules, o.Seed), ends: map[string]endpoint.Endpoint{},
+	return &Pool{opts: o, log: lograte.New(o.Log, o.Limits.LogEvery), choice: balancer.New(o.Rules, o.Seed), ends: map[string]endpoint.Endpoint{},
 		jobs: map[string]*job{}, runs: map[string]*run{}, waits: map[string]chan string{}, closed: make(chan struct{})}
 }
 
@@ -151,7 +151,7 @@
 }
 
 // Servers tells how the servers stand.
-func (p *Pool) Servers() []choice.Server {
+func (p *Pool) Servers() []balancer.Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.choice.Explain(time.Now())
@@ -234,7 +234,7 @@
 		r.wrote = r.wrote || t.wrote
 		again := false
 		if err != nil && ctx.Err() == nil {
-			again, why = p.choice.Again(now, choice.Attempt{Wrote: t.wrote, Repeatable: r.job.safe, Whole: r.job.body.complete(),
+			again, why = p.choice.Again(now, balancer.Attempt{Wrote: t.wrote, Repeatable: r.job.safe, Whole: r.job.body.complete(),
 				Begun: t.begun, Tries: len(tried), Left: r.job.due.Sub(now)})
 		}
 		p.mu.Unlock()
@@ -274,7 +274,7 @@
 func (p *Pool) take(ctx context.Context, r *run, tried []string) (name, why string) {
 	p.mu.Lock()
 	name, verdict := p.choice.Take(time.Now(), r.id, r.job.due, tried)
-	if verdict != choice.Wait {
+	if verdict != balancer.Wait {
 		p.mu.Unlock()
 		return name, verdict.String()
 	}
@@ -291,14 +291,14 @@
 	delete(p.waits, r.id)
 	if !p.choice.Withdraw(r.id) {
 		if name = <-wait; name != "" { // granted just now: the server is free for others
-			p.grant(p.choice.Ended(time.Now(), name, choice.Withdrawn, 0))
+			p.grant(p.choice.Ended(time.Now(), name, balancer.Withdrawn, 0))
 		}
 	}
 	return "", "no server had room in time"
 }
 
 // grant hands servers to runs that wait; the caller holds mu.
-func (p *Pool) grant(grants []choice.Grant) {
+func (p *Pool) grant(grants []balancer.Grant) {
 	for _, g := range grants {
 		if wait := p.waits[g.ID]; wait != nil {
 			delete(p.waits, g.ID)
--- a/internal/uwsgi/try.go
+++ b/internal/frontend/uwsgi/try.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/uwsgi/choice"
-	"sloehitch/internal/uwsgi/packet"
+	"sloehitch/internal/frontend/uwsgi/balancer"
+	"sloehitch/internal/frontend/uwsgi/packet"
 )
 
 // try is one exchange with one server.
@@ -21,10 +21,10 @@
 	run  *run
 	name string
 
-	wrote  bool          // the server may have got some of the request
-	begun  bool          // part of the response is with the client
-	result choice.Result // what it says of the server
-	took   time.Duration // to the first byte of the response
+	wrote  bool            // the server may have got some of the request
+	begun  bool            // part of the response is with the client
+	result balancer.Result // what it says of the server
+	took   time.Duration   // to the first byte of the response
 	seen   TryTimes
 }
 
@@ -45,10 +45,10 @@
 	conn, err := e.Dial(dialing, t.pool.opts.Keys, t.pool.opts.Name)
 	cancel()
 	if err != nil {
-		t.result = choice.Refused
+		t.result = balancer.Refused
 		// Our own want of descriptors, or of time, says nothing about the server.
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || ctx.Err() != nil {
-			t.result = choice.Withdrawn
+			t.result = balancer.Withdrawn
 		}
 		return nil, err
 	}
@@ -71,15 +71,15 @@
 	var client *bodyError
 	switch {
 	case err == nil:
-		t.result = choice.OK
+		t.result = balancer.OK
 	case errors.As(sendErr, &client):
-		t.result, err = choice.Withdrawn, sendErr
+		t.result, err = balancer.Withdrawn, sendErr
 	case errors.Is(err, errClient), errors.Is(ctx.Err(), context.Canceled) && (t.took > 0 || t.run.job.body.left()):
-		t.result = choice.Withdrawn
+		t.result = balancer.Withdrawn
 	case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded): // also stopped as its client's time was over, without a word from the server
-		t.result = choice.Slow
+		t.result = balancer.Slow
 	default:
-		t.result = choice.Broken
+		t.result = balancer.Broken
 	}
 	return result, err
 }
--- a/internal/uwsgi/uwsgi_test.go
+++ b/internal/frontend/uwsgi/uwsgi_test.go
@@ -19,12 +19,12 @@
 
 	"sloehitch/internal/clock"
 	"sloehitch/internal/endpoint"
+	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/gate"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
 	"sloehitch/internal/standin"
 	"sloehitch/internal/tlskeys"
-	"sloehitch/internal/uwsgi/choice"
 	"sloehitch/logic"
 )
 
@@ -95,7 +95,7 @@
 		{Name: "book", Aim: 20e6, Deadline: 60e6, Worth: 3, Effect: logic.Keyed, Window: 60e6},
 		{Name: "write", Aim: 20e6, Deadline: 60e6, Worth: 3, Effect: logic.Unsafe}}}
 	o := Options{Mapper: mapper{}, Safe: func(class int) bool { return class == read }, BodyMost: 1 << 20, Limits: lim, Log: standin.Quiet}
-	po := PoolOptions{Rules: choice.Default(), Limits: lim, Log: standin.Quiet}
+	po := PoolOptions{Rules: balancer.Default(), Limits: lim, Log: standin.Quiet}
 	if change != nil {
 		change(&o, &po)
 	}
@@ -533,7 +533,7 @@
 	if !strings.HasPrefix(got, "HTTP/1.1 502 ") || err != nil {
 		t.Errorf("without descriptors: %q, %v", got, err)
 	}
-	if e := r.pool.Servers()[0]; e.Fails != 0 || e.State != choice.In {
+	if e := r.pool.Servers()[0]; e.Fails != 0 || e.State != balancer.In {
 		t.Errorf("held against the server: %+v", e)
 	}
 	close(hold)
@@ -591,8 +591,8 @@
 		t.Error("nobody met the silent server")
 	}
 	standin.WaitFor(t, "it is left out", func() bool {
-		return slices.ContainsFunc(r.pool.Servers(), func(e choice.Server) bool {
-			return e.Name == s.Address && (e.State == choice.Out || e.State == choice.Probing)
+		return slices.ContainsFunc(r.pool.Servers(), func(e balancer.Server) bool {
+			return e.Name == s.Address && (e.State == balancer.Out || e.State == balancer.Probing)
 		})
 	})
 	for range 5 { // with all the time there is: who met it again would wait for it
@@ -794,7 +794,7 @@
 	standin.WaitFor(t, "it is in", func() bool {
 		for _, s := range r.pool.Servers() {
 			if s.Name == address {
-				return s.State == choice.Warming || s.State == choice.In
+				return s.State == balancer.Warming || s.State == balancer.In
 			}
 		}
 		return false
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,11 +14,11 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"sloehitch/internal/fleet"
+	"sloehitch/internal/frontend/uwsgi"
+	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
-	"sloehitch/internal/uwsgi"
-	"sloehitch/internal/uwsgi/choice"
 )
 
 // Sources are what the figures are read from; nil where a part is off. They are called from the goroutines of those who ask.
@@ -26,7 +26,7 @@
 	Core    func() (c node.Counts, hand, keys int)
 	Resp    func() int // open connections
 	Uwsgi   func() (c uwsgi.Counts, open int)
-	Servers func() []choice.Server
+	Servers func() []balancer.Server
 	Ledger  func() ledger.Stats
 	Classes func() map[string]node.ClassCounts // the counts that the operators' telemetry shows too
 	Fleet   func() fleet.Figures
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,14 +9,14 @@
 
 	"sloehitch/internal/budget"
 	"sloehitch/internal/fleet"
+	"sloehitch/internal/frontend/uwsgi"
+	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
 	"sloehitch/internal/permit"
 	"sloehitch/internal/release"
 	"sloehitch/internal/standin"
-	"sloehitch/internal/uwsgi"
-	"sloehitch/internal/uwsgi/choice"
 )
 
 // TestMetrics: what is asked for over a socket has the figures of all sources, and only those of parts that are on.
@@ -47,8 +47,8 @@
 		},
 		Resp:  func() int { return 4 },
 		Uwsgi: func() (uwsgi.Counts, int) { return uwsgi.Counts{Malformed: 6}, 8 },
-		Servers: func() []choice.Server {
-			return []choice.Server{{Name: "127.0.0.1:1", State: choice.Out, Open: 1, Room: 9}}
+		Servers: func() []balancer.Server {
+			return []balancer.Server{{Name: "127.0.0.1:1", State: balancer.Out, Open: 1, Room: 9}}
 		},
 		Ledger: func() ledger.Stats { return ledger.Stats{Keys: 11, Broken: "a flush failed"} },
 		Classes: func() map[string]node.ClassCounts {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
+	"sloehitch/internal/frontend/gracefulclose"
 	"sloehitch/internal/limits"
-	"sloehitch/internal/linger"
 )
 
 // Call is what an operator asks for.
@@ -174,7 +174,7 @@
 	s.write(c, []byte("NAK busy: too many operators' connections at once\n"))
 	select {
 	case s.extra <- struct{}{}:
-		linger.Drain(c, s.lim.Linger, s.lim.Frame)
+		gracefulclose.Drain(c, s.lim.Linger, s.lim.Frame)
 		<-s.extra
 	default:
 	}
@@ -192,12 +192,12 @@
 		var ne net.Error
 		if !errors.As(err, &ne) || !ne.Timeout() {
 			s.write(c, []byte("NAK "+err.Error()+"\n"))
-			linger.Drain(c, s.lim.Linger, s.lim.Frame)
+			gracefulclose.Drain(c, s.lim.Linger, s.lim.Frame)
 		}
 		return // a caller that said nothing in time is let go without a word: it may be gone
 	}
 	s.write(c, s.Answer(line))
-	linger.Drain(c, s.lim.Linger, s.lim.Frame)
+	gracefulclose.Drain(c, s.lim.Linger, s.lim.Frame)
 }
 
 var errLong = errors.New("call too long")
--- a/internal/standin/echo.go
+++ b/internal/standin/echo.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/uwsgi/packet"
+	"sloehitch/internal/frontend/uwsgi/packet"
 )
 
 // Echo is a uwsgi server that answers with the body that it got, and follows the protocol; or one that is wrong in one way, for tests of
--- a/internal/standin/uwsgi.go
+++ b/internal/standin/uwsgi.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/script"
-	"sloehitch/internal/uwsgi/packet"
 )
 
 // Script and Step are what a scripted peer does.
--- a/internal/traces/traces.go
+++ b/internal/traces/traces.go
@@ -18,8 +18,8 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
+	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/limits"
-	"sloehitch/internal/uwsgi"
 )
 
 // Traces writes spans to a file.
--- a/internal/traces/traces_test.go
+++ b/internal/traces/traces_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/standin"
-	"sloehitch/internal/uwsgi"
 )
 
 // span is the part of a written span that is looked at.
