--- a/cmd/sloehitch/handover.go
+++ b/cmd/sloehitch/handover.go
@@ -10,11 +10,11 @@
 	"runtime/debug"
 	"time"
 
-	"sloehitch/internal/claims"
 	"sloehitch/internal/clock"
 	"sloehitch/internal/config"
 	"sloehitch/internal/handover"
-	"sloehitch/internal/handover/keep"
+	"sloehitch/internal/handover/snapshotfile"
+	"sloehitch/internal/idempotency/keystore"
 	"sloehitch/internal/limits"
 	"sloehitch/logic"
 )
@@ -38,8 +38,8 @@
 	if !inherited() {
 		return nil // no process replaces another here: what lies there is of another day
 	}
-	path := keep.Path(os.TempDir(), d.name)
-	s, err := keep.Read(path)
+	path := snapshotfile.Path(os.TempDir(), d.name)
+	s, err := snapshotfile.Read(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
@@ -67,7 +67,7 @@
 	}
 	s := handover.Snapshot{Node: d.name, Process: os.Getpid(), Made: clock.System{}.Now(), Leaving: leaving,
 		Settings: handover.Settings(d.platform.Logic), Learned: l}
-	if err := keep.Write(keep.Path(os.TempDir(), d.name), s); err != nil {
+	if err := snapshotfile.Write(snapshotfile.Path(os.TempDir(), d.name), s); err != nil {
 		d.log.Warn("what was learned is not left for the next process", "error", err)
 	}
 }
@@ -118,8 +118,8 @@
 		c.Dir = os.TempDir()
 	}
 	now := clock.System{}.Now()
-	path := keep.Path(c.Dir, p.Name)
-	s, err := keep.Read(path)
+	path := snapshotfile.Path(c.Dir, p.Name)
+	s, err := snapshotfile.Read(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		fmt.Fprintf(w, "%s: none\n", path)
@@ -132,7 +132,7 @@
 		}
 		fmt.Fprintf(w, "%s: by process %d of %s, %v ago, %s\n%s", path, s.Process, s.Node, now.Sub(s.Made).Round(time.Millisecond), verdict, handover.Table(s))
 	}
-	owners, err := claims.Look(claimsDir(c.Dir, p.Name), now)
+	owners, err := keystore.Look(claimsDir(c.Dir, p.Name), now)
 	if err != nil {
 		return err
 	}
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/bookings"
 	"sloehitch/internal/config"
+	"sloehitch/internal/idempotency/runlog"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/limits"
@@ -232,7 +232,7 @@
 		}
 		defer s.Close()
 		done := make(chan error, 1)
-		if err := bookings.New(s, time.Second, time.Second, standin.Quiet).Began(ghost, func(err error) { done <- err }); err != nil {
+		if err := runlog.New(s, time.Second, time.Second, standin.Quiet).Began(ghost, func(err error) { done <- err }); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-done; err != nil {
--- a/cmd/sloehitch/records.go
+++ b/cmd/sloehitch/records.go
@@ -6,14 +6,14 @@
 	"os"
 	"time"
 
-	"sloehitch/internal/bookings"
-	"sloehitch/internal/claims"
 	"sloehitch/internal/clock"
+	"sloehitch/internal/idempotency/compositejournal"
+	"sloehitch/internal/idempotency/keystore"
+	"sloehitch/internal/idempotency/runlog"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
-	"sloehitch/internal/tandem"
 )
 
 // openRecords opens what the configuration names to keep keyed requests in, and returns it as the core's journal: the
@@ -31,7 +31,7 @@
 		return d.claims, nil
 	}
 	if d.claims != nil {
-		d.tandem = tandem.New(d.claims, d.limits.LogEvery, d.log)
+		d.tandem = compositejournal.New(d.claims, d.limits.LogEvery, d.log)
 	}
 	if err := d.openLedger(); err != nil {
 		return nil, errors.Join(err, d.closeRecords())
@@ -45,7 +45,7 @@
 // openClaims joins the processes that share keys.
 func (d *daemon) openClaims(system clock.System) (err error) {
 	dir := claimsDir(os.TempDir(), d.name)
-	d.claims, err = claims.Open(claims.Options{Dir: dir, Spare: node.Spare(d.limits), Now: system.Now,
+	d.claims, err = keystore.Open(keystore.Options{Dir: dir, Spare: node.Spare(d.limits), Now: system.Now,
 		Limits: limits.ForClaims(d.platform.Caps.MemoryMB), Log: d.log})
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 
 // attach has bookings written to the ledger as of now.
 func (d *daemon) attach(s *ledger.Store) {
-	d.bookings = bookings.New(s, node.Spare(d.limits), d.limits.LogEvery, d.log)
+	d.bookings = runlog.New(s, node.Spare(d.limits), d.limits.LogEvery, d.log)
 	d.ledger.Store(s)
 	late := 0
 	if d.tandem != nil {
@@ -121,7 +121,7 @@
 	if d.earlier == nil {
 		return nil
 	}
-	err := bookings.New(d.earlier, node.Spare(d.limits), d.limits.LogEvery, d.log).All(func(b node.Booking) {
+	err := runlog.New(d.earlier, node.Spare(d.limits), d.limits.LogEvery, d.log).All(func(b node.Booking) {
 		if d.tandem == nil || d.tandem.Restore(b) {
 			d.node.Restore(b)
 		}
--- a/cmd/sloehitch/serve.go
+++ b/cmd/sloehitch/serve.go
@@ -16,9 +16,8 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/bookings"
+	"sloehitch/internal/admission"
 	"sloehitch/internal/catalogue"
-	"sloehitch/internal/claims"
 	"sloehitch/internal/clock"
 	"sloehitch/internal/config"
 	"sloehitch/internal/directory"
@@ -27,8 +26,10 @@
 	"sloehitch/internal/frontend/resp"
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/balancer"
-	"sloehitch/internal/gate"
 	"sloehitch/internal/handover"
+	"sloehitch/internal/idempotency/compositejournal"
+	"sloehitch/internal/idempotency/keystore"
+	"sloehitch/internal/idempotency/runlog"
 	"sloehitch/internal/latency"
 	"sloehitch/internal/lease"
 	"sloehitch/internal/ledger"
@@ -37,7 +38,6 @@
 	"sloehitch/internal/node"
 	"sloehitch/internal/runtime"
 	"sloehitch/internal/store"
-	"sloehitch/internal/tandem"
 	"sloehitch/internal/tlskeys"
 	"sloehitch/internal/traces"
 	"sloehitch/internal/trial"
@@ -91,7 +91,7 @@
 	log      *slog.Logger
 	trial    *trial.Trial // nil but in a rig
 
-	gate      *gate.Gate
+	gate      *admission.Gate
 	node      *node.Node
 	front     *resp.Front
 	uwsgi     *uwsgi.Front // nil where it is off
@@ -110,9 +110,9 @@
 	traces    *traces.Traces                  // nil where they are off
 	ledger    atomic.Pointer[ledger.Store]    // nil where it is off, or the process that leaves still has it
 	freed     chan *ledger.Store              // it, once that process has let go
-	bookings  *bookings.Record                // nil with it; of the goroutine that runs, once that does
-	claims    *claims.Claims                  // nil but where clients come from an inherited listener
-	tandem    *tandem.Journal                 // nil but where there are both
+	bookings  *runlog.Record                  // nil with it; of the goroutine that runs, once that does
+	claims    *keystore.Claims                // nil but where clients come from an inherited listener
+	tandem    *compositejournal.Journal       // nil but where there are both
 	earlier   *ledger.Store                   // what is on record as this process starts, until restore has read it
 	servers   *uwsgi.Pool                     // nil where uwsgi is off
 	keys      []*tlskeys.Keys                 // of the uwsgi side
@@ -134,7 +134,7 @@
 
 // standing is what callers are told of the node: the module's word, and the operators'.
 type standing struct {
-	*gate.Gate
+	*admission.Gate
 	closed, evacuated, unwanted, drained *atomic.Bool
 }
 
@@ -159,14 +159,14 @@
 		}
 	}
 	system := clock.System{}
-	gateOptions := gate.Options{Seed: seed(p.Seed), Clock: system, Patience: lim.Gauges, Learned: d.learned(system.Now())}
-	var g *gate.Gate
+	gateOptions := admission.Options{Seed: seed(p.Seed), Clock: system, Patience: lim.Gauges, Learned: d.learned(system.Now())}
+	var g *admission.Gate
 	if p.Runtime != "" {
 		d.link = runtime.New(runtime.Options{Address: p.Runtime, Meters: p.Names.Meters, Limits: lim, Log: log,
-			Gauges: func(m gate.Gauges) { g.Tick(m) }})
+			Gauges: func(m admission.Gauges) { g.Tick(m) }})
 		gateOptions.Ask = d.link.Ask
 	}
-	g, err = gate.New(p.Logic, gateOptions)
+	g, err = admission.New(p.Logic, gateOptions)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gate/gate.go
+++ b/internal/admission/gate.go
@@ -1,6 +1,6 @@
-// Package gate is the facade in blocking style before the decision module: Report tells it what happened,
+// Package admission is the facade in blocking style before the decision module: Report tells it what happened,
 // Pick waits for what it decided, Tick answers its wish to look at the clock. One goroutine owns the module.
-package gate
+package admission
 
 import (
 	"math"
--- a/internal/gate/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package admission
 
 import (
 	"testing"
--- a/internal/catalogue/client.go
+++ b/internal/catalogue/client.go
@@ -10,14 +10,14 @@
 	"sync"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
 	"sloehitch/logic"
 )
 
 // Done gets how a call ended. Only Full, Unreachable and Moot prove that it never ran.
-type Done = func(o gate.Outcome, took time.Duration, reply []byte)
+type Done = func(o admission.Outcome, took time.Duration, reply []byte)
 
 // call is one call in hand.
 type call struct {
@@ -30,7 +30,7 @@
 	sent  bool // handed to the socket: from here on a break proves nothing
 }
 
-func (k *call) finish(o gate.Outcome, reply []byte) { k.done(o, time.Since(k.began), reply) }
+func (k *call) finish(o admission.Outcome, reply []byte) { k.done(o, time.Since(k.began), reply) }
 
 // Client makes each call on a connection that carries no other while there is room for that: what a stuck or spoilt
 // reply takes down with it is then one call.
@@ -219,11 +219,11 @@
 	finishLost(lost)
 }
 
-var replies = map[string]gate.Outcome{"DATA": logic.OK, "LATER": logic.Full, "FAULT": logic.Failed,
+var replies = map[string]admission.Outcome{"DATA": logic.OK, "LATER": logic.Full, "FAULT": logic.Failed,
 	"TOOSLOW": logic.TimedOut, "NOUSE": logic.Moot}
 
 // parseReply reads a reply's first line; length is that of the data which follows an OK.
-func parseReply(line string, most int) (id string, o gate.Outcome, length int, err error) {
+func parseReply(line string, most int) (id string, o admission.Outcome, length int, err error) {
 	text, whole := strings.CutSuffix(line, "\r\n")
 	words := strings.Split(text, " ")
 	if !whole || len(words) < 2 || words[0] == "" {
--- a/internal/catalogue/client_test.go
+++ b/internal/catalogue/client_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/logic"
@@ -19,7 +19,7 @@
 	for _, c := range []struct {
 		line   string
 		id     string
-		o      gate.Outcome
+		o      admission.Outcome
 		length int
 		ok     bool
 	}{
@@ -100,7 +100,7 @@
 	down := standin.Free(t)
 	for _, c := range []struct {
 		address, body string
-		want          gate.Outcome
+		want          admission.Outcome
 		neverRan      bool
 	}{
 		{address, "data", logic.OK, false},
@@ -115,11 +115,11 @@
 	} {
 		client := New(c.address, limits.For(64, 256), standin.Quiet)
 		type result struct {
-			o     gate.Outcome
+			o     admission.Outcome
 			reply string
 		}
 		got := make(chan result, 2)
-		client.Call("ab", 30*time.Millisecond, []byte(c.body), false, func(o gate.Outcome, _ time.Duration, reply []byte) {
+		client.Call("ab", 30*time.Millisecond, []byte(c.body), false, func(o admission.Outcome, _ time.Duration, reply []byte) {
 			got <- result{o, string(reply)}
 		})
 		r := <-got
@@ -136,8 +136,8 @@
 	lim := limits.For(64, 256)
 	lim.CallIdle = time.Millisecond
 	client := New(ln.Addr().String(), lim, standin.Quiet)
-	done := make(chan gate.Outcome, 1)
-	client.Call("ab", time.Minute, nil, false, func(o gate.Outcome, _ time.Duration, _ []byte) { done <- o })
+	done := make(chan admission.Outcome, 1)
+	client.Call("ab", time.Minute, nil, false, func(o admission.Outcome, _ time.Duration, _ []byte) { done <- o })
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -158,14 +158,14 @@
 }
 
 type ended struct {
-	o     gate.Outcome
+	o     admission.Outcome
 	reply string
 }
 
 // begin makes a call and returns where its outcome will be told.
 func begin(c *Client, id, body string) <-chan ended {
 	got := make(chan ended, 2)
-	c.Call(id, time.Minute, []byte(body), false, func(o gate.Outcome, _ time.Duration, reply []byte) { got <- ended{o, string(reply)} })
+	c.Call(id, time.Minute, []byte(body), false, func(o admission.Outcome, _ time.Duration, reply []byte) { got <- ended{o, string(reply)} })
 	return got
 }
 
--- a/internal/catalogue/line.go
+++ b/internal/catalogue/line.go
@@ -8,7 +8,7 @@
 	"net"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/logic"
 )
 
@@ -152,7 +152,7 @@
 }
 
 // readReply reads a reply whole: its line, and the data that follow an OK.
-func readReply(in *bufio.Reader, most int) (id string, o gate.Outcome, data []byte, err error) {
+func readReply(in *bufio.Reader, most int) (id string, o admission.Outcome, data []byte, err error) {
 	text, err := in.ReadSlice('\n') // a line that does not end fills the buffer, which is an error
 	if err != nil {
 		return "", 0, nil, err
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
+	"sloehitch/internal/admission"
 	"sloehitch/internal/clock"
-	"sloehitch/internal/gate"
 	"sloehitch/internal/heap"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
@@ -282,7 +282,7 @@
 type real struct {
 	site Site
 	node *node.Node
-	gate *gate.Gate
+	gate *admission.Gate
 	runs map[string]*run
 	ids  map[*Try]string
 	next int
@@ -304,13 +304,13 @@
 func newReal(s Site) Server {
 	r := &real{site: s, runs: map[string]*run{}, ids: map[*Try]string{}}
 	lim := limits.For(192, 1024)
-	options := gate.Options{Clock: s.Clock, Patience: lim.Gauges, Carry: func(d gate.Decision) { r.node.Decide(d) }}
+	options := admission.Options{Clock: s.Clock, Patience: lim.Gauges, Carry: func(d admission.Decision) { r.node.Decide(d) }}
 	options.Ask = func() {
 		on := float64(s.Machine.Running())
-		r.gate.Tick(gate.Gauges{RunQueue: on, CoreUse: min(1, on/float64(s.Settings.Cores)), MemoryShare: -1, Connections: -1})
+		r.gate.Tick(admission.Gauges{RunQueue: on, CoreUse: min(1, on/float64(s.Settings.Cores)), MemoryShare: -1, Connections: -1})
 	}
 	var err error
-	if r.gate, err = gate.New(s.Settings, options); err != nil {
+	if r.gate, err = admission.New(s.Settings, options); err != nil {
 		panic(err) // the world's settings were checked as it was made
 	}
 	o := node.Options{Settings: s.Settings, Gate: r.gate, Clock: s.Clock, Limits: lim, Log: quiet}
@@ -409,7 +409,7 @@
 // caller makes the core's calls.
 type caller struct{ *real }
 
-func (c caller) Call(id string, patience time.Duration, _ []byte, _ bool, done func(o gate.Outcome, took time.Duration, reply []byte)) {
+func (c caller) Call(id string, patience time.Duration, _ []byte, _ bool, done func(o admission.Outcome, took time.Duration, reply []byte)) {
 	w := c.runs[id]
 	if w == nil {
 		return
--- a/internal/frontend/uwsgi/pool.go
+++ b/internal/frontend/uwsgi/pool.go
@@ -9,10 +9,10 @@
 	"syscall"
 	"time"
 
+	"sloehitch/internal/admission"
 	"sloehitch/internal/endpoint"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/frontend/uwsgi/packet"
-	"sloehitch/internal/gate"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/tlskeys"
@@ -21,7 +21,7 @@
 
 // Events are where runs tell how they went.
 type Events interface {
-	Ended(id string, o gate.Outcome, took time.Duration, result []byte)
+	Ended(id string, o admission.Outcome, took time.Duration, result []byte)
 }
 
 // PoolOptions are what a pool is made of.
@@ -88,10 +88,10 @@
 }
 
 // over tells the log, at the level for debugging, and whoever else is to know, where a run's time went and why tries failed.
-func (p *Pool) over(r *run, o gate.Outcome) {
+func (p *Pool) over(r *run, o admission.Outcome) {
 	t := &r.seen
 	last := t.last()
-	t.Outcome = map[gate.Outcome]string{logic.OK: "ok", logic.Failed: "failed", logic.Cancelled: "cancelled", logic.Moot: "moot"}[o]
+	t.Outcome = map[admission.Outcome]string{logic.OK: "ok", logic.Failed: "failed", logic.Cancelled: "cancelled", logic.Moot: "moot"}[o]
 	t.Done = time.Now()
 	r.job.ran(*t)
 	if p.opts.Over != nil {
--- a/internal/frontend/uwsgi/uwsgi_test.go
+++ b/internal/frontend/uwsgi/uwsgi_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/admission"
 	"sloehitch/internal/clock"
 	"sloehitch/internal/endpoint"
 	"sloehitch/internal/frontend/uwsgi/balancer"
-	"sloehitch/internal/gate"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
 	"sloehitch/internal/standin"
@@ -99,7 +99,7 @@
 	if change != nil {
 		change(&o, &po)
 	}
-	g, err := gate.New(cfg, gate.Options{Clock: clock.System{}})
+	g, err := admission.New(cfg, admission.Options{Clock: clock.System{}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/keep/keep.go
+++ b/internal/handover/snapshotfile/keep.go
@@ -1,5 +1,5 @@
-// Package keep holds the file in which a process leaves a snapshot for the one that replaces it.
-package keep
+// Package snapshotfile holds the file in which a process leaves a snapshot for the one that replaces it.
+package snapshotfile
 
 import (
 	"errors"
--- a/internal/handover/keep/keep_test.go
+++ b/internal/handover/snapshotfile/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package snapshotfile
 
 import (
 	"errors"
--- a/internal/tandem/tandem.go
+++ b/internal/idempotency/compositejournal/tandem.go
@@ -1,10 +1,10 @@
-// Package tandem is the core's journal where a node has both a record that outlives the machine, which one process at
+// Package compositejournal is the core's journal where a node has both a record that outlives the machine, which one process at
 // a time may write, and keys shared by the processes of the node while one replaces another: one path for both.
 //
 // A start is told to the other processes first and then made durable. While the process that leaves still has the
 // record, the new one's starts are kept here and written as soon as it lets go: until then they outlive the process,
 // not the machine.
-package tandem
+package compositejournal
 
 import (
 	"log/slog"
--- a/internal/tandem/tandem_test.go
+++ b/internal/idempotency/compositejournal/tandem_test.go
@@ -1,4 +1,4 @@
-package tandem
+package compositejournal
 
 import (
 	"errors"
--- a/internal/claims/claims.go
+++ b/internal/idempotency/keystore/claims.go
@@ -1,4 +1,4 @@
-// Package claims keeps the keys of bookings that began, and what came of them, in a folder that the processes of one
+// Package keystore keeps the keys of bookings that began, and what came of them, in a folder that the processes of one
 // node share, so that while a new process takes over from an old one (both take clients from the listener that the
 // platform holds) no key runs in both, and a try that meets the other's key hears that run's result.
 //
@@ -6,7 +6,7 @@
 // told, so whoever asks first holds a key (package holding). It is a node.Journal for the time of a hand-over, not a
 // record that outlives the machine: the folder is meant for $TMPDIR, which the platform shares between the processes
 // and does not empty. Nothing is flushed to a disk.
-package claims
+package keystore
 
 import (
 	"crypto/sha256"
@@ -22,8 +22,8 @@
 	"sync"
 	"time"
 
-	"sloehitch/internal/claims/format"
-	"sloehitch/internal/claims/holding"
+	"sloehitch/internal/idempotency/keystore/format"
+	"sloehitch/internal/idempotency/keystore/keystate"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
@@ -55,9 +55,9 @@
 	mu      sync.Mutex
 	queue   []op // to be told, in order
 	closed  bool
-	table   *holding.Table // of the other processes
-	owners  map[string]int // by the name of the process
-	dead    map[int]bool   // which of them have ended
+	table   *keystate.Table // of the other processes
+	owners  map[string]int  // by the name of the process
+	dead    map[int]bool    // which of them have ended
 	others  map[int]*segment
 	known   map[string]bool // the others' segments, by path, expired ones included while their files stand
 	own     []*segment      // the last one is being written
@@ -81,7 +81,7 @@
 func Open(o Options) (*Claims, error) {
 	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatUint(rand.Uint64(), 36)
 	c := &Claims{opts: o, log: lograte.New(o.Log, o.Limits.LogEvery), wake: make(chan struct{}, 1), stop: make(chan struct{}),
-		ended: make(chan struct{}), sweeps: make(chan chan struct{}, 1), table: holding.New(), owners: map[string]int{}, dead: map[int]bool{}, others: map[int]*segment{},
+		ended: make(chan struct{}), sweeps: make(chan chan struct{}, 1), table: keystate.New(), owners: map[string]int{}, dead: map[int]bool{}, others: map[int]*segment{},
 		known: map[string]bool{}, mine: map[format.ID]bool{}, waiters: map[format.ID][]func(){}}
 	var err error
 	if c.folder, err = openFolder(o.Dir, name); err != nil {
@@ -256,7 +256,7 @@
 	lost := s.lost
 	err := s.read(c.buffer, last, func(r format.Record, at, size int64) {
 		s.ends = max(s.ends, r.Ends)
-		if c.table.Apply(owner, r, holding.Place{Segment: s.number, Offset: at, Size: size}) && r.Kind != format.Began {
+		if c.table.Apply(owner, r, keystate.Place{Segment: s.number, Offset: at, Size: size}) && r.Kind != format.Began {
 			c.resolve(r.ID)
 		}
 	})
@@ -650,7 +650,7 @@
 	}
 	slices.Sort(owners)
 	owners = slices.Compact(owners)
-	table := holding.New()
+	table := keystate.New()
 	numbers := map[string]int{}
 	segments, bytes := map[string]int{}, map[string]int64{}
 	buffer := make([]byte, format.MostRecord+4<<10)
@@ -659,7 +659,7 @@
 	}
 	for n, s := range found {
 		err = errors.Join(err, s.read(buffer, true, func(r format.Record, at, size int64) {
-			table.Apply(numbers[s.owner], r, holding.Place{Segment: n})
+			table.Apply(numbers[s.owner], r, keystate.Place{Segment: n})
 		}))
 		s.done()
 		segments[s.owner]++
--- a/internal/claims/claims_test.go
+++ b/internal/idempotency/keystore/claims_test.go
@@ -1,4 +1,4 @@
-package claims
+package keystore
 
 import (
 	"bufio"
--- a/internal/claims/folder.go
+++ b/internal/idempotency/keystore/folder.go
@@ -1,4 +1,4 @@
-package claims
+package keystore
 
 import (
 	"encoding/binary"
@@ -13,7 +13,7 @@
 	"strings"
 	"syscall"
 
-	"sloehitch/internal/claims/format"
+	"sloehitch/internal/idempotency/keystore/format"
 )
 
 // folder is what the processes share: a file whose lock orders all that is told, one that each process holds locked
--- a/internal/claims/holding/holding.go
+++ b/internal/idempotency/keystore/keystate/holding.go
@@ -1,8 +1,8 @@
-// Package holding keeps who holds which key, as told by the records of several processes, read in any mix of their
+// Package keystate keeps who holds which key, as told by the records of several processes, read in any mix of their
 // orders. It decides what counts and does no I/O; the time is told to it.
-package holding
+package keystate
 
-import "sloehitch/internal/claims/format"
+import "sloehitch/internal/idempotency/keystore/format"
 
 // Place is where a record lies: in which segment (by the reader's number), from which byte, for how many.
 type Place struct {
--- a/internal/claims/holding/holding_test.go
+++ b/internal/idempotency/keystore/keystate/holding_test.go
@@ -1,11 +1,11 @@
-package holding
+package keystate
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"sloehitch/internal/claims/format"
+	"sloehitch/internal/idempotency/keystore/format"
 )
 
 // TestAnyOrder: whatever mix of the processes' orders records are read in, the table comes to what they say in the
--- a/internal/bookings/bookings.go
+++ b/internal/idempotency/runlog/bookings.go
@@ -1,6 +1,6 @@
-// Package bookings is the record of which keyed requests began to run, kept on a ledger so that it outlives the process. It
+// Package runlog is the record of which keyed requests began to run, kept on a ledger so that it outlives the process. It
 // writes for the core, which knows no file, and reads for the core's start.
-package bookings
+package runlog
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"sloehitch/internal/bookings/bookingpb"
+	"sloehitch/internal/idempotency/runlog/bookingpb"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
--- a/internal/bookings/bookings_test.go
+++ b/internal/idempotency/runlog/bookings_test.go
@@ -1,4 +1,4 @@
-package bookings
+package runlog
 
 import (
 	"errors"
--- a/internal/node/abroad.go
+++ b/internal/node/abroad.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/logic"
 )
 
@@ -104,7 +104,7 @@
 		e.ran = false
 	}
 	for _, try := range append([]*request{r}, n.keys.abandon(r)...) {
-		n.opts.Gate.Report(gate.Ended(try.num, logic.Moot, 0))
+		n.opts.Gate.Report(admission.Ended(try.num, logic.Moot, 0))
 		delete(n.byNum, try.num)
 		try.stage = held
 		switch {
--- a/internal/node/abroad_test.go
+++ b/internal/node/abroad_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/logic"
 )
 
@@ -71,7 +71,7 @@
 			s.held["k"] = running
 			b.submit("a", book, "k", 0)
 			s.resolve("k", nil)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			s.done["a"](nil)
 			b.Ended("a", logic.OK, 0, []byte("own"))
 		}, "began a, start a, ended(true own) a", "[served own] [] []"},
@@ -89,22 +89,22 @@
 		}, "", "[failed ] [] []"},
 		{"the other process was first by a moment, for both tries here", func(b *bench, s *shared) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Join)
+			b.decide("b", admission.Join)
 			s.held["k"] = running
 			s.done["a"](ErrTaken)
 			s.resolve("k", &ended)
 		}, "began a", "[served r] [served r] []"},
 		{"the other was first and has ended", func(b *bench, s *shared) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			s.held["k"] = ended
 			s.done["a"](ErrTaken)
 		}, "began a", "[served r] [] []"},
 		{"the other was first, its caller here is gone", func(b *bench, s *shared) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Gone("a")
 			s.held["k"] = running
 			s.done["a"](ErrTaken)
@@ -112,16 +112,16 @@
 		}, "began a", "[] [] []"},
 		{"the other was first and lets go at once", func(b *bench, s *shared) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			s.done["a"](ErrTaken)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			s.done["a"](nil)
 			b.Ended("a", logic.OK, 0, []byte("own"))
 		}, "began a, began a, start a, ended(true own) a", "[served own] [] []"},
 		{"refused by the module as the other begins", func(b *bench, s *shared) {
 			b.submit("a", book, "k", 0)
 			s.held["k"] = running
-			b.decide("a", gate.Refuse)
+			b.decide("a", admission.Refuse)
 			s.resolve("k", &ended)
 		}, "", "[served r] [] []"},
 		{"all that waits is answered before the kill", func(b *bench, s *shared) {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 )
 
 // Leave is the notice that the process is to be stopped so long after it came. The grace and the kill count from the
@@ -18,7 +18,7 @@
 	n.leaving, n.kill = notice, notice.Add(stop)
 	left := max(0, n.kill.Sub(n.opts.Clock.Now()))
 	if !quiet {
-		n.opts.Gate.Report(gate.Leaving(left))
+		n.opts.Gate.Report(admission.Leaving(left))
 	}
 	n.opts.Clock.AfterFunc(left-n.opts.Limits.KillSpare, n.answerAll)
 }
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/logic"
 )
 
@@ -47,91 +47,91 @@
 	}{
 		{"recorded, then started", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			j.done["a"](nil)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 		}, "began a, start a, ended(true r) a", "[served r] [] []"},
 		{"a read needs no record", func(b *bench, j *journal) {
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 		}, "start a", "[served r] [] []"},
 		{"it can't be recorded", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			j.done["a"](full)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 			j.done["b"](nil)
 		}, "began a, withdraw a, began b, start b", "[refused ] [] []"},
 		{"it is refused at once", func(b *bench, j *journal) {
 			j.fails = full
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 		}, "began a, withdraw a", "[refused ] [] []"},
 		{"durable after it was given up", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.GiveUp("a")
 			j.done["a"](nil)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 			j.done["b"](nil)
 		}, "began a, withdraw a, began b, start b", "[refused ] [] []"},
 		{"too slow", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.recorded(b.byID["a"].num, errSlow)
 			j.done["a"](nil)
 		}, "began a, withdraw a", "[refused ] [] []"},
 		{"the module changes its mind", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
-			b.decide("a", gate.Refuse)
+			b.decide("a", admission.Run)
+			b.decide("a", admission.Refuse)
 			j.done["a"](nil)
 		}, "began a, withdraw a", "[refused ] [] []"},
 		{"one that waits for a start that fails runs itself", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
 			b.submit("b", book, "k", 0)
-			b.decide("a", gate.Run)
-			b.decide("b", gate.Join)
+			b.decide("a", admission.Run)
+			b.decide("b", admission.Join)
 			j.done["a"](full)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 			j.done["b"](nil)
 			b.Ended("b", logic.OK, 0, []byte("r"))
 		}, "began a, withdraw a, began b, start b, ended(true r) b", "[refused ] [served r] []"},
 		{"the caller gone meanwhile, its run goes on for repeats", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Gone("a")
 			j.done["a"](nil)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 		}, "began a, start a, ended(true r) a", "[] [served r] []"},
 		{"paused before it started", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
-			b.decide("a", gate.Stop)
+			b.decide("a", admission.Run)
+			b.decide("a", admission.Stop)
 			j.done["a"](nil)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 		}, "began a, start a, stop a, continue a", "[] [] []"},
 		{"paused and taken up before it started", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
-			b.decide("a", gate.Stop)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
+			b.decide("a", admission.Stop)
+			b.decide("a", admission.Run)
 			j.done["a"](nil)
 		}, "began a, start a", "[] [] []"},
 		{"nothing was started", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			j.done["a"](nil)
 			b.Ended("a", logic.Moot, 0, nil)
 		}, "began a, start a, withdraw a", "[failed ] [] []"},
 		{"the process is to end", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Leave(b.clock.now, time.Minute, false)
 			b.answerAll()
 			j.done["a"](nil)
@@ -180,7 +180,7 @@
 	}
 	b.clock.now = b.clock.now.Add(6300 * time.Millisecond)
 	b.submit("d", 1, "k", 0)
-	b.decide("d", gate.Run)
+	b.decide("d", admission.Run)
 	if got := b.work.String(); got != "began d" {
 		t.Errorf("after the window: %s", got)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"sloehitch/internal/admission"
 	"sloehitch/internal/clock"
-	"sloehitch/internal/gate"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
 	"sloehitch/logic"
@@ -70,14 +70,14 @@
 // Caller makes calls below. Call must not block and calls done once, unless Quit came first; once says that the call
 // must not be made again if it may have run.
 type Caller interface {
-	Call(id string, patience time.Duration, body []byte, once bool, done func(o gate.Outcome, took time.Duration, reply []byte))
+	Call(id string, patience time.Duration, body []byte, once bool, done func(o admission.Outcome, took time.Duration, reply []byte))
 	Quit(id string)
 }
 
 // Options are what a node is made of.
 type Options struct {
 	Settings logic.Settings
-	Gate     *gate.Gate
+	Gate     *admission.Gate
 	Caller   Caller
 	Journal  Journal // nil: what runs is known in memory only
 	Clock    clock.Clock
@@ -198,15 +198,15 @@
 }
 
 // Decide carries out one decision of the gate: for a host whose gate carries its decisions by itself (gate.Options.Carry).
-func (n *Node) Decide(d gate.Decision) {
+func (n *Node) Decide(d admission.Decision) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r := n.byNum[d.ID]; r != nil {
 		n.carryOut(r, d)
-	} else if d.Verb == gate.Run || d.Verb == gate.Join {
+	} else if d.Verb == admission.Run || d.Verb == admission.Join {
 		// Its caller left, or it was answered, while the module decided to start it. The module counts it among what runs
 		// until it hears of an end: without this word it would hold one run less at once for ever after.
-		n.opts.Gate.Report(gate.Ended(d.ID, logic.Moot, 0))
+		n.opts.Gate.Report(admission.Ended(d.ID, logic.Moot, 0))
 	}
 }
 
@@ -284,14 +284,14 @@
 	n.next++
 	r.num, r.stage, r.entered = n.next, held, now
 	n.byNum[r.num] = r
-	a := gate.Arrival{Class: r.Class, Tenant: r.Tenant, KB: r.KB, Hint: logic.Micros(r.Hint / time.Microsecond),
+	a := admission.Arrival{Class: r.Class, Tenant: r.Tenant, KB: r.KB, Hint: logic.Micros(r.Hint / time.Microsecond),
 		Age: logic.Micros(now.Sub(r.Arrived) / time.Microsecond), Wait: r.left(now), Retry: r.Retry, Rank: r.Rank, Source: r.Source}
 	if r.Key != "" {
 		if f := n.keys.arrive(r); f != nil {
 			a.Forerunner = logic.RequestID(f.num)
 		}
 	}
-	n.opts.Gate.Report(gate.Arrived(r.num, a))
+	n.opts.Gate.Report(admission.Arrived(r.num, a))
 }
 
 // left is what the module is told of how long the caller still waits; 0 where it didn't say.
@@ -337,7 +337,7 @@
 		n.leave(r)
 		return
 	}
-	n.opts.Gate.Report(gate.Gone(r.num))
+	n.opts.Gate.Report(admission.Gone(r.num))
 	if r.stage == held || r.stage == joined {
 		n.drop(r)
 	}
@@ -419,7 +419,7 @@
 
 // again hands a request that waited for a try which never ran to the module once more, as a new one.
 func (n *Node) again(r *request) {
-	n.opts.Gate.Report(gate.Ended(r.num, logic.Moot, 0))
+	n.opts.Gate.Report(admission.Ended(r.num, logic.Moot, 0))
 	delete(n.byNum, r.num)
 	n.enter(r, n.opts.Clock.Now())
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/admission"
 	"sloehitch/internal/clock"
-	"sloehitch/internal/gate"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/logic"
@@ -32,7 +32,7 @@
 func (r *recorder) Omit(id string, _ uint64)             { r.note("omit", id) }
 func (r *recorder) String() string                       { return strings.Join(r.asked, ", ") }
 func (r *recorder) Quit(id string)                       { r.note("quit", id) }
-func (r *recorder) Call(id string, _ time.Duration, _ []byte, _ bool, done func(gate.Outcome, time.Duration, []byte)) {
+func (r *recorder) Call(id string, _ time.Duration, _ []byte, _ bool, done func(admission.Outcome, time.Duration, []byte)) {
 	r.note("call", id)
 }
 
@@ -51,7 +51,7 @@
 		{Name: "book", Aim: 1e6, Deadline: 60e6, Worth: 3, Effect: logic.Keyed, Window: 10e6},
 		{Name: "move", Aim: 1e6, Deadline: 60e6, Worth: 3, Effect: logic.Unsafe}}}
 	c := &still{now: time.UnixMilli(1764576000000)}
-	g, err := gate.New(cfg, gate.Options{Clock: c})
+	g, err := admission.New(cfg, admission.Options{Clock: c})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	b := newBench(t)
 	b.submit("a", 1, "k", 0)
 	before := b.Refusal("book", "k")
-	b.decide("a", gate.Run)
+	b.decide("a", admission.Run)
 	during := b.Refusal("book", "k")
 	b.Ended("a", logic.OK, 0, nil)
 	after := b.Refusal("book", "k")
@@ -83,11 +83,11 @@
 }
 
 // decide plays the module.
-func (b *bench) decide(id string, v gate.Verb) {
+func (b *bench) decide(id string, v admission.Verb) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.byID[id]; r != nil {
-		b.carryOut(r, gate.Decision{Verb: v, ID: r.num})
+		b.carryOut(r, admission.Decision{Verb: v, ID: r.num})
 	}
 }
 
@@ -101,160 +101,160 @@
 	}{
 		{"served", func(b *bench) {
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 		}, "start a", "[served r] [] []"},
 		{"an end that comes twice", func(b *bench) {
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 			b.Ended("a", logic.OK, 0, []byte("s"))
 		}, "start a", "[served r] [] []"},
 		{"answered, then its run ends", func(b *bench) {
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
-			b.decide("a", gate.Fail)
+			b.decide("a", admission.Run)
+			b.decide("a", admission.Fail)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 		}, "start a", "[failed ] [] []"},
 		{"gone while held, then run", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.Gone("a")
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 		}, "", "[] [] []"},
 		{"the same id twice", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 		}, "start a", "[refused ] [] []"},
 		{"the same id twice, of a request that may run once", func(b *bench) {
 			b.submit("a", move, "", 0)
 			b.submit("a", move, "", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 		}, "start a", "[failed  served r] [] []"},
 		{"refused by mistake though it runs, and must not run twice", func(b *bench) {
 			b.submit("a", move, "", 0)
-			b.decide("a", gate.Run)
-			b.decide("a", gate.Refuse)
+			b.decide("a", admission.Run)
+			b.decide("a", admission.Refuse)
 		}, "start a", "[failed ] [] []"},
 		{"a start that nobody can confirm, and the run ends after all", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Unconfirmed("a", 0)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Join)
+			b.decide("b", admission.Join)
 		}, "start a", "[served r] [served r] []"},
 		{"a start that nobody can confirm: its key stays taken, a repeat that waits for it fails with it", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Unconfirmed("a", 0)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Join)
-			b.decide("a", gate.Fail)
+			b.decide("b", admission.Join)
+			b.decide("a", admission.Fail)
 			b.submit("c", book, "k", 0)
-			b.decide("c", gate.Run)
+			b.decide("c", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("late"))
 		}, "start a", "[failed ] [failed ] [failed ]"},
 		{"a start that nobody can confirm, whose caller is gone: it is written off when it was due", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Unconfirmed("a", 0)
 			b.Gone("a")
 			b.Sweep()
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Join)
+			b.decide("b", admission.Join)
 			b.clock.now = b.clock.now.Add(61 * time.Second)
 			b.Sweep()
 		}, "start a", "[] [failed ] []"},
 		{"a reply that nobody can confirm: the run goes on without the call", func(b *bench) {
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Wants("a", 7, nil)
-			b.decide("a", gate.Call)
+			b.decide("a", admission.Call)
 			b.Unconfirmed("a", 7)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 		}, "start a, call a, omit a, quit a", "[served r] [] []"},
 		{"a reply that nobody can confirm, in a class whose calls can't be left out", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Wants("a", 7, nil)
 			b.Unconfirmed("a", 7)
 			b.Wants("a", 8, nil)
-			b.decide("a", gate.Fail)
+			b.decide("a", admission.Fail)
 			b.Ended("a", logic.OK, 0, nil)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Join)
+			b.decide("b", admission.Join)
 		}, "start a", "[failed ] [served ] []"},
 		{"a keyed request without a key", func(b *bench) {
 			b.submit("a", book, "", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 		}, "", "[refused ] [] []"},
 		{"a second try run by mistake joins the first", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.submit("b", book, "k", 0)
-			b.decide("a", gate.Run)
-			b.decide("b", gate.Run)
+			b.decide("a", admission.Run)
+			b.decide("b", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 		}, "start a", "[served r] [served r] []"},
 		{"a try that is refused after its forerunner ran is failed", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.Failed, 0, nil)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Refuse)
+			b.decide("b", admission.Refuse)
 		}, "start a", "[failed ] [failed ] []"},
 		{"the key is free once a try was refused unrun", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Refuse)
+			b.decide("a", admission.Refuse)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 		}, "start b", "[refused ] [] []"},
 		{"one that waits for a try that never ran runs itself", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Join)
-			b.decide("a", gate.Refuse)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Join)
+			b.decide("a", admission.Refuse)
+			b.decide("b", admission.Run)
 		}, "start b", "[refused ] [] []"},
 		{"a run that was moot leaves the key to the next", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.Moot, 0, nil)
 			b.submit("b", book, "k", 0)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 		}, "start a, start b", "[failed ] [] []"},
 		{"the window counts from the time stamp of the try that ran", func(b *bench) {
 			b.submit("a", book, "k", -5*time.Second)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 			b.clock.now = b.clock.now.Add(4900 * time.Millisecond)
 			b.submit("b", book, "k", 0) // 9.9 s after it: joins
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 			b.clock.now = b.clock.now.Add(time.Second)
 			b.Sweep()
 			b.submit("c", book, "k", 0) // 10.9 s after it: a new request
-			b.decide("c", gate.Run)
+			b.decide("c", admission.Run)
 		}, "start a, start c", "[served r] [served r] []"},
 		{"and from one that is ahead of our clock", func(b *bench) {
 			b.submit("a", book, "k", 3*time.Second)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 			b.clock.now = b.clock.now.Add(12900 * time.Millisecond)
 			b.submit("b", book, "k", 0) // 9.9 s after it: joins
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 			b.clock.now = b.clock.now.Add(time.Second)
 			b.submit("c", book, "k", 0)
-			b.decide("c", gate.Run)
+			b.decide("c", admission.Run)
 		}, "start a, start c", "[served r] [served r] []"},
 		{"a try read late belongs to when it came", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 			b.clock.now = b.clock.now.Add(11 * time.Second)
 			b.Sweep()
 			b.submit("b", book, "k", -2*time.Second)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 		}, "start a", "[served r] [served r] []"},
 		{"too late after the notice to leave", func(b *bench) {
 			b.Leave(b.clock.now, time.Minute, false)
@@ -264,64 +264,64 @@
 			b.submit("b", 0, "", -1500*time.Millisecond) // its first byte came in time; when its last one did nobody has seen
 			b.submit("c", 0, "", 0)
 			for _, id := range []string{"a", "b", "c"} {
-				b.decide(id, gate.Run)
+				b.decide(id, admission.Run)
 			}
 		}, "start a", "[] [refused ] [refused ]"},
 		{"a repeat that is read too late has the result of the run", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Leave(b.clock.now, time.Minute, false)
 			b.clock.now = b.clock.now.Add(3 * time.Second)
 			b.submit("b", book, "k", 0)
 			b.submit("c", book, "l", 0)
-			b.decide("b", gate.Join)
+			b.decide("b", admission.Join)
 			b.Ended("a", logic.OK, 0, []byte("r"))
 		}, "start a", "[served r] [served r] [refused ]"},
 		{"what is read after all was answered for the kill is answered at once", func(b *bench) {
 			b.Leave(b.clock.now.Add(-time.Second), 1100*time.Millisecond, true) // the module isn't told of it
 			b.submit("a", 0, "", 0)
 			b.submit("b", book, "k", 0)
-			b.decide("a", gate.Run)
-			b.decide("b", gate.Run)
+			b.decide("a", admission.Run)
+			b.decide("b", admission.Run)
 		}, "", "[refused ] [refused ] []"},
 		{"the grace counts from the notice, however late it is heard of", func(b *bench) {
 			b.Leave(b.clock.now.Add(-1900*time.Millisecond), time.Minute, false)
 			b.submit("a", 0, "", 0)
 			b.clock.now = b.clock.now.Add(200 * time.Millisecond)
 			b.submit("b", 0, "", -150*time.Millisecond)
-			b.decide("a", gate.Run)
-			b.decide("b", gate.Run)
+			b.decide("a", admission.Run)
+			b.decide("b", admission.Run)
 		}, "start a", "[] [refused ] []"},
 		{"all is answered before the kill", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.submit("b", book, "k", 0)
 			b.submit("c", book, "l", 0)
-			b.decide("b", gate.Run)
+			b.decide("b", admission.Run)
 			b.Gone("c")
 			b.Leave(b.clock.now, time.Minute, false)
 			b.answerAll()
 		}, "start b", "[refused ] [failed ] []"},
 		{"a call whose request is over is given up", func(b *bench) {
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
 			b.Wants("a", 3, nil)
-			b.decide("a", gate.Call)
+			b.decide("a", admission.Call)
 			b.Ended("a", logic.Cancelled, 0, nil)
 		}, "start a, call a, quit a", "[failed ] [] []"},
 		{"a call left out", func(b *bench) {
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
-			b.decide("a", gate.GoOn) // it stands at no call yet
+			b.decide("a", admission.Run)
+			b.decide("a", admission.GoOn) // it stands at no call yet
 			b.Wants("a", 3, nil)
-			b.decide("a", gate.GoOn)
-			b.decide("a", gate.Call)
+			b.decide("a", admission.GoOn)
+			b.decide("a", admission.Call)
 		}, "start a, omit a", "[] [] []"},
 		{"paused and taken up again", func(b *bench) {
 			b.submit("a", 0, "", 0)
-			b.decide("a", gate.Run)
-			b.decide("a", gate.Stop)
-			b.decide("a", gate.Run)
-			b.decide("a", gate.Run)
+			b.decide("a", admission.Run)
+			b.decide("a", admission.Stop)
+			b.decide("a", admission.Run)
+			b.decide("a", admission.Run)
 		}, "start a, stop a, continue a", "[] [] []"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -340,13 +340,13 @@
 // TestGoneAsItStarts: a caller that leaves while the module decides to start its request takes no place from others for good.
 func TestGoneAsItStarts(t *testing.T) {
 	b := newBench(t)
-	g, err := gate.New(b.opts.Settings, gate.Options{Clock: b.clock})
+	g, err := admission.New(b.opts.Settings, admission.Options{Clock: b.clock})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.Close()
 	b.opts.Gate = g
-	picked := make(chan gate.Decision)
+	picked := make(chan admission.Decision)
 	go func() {
 		for {
 			d, ok := g.Pick()
@@ -360,13 +360,13 @@
 		id := fmt.Sprint(i)
 		b.submit(id, i%2, "k"+id, 0)
 		for {
-			var d gate.Decision
+			var d admission.Decision
 			select {
 			case d = <-picked:
 			case <-time.After(standin.Patience):
 				t.Fatalf("request %d is not started: the ones before it still count", i)
 			}
-			if d.Verb != gate.Run {
+			if d.Verb != admission.Run {
 				continue // it keeps a key
 			}
 			b.Gone(id)
@@ -390,12 +390,12 @@
 		t.Error("one that does not run has begun")
 	}
 	for i := range 3 {
-		b.decide(fmt.Sprint(i), gate.Run)
+		b.decide(fmt.Sprint(i), admission.Run)
 	}
 	if !b.Begin("0") || !b.Begin("0") || !b.Begin("1") || b.Begin("2") {
 		t.Error("a run may not begin, or one that is kept for repeats may")
 	}
-	b.decide("0", gate.Refuse)
+	b.decide("0", admission.Refuse)
 	b.Ended("1", logic.OK, 0, nil)
 	if b.Begin("0") {
 		t.Error("one that is answered has begun")
@@ -423,7 +423,7 @@
 	b.keys.room = 5
 	run := func(id, key string) {
 		b.submit(id, 1, key, 0)
-		b.decide(id, gate.Run)
+		b.decide(id, admission.Run)
 		b.Ended(id, logic.OK, 0, []byte("four"))
 	}
 	for i, want := range []string{"[served four]", "[served four]", "[served four]", "[failed ]"} {
@@ -447,7 +447,7 @@
 	for i := range 5 {
 		id := fmt.Sprint(i)
 		b.submit(id, 1, "k"+id, 0)
-		b.decide(id, gate.Run)
+		b.decide(id, admission.Run)
 	}
 	if got := b.work.String(); got != "start 0, start 1" || len(b.byNum) != 2 {
 		t.Errorf("%s, %d in hand; want two, as there is room for two keys", got, len(b.byNum))
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -4,7 +4,7 @@
 	"context"
 	"log/slog"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 )
 
 // traced says whether the log takes each step of each request.
@@ -21,7 +21,7 @@
 }
 
 // traceUnknown logs what was told of a run that is not in hand.
-func (n *Node) traceUnknown(what, id string, o gate.Outcome) {
+func (n *Node) traceUnknown(what, id string, o admission.Outcome) {
 	if n.traced {
 		n.opts.Log.Debug(what, "request", id, "outcome", o)
 	}
--- a/internal/node/unconfirmed.go
+++ b/internal/node/unconfirmed.go
@@ -1,7 +1,7 @@
 package node
 
 import (
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/logic"
 )
 
@@ -50,6 +50,6 @@
 		return
 	}
 	n.trace("its run is written off", r)
-	n.opts.Gate.Report(gate.Ended(r.num, logic.Moot, 0))
+	n.opts.Gate.Report(admission.Ended(r.num, logic.Moot, 0))
 	n.conclude(r, logic.Failed, nil)
 }
--- a/internal/node/work.go
+++ b/internal/node/work.go
@@ -4,20 +4,20 @@
 	"fmt"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/logic"
 )
 
 // carryOut does what the module decided about a request.
-func (n *Node) carryOut(r *request, d gate.Decision) {
+func (n *Node) carryOut(r *request, d admission.Decision) {
 	switch d.Verb {
-	case gate.Run:
+	case admission.Run:
 		n.run(r)
-	case gate.Refuse:
+	case admission.Refuse:
 		n.turnAway(r, Answer{Kind: Refused, Holdoff: d.Span, Last: d.Last})
-	case gate.Fail:
+	case admission.Fail:
 		n.turnAway(r, Answer{Kind: Failed})
-	case gate.Stop:
+	case admission.Stop:
 		switch r.stage {
 		case starting:
 			r.paused = true
@@ -25,19 +25,19 @@
 			r.paused = true
 			r.Runner.Stop(r.ID)
 		}
-	case gate.Join:
+	case admission.Join:
 		n.join(r)
-	case gate.Keep:
+	case admission.Keep:
 		if r.Key != "" {
 			n.keys.own(r)
 		}
-	case gate.Forget:
+	case admission.Forget:
 		for _, waiting := range n.keys.abandon(r) {
 			n.again(waiting)
 		}
-	case gate.Call:
+	case admission.Call:
 		n.call(r, d.Span)
-	case gate.GoOn:
+	case admission.GoOn:
 		if r.wants != 0 {
 			pos := r.wants
 			r.wants, r.call = 0, nil
@@ -140,16 +140,16 @@
 	took := n.opts.Clock.Now().Sub(r.entered)
 	if e.served && e.owner.Front == r.Front { // another protocol's result would not be understood
 		n.settle(r, Answer{Kind: Served, Result: e.result})
-		n.opts.Gate.Report(gate.Ended(r.num, logic.OK, took))
+		n.opts.Gate.Report(admission.Ended(r.num, logic.OK, took))
 	} else {
 		n.settle(r, Answer{Kind: Failed})
-		n.opts.Gate.Report(gate.Ended(r.num, logic.Failed, took))
+		n.opts.Gate.Report(admission.Ended(r.num, logic.Failed, took))
 	}
 	n.drop(r)
 }
 
 // Ended tells that a run is over.
-func (n *Node) Ended(id string, o gate.Outcome, took time.Duration, result []byte) {
+func (n *Node) Ended(id string, o admission.Outcome, took time.Duration, result []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.byID[id]
@@ -162,13 +162,13 @@
 }
 
 // finish ends a request's run: it answers it and all that waited for it.
-func (n *Node) finish(r *request, o gate.Outcome, took time.Duration, result []byte) {
-	n.opts.Gate.Report(gate.Ended(r.num, o, took))
+func (n *Node) finish(r *request, o admission.Outcome, took time.Duration, result []byte) {
+	n.opts.Gate.Report(admission.Ended(r.num, o, took))
 	n.conclude(r, o, result)
 }
 
 // conclude is what finish does beside telling the module.
-func (n *Node) conclude(r *request, o gate.Outcome, result []byte) {
+func (n *Node) conclude(r *request, o admission.Outcome, result []byte) {
 	started := r.stage == runs
 	r.stage = ended
 	if o == logic.OK {
@@ -217,7 +217,7 @@
 	}
 	r.wants, r.call, r.lost = pos, body, false
 	n.trace("stands at a call", r, "notice", pos)
-	n.opts.Gate.Report(gate.AtCall(r.num))
+	n.opts.Gate.Report(admission.AtCall(r.num))
 }
 
 // call makes the call that a run stands at.
@@ -226,7 +226,7 @@
 		return
 	}
 	if n.opts.Caller == nil {
-		n.opts.Gate.Report(gate.CallEnded(r.num, logic.Unreachable, 0))
+		n.opts.Gate.Report(admission.CallEnded(r.num, logic.Unreachable, 0))
 		return
 	}
 	if patience <= 0 {
@@ -235,13 +235,13 @@
 	r.calling = true
 	num := r.num
 	once := n.opts.Settings.Classes[r.Class].Effect != logic.Safe
-	n.opts.Caller.Call(r.ID, patience, r.call, once, func(o gate.Outcome, took time.Duration, reply []byte) {
+	n.opts.Caller.Call(r.ID, patience, r.call, once, func(o admission.Outcome, took time.Duration, reply []byte) {
 		n.called(num, o, took, reply)
 	})
 }
 
 // called takes in how a call ended.
-func (n *Node) called(num uint64, o gate.Outcome, took time.Duration, reply []byte) {
+func (n *Node) called(num uint64, o admission.Outcome, took time.Duration, reply []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.byNum[num]
@@ -254,5 +254,5 @@
 		r.wants, r.call = 0, nil
 		r.Runner.Give(r.ID, reply)
 	}
-	n.opts.Gate.Report(gate.CallEnded(num, o, took))
+	n.opts.Gate.Report(admission.CallEnded(num, o, took))
 }
--- a/internal/runtime/crossings_test.go
+++ b/internal/runtime/crossings_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/logic"
@@ -68,7 +68,7 @@
 	if change != nil {
 		change(&lim)
 	}
-	l := New(Options{Address: ln.Addr().String(), Limits: lim, Log: standin.Quiet, Gauges: func(gate.Gauges) {}})
+	l := New(Options{Address: ln.Addr().String(), Limits: lim, Log: standin.Quiet, Gauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 4096), wants: make(chan uint64, 16)}
 	go l.Serve(e)
 	t.Cleanup(l.Close)
--- a/internal/runtime/link.go
+++ b/internal/runtime/link.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/runtime/redelivery"
@@ -18,7 +18,7 @@
 
 // Events are where the link tells how runs go.
 type Events interface {
-	Ended(id string, o gate.Outcome, took time.Duration, result []byte)
+	Ended(id string, o admission.Outcome, took time.Duration, result []byte)
 	Wants(id string, pos uint64, body []byte)
 	// Unconfirmed tells that a link broke and nobody can tell whether the runtime read the start of a run, or, where call is not 0, the reply
 	// to the call that the notice of that number asked for. Neither is sent again.
@@ -29,7 +29,7 @@
 type Options struct {
 	Address string
 	Meters  []string // the names of the gauges, in the order in which they are told
-	Gauges  func(gate.Gauges)
+	Gauges  func(admission.Gauges)
 	Limits  limits.Limits
 	Log     *slog.Logger
 }
--- a/internal/runtime/link_test.go
+++ b/internal/runtime/link_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
+	"sloehitch/internal/admission"
 	"sloehitch/internal/describe"
-	"sloehitch/internal/gate"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/logic"
@@ -21,7 +21,7 @@
 
 type end struct {
 	id     string
-	o      gate.Outcome
+	o      admission.Outcome
 	result string
 }
 
@@ -33,7 +33,7 @@
 	unconfirmed []unconfirmed
 }
 
-func (e *events) Ended(id string, o gate.Outcome, _ time.Duration, result []byte) {
+func (e *events) Ended(id string, o admission.Outcome, _ time.Duration, result []byte) {
 	e.ends <- end{id, o, string(result)}
 }
 func (e *events) Unconfirmed(id string, call uint64) {
@@ -53,7 +53,7 @@
 func open(t *testing.T, rt *standin.Runtime) (*Link, *events) {
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
 	l := New(Options{Address: rt.Address, Meters: []string{"core_use", "on_cores"}, Limits: limits.For(64, 256),
-		Log: standin.Quiet, Gauges: func(gate.Gauges) {}})
+		Log: standin.Quiet, Gauges: func(admission.Gauges) {}})
 	go l.Serve(e)
 	t.Cleanup(l.Close)
 	return l, e
@@ -69,7 +69,7 @@
 	l, e := open(t, rt)
 	for _, c := range []struct {
 		lane string
-		o    gate.Outcome
+		o    admission.Outcome
 	}{{"good", logic.OK}, {"bad", logic.Failed}, {"odd", logic.Failed}} {
 		l.Start(c.lane, c.lane, []byte("a\nb"), true)
 		if got := <-e.ends; got.id != c.lane || got.o != c.o {
@@ -250,7 +250,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, Gauges: func(gate.Gauges) {}})
+	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, Gauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
 	l.events, l.synced = e, true
 	pos := uint64(7)
@@ -310,7 +310,7 @@
 // heard of since has failed, since its end may be among them; it is not started again.
 func TestNoticesThatAreLost(t *testing.T) {
 	resume := func(first uint64, once bool) (ended []end, queued int) {
-		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, Gauges: func(gate.Gauges) {}})
+		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, Gauges: func(admission.Gauges) {}})
 		e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
 		l.events, l.synced, l.links = e, true, 1
 		for _, id := range []string{"a", "b", "c"} {
--- a/internal/runtime/messages.go
+++ b/internal/runtime/messages.go
@@ -4,7 +4,7 @@
 	"encoding/base64"
 	"encoding/json"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/logic"
 )
 
@@ -50,4 +50,4 @@
 	return &s
 }
 
-var ends = map[string]gate.Outcome{"OK": logic.OK, "ERROR": logic.Failed, "STOPPED": logic.Cancelled, "MOOT": logic.Moot}
+var ends = map[string]admission.Outcome{"OK": logic.OK, "ERROR": logic.Failed, "STOPPED": logic.Cancelled, "MOOT": logic.Moot}
--- a/internal/runtime/reader.go
+++ b/internal/runtime/reader.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"sloehitch/internal/gate"
+	"sloehitch/internal/admission"
 	"sloehitch/logic"
 )
 
@@ -182,8 +182,8 @@
 	l.events.Ended(m.UID, o, time.Duration(m.WallMS*float64(time.Millisecond)), result)
 }
 
-func (l *Link) gauges(values []json.Number) gate.Gauges {
-	g := gate.Gauges{CoreUse: -1, RunQueue: -1, MemoryShare: -1, Connections: -1}
+func (l *Link) gauges(values []json.Number) admission.Gauges {
+	g := admission.Gauges{CoreUse: -1, RunQueue: -1, MemoryShare: -1, Connections: -1}
 	for i, name := range l.opts.Meters {
 		if i >= len(values) {
 			break
