--- a/internal/runtime/link.go
+++ b/internal/backend/runtime/link.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"sloehitch/internal/admission"
+	"sloehitch/internal/backend/runtime/redelivery"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/lograte"
-	"sloehitch/internal/runtime/redelivery"
 )
 
 // Events are where the link tells how runs go.
--- a/internal/runtime/runs.go
+++ b/internal/backend/runtime/runs.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"sloehitch/internal/runtime/redelivery"
+	"sloehitch/internal/backend/runtime/redelivery"
 )
 
 // run is a run that was asked for and has not ended.
--- a/internal/clock/sources_test.go
+++ b/internal/clock/sources_test.go
@@ -17,8 +17,8 @@
 // TestNoWallClockInTheCore: the packages through which requests go read the steady clock; only this package reads the wall clock.
 func TestNoWallClockInTheCore(t *testing.T) {
 	for _, folder := range []string{
-		"internal/node", "internal/admission", "internal/frontend/resp", "internal/runtime", "internal/runtime/redelivery", "internal/catalogue",
-		"internal/directory", "internal/frontend/connlimit", "internal/frontend/gracefulclose", "internal/handover", "internal/idempotency/keystore", "internal/idempotency/keystore/keystate",
+		"internal/node", "internal/admission", "internal/frontend/resp", "internal/backend/runtime", "internal/backend/runtime/redelivery", "internal/backend/catalogue",
+		"internal/backend/directory", "internal/frontend/connlimit", "internal/frontend/gracefulclose", "internal/handover", "internal/idempotency/keystore", "internal/idempotency/keystore/keystate",
 		"internal/idempotency/compositejournal", "internal/idempotency/runlog", "internal/frontend/uwsgi", "internal/frontend/uwsgi/balancer", "internal/ops", "internal/retune",
 		"internal/lograte", "internal/latency", "cmd/sloehitch",
 	} {
