--- a/cmd/sloehitch-lab/fleetload.go
+++ b/cmd/sloehitch-lab/fleetload.go
@@ -16,7 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sloehitch/internal/fleet"
+	"sloehitch/internal/control/fleet"
 	"sloehitch/internal/fleetrig"
 	"sloehitch/internal/loopback"
 	"sloehitch/internal/store"
--- a/cmd/sloehitch-lab/walk.go
+++ b/cmd/sloehitch-lab/walk.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	duties "sloehitch/internal/duty/walk"
-	"sloehitch/internal/lease"
-	leases "sloehitch/internal/lease/walk"
-	permits "sloehitch/internal/permit/walk"
+	permits "sloehitch/internal/control/drainpermit/modelcheck"
+	"sloehitch/internal/control/lease"
+	leases "sloehitch/internal/control/lease/modelcheck"
+	duties "sloehitch/internal/control/leasedtask/modelcheck"
 	members "sloehitch/internal/quorum/walk"
 )
 
--- a/cmd/sloehitch/drain.go
+++ b/cmd/sloehitch/drain.go
@@ -16,16 +16,16 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloehitch/internal/budget"
-	"sloehitch/internal/fleet"
-	"sloehitch/internal/permit"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleet"
 	"sloehitch/internal/store"
 )
 
 // outView is what is known of who is out, as a keeper sees it but for how long it has looked itself.
 type outView struct {
-	permit.View
-	at   permit.Versions
+	drainpermit.View
+	at   drainpermit.Versions
 	seen store.Seen
 }
 
@@ -37,7 +37,7 @@
 	}
 	v.seen = seen
 	var wrong error
-	v.View, v.at, wrong = permit.ViewOf(docs, permit.Plain, time.Now().UnixMilli())
+	v.View, v.at, wrong = drainpermit.ViewOf(docs, drainpermit.Plain, time.Now().UnixMilli())
 	silent := map[string]bool{}
 	for _, d := range docs {
 		if name, marked := strings.CutPrefix(d.Key, "silent/"); marked {
@@ -49,11 +49,11 @@
 		if !is {
 			continue
 		}
-		s := permit.Seen{Name: name}
+		s := drainpermit.Seen{Name: name}
 		s.Bad = json.Unmarshal([]byte(d.Value), &s.Report) != nil
 		s.Since = s.Report.Since
 		if silent[name] {
-			s.Quiet = budget.Silent
+			s.Quiet = disruption.Silent
 		}
 		v.Members = append(v.Members, s)
 	}
@@ -76,12 +76,12 @@
 	if c.File == "" {
 		fmt.Println(since(v.seen))
 		for _, r := range v.Rules {
-			fmt.Println(permit.Text(r))
+			fmt.Println(drainpermit.Text(r))
 		}
 		if len(v.Rules) == 0 {
 			fmt.Println("no budget is set: nothing may go out by choice")
 		}
-		room := budget.Room(v.Rules, v.Counted(0))
+		room := disruption.Room(v.Rules, v.Counted(0))
 		for _, group := range slices.Sorted(maps.Keys(room)) {
 			fmt.Printf("%s: %d more may go out now\n", group, room[group])
 		}
@@ -98,21 +98,21 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	r, err := setIf(ask, reason{c.By, c.Why}, permit.Rules, v.at[permit.Rules], permit.Text(rules))
+	r, err := setIf(ask, reason{c.By, c.Why}, drainpermit.Rules, v.at[drainpermit.Rules], drainpermit.Text(rules))
 	if err != nil {
 		return err
 	}
 	fmt.Printf("revision %d: %d budgets\n", r.Revision, len(rules))
-	for _, o := range budget.Over(rules, v.Counted(0)) {
+	for _, o := range disruption.Over(rules, v.Counted(0)) {
 		fmt.Printf("of %s %d may be out and %d are: nothing of it begins until it fits\n", o.Group, o.Most, len(o.Out))
 	}
 	return nil
 }
 
 // parseBudgets reads a file of budgets.
-func parseBudgets(text []byte) (budget.Rules, error) {
+func parseBudgets(text []byte) (disruption.Rules, error) {
 	var file struct {
-		Budget budget.Rules `toml:"budget"`
+		Budget disruption.Rules `toml:"budget"`
 	}
 	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(&file); err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	for _, w := range words {
 		zone, all := strings.CutPrefix(w, "zone=")
 		if address, server := strings.CutPrefix(w, "server="); server {
-			w = permit.ServerName(address)
+			w = drainpermit.ServerName(address)
 		}
 		found := false
 		for _, m := range v.Members {
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	a := permit.Ask{By: c.By, Why: c.Why, At: v.Now, Urgent: c.Urgent, Within: c.Within.Milliseconds()}
+	a := drainpermit.Ask{By: c.By, Why: c.Why, At: v.Now, Urgent: c.Urgent, Within: c.Within.Milliseconds()}
 	if c.Until > 0 {
 		a.Until = v.Now + c.Until.Milliseconds()
 	}
@@ -174,8 +174,8 @@
 			continue
 		}
 		a.ID = rand.Text()
-		key := permit.AskKey(node)
-		if _, err := setIf(ask, c.reason, key, v.at[key], permit.Text(a)); err != nil {
+		key := drainpermit.AskKey(node)
+		if _, err := setIf(ask, c.reason, key, v.at[key], drainpermit.Text(a)); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
 		fmt.Printf("%s: asked for; \"fleet outs\" says when it is out, and what it waits for\n", node)
@@ -199,7 +199,7 @@
 		return err
 	}
 	for _, node := range nodes {
-		key := permit.AskKey(node)
+		key := drainpermit.AskKey(node)
 		if _, asked := v.Asks[node]; !asked {
 			fmt.Printf("%s: nobody asked for it\n", node)
 			continue
@@ -219,7 +219,7 @@
 
 // Run halts, and returns once nothing can begin any more, however late a process wakes up.
 func (c *fleetHaltCmd) Run(_ *slog.Logger) error {
-	return halt(cli.Fleet.client(), cmp.Or(c.Release, permit.All), c.reason)
+	return halt(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.All), c.reason)
 }
 
 func halt(ask store.Client, what string, r reason) error {
@@ -240,11 +240,11 @@
 }
 
 func (c *fleetResumeCmd) Run(_ *slog.Logger) error {
-	return resume(cli.Fleet.client(), cmp.Or(c.Release, permit.All), c.reason)
+	return resume(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.All), c.reason)
 }
 
 func resume(ask store.Client, what string, r reason) error {
-	was, _, err := ask.Document(permit.Halts+what, false)
+	was, _, err := ask.Document(drainpermit.Halts+what, false)
 	if err != nil {
 		return err
 	}
@@ -273,8 +273,8 @@
 	for _, what := range slices.Sorted(maps.Keys(v.Halted)) {
 		fmt.Printf("HALTED: %s\n", what)
 	}
-	refused := map[string]budget.Refusal{}
-	step := (&permit.Keeper{Terms: store.Terms}).Decide(v.View, 0)
+	refused := map[string]disruption.Refusal{}
+	step := (&drainpermit.Keeper{Terms: store.Terms}).Decide(v.View, 0)
 	for _, r := range step.Refused {
 		refused[r.Ask.Member] = r
 	}
@@ -283,11 +283,11 @@
 	for _, m := range v.Counted(0) {
 		a, asked := v.Asks[m.Name]
 		p, permitted := v.Permits[m.Name]
-		if m.Out == budget.In && !asked {
+		if m.Out == disruption.In && !asked {
 			continue
 		}
 		held, waits := "", ""
-		if i := slices.IndexFunc(v.Members, func(s permit.Seen) bool { return s.Name == m.Name }); i >= 0 && permitted {
+		if i := slices.IndexFunc(v.Members, func(s drainpermit.Seen) bool { return s.Name == m.Name }); i >= 0 && permitted {
 			r := v.Members[i].Report
 			held = fmt.Sprint(r.Running + r.Held)
 			if r.Overdue {
@@ -309,7 +309,7 @@
 }
 
 // agreed says whether a server below is out on every node's word.
-func agreed(m permit.Seen) string {
+func agreed(m drainpermit.Seen) string {
 	ok, open, silent := m.Agreed()
 	if ok {
 		return "out, on every node's word"
--- a/cmd/sloehitch/fleet.go
+++ b/cmd/sloehitch/fleet.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"sloehitch/internal/clock"
-	"sloehitch/internal/desired"
+	"sloehitch/internal/control/desiredstate"
+	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/leasedtask"
 	"sloehitch/internal/document"
-	"sloehitch/internal/duty"
-	"sloehitch/internal/fleet"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/limits"
@@ -112,8 +112,8 @@
 				wrong = append(wrong, fmt.Sprintf("node %s is silent since %s (marked by %s): see whether its process runs and reaches the store. It may serve all the same", name, time.UnixMilli(m.Since).UTC().Format(time.RFC3339), m.By))
 			}
 		case "duty":
-			var r duty.Record
-			if err := json.Unmarshal([]byte(d.Value), &r); err == nil && r.State == duty.Failed {
+			var r leasedtask.Record
+			if err := json.Unmarshal([]byte(d.Value), &r); err == nil && r.State == leasedtask.Failed {
 				wrong = append(wrong, fmt.Sprintf("duty %s: job %s failed at step %d, %d times: %s. The next span of time begins a new job", name, r.Job, r.Step, r.Tries, r.Why))
 			}
 		}
@@ -290,12 +290,12 @@
 		return fmt.Errorf("node %q: a name without slashes is wanted", c.Node)
 	}
 	ask := cli.Fleet.client()
-	key := desired.Prefix + c.Node
+	key := desiredstate.Prefix + c.Node
 	was, _, err := ask.Document(key, false)
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(desired.State{Out: c.State == "out", By: c.By, Why: c.Why})
+	text, err := json.Marshal(desiredstate.State{Out: c.State == "out", By: c.By, Why: c.Why})
 	if err != nil { // strings always marshal
 		panic(err)
 	}
@@ -336,7 +336,7 @@
 			return fmt.Errorf("fleet: dir: %w", err)
 		}
 	}
-	o.Apply = func(s desired.State) {
+	o.Apply = func(s desiredstate.State) {
 		d.unwanted.Store(s.Out)
 		d.outOfService()
 	}
--- a/cmd/sloehitch/outs.go
+++ b/cmd/sloehitch/outs.go
@@ -11,11 +11,11 @@
 	"strings"
 
 	"sloehitch/internal/config"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleet"
 	"sloehitch/internal/endpoint"
-	"sloehitch/internal/fleet"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/limits"
-	"sloehitch/internal/permit"
 	"sloehitch/internal/store"
 )
 
@@ -101,18 +101,18 @@
 }
 
 // serversBelow are the servers as this node sees them.
-func (d *daemon) serversBelow() map[string]permit.Below {
-	below, listed := map[string]permit.Below{}, map[string]string{} // the pool has them as they are parsed
+func (d *daemon) serversBelow() map[string]drainpermit.Below {
+	below, listed := map[string]drainpermit.Below{}, map[string]string{} // the pool has them as they are parsed
 	d.serving.Lock()
 	for _, a := range d.listed {
-		below[a] = permit.Below{}
+		below[a] = drainpermit.Below{}
 		if e, err := endpoint.Parse(a); err == nil {
 			listed[e.String()] = a
 		}
 	}
 	d.serving.Unlock()
 	for _, s := range d.servers.Servers() {
-		below[cmp.Or(listed[s.Name], s.Name)] = permit.Below{Uses: s.State != balancer.Draining, Open: s.Open, Well: s.State == balancer.In || s.State == balancer.Warming}
+		below[cmp.Or(listed[s.Name], s.Name)] = drainpermit.Below{Uses: s.State != balancer.Draining, Open: s.Open, Well: s.State == balancer.In || s.State == balancer.Warming}
 	}
 	return below
 }
--- a/cmd/sloehitch/release.go
+++ b/cmd/sloehitch/release.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/fleet"
-	"sloehitch/internal/permit"
-	"sloehitch/internal/release"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/release"
 	"sloehitch/internal/store"
 )
 
@@ -69,7 +69,7 @@
 		fmt.Printf("wave %d: %s\n", i+1, strings.Join(w, " "))
 	}
 	for _, rule := range v.Rules {
-		fmt.Println("budget:", permit.Text(rule))
+		fmt.Println("budget:", drainpermit.Text(rule))
 	}
 	if len(v.Rules) == 0 {
 		fmt.Println("no budget is set: nothing would begin; \"fleet budget --file\" sets them")
@@ -129,7 +129,7 @@
 			lines += release.Progress(r, v.View) + "\n"
 			mine := r.State == release.Running || r.State == release.Back
 			open = open || mine
-			halted = halted || mine && (v.Halted[r.Name] || v.Halted[permit.All])
+			halted = halted || mine && (v.Halted[r.Name] || v.Halted[drainpermit.All])
 		}
 		if len(docs) == 0 {
 			return errors.New("there is no release")
--- a/internal/verdict/verdict.go
+++ b/internal/control/canary/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict judges whether nodes that run another version are worse than those that do not yet, at the same time. It has no I/O and no
+// Package canary judges whether nodes that run another version are worse than those that do not yet, at the same time. It has no I/O and no
 // clock; counts of spans of time go in.
 //
 // Each changed node is compared, span by span, with the unchanged nodes of its zone, and its difference to them with what that was before
@@ -8,7 +8,7 @@
 // The differences of a node are taken for independent from span to span, and a mean of many of them for normal (a one-sided test on
 // paired differences; Bonferroni over all looks and figures of a release; Student's distribution, for few spans). A difference below a
 // figure's least is no matter, however certain; and where one of its most could not have been seen yet, a version is not called sound.
-package verdict
+package canary
 
 import (
 	"fmt"
--- a/internal/verdict/verdict_test.go
+++ b/internal/control/canary/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package canary
 
 import (
 	"fmt"
--- a/internal/desired/desired.go
+++ b/internal/control/desiredstate/desired.go
@@ -1,6 +1,6 @@
-// Package desired decides what a node does with the state that the fleet wants of it: what is newer than the last that was applied is
+// Package desiredstate decides what a node does with the state that the fleet wants of it: what is newer than the last that was applied is
 // taken, what is older, forged by an owner that was overtaken, or not to be understood is not. It has no I/O and no clock.
-package desired
+package desiredstate
 
 import (
 	"bytes"
--- a/internal/desired/desired_test.go
+++ b/internal/control/desiredstate/desired_test.go
@@ -1,4 +1,4 @@
-package desired
+package desiredstate
 
 import (
 	"math/rand/v2"
--- a/internal/budget/budget.go
+++ b/internal/control/disruption/budget.go
@@ -1,9 +1,9 @@
-// Package budget decides who may go out of service by choice: how many nodes of a group may be out at once, who counts as out, and
+// Package disruption decides who may go out of service by choice: how many nodes of a group may be out at once, who counts as out, and
 // who is next. It has no I/O and no clock. What is known of the nodes and who asks goes in; permits, and for each refusal the
 // group, who is out and since when, come out.
 //
 // What is not known to be in counts as out: silence and sickness use a budget up, and never give it back.
-package budget
+package disruption
 
 import (
 	"cmp"
--- a/internal/budget/budget_test.go
+++ b/internal/control/disruption/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package disruption
 
 import (
 	"fmt"
--- a/internal/permit/agent.go
+++ b/internal/control/drainpermit/agent.go
@@ -1,10 +1,10 @@
-package permit
+package drainpermit
 
 import (
 	"fmt"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 // Sight is what a node sees: of the store, which may be old, and of itself.
--- a/internal/permit/agent_test.go
+++ b/internal/control/drainpermit/agent_test.go
@@ -1,10 +1,10 @@
-package permit
+package drainpermit
 
 import (
 	"testing"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 // TestABeginningThatWasNotThisProcesss: a process that starts sees its node's permit as it was before the process before it began to go out
--- a/internal/permit/below.go
+++ b/internal/control/drainpermit/below.go
@@ -1,12 +1,12 @@
-package permit
+package drainpermit
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"sloehitch/internal/budget"
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/lease"
 )
 
 // serverPrefix and an address is the name by which a server below is asked for, permitted and counted.
@@ -45,10 +45,10 @@
 }
 
 // serves says whether a server counts as in: at least half of the nodes that report and may send to it find it well.
-func (s Seen) serves() budget.Reason {
+func (s Seen) serves() disruption.Reason {
 	well, all := 0, 0
 	for _, u := range s.Users {
-		if u.Quiet == budget.In && u.Uses {
+		if u.Quiet == disruption.In && u.Uses {
 			if all++; u.Well {
 				well++
 			}
@@ -56,11 +56,11 @@
 	}
 	switch {
 	case all == 0:
-		return budget.Unknown
+		return disruption.Unknown
 	case 2*well < all:
-		return budget.NotReady
+		return disruption.NotReady
 	}
-	return budget.In
+	return disruption.In
 }
 
 // Agreed says whether a server that is permitted to be out is so: every node that has it on its list has said that it no longer sends to it
@@ -68,7 +68,7 @@
 func (s Seen) Agreed() (agreed bool, open, silent []string) {
 	for _, u := range s.Users {
 		switch {
-		case u.Quiet != budget.In:
+		case u.Quiet != disruption.In:
 			silent = append(silent, u.Node)
 		case u.Uses || u.Open > 0:
 			open = append(open, u.Node)
@@ -87,7 +87,7 @@
 		s.Return = append(s.Return, name)
 	case p.State == Back:
 		i := slices.IndexFunc(v.Members, func(m Seen) bool { return m.Name == name })
-		used := i < 0 || !slices.ContainsFunc(v.Members[i].Users, func(u User) bool { return u.Quiet == budget.In && !(u.Uses && u.Well) })
+		used := i < 0 || !slices.ContainsFunc(v.Members[i].Users, func(u User) bool { return u.Quiet == disruption.In && !(u.Uses && u.Well) })
 		if !used {
 			return
 		}
--- a/internal/permit/below_test.go
+++ b/internal/control/drainpermit/below_test.go
@@ -1,18 +1,18 @@
-package permit
+package drainpermit
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"sloehitch/internal/budget"
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/lease"
 )
 
 // TestServersBelow: a server goes out by its service's budget, is out once every node has said so, and comes back by the same road.
 func TestServersBelow(t *testing.T) {
 	one := 1
-	v := View{Rules: budget.Rules{{Group: "service", MostOut: &one}}, Asks: map[string]Ask{}, Orders: map[string]uint64{}, Permits: map[string]Permit{}, Halted: map[string]bool{}}
+	v := View{Rules: disruption.Rules{{Group: "service", MostOut: &one}}, Asks: map[string]Ask{}, Orders: map[string]uint64{}, Permits: map[string]Permit{}, Halted: map[string]bool{}}
 	below := map[string]Below{"a:1": {Uses: true, Open: 2, Well: true}, "b:1": {Uses: true, Well: true}}
 	for i := range 3 {
 		b := map[string]Below{}
@@ -46,12 +46,12 @@
 	}
 	v.Members[0].Report.Below["a:1"] = Below{Open: 1}
 	v.Members[1].Report.Below["a:1"] = Below{}
-	v.Members[2].Quiet = budget.Silent
+	v.Members[2].Quiet = disruption.Silent
 	if got := agreed(a); got != "false [n0] [n2]" {
 		t.Errorf("agreed: %s", got)
 	}
 	v.Members[0].Report.Below["a:1"] = Below{}
-	v.Members[2].Quiet = budget.In
+	v.Members[2].Quiet = disruption.In
 	v.Members[2].Report.Below["a:1"] = Below{}
 	if got := agreed(a); got != "true [] []" {
 		t.Errorf("agreed: %s", got)
--- a/internal/permit/keep.go
+++ b/internal/control/drainpermit/keep.go
@@ -1,4 +1,4 @@
-package permit
+package drainpermit
 
 import (
 	"errors"
@@ -7,14 +7,14 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/budget"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
 )
 
 // View is what a keeper sees, confirmed by a majority and as of one moment.
 type View struct {
-	Rules   budget.Rules
+	Rules   disruption.Rules
 	Members []Seen
 	Asks    map[string]Ask // by node
 	Orders  map[string]uint64
@@ -60,7 +60,7 @@
 		} else if halt, halts := strings.CutPrefix(d.Key, Halts); halts {
 			v.Halted[halt] = true
 		} else if d.Key == Rules {
-			v.Rules, err = Read[budget.Rules](d.Value)
+			v.Rules, err = Read[disruption.Rules](d.Value)
 		}
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", d.Key, err))
@@ -73,9 +73,9 @@
 type Seen struct {
 	Name   string
 	Report Report
-	Bad    bool          // its report can't be read
-	Quiet  budget.Reason // Silent, or Unknown while it has not been heard since this keeper looks; empty: it reports
-	Since  int64         // Unix milliseconds, as far as is known
+	Bad    bool              // its report can't be read
+	Quiet  disruption.Reason // Silent, or Unknown while it has not been heard since this keeper looks; empty: it reports
+	Since  int64             // Unix milliseconds, as far as is known
 
 	Service string // of a server below: its service; empty: it is a node
 	Users   []User // of a server: the nodes that have it on their list
@@ -85,29 +85,29 @@
 type User struct {
 	Node string
 	Below
-	Quiet budget.Reason // the node's
+	Quiet disruption.Reason // the node's
 }
 
 // Counted are the nodes as a budget counts them: by their permits first, then by what is known of them. Those of which only a permit is
 // known count too.
-func (v View) Counted(settle time.Duration) (list []budget.Member) {
+func (v View) Counted(settle time.Duration) (list []disruption.Member) {
 	known := map[string]bool{}
 	for _, s := range v.Members {
 		known[s.Name] = true
-		m := budget.Member{Name: s.Name, Labels: s.Report.Labels(), Since: s.Since}
+		m := disruption.Member{Name: s.Name, Labels: s.Report.Labels(), Since: s.Since}
 		if s.Service != "" {
 			m.Labels = map[string]string{"service": s.Service}
 		}
 		p, permitted := v.Permits[s.Name]
 		switch {
 		case permitted:
-			m.Out, m.Since = budget.Permit, p.Since
+			m.Out, m.Since = disruption.Permit, p.Since
 		case s.Service != "":
 			m.Out = s.serves()
-		case s.Quiet != budget.In:
+		case s.Quiet != disruption.In:
 			m.Out = s.Quiet
 		case s.Bad:
-			m.Out = budget.Unknown
+			m.Out = disruption.Unknown
 		default:
 			m.Out = s.Report.Counts(settle)
 		}
@@ -118,10 +118,10 @@
 	}
 	for name, p := range v.Permits {
 		if !known[name] {
-			list = append(list, budget.Member{Name: name, Labels: p.Labels, Out: budget.Permit, Since: p.Since})
+			list = append(list, disruption.Member{Name: name, Labels: p.Labels, Out: disruption.Permit, Since: p.Since})
 		}
 	}
-	slices.SortFunc(list, func(a, b budget.Member) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b disruption.Member) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
@@ -132,8 +132,8 @@
 	Return  []string // servers below that nodes use again
 	Requeue []string // whose ask goes to the end of the line
 	Lapse   []string // whose ask ends by itself
-	Refused []budget.Refusal
-	Counted []budget.Member // as the budgets counted them
+	Refused []disruption.Refusal
+	Counted []disruption.Member // as the budgets counted them
 }
 
 // Keeper decides on permits for the whole fleet. It is one process's, of which others may take the place at any time; what it remembers
@@ -176,8 +176,8 @@
 		}
 	}
 	k.seen = seen
-	var asks []budget.Ask
-	quiet := map[string]budget.Reason{}
+	var asks []disruption.Ask
+	quiet := map[string]disruption.Reason{}
 	for _, m := range v.Members {
 		quiet[m.Name] = m.Quiet
 	}
@@ -188,15 +188,15 @@
 			s.Lapse = append(s.Lapse, name)
 		case permitted || a.Failed != "":
 		case v.halted(a):
-			s.Refused = append(s.Refused, budget.Refusal{Ask: budget.Ask{Member: name, By: a.By}, Why: "halted"})
-		case quiet[name] != budget.In:
-			s.Refused = append(s.Refused, budget.Refusal{Ask: budget.Ask{Member: name, By: a.By}, Why: "it is " + string(quiet[name]) + " and could not begin"})
+			s.Refused = append(s.Refused, disruption.Refusal{Ask: disruption.Ask{Member: name, By: a.By}, Why: "halted"})
+		case quiet[name] != disruption.In:
+			s.Refused = append(s.Refused, disruption.Refusal{Ask: disruption.Ask{Member: name, By: a.By}, Why: "it is " + string(quiet[name]) + " and could not begin"})
 		default:
-			asks = append(asks, budget.Ask{Member: name, By: a.By, Urgent: a.Urgent, Order: v.Orders[name]})
+			asks = append(asks, disruption.Ask{Member: name, By: a.By, Urgent: a.Urgent, Order: v.Orders[name]})
 		}
 	}
 	s.Counted = v.Counted(k.Settle)
-	d := budget.Decide(v.Rules, s.Counted, asks) // what is freed now counts until the next time
+	d := disruption.Decide(v.Rules, s.Counted, asks) // what is freed now counts until the next time
 	for _, a := range d.Granted {
 		if len(s.Grant) < MostAtOnce {
 			s.Grant = append(s.Grant, a.Member)
@@ -206,7 +206,7 @@
 	for _, list := range [][]string{s.Free, s.Return, s.Requeue, s.Lapse} {
 		slices.Sort(list)
 	}
-	slices.SortFunc(s.Refused, func(a, b budget.Refusal) int { return strings.Compare(a.Ask.Member, b.Ask.Member) })
+	slices.SortFunc(s.Refused, func(a, b disruption.Refusal) int { return strings.Compare(a.Ask.Member, b.Ask.Member) })
 	return s
 }
 
--- a/internal/permit/walk/release.go
+++ b/internal/control/drainpermit/modelcheck/release.go
@@ -1,4 +1,4 @@
-package walk
+package modelcheck
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"sloehitch/internal/control/canary"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/release"
 	"sloehitch/internal/document"
-	"sloehitch/internal/permit"
-	"sloehitch/internal/release"
-	"sloehitch/internal/verdict"
 )
 
 const (
@@ -19,7 +19,7 @@
 	late      = 40 * time.Second // in which a node should be back
 )
 
-var judging = verdict.Terms{FalseAlarm: 0.0001, Looks: 1000, Least: 8} // ten thousand worlds are to have no false alarm
+var judging = canary.Terms{FalseAlarm: 0.0001, Looks: 1000, Least: 8} // ten thousand worlds are to have no false alarm
 
 // course is a release through a world, its candidates, and what is known of it from outside.
 type course struct {
@@ -33,7 +33,7 @@
 type owner struct {
 	candidate
 	own   release.Owner
-	judge *verdict.Recorder
+	judge *canary.Recorder
 	taken time.Duration
 }
 
@@ -109,7 +109,7 @@
 		v, _ := w.view(&candidate{looks: map[string]time.Duration{}})
 		r := release.Release{Name: "r", To: w.release.to, By: "op", State: release.Running, SoakMS: soak.Milliseconds(), LateMS: late.Milliseconds()}
 		r.Waves, r.From = release.Plan(v.Members, r.To, 2)
-		w.put(release.Prefix+"r", permit.Text(r))
+		w.put(release.Prefix+"r", drainpermit.Text(r))
 	case w.calm && w.now%(5*time.Second) == 0:
 		w.tidy(r)
 	case !w.calm && version > 0:
@@ -125,14 +125,14 @@
 // meddle is people while there are faults.
 func (w *world) meddle(r release.Release) {
 	n := w.nodes[w.r.IntN(len(w.nodes))]
-	key := permit.AskKey(n.name)
+	key := drainpermit.AskKey(n.name)
 	switch x := w.r.IntN(1500); {
 	case x < 3:
 		w.halt("r")
 	case x < 5:
-		w.halt(permit.All)
+		w.halt(drainpermit.All)
 	case x < 25:
-		for _, halt := range []string{permit.All, "r"} {
+		for _, halt := range []string{drainpermit.All, "r"} {
 			w.resume(halt)
 		}
 	case x == 25:
@@ -141,22 +141,22 @@
 		}
 	case x < 34: // somebody drains a node meanwhile
 		if w.store.Get(key).Version == 0 {
-			w.put(key, permit.Text(permit.Ask{ID: w.id(), By: "op", Until: (w.now + 10*time.Second).Milliseconds()}))
+			w.put(key, drainpermit.Text(drainpermit.Ask{ID: w.id(), By: "op", Until: (w.now + 10*time.Second).Milliseconds()}))
 		}
 	}
 }
 
 func (w *world) resume(halt string) {
 	delete(w.halted, halt)
-	if w.store.Get(permit.Halts+halt).Version > 0 {
-		w.put(permit.Halts+halt, "")
+	if w.store.Get(drainpermit.Halts+halt).Version > 0 {
+		w.put(drainpermit.Halts+halt, "")
 	}
 }
 
 func (w *world) back(r release.Release) {
 	w.Met["back"]++
 	r.State = release.Back
-	w.put(release.Prefix+"r", permit.Text(r))
+	w.put(release.Prefix+"r", drainpermit.Text(r))
 	w.resume("r")
 }
 
@@ -168,7 +168,7 @@
 			w.put(d.Key, "")
 		}
 	}
-	if w.store.Get(permit.Halts+"r").Version == 0 {
+	if w.store.Get(drainpermit.Halts+"r").Version == 0 {
 		return
 	}
 	if r.State == release.Running {
@@ -185,7 +185,7 @@
 	}
 	mine, fresh := w.holds(&o.candidate, release.Duty)
 	if fresh {
-		o.own, o.judge = release.Owner{}, verdict.NewRecorder(400)
+		o.own, o.judge = release.Owner{}, canary.NewRecorder(400)
 		w.Met["owners"]++
 	}
 	if !mine || fresh {
@@ -207,7 +207,7 @@
 	if w.mutant == "judgement without pairing" {
 		nodes = frozen(nodes)
 	}
-	j := verdict.Judge(judging, nodes)
+	j := canary.Judge(judging, nodes)
 	if j.Worse && w.release.to == good {
 		w.fail("a good version is called worse: %s", j.Why)
 	}
@@ -241,9 +241,9 @@
 	case w.mutant == "step of an overtaken owner" && asks:
 		t.If = t.If[2:]
 	case w.mutant == "way back ignores the budget" && asks:
-		if a, err := permit.Read[permit.Ask](t.Do[0].Value); err == nil && a.To != w.release.to {
-			node := t.Do[0].Key[len(permit.Prefix) : len(t.Do[0].Key)-len("/ask")]
-			t.Do = append(t.Do, document.Operation{Key: permit.PermitKey(node), Value: permit.Text(permit.Permit{ID: w.id(), Ask: a.ID, State: permit.Granted})})
+		if a, err := drainpermit.Read[drainpermit.Ask](t.Do[0].Value); err == nil && a.To != w.release.to {
+			node := t.Do[0].Key[len(drainpermit.Prefix) : len(t.Do[0].Key)-len("/ask")]
+			t.Do = append(t.Do, document.Operation{Key: drainpermit.PermitKey(node), Value: drainpermit.Text(drainpermit.Permit{ID: w.id(), Ask: a.ID, State: drainpermit.Granted})})
 		}
 	}
 }
@@ -254,10 +254,10 @@
 		return
 	}
 	for _, do := range t.Do {
-		if do.Delete || do.Lease != nil || len(do.Key) <= len(permit.Prefix)+len("/ask") || do.Key[:len(permit.Prefix)] != permit.Prefix || do.Key[len(do.Key)-len("/ask"):] != "/ask" {
+		if do.Delete || do.Lease != nil || len(do.Key) <= len(drainpermit.Prefix)+len("/ask") || do.Key[:len(drainpermit.Prefix)] != drainpermit.Prefix || do.Key[len(do.Key)-len("/ask"):] != "/ask" {
 			continue
 		}
-		a, err := permit.Read[permit.Ask](do.Value)
+		a, err := drainpermit.Read[drainpermit.Ask](do.Value)
 		if err != nil || a.Release == "" || a.Failed != "" || t.Why == "a permit ends" {
 			continue
 		}
@@ -273,7 +273,7 @@
 }
 
 // frozen are nodes of which those not changed stay for ever as they were at first: what is compared with them is compared with the past.
-func frozen(nodes []verdict.Node) []verdict.Node {
+func frozen(nodes []canary.Node) []canary.Node {
 	out := slices.Clone(nodes)
 	for i := range out {
 		if n := &out[i]; n.Changed == 0 && len(n.Spans) > 0 {
@@ -281,7 +281,7 @@
 			if first < 0 {
 				continue
 			}
-			n.Spans = slices.Repeat([]verdict.Span{n.Spans[first]}, len(n.Spans))
+			n.Spans = slices.Repeat([]canary.Span{n.Spans[first]}, len(n.Spans))
 		}
 	}
 	return out
--- a/internal/permit/walk/walk.go
+++ b/internal/control/drainpermit/modelcheck/walk.go
@@ -1,8 +1,8 @@
-// Package walk plays permits through random fleets: nodes that go out and come back, keepers that take each other's place, operators
+// Package modelcheck plays permits through random fleets: nodes that go out and come back, keepers that take each other's place, operators
 // that ask, take back, halt and resume, and the store that they agree through, in one simulated time. Messages take any time and are
 // lost either way; nodes stand still at any point, die, come back as another version, fall sick and silent. The decisions are the real
 // ones (packages permit, budget, lease and document). What must hold is checked at each instant.
-package walk
+package modelcheck
 
 import (
 	"fmt"
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/budget"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
-	"sloehitch/internal/permit"
 )
 
 // Terms are those of the window and of the keeper's duty in every world.
@@ -36,7 +36,7 @@
 type node struct {
 	name  string
 	zone  string
-	agent *permit.Agent
+	agent *drainpermit.Agent
 	life  int
 	rate  float64
 	still time.Duration
@@ -45,7 +45,7 @@
 	to    string // what it is replaced by, when it starts
 	sick  time.Duration
 	began time.Duration // in service and well since
-	sees  permit.Sight
+	sees  drainpermit.Sight
 	seen  bool
 	busy  int // requests in hand
 
@@ -53,7 +53,7 @@
 	since          time.Duration // when that was
 	chance         *rand.Rand    // of what it serves
 
-	reported permit.Report
+	reported drainpermit.Report
 	heard    time.Duration // when the store had its last report
 	out      bool          // out of service by a permit, to be seen from outside
 	choice   bool          // it went out by choice, and is not in and well for long enough yet
@@ -73,7 +73,7 @@
 // keeper is a candidate for the permits.
 type keeper struct {
 	candidate
-	k permit.Keeper
+	k drainpermit.Keeper
 }
 
 type world struct {
@@ -84,13 +84,13 @@
 	nodes   []*node
 	keepers []*keeper
 	release *course // nil: nodes are asked for by people only
-	rules   budget.Rules
+	rules   disruption.Rules
 	mutant  string
 	calm    bool
 	ids     int
 	halted  map[string]time.Duration // acknowledged
-	asks    map[string]parsed[permit.Ask]
-	permits map[string]parsed[permit.Permit]
+	asks    map[string]parsed[drainpermit.Ask]
+	permits map[string]parsed[drainpermit.Permit]
 	Met     map[string]int
 	wrong   string
 }
@@ -168,11 +168,11 @@
 }
 
 // read reads a document, once for each of its versions.
-func read[T permit.Ask | permit.Permit | budget.Rules](w *world, was map[string]parsed[T], d document.Document) T {
+func read[T drainpermit.Ask | drainpermit.Permit | disruption.Rules](w *world, was map[string]parsed[T], d document.Document) T {
 	if p, known := was[d.Key]; known && p.version == d.Version {
 		return p.value
 	}
-	v, err := permit.Read[T](d.Value)
+	v, err := drainpermit.Read[T](d.Value)
 	if err != nil {
 		w.fail("%v", err)
 	}
@@ -182,12 +182,12 @@
 
 // own is what a node sees of the store, as one of its members has it: perhaps an old state.
 func (w *world) own(n *node) {
-	s := permit.Sight{Revision: w.store.Revision()}
-	if d := w.store.Get(permit.AskKey(n.name)); d.Version > 0 {
+	s := drainpermit.Sight{Revision: w.store.Revision()}
+	if d := w.store.Get(drainpermit.AskKey(n.name)); d.Version > 0 {
 		a := read(w, w.asks, d)
 		s.Ask, s.AskVersion = &a, d.Version
 	}
-	if d := w.store.Get(permit.PermitKey(n.name)); d.Version > 0 {
+	if d := w.store.Get(drainpermit.PermitKey(n.name)); d.Version > 0 {
 		p := read(w, w.permits, d)
 		s.Permit, s.PermitVersion = &p, d.Version
 	}
@@ -205,8 +205,8 @@
 	s.InHand, s.Well = n.busy, w.healthy(n)
 	life := n.life
 	switch a := n.agent.Next(s, now); a.Kind {
-	case permit.Begin:
-		t := permit.Begins(n.name, s, a.Permit, w.id())
+	case drainpermit.Begin:
+		t := drainpermit.Begins(n.name, s, a.Permit, w.id())
 		if w.mutant == "halt not looked at" {
 			t.If = t.If[:2]
 		}
@@ -220,13 +220,13 @@
 				}
 			})
 		})
-	case permit.Leave:
+	case drainpermit.Leave:
 		w.leaves(n, s.Ask, false)
-	case permit.Enter:
+	case drainpermit.Enter:
 		n.agent.Entered(now)
 		n.out, n.began = false, w.now
-	case permit.Replace:
-		w.apply(permit.Writes(n.name, s, a, w.id()), func(r document.Result, answered bool) {
+	case drainpermit.Replace:
+		w.apply(drainpermit.Writes(n.name, s, a, w.id()), func(r document.Result, answered bool) {
 			w.awake(n, life, func() {
 				if !answered || !r.Made {
 					n.agent.Noted(false, 0)
@@ -240,22 +240,22 @@
 				w.dies(n, time.Second)
 			})
 		})
-	case permit.Note, permit.GiveBack, permit.Fail:
-		w.apply(permit.Writes(n.name, s, a, w.id()), func(r document.Result, answered bool) {
+	case drainpermit.Note, drainpermit.GiveBack, drainpermit.Fail:
+		w.apply(drainpermit.Writes(n.name, s, a, w.id()), func(r document.Result, answered bool) {
 			w.awake(n, life, func() { n.agent.Noted(answered && r.Made, r.Revision) })
 		})
 	}
 }
 
 // leaves has a node go out of service, first: as the beginning of its being out.
-func (w *world) leaves(n *node, a *permit.Ask, first bool) {
+func (w *world) leaves(n *node, a *drainpermit.Ask, first bool) {
 	n.agent.Left(w.clock(n.rate))
 	n.out, n.choice = true, true
 	w.Met["out"]++
 	if !first {
 		return
 	}
-	for _, halt := range []string{permit.All, a.Release} {
+	for _, halt := range []string{drainpermit.All, a.Release} {
 		if at, halted := w.halted[halt]; halted && halt != "" {
 			w.fail("%s began to go out, %v after a halt of %q was acknowledged", n.name, w.now-at, halt)
 		}
@@ -282,12 +282,12 @@
 	}
 	n.dead, n.began, n.busy, n.still, n.out = 0, w.now, 0, 0, false
 	n.served, n.failed, n.since = 0, 0, w.now
-	n.agent = permit.NewAgent(permit.Node{Release: n.label, Terms: Terms, Settle: w.settle(), Tries: 2})
+	n.agent = drainpermit.NewAgent(drainpermit.Node{Release: n.label, Terms: Terms, Settle: w.settle(), Tries: 2})
 }
 
 // report has a node tell the store of itself.
 func (w *world) report(n *node) {
-	r := permit.Report{State: "ready", Well: w.healthy(n), InMS: (w.now - n.began).Milliseconds(), Zone: n.zone, Release: n.label, Since: (n.since + time.Second).Milliseconds(), Served: n.served, Failed: n.failed}
+	r := drainpermit.Report{State: "ready", Well: w.healthy(n), InMS: (w.now - n.began).Milliseconds(), Zone: n.zone, Release: n.label, Since: (n.since + time.Second).Milliseconds(), Served: n.served, Failed: n.failed}
 	if n.out {
 		r.State, r.InMS = "out of service", 0
 	}
@@ -300,25 +300,25 @@
 }
 
 // view is what a candidate reads, confirmed.
-func (w *world) view(k *candidate) (permit.View, permit.Versions) {
-	by := permit.Parsed{
-		Ask:    func(d document.Document) (permit.Ask, error) { return read(w, w.asks, d), nil },
-		Permit: func(d document.Document) (permit.Permit, error) { return read(w, w.permits, d), nil },
+func (w *world) view(k *candidate) (drainpermit.View, drainpermit.Versions) {
+	by := drainpermit.Parsed{
+		Ask:    func(d document.Document) (drainpermit.Ask, error) { return read(w, w.asks, d), nil },
+		Permit: func(d document.Document) (drainpermit.Permit, error) { return read(w, w.permits, d), nil },
 	}
-	v, at, err := permit.ViewOf(w.store.List(""), by, w.now.Milliseconds())
+	v, at, err := drainpermit.ViewOf(w.store.List(""), by, w.now.Milliseconds())
 	if err != nil {
 		w.fail("%v", err)
 	}
 	for _, n := range w.nodes {
-		s := permit.Seen{Name: n.name, Report: n.reported}
+		s := drainpermit.Seen{Name: n.name, Report: n.reported}
 		if first, known := k.looks[n.name]; !known {
 			k.looks[n.name] = w.now
-			s.Quiet = budget.Unknown
+			s.Quiet = disruption.Unknown
 		} else if n.heard <= first {
-			s.Quiet = budget.Unknown
+			s.Quiet = disruption.Unknown
 		}
 		if w.now-n.heard > 2*time.Second {
-			s.Quiet = budget.Silent
+			s.Quiet = disruption.Silent
 		}
 		v.Members = append(v.Members, s)
 	}
@@ -369,7 +369,7 @@
 	}
 	mine, fresh := w.holds(&k.candidate, duty)
 	if fresh {
-		k.k = permit.Keeper{Terms: Terms, Settle: w.settle()}
+		k.k = drainpermit.Keeper{Terms: Terms, Settle: w.settle()}
 		w.Met["keepers"]++
 	}
 	if !mine || fresh {
@@ -388,7 +388,7 @@
 	}
 	for _, t := range list {
 		if w.mutant == "counted before others were granted" && len(t.If) > 3 {
-			t.If = slices.DeleteFunc(t.If, func(c document.Condition) bool { return c.Key == permit.Head || c.Duty != "" })
+			t.If = slices.DeleteFunc(t.If, func(c document.Condition) bool { return c.Key == drainpermit.Head || c.Duty != "" })
 		}
 		if w.mutant == "lapse frees a begun permit" && t.Why == "a permit ends" {
 			t.If = nil
@@ -405,10 +405,10 @@
 
 // halt has an operator halt, which is acknowledged once no window is open.
 func (w *world) halt(what string) {
-	w.put(permit.Halts+what, "op")
-	at, mine := w.now, w.store.Get(permit.Halts+what).Version
+	w.put(drainpermit.Halts+what, "op")
+	at, mine := w.now, w.store.Get(drainpermit.Halts+what).Version
 	w.after(Terms.Length, func() {
-		if w.store.Get(permit.Halts+what).Version == mine && w.halted[what] == 0 {
+		if w.store.Get(drainpermit.Halts+what).Version == mine && w.halted[what] == 0 {
 			w.Met["halted"]++
 			w.halted[what] = at + Terms.Length
 		}
@@ -418,27 +418,27 @@
 // operate is people and releases: they ask, take back, halt and resume.
 func (w *world) operate() {
 	n := w.nodes[w.r.IntN(len(w.nodes))]
-	key := permit.AskKey(n.name)
+	key := drainpermit.AskKey(n.name)
 	put := w.put
 	switch x := w.r.IntN(20); {
 	case x < 8 && w.store.Get(key).Version == 0:
-		a := permit.Ask{ID: w.id(), By: "op", Urgent: w.r.IntN(4) == 0}
+		a := drainpermit.Ask{ID: w.id(), By: "op", Urgent: w.r.IntN(4) == 0}
 		if w.r.IntN(2) == 0 {
 			a.Release, a.To = "r", fmt.Sprint("v", w.r.IntN(3))
 		} else if w.r.IntN(3) == 0 {
 			a.Until = (w.now + time.Duration(w.r.IntN(20))*time.Second).Milliseconds()
 		}
-		put(key, permit.Text(a))
+		put(key, drainpermit.Text(a))
 	case x < 10 && w.store.Get(key).Version > 0:
 		put(key, "")
 	case x == 12:
-		w.halt([]string{permit.All, "r"}[w.r.IntN(2)])
+		w.halt([]string{drainpermit.All, "r"}[w.r.IntN(2)])
 	case x < 18:
-		for _, halt := range []string{permit.All, "r"} {
+		for _, halt := range []string{drainpermit.All, "r"} {
 			if w.r.IntN(2) == 0 {
 				delete(w.halted, halt)
-				if w.store.Get(permit.Halts+halt).Version > 0 {
-					put(permit.Halts+halt, "")
+				if w.store.Get(drainpermit.Halts+halt).Version > 0 {
+					put(drainpermit.Halts+halt, "")
 				}
 			}
 		}
@@ -459,15 +459,15 @@
 
 // check holds the world to its budgets: of each group no more are out by choice than may be.
 func (w *world) check() {
-	var out []budget.Member
+	var out []disruption.Member
 	for _, n := range w.nodes {
-		m := budget.Member{Name: n.name, Labels: map[string]string{"zone": n.zone}}
+		m := disruption.Member{Name: n.name, Labels: map[string]string{"zone": n.zone}}
 		if n.choice = n.choice && (n.out || n.dead > 0 || !w.healthy(n) || w.now-n.began < settle*9/10); n.choice {
-			m.Out = budget.Permit
+			m.Out = disruption.Permit
 		}
 		out = append(out, m)
 	}
-	if over := budget.Over(w.rules, out); len(over) > 0 {
+	if over := disruption.Over(w.rules, out); len(over) > 0 {
 		w.fail("too many out by choice: %v", over)
 	}
 }
@@ -489,7 +489,7 @@
 
 func play(seed uint64, mutant string, nodes int, releases bool) (wrong string, met map[string]int) {
 	w := &world{r: rand.New(rand.NewPCG(seed, 26)), mutant: mutant, Met: map[string]int{}, halted: map[string]time.Duration{},
-		asks: map[string]parsed[permit.Ask]{}, permits: map[string]parsed[permit.Permit]{}}
+		asks: map[string]parsed[drainpermit.Ask]{}, permits: map[string]parsed[drainpermit.Permit]{}}
 	var err error
 	if w.store, err = document.New(document.Ordinary, Terms); err != nil {
 		return err.Error(), nil
@@ -511,11 +511,11 @@
 		w.keepers = append(w.keepers, &keeper{candidate: w.candidate(i)})
 	}
 	most := 1 + w.r.IntN(max(1, size/2))
-	w.rules = budget.Rules{{Group: "fleet", MostOut: &most}}
+	w.rules = disruption.Rules{{Group: "fleet", MostOut: &most}}
 	if one := 1; zones > 1 {
-		w.rules = append(w.rules, budget.Rule{Group: "zone", MostOut: &one})
+		w.rules = append(w.rules, disruption.Rule{Group: "zone", MostOut: &one})
 	}
-	w.store.Apply(document.Transaction{ID: w.id(), Do: []document.Operation{{Key: permit.Rules, Value: permit.Text(w.rules)}}}, 0)
+	w.store.Apply(document.Transaction{ID: w.id(), Do: []document.Operation{{Key: drainpermit.Rules, Value: drainpermit.Text(w.rules)}}}, 0)
 	calmAt, end := 60*time.Second, 60*time.Second+time.Duration(size)*20*time.Second+30*time.Second
 	if releases {
 		w.begin()
@@ -524,7 +524,7 @@
 	for ; w.now < end; w.now += step {
 		if !w.calm && w.now >= calmAt {
 			w.calm = true
-			for _, d := range w.store.List(permit.Halts) {
+			for _, d := range w.store.List(drainpermit.Halts) {
 				w.store.Apply(document.Transaction{ID: w.id(), Do: []document.Operation{{Key: d.Key, Delete: true}}}, lease.Instant(w.now))
 			}
 			clear(w.halted)
@@ -591,7 +591,7 @@
 	}
 	if !w.idle() {
 		left := maps.Collect(func(yield func(string, string) bool) {
-			for _, d := range w.store.List(permit.Prefix) {
+			for _, d := range w.store.List(drainpermit.Prefix) {
 				if !yield(d.Key, d.Value) {
 					return
 				}
@@ -604,7 +604,7 @@
 
 // list is the documents of nodes that end so.
 func (w *world) list(end string) []document.Document {
-	return slices.DeleteFunc(w.store.List(permit.Prefix), func(d document.Document) bool { return !strings.HasSuffix(d.Key, end) })
+	return slices.DeleteFunc(w.store.List(drainpermit.Prefix), func(d document.Document) bool { return !strings.HasSuffix(d.Key, end) })
 }
 
 // idle says whether nothing is wanted any more, and nobody is out.
--- a/internal/permit/permit.go
+++ b/internal/control/drainpermit/permit.go
@@ -1,4 +1,4 @@
-// Package permit decides how a node goes out of service by choice, and comes back: who asked, the permit that the fleet's budget
+// Package drainpermit decides how a node goes out of service by choice, and comes back: who asked, the permit that the fleet's budget
 // gives (package budget), the node's own steps, and when a permit is given back. It has no I/O and no clock.
 //
 // A permit is a document of the store. Its keeper, one at a time, grants it in one transaction with the count of those that are out. The
@@ -6,7 +6,7 @@
 // halted meanwhile: what was freed or halted can't be begun, however late a process wakes up. Between that answer and the node's
 // going out there is a window, which the node counts from before it asked and others from after (package lease): a halt is
 // acknowledged once no window is open.
-package permit
+package drainpermit
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/budget"
+	"sloehitch/internal/control/disruption"
 )
 
 // Keys of the documents.
@@ -73,7 +73,7 @@
 
 // Read reads a document's text into an Ask, a Permit or budget.Rules. It errs on what it does not know: to act on half of it is to act on
 // another.
-func Read[T Ask | Permit | budget.Rules](text string) (v T, err error) {
+func Read[T Ask | Permit | disruption.Rules](text string) (v T, err error) {
 	d := json.NewDecoder(strings.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&v); err != nil {
@@ -127,14 +127,14 @@
 
 // Counts says why a node counts as out by what it tells, beside any permit: settle is for how long it is to be in and well before it
 // counts as in.
-func (r Report) Counts(settle time.Duration) budget.Reason {
+func (r Report) Counts(settle time.Duration) disruption.Reason {
 	switch {
 	case r.State == "leaving" || r.State == "out of service":
-		return budget.Draining
+		return disruption.Draining
 	case r.State != "ready" || !r.Well:
-		return budget.NotReady
+		return disruption.NotReady
 	case r.InMS < settle.Milliseconds():
-		return budget.Warming
+		return disruption.Warming
 	}
-	return budget.In
+	return disruption.In
 }
--- a/internal/fence/fence.go
+++ b/internal/control/fencing/fence.go
@@ -1,7 +1,7 @@
-// Package fence stands before whatever receives effects of a duty: an owner that wakes up late, after another has taken
+// Package fencing stands before whatever receives effects of a duty: an owner that wakes up late, after another has taken
 // its place, is turned away by its token (Kleppmann, "How to do distributed locking", 2016; the generation of Chubby's
 // sequencers, Burrows, OSDI 2006, 2.4).
-package fence
+package fencing
 
 import (
 	"encoding/binary"
--- a/internal/fence/fence_test.go
+++ b/internal/control/fencing/fence_test.go
@@ -1,4 +1,4 @@
-package fence
+package fencing
 
 import (
 	"errors"
--- a/internal/fleet/drive.go
+++ b/internal/control/fleet/drive.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"time"
 
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/leasedtask"
 	"sloehitch/internal/document"
-	"sloehitch/internal/duty"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/store"
 	"sloehitch/internal/trial"
 )
@@ -21,7 +21,7 @@
 	Steps []string
 	// Do does a step under a token, in its own goroutine, and may be called again for a step that was done. What it changes
 	// it changes under the token.
-	Do func(ctx context.Context, a duty.Action) error
+	Do func(ctx context.Context, a leasedtask.Action) error
 }
 
 // slot is the span of time that now is in. It names jobs; who may do one is the lease's matter.
@@ -29,8 +29,8 @@
 
 // job is what is to be done next, if anything is due: what was begun, or a job for this span. Who did the last one begins at once;
 // others give it half of the span, so that the duty stays where what was seen for it is, and not all ask at once.
-func (d *Duty) job(on duty.Record, now time.Time, pause time.Duration, mine bool) (duty.Job, bool) {
-	j := duty.Job{ID: on.Job, Steps: d.Steps, Tries: tries, Pause: pause}
+func (d *Duty) job(on leasedtask.Record, now time.Time, pause time.Duration, mine bool) (leasedtask.Job, bool) {
+	j := leasedtask.Job{ID: on.Job, Steps: d.Steps, Tries: tries, Pause: pause}
 	if on.Job != "" && !on.Ended() {
 		return j, true
 	}
@@ -61,7 +61,7 @@
 }
 
 // record reads how far a duty's job is: confirmed by a majority, or as the member that is asked first has it.
-func (f *Fleet) record(name string, local bool) (r duty.Record, version uint64, err error) {
+func (f *Fleet) record(name string, local bool) (r leasedtask.Record, version uint64, err error) {
 	var doc document.Document
 	if local {
 		c, turn := f.member()
@@ -82,8 +82,8 @@
 
 // work drives a runner until it stops. What it asks for is done in goroutines of their own, so that a lease is renewed
 // while a step goes on; what comes of it is told to the runner here.
-func (f *Fleet) work(ctx context.Context, d Duty, j duty.Job) {
-	r, err := duty.NewRunner(j, f.opts.Terms)
+func (f *Fleet) work(ctx context.Context, d Duty, j leasedtask.Job) {
+	r, err := leasedtask.NewRunner(j, f.opts.Terms)
 	if err != nil {
 		f.log.Warn("a duty can't be done", err)
 		return
@@ -102,17 +102,17 @@
 		a := r.Next(f.clock())
 		var again <-chan time.Time
 		switch a.Kind {
-		case duty.Stop:
+		case leasedtask.Stop:
 			if on, known := r.Record(); known && on.Ended() && on.Job == j.ID {
 				f.did(d.Name, j.ID)
 			}
 			return
-		case duty.HandOver:
+		case leasedtask.HandOver:
 			f.opts.Tell(trial.Event{What: "gives", Duty: d.Name, N: a.Token})
 			_, err := f.ask(d.Name, store.Question{Ask: "hand-over", Holder: f.opts.Name, Token: a.Token, Why: j.ID})
 			f.opts.Log.Debug("a duty was handed over", "duty", d.Name, "token", a.Token, "error", err)
 			continue
-		case duty.Wait:
+		case leasedtask.Wait:
 			again = time.After(time.Duration(a.At - f.clock()))
 		default:
 			go f.carryOut(ctx, d, r, a, tell)
@@ -144,11 +144,11 @@
 }
 
 // carryOut does what a runner asks for, and tells it what came of it.
-func (f *Fleet) carryOut(ctx context.Context, d Duty, r *duty.Runner, a duty.Action, tell func(func())) {
+func (f *Fleet) carryOut(ctx context.Context, d Duty, r *leasedtask.Runner, a leasedtask.Action, tell func(func())) {
 	switch a.Kind {
-	case duty.Take, duty.Renew:
+	case leasedtask.Take, leasedtask.Renew:
 		q := store.Question{Ask: "take", Holder: f.opts.Name}
-		if a.Kind == duty.Renew {
+		if a.Kind == leasedtask.Renew {
 			q.Ask, q.Token = "renew", a.Token
 		}
 		rec, err := f.ask(d.Name, q)
@@ -163,14 +163,14 @@
 		default:
 			tell(func() { r.Unheard(f.clock()) })
 		}
-	case duty.Read:
+	case leasedtask.Read:
 		rec, version, err := f.record(d.Name, false)
 		if err != nil {
 			tell(func() { r.Unsure(f.clock()) })
 			return
 		}
 		tell(func() { r.Found(rec, version) })
-	case duty.Write:
+	case leasedtask.Write:
 		text, err := json.Marshal(a.Record)
 		if err != nil { // strings and numbers always marshal
 			panic(err)
@@ -186,7 +186,7 @@
 		default:
 			tell(func() { r.Unsure(f.clock()) })
 		}
-	case duty.Do:
+	case leasedtask.Do:
 		f.opts.Tell(trial.Event{What: "does", Duty: d.Name, ID: a.ID, N: a.Token})
 		err := d.Do(ctx, a)
 		if err != nil {
--- a/internal/fleet/figures.go
+++ b/internal/control/fleet/figures.go
@@ -3,9 +3,9 @@
 import (
 	"maps"
 
-	"sloehitch/internal/budget"
-	"sloehitch/internal/permit"
-	"sloehitch/internal/release"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/release"
 )
 
 // Figures are what this node has done in the fleet since its process began, and what it knows where it has a duty.
@@ -20,9 +20,9 @@
 
 // Kept is what the keeper of permits sees.
 type Kept struct {
-	Waiting int                   // asks without a permit
-	Permits map[permit.State]int  // by how far they are
-	Out     map[budget.Reason]int // nodes and servers that count as out, by why
+	Waiting int                       // asks without a permit
+	Permits map[drainpermit.State]int // by how far they are
+	Out     map[disruption.Reason]int // nodes and servers that count as out, by why
 }
 
 // Figures returns them as they are now. It does not block for long.
@@ -47,8 +47,8 @@
 }
 
 // keptOf is what a view comes to, and what a step counted in it.
-func keptOf(v permit.View, counted []budget.Member) *Kept {
-	kept := &Kept{Permits: map[permit.State]int{}, Out: map[budget.Reason]int{}}
+func keptOf(v drainpermit.View, counted []disruption.Member) *Kept {
+	kept := &Kept{Permits: map[drainpermit.State]int{}, Out: map[disruption.Reason]int{}}
 	for name := range v.Asks {
 		if _, permitted := v.Permits[name]; !permitted {
 			kept.Waiting++
@@ -58,7 +58,7 @@
 		kept.Permits[p.State]++
 	}
 	for _, m := range counted {
-		if m.Out != budget.In {
+		if m.Out != disruption.In {
 			kept.Out[m.Out]++
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -16,10 +16,10 @@
 	"sync/atomic"
 	"time"
 
-	"sloehitch/internal/desired"
+	"sloehitch/internal/control/desiredstate"
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/leasedtask"
 	"sloehitch/internal/document"
-	"sloehitch/internal/duty"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/store"
@@ -38,8 +38,8 @@
 	Terms   lease.Terms
 	State   func() map[string]any // what the node says of itself; called from another goroutine
 
-	Memory *ledger.Store       // where what was applied outlives the process; nil: nowhere
-	Apply  func(desired.State) // does what the fleet wants of this node; must not block, and cannot fail; nil: it does nothing
+	Memory *ledger.Store            // where what was applied outlives the process; nil: nowhere
+	Apply  func(desiredstate.State) // does what the fleet wants of this node; must not block, and cannot fail; nil: it does nothing
 
 	Clock lease.Clock       // nil: lease.Now
 	Now   func() time.Time  // nil: time.Now
@@ -95,7 +95,7 @@
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	if o.Apply == nil {
-		o.Apply = func(desired.State) {}
+		o.Apply = func(desiredstate.State) {}
 	}
 	if o.Clock == nil {
 		o.Clock = lease.Now
@@ -241,7 +241,7 @@
 }
 
 // sweep marks the nodes that are silent and takes marks off those that are back, each under the token.
-func (f *Fleet) sweep(_ context.Context, a duty.Action) error {
+func (f *Fleet) sweep(_ context.Context, a leasedtask.Action) error {
 	marks, err := f.documents(silent)
 	if err != nil {
 		return err
@@ -289,7 +289,7 @@
 
 // backup writes one, or removes those that are too old. A backup's name has its token: what an owner that was overtaken
 // still writes stands beside, and does no harm.
-func (f *Fleet) backup(_ context.Context, a duty.Action) error {
+func (f *Fleet) backup(_ context.Context, a leasedtask.Action) error {
 	if a.Step == "prune" {
 		return f.prune()
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/control/fleet/fleet_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/leasedtask"
 	"sloehitch/internal/document"
-	"sloehitch/internal/duty"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/standin"
 )
 
@@ -44,26 +44,26 @@
 func TestWhichJobIsDue(t *testing.T) {
 	d := Duty{Name: "backup", Every: time.Hour, Steps: []string{"write"}}
 	noon := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	first, due := d.job(duty.Record{}, noon, time.Second, false)
+	first, due := d.job(leasedtask.Record{}, noon, time.Second, false)
 	if !due || first.After != "" {
 		t.Fatalf("the first: %+v, %v", first, due)
 	}
 	for _, c := range []struct {
 		name string
-		on   duty.Record
+		on   leasedtask.Record
 		at   time.Time
 		mine bool // this node did the last one
 		due  bool
 		id   string // empty: a new one
 	}{
-		{"begun: it goes on, whenever", duty.Record{Job: first.ID, State: duty.Begun}, noon.Add(9 * time.Hour), false, true, first.ID},
-		{"over, in the same span", duty.Record{Job: first.ID, State: duty.Over}, noon.Add(59 * time.Minute), true, false, ""},
-		{"over, in the next", duty.Record{Job: first.ID, State: duty.Over}, noon.Add(61 * time.Minute), true, true, ""},
-		{"over, in the next, by another", duty.Record{Job: first.ID, State: duty.Over}, noon.Add(61 * time.Minute), false, false, ""},
-		{"over, in the next, by another that has not come", duty.Record{Job: first.ID, State: duty.Over}, noon.Add(91 * time.Minute), false, true, ""},
-		{"over, by another that is long gone", duty.Record{Job: first.ID, State: duty.Over}, noon.Add(121 * time.Minute), false, true, ""},
-		{"failed, in the next", duty.Record{Job: first.ID, State: duty.Failed}, noon.Add(61 * time.Minute), true, true, ""},
-		{"the clock was set back", duty.Record{Job: first.ID, State: duty.Over}, noon.Add(-2 * time.Hour), true, false, ""},
+		{"begun: it goes on, whenever", leasedtask.Record{Job: first.ID, State: leasedtask.Begun}, noon.Add(9 * time.Hour), false, true, first.ID},
+		{"over, in the same span", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(59 * time.Minute), true, false, ""},
+		{"over, in the next", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(61 * time.Minute), true, true, ""},
+		{"over, in the next, by another", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(61 * time.Minute), false, false, ""},
+		{"over, in the next, by another that has not come", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(91 * time.Minute), false, true, ""},
+		{"over, by another that is long gone", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(121 * time.Minute), false, true, ""},
+		{"failed, in the next", leasedtask.Record{Job: first.ID, State: leasedtask.Failed}, noon.Add(61 * time.Minute), true, true, ""},
+		{"the clock was set back", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(-2 * time.Hour), true, false, ""},
 	} {
 		j, due := d.job(c.on, c.at, time.Second, c.mine)
 		if due != c.due || due && c.id != "" && j.ID != c.id || due && c.id == "" && (j.ID <= first.ID || j.After != first.ID) {
@@ -100,7 +100,7 @@
 	d := Duty{Name: "backup", Every: time.Hour, Steps: []string{"write"}}
 	var names []string
 	for i := range 4 {
-		j, _ := d.job(duty.Record{}, time.Unix(int64(i)*3600*1000, 0), time.Second, false)
+		j, _ := d.job(leasedtask.Record{}, time.Unix(int64(i)*3600*1000, 0), time.Second, false)
 		names = append(names, fmt.Sprintf("%s-%d.json", j.ID, 100-i))
 	}
 	for _, name := range append(names, "notes.txt") {
--- a/internal/fleet/follow.go
+++ b/internal/control/fleet/follow.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"time"
 
-	"sloehitch/internal/desired"
-	"sloehitch/internal/fence"
+	"sloehitch/internal/control/desiredstate"
+	"sloehitch/internal/control/fencing"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/store"
 	"sloehitch/internal/trial"
@@ -20,18 +20,18 @@
 // wishes is a node's side of what the fleet wants of it. It is not safe for concurrent use.
 type wishes struct {
 	ledger   *ledger.Store // nil: it forgets with the process
-	gate     *fence.Gate
-	follower *desired.Follower
-	apply    func(desired.State)
+	gate     *fencing.Gate
+	follower *desiredstate.Follower
+	apply    func(desiredstate.State)
 }
 
 // newWishes goes on from what the node's ledger has: the state that was applied last is applied again, before the store is heard.
-func newWishes(l *ledger.Store, apply func(desired.State)) (*wishes, error) {
+func newWishes(l *ledger.Store, apply func(desiredstate.State)) (*wishes, error) {
 	w := &wishes{ledger: l, apply: apply}
-	var memory fence.Memory
-	var last desired.Applied
+	var memory fencing.Memory
+	var last desiredstate.Applied
 	if l != nil {
-		memory = fence.Ledger{Store: l}
+		memory = fencing.Ledger{Store: l}
 		text, err := l.Get([]byte(appliedKey))
 		if err == nil {
 			err = json.Unmarshal(text, &last)
@@ -41,11 +41,11 @@
 		}
 	}
 	var err error
-	if w.gate, err = fence.New(memory); err != nil {
+	if w.gate, err = fencing.New(memory); err != nil {
 		return nil, err
 	}
-	w.follower = desired.NewFollower(last)
-	if last.State != (desired.State{}) {
+	w.follower = desiredstate.NewFollower(last)
+	if last.State != (desiredstate.State{}) {
 		apply(last.State)
 	}
 	return w, nil
@@ -55,7 +55,7 @@
 // told once for each version.
 func (w *wishes) sees(text string, version, revision uint64) (applied bool, err error) {
 	a, verdict, err := w.follower.Sees(text, version, revision)
-	if verdict != desired.Apply {
+	if verdict != desiredstate.Apply {
 		return false, err
 	}
 	do := func() error {
@@ -77,7 +77,7 @@
 	} else {
 		err = w.gate.Pass(a.State.Duty, a.State.Token, do)
 	}
-	var stale *fence.Stale
+	var stale *fencing.Stale
 	switch {
 	case err == nil:
 		return true, nil
@@ -93,7 +93,7 @@
 
 // follow pulls what is wanted of this node until the context ends. With the store away it goes on as it is.
 func (f *Fleet) follow(ctx context.Context) {
-	key := desired.Prefix + f.opts.Name
+	key := desiredstate.Prefix + f.opts.Name
 	var at uint64
 	read := false
 	see := func(text string, version, revision uint64) error {
--- a/internal/fleet/follow_test.go
+++ b/internal/control/fleet/follow_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/desired"
+	"sloehitch/internal/control/desiredstate"
+	"sloehitch/internal/control/fencing"
 	"sloehitch/internal/document"
-	"sloehitch/internal/fence"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/simdisk"
 	"sloehitch/internal/limits"
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w, err := newWishes(l, func(s desired.State) { applied = append(applied, fmt.Sprint(s.Out)) })
+		w, err := newWishes(l, func(s desiredstate.State) { applied = append(applied, fmt.Sprint(s.Out)) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 	if got := strings.Join(applied, " "); got != "true false true true" {
 		t.Errorf("applied %s", got)
 	}
-	var stale *fence.Stale
+	var stale *fencing.Stale
 	if _, err := w.sees(`{"out":false,"duty":"drain","token":4}`, 8, 8); !errors.As(err, &stale) || stale.Seen != 5 {
 		t.Errorf("an owner of before the cut: %v", err)
 	}
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w, err := newWishes(l, func(desired.State) {})
+		w, err := newWishes(l, func(desiredstate.State) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,7 +108,7 @@
 	defer admin.Close()
 	applied := make(chan bool, 10)
 	f, err := New(Options{Name: "n1", Members: []string{admin.Listener.Addr().String()}, Every: 50 * time.Millisecond, Silent: time.Hour, Timeout: 200 * time.Millisecond,
-		Pause: 10 * time.Millisecond, Terms: store.Terms, Apply: func(s desired.State) { applied <- s.Out }, Log: standin.Quiet})
+		Pause: 10 * time.Millisecond, Terms: store.Terms, Apply: func(s desiredstate.State) { applied <- s.Out }, Log: standin.Quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 	go func() { f.Serve(ctx); close(done) }()
 	put := func(key, value string) {
 		t.Helper()
-		if r, err := s.Make(document.Transaction{ID: fmt.Sprint(key, value, time.Now().UnixNano()), By: "test", Do: []document.Operation{{Key: desired.Prefix + key, Value: value, Delete: value == ""}}}); err != nil || !r.Made {
+		if r, err := s.Make(document.Transaction{ID: fmt.Sprint(key, value, time.Now().UnixNano()), By: "test", Do: []document.Operation{{Key: desiredstate.Prefix + key, Value: value, Delete: value == ""}}}); err != nil || !r.Made {
 			t.Fatal(r, err)
 		}
 	}
--- a/internal/fleet/outs.go
+++ b/internal/control/fleet/outs.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/budget"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
-	"sloehitch/internal/permit"
 	"sloehitch/internal/store"
 	"sloehitch/internal/trial"
 )
@@ -28,7 +28,7 @@
 	Leave      func()        // has the node go out of service; must not block
 	Enter      func()        // and into it
 	// Below are the servers below as this node sees them, by address; nil: it has none. LeaveAlone has it send no more to these; must not block.
-	Below      func() map[string]permit.Below
+	Below      func() map[string]drainpermit.Below
 	LeaveAlone func(addresses []string)
 	// Replace has this process replaced by what is to be deployed, and the process end. It errs where it could not; nil: nothing is set up
 	// that could. It may block.
@@ -41,7 +41,7 @@
 // leaveAlone has this node send no more to servers that are permitted to be out, until the context ends. With the store away it goes on with
 // what it knew.
 func (f *Fleet) leaveAlone(ctx context.Context) {
-	key := permit.Prefix + permit.ServerName("")
+	key := drainpermit.Prefix + drainpermit.ServerName("")
 	changed := f.changes(ctx, key)
 	var read uint64
 	for {
@@ -71,9 +71,9 @@
 // the harmless side.
 func serversOut(docs []document.Document) (addresses []string) {
 	for _, d := range docs {
-		name, is := strings.CutSuffix(strings.TrimPrefix(d.Key, permit.Prefix), "/permit")
-		if p, err := permit.Read[permit.Permit](d.Value); is && (err != nil || p.State != permit.Back) {
-			addresses = append(addresses, permit.Address(name))
+		name, is := strings.CutSuffix(strings.TrimPrefix(d.Key, drainpermit.Prefix), "/permit")
+		if p, err := drainpermit.Read[drainpermit.Permit](d.Value); is && (err != nil || p.State != drainpermit.Back) {
+			addresses = append(addresses, drainpermit.Address(name))
 		}
 	}
 	return addresses
@@ -115,9 +115,9 @@
 // ends. With the store away it stays as it is.
 func (f *Fleet) out(ctx context.Context) {
 	o := f.opts.Outs
-	agent := permit.NewAgent(permit.Node{Release: o.Release, Terms: f.opts.Terms, Settle: o.Settle, Tries: max(1, o.Tries)})
-	changed := f.changes(ctx, permit.Prefix+f.opts.Name+"/")
-	var s permit.Sight
+	agent := drainpermit.NewAgent(drainpermit.Node{Release: o.Release, Terms: f.opts.Terms, Settle: o.Settle, Tries: max(1, o.Tries)})
+	changed := f.changes(ctx, drainpermit.Prefix+f.opts.Name+"/")
+	var s drainpermit.Sight
 	known := false
 	again := time.NewTicker(f.opts.Pause)
 	defer again.Stop()
@@ -145,7 +145,7 @@
 		f.mu.Unlock()
 		for known && ctx.Err() == nil {
 			a := agent.Next(s, f.clock())
-			if a.Kind == permit.Nothing {
+			if a.Kind == drainpermit.Nothing {
 				break
 			}
 			if f.doOut(ctx, agent, s, a) {
@@ -184,9 +184,9 @@
 }
 
 // seesOut reads what the store has of this node, as the member that is asked first has it.
-func (f *Fleet) seesOut() (s permit.Sight, err error) {
+func (f *Fleet) seesOut() (s drainpermit.Sight, err error) {
 	c, turn := f.member()
-	docs, seen, err := c.Documents(permit.Prefix+f.opts.Name+"/", true)
+	docs, seen, err := c.Documents(drainpermit.Prefix+f.opts.Name+"/", true)
 	if err == nil && seen.AgeMS < 0 {
 		err = errors.New("the member asked has heard of no leader")
 	}
@@ -197,14 +197,14 @@
 	s.Revision = seen.Revision
 	for _, d := range docs {
 		switch d.Key {
-		case permit.AskKey(f.opts.Name):
-			a, err := permit.Read[permit.Ask](d.Value)
+		case drainpermit.AskKey(f.opts.Name):
+			a, err := drainpermit.Read[drainpermit.Ask](d.Value)
 			if err != nil {
 				return s, err
 			}
 			s.Ask, s.AskVersion = &a, d.Version
-		case permit.PermitKey(f.opts.Name):
-			p, err := permit.Read[permit.Permit](d.Value)
+		case drainpermit.PermitKey(f.opts.Name):
+			p, err := drainpermit.Read[drainpermit.Permit](d.Value)
 			if err != nil {
 				return s, err
 			}
@@ -215,7 +215,7 @@
 }
 
 // doOut does what the agent says, and says whether that changed what the store has.
-func (f *Fleet) doOut(ctx context.Context, agent *permit.Agent, s permit.Sight, a permit.Action) (wrote bool) {
+func (f *Fleet) doOut(ctx context.Context, agent *drainpermit.Agent, s drainpermit.Sight, a drainpermit.Action) (wrote bool) {
 	o := f.opts.Outs
 	id := ""
 	if s.Permit != nil {
@@ -230,18 +230,18 @@
 	}
 	a.Permit.Since = f.opts.Now().UnixMilli()
 	switch a.Kind {
-	case permit.Leave:
+	case drainpermit.Leave:
 		leave("goes on out") // what a process before this one began
 		return false
-	case permit.Enter:
+	case drainpermit.Enter:
 		o.Enter()
 		agent.Entered(f.clock())
 		f.opts.Tell(trial.Event{What: "enters", ID: id})
 		f.figure(func(x *Figures) { x.Out = false })
 		f.opts.Log.Info("this node is in service again", "permit", id)
 		return false
-	case permit.Begin:
-		r, err := f.makes(permit.Begins(f.opts.Name, s, a.Permit, rand.Text()))
+	case drainpermit.Begin:
+		r, err := f.makes(drainpermit.Begins(f.opts.Name, s, a.Permit, rand.Text()))
 		if agent.Began(err == nil, r.Revision, f.clock()) {
 			leave("begins out")
 		} else if err == nil {
@@ -252,7 +252,7 @@
 		}
 		return true
 	}
-	if a.Kind == permit.GiveBack {
+	if a.Kind == drainpermit.GiveBack {
 		what := "warm" // before it is given back: from then on another may have its place
 		if a.Late {
 			what = "late"
@@ -260,8 +260,8 @@
 		}
 		f.opts.Tell(trial.Event{What: what, ID: id})
 	}
-	r, err := f.makes(permit.Writes(f.opts.Name, s, a, rand.Text()))
-	if a.Kind == permit.Replace && err == nil {
+	r, err := f.makes(drainpermit.Writes(f.opts.Name, s, a, rand.Text()))
+	if a.Kind == drainpermit.Replace && err == nil {
 		f.replace(ctx, agent, s.Ask.To)
 		return true
 	}
@@ -273,7 +273,7 @@
 }
 
 // replace has this process replaced; it goes on where that fails.
-func (f *Fleet) replace(ctx context.Context, agent *permit.Agent, to string) {
+func (f *Fleet) replace(ctx context.Context, agent *drainpermit.Agent, to string) {
 	err := errors.New("nothing is set up by which this node could be replaced: [fleet] replace")
 	if f.opts.Outs.Replace != nil {
 		f.opts.Log.Info("this process is replaced", "by", to)
@@ -411,26 +411,26 @@
 type keeping struct {
 	*standing
 	sight  *Sight
-	keeper permit.Keeper
+	keeper drainpermit.Keeper
 }
 
 // keepPermits takes this node's turn at granting permits, while there is anything to decide, until the context ends.
 func (f *Fleet) keepPermits(ctx context.Context) {
 	k := &keeping{}
-	k.standing = &standing{Fleet: f, duty: permits, prefix: permit.Prefix, do: k.decide, reset: func() {
+	k.standing = &standing{Fleet: f, duty: permits, prefix: drainpermit.Prefix, do: k.decide, reset: func() {
 		k.sight = NewSight(f.opts.Silent) // nodes are unknown until they are heard of anew
-		k.keeper = permit.Keeper{Terms: f.opts.Terms, Settle: f.opts.Outs.Settle}
+		k.keeper = drainpermit.Keeper{Terms: f.opts.Terms, Settle: f.opts.Outs.Settle}
 		f.figure(func(x *Figures) { x.Kept = nil })
 	}}
 	k.serve(ctx)
 }
 
 // view reads all that counts for permits, confirmed, with the nodes as this process has heard of them.
-func (f *Fleet) view(sight *Sight) (v permit.View, at permit.Versions, docs []document.Document, err error) {
+func (f *Fleet) view(sight *Sight) (v drainpermit.View, at drainpermit.Versions, docs []document.Document, err error) {
 	if docs, err = f.documents(""); err != nil {
 		return v, at, docs, err
 	}
-	v, at, err = permit.ViewOf(docs, permit.Plain, f.opts.Now().UnixMilli())
+	v, at, err = drainpermit.ViewOf(docs, drainpermit.Plain, f.opts.Now().UnixMilli())
 	if err != nil {
 		f.log.Warn("a document can't be read", err)
 	}
@@ -447,13 +447,13 @@
 		quiet[q.Node] = q.For
 	}
 	for _, d := range reports {
-		s := permit.Seen{Name: strings.TrimPrefix(d.Key, nodes)}
+		s := drainpermit.Seen{Name: strings.TrimPrefix(d.Key, nodes)}
 		s.Bad = json.Unmarshal([]byte(d.Value), &s.Report) != nil
 		s.Since = s.Report.Since
 		if long, silent := quiet[s.Name]; silent {
-			s.Quiet, s.Since = budget.Silent, f.opts.Now().Add(-long).UnixMilli()
+			s.Quiet, s.Since = disruption.Silent, f.opts.Now().Add(-long).UnixMilli()
 		} else if !sight.Heard(s.Name, now) {
-			s.Quiet = budget.Unknown
+			s.Quiet = disruption.Unknown
 		}
 		v.Members = append(v.Members, s)
 	}
--- a/internal/fleet/releases.go
+++ b/internal/control/fleet/releases.go
@@ -8,20 +8,20 @@
 	"strings"
 	"time"
 
+	"sloehitch/internal/control/canary"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/release"
 	"sloehitch/internal/document"
 	"sloehitch/internal/latency"
-	"sloehitch/internal/lease"
-	"sloehitch/internal/permit"
-	"sloehitch/internal/release"
 	"sloehitch/internal/store"
 	"sloehitch/internal/trial"
-	"sloehitch/internal/verdict"
 )
 
 // verdicts are the terms by which releases are judged, with spans of two reports.
-func (f *Fleet) verdicts() verdict.Terms {
+func (f *Fleet) verdicts() canary.Terms {
 	span := 2 * f.opts.Every
-	return verdict.Terms{FalseAlarm: 0.01, Looks: 200, Least: 8, Smooth: int((latency.Longest + span - 1) / span)}
+	return canary.Terms{FalseAlarm: 0.01, Looks: 200, Least: 8, Smooth: int((latency.Longest + span - 1) / span)}
 }
 
 // keptSpans is how many spans of reports are kept to compare by.
@@ -32,7 +32,7 @@
 	*standing
 	sight  *Sight
 	owners map[string]*release.Owner
-	judges map[string]*verdict.Recorder
+	judges map[string]*canary.Recorder
 	taken  lease.Instant // when the last span ended
 }
 
@@ -41,7 +41,7 @@
 	k := &releasing{}
 	k.standing = &standing{Fleet: f, duty: release.Duty, prefix: release.Prefix, do: k.goOn, reset: func() {
 		k.sight = NewSight(f.opts.Silent)
-		k.owners, k.judges = map[string]*release.Owner{}, map[string]*verdict.Recorder{}
+		k.owners, k.judges = map[string]*release.Owner{}, map[string]*canary.Recorder{}
 		f.figure(func(x *Figures) { x.Releases = nil })
 	}}
 	k.serve(ctx)
@@ -75,12 +75,12 @@
 		idle = false
 		rolling = append(rolling, release.StandOf(r, v))
 		if k.owners[r.Name] == nil {
-			k.owners[r.Name], k.judges[r.Name] = &release.Owner{}, verdict.NewRecorder(keptSpans)
+			k.owners[r.Name], k.judges[r.Name] = &release.Owner{}, canary.NewRecorder(keptSpans)
 		}
 		if span {
 			k.judges[r.Name].Take(r.Reports(v, k.opts.Outs.Settle))
 		}
-		j := verdict.Judge(k.verdicts(), k.judges[r.Name].Nodes())
+		j := canary.Judge(k.verdicts(), k.judges[r.Name].Nodes())
 		step := k.owners[r.Name].Next(r, v, j, k.opts.Outs.Settle, now)
 		if err := k.take(r, step, v, at, token); err != nil && !errors.Is(err, store.ErrConflict) {
 			return false, err
@@ -91,7 +91,7 @@
 }
 
 // take makes what a step of a release is, and says so.
-func (k *releasing) take(r release.Release, step release.Step, v permit.View, at permit.Versions, token uint64) error {
+func (k *releasing) take(r release.Release, step release.Step, v drainpermit.View, at drainpermit.Versions, token uint64) error {
 	for _, t := range step.Transactions(r, v, at, token, k.opts.Name, rand.Text) {
 		if err := k.make(t); err != nil {
 			return err
@@ -124,8 +124,8 @@
 			return fmt.Errorf("%w: there is a release %s that is not over", store.ErrConflict, r.Name)
 		}
 	}
-	_, err = ask.Make(document.Transaction{ID: rand.Text(), By: r.By, Why: "release " + r.Name + " to " + r.To + ": " + r.Why, If: []document.Condition{{Key: was.Key, Version: was.Version}, {Key: permit.Halts + r.Name}},
-		Do: []document.Operation{{Key: was.Key, Value: permit.Text(r)}}})
+	_, err = ask.Make(document.Transaction{ID: rand.Text(), By: r.By, Why: "release " + r.Name + " to " + r.To + ": " + r.Why, If: []document.Condition{{Key: was.Key, Version: was.Version}, {Key: drainpermit.Halts + r.Name}},
+		Do: []document.Operation{{Key: was.Key, Value: drainpermit.Text(r)}}})
 	return err
 }
 
@@ -142,7 +142,7 @@
 		if err != nil {
 			return err
 		}
-		halted, _, err := ask.Document(permit.Halts+name, false)
+		halted, _, err := ask.Document(drainpermit.Halts+name, false)
 		if err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 		}
 		r.State, r.Note = release.Back, "back, by "+by+": "+why
 		t := document.Transaction{ID: rand.Text(), By: by, Why: "release " + name + " goes back: " + why, If: []document.Condition{{Key: key, Version: was.Version}, {Key: halted.Key, Version: halted.Version}},
-			Do: []document.Operation{{Key: key, Value: permit.Text(r)}}}
+			Do: []document.Operation{{Key: key, Value: drainpermit.Text(r)}}}
 		if halted.Version > 0 {
 			t.Do = append(t.Do, document.Operation{Key: halted.Key, Delete: true})
 		}
--- a/internal/fleet/sight.go
+++ b/internal/control/fleet/sight.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
 )
 
 // Keys of the documents that nodes write.
--- a/internal/lease/walk/walk.go
+++ b/internal/control/lease/modelcheck/walk.go
@@ -1,6 +1,6 @@
-// Package walk plays both sides of a lease through random worlds in true time: every clock has a rate and a beginning of its
+// Package modelcheck plays both sides of a lease through random worlds in true time: every clock has a rate and a beginning of its
 // own, messages take any time, processes stand still, and leaders change. It knows who believes to hold the duty at each instant.
-package walk
+package modelcheck
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 // world is a store of which one member leads at a time, and candidates for one duty, in true time. Every clock has a
--- a/internal/lease/walk/walk_test.go
+++ b/internal/control/lease/modelcheck/walk_test.go
@@ -1,11 +1,11 @@
-package walk
+package modelcheck
 
 import (
 	"flag"
 	"testing"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 var seeds = flag.Uint64("lease.seeds", 10000, "how many seeds the walk is played with")
--- a/internal/duty/duty.go
+++ b/internal/control/leasedtask/duty.go
@@ -1,17 +1,17 @@
-// Package duty decides how fleet work goes on in steps under a lease: what to ask of the store, when to do a step, and where
+// Package leasedtask decides how fleet work goes on in steps under a lease: what to ask of the store, when to do a step, and where
 // the next owner takes it up. It has no I/O and no clock; who drives it carries out what Next returns and tells what came
 // of it.
 //
 // Each step is on record as begun before it is done, and as done after, both under the token. The next owner reads the
 // record and does a step that was begun once more, under the step's own id, by which its receiver knows a repeat; the
 // receiver's fence (package fence) turns an owner away that was overtaken.
-package duty
+package leasedtask
 
 import (
 	"fmt"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 // Job is a piece of work.
--- a/internal/duty/walk/walk.go
+++ b/internal/control/leasedtask/modelcheck/walk.go
@@ -1,7 +1,7 @@
-// Package walk plays the runner of duties through random worlds: candidates for one duty, the store that they agree through
+// Package modelcheck plays the runner of duties through random worlds: candidates for one duty, the store that they agree through
 // and a receiver of effects, in one simulated time. Messages take any time and are lost either way, and candidates stand
 // still, at any point, leave, or are replaced by new ones that know nothing. What must hold is checked at each effect.
-package walk
+package modelcheck
 
 import (
 	"encoding/json"
@@ -11,10 +11,10 @@
 	"math/rand/v2"
 	"time"
 
+	"sloehitch/internal/control/fencing"
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/leasedtask"
 	"sloehitch/internal/document"
-	"sloehitch/internal/duty"
-	"sloehitch/internal/fence"
-	"sloehitch/internal/lease"
 )
 
 // Terms are those of the duty in every world.
@@ -35,7 +35,7 @@
 	mutant string
 	open   int // job that was as the faults ended
 
-	gate    *fence.Gate
+	gate    *fencing.Gate
 	kept    memory         // tokens as the receiver keeps them on disk
 	highest uint64         // token of effects that happened
 	effects map[string]int // by step id
@@ -55,7 +55,7 @@
 
 // restart has the receiver begin anew with what it has on disk.
 func (w *world) restart() {
-	gate, err := fence.New(w.kept)
+	gate, err := fencing.New(w.kept)
 	if err != nil {
 		w.wrong = err.Error()
 	}
@@ -68,7 +68,7 @@
 }
 
 type person struct {
-	*duty.Runner
+	*leasedtask.Runner
 	name  string
 	rate  float64
 	still time.Duration
@@ -141,12 +141,12 @@
 	err error
 }
 
-func (w *world) lease(p *person, a duty.Action) {
+func (w *world) lease(p *person, a leasedtask.Action) {
 	w.ask(p, func() any {
 		var rec lease.Record
 		var err error
 		at := lease.Instant(w.now)
-		if a.Kind == duty.Take {
+		if a.Kind == leasedtask.Take {
 			rec, err = w.store.Leases().Take("release", p.name, at)
 		} else {
 			rec, err = w.store.Leases().Renew("release", p.name, a.Token)
@@ -167,14 +167,14 @@
 func (w *world) act(p *person) {
 	a := p.Next(w.clock(p))
 	switch a.Kind {
-	case duty.Wait:
+	case leasedtask.Wait:
 		p.wakes = w.now + time.Duration(float64(a.At-w.clock(p))/p.rate)
-	case duty.Take, duty.Renew:
+	case leasedtask.Take, leasedtask.Renew:
 		w.lease(p, a)
-	case duty.Read:
+	case leasedtask.Read:
 		w.ask(p, func() any { return w.store.Get(record) }, func(got any) {
 			d := got.(document.Document)
-			var rec duty.Record
+			var rec leasedtask.Record
 			if d.Version > 0 {
 				if err := json.Unmarshal([]byte(d.Value), &rec); err != nil {
 					w.wrong = err.Error()
@@ -182,7 +182,7 @@
 			}
 			p.Found(rec, d.Version)
 		}, func() { p.Unsure(w.clock(p)) })
-	case duty.Write:
+	case leasedtask.Write:
 		text, err := json.Marshal(a.Record)
 		if err != nil {
 			w.wrong = err.Error()
@@ -192,7 +192,7 @@
 		if w.mutant == "writes without the token" {
 			t.If, t.ID = nil, fmt.Sprint(w.r.Uint64())
 		}
-		if w.mutant == "step not recorded" && a.Record.State != duty.Over { // but said to be
+		if w.mutant == "step not recorded" && a.Record.State != leasedtask.Over { // but said to be
 			w.ask(p, func() any { return w.store.Get(record).Version }, func(got any) { p.Written(got.(uint64)) }, func() { p.Unsure(w.clock(p)) })
 			return
 		}
@@ -203,23 +203,23 @@
 				p.Lost(w.clock(p))
 			}
 		}, func() { p.Unsure(w.clock(p)) })
-	case duty.Do:
+	case leasedtask.Do:
 		w.ask(p, func() any { return w.effect(a) }, func(got any) {
 			err, _ := got.(error)
 			p.Did(err, w.clock(p))
 		}, func() { p.Did(errors.New("no answer"), w.clock(p)) })
-	case duty.HandOver:
+	case leasedtask.HandOver:
 		rec, err := w.store.Leases().HandOver("release", p.name, a.Token, "")
 		if err == nil {
 			w.store.Apply(document.Transaction{ID: fmt.Sprint("h", w.r.Uint64()), Do: []document.Operation{{Lease: &rec}}}, lease.Instant(w.now))
 		}
-	case duty.Stop:
+	case leasedtask.Stop:
 		p.wakes = 1 << 62
 	}
 }
 
 // effect is a step at its receiver: fenced, and done once for its id.
-func (w *world) effect(a duty.Action) error {
+func (w *world) effect(a leasedtask.Action) error {
 	do := func() error {
 		if a.Record.Job == w.job && a.ID <= w.step && w.mutant != "repeats not known" {
 			return nil
@@ -228,7 +228,7 @@
 		if a.Token < w.highest {
 			w.wrong = fmt.Sprintf("at %v step %s was done under token %d after %d", w.now, a.ID, a.Token, w.highest)
 		}
-		if rec, _ := w.last(); rec.Job != a.Record.Job || rec.Step != a.Record.Step || rec.State != duty.Begun {
+		if rec, _ := w.last(); rec.Job != a.Record.Job || rec.Step != a.Record.Step || rec.State != leasedtask.Begun {
 			w.wrong = fmt.Sprintf("at %v step %s was done while %+v was on record", w.now, a.ID, rec)
 		}
 		w.highest = max(w.highest, a.Token)
@@ -244,7 +244,7 @@
 }
 
 // last is the job on record, as a member of the store has it.
-func (w *world) last() (rec duty.Record, n int) {
+func (w *world) last() (rec leasedtask.Record, n int) {
 	if d := w.store.Get(record); d.Version > 0 {
 		if err := json.Unmarshal([]byte(d.Value), &rec); err != nil {
 			w.wrong = err.Error()
@@ -256,7 +256,7 @@
 
 // person is a new process: it goes on with the job on record, or begins the next one after it.
 func (w *world) person(name string, life int) *person {
-	j := duty.Job{ID: "j1"}
+	j := leasedtask.Job{ID: "j1"}
 	if rec, n := w.last(); rec.Ended() {
 		j.ID, j.After = fmt.Sprint("j", n+1), rec.Job
 	} else if n > 0 {
@@ -266,7 +266,7 @@
 		j.After = ""
 	}
 	j.Steps, j.Tries, j.Pause = []string{"a", "b", "c", "d"}, 50, time.Second
-	r, err := duty.NewRunner(j, Terms)
+	r, err := leasedtask.NewRunner(j, Terms)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/release/release.go
+++ b/internal/control/release/release.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/budget"
-	"sloehitch/internal/lease"
-	"sloehitch/internal/permit"
-	"sloehitch/internal/verdict"
+	"sloehitch/internal/control/canary"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/lease"
 )
 
 // Prefix and a release's name is the key of its document.
@@ -59,8 +59,8 @@
 		}
 	}
 	switch {
-	case r.Name == "" || r.Name == permit.All || strings.ContainsAny(r.Name, "/ "):
-		return fmt.Errorf("name %q: a word without slashes and spaces is wanted, and not %q", r.Name, permit.All)
+	case r.Name == "" || r.Name == drainpermit.All || strings.ContainsAny(r.Name, "/ "):
+		return fmt.Errorf("name %q: a word without slashes and spaces is wanted, and not %q", r.Name, drainpermit.All)
 	case r.To == "":
 		return fmt.Errorf("to what is missing: the release that nodes are to report")
 	case len(nodes) == 0:
@@ -73,7 +73,7 @@
 
 // Plan lays out waves: by zone, in the order of their names, a first node alone, then in each zone waves that grow by a factor. Nodes that
 // report what is wanted already are left out.
-func Plan(nodes []permit.Seen, to string, growth float64) (waves [][]string, from map[string]string) {
+func Plan(nodes []drainpermit.Seen, to string, growth float64) (waves [][]string, from map[string]string) {
 	from = map[string]string{}
 	zones := map[string][]string{}
 	for _, n := range nodes {
@@ -128,15 +128,15 @@
 }
 
 // Next decides by what is seen, confirmed by a majority, and by the judgement of those changed so far.
-func (o *Owner) Next(r Release, v permit.View, j verdict.Judgement, settle time.Duration, now lease.Instant) Step {
-	if v.Halted[permit.All] || v.Halted[r.Name] || r.State != Running && r.State != Back {
+func (o *Owner) Next(r Release, v drainpermit.View, j canary.Judgement, settle time.Duration, now lease.Instant) Step {
+	if v.Halted[drainpermit.All] || v.Halted[r.Name] || r.State != Running && r.State != Back {
 		o.is, o.out = false, nil
 		return Step{}
 	}
 	if !o.looks {
 		o.first, o.looks = now, true
 	}
-	seen := map[string]permit.Seen{}
+	seen := map[string]drainpermit.Seen{}
 	for _, s := range v.Members {
 		seen[s.Name] = s
 	}
@@ -153,7 +153,7 @@
 	for _, w := range r.Waves[:r.Wave+1] {
 		for _, n := range w {
 			if s := seen[n]; s.Report.Release == r.To {
-				if changed++; s.Quiet == budget.Silent || s.Bad {
+				if changed++; s.Quiet == disruption.Silent || s.Bad {
 					return Step{Halt: fmt.Sprintf("%s runs %s and its figures are unknown", n, r.To)}
 				}
 			}
@@ -169,7 +169,7 @@
 		case asked && a.Release == r.Name && a.Failed != "":
 			return Step{Halt: fmt.Sprintf("%s: %s", n, a.Failed)}
 		case known && s.Report.Release == r.To && !asked && !out:
-			if s.Report.Counts(settle) != budget.In {
+			if s.Report.Counts(settle) != disruption.In {
 				open++
 			}
 			continue
@@ -210,12 +210,12 @@
 }
 
 // late says which node of the release has been out for longer than it may.
-func (o *Owner) late(r Release, v permit.View, now lease.Instant) string {
+func (o *Owner) late(r Release, v drainpermit.View, now lease.Instant) string {
 	out := map[string]lease.Instant{}
 	late := ""
 	for _, n := range slices.Sorted(maps.Keys(v.Permits)) {
 		p := v.Permits[n]
-		if a := v.Asks[n]; a.Release != r.Name || p.State == permit.Granted {
+		if a := v.Asks[n]; a.Release != r.Name || p.State == drainpermit.Granted {
 			continue
 		}
 		since, known := o.out[p.ID]
@@ -232,7 +232,7 @@
 }
 
 // back has those that are changed go back, the latest wave first. Asks that were not begun are taken back.
-func (o *Owner) back(r Release, v permit.View, seen map[string]permit.Seen) (step Step) {
+func (o *Owner) back(r Release, v drainpermit.View, seen map[string]drainpermit.Seen) (step Step) {
 	for i := len(r.Waves) - 1; i >= 0; i-- {
 		open := false
 		for _, n := range r.Waves[i] {
@@ -283,8 +283,8 @@
 }
 
 // StandOf is how far a release is by what is seen.
-func StandOf(r Release, v permit.View) Stand {
-	x := Stand{Name: r.Name, State: r.State, Halted: v.Halted[r.Name] || v.Halted[permit.All], Wave: r.Wave + 1, Waves: len(r.Waves)}
+func StandOf(r Release, v drainpermit.View) Stand {
+	x := Stand{Name: r.Name, State: r.State, Halted: v.Halted[r.Name] || v.Halted[drainpermit.All], Wave: r.Wave + 1, Waves: len(r.Waves)}
 	deployed := map[string]string{}
 	for _, s := range v.Members {
 		deployed[s.Name] = s.Report.Release
@@ -294,7 +294,7 @@
 			if x.Nodes++; deployed[n] == r.To {
 				x.Changed++
 			}
-			if p, is := v.Permits[n]; is && v.Asks[n].Release == r.Name && p.State != permit.Granted {
+			if p, is := v.Permits[n]; is && v.Asks[n].Release == r.Name && p.State != drainpermit.Granted {
 				x.Out++
 			} else if v.Asks[n].Release == r.Name {
 				x.Waiting++
@@ -305,7 +305,7 @@
 }
 
 // Progress is how far a release is, for people.
-func Progress(r Release, v permit.View) string {
+func Progress(r Release, v drainpermit.View) string {
 	x := StandOf(r, v)
 	line := fmt.Sprintf("%s to %s: %s, wave %d of %d, %d of %d nodes changed, %d out, %d wait", r.Name, r.To, r.State, x.Wave, x.Waves, x.Changed, x.Nodes, x.Out, x.Waiting)
 	if x.Halted {
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -13,7 +13,7 @@
 	"slices"
 	"strings"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 // Bounds keep the state small enough to be sent whole to a member that is behind.
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 var terms = lease.Terms{Length: 10 * time.Second, Drift: 0.01, Margin: time.Second}
--- a/internal/emulator/release.go
+++ b/internal/emulator/release.go
@@ -6,14 +6,14 @@
 	"math/rand/v2"
 	"time"
 
-	"sloehitch/internal/budget"
+	"sloehitch/internal/control/canary"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/release"
 	"sloehitch/internal/document"
 	"sloehitch/internal/latency"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/node"
-	"sloehitch/internal/permit"
-	"sloehitch/internal/release"
-	"sloehitch/internal/verdict"
 )
 
 // Release is another version that goes through the fleet while it serves.
@@ -73,7 +73,7 @@
 var releaseTerms = lease.Terms{Length: 10 * time.Second, Drift: 0.02, Margin: time.Second}
 
 // judged is by which terms, as in package fleet.
-var judged = verdict.Terms{FalseAlarm: 0.01, Looks: 200, Least: 8, Smooth: int(latency.Longest / releaseReport)}
+var judged = canary.Terms{FalseAlarm: 0.01, Looks: 200, Least: 8, Smooth: int(latency.Longest / releaseReport)}
 
 // version is what a node runs, and what it has done by it.
 type version struct {
@@ -83,7 +83,7 @@
 	luck                    *rand.Rand // of answers that fail
 	took                    *latency.Window
 	p99                     float64 // milliseconds, as reported last
-	agent                   *permit.Agent
+	agent                   *drainpermit.Agent
 	out                     bool
 }
 
@@ -92,9 +92,9 @@
 	*play
 	*Release
 	store  *document.State
-	keeper permit.Keeper
+	keeper drainpermit.Keeper
 	owner  release.Owner
-	judge  *verdict.Recorder
+	judge  *canary.Recorder
 	tokens map[string]uint64
 	ids    int
 	looked time.Time
@@ -117,7 +117,7 @@
 	if p.Release == nil {
 		return nil
 	}
-	w := &rollout{play: p, Release: p.Release, keeper: permit.Keeper{Terms: releaseTerms, Settle: p.Release.Settle}, judge: verdict.NewRecorder(400), tokens: map[string]uint64{}, label: map[*host]string{}}
+	w := &rollout{play: p, Release: p.Release, keeper: drainpermit.Keeper{Terms: releaseTerms, Settle: p.Release.Settle}, judge: canary.NewRecorder(400), tokens: map[string]uint64{}, label: map[*host]string{}}
 	var err error
 	if w.store, err = document.New(document.Ordinary, releaseTerms); err != nil {
 		return err
@@ -135,7 +135,7 @@
 		most = max(1, int(w.MostOut*float64(p.Nodes)))
 		zone = max(1, int(math.Ceil(3*w.MostOut*float64(p.Nodes)/float64(w.Zones))))
 	}
-	w.put(permit.Rules, permit.Text(budget.Rules{{Group: "fleet", MostOut: &most}, {Group: "zone", MostOut: &zone}}))
+	w.put(drainpermit.Rules, drainpermit.Text(disruption.Rules{{Group: "fleet", MostOut: &most}, {Group: "zone", MostOut: &zone}}))
 	for _, h := range p.nodes {
 		w.starts(h, oldVersion)
 		h.version.in = p.begun.Add(-time.Hour)
@@ -153,7 +153,7 @@
 func (w *rollout) starts(h *host, label string) {
 	now := w.clock.Now()
 	h.version = &version{label: label, since: now, in: now, took: latency.New(now), luck: w.streams.Stream(fmt.Sprint("luck ", h.name, " ", h.life)),
-		agent: permit.NewAgent(permit.Node{Release: label, Terms: releaseTerms, Settle: w.Settle, Tries: 2})}
+		agent: drainpermit.NewAgent(drainpermit.Node{Release: label, Terms: releaseTerms, Settle: w.Settle, Tries: 2})}
 	if label == newVersion && w.Slow > 0 {
 		h.factor = w.Slow
 	} else {
@@ -180,9 +180,9 @@
 }
 
 // report is what a node tells of itself.
-func (w *rollout) report(h *host, zone int) permit.Report {
+func (w *rollout) report(h *host, zone int) drainpermit.Report {
 	v := h.version
-	r := permit.Report{State: "ready", Well: true, Zone: fmt.Sprint("z", zone), Release: v.label, Since: v.since.UnixMilli(), Served: v.served, Refused: v.refused, Failed: v.failed, P99MS: v.p99,
+	r := drainpermit.Report{State: "ready", Well: true, Zone: fmt.Sprint("z", zone), Release: v.label, Since: v.since.UnixMilli(), Served: v.served, Refused: v.refused, Failed: v.failed, P99MS: v.p99,
 		InMS: w.clock.Now().Sub(v.in).Milliseconds()}
 	switch {
 	case h.gone:
@@ -201,10 +201,10 @@
 		w.clock.AfterFunc(releaseLook, w.look)
 	}
 	out := 0
-	var members []permit.Seen
+	var members []drainpermit.Seen
 	for i, h := range w.nodes {
 		r := w.report(h, i%w.Zones)
-		members = append(members, permit.Seen{Name: h.name, Report: r})
+		members = append(members, drainpermit.Seen{Name: h.name, Report: r})
 		if h.gone || h.version.out || now.Sub(h.version.in) < w.ColdFor {
 			out++
 		}
@@ -229,7 +229,7 @@
 		w.began = true
 		r := release.Release{Name: "r", To: newVersion, By: "op", State: release.Running, SoakMS: w.Soak.Milliseconds(), LateMS: time.Hour.Milliseconds()}
 		r.Waves, r.From = release.Plan(members, newVersion, 2)
-		w.put(release.Prefix+"r", permit.Text(r))
+		w.put(release.Prefix+"r", drainpermit.Text(r))
 	}
 	for _, h := range w.nodes {
 		if !h.gone {
@@ -244,7 +244,7 @@
 		return
 	}
 	w.take(r, members)
-	step := w.owner.Next(r, v, verdict.Judge(judged, w.judge.Nodes()), w.Settle, w.now())
+	step := w.owner.Next(r, v, canary.Judge(judged, w.judge.Nodes()), w.Settle, w.now())
 	w.apply(step.Transactions(r, v, at, w.tokens[release.Duty], "owner", w.id))
 	if step.Halt != "" {
 		res.Halted, res.Took = step.Halt, since-w.At
@@ -255,7 +255,7 @@
 }
 
 // take ends a span of the judgement where it is time.
-func (w *rollout) take(r release.Release, members []permit.Seen) {
+func (w *rollout) take(r release.Release, members []drainpermit.Seen) {
 	if now := w.clock.Now(); now.Sub(w.looked) >= releaseReport {
 		w.looked = now
 		for i, h := range w.nodes {
@@ -264,7 +264,7 @@
 				members[i].Report.P99MS = v.p99
 			}
 		}
-		w.judge.Take(r.Reports(permit.View{Members: members}, w.Settle))
+		w.judge.Take(r.Reports(drainpermit.View{Members: members}, w.Settle))
 	}
 }
 
@@ -274,8 +274,8 @@
 	}
 }
 
-func (w *rollout) view(members []permit.Seen) (permit.View, permit.Versions) {
-	v, at, err := permit.ViewOf(w.store.List(""), permit.Plain, w.clock.Now().UnixMilli())
+func (w *rollout) view(members []drainpermit.Seen) (drainpermit.View, drainpermit.Versions) {
+	v, at, err := drainpermit.ViewOf(w.store.List(""), drainpermit.Plain, w.clock.Now().UnixMilli())
 	if err != nil {
 		panic(err) // nobody else writes here
 	}
@@ -287,38 +287,38 @@
 func (w *rollout) act(h *host) {
 	v := h.version
 	running, held := h.server.Counts()
-	s := permit.Sight{Revision: w.store.Revision(), InHand: running + held + len(h.intake.line), Well: true}
-	if d := w.store.Get(permit.AskKey(h.name)); d.Version > 0 {
-		if a, err := permit.Read[permit.Ask](d.Value); err == nil {
+	s := drainpermit.Sight{Revision: w.store.Revision(), InHand: running + held + len(h.intake.line), Well: true}
+	if d := w.store.Get(drainpermit.AskKey(h.name)); d.Version > 0 {
+		if a, err := drainpermit.Read[drainpermit.Ask](d.Value); err == nil {
 			s.Ask, s.AskVersion = &a, d.Version
 		}
 	}
-	if d := w.store.Get(permit.PermitKey(h.name)); d.Version > 0 {
-		if p, err := permit.Read[permit.Permit](d.Value); err == nil {
+	if d := w.store.Get(drainpermit.PermitKey(h.name)); d.Version > 0 {
+		if p, err := drainpermit.Read[drainpermit.Permit](d.Value); err == nil {
 			s.Permit, s.PermitVersion = &p, d.Version
 		}
 	}
 	now := w.now()
 	switch a := v.agent.Next(s, now); a.Kind {
-	case permit.Begin:
-		r := w.store.Apply(permit.Begins(h.name, s, a.Permit, w.id()), now)
+	case drainpermit.Begin:
+		r := w.store.Apply(drainpermit.Begins(h.name, s, a.Permit, w.id()), now)
 		if v.agent.Began(r.Made, r.Revision, now) {
 			w.leaves(h)
 		}
-	case permit.Leave:
+	case drainpermit.Leave:
 		w.leaves(h)
-	case permit.Enter:
+	case drainpermit.Enter:
 		v.agent.Entered(now)
 		v.out, v.in = false, w.clock.Now()
 		w.list(h, true)
-	case permit.Replace:
-		if r := w.store.Apply(permit.Writes(h.name, s, a, w.id()), now); r.Made {
+	case drainpermit.Replace:
+		if r := w.store.Apply(drainpermit.Writes(h.name, s, a, w.id()), now); r.Made {
 			w.replace(h, s.Ask.To)
 		} else {
 			v.agent.Noted(false, 0)
 		}
-	case permit.Note, permit.GiveBack, permit.Fail:
-		r := w.store.Apply(permit.Writes(h.name, s, a, w.id()), now)
+	case drainpermit.Note, drainpermit.GiveBack, drainpermit.Fail:
+		r := w.store.Apply(drainpermit.Writes(h.name, s, a, w.id()), now)
 		v.agent.Noted(r.Made, r.Revision)
 	}
 }
--- a/internal/fleetrig/chart.go
+++ b/internal/fleetrig/chart.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 // Span is a stretch of a run, for people and charts.
--- a/internal/fleetrig/drains.go
+++ b/internal/fleetrig/drains.go
@@ -8,12 +8,12 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/budget"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/release"
 	"sloehitch/internal/document"
-	"sloehitch/internal/fleet"
-	"sloehitch/internal/lease"
-	"sloehitch/internal/permit"
-	"sloehitch/internal/release"
 	"sloehitch/internal/store"
 )
 
@@ -38,9 +38,9 @@
 }
 
 // rules are the budgets of a run.
-func rules() budget.Rules {
+func rules() disruption.Rules {
 	fleet, zone := mostOut, zoneOut
-	return budget.Rules{{Group: "fleet", MostOut: &fleet}, {Group: "zone", MostOut: &zone}}
+	return disruption.Rules{{Group: "fleet", MostOut: &fleet}, {Group: "zone", MostOut: &zone}}
 }
 
 // halt is a stretch in which nothing may begin.
@@ -98,7 +98,7 @@
 // operate asks, takes back, halts and resumes until the end.
 func (d *drains) operate(end time.Time) {
 	by := end.Add(d.Recovery)
-	if !d.put(permit.Rules, permit.Text(rules()), by) {
+	if !d.put(drainpermit.Rules, drainpermit.Text(rules()), by) {
 		d.blame("the budgets were not agreed on")
 		return
 	}
@@ -108,20 +108,20 @@
 	asked := map[int]bool{}
 	for time.Now().Before(end) {
 		node := d.r.IntN(d.Nodes)
-		key := permit.AskKey(fmt.Sprint("n", node))
+		key := drainpermit.AskKey(fmt.Sprint("n", node))
 		switch x := d.r.IntN(12); {
 		case x < 6 && !asked[node]:
 			d.n++
-			a := permit.Ask{ID: fmt.Sprint("ask ", d.n), By: "rig", Why: "drains", Urgent: x == 0}
+			a := drainpermit.Ask{ID: fmt.Sprint("ask ", d.n), By: "rig", Why: "drains", Urgent: x == 0}
 			if x < 3 {
 				a.Release, a.To = "r", fmt.Sprint("v", 1+d.r.IntN(3))
 			}
-			asked[node] = d.put(key, permit.Text(a), by)
+			asked[node] = d.put(key, drainpermit.Text(a), by)
 			d.report.Drains.Asked++
 		case x < 9 && asked[node]:
 			asked[node] = !d.put(key, "", by)
 		case x == 9:
-			d.halt([]string{permit.All, "r"}[d.r.IntN(2)], by)
+			d.halt([]string{drainpermit.All, "r"}[d.r.IntN(2)], by)
 		case x > 9:
 			d.resume(by)
 			if d.r.IntN(24) == 0 {
@@ -153,7 +153,7 @@
 	for i := range d.halts {
 		if h := &d.halts[i]; h.to == 0 {
 			h.to = lease.Now()
-			d.put(permit.Halts+h.what, "", by)
+			d.put(drainpermit.Halts+h.what, "", by)
 			d.say("resumed: %s", h.what)
 		}
 	}
@@ -172,9 +172,9 @@
 		if err != nil {
 			return false
 		}
-		var seen []permit.Seen
+		var seen []drainpermit.Seen
 		for _, doc := range docs {
-			s := permit.Seen{Name: strings.TrimPrefix(doc.Key, "node/")}
+			s := drainpermit.Seen{Name: strings.TrimPrefix(doc.Key, "node/")}
 			s.Bad = json.Unmarshal([]byte(doc.Value), &s.Report) != nil
 			seen = append(seen, s)
 		}
@@ -219,7 +219,7 @@
 			return false
 		}
 		last = doc.Value
-		halted, _, err := d.client(turn).Document(permit.Halts+"s", false)
+		halted, _, err := d.client(turn).Document(drainpermit.Halts+"s", false)
 		if err == nil && halted.Version > 0 {
 			d.say("the release halted by itself: %s", r.Note)
 			d.report.Drains.ByItself++
@@ -246,12 +246,12 @@
 	by := time.Now().Add(d.Recovery)
 	d.resume(by)
 	for i := range d.Nodes { // drains and asks of people would keep it waiting
-		d.put(permit.AskKey(fmt.Sprint("n", i)), "", by)
+		d.put(drainpermit.AskKey(fmt.Sprint("n", i)), "", by)
 	}
 	d.ends(by)
 	left := ""
 	if !d.until(by, func() bool {
-		docs, _, err := d.client(d.n).Documents(permit.Prefix, false)
+		docs, _, err := d.client(d.n).Documents(drainpermit.Prefix, false)
 		if err != nil {
 			d.n++
 			left = err.Error()
@@ -259,7 +259,7 @@
 		}
 		left = ""
 		for _, doc := range docs {
-			if a, err := permit.Read[permit.Ask](doc.Value); err == nil && strings.HasSuffix(doc.Key, "/ask") && (a.Release == "" || a.Failed != "") {
+			if a, err := drainpermit.Read[drainpermit.Ask](doc.Value); err == nil && strings.HasSuffix(doc.Key, "/ask") && (a.Release == "" || a.Failed != "") {
 				d.put(doc.Key, "", by)
 			}
 			left += " " + doc.Key + " = " + doc.Value
@@ -309,7 +309,7 @@
 				wrong = append(wrong, fmt.Sprintf("at %d %d nodes are out by choice, n%d last", e.At, len(out), e.Node))
 			}
 			for _, h := range halts {
-				if (h.what == permit.All || h.what == e.Duty) && e.At > h.from && (h.to == 0 || e.At < h.to) {
+				if (h.what == drainpermit.All || h.what == e.Duty) && e.At > h.from && (h.to == 0 || e.At < h.to) {
 					wrong = append(wrong, fmt.Sprintf("at %d n%d began to go out, %v after a halt of %s was acknowledged", e.At, e.Node, time.Duration(e.At-h.from), h.what))
 				}
 			}
--- a/internal/fleetrig/events.go
+++ b/internal/fleetrig/events.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/trial"
 )
 
--- a/internal/fleetrig/events_test.go
+++ b/internal/fleetrig/events_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/trial"
 )
 
--- a/internal/fleetrig/fleet.go
+++ b/internal/fleetrig/fleet.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/loopback"
 	"sloehitch/internal/store"
 	"sloehitch/internal/trial"
--- a/internal/fleetrig/outage.go
+++ b/internal/fleetrig/outage.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 // Outages plays a fleet in which the node that does the sweep has the same fault again and again, and returns for each time how long it
--- a/internal/fleetrig/play.go
+++ b/internal/fleetrig/play.go
@@ -12,10 +12,10 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"sloehitch/internal/desired"
+	"sloehitch/internal/control/desiredstate"
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/control/leasedtask"
 	"sloehitch/internal/document"
-	"sloehitch/internal/duty"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/store"
 )
 
@@ -161,7 +161,7 @@
 func (w *work) wish() {
 	for i := 0; time.Now().Before(w.end); i++ {
 		node, out := i%w.Nodes, i/w.Nodes%2 == 0
-		t := document.Transaction{ID: fmt.Sprint("wish ", i), By: "rig", Why: "wish", Do: []document.Operation{{Key: fmt.Sprintf("%sn%d", desired.Prefix, node), Value: fmt.Sprintf(`{"out":%v}`, out)}}}
+		t := document.Transaction{ID: fmt.Sprint("wish ", i), By: "rig", Why: "wish", Do: []document.Operation{{Key: fmt.Sprintf("%sn%d", desiredstate.Prefix, node), Value: fmt.Sprintf(`{"out":%v}`, out)}}}
 		var r document.Result
 		turn := 0
 		if !w.until(w.end.Add(w.Recovery), func() (made bool) {
@@ -338,7 +338,7 @@
 	type at struct {
 		token uint64
 		owner string
-		job   duty.Record
+		job   leasedtask.Record
 	}
 	duties := map[string]*at{}
 	of := func(name string) *at {
@@ -366,7 +366,7 @@
 			}
 			d.token = x.Lease.Token
 		case isJob:
-			var rec duty.Record
+			var rec leasedtask.Record
 			if err := json.Unmarshal([]byte(x.Value), &rec); err != nil {
 				say("revision %d: %v", x.Revision, err)
 				continue
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -13,7 +13,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"sloehitch/internal/fleet"
+	"sloehitch/internal/control/fleet"
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/ledger"
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/budget"
-	"sloehitch/internal/fleet"
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/release"
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
-	"sloehitch/internal/permit"
-	"sloehitch/internal/release"
 	"sloehitch/internal/standin"
 )
 
@@ -56,7 +56,7 @@
 		},
 		Config: func() (int, int) { return 2, 1 },
 		Fleet: func() fleet.Figures {
-			return fleet.Figures{Out: true, Reports: map[string]uint64{"failed": 4}, Permits: map[string]uint64{"granted": 6}, Kept: &fleet.Kept{Waiting: 3, Permits: map[permit.State]int{permit.Begun: 2}, Out: map[budget.Reason]int{budget.Silent: 5}},
+			return fleet.Figures{Out: true, Reports: map[string]uint64{"failed": 4}, Permits: map[string]uint64{"granted": 6}, Kept: &fleet.Kept{Waiting: 3, Permits: map[drainpermit.State]int{drainpermit.Begun: 2}, Out: map[disruption.Reason]int{disruption.Silent: 5}},
 				Releases: []release.Stand{{Name: "r", State: "running", Halted: true, Nodes: 9, Changed: 7, Wave: 2}}}
 		},
 	}, uwsgi.RunTimes{Started: at, Tries: []uwsgi.TryTimes{{Connected: at.Add(time.Millisecond), FirstByte: at.Add(3 * time.Second)}}, Done: at.Add(4 * time.Second), Outcome: "ok"},
--- a/internal/quorum/walk/walk.go
+++ b/internal/quorum/walk/walk.go
@@ -14,8 +14,8 @@
 	"slices"
 	"time"
 
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/quorum"
 )
 
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 )
 
 // BenchmarkChanges is changes through the leader, on disk, by so many writers at once with so many members: a key of the
--- a/internal/store/documents.go
+++ b/internal/store/documents.go
@@ -13,8 +13,8 @@
 
 	"github.com/hashicorp/raft"
 
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/trial"
 )
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/store/paths.go
+++ b/internal/store/paths.go
@@ -11,8 +11,8 @@
 	"strconv"
 	"time"
 
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
 )
 
 // Bounds of what a request may ask.
--- a/internal/store/restore.go
+++ b/internal/store/restore.go
@@ -17,8 +17,8 @@
 
 	"github.com/hashicorp/raft"
 
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/document"
-	"sloehitch/internal/lease"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/limits"
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/lease"
+	"sloehitch/internal/control/lease"
 	"sloehitch/internal/ledger/disk"
 )
 
