--- a/cmd/sloehitch-lab/walk.go
+++ b/cmd/sloehitch-lab/walk.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/control/lease"
 	leases "sloehitch/internal/control/lease/modelcheck"
 	duties "sloehitch/internal/control/leasedtask/modelcheck"
-	members "sloehitch/internal/quorum/walk"
+	members "sloehitch/internal/store/quorum/modelcheck"
 )
 
 // walkCmd plays many seeds of the models of leases, duties, the store's members, permits and releases.
--- a/cmd/sloehitch/fleet.go
+++ b/cmd/sloehitch/fleet.go
@@ -17,12 +17,12 @@
 	"sloehitch/internal/control/fleet"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/leasedtask"
-	"sloehitch/internal/document"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/limits"
-	"sloehitch/internal/quorum"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
+	"sloehitch/internal/store/quorum"
 )
 
 // fleetCmd is what operators ask of the store on behalf of the whole fleet.
--- a/cmd/sloehitch/members.go
+++ b/cmd/sloehitch/members.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"sloehitch/internal/quorum"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/quorum"
 )
 
 // membersCmd shows and changes who keeps the store.
--- a/internal/control/drainpermit/keep.go
+++ b/internal/control/drainpermit/keep.go
@@ -9,7 +9,7 @@
 
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
+	"sloehitch/internal/store/document"
 )
 
 // View is what a keeper sees, confirmed by a majority and as of one moment.
--- a/internal/control/drainpermit/modelcheck/release.go
+++ b/internal/control/drainpermit/modelcheck/release.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/control/canary"
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/release"
-	"sloehitch/internal/document"
+	"sloehitch/internal/store/document"
 )
 
 const (
--- a/internal/control/drainpermit/modelcheck/walk.go
+++ b/internal/control/drainpermit/modelcheck/walk.go
@@ -15,7 +15,7 @@
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
+	"sloehitch/internal/store/document"
 )
 
 // Terms are those of the window and of the keeper's duty in every world.
--- a/internal/control/fleet/drive.go
+++ b/internal/control/fleet/drive.go
@@ -9,8 +9,8 @@
 
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/leasedtask"
-	"sloehitch/internal/document"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
 )
 
--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -19,10 +19,10 @@
 	"sloehitch/internal/control/desiredstate"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/leasedtask"
-	"sloehitch/internal/document"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/lograte"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
 )
 
--- a/internal/control/fleet/fleet_test.go
+++ b/internal/control/fleet/fleet_test.go
@@ -11,8 +11,8 @@
 
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/leasedtask"
-	"sloehitch/internal/document"
 	"sloehitch/internal/standin"
+	"sloehitch/internal/store/document"
 )
 
 func TestSight(t *testing.T) {
--- a/internal/control/fleet/follow_test.go
+++ b/internal/control/fleet/follow_test.go
@@ -11,12 +11,12 @@
 
 	"sloehitch/internal/control/desiredstate"
 	"sloehitch/internal/control/fencing"
-	"sloehitch/internal/document"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/simdisk"
 	"sloehitch/internal/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
 )
 
 // TestWishes: an owner that was overtaken is turned away, told once, also after the power was cut; the node goes on from what it
--- a/internal/control/fleet/halt.go
+++ b/internal/control/fleet/halt.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"sloehitch/internal/control/drainpermit"
-	"sloehitch/internal/document"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
 )
 
 // Halt has nothing of something begin to go out by choice any more: of a release, or permit.All. It returns once that holds everywhere,
--- a/internal/control/fleet/outs.go
+++ b/internal/control/fleet/outs.go
@@ -12,8 +12,8 @@
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
 )
 
--- a/internal/control/fleet/releases.go
+++ b/internal/control/fleet/releases.go
@@ -12,9 +12,9 @@
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/release"
-	"sloehitch/internal/document"
 	"sloehitch/internal/latency"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
 )
 
--- a/internal/control/fleet/sight.go
+++ b/internal/control/fleet/sight.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
+	"sloehitch/internal/store/document"
 )
 
 // Keys of the documents that nodes write.
--- a/internal/control/leasedtask/modelcheck/walk.go
+++ b/internal/control/leasedtask/modelcheck/walk.go
@@ -14,7 +14,7 @@
 	"sloehitch/internal/control/fencing"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/leasedtask"
-	"sloehitch/internal/document"
+	"sloehitch/internal/store/document"
 )
 
 // Terms are those of the duty in every world.
--- a/internal/control/release/write.go
+++ b/internal/control/release/write.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/control/canary"
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/drainpermit"
-	"sloehitch/internal/document"
+	"sloehitch/internal/store/document"
 )
 
 // Duty is the duty of who takes releases through the fleet.
--- a/internal/emulator/release.go
+++ b/internal/emulator/release.go
@@ -11,9 +11,9 @@
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/release"
-	"sloehitch/internal/document"
 	"sloehitch/internal/latency"
 	"sloehitch/internal/node"
+	"sloehitch/internal/store/document"
 )
 
 // Release is another version that goes through the fleet while it serves.
--- a/internal/fleetrig/drains.go
+++ b/internal/fleetrig/drains.go
@@ -13,8 +13,8 @@
 	"sloehitch/internal/control/fleet"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/release"
-	"sloehitch/internal/document"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
 )
 
 const (
--- a/internal/fleetrig/play.go
+++ b/internal/fleetrig/play.go
@@ -15,8 +15,8 @@
 	"sloehitch/internal/control/desiredstate"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/leasedtask"
-	"sloehitch/internal/document"
 	"sloehitch/internal/store"
+	"sloehitch/internal/store/document"
 )
 
 // Report is what came of a run.
--- a/internal/store/documents.go
+++ b/internal/store/documents.go
@@ -14,8 +14,8 @@
 	"github.com/hashicorp/raft"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
 	"sloehitch/internal/limits"
+	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
 )
 
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
 	"sloehitch/internal/standin"
+	"sloehitch/internal/store/document"
 )
 
 func tx(id, key, value string, conditions ...document.Condition) document.Transaction {
--- a/internal/store/enter.go
+++ b/internal/store/enter.go
@@ -17,8 +17,8 @@
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/limits"
-	"sloehitch/internal/quorum"
-	"sloehitch/internal/raftlog"
+	"sloehitch/internal/store/quorum"
+	"sloehitch/internal/store/raftlog"
 )
 
 // earlier is the file that earlier versions kept their log in.
--- a/internal/store/known.go
+++ b/internal/store/known.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/raft"
 
 	"sloehitch/internal/ledger"
-	"sloehitch/internal/quorum"
+	"sloehitch/internal/store/quorum"
 )
 
 // idKey is the document that names the store: whoever is of another is kept out. The first leader writes it.
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -14,8 +14,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"sloehitch/internal/document"
-	"sloehitch/internal/quorum"
+	"sloehitch/internal/store/document"
+	"sloehitch/internal/store/quorum"
 )
 
 // Membership is who keeps the store, as one member sees it.
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -16,10 +16,10 @@
 	"github.com/hashicorp/raft"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
 	"sloehitch/internal/limits"
-	"sloehitch/internal/quorum"
 	"sloehitch/internal/standin"
+	"sloehitch/internal/store/document"
+	"sloehitch/internal/store/quorum"
 )
 
 // keepers are members on disk that can be stopped, started again and added.
--- a/internal/store/paths.go
+++ b/internal/store/paths.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
+	"sloehitch/internal/store/document"
 )
 
 // Bounds of what a request may ask.
--- a/internal/quorum/walk/walk.go
+++ b/internal/store/quorum/modelcheck/walk.go
@@ -1,9 +1,9 @@
-// Package walk plays the rules of the store's members through random worlds: members that keep a log by majority, are cut off from
+// Package modelcheck plays the rules of the store's members through random worlds: members that keep a log by majority, are cut off from
 // one another, die, come back on their folders, on older copies of them, on empty ones or on another store's; members that are
 // added, promoted, given the lead and removed in service; states that are put back to a backup, and a majority that is lost for
 // good. The rules are the real ones (packages quorum and document); the log below them is a plain model of raft (Ongaro and
 // Ousterhout, "In search of an understandable consensus algorithm", 2014), in which one exchange is one step.
-package walk
+package modelcheck
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
-	"sloehitch/internal/quorum"
+	"sloehitch/internal/store/document"
+	"sloehitch/internal/store/quorum"
 )
 
 const (
--- a/internal/quorum/walk/walk_test.go
+++ b/internal/store/quorum/modelcheck/walk_test.go
@@ -1,4 +1,4 @@
-package walk
+package modelcheck
 
 import (
 	"flag"
--- a/internal/store/restore.go
+++ b/internal/store/restore.go
@@ -18,11 +18,11 @@
 	"github.com/hashicorp/raft"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/limits"
-	"sloehitch/internal/quorum"
+	"sloehitch/internal/store/document"
+	"sloehitch/internal/store/quorum"
 )
 
 // mostBackup is how many bytes of a backup are taken: of documents at their bounds, with what is remembered beside them.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,8 +17,8 @@
 	"github.com/hashicorp/raft"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/document"
 	"sloehitch/internal/ledger/disk"
+	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
 )
 
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"sloehitch/internal/quorum"
+	"sloehitch/internal/store/quorum"
 )
 
 // transport is raft's link to the other members. It notes how far each has answered for, and connects to none that is of another
