--- a/client/uwsgi/client.go
+++ b/client/uwsgi/client.go
@@ -21,8 +21,8 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/endpoint"
 	"sloehitch/internal/frontend/uwsgi/packet"
+	"sloehitch/internal/platform/endpoint"
 )
 
 // Client sends requests to one address. Its zero value but for Address is ready; it may be used from many goroutines, and must not be
--- a/cmd/sloehitch-lab/main.go
+++ b/cmd/sloehitch-lab/main.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kong"
 
 	"sloehitch/internal/conformance"
-	"sloehitch/internal/endpoint"
+	"sloehitch/internal/platform/endpoint"
 )
 
 var cli struct {
--- a/cmd/sloehitch/crossings_test.go
+++ b/cmd/sloehitch/crossings_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/config"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/ops"
+	"sloehitch/internal/operatorapi"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
@@ -380,7 +380,7 @@
 						fail("request of %d: %q", i, got)
 					}
 				}
-				if answer, err := ops.Ask(operators, "readyz", ample); err != nil || answer != "ACK ready\n" {
+				if answer, err := operatorapi.Ask(operators, "readyz", ample); err != nil || answer != "ACK ready\n" {
 					fail("readyz %d: %q, %v", i, answer, err)
 				}
 			}
--- a/cmd/sloehitch/deployments_test.go
+++ b/cmd/sloehitch/deployments_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/config"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/cmd/sloehitch/handover.go
+++ b/cmd/sloehitch/handover.go
@@ -10,12 +10,12 @@
 	"runtime/debug"
 	"time"
 
-	"sloehitch/internal/clock"
-	"sloehitch/internal/config"
 	"sloehitch/internal/handover"
 	"sloehitch/internal/handover/snapshotfile"
 	"sloehitch/internal/idempotency/keystore"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/logic"
 )
 
--- a/cmd/sloehitch/handover_test.go
+++ b/cmd/sloehitch/handover_test.go
@@ -14,7 +14,7 @@
 
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/cmd/sloehitch/incident_test.go
+++ b/cmd/sloehitch/incident_test.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"sloehitch/internal/faults/linkproxy"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/internal/trial"
 )
--- a/cmd/sloehitch/leave.go
+++ b/cmd/sloehitch/leave.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"sloehitch/internal/clock"
 	"sloehitch/internal/handover"
+	"sloehitch/internal/platform/clock"
 )
 
 // leave carries out the notice to leave that came at the given time, as handover.Depart says. Callers hear of it seconds later, so what comes within
--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -17,7 +17,7 @@
 
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 // ledgerCmd looks into a ledger's folder and works on it, without a daemon.
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -15,12 +15,12 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/config"
 	"sloehitch/internal/idempotency/runlog"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/cmd/sloehitch/listen.go
+++ b/cmd/sloehitch/listen.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/limits"
-	"sloehitch/internal/sockerr"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/sockerr"
 )
 
 // listeners are what the daemon listens on, until it leaves.
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -14,12 +14,12 @@
 
 	"github.com/alecthomas/kong"
 
-	"sloehitch/internal/config"
-	"sloehitch/internal/describe"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/ops"
+	"sloehitch/internal/operatorapi"
+	"sloehitch/internal/platform/apispec"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/store"
 )
 
@@ -52,7 +52,7 @@
 }
 
 func (c *opsCmd) Run() error {
-	answer, err := ops.Ask(c.Address, c.Call, c.Timeout)
+	answer, err := operatorapi.Ask(c.Address, c.Call, c.Timeout)
 	fmt.Print(answer)
 	return err
 }
@@ -67,7 +67,7 @@
 type loaded struct {
 	platform   *config.Platform
 	deploy     *config.Deploy
-	operations *describe.Operations // nil without a uwsgi front
+	operations *apispec.Operations // nil without a uwsgi front
 }
 
 func (f *files) load() (*loaded, error) {
@@ -84,7 +84,7 @@
 	}
 	l := &loaded{platform: p, deploy: d}
 	if d.Uwsgi.Listen != "" {
-		if l.operations, err = describe.Load(d.OpenAPI, &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
+		if l.operations, err = apispec.Load(d.OpenAPI, &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
 			return nil, fmt.Errorf("%s: %w", d.Uwsgi.OpenAPI, err)
 		}
 	}
@@ -137,7 +137,7 @@
 type describeCmd struct{}
 
 func (describeCmd) Run(_ *slog.Logger) error {
-	_, err := os.Stdout.Write(describe.Platform)
+	_, err := os.Stdout.Write(apispec.Platform)
 	return err
 }
 
--- a/cmd/sloehitch/mixed_test.go
+++ b/cmd/sloehitch/mixed_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/cmd/sloehitch/operators.go
+++ b/cmd/sloehitch/operators.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"sloehitch/internal/ops"
+	"sloehitch/internal/operatorapi"
 )
 
 // startOps answers the operators' calls where the configuration names an address for them.
@@ -14,7 +14,7 @@
 	if d.platform.Ops == "" {
 		return nil
 	}
-	server := ops.New(operator{d}, d.limits, d.log)
+	server := operatorapi.New(operator{d}, d.limits, d.log)
 	listen := func() (net.Listener, error) { return net.Listen("tcp", d.platform.Ops) }
 	if err := d.serveOn("ops", listen, server.Serve); err != nil {
 		return fmt.Errorf("ops: %w", err)
@@ -31,11 +31,11 @@
 
 func (o operator) Activate() { o.d.evacuated.Store(false) }
 
-func (o operator) Figures() ops.Figures {
-	f := ops.Figures{Active: o.d.node.Owed(), Applied: int(o.d.applied.Load()), Rejected: int(o.d.rejected.Load())}
+func (o operator) Figures() operatorapi.Figures {
+	f := operatorapi.Figures{Active: o.d.node.Owed(), Applied: int(o.d.applied.Load()), Rejected: int(o.d.rejected.Load())}
 	for name, c := range o.d.node.Classes() {
-		f.Classes = append(f.Classes, ops.Class{Name: name, OK: c.Served, Shed: c.Refused, Errors: c.Failed, Tries: c.Ran})
+		f.Classes = append(f.Classes, operatorapi.Class{Name: name, OK: c.Served, Shed: c.Refused, Errors: c.Failed, Tries: c.Ran})
 	}
-	slices.SortFunc(f.Classes, func(a, b ops.Class) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(f.Classes, func(a, b operatorapi.Class) int { return strings.Compare(a.Name, b.Name) })
 	return f
 }
--- a/cmd/sloehitch/outs.go
+++ b/cmd/sloehitch/outs.go
@@ -10,12 +10,12 @@
 	"slices"
 	"strings"
 
-	"sloehitch/internal/config"
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/fleet"
-	"sloehitch/internal/endpoint"
 	"sloehitch/internal/frontend/uwsgi/balancer"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/endpoint"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/store"
 )
 
--- a/cmd/sloehitch/records.go
+++ b/cmd/sloehitch/records.go
@@ -6,14 +6,14 @@
 	"os"
 	"time"
 
-	"sloehitch/internal/clock"
 	"sloehitch/internal/idempotency/compositejournal"
 	"sloehitch/internal/idempotency/keystore"
 	"sloehitch/internal/idempotency/runlog"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/limits"
 )
 
 // openRecords opens what the configuration names to keep keyed requests in, and returns it as the core's journal: the
--- a/cmd/sloehitch/reload.go
+++ b/cmd/sloehitch/reload.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	"fmt"
 
-	"sloehitch/internal/config"
-	"sloehitch/internal/retune"
-	"sloehitch/internal/settings"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/reconfigure"
+	"sloehitch/internal/platform/settings"
 	"sloehitch/internal/store"
 )
 
@@ -63,15 +63,15 @@
 		return nil
 	}
 	running, next, err := flat(old.Raw), flat(p.Raw), error(nil)
-	if err = retune.Check(p.Raw, running, next); err != nil {
+	if err = reconfigure.Check(p.Raw, running, next); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	plan, err := retune.Lay(old.Logic, p.Logic)
+	plan, err := reconfigure.Lay(old.Logic, p.Logic)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if len(plan.Settings.Classes) > retune.MostClasses {
-		return fmt.Errorf("settings: %d classes with those kept for requests in hand, %d at most until a restart", len(plan.Settings.Classes), retune.MostClasses)
+	if len(plan.Settings.Classes) > reconfigure.MostClasses {
+		return fmt.Errorf("settings: %d classes with those kept for requests in hand, %d at most until a restart", len(plan.Settings.Classes), reconfigure.MostClasses)
 	}
 	if err := d.node.Retune(plan.Settings); err != nil {
 		return err
--- a/cmd/sloehitch/rules_test.go
+++ b/cmd/sloehitch/rules_test.go
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/config"
-	"sloehitch/internal/describe"
 	"sloehitch/internal/frontend/uwsgi/packet"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/ops"
+	"sloehitch/internal/operatorapi"
+	"sloehitch/internal/platform/apispec"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/internal/store"
 )
@@ -60,7 +60,7 @@
 	l := &loaded{platform: p, deploy: &config.Deploy{}}
 	if len(servers) > 0 {
 		l.deploy.Uwsgi = config.Uwsgi{Listen: ownUwsgi, Servers: servers}
-		if l.operations, err = describe.Load([]byte(api), &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
+		if l.operations, err = apispec.Load([]byte(api), &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -836,7 +836,7 @@
 		}
 	}()
 	for _, call := range []string{"readyz", "telemetry", "evacuate", "activate"} {
-		if answer, err := ops.Ask(operators, call, ample); err != nil || !strings.HasPrefix(answer, "ACK") {
+		if answer, err := operatorapi.Ask(operators, call, ample); err != nil || !strings.HasPrefix(answer, "ACK") {
 			t.Errorf("%s in a crowd: %q, %v", call, answer, err)
 		}
 	}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"sloehitch/internal/wire"
+	"sloehitch/internal/simadapter"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"sloehitch/internal/clock"
+	"sloehitch/internal/platform/clock"
 	"sloehitch/logic"
 )
 
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/clock"
+	"sloehitch/internal/platform/clock"
 	"sloehitch/logic"
 )
 
--- a/internal/backend/catalogue/client.go
+++ b/internal/backend/catalogue/client.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"sloehitch/internal/admission"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/lograte"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/lograte"
 	"sloehitch/logic"
 )
 
--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sloehitch/internal/admission"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/logic"
 )
--- a/internal/backend/directory/pulse.go
+++ b/internal/backend/directory/pulse.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/limits"
-	"sloehitch/internal/lograte"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/lograte"
 )
 
 // Pulse reports a node's name and state until it is stopped.
--- a/internal/backend/runtime/link.go
+++ b/internal/backend/runtime/link.go
@@ -12,8 +12,8 @@
 
 	"sloehitch/internal/admission"
 	"sloehitch/internal/backend/runtime/redelivery"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/lograte"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/lograte"
 )
 
 // Events are where the link tells how runs go.
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -13,8 +13,8 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
 	"sloehitch/internal/admission"
-	"sloehitch/internal/describe"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/apispec"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/logic"
 )
@@ -246,7 +246,7 @@
 
 // TestMessagesFollowTheDescription: each command that is sent is a described one, each described notice is taken.
 func TestMessagesFollowTheDescription(t *testing.T) {
-	messages, err := describe.Messages(describe.Platform)
+	messages, err := apispec.Messages(apispec.Platform)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/conformance/conformance.go
+++ b/internal/conformance/conformance.go
@@ -16,8 +16,8 @@
 	"time"
 
 	client "sloehitch/client/uwsgi"
-	"sloehitch/internal/endpoint"
 	"sloehitch/internal/frontend/uwsgi/packet"
+	"sloehitch/internal/platform/endpoint"
 	"sloehitch/internal/script"
 )
 
--- a/internal/conformance/conformance_test.go
+++ b/internal/conformance/conformance_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"sloehitch/internal/conformance"
-	"sloehitch/internal/endpoint"
+	"sloehitch/internal/platform/endpoint"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/control/fencing/fence_test.go
+++ b/internal/control/fencing/fence_test.go
@@ -6,7 +6,7 @@
 
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/simdisk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 func open(t *testing.T, d *simdisk.FS) *ledger.Store {
--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -20,7 +20,7 @@
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/leasedtask"
 	"sloehitch/internal/ledger"
-	"sloehitch/internal/lograte"
+	"sloehitch/internal/platform/lograte"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
--- a/internal/control/fleet/follow_test.go
+++ b/internal/control/fleet/follow_test.go
@@ -13,7 +13,7 @@
 	"sloehitch/internal/control/fencing"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/simdisk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
--- a/internal/control/fleet/releases.go
+++ b/internal/control/fleet/releases.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/release"
-	"sloehitch/internal/latency"
+	"sloehitch/internal/platform/latency"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
--- a/internal/emulator/below.go
+++ b/internal/emulator/below.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sloehitch/internal/clock"
+	"sloehitch/internal/platform/clock"
 	"sloehitch/logic"
 )
 
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"sloehitch/internal/clock"
-	"sloehitch/internal/heap"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/heap"
 )
 
 // Machine is the cores of one server, which share their time evenly among the work on them: processor sharing
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"sloehitch/internal/admission"
-	"sloehitch/internal/clock"
-	"sloehitch/internal/heap"
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/heap"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/logic"
 )
 
--- a/internal/emulator/release.go
+++ b/internal/emulator/release.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/release"
-	"sloehitch/internal/latency"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/latency"
 	"sloehitch/internal/store/document"
 )
 
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/clock"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/clock"
 	"sloehitch/logic"
 )
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -11,8 +11,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sloehitch/internal/clock"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/clock"
 	"sloehitch/logic"
 )
 
--- a/internal/frontend/gracefulclose/linger.go
+++ b/internal/frontend/gracefulclose/linger.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"sloehitch/internal/sockerr"
+	"sloehitch/internal/platform/sockerr"
 )
 
 // CloseWrite ends a connection from this side: what was written is delivered, then the peer sees its end. It does not
--- a/internal/frontend/resp/crossings_test.go
+++ b/internal/frontend/resp/crossings_test.go
@@ -16,8 +16,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/frontend/resp/describe_test.go
+++ b/internal/frontend/resp/describe_test.go
@@ -9,15 +9,15 @@
 
 	"github.com/tidwall/redcon"
 
-	"sloehitch/internal/describe"
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/apispec"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
-func described(t *testing.T) map[string]*describe.Message {
+func described(t *testing.T) map[string]*apispec.Message {
 	t.Helper()
-	messages, err := describe.Messages(describe.Platform)
+	messages, err := apispec.Messages(apispec.Platform)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -14,11 +14,11 @@
 
 	"github.com/tidwall/redcon"
 
-	"sloehitch/internal/clock"
 	"sloehitch/internal/frontend/connlimit"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/lograte"
 )
 
 // Core is what the front asks of the node.
--- a/internal/frontend/resp/guard.go
+++ b/internal/frontend/resp/guard.go
@@ -10,7 +10,7 @@
 
 	"sloehitch/internal/frontend/connlimit"
 	"sloehitch/internal/frontend/gracefulclose"
-	"sloehitch/internal/sockerr"
+	"sloehitch/internal/platform/sockerr"
 )
 
 // errStopped ends the reading of a connection that is being closed from this side.
--- a/internal/frontend/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sloehitch/internal/frontend/gracefulclose"
-	"sloehitch/internal/sockerr"
+	"sloehitch/internal/platform/sockerr"
 )
 
 // Listener hands redcon connections that are within the limits and well framed. Accept never fails for a moment's
--- a/internal/frontend/resp/output.go
+++ b/internal/frontend/resp/output.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/redcon"
 	"sloehitch/internal/frontend/gracefulclose"
-	"sloehitch/internal/sockerr"
+	"sloehitch/internal/platform/sockerr"
 )
 
 // write queues an answer, which closes the tag. It never blocks: a peer that doesn't read holds up nobody
--- a/internal/frontend/resp/resp_test.go
+++ b/internal/frontend/resp/resp_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/tidwall/redcon"
 
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/frontend/uwsgi/conformance_test.go
+++ b/internal/frontend/uwsgi/conformance_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"sloehitch/internal/conformance"
-	"sloehitch/internal/endpoint"
+	"sloehitch/internal/platform/endpoint"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/frontend/uwsgi/evict_test.go
+++ b/internal/frontend/uwsgi/evict_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sloehitch/internal/frontend/uwsgi/packet"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/frontend/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -18,12 +18,12 @@
 	"sync"
 	"time"
 
-	"sloehitch/internal/clock"
 	"sloehitch/internal/frontend/connlimit"
 	"sloehitch/internal/frontend/uwsgi/packet"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/lograte"
 )
 
 // Core is what the front asks of the node.
--- a/internal/frontend/uwsgi/job.go
+++ b/internal/frontend/uwsgi/job.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sloehitch/internal/frontend/uwsgi/packet"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 // job is a request between the front that read it and the pool that takes it to a server. The front fills it, hands it over and waits
--- a/internal/frontend/uwsgi/pool.go
+++ b/internal/frontend/uwsgi/pool.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"sloehitch/internal/admission"
-	"sloehitch/internal/endpoint"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/frontend/uwsgi/packet"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/lograte"
-	"sloehitch/internal/tlskeys"
+	"sloehitch/internal/platform/endpoint"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/lograte"
+	"sloehitch/internal/platform/tlskeys"
 	"sloehitch/logic"
 )
 
--- a/internal/frontend/uwsgi/uwsgi_test.go
+++ b/internal/frontend/uwsgi/uwsgi_test.go
@@ -18,13 +18,13 @@
 	"time"
 
 	"sloehitch/internal/admission"
-	"sloehitch/internal/clock"
-	"sloehitch/internal/endpoint"
 	"sloehitch/internal/frontend/uwsgi/balancer"
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/endpoint"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/tlskeys"
 	"sloehitch/internal/standin"
-	"sloehitch/internal/tlskeys"
 	"sloehitch/logic"
 )
 
--- a/internal/idempotency/compositejournal/tandem.go
+++ b/internal/idempotency/compositejournal/tandem.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/lograte"
 )
 
 // Journal is a node.Sharer over both. Its methods may be called from any goroutine and wait for no disk.
--- a/internal/idempotency/keystore/claims.go
+++ b/internal/idempotency/keystore/claims.go
@@ -24,9 +24,9 @@
 
 	"sloehitch/internal/idempotency/keystore/format"
 	"sloehitch/internal/idempotency/keystore/keystate"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/lograte"
 )
 
 // ErrFull is what Began tells where the folder holds as much as it may.
--- a/internal/idempotency/keystore/claims_test.go
+++ b/internal/idempotency/keystore/claims_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/idempotency/runlog/bookings.go
+++ b/internal/idempotency/runlog/bookings.go
@@ -14,8 +14,8 @@
 
 	"sloehitch/internal/idempotency/runlog/bookingpb"
 	"sloehitch/internal/ledger"
-	"sloehitch/internal/lograte"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/lograte"
 )
 
 // prefix keeps the record apart from what else is to live on the ledger.
--- a/internal/idempotency/runlog/bookings_test.go
+++ b/internal/idempotency/runlog/bookings_test.go
@@ -10,8 +10,8 @@
 
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/simdisk"
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -14,7 +14,7 @@
 
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/ledger/format"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 // The benchmarks write to SLOEHITCH_BENCH_DIR, or the system's folder for temporary files: which disk that is decides what
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -21,7 +21,7 @@
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/ledger/format"
 	"sloehitch/internal/ledger/plan"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 // Options say how a ledger is kept.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/ledger/format"
 	"sloehitch/internal/ledger/simdisk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 // small are limits that make segments, blocks and compactions of a few records.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"sloehitch/internal/admission"
-	"sloehitch/internal/clock"
-	"sloehitch/internal/limits"
-	"sloehitch/internal/lograte"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/platform/lograte"
 	"sloehitch/logic"
 )
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"sloehitch/internal/admission"
-	"sloehitch/internal/clock"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/logic"
 )
--- a/internal/ops/ops.go
+++ b/internal/operatorapi/ops.go
@@ -1,7 +1,7 @@
-// Package ops serves the operators' calls on a second address: a connection carries one line, and the answer is a
+// Package operatorapi serves the operators' calls on a second address: a connection carries one line, and the answer is a
 // line that begins with ACK or NAK (the operators' page of days in service). It only parses, asks and writes; what a
 // call does is the Handler's.
-package ops
+package operatorapi
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"time"
 
 	"sloehitch/internal/frontend/gracefulclose"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 // Call is what an operator asks for.
--- a/internal/ops/ops_test.go
+++ b/internal/operatorapi/ops_test.go
@@ -1,4 +1,4 @@
-package ops
+package operatorapi
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/describe/asyncapi_test.go
+++ b/internal/platform/apispec/asyncapi_test.go
@@ -1,4 +1,4 @@
-package describe
+package apispec
 
 import (
 	"strings"
--- a/internal/describe/openapi.go
+++ b/internal/platform/apispec/openapi.go
@@ -1,6 +1,6 @@
-// Package describe works with the descriptions of what is served: an OpenAPI document maps uwsgi requests to the
+// Package apispec works with the descriptions of what is served: an OpenAPI document maps uwsgi requests to the
 // classes of the settings, and an AsyncAPI document tells the platform's messages.
-package describe
+package apispec
 
 import (
 	"context"
--- a/internal/clock/sources_test.go
+++ b/internal/platform/clock/sources_test.go
@@ -12,15 +12,15 @@
 var wallReading = regexp.MustCompile(`time\.Now\(\)\.(Round|Unix|UTC|Format|Truncate)|time\.Until\(`)
 
 // root is the top folder of the module, from this package's.
-const root = "../.."
+const root = "../../.."
 
 // TestNoWallClockInTheCore: the packages through which requests go read the steady clock; only this package reads the wall clock.
 func TestNoWallClockInTheCore(t *testing.T) {
 	for _, folder := range []string{
 		"internal/node", "internal/admission", "internal/frontend/resp", "internal/backend/runtime", "internal/backend/runtime/redelivery", "internal/backend/catalogue",
 		"internal/backend/directory", "internal/frontend/connlimit", "internal/frontend/gracefulclose", "internal/handover", "internal/idempotency/keystore", "internal/idempotency/keystore/keystate",
-		"internal/idempotency/compositejournal", "internal/idempotency/runlog", "internal/frontend/uwsgi", "internal/frontend/uwsgi/balancer", "internal/ops", "internal/retune",
-		"internal/lograte", "internal/latency", "cmd/sloehitch",
+		"internal/idempotency/compositejournal", "internal/idempotency/runlog", "internal/frontend/uwsgi", "internal/frontend/uwsgi/balancer", "internal/operatorapi", "internal/platform/reconfigure",
+		"internal/platform/lograte", "internal/platform/latency", "cmd/sloehitch",
 	} {
 		files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
 		if err != nil || len(files) == 0 {
--- a/internal/clock/virtual.go
+++ b/internal/platform/clock/virtual.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sloehitch/internal/heap"
+	"sloehitch/internal/platform/heap"
 )
 
 // Virtual is a clock that stands until it is moved, by Step or Run. Calls at the same instant come in the order in which
--- a/internal/config/config.go
+++ b/internal/platform/config/config.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"sloehitch/internal/settings"
+	"sloehitch/internal/platform/settings"
 	"sloehitch/logic"
 )
 
--- a/internal/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -99,7 +99,7 @@
 		t.Errorf("%+v, %v", d, err)
 	}
 	// What stands in the repository must keep the second front off on the platform.
-	if d, err := LoadDeploy("../../deploy/sloehitch.toml"); err != nil || d.Uwsgi.Listen != "" {
+	if d, err := LoadDeploy("../../../deploy/sloehitch.toml"); err != nil || d.Uwsgi.Listen != "" {
 		t.Errorf("deploy/sloehitch.toml: %+v, %v", d, err)
 	}
 }
--- a/internal/config/deploy.go
+++ b/internal/platform/config/deploy.go
@@ -13,9 +13,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloehitch/internal/endpoint"
+	"sloehitch/internal/platform/endpoint"
+	"sloehitch/internal/platform/tlskeys"
 	"sloehitch/internal/store"
-	"sloehitch/internal/tlskeys"
 )
 
 // Uwsgi says where the uwsgi front listens and what stands below it.
--- a/internal/endpoint/endpoint.go
+++ b/internal/platform/endpoint/endpoint.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/tlskeys"
+	"sloehitch/internal/platform/tlskeys"
 )
 
 // Endpoint is an address: "host:port" or "uwsgi://host:port" plain, "suwsgi://host:port" with TLS (as uWSGI names its
--- a/internal/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/platform/tlskeys"
 	"sloehitch/internal/standin"
-	"sloehitch/internal/tlskeys"
 )
 
 func TestParse(t *testing.T) {
--- a/internal/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -17,8 +17,8 @@
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/ledger"
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
 )
 
 // Sources are what the figures are read from; nil where a part is off. They are called from the goroutines of those who ask.
--- a/internal/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -14,8 +14,8 @@
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/ledger"
-	"sloehitch/internal/limits"
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/retune/retune.go
+++ b/internal/platform/reconfigure/retune.go
@@ -1,7 +1,7 @@
-// Package retune decides what new settings at SIGHUP come to while requests are in hand: which files are turned
+// Package reconfigure decides what new settings at SIGHUP come to while requests are in hand: which files are turned
 // down whole, and how classes that are added and dropped are laid beside the ones that requests in hand hold. It
 // has no I/O and no clock (the operators' page of days in service, "Retuning").
-package retune
+package reconfigure
 
 import (
 	"errors"
--- a/internal/retune/retune_test.go
+++ b/internal/platform/reconfigure/retune_test.go
@@ -1,4 +1,4 @@
-package retune
+package reconfigure
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"sloehitch/internal/settings"
+	"sloehitch/internal/platform/settings"
 	"sloehitch/logic"
 )
 
--- a/internal/traces/traces.go
+++ b/internal/platform/traces/traces.go
@@ -19,7 +19,7 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"sloehitch/internal/frontend/uwsgi"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 // Traces writes spans to a file.
--- a/internal/traces/traces_test.go
+++ b/internal/platform/traces/traces_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sloehitch/internal/frontend/uwsgi"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 )
 
--- a/internal/rig/pace.go
+++ b/internal/rig/pace.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"sloehitch/internal/clock"
+	"sloehitch/internal/platform/clock"
 )
 
 // inbox is what comes from sockets, to be done on the goroutine that moves the clock.
--- a/internal/wire/serve.go
+++ b/internal/simadapter/serve.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bufio"
@@ -6,7 +6,7 @@
 	"fmt"
 	"io"
 
-	"sloehitch/internal/settings"
+	"sloehitch/internal/platform/settings"
 	"sloehitch/logic"
 )
 
--- a/internal/wire/settings.go
+++ b/internal/simadapter/settings.go
@@ -1,9 +1,9 @@
-package wire
+package simadapter
 
 import (
 	"strings"
 
-	"sloehitch/internal/settings"
+	"sloehitch/internal/platform/settings"
 	"sloehitch/logic"
 )
 
--- a/internal/wire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's line protocol and maps it to the terms of package
+// Package simadapter reads and writes the simulator's line protocol and maps it to the terms of package
 // logic. It takes no decision.
-package wire
+package simadapter
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"sloehitch/internal/settings"
+	"sloehitch/internal/platform/settings"
 	"sloehitch/logic"
 )
 
--- a/internal/wire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bytes"
--- a/internal/store/documents.go
+++ b/internal/store/documents.go
@@ -14,7 +14,7 @@
 	"github.com/hashicorp/raft"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/store/document"
 	"sloehitch/internal/trial"
 )
--- a/internal/store/enter.go
+++ b/internal/store/enter.go
@@ -16,7 +16,7 @@
 
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/store/quorum"
 	"sloehitch/internal/store/raftlog"
 )
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -16,7 +16,7 @@
 	"github.com/hashicorp/raft"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/standin"
 	"sloehitch/internal/store/document"
 	"sloehitch/internal/store/quorum"
--- a/internal/store/raftlog/raftlog.go
+++ b/internal/store/raftlog/raftlog.go
@@ -18,7 +18,7 @@
 
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 const (
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -15,7 +15,7 @@
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/ledger/simdisk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 )
 
 var (
--- a/internal/store/restore.go
+++ b/internal/store/restore.go
@@ -20,7 +20,7 @@
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/limits"
+	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/store/document"
 	"sloehitch/internal/store/quorum"
 )
