--- a/client/uwsgi/client_test.go
+++ b/client/uwsgi/client_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sloehitch/client/uwsgi"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/cmd/sloehitch-lab/experiment.go
+++ b/cmd/sloehitch-lab/experiment.go
@@ -16,8 +16,8 @@
 	"github.com/mattn/go-isatty"
 
 	"sloehitch/internal/emulator"
-	"sloehitch/internal/experiment"
-	"sloehitch/internal/rig"
+	"sloehitch/internal/emulator/experiment"
+	"sloehitch/internal/testing/loadrig"
 )
 
 type runCmd struct {
@@ -127,7 +127,7 @@
 	}
 	real := func(w emulator.World) (*emulator.Result, error) {
 		fmt.Fprintf(os.Stderr, "%d daemons at a load of %.3g, %v\n", w.Nodes, w.Load, w.Length)
-		return rig.Play(w, rig.Options{Command: command, Dir: dir, Log: log})
+		return loadrig.Play(w, loadrig.Options{Command: command, Dir: dir, Log: log})
 	}
 	told := 0
 	broken := func(b *emulator.Broken) {
--- a/cmd/sloehitch-lab/faulty.go
+++ b/cmd/sloehitch-lab/faulty.go
@@ -8,7 +8,7 @@
 	"slices"
 	"syscall"
 
-	"sloehitch/internal/faults/systemcalls"
+	"sloehitch/internal/testing/faults/systemcalls"
 )
 
 // faultyCmd runs a program whose system calls fail.
--- a/cmd/sloehitch-lab/fleet.go
+++ b/cmd/sloehitch-lab/fleet.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"sloehitch/internal/fleetrig"
+	"sloehitch/internal/testing/fleetrig"
 )
 
 // fleetCmd plays faults between real processes of a fleet.
--- a/cmd/sloehitch-lab/fleetload.go
+++ b/cmd/sloehitch-lab/fleetload.go
@@ -17,9 +17,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"sloehitch/internal/control/fleet"
-	"sloehitch/internal/fleetrig"
-	"sloehitch/internal/loopback"
 	"sloehitch/internal/store"
+	"sloehitch/internal/testing/fleetrig"
+	"sloehitch/internal/testing/loopback"
 )
 
 // outageCmd measures for how long a duty is at nobody's hands.
--- a/cmd/sloehitch-lab/main.go
+++ b/cmd/sloehitch-lab/main.go
@@ -11,8 +11,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"sloehitch/internal/conformance"
 	"sloehitch/internal/platform/endpoint"
+	"sloehitch/internal/testing/conformance"
 )
 
 var cli struct {
--- a/cmd/sloehitch-lab/soak.go
+++ b/cmd/sloehitch-lab/soak.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"sloehitch/internal/soak"
+	"sloehitch/internal/testing/soak"
 )
 
 // soakCmd plays the daemon under faults by seed.
--- a/cmd/sloehitch-lab/timeline.go
+++ b/cmd/sloehitch-lab/timeline.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"sloehitch/internal/fleetrig"
+	"sloehitch/internal/testing/fleetrig"
 )
 
 // timeline draws who held what when, and the faults, a row each, to a file whose ending says the format (svg, png, pdf).
--- a/cmd/sloehitch/crossings_test.go
+++ b/cmd/sloehitch/crossings_test.go
@@ -18,7 +18,7 @@
 	"sloehitch/internal/operatorapi"
 	"sloehitch/internal/platform/config"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // serveChanged is a node whose configuration a test changes before it starts.
--- a/cmd/sloehitch/deployments_test.go
+++ b/cmd/sloehitch/deployments_test.go
@@ -9,7 +9,7 @@
 
 	"sloehitch/internal/platform/config"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // deployments are settings objects that differ in all that one site could be mistaken for the only one: which fields
--- a/cmd/sloehitch/drain_test.go
+++ b/cmd/sloehitch/drain_test.go
@@ -9,7 +9,7 @@
 
 	"sloehitch/internal/platform/config"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // TestDrainsByHand: as an operator would, with a whole node: nothing without a budget, the node out and back, a server below out on the
--- a/cmd/sloehitch/fleet_test.go
+++ b/cmd/sloehitch/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/standin"
 	"sloehitch/internal/store"
+	"sloehitch/internal/testing/standin"
 )
 
 // TestFleetCommands tries the sub-commands as a person would, against a store that is alone.
--- a/cmd/sloehitch/handover_test.go
+++ b/cmd/sloehitch/handover_test.go
@@ -15,7 +15,7 @@
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // sharing is the platform's side of a node whose processes replace each other: one listener, one $TMPDIR, and for each
--- a/cmd/sloehitch/incident_test.go
+++ b/cmd/sloehitch/incident_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloehitch/internal/faults/linkproxy"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
+	"sloehitch/internal/testing/faults/linkproxy"
+	"sloehitch/internal/testing/standin"
 )
 
 // nodeBehindProxy is the real program, whose link to its runtime goes through a proxy.
@@ -122,7 +122,7 @@
 	})
 	defer close(hang)
 	dir := t.TempDir()
-	t.Setenv(trial.Variable, dir)
+	t.Setenv(faulthooks.Variable, dir)
 	n := startBehindProxy(t, rt, deadline)
 	type answer struct {
 		word string
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -21,7 +21,7 @@
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/config"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // asMain makes this test's program the daemon's: TestMain hands over to main.
--- a/cmd/sloehitch/main_test.go
+++ b/cmd/sloehitch/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // TestLoad: what is wrong with a configuration is told in one line before anything is started.
--- a/cmd/sloehitch/members_test.go
+++ b/cmd/sloehitch/members_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/standin"
 	"sloehitch/internal/store"
+	"sloehitch/internal/testing/standin"
 )
 
 // TestMembersCommands tries the commands about members, backups and folders as a person would, against two members.
--- a/cmd/sloehitch/mixed_test.go
+++ b/cmd/sloehitch/mixed_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // mixed is one play of both protocols against cores that they share.
--- a/cmd/sloehitch/rig_test.go
+++ b/cmd/sloehitch/rig_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloehitch/internal/emulator"
-	"sloehitch/internal/rig"
+	"sloehitch/internal/testing/loadrig"
 )
 
 // TestRig: the emulator's load, played against real daemons, is answered and accounted for, and no key runs twice; how
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	w.Policy = policy
-	r, err := rig.Play(w, rig.Options{Dir: t.TempDir(), Log: io.Discard, Command: func(config, deploy string) *exec.Cmd {
+	r, err := loadrig.Play(w, loadrig.Options{Dir: t.TempDir(), Log: io.Discard, Command: func(config, deploy string) *exec.Cmd {
 		return command("serve", "--config", config, "--deploy", deploy)
 	}})
 	if err != nil {
@@ -39,8 +39,8 @@
 			t.Error(b)
 		}
 	}
-	w.Nodes = rig.MostNodes + 1
-	if _, err := rig.Play(w, rig.Options{}); err == nil {
+	w.Nodes = loadrig.MostNodes + 1
+	if _, err := loadrig.Play(w, loadrig.Options{}); err == nil {
 		t.Error("more daemons than a machine should bear: no error")
 	}
 }
--- a/cmd/sloehitch/rules_test.go
+++ b/cmd/sloehitch/rules_test.go
@@ -20,8 +20,8 @@
 	"sloehitch/internal/platform/apispec"
 	"sloehitch/internal/platform/config"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
 	"sloehitch/internal/store"
+	"sloehitch/internal/testing/standin"
 )
 
 const api = `{"openapi":"3.0.3","info":{"title":"booking","version":"1"},"paths":{
--- a/cmd/sloehitch/serve.go
+++ b/cmd/sloehitch/serve.go
@@ -40,7 +40,7 @@
 	"sloehitch/internal/platform/tlskeys"
 	"sloehitch/internal/platform/traces"
 	"sloehitch/internal/store"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 	"sloehitch/logic"
 )
 
@@ -89,7 +89,7 @@
 	limits   limits.Limits
 	means    handover.Means // what this process takes of the node's; of the goroutine that runs
 	log      *slog.Logger
-	trial    *trial.Trial // nil but in a rig
+	trial    *faulthooks.Trial // nil but in a rig
 
 	gate      *admission.Gate
 	node      *node.Node
@@ -146,7 +146,7 @@
 // start wires the parts and sets them going.
 func start(l *loaded, lim limits.Limits, log *slog.Logger) (*daemon, error) {
 	p := l.platform
-	part, err := trial.FromEnv()
+	part, err := faulthooks.FromEnv()
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/sloehitch/soak_test.go
+++ b/cmd/sloehitch/soak_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/soak"
+	"sloehitch/internal/testing/soak"
 )
 
 var (
--- a/cmd/sloehitch/torture_test.go
+++ b/cmd/sloehitch/torture_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/fleetrig"
+	"sloehitch/internal/testing/fleetrig"
 )
 
 var (
--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -11,7 +11,7 @@
 
 	"sloehitch/internal/admission"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 	"sloehitch/logic"
 )
 
--- a/internal/backend/directory/pulse_test.go
+++ b/internal/backend/directory/pulse_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 func fast(address string) *Pulse {
--- a/internal/backend/runtime/crossings_test.go
+++ b/internal/backend/runtime/crossings_test.go
@@ -12,7 +12,7 @@
 
 	"sloehitch/internal/admission"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 	"sloehitch/logic"
 )
 
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -15,7 +15,7 @@
 	"sloehitch/internal/admission"
 	"sloehitch/internal/platform/apispec"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 	"sloehitch/logic"
 )
 
--- a/internal/control/fleet/drive.go
+++ b/internal/control/fleet/drive.go
@@ -11,7 +11,7 @@
 	"sloehitch/internal/control/leasedtask"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 // Duty is work that one node does for all, once in each span of time.
@@ -108,7 +108,7 @@
 			}
 			return
 		case leasedtask.HandOver:
-			f.opts.Tell(trial.Event{What: "gives", Duty: d.Name, N: a.Token})
+			f.opts.Tell(faulthooks.Event{What: "gives", Duty: d.Name, N: a.Token})
 			_, err := f.ask(d.Name, store.Question{Ask: "hand-over", Holder: f.opts.Name, Token: a.Token, Why: j.ID})
 			f.opts.Log.Debug("a duty was handed over", "duty", d.Name, "token", a.Token, "error", err)
 			continue
@@ -156,7 +156,7 @@
 		case err == nil:
 			tell(func() {
 				r.Granted(a.Question, rec.Token)
-				f.opts.Tell(trial.Event{What: "holds", Duty: d.Name, N: rec.Token, Until: r.Until()})
+				f.opts.Tell(faulthooks.Event{What: "holds", Duty: d.Name, N: rec.Token, Until: r.Until()})
 			})
 		case errors.Is(err, store.ErrConflict):
 			tell(func() { r.Refused(a.Question, f.clock()) })
@@ -187,7 +187,7 @@
 			tell(func() { r.Unsure(f.clock()) })
 		}
 	case leasedtask.Do:
-		f.opts.Tell(trial.Event{What: "does", Duty: d.Name, ID: a.ID, N: a.Token})
+		f.opts.Tell(faulthooks.Event{What: "does", Duty: d.Name, ID: a.ID, N: a.Token})
 		err := d.Do(ctx, a)
 		if err != nil {
 			f.log.Warn("a step failed", fmt.Errorf("%s: %w", a.ID, err))
--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -23,7 +23,7 @@
 	"sloehitch/internal/platform/lograte"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 // Options say what a node tells and does.
@@ -41,9 +41,9 @@
 	Memory *ledger.Store            // where what was applied outlives the process; nil: nowhere
 	Apply  func(desiredstate.State) // does what the fleet wants of this node; must not block, and cannot fail; nil: it does nothing
 
-	Clock lease.Clock       // nil: lease.Now
-	Now   func() time.Time  // nil: time.Now
-	Tell  func(trial.Event) // is told what this node believes and does; nil: nobody
+	Clock lease.Clock            // nil: lease.Now
+	Now   func() time.Time       // nil: time.Now
+	Tell  func(faulthooks.Event) // is told what this node believes and does; nil: nobody
 	// Reported is told how long each report took, and how it ended; nil: nobody.
 	Reported func(took time.Duration, err error)
 
@@ -104,7 +104,7 @@
 		o.Now = time.Now
 	}
 	if o.Tell == nil {
-		o.Tell = func(trial.Event) {}
+		o.Tell = func(faulthooks.Event) {}
 	}
 	w, err := newWishes(o.Memory, o.Apply)
 	if err != nil {
--- a/internal/control/fleet/fleet_test.go
+++ b/internal/control/fleet/fleet_test.go
@@ -11,8 +11,8 @@
 
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/leasedtask"
-	"sloehitch/internal/standin"
 	"sloehitch/internal/store/document"
+	"sloehitch/internal/testing/standin"
 )
 
 func TestSight(t *testing.T) {
--- a/internal/control/fleet/follow.go
+++ b/internal/control/fleet/follow.go
@@ -11,7 +11,7 @@
 	"sloehitch/internal/control/fencing"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/store"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 // appliedKey is where the last applied state lies in a node's ledger, beside the tokens that package fence keeps there.
@@ -105,7 +105,7 @@
 			f.log.Warn("what the fleet wants of this node was not applied", err)
 		}
 		if applied {
-			f.opts.Tell(trial.Event{What: "applied", Duty: last.State.Duty, ID: fmt.Sprint(last.State.Token), N: last.Version, Out: last.State.Out})
+			f.opts.Tell(faulthooks.Event{What: "applied", Duty: last.State.Duty, ID: fmt.Sprint(last.State.Token), N: last.Version, Out: last.State.Out})
 			f.opts.Log.Info("what the fleet wants of this node was applied", "out", last.State.Out, "version", last.Version, "by", last.State.By, "why", last.State.Why, "duty", last.State.Duty, "token", last.State.Token)
 		}
 		if !errors.Is(err, errNotKept) {
--- a/internal/control/fleet/follow_test.go
+++ b/internal/control/fleet/follow_test.go
@@ -14,9 +14,9 @@
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/simdisk"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
+	"sloehitch/internal/testing/standin"
 )
 
 // TestWishes: an owner that was overtaken is turned away, told once, also after the power was cut; the node goes on from what it
--- a/internal/control/fleet/outs.go
+++ b/internal/control/fleet/outs.go
@@ -14,7 +14,7 @@
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 // Outs is how a node goes out of service with the fleet's permission. Without Leave it never does.
@@ -224,7 +224,7 @@
 	leave := func(what string) {
 		o.Leave()
 		agent.Left(f.clock())
-		f.opts.Tell(trial.Event{What: what, ID: id, Duty: s.Ask.Release})
+		f.opts.Tell(faulthooks.Event{What: what, ID: id, Duty: s.Ask.Release})
 		f.figure(func(x *Figures) { x.Out = true; x.Permits["begun"]++ })
 		f.opts.Log.Info("this node goes out of service, as permitted", "permit", id, "by", s.Ask.By, "why", s.Ask.Why, "release", s.Ask.Release)
 	}
@@ -236,7 +236,7 @@
 	case drainpermit.Enter:
 		o.Enter()
 		agent.Entered(f.clock())
-		f.opts.Tell(trial.Event{What: "enters", ID: id})
+		f.opts.Tell(faulthooks.Event{What: "enters", ID: id})
 		f.figure(func(x *Figures) { x.Out = false })
 		f.opts.Log.Info("this node is in service again", "permit", id)
 		return false
@@ -245,7 +245,7 @@
 		if agent.Began(err == nil, r.Revision, f.clock()) {
 			leave("begins out")
 		} else if err == nil {
-			f.opts.Tell(trial.Event{What: "late", ID: id})
+			f.opts.Tell(faulthooks.Event{What: "late", ID: id})
 			f.counted("late", 1)
 		} else {
 			f.log.Warn("a permit was not begun", err)
@@ -258,7 +258,7 @@
 			what = "late"
 			f.counted("late", 1)
 		}
-		f.opts.Tell(trial.Event{What: what, ID: id})
+		f.opts.Tell(faulthooks.Event{What: what, ID: id})
 	}
 	r, err := f.makes(drainpermit.Writes(f.opts.Name, s, a, rand.Text()))
 	if a.Kind == drainpermit.Replace && err == nil {
@@ -277,7 +277,7 @@
 	err := errors.New("nothing is set up by which this node could be replaced: [fleet] replace")
 	if f.opts.Outs.Replace != nil {
 		f.opts.Log.Info("this process is replaced", "by", to)
-		f.opts.Tell(trial.Event{What: "replaced", ID: to})
+		f.opts.Tell(faulthooks.Event{What: "replaced", ID: to})
 		f.counted("replaced", 1)
 		err = f.opts.Outs.Replace(ctx, to)
 	}
@@ -338,7 +338,7 @@
 func (k *standing) handOver(why string) {
 	if token, holds := k.claim.Holds(k.clock()); holds {
 		k.claim.Stop()
-		k.opts.Tell(trial.Event{What: "gives", Duty: k.duty, N: token})
+		k.opts.Tell(faulthooks.Event{What: "gives", Duty: k.duty, N: token})
 		_, err := k.ask(k.duty, store.Question{Ask: "hand-over", Holder: k.opts.Name, Token: token, Why: why})
 		k.opts.Log.Debug("a duty was handed over", "duty", k.duty, "token", token, "error", err)
 	}
@@ -372,7 +372,7 @@
 		switch rec, err := k.ask(k.duty, q); {
 		case err == nil:
 			k.claim.Granted(question, rec.Token)
-			k.opts.Tell(trial.Event{What: "holds", Duty: k.duty, N: rec.Token, Until: k.claim.Until()})
+			k.opts.Tell(faulthooks.Event{What: "holds", Duty: k.duty, N: rec.Token, Until: k.claim.Until()})
 		case errors.Is(err, store.ErrConflict):
 			k.claim.Refused(question)
 			return
--- a/internal/control/fleet/releases.go
+++ b/internal/control/fleet/releases.go
@@ -15,7 +15,7 @@
 	"sloehitch/internal/platform/latency"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 // verdicts are the terms by which releases are judged, with spans of two reports.
@@ -100,10 +100,10 @@
 	switch {
 	case step.Halt != "":
 		k.opts.Log.Warn("a release halted by itself", "release", r.Name, "why", step.Halt)
-		k.opts.Tell(trial.Event{What: "halts", Duty: r.Name, ID: step.Halt})
+		k.opts.Tell(faulthooks.Event{What: "halts", Duty: r.Name, ID: step.Halt})
 	case step.Next != nil:
 		k.opts.Log.Info("a release goes on", "release", r.Name, "state", step.Next.State, "wave", step.Next.Wave+1, "of", len(r.Waves), "note", step.Next.Note)
-		k.opts.Tell(trial.Event{What: "release", Duty: r.Name, ID: string(step.Next.State), N: uint64(step.Next.Wave)})
+		k.opts.Tell(faulthooks.Event{What: "release", Duty: r.Name, ID: string(step.Next.State), N: uint64(step.Next.Wave)})
 	}
 	return nil
 }
--- a/internal/frontend/gracefulclose/linger_test.go
+++ b/internal/frontend/gracefulclose/linger_test.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // connected is both ends of a connection.
--- a/internal/frontend/resp/crossings_test.go
+++ b/internal/frontend/resp/crossings_test.go
@@ -18,7 +18,7 @@
 
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // desk is a core that holds each request until the test answers it.
--- a/internal/frontend/resp/describe_test.go
+++ b/internal/frontend/resp/describe_test.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/apispec"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 func described(t *testing.T) map[string]*apispec.Message {
--- a/internal/frontend/resp/evict_test.go
+++ b/internal/frontend/resp/evict_test.go
@@ -7,7 +7,7 @@
 
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // idleConnections has so many balancers connect to a front, each idle after two health checks, in the order in which they came.
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // slowListener has no turn for longer than lastLook before each look at its queue.
--- a/internal/frontend/resp/resp_test.go
+++ b/internal/frontend/resp/resp_test.go
@@ -15,7 +15,7 @@
 
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 const fine = "req=9b1f03aa5c7e2d41,ts=1764576000123,via=4,owner=acme,timeout=480.5,resent=1,ms=12.50,need=24.5,level=0.6250,opkey=5c0f"
--- a/internal/frontend/uwsgi/bench_test.go
+++ b/internal/frontend/uwsgi/bench_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // exchange sends a request and reads the whole response.
--- a/internal/frontend/uwsgi/conformance_test.go
+++ b/internal/frontend/uwsgi/conformance_test.go
@@ -4,9 +4,9 @@
 	"bytes"
 	"testing"
 
-	"sloehitch/internal/conformance"
 	"sloehitch/internal/platform/endpoint"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/conformance"
+	"sloehitch/internal/testing/standin"
 )
 
 // TestConformance: the front passes the suite, with a right server below it.
--- a/internal/frontend/uwsgi/evict_test.go
+++ b/internal/frontend/uwsgi/evict_test.go
@@ -9,7 +9,7 @@
 
 	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // TestARequestOfACallerThatMakesRoom: a caller's request arrives while the process stands still, and as it goes on another takes the caller's place
--- a/internal/frontend/uwsgi/uwsgi_test.go
+++ b/internal/frontend/uwsgi/uwsgi_test.go
@@ -24,7 +24,7 @@
 	"sloehitch/internal/platform/endpoint"
 	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/platform/tlskeys"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 	"sloehitch/logic"
 )
 
--- a/internal/idempotency/compositejournal/tandem_test.go
+++ b/internal/idempotency/compositejournal/tandem_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sloehitch/internal/node"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // part notes what one of the two was told; fails is how the next starts go, at once or when they are done.
--- a/internal/idempotency/keystore/claims_test.go
+++ b/internal/idempotency/keystore/claims_test.go
@@ -17,7 +17,7 @@
 
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // clock is moved by tests.
--- a/internal/idempotency/runlog/bookings_test.go
+++ b/internal/idempotency/runlog/bookings_test.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/ledger/simdisk"
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 var at = time.UnixMicro(1764576000123456)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/admission"
 	"sloehitch/internal/platform/clock"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 	"sloehitch/logic"
 )
 
--- a/internal/operatorapi/ops_test.go
+++ b/internal/operatorapi/ops_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 func TestParse(t *testing.T) {
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -9,7 +9,7 @@
 
 	"sloehitch/logic"
 
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 func TestParse(t *testing.T) {
--- a/internal/platform/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"sloehitch/internal/platform/tlskeys"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 func TestParse(t *testing.T) {
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -16,7 +16,7 @@
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // TestMetrics: what is asked for over a socket has the figures of all sources, and only those of parts that are on.
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 	"sloehitch/logic"
 )
 
--- a/internal/platform/traces/traces_test.go
+++ b/internal/platform/traces/traces_test.go
@@ -13,7 +13,7 @@
 
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 // span is the part of a written span that is looked at.
--- a/internal/store/documents.go
+++ b/internal/store/documents.go
@@ -16,7 +16,7 @@
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/store/document"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 // ErrUnsure says that it is not known whether a change was made. Asked again under its id, it is made once.
@@ -268,7 +268,7 @@
 		case leads := <-r.LeaderCh():
 			s.mu.Lock()
 			if s.leads {
-				s.opts.Tell(trial.Event{What: "follows"})
+				s.opts.Tell(faulthooks.Event{What: "follows"})
 			}
 			s.leads = false
 			s.mu.Unlock()
@@ -282,7 +282,7 @@
 			revision := s.docs.Revision()
 			s.mu.Unlock()
 			s.opts.Log.Info("this member leads the store", "revision", revision)
-			s.opts.Tell(trial.Event{What: "leads", N: revision})
+			s.opts.Tell(faulthooks.Event{What: "leads", N: revision})
 			for r.State() == raft.Leader && !s.named() {
 				select {
 				case <-s.done:
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/standin"
 	"sloehitch/internal/store/document"
+	"sloehitch/internal/testing/standin"
 )
 
 func tx(id, key, value string, conditions ...document.Condition) document.Transaction {
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -17,9 +17,9 @@
 
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/platform/limits"
-	"sloehitch/internal/standin"
 	"sloehitch/internal/store/document"
 	"sloehitch/internal/store/quorum"
+	"sloehitch/internal/testing/standin"
 )
 
 // keepers are members on disk that can be stopped, started again and added.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,7 +19,7 @@
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/store/document"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 // Keys of the store. There are no others, so its size is bounded.
@@ -61,12 +61,12 @@
 	Timeout time.Duration // for one change to be agreed on
 	Beat    time.Duration // of silence after which members elect a new leader
 	Log     *slog.Logger
-	Terms   lease.Terms           // of the leases of duties; zero: Terms of this package
-	Join    bool                  // with an empty folder: wait to be added to a store that is there, do not begin one
-	Clock   lease.Clock           // nil: lease.Now
-	Disk    func(disk.FS) disk.FS // what the folder is looked at through; nil: nothing
-	Tell    func(trial.Event)     // is told when this member begins and ends to lead; nil: nobody
-	Near    uint64                // entries that a member may be behind to be given a vote or the lead; 0: near
+	Terms   lease.Terms            // of the leases of duties; zero: Terms of this package
+	Join    bool                   // with an empty folder: wait to be added to a store that is there, do not begin one
+	Clock   lease.Clock            // nil: lease.Now
+	Disk    func(disk.FS) disk.FS  // what the folder is looked at through; nil: nothing
+	Tell    func(faulthooks.Event) // is told when this member begins and ends to lead; nil: nobody
+	Near    uint64                 // entries that a member may be behind to be given a vote or the lead; 0: near
 }
 
 // Terms are the ordinary terms of leases.
@@ -112,7 +112,7 @@
 		s.opts.Disk = plain
 	}
 	if o.Tell == nil {
-		s.opts.Tell = func(trial.Event) {}
+		s.opts.Tell = func(faulthooks.Event) {}
 	}
 	if o.Terms == (lease.Terms{}) {
 		s.opts.Terms = Terms
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 func waitFor(t testing.TB, what string, done func() bool) {
--- a/internal/conformance/cases.go
+++ b/internal/testing/conformance/cases.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloehitch/internal/frontend/uwsgi/packet"
-	"sloehitch/internal/script"
+	"sloehitch/internal/testing/scriptedpeer"
 )
 
 // Where cases come from.
@@ -48,7 +48,7 @@
 	return c.list
 }
 
-func (c *cases) add(name, from string, want Want, echo string, steps ...script.Step) {
+func (c *cases) add(name, from string, want Want, echo string, steps ...scriptedpeer.Step) {
 	c.list = append(c.list, Case{Name: name, From: from, Want: want, Echo: echo, Steps: steps})
 }
 
@@ -84,9 +84,9 @@
 	return string(packet.Header{Size: len(b)}.Append(nil)) + b
 }
 
-func send(s string) script.Step { return script.Step{Send: s} }
+func send(s string) scriptedpeer.Step { return scriptedpeer.Step{Send: s} }
 
-var half = script.Step{Half: true}
+var half = scriptedpeer.Step{Half: true}
 
 func length(n int) [2]string { return [2]string{"CONTENT_LENGTH", fmt.Sprint(n)} }
 
@@ -125,7 +125,7 @@
 func (c *cases) pings() {
 	const ping = "\x64\x00\x00\x00"
 	c.add("ping/whole", fromPing, Pong, "", send(ping))
-	c.add("ping/in fragments", fromPing, Pong, "", script.Step{Send: ping, Split: true})
+	c.add("ping/in fragments", fromPing, Pong, "", scriptedpeer.Step{Send: ping, Split: true})
 	c.add("ping/half-closed", fromPing, Pong, "", send(ping), half)
 	c.add("ping/an answer instead", fromPing, Quiet, "", send("\x64\x00\x00\x01"), half)
 	c.add("ping/with data that does not come", fromPing, Quiet, "", send("\x64\x05\x00\x00"), half)
@@ -249,7 +249,7 @@
 	} {
 		c.add("chunks/"+g.name, fromChunks, Either, g.body, send(head+g.sent))
 		if len(g.sent) < 100 {
-			c.add("chunks/"+g.name+", byte by byte", fromChunks, Either, g.body, send(head), script.Step{Send: g.sent, Split: true})
+			c.add("chunks/"+g.name+", byte by byte", fromChunks, Either, g.body, send(head), scriptedpeer.Step{Send: g.sent, Split: true})
 		}
 	}
 	c.add("chunks/named in capitals", fromChunks, Either, "hello", send(c.request("POST", [2]string{"HTTP_TRANSFER_ENCODING", "CHUNKED"})+"5\r\nhello\r\n0\r\n\r\n"))
@@ -279,12 +279,12 @@
 
 func (c *cases) timing() {
 	post := c.request("POST", length(5)) + "hello"
-	c.add("timing/each byte a segment", fromHeader, Served, "hello", script.Step{Send: post, Split: true})
+	c.add("timing/each byte a segment", fromHeader, Served, "hello", scriptedpeer.Step{Send: post, Split: true})
 	for _, part := range []struct {
 		name string
 		n    int
 	}{{"the header", 2}, {"the variables", 50}, {"head and body", len(post) - 5}, {"the body", len(post) - 2}} {
-		c.add("timing/a pause within or between: "+part.name, fromHeader, Served, "hello", send(post[:part.n]), script.Step{Pause: 50 * time.Millisecond}, send(post[part.n:]))
+		c.add("timing/a pause within or between: "+part.name, fromHeader, Served, "hello", send(post[:part.n]), scriptedpeer.Step{Pause: 50 * time.Millisecond}, send(post[part.n:]))
 	}
 	c.add("timing/half-closed behind the request", fromTCP, Either, "hello", send(post), half)
 	c.add("timing/many at once", fromBody, Served, "hello", send(post))
--- a/internal/conformance/conformance.go
+++ b/internal/testing/conformance/conformance.go
@@ -18,7 +18,7 @@
 	client "sloehitch/client/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/packet"
 	"sloehitch/internal/platform/endpoint"
-	"sloehitch/internal/script"
+	"sloehitch/internal/testing/scriptedpeer"
 )
 
 // Want is what a speaker may answer.
@@ -34,13 +34,13 @@
 
 // Case is one exchange.
 type Case struct {
-	Name  string        `json:"name"` // group/what
-	From  string        `json:"from"` // where it comes from
-	Steps script.Script `json:"-"`
-	Want  Want          `json:"want"`
-	Echo  string        `json:"-"` // the body that the application got, if it was served
-	Head  bool          `json:"-"` // the request is a HEAD
-	Times int           `json:"-"` // played so often at once; 0: once
+	Name  string              `json:"name"` // group/what
+	From  string              `json:"from"` // where it comes from
+	Steps scriptedpeer.Script `json:"-"`
+	Want  Want                `json:"want"`
+	Echo  string              `json:"-"` // the body that the application got, if it was served
+	Head  bool                `json:"-"` // the request is a HEAD
+	Times int                 `json:"-"` // played so often at once; 0: once
 }
 
 // Target is what is checked.
--- a/internal/conformance/conformance_test.go
+++ b/internal/testing/conformance/conformance_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/conformance"
 	"sloehitch/internal/platform/endpoint"
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/conformance"
+	"sloehitch/internal/testing/standin"
 )
 
 func check(t *testing.T, address string) []conformance.Result {
--- a/internal/trial/trial.go
+++ b/internal/testing/faulthooks/trial.go
@@ -1,10 +1,10 @@
-// Package trial lets a rig put faults into a process of the program from outside, and has the process tell what it believes and
+// Package faulthooks lets a rig put faults into a process of the program from outside, and has the process tell what it believes and
 // does. It is off unless the environment names a folder (SLOEHITCH_TRIAL), which no deployment does: with a nil *Trial every
 // method hands on what it was given.
 //
 // Files in the folder, all optional: "clock" has an offset and a rate, such as "1h 1.05"; "disk" has "slow 30ms" or "full". The
 // process looks at them several times a second, and appends what it tells to "events", a JSON object a line (Event).
-package trial
+package faulthooks
 
 import (
 	"encoding/json"
--- a/internal/fleetrig/events.go
+++ b/internal/testing/fleetrig/events.go
@@ -14,13 +14,13 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 // told is an event with the node that told it.
 type told struct {
 	Node int
-	trial.Event
+	faulthooks.Event
 }
 
 // events reads what all processes have told, in the order of the machine's clock. A last line that a killed process left unfinished
@@ -117,7 +117,7 @@
 			}
 		}
 	}
-	applied := map[int]trial.Event{}
+	applied := map[int]faulthooks.Event{}
 	for _, e := range all {
 		if e.What != "applied" {
 			continue
--- a/internal/fleetrig/events_test.go
+++ b/internal/testing/fleetrig/events_test.go
@@ -7,17 +7,17 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
 )
 
 func TestCheckEvents(t *testing.T) {
 	holds := func(node int, at, until lease.Instant, token uint64) told {
-		return told{node, trial.Event{At: at, What: "holds", Duty: "sweep", N: token, Until: until}}
+		return told{node, faulthooks.Event{At: at, What: "holds", Duty: "sweep", N: token, Until: until}}
 	}
 	applied := func(node int, at lease.Instant, version uint64) told {
-		return told{node, trial.Event{At: at, What: "applied", N: version, Out: true}}
+		return told{node, faulthooks.Event{At: at, What: "applied", N: version, Out: true}}
 	}
-	gives := told{0, trial.Event{At: 30, What: "gives", Duty: "sweep", N: 1}}
+	gives := told{0, faulthooks.Event{At: 30, What: "gives", Duty: "sweep", N: 1}}
 	for _, c := range []struct {
 		name  string
 		all   []told
@@ -28,7 +28,7 @@
 		{"renewed", []told{holds(0, 10, 50, 1), holds(0, 40, 80, 1), holds(1, 81, 90, 2)}, 0, ""},
 		{"given back early", []told{holds(0, 10, 50, 1), gives, holds(1, 31, 90, 2)}, 0, ""},
 		{"two at once", []told{holds(0, 10, 50, 1), holds(1, 40, 90, 2)}, 0, "n0 believes that it holds sweep under token 1"},
-		{"killed and started anew", []told{holds(0, 10, 50, 1), {0, trial.Event{At: 30, What: "starts"}}, holds(1, 40, 90, 2)}, 0, ""},
+		{"killed and started anew", []told{holds(0, 10, 50, 1), {0, faulthooks.Event{At: 30, What: "starts"}}, holds(1, 40, 90, 2)}, 0, ""},
 		{"a renewal too far", []told{holds(0, 10, 50, 1), holds(0, 40, 80, 1), holds(1, 70, 90, 2)}, 0, "n0 believes"},
 		{"two at once, by a wrong clock", []told{holds(0, 10, 50, 1), holds(1, 40, 90, 2)}, 10, ""},
 		{"two at once for too long, by a wrong clock", []told{holds(0, 10, 51, 1), holds(1, 40, 90, 2)}, 10, "n0 believes"},
@@ -52,7 +52,7 @@
 // TestOuts: a node's time out and its way back, and a release's waves, one after another.
 func TestOuts(t *testing.T) {
 	tell := func(node int, at lease.Instant, what, duty, id string) told {
-		return told{node, trial.Event{At: at, What: what, Duty: duty, ID: id}}
+		return told{node, faulthooks.Event{At: at, What: what, Duty: duty, ID: id}}
 	}
 	got := fmt.Sprint(outs([]told{tell(0, 10, "release", "r", "running"), tell(1, 20, "begins out", "r", "p"), tell(1, 40, "enters", "", "p"), tell(1, 60, "warm", "", "p"),
 		tell(0, 70, "release", "r", "running"), tell(2, 80, "begins out", "", "q"), tell(0, 90, "halts", "r", "worse")}))
--- a/internal/fleetrig/fleet.go
+++ b/internal/testing/fleetrig/fleet.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"sloehitch/internal/control/lease"
-	"sloehitch/internal/loopback"
 	"sloehitch/internal/store"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
+	"sloehitch/internal/testing/loopback"
 )
 
 // Options say what is played.
@@ -177,7 +177,7 @@
 	if c.Env == nil {
 		c.Env = os.Environ()
 	}
-	c.Env = append(c.Env, trial.Variable+"="+f.trial(i))
+	c.Env = append(c.Env, faulthooks.Variable+"="+f.trial(i))
 	p, err := begin(c, f.Log)
 	if err != nil {
 		return err
--- a/internal/fleetrig/schedule_test.go
+++ b/internal/testing/fleetrig/schedule_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sloehitch/internal/standin"
+	"sloehitch/internal/testing/standin"
 )
 
 func TestSchedulesAreReadAsPrinted(t *testing.T) {
--- a/internal/knownred/main.go
+++ b/internal/testing/knownred/main.go
@@ -6,7 +6,7 @@
 // It runs the given go test command without these tests, then each of them by itself, and prints how that went. It fails if
 // anything else fails, if a line can't be read, names a test that does not exist, or is the fourth.
 //
-//	go run ./internal/knownred KNOWN-RED.txt go test -race -timeout 5m ./...
+//	go run ./internal/testing/knownred KNOWN-RED.txt go test -race -timeout 5m ./...
 package main
 
 import (
--- a/internal/rig/pace.go
+++ b/internal/testing/loadrig/pace.go
@@ -1,7 +1,7 @@
-// Package rig plays an emulated world's callers, load and machines against real daemons on loopback: the daemon is a
+// Package loadrig plays an emulated world's callers, load and machines against real daemons on loopback: the daemon is a
 // process, its sockets and clock are real, and what it talks to (balancers, runtime) is the emulator's, moved in step with
 // the machine's clock. The same experiment file so drives both, and shows where the model is off.
-package rig
+package loadrig
 
 import (
 	"time"
--- a/internal/rig/rig.go
+++ b/internal/testing/loadrig/rig.go
@@ -1,4 +1,4 @@
-package rig
+package loadrig
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 	"time"
 
 	"sloehitch/internal/emulator"
-	"sloehitch/internal/loopback"
+	"sloehitch/internal/testing/loopback"
 	"sloehitch/logic"
 )
 
--- a/internal/rig/runtime.go
+++ b/internal/testing/loadrig/runtime.go
@@ -1,4 +1,4 @@
-package rig
+package loadrig
 
 import (
 	"bufio"
--- a/internal/script/script.go
+++ b/internal/testing/scriptedpeer/script.go
@@ -1,5 +1,5 @@
-// Package script plays what a peer does on one connection, step by step: for stand-ins, and for the conformance suite.
-package script
+// Package scriptedpeer plays what a peer does on one connection, step by step: for stand-ins, and for the conformance suite.
+package scriptedpeer
 
 import (
 	"bytes"
--- a/internal/soak/faults.go
+++ b/internal/testing/soak/faults.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/faults/linkproxy"
+	"sloehitch/internal/testing/faults/linkproxy"
 )
 
 // faults carries out the plan's troubles, one after the other.
--- a/internal/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sloehitch/internal/faults/linkproxy"
+	"sloehitch/internal/testing/faults/linkproxy"
 )
 
 // Plan is all that a seed determines.
--- a/internal/soak/play.go
+++ b/internal/testing/soak/play.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/faults/linkproxy"
-	"sloehitch/internal/loopback"
+	"sloehitch/internal/testing/faults/linkproxy"
+	"sloehitch/internal/testing/loopback"
 )
 
 // play is one play of a plan.
--- a/internal/soak/process.go
+++ b/internal/testing/soak/process.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"sloehitch/internal/faults/linkproxy"
-	"sloehitch/internal/trial"
+	"sloehitch/internal/testing/faulthooks"
+	"sloehitch/internal/testing/faults/linkproxy"
 )
 
 // life is one process of the node, with the runtime that belongs to it. Times are since the play began.
@@ -83,7 +83,7 @@
 		l.command.ExtraFiles = []*os.File{p.listener}
 		l.command.Env = append(l.command.Env, "GW_ACCEPT_FD=3")
 	}
-	l.command.Env = append(l.command.Env, trial.Variable+"="+p.trialDir, "SLOEHITCH_LOG_LEVEL=debug", "TMPDIR="+p.dir)
+	l.command.Env = append(l.command.Env, faulthooks.Variable+"="+p.trialDir, "SLOEHITCH_LOG_LEVEL=debug", "TMPDIR="+p.dir)
 	l.command.Stdout, l.command.Stderr = &l.log, &l.log
 	l.started = p.record.add("process", "start", "", "", fmt.Sprint(number))
 	if err := l.command.Start(); err != nil {
--- a/internal/standin/standin.go
+++ b/internal/testing/standin/standin.go
@@ -18,7 +18,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"sloehitch/internal/loopback"
+	"sloehitch/internal/testing/loopback"
 )
 
 // Patience is how long a test waits for what must come; it is only used up by a failure.
--- a/internal/standin/uwsgi.go
+++ b/internal/testing/standin/uwsgi.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"sloehitch/internal/frontend/uwsgi/packet"
-	"sloehitch/internal/script"
+	"sloehitch/internal/testing/scriptedpeer"
 )
 
 // Script and Step are what a scripted peer does.
 type (
-	Script = script.Script
-	Step   = script.Step
+	Script = scriptedpeer.Script
+	Step   = scriptedpeer.Step
 )
 
 // Scripted is a uwsgi server whose connections follow scripts: the n-th connection the n-th one, later ones the last.
