--- a/cmd/sloehitch/handover_test.go
+++ b/cmd/sloehitch/handover_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"sloehitch/internal/daemon"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/platform/limits"
@@ -111,7 +112,7 @@
 				id++
 				body := fmt.Sprint("k", random.IntN(keys))
 				sent[fmt.Sprint(id)] = body
-				b.Do(id, "book", req(id), time.Now(), body, ",opkey="+body)
+				b.Do(id, "book", standin.RequestID(id), time.Now(), body, ",opkey="+body)
 			}
 			readers.Add(1)
 			go func() {
@@ -192,7 +193,7 @@
 		b := standin.Dial(t, s.address)
 		defer b.Close()
 		id++
-		b.Do(id, "book", req(id), time.Now(), body, ",opkey="+body)
+		b.Do(id, "book", standin.RequestID(id), time.Now(), body, ",opkey="+body)
 		got := b.Read()
 		for len(got) > 1 && got[1] == "FIN" {
 			got = b.Read()
@@ -260,7 +261,7 @@
 	}
 	again()
 	next.kill()
-	if err := os.RemoveAll(claimsDir(s.dir, "n1")); err != nil {
+	if err := os.RemoveAll(daemon.KeystoreDir(s.dir, "n1")); err != nil {
 		t.Fatal(err)
 	}
 	s.start()
--- a/cmd/sloehitch/incident_test.go
+++ b/cmd/sloehitch/incident_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -13,7 +12,6 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/testing/faulthooks"
 	"sloehitch/internal/testing/faults/linkproxy"
 	"sloehitch/internal/testing/standin"
@@ -78,7 +76,7 @@
 		if i%perConn == 0 {
 			balancers = append(balancers, standin.Dial(t, n.address))
 		}
-		balancers[i/perConn].Do(i+1, "book", req(i+1), time.Now(), fmt.Sprint("run ", i), fmt.Sprint(",opkey=k", i))
+		balancers[i/perConn].Do(i+1, "book", standin.RequestID(i+1), time.Now(), fmt.Sprint("run ", i), fmt.Sprint(",opkey=k", i))
 	}
 	for range runs {
 		select {
@@ -97,7 +95,7 @@
 		}
 	}
 	// A second start would be on its way before this one, and the link keeps the order.
-	balancers[0].Do(runs+1, "book", req(runs+1), time.Now(), fmt.Sprint("run ", runs), ",opkey=last")
+	balancers[0].Do(runs+1, "book", standin.RequestID(runs+1), time.Now(), fmt.Sprint("run ", runs), ",opkey=last")
 	if got := balancers[0].Read(); len(got) < 2 || got[1] != "ACK" {
 		t.Errorf("%q, want ACK", got)
 	}
@@ -131,7 +129,7 @@
 	var answers [2][]chan answer
 	ask := func(kind int, body string) {
 		b, got, began := standin.Dial(t, n.address), make(chan answer, 1), time.Now()
-		b.Do(1, "book", req(100*kind+len(answers[kind])+1), time.Now(), body, ",opkey="+body)
+		b.Do(1, "book", standin.RequestID(100*kind+len(answers[kind])+1), time.Now(), body, ",opkey="+body)
 		answers[kind] = append(answers[kind], got)
 		go func() {
 			parts := append(b.Read(), "", "no answer")
@@ -160,31 +158,6 @@
 	}
 }
 
-// TestAnAddressThatIsNotFreeYet is waited for; one that can never be had errs at once.
-func TestAnAddressThatIsNotFreeYet(t *testing.T) {
-	lim := limits.For(64, 256)
-	tries := 0
-	ln, err := patiently(lim, func() (net.Listener, error) {
-		if tries++; tries < 4 {
-			errno := []syscall.Errno{syscall.EADDRINUSE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL}[tries]
-			return nil, &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
-		}
-		return net.Listen("tcp", "127.0.0.1:0")
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	tries = 0
-	if _, err := patiently(lim, func() (net.Listener, error) { tries++; return nil, syscall.EACCES }); err == nil || tries != 1 {
-		t.Errorf("%v after %d tries, want an error at once", err, tries)
-	}
-	lim.Agree = 0
-	if _, err := patiently(lim, func() (net.Listener, error) { return nil, syscall.EADDRINUSE }); err == nil {
-		t.Error("waited for ever")
-	}
-}
-
 // TestANewConfigurationIsAnnouncedAsItStarts: SIGHUP comes at any moment of the start, by the command line that deployments use. The process lives,
 // and takes a later one for what it is.
 func TestANewConfigurationIsAnnouncedAsItStarts(t *testing.T) {
--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -9,6 +9,7 @@
 	"io"
 	"log/slog"
 	"os"
+	"sloehitch/internal/daemon"
 	"sync"
 	"time"
 	"unicode/utf8"
@@ -40,11 +41,6 @@
 	tended bool // compacts by itself while it is open
 }
 
-// exitCode is an error that only sets the exit code: all has been said.
-type exitCode int
-
-func (e exitCode) Error() string { return fmt.Sprint("exit ", int(e)) }
-
 func (f *ledgerFlags) options(readOnly bool, log *slog.Logger) ledger.Options {
 	return ledger.Options{Limits: limits.ForLedger(int64(f.MemoryMB) << 20), ReadOnly: readOnly, Manual: !f.tended, Log: log, Step: progress()}
 }
@@ -290,7 +286,7 @@
 	v, err := ledger.Verify(disk.Dir(c.Dir), c.options(true, log))
 	if err != nil {
 		log.Error("the folder can't be looked at", "folder", c.Dir, "error", err)
-		return exitCode(3)
+		return daemon.ExitCode(3)
 	}
 	text := fmt.Sprintf("%s: %s", c.Dir, v.State)
 	if v.File != "" {
@@ -302,7 +298,7 @@
 	if err := c.show(v, text+"\n"); err != nil {
 		return err
 	}
-	if code := map[string]exitCode{ledger.Torn: 1, ledger.Damaged: 2}[v.State]; code != 0 {
+	if code := map[string]daemon.ExitCode{ledger.Torn: 1, ledger.Damaged: 2}[v.State]; code != 0 {
 		return code
 	}
 	return nil
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -19,7 +18,6 @@
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/node"
-	"sloehitch/internal/platform/config"
 	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/testing/standin"
 )
@@ -256,7 +254,7 @@
 			id++
 			body := fmt.Sprint("k", rng.IntN(keys))
 			sent[fmt.Sprint(id)] = body
-			b.Do(id, "book", req(id), time.Now(), body, ",opkey="+body)
+			b.Do(id, "book", standin.RequestID(id), time.Now(), body, ",opkey="+body)
 		}
 		for range rng.IntN(perRound) { // the moment of the kill
 			got := b.Read()
@@ -301,7 +299,7 @@
 	}
 	k := startKillable(t, config, deploy, address)
 	b := standin.Dial(t, address)
-	b.Do(1, "book", req(999999), time.Now(), "ghost", ",opkey=ghost")
+	b.Do(1, "book", standin.RequestID(999999), time.Now(), "ghost", ",opkey=ghost")
 	if got := b.Read(); len(got) < 2 || got[1] != "FAIL" || rt.Runs("ghost") != 0 {
 		t.Errorf("one whose start was recorded and never made: %q, %d runs", got, rt.Runs("ghost"))
 	}
@@ -313,65 +311,3 @@
 		t.Errorf("%d were served, %d of them from the record of an earlier process", len(served), again)
 	}
 }
-
-// TestReloadLeavesTheLedger: a new configuration with another [ledger] changes nothing about it, and the log says so.
-func TestReloadLeavesTheLedger(t *testing.T) {
-	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
-	s := serveNode(t, ample, rt)
-	var log bytes.Buffer
-	s.stop <- os.Interrupt // the loop that reads signals ends, so that this test alone reloads
-	<-s.stopped
-	s.log = slog.New(slog.NewTextHandler(&log, nil))
-	other := &loaded{platform: s.platform, deploy: &config.Deploy{Ledger: config.Ledger{Dir: filepath.Join(t.TempDir(), "new")}}}
-	s.load = func() (*loaded, error) { return other, nil }
-	s.reload()
-	if s.ledger.Load() != nil || !strings.Contains(log.String(), "[ledger]") {
-		t.Errorf("ledger %v; log: %s", s.ledger.Load(), log.String())
-	}
-	if _, err := os.Stat(other.deploy.Ledger.Dir); err == nil {
-		t.Error("the new folder was made")
-	}
-}
-
-// BenchmarkBooking is the time of one booking after the other through the daemon, on real sockets, without and with a ledger.
-func BenchmarkBooking(b *testing.B) {
-	for _, on := range []bool{false, true} {
-		b.Run(fmt.Sprintf("ledger=%v", on), func(b *testing.B) {
-			rt := standin.NewRuntime(b, func(*standin.Job) (string, string) { return "OK", "r" })
-			p, err := config.Parse([]byte(standin.Config(standin.Free(b), rt.Address, "", ample)))
-			if err != nil {
-				b.Fatal(err)
-			}
-			l := &loaded{platform: p, deploy: &config.Deploy{}}
-			if on {
-				dir, err := os.MkdirTemp(os.Getenv("SLOEHITCH_BENCH_DIR"), "ledger")
-				if err != nil {
-					b.Fatal(err)
-				}
-				defer os.RemoveAll(dir)
-				l.deploy.Ledger.Dir = dir
-			}
-			d, err := start(l, limits.For(192, 256), standin.Quiet)
-			if err != nil {
-				b.Fatal(err)
-			}
-			stop := make(chan os.Signal, 1)
-			ended := make(chan error, 1)
-			go func() { ended <- d.run(stamped(stop)) }()
-			c := standin.Dial(b, p.Listen)
-			n := 0
-			for b.Loop() {
-				n++
-				c.Do(n, "book", req(n), time.Now(), "a", fmt.Sprint(",opkey=k", n))
-				if got := c.Read(); len(got) < 2 || got[1] != "ACK" && got[1] != "NAK" {
-					b.Fatalf("%q", got)
-				}
-			}
-			c.Close()
-			stop <- os.Interrupt
-			if err := <-ended; err != nil {
-				b.Error(err)
-			}
-		})
-	}
-}
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -14,6 +14,7 @@
 
 	"github.com/alecthomas/kong"
 
+	"sloehitch/internal/daemon"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/operatorapi"
@@ -63,33 +64,7 @@
 	Deploy string `help:"Our own deployment settings; without this file all in it is off." default:"deploy/sloehitch.toml" type:"path"`
 }
 
-// loaded is all that the program is told.
-type loaded struct {
-	platform   *config.Platform
-	deploy     *config.Deploy
-	operations *apispec.Operations // nil without a uwsgi front
-}
-
-func (f *files) load() (*loaded, error) {
-	p, err := config.Load(f.Config)
-	if err != nil {
-		return nil, err
-	}
-	d, err := config.LoadDeploy(f.Deploy)
-	if err != nil {
-		return nil, err
-	}
-	if p.Runtime == "" && d.Uwsgi.Listen == "" {
-		return nil, errors.New("nothing to serve: neither a runtime nor a uwsgi front is configured")
-	}
-	l := &loaded{platform: p, deploy: d}
-	if d.Uwsgi.Listen != "" {
-		if l.operations, err = apispec.Load(d.OpenAPI, &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
-			return nil, fmt.Errorf("%s: %w", d.Uwsgi.OpenAPI, err)
-		}
-	}
-	return l, nil
-}
+func (f *files) load() (*daemon.Config, error) { return daemon.Load(f.Config, f.Deploy) }
 
 type checkCmd struct{ files }
 
@@ -98,13 +73,13 @@
 	if err != nil {
 		return err
 	}
-	p := l.platform
+	p := l.Platform
 	fmt.Printf("%s: node %s on %s, %d classes, %d tenants, %d MB, %d descriptors\n", c.Config, p.Name, p.Listen,
 		len(p.Logic.Classes), len(p.Logic.Tenants), p.Caps.MemoryMB, p.Caps.Sockets)
-	if u := l.deploy.Uwsgi; u.Listen != "" {
+	if u := l.Deploy.Uwsgi; u.Listen != "" {
 		fmt.Printf("%s: uwsgi on %s, servers %v\n", c.Deploy, u.Listen, u.Servers)
 	}
-	return c.checkLedger(l.deploy.Ledger, log)
+	return c.checkLedger(l.Deploy.Ledger, log)
 }
 
 // checkLedger judges the folder as well, without a change to it.
@@ -191,7 +166,7 @@
 	ctx := kong.Parse(grammar, kong.Name("sloehitch"), kong.Bind(log, level),
 		kong.Description("Decides on a server which requests run, wait or are refused."))
 	err := ctx.Run(log)
-	var code exitCode
+	var code daemon.ExitCode
 	switch {
 	case errors.As(err, &code):
 		os.Exit(int(code))
--- a/cmd/sloehitch/release.go
+++ b/cmd/sloehitch/release.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"sloehitch/internal/daemon"
 	"strings"
 	"time"
 
@@ -140,7 +141,7 @@
 		}
 		if halted {
 			fmt.Println("halted: \"release resume\" or \"release back\"")
-			return exitCode(1)
+			return daemon.ExitCode(1)
 		}
 		if c.Once || !open {
 			return nil
--- /dev/null
+++ b/internal/daemon/crossings_test.go
@@ -0,0 +1,276 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+)
+
+// serveChanged is a node whose configuration a test changes before it starts.
+func serveChanged(t *testing.T, rt *standin.Runtime, catalog string, change func(*config.Platform)) *served {
+	t.Helper()
+	p, err := config.Parse([]byte(standin.Config(standin.Free(t), rt.Address, catalog, ample)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if change != nil {
+		change(p)
+	}
+	d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(64, 256), Log: standin.Quiet})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(d.listeners.close)
+	return &served{d, p.Listen, "", make(chan os.Signal, 1), make(chan error, 1)}
+}
+
+func (s *served) goOn() *served {
+	go func() { s.stopped <- s.Run(ReceivedAt(s.stop)) }()
+	return s
+}
+
+func (s *served) until(t *testing.T, what string, done func() bool) {
+	t.Helper()
+	for end := time.Now().Add(standin.Patience); !done(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("it did not come to it: %s", what)
+		}
+	}
+}
+
+// over waits for the process to have left.
+func (s *served) over(t *testing.T) {
+	t.Helper()
+	select {
+	case err := <-s.stopped:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(standin.Patience):
+		t.Fatal("not stopped")
+	}
+}
+
+// TestHalfARequestAtTheNotice: half a line stands with the node as it is told to leave, and the rest comes after the grace, which is
+// nothing here. Whatever its stamp says it is answered, once, and not passed on; what was read before is served.
+func TestHalfARequestAtTheNotice(t *testing.T) {
+	hold, started := make(chan struct{}), make(chan struct{}, 1)
+	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
+	s := serveChanged(t, rt, "", func(p *config.Platform) { p.Logic.DrainGrace = 0 }).goOn()
+	b := standin.Dial(t, s.address)
+	b.Do(1, "slot-search", standin.RequestID(1), time.Now(), "whole", "")
+	<-started
+	late := standin.Do(2, "book", standin.RequestID(2), time.Now(), "half", ",opkey=k2")
+	b.Send(late[:len(late)/2])
+	s.stop <- syscall.SIGTERM
+	s.until(t, "leaving", s.leaving.Load)
+	if got := b.Read(); strings.Join(got, " ") != "0 FIN" {
+		t.Fatalf("got %q, want 0 FIN", got)
+	}
+	b.Send(late[len(late)/2:])
+	if got := b.Read(); len(got) < 2 || got[0] != "2" || got[1] != "NAK" {
+		t.Errorf("the half: %q", got)
+	}
+	close(hold)
+	if got := b.Read(); len(got) < 2 || got[0] != "1" || got[1] != "ACK" {
+		t.Errorf("the whole: %q", got)
+	}
+	if rt.Runs("half") != 0 {
+		t.Error("ran what was read after the grace")
+	}
+	if all, err := io.ReadAll(b.Conn); err != nil || len(all) > 0 { // it rests: the node ends it as it ends
+		t.Errorf("%q, %v", all, err)
+	}
+	b.Close()
+	s.over(t)
+}
+
+// TestTheNoticeCountsFromTheSignal, not from when it is looked at, and a second one changes nothing.
+func TestTheNoticeCountsFromTheSignal(t *testing.T) {
+	signals := make(chan os.Signal, 1)
+	notice := ReceivedAt(signals)
+	before := time.Now()
+	signals <- syscall.SIGTERM
+	for len(notice) == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	after := time.Now()
+	signals <- syscall.SIGTERM
+	if at := <-notice; at.Before(before) || at.After(after) {
+		t.Errorf("noticed at %v, sent between %v and %v", at, before, after)
+	}
+	if len(notice) > 0 {
+		t.Error("noticed twice")
+	}
+}
+
+// TestSignalsBesideOneAnother: told to leave before it serves, as it reads a new configuration, and twice. What is in hand is served.
+func TestSignalsBesideOneAnother(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		play func(s *served, hup chan os.Signal, gate chan struct{}, reading chan struct{})
+	}{
+		{"before it serves", func(s *served, _ chan os.Signal, gate, _ chan struct{}) {
+			close(gate)
+			s.stop <- syscall.SIGTERM
+			s.goOn()
+		}},
+		{"twice", func(s *served, _ chan os.Signal, gate, _ chan struct{}) {
+			close(gate)
+			s.goOn()
+			s.stop <- syscall.SIGTERM
+			s.until(t, "leaving", s.leaving.Load)
+			s.stop <- syscall.SIGTERM
+		}},
+		{"as it reads a new configuration", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
+			s.goOn()
+			hup <- syscall.SIGHUP
+			<-reading
+			s.stop <- syscall.SIGTERM
+			close(gate)
+		}},
+		{"and to read one as it leaves", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
+			s.goOn()
+			s.stop <- syscall.SIGTERM
+			s.until(t, "leaving", s.leaving.Load)
+			hup <- syscall.SIGHUP
+			<-reading
+			close(gate)
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			hold, started := make(chan struct{}), make(chan struct{}, 1)
+			rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
+			s := serveChanged(t, rt, "", nil)
+			hup, gate, reading := make(chan os.Signal, 1), make(chan struct{}), make(chan struct{}, 1)
+			s.hup = hup
+			s.load = func() (*Config, error) {
+				reading <- struct{}{}
+				<-gate
+				return nil, errors.New("nothing of use")
+			}
+			b := standin.Dial(t, s.address)
+			b.Do(1, "book", standin.RequestID(1), time.Now(), "a", ",opkey=k1")
+			<-started
+			c.play(s, hup, gate, reading)
+			s.until(t, "leaving", s.leaving.Load)
+			close(hold)
+			var got []string
+			for got = b.Read(); len(got) > 1 && got[0] == "0"; got = b.Read() {
+			}
+			if len(got) < 2 || got[0] != "1" || got[1] != "ACK" {
+				t.Errorf("answer %q", got)
+			}
+			b.Close()
+			s.over(t)
+		})
+	}
+}
+
+// TestUndoBesideTheEndOfItsRun: whichever comes first, there is one answer at most, nothing runs twice, and a repeat has the result.
+func TestUndoBesideTheEndOfItsRun(t *testing.T) {
+	hold := make(chan chan struct{}, 1)
+	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-<-hold; return "OK", "of " + string(j.Body) })
+	s := serveChanged(t, rt, "", nil).goOn()
+	b := standin.Dial(t, s.address)
+	tag := 0
+	for i := range 60 {
+		end := make(chan struct{})
+		hold <- end
+		body, key := fmt.Sprint("body", i), fmt.Sprintf(",opkey=k%d", i)
+		tag++
+		undone := fmt.Sprint(tag)
+		b.Do(tag, "book", standin.RequestID(tag), time.Now(), body, key)
+		s.until(t, "it runs", func() bool { return rt.Runs(body) == 1 })
+		undo := standin.Array("UNDO", undone)
+		switch i % 3 {
+		case 0: // before it
+			b.Send(undo)
+			close(end)
+		case 1: // beside it
+			go close(end)
+			b.Send(undo)
+		default: // after it
+			close(end)
+			b.Send(undo)
+		}
+		tag++
+		b.Do(tag, "book", standin.RequestID(tag), time.Now(), body, key)
+		answers := 0
+		for {
+			got := b.Read()
+			if len(got) < 4 || got[1] != "ACK" || got[3] != "of "+body {
+				t.Fatalf("play %d: %q", i, got)
+			}
+			if got[0] == fmt.Sprint(tag) {
+				break
+			}
+			if answers++; got[0] != undone || answers > 1 {
+				t.Fatalf("play %d: %q after %d answers", i, got, answers)
+			}
+		}
+		if n := rt.Runs(body); n != 1 {
+			t.Fatalf("play %d: ran %d times", i, n)
+		}
+	}
+	tag++
+	only(t, b, fmt.Sprint(tag))
+}
+
+// TestUndoBesideTheStart: both come in one read. What of it runs is up to the module; a repeat is served, and it runs once.
+func TestUndoBesideTheStart(t *testing.T) {
+	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", "of " + string(j.Body) })
+	s := serveChanged(t, rt, "", nil).goOn()
+	b := standin.Dial(t, s.address)
+	for i := range 40 {
+		body, key := fmt.Sprint("body", i), fmt.Sprintf(",opkey=k%d", i)
+		b.Send(standin.Do(2*i+1, "book", standin.RequestID(2*i+1), time.Now(), body, key) + standin.Array("UNDO", fmt.Sprint(2*i+1)) +
+			standin.Do(2*i+2, "book", standin.RequestID(2*i+2), time.Now(), body, key))
+		got := b.Read()
+		if len(got) > 0 && got[0] == fmt.Sprint(2*i+1) {
+			got = b.Read()
+		}
+		if len(got) < 4 || got[0] != fmt.Sprint(2*i+2) || got[1] != "ACK" || got[3] != "of "+body || rt.Runs(body) != 1 {
+			t.Fatalf("play %d: %q after %d runs", i, got, rt.Runs(body))
+		}
+	}
+	only(t, b, "1000")
+}
+
+// TestARequestInPieces: each byte by itself, and in the forms that the protocol allows. A body holds any bytes.
+func TestARequestInPieces(t *testing.T) {
+	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", string(j.Body) })
+	s := serveChanged(t, rt, "", nil).goOn()
+	b := standin.Dial(t, s.address)
+	fields := func(id int) string {
+		return fmt.Sprintf("req=%s,ts=%d,need=0.5", standin.RequestID(id), time.Now().UnixMilli())
+	}
+	for i, body := range []string{"plain", "", "\r\n*3\r\n$2\r\nDO\r\n", "\x00\xff,=\n", strings.Repeat("b", 2048)} {
+		text := standin.Array("DO", fmt.Sprint(i+1), "slot-search", fields(i+1), body)
+		if body == "" { // absent
+			text = standin.Array("DO", fmt.Sprint(i+1), "slot-search", fields(i+1))
+		}
+		for k := range text {
+			b.Send(text[k : k+1])
+		}
+		got := b.Read()
+		if len(got) < 2 || got[0] != fmt.Sprint(i+1) || got[1] != "ACK" || len(got) == 4 && got[3] != body || len(got) < 4 && body != "" {
+			t.Errorf("%.20q: %.60q", body, got)
+		}
+	}
+	b.Send(standin.Array("PING", "90") + standin.Array("PING", "91", "") + standin.Array("UNDO", "90") + standin.Array("UNDO", "1", "") + standin.Array("PING", "92"))
+	for _, tag := range []string{"90", "91", "92"} {
+		if got := b.Read(); len(got) < 2 || got[0] != tag || got[1] != "GREEN" {
+			t.Errorf("check %s: %q", tag, got)
+		}
+	}
+}
--- a/cmd/sloehitch/deployments_test.go
+++ b/internal/daemon/deployments_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -69,19 +69,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d, err := start(&loaded{platform: p, deploy: &config.Deploy{}}, limits.For(p.Caps.MemoryMB, p.Caps.Sockets), standin.Quiet)
+			d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(p.Caps.MemoryMB, p.Caps.Sockets), Log: standin.Quiet})
 			if err != nil {
 				t.Fatal(err)
 			}
 			stop, stopped := make(chan os.Signal, 1), make(chan error, 1)
-			go func() { stopped <- d.run(stamped(stop)) }()
+			go func() { stopped <- d.Run(ReceivedAt(stop)) }()
 			t.Cleanup(d.listeners.close)
 
 			b := standin.Dial(t, p.Listen)
 			tag := 0
 			ask := func(class, fields string) {
 				tag++
-				b.Send(standin.Array("DO", fmt.Sprint(tag), class, fmt.Sprintf("req=%s,ts=%d,need=0.1%s", req(tag), time.Now().UnixMilli(), fields), fmt.Sprint("body of ", class)))
+				b.Send(standin.Array("DO", fmt.Sprint(tag), class, fmt.Sprintf("req=%s,ts=%d,need=0.1%s", standin.RequestID(tag), time.Now().UnixMilli(), fields), fmt.Sprint("body of ", class)))
 				if got := b.Read(); len(got) < 4 || got[0] != fmt.Sprint(tag) || got[1] != "ACK" || got[3] != "done" {
 					t.Errorf("class %s with fields %q: answer %q", class, fields, got)
 				}
@@ -104,7 +104,7 @@
 	b := standin.Dial(t, serveNode(t, ample, rt).address)
 	defer close(hold)
 	began := time.Now()
-	b.Do(1, "book", req(1), began, "a", ",opkey=k1,timeout=400")
+	b.Do(1, "book", standin.RequestID(1), began, "a", ",opkey=k1,timeout=400")
 	if got := b.Read(); len(got) < 2 || got[0] != "1" || got[1] != "FAIL" {
 		t.Fatalf("answer %q, want FAIL by the told time", got)
 	}
--- a/cmd/sloehitch/outs.go
+++ b/internal/daemon/drain.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"cmp"
@@ -23,11 +23,11 @@
 const replaceExit = 75
 
 // outs is how this node goes out of service by the fleet's permission.
-func (d *daemon) outs(c config.Fleet, spans config.Spans) (*fleet.Outs, error) {
+func (d *Daemon) outs(c config.Fleet, spans config.Spans) (*fleet.Outs, error) {
 	if c.Zone == "" && c.Kind == "" && c.ReleaseFile == "" {
 		return nil, nil // a node in no group takes no part in it
 	}
-	release := version
+	release := d.version
 	if c.ReleaseFile != "" {
 		text, err := os.ReadFile(c.ReleaseFile)
 		if err != nil {
@@ -59,14 +59,14 @@
 }
 
 // drain has the node go out of service by a permit, or come back.
-func (d *daemon) drain(out bool) {
+func (d *Daemon) drain(out bool) {
 	d.drained.Store(out)
 	d.outOfService()
 }
 
 // replace runs the command that puts another release in place, and has this process end. Without a command it is for what starts the
 // process again to do that.
-func (d *daemon) replace(ctx context.Context, c config.Fleet, to string) error {
+func (d *Daemon) replace(ctx context.Context, c config.Fleet, to string) error {
 	if len(c.Replace) > 0 {
 		ctx, cancel := context.WithTimeout(ctx, limits.Replace)
 		defer cancel()
@@ -89,7 +89,7 @@
 }
 
 // leaveAlone has this node send no more to servers that are permitted to be out. Those that are so no longer begin with a small share.
-func (d *daemon) leaveAlone(addresses []string) {
+func (d *Daemon) leaveAlone(addresses []string) {
 	d.serving.Lock()
 	same := slices.Equal(d.alone, addresses)
 	d.alone = addresses
@@ -101,7 +101,7 @@
 }
 
 // serversBelow are the servers as this node sees them.
-func (d *daemon) serversBelow() map[string]drainpermit.Below {
+func (d *Daemon) serversBelow() map[string]drainpermit.Below {
 	below, listed := map[string]drainpermit.Below{}, map[string]string{} // the pool has them as they are parsed
 	d.serving.Lock()
 	for _, a := range d.listed {
--- a/cmd/sloehitch/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -1,8 +1,9 @@
-package main
+package daemon
 
 import (
 	"fmt"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -15,6 +16,10 @@
 // TestDrainsByHand: as an operator would, with a whole node: nothing without a budget, the node out and back, a server below out on the
 // node's word and back, a halt.
 func TestDrainsByHand(t *testing.T) {
+	program := filepath.Join(t.TempDir(), "sloehitch")
+	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/sloehitch").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	first := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nfirst" })
 	second := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nsecond" })
@@ -27,7 +32,7 @@
 	run := func(args string, more ...string) (out, errs string) {
 		t.Helper()
 		var o, e strings.Builder
-		cmd := command(append(strings.Fields(args), more...)...)
+		cmd := exec.Command(program, append(strings.Fields(args), more...)...)
 		cmd.Stdout, cmd.Stderr = &o, &e
 		_ = cmd.Run() // what it says is looked at
 		return o.String(), e.String()
--- a/cmd/sloehitch/records.go
+++ b/internal/daemon/journal.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 
 // openRecords opens what the configuration names to keep keyed requests in, and returns it as the core's journal: the
 // ledger, claims shared with the process that comes next (where the platform holds the clients' listener), both, or nil.
-func (d *daemon) openRecords(system clock.System) (node.Journal, error) {
+func (d *Daemon) openRecords(system clock.System) (node.Journal, error) {
 	if inherited() {
 		if err := d.openClaims(system); err != nil {
 			return nil, err
@@ -43,8 +43,8 @@
 }
 
 // openClaims joins the processes that share keys.
-func (d *daemon) openClaims(system clock.System) (err error) {
-	dir := claimsDir(os.TempDir(), d.name)
+func (d *Daemon) openClaims(system clock.System) (err error) {
+	dir := KeystoreDir(os.TempDir(), d.name)
 	d.claims, err = keystore.Open(keystore.Options{Dir: dir, Spare: node.Spare(d.limits), Now: system.Now,
 		Limits: limits.ForClaims(d.platform.Caps.MemoryMB), Log: d.log})
 	if err != nil {
@@ -56,7 +56,7 @@
 
 // openLedger opens the record of bookings, for restore to read. While the process that this one replaces still has it,
 // it is only read, and taken over as soon as that process lets go.
-func (d *daemon) openLedger() error {
+func (d *Daemon) openLedger() error {
 	c := d.deploy.Load().Ledger
 	every, err := c.Interval()
 	if err != nil {
@@ -86,7 +86,7 @@
 }
 
 // awaitLedger opens the ledger once the process that has it lets go.
-func (d *daemon) awaitLedger(dir disk.FS, o ledger.Options) {
+func (d *Daemon) awaitLedger(dir disk.FS, o ledger.Options) {
 	for ; ; time.Sleep(d.limits.RetryLeast) {
 		s, err := ledger.Open(dir, o)
 		if errors.Is(err, disk.ErrLocked) {
@@ -102,7 +102,7 @@
 }
 
 // attach has bookings written to the ledger as of now.
-func (d *daemon) attach(s *ledger.Store) {
+func (d *Daemon) attach(s *ledger.Store) {
 	d.bookings = runlog.New(s, node.Spare(d.limits), d.limits.LogEvery, d.log)
 	d.ledger.Store(s)
 	late := 0
@@ -117,7 +117,7 @@
 
 // restore tells the core what ran before a restart, one booking after another: their results together may be more than
 // there is memory for.
-func (d *daemon) restore() error {
+func (d *Daemon) restore() error {
 	if d.earlier == nil {
 		return nil
 	}
@@ -137,7 +137,7 @@
 }
 
 // sweepRecords writes once more what could not be written, and drops what has expired.
-func (d *daemon) sweepRecords() {
+func (d *Daemon) sweepRecords() {
 	if d.bookings != nil {
 		d.bookings.Retry()
 	}
@@ -150,7 +150,7 @@
 }
 
 // ledgerStats are the ledger's figures: none while another process has it.
-func (d *daemon) ledgerStats() ledger.Stats {
+func (d *Daemon) ledgerStats() ledger.Stats {
 	if s := d.ledger.Load(); s != nil {
 		return s.Stats()
 	}
@@ -158,7 +158,7 @@
 }
 
 // closeRecords writes what is still on its way to the ledger, and tells other processes what is still to be told.
-func (d *daemon) closeRecords() (err error) {
+func (d *Daemon) closeRecords() (err error) {
 	if d.claims != nil {
 		err = d.claims.Close()
 	}
--- /dev/null
+++ b/internal/daemon/journal_test.go
@@ -0,0 +1,77 @@
+package daemon
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestReloadLeavesTheLedger: a new configuration with another [ledger] changes nothing about it, and the log says so.
+func TestReloadLeavesTheLedger(t *testing.T) {
+	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
+	s := serveNode(t, ample, rt)
+	var log bytes.Buffer
+	s.stop <- os.Interrupt // the loop that reads signals ends, so that this test alone reloads
+	<-s.stopped
+	s.log = slog.New(slog.NewTextHandler(&log, nil))
+	other := &Config{Platform: s.platform, Deploy: &config.Deploy{Ledger: config.Ledger{Dir: filepath.Join(t.TempDir(), "new")}}}
+	s.load = func() (*Config, error) { return other, nil }
+	s.reload()
+	if s.ledger.Load() != nil || !strings.Contains(log.String(), "[ledger]") {
+		t.Errorf("ledger %v; log: %s", s.ledger.Load(), log.String())
+	}
+	if _, err := os.Stat(other.Deploy.Ledger.Dir); err == nil {
+		t.Error("the new folder was made")
+	}
+}
+
+// BenchmarkBooking is the time of one booking after the other through the daemon, on real sockets, without and with a ledger.
+func BenchmarkBooking(b *testing.B) {
+	for _, on := range []bool{false, true} {
+		b.Run(fmt.Sprintf("ledger=%v", on), func(b *testing.B) {
+			rt := standin.NewRuntime(b, func(*standin.Job) (string, string) { return "OK", "r" })
+			p, err := config.Parse([]byte(standin.Config(standin.Free(b), rt.Address, "", ample)))
+			if err != nil {
+				b.Fatal(err)
+			}
+			l := &Config{Platform: p, Deploy: &config.Deploy{}}
+			if on {
+				dir, err := os.MkdirTemp(os.Getenv("SLOEHITCH_BENCH_DIR"), "ledger")
+				if err != nil {
+					b.Fatal(err)
+				}
+				defer os.RemoveAll(dir)
+				l.Deploy.Ledger.Dir = dir
+			}
+			d, err := Start(l, Options{Limits: limits.For(192, 256), Log: standin.Quiet})
+			if err != nil {
+				b.Fatal(err)
+			}
+			stop := make(chan os.Signal, 1)
+			ended := make(chan error, 1)
+			go func() { ended <- d.Run(ReceivedAt(stop)) }()
+			c := standin.Dial(b, p.Listen)
+			n := 0
+			for b.Loop() {
+				n++
+				c.Do(n, "book", standin.RequestID(n), time.Now(), "a", fmt.Sprint(",opkey=k", n))
+				if got := c.Read(); len(got) < 2 || got[1] != "ACK" && got[1] != "NAK" {
+					b.Fatalf("%q", got)
+				}
+			}
+			c.Close()
+			stop <- os.Interrupt
+			if err := <-ended; err != nil {
+				b.Error(err)
+			}
+		})
+	}
+}
--- a/cmd/sloehitch/listen.go
+++ b/internal/daemon/listeners.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"errors"
@@ -52,7 +52,7 @@
 // clients is the listener for balancers: the one that the platform holds and hands down as the descriptor named in
 // $GW_ACCEPT_FD, so that an old and a new process take from the same queue while one replaces the other; without
 // it, a socket of its own on address.
-func (d *daemon) clients(address string) (net.Listener, error) {
+func (d *Daemon) clients(address string) (net.Listener, error) {
 	text := os.Getenv("GW_ACCEPT_FD")
 	if text == "" {
 		return d.listenPatiently(address)
@@ -73,7 +73,7 @@
 
 // listenPatiently listens on an address, and tries again for limits.Agree while the reason why it can't be had may pass: a process that
 // ended at once would be taken for one that can't start.
-func (d *daemon) listenPatiently(address string) (net.Listener, error) {
+func (d *Daemon) listenPatiently(address string) (net.Listener, error) {
 	return patiently(d.limits, func() (net.Listener, error) { return net.Listen("tcp", address) })
 }
 
@@ -88,7 +88,7 @@
 
 // serveOn listens and serves in the background. Where a process replaces another (the platform holds the clients'
 // listener) that one may still have the address: it is taken as soon as it is free, and the clients don't wait for it.
-func (d *daemon) serveOn(what string, listen func() (net.Listener, error), serve func(net.Listener) error) error {
+func (d *Daemon) serveOn(what string, listen func() (net.Listener, error), serve func(net.Listener) error) error {
 	ln, err := listen()
 	if errors.Is(err, syscall.EADDRINUSE) && inherited() {
 		d.log.Info("an address is taken: waiting for the process before to leave it", "for", what, "error", err)
@@ -105,14 +105,14 @@
 }
 
 // served serves until the listener is closed, which is no failure.
-func (d *daemon) served(ln net.Listener, serve func(net.Listener) error) {
+func (d *Daemon) served(ln net.Listener, serve func(net.Listener) error) {
 	if err := serve(ln); err != nil {
 		d.failed <- err
 	}
 }
 
 // serveLater tries again until the address is free or the daemon leaves.
-func (d *daemon) serveLater(what string, listen func() (net.Listener, error), serve func(net.Listener) error) {
+func (d *Daemon) serveLater(what string, listen func() (net.Listener, error), serve func(net.Listener) error) {
 	for !d.listeners.isClosed() {
 		time.Sleep(d.limits.RetryLeast)
 		ln, err := listen()
--- a/cmd/sloehitch/mixed_test.go
+++ b/internal/daemon/mixed_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -115,7 +115,7 @@
 			if key != "" {
 				more = ",opkey=" + key
 			}
-			balancers[i].Do(id, class, req(int(seed)*1e6+id), a.at, body, more)
+			balancers[i].Do(id, class, standin.RequestID(int(seed)*1e6+id), a.at, body, more)
 			return
 		}
 		wait.Go(func() {
--- a/cmd/sloehitch/operators.go
+++ b/internal/daemon/operators.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 )
 
 // startOps answers the operators' calls where the configuration names an address for them.
-func (d *daemon) startOps() error {
+func (d *Daemon) startOps() error {
 	if d.platform.Ops == "" {
 		return nil
 	}
@@ -23,7 +23,7 @@
 }
 
 // operator is what the operators' calls do to the daemon.
-type operator struct{ d *daemon }
+type operator struct{ d *Daemon }
 
 func (o operator) Ready() bool { return o.d.ready.Load() && !o.d.leaving.Load() }
 
--- a/cmd/sloehitch/reload.go
+++ b/internal/daemon/reload.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bytes"
@@ -13,10 +13,10 @@
 
 // reload takes over a new configuration: the links move to its addresses, each by itself. What can't be taken over
 // while serving is logged; a bad file leaves all as it is.
-func (d *daemon) reload() {
+func (d *Daemon) reload() {
 	l, err := d.load()
 	if err == nil {
-		err = d.retune(l.platform)
+		err = d.retune(l.Platform)
 	}
 	if err != nil {
 		d.rejected.Add(1)
@@ -24,15 +24,15 @@
 		return
 	}
 	defer d.applied.Add(1)
-	p, old := l.platform, d.platform
+	p, old := l.Platform, d.platform
 	if p.Name != old.Name || p.Listen != old.Listen || p.Ops != old.Ops || p.Caps != old.Caps ||
-		l.deploy.Uwsgi.Listen != d.deploy.Load().Uwsgi.Listen || (p.Runtime == "") != (old.Runtime == "") || (p.Catalog == "") != (old.Catalog == "") {
+		l.Deploy.Uwsgi.Listen != d.deploy.Load().Uwsgi.Listen || (p.Runtime == "") != (old.Runtime == "") || (p.Catalog == "") != (old.Catalog == "") {
 		d.log.Warn("name, addresses to listen on, limits, settings and which links there are take a restart")
 	}
-	if was, is := d.deploy.Load().Uwsgi, l.deploy.Uwsgi; was.TLS != is.TLS || was.ServersTLS != is.ServersTLS {
+	if was, is := d.deploy.Load().Uwsgi, l.Deploy.Uwsgi; was.TLS != is.TLS || was.ServersTLS != is.ServersTLS {
 		d.log.Warn("which files hold the TLS keys takes a restart; what is in them is read again")
 	}
-	if l.deploy.Ledger != d.deploy.Load().Ledger {
+	if l.Deploy.Ledger != d.deploy.Load().Ledger {
 		d.log.Warn("the section [ledger] stays as it was: it takes a restart")
 	}
 	for _, k := range d.keys {
@@ -46,7 +46,7 @@
 	}
 	d.pulse.Move(p.Lookup)
 	d.platform = p
-	d.deploy.Store(l.deploy)
+	d.deploy.Store(l.Deploy)
 	if d.servers != nil {
 		d.follow(store.UwsgiServers, d.store.Get(store.UwsgiServers))
 	}
@@ -56,7 +56,7 @@
 // retune has the core, its module and the fronts take the settings of p where they differ from the running ones,
 // and writes into p what they come to (package retune). It errs, and changes nothing, where the file is to be
 // turned down whole.
-func (d *daemon) retune(p *config.Platform) error {
+func (d *Daemon) retune(p *config.Platform) error {
 	old := d.platform
 	if bytes.Equal(p.Raw, old.Raw) {
 		p.Logic, p.Names = old.Logic, old.Names
--- a/cmd/sloehitch/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -1,10 +1,9 @@
-package main
+package daemon
 
 import (
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -30,7 +29,7 @@
 
 // served is a whole node on real sockets, for one test.
 type served struct {
-	*daemon
+	*Daemon
 	address, uwsgi string
 	stop           chan os.Signal
 	stopped        chan error
@@ -57,28 +56,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loaded{platform: p, deploy: &config.Deploy{}}
+	l := &Config{Platform: p, Deploy: &config.Deploy{}}
 	if len(servers) > 0 {
-		l.deploy.Uwsgi = config.Uwsgi{Listen: ownUwsgi, Servers: servers}
-		if l.operations, err = apispec.Load([]byte(api), &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
+		l.Deploy.Uwsgi = config.Uwsgi{Listen: ownUwsgi, Servers: servers}
+		if l.Operations, err = apispec.Load([]byte(api), &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
 			t.Fatal(err)
 		}
 	}
-	more(l.deploy)
-	d, err := start(l, lim, standin.Quiet)
+	more(l.Deploy)
+	d, err := Start(l, Options{Limits: lim, Log: standin.Quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &served{d, own, ownUwsgi, make(chan os.Signal, 1), make(chan error, 1)}
-	go func() { s.stopped <- d.run(stamped(s.stop)) }()
+	go func() { s.stopped <- d.Run(ReceivedAt(s.stop)) }()
 	t.Cleanup(func() {
 		d.listeners.close()
 	})
 	return s
 }
 
-func req(n int) string { return fmt.Sprintf("%016x", n) }
-
 // only fails if anything but the answer to one more check is still to come on a connection.
 func only(t *testing.T, b *standin.Balancer, tag string) {
 	t.Helper()
@@ -93,7 +90,7 @@
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { <-hold; return "OK", "late" })
 	b := standin.Dial(t, serveNode(t, 600*time.Millisecond, rt).address)
 	began := time.Now()
-	b.Do(1, "book", req(1), began, "a", ",opkey=k1")
+	b.Do(1, "book", standin.RequestID(1), began, "a", ",opkey=k1")
 	if got := b.Read(); len(got) < 2 || got[0] != "1" || got[1] != "FAIL" {
 		t.Fatalf("answer %q, want FAIL: it runs, so a refusal would be a lie", got)
 	}
@@ -102,7 +99,7 @@
 	}
 	close(hold) // the run ends after the answer: there must be no second one
 	for rt.Runs("x") == 0 {
-		b.Do(2, "slot-search", req(2), time.Now(), "x", "")
+		b.Do(2, "slot-search", standin.RequestID(2), time.Now(), "x", "")
 		if got := b.Read(); len(got) < 2 || got[0] != "2" {
 			t.Fatalf("answer %q", got)
 		}
@@ -117,7 +114,7 @@
 		b := standin.Dial(t, serveNode(t, ample, rt).address)
 		at := time.Now()
 		for tag := 1; tag <= 3; tag++ { // repeats while it runs or is held
-			b.Do(tag, "book", req(tag), at, "a", ",opkey=k1")
+			b.Do(tag, "book", standin.RequestID(tag), at, "a", ",opkey=k1")
 		}
 		close(hold)
 		for range 3 {
@@ -127,7 +124,7 @@
 				t.Errorf("%s: answer %q, want %s", c.code, got, c.word)
 			}
 		}
-		b.Do(4, "book", req(4), time.Now(), "a", ",opkey=k1,resent=1") // one long after
+		b.Do(4, "book", standin.RequestID(4), time.Now(), "a", ",opkey=k1,resent=1") // one long after
 		if got := b.Read(); len(got) < 2 || got[1] != c.word || c.code == "OK" && got[3] != "result" {
 			t.Errorf("%s: a later repeat got %q, want %s", c.code, got, c.word)
 		}
@@ -143,18 +140,18 @@
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
 	s := serveNode(t, ample, rt)
 	b := standin.Dial(t, s.address)
-	b.Do(1, "slot-search", req(1), time.Now(), "a", "")
+	b.Do(1, "slot-search", standin.RequestID(1), time.Now(), "a", "")
 	<-started
 	s.stop <- syscall.SIGTERM
 	other := standin.Dial(t, s.address) // callers hear of the notice late: what comes within the grace is taken
-	other.Do(1, "book", req(3), time.Now(), "in time", ",opkey=k3")
+	other.Do(1, "book", standin.RequestID(3), time.Now(), "in time", ",opkey=k3")
 	<-started
 	if got := b.Read(); strings.Join(got, " ") != "0 FIN" {
 		t.Fatalf("got %q, want 0 FIN", got)
 	}
 	// It reached the machine after the grace, by its time stamp: it must not run, and be answered.
 	time.Sleep(150 * time.Millisecond)
-	b.Do(2, "book", req(2), time.Now(), "late", ",opkey=k2")
+	b.Do(2, "book", standin.RequestID(2), time.Now(), "late", ",opkey=k2")
 	if got := b.Read(); len(got) < 2 || got[0] != "2" || got[1] == "ACK" {
 		t.Errorf("after the grace: %q", got)
 	}
@@ -186,7 +183,7 @@
 		b := standin.Dial(t, s.address)
 		wg.Go(func() {
 			for j := range each {
-				b.Do(j+1, "book", req(1+i*each+j), time.Now(), "a", ",opkey="+req(1+i*each+j))
+				b.Do(j+1, "book", standin.RequestID(1+i*each+j), time.Now(), "a", ",opkey="+standin.RequestID(1+i*each+j))
 			}
 			seen := map[string]bool{}
 			for range each {
@@ -214,7 +211,7 @@
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { <-hold; return "OK", "r" })
 	s := serveNode(t, ample, rt)
 	other := standin.Dial(t, s.address)
-	other.Do(1, "slot-search", req(1), time.Now(), "a", "")
+	other.Do(1, "slot-search", standin.RequestID(1), time.Now(), "a", "")
 	ends := []string{"PING\r\n", "*1\r\n$9223372036854775807\r\n", "*9999999999\r\n", "*-1\r\n", "\x00\x00\x00",
 		standin.Array("PING"), standin.Array("DO", "0", "book"), standin.Array("DO", "1", "book", "req=1", ""), standin.Array("PING", "1"),
 		strings.Repeat(standin.Array("GET", "7"), 4), "*2\r\n$4\r\nPI"}
@@ -222,12 +219,12 @@
 	for i, bad := range ends {
 		b := standin.Dial(t, s.address)
 		// What came whole in the same packet before the bad bytes was read and is owed an answer.
-		fields := fmt.Sprintf("req=%s,ts=%d,owner=acme,need=1,level=0", req(10+i), time.Now().UnixMilli())
+		fields := fmt.Sprintf("req=%s,ts=%d,owner=acme,need=1,level=0", standin.RequestID(10+i), time.Now().UnixMilli())
 		b.Send(standin.Array("DO", "1", "slot-search", fields, "b") + bad)
 		spoilt = append(spoilt, b)
 	}
 	refused := standin.Dial(t, s.address)
-	refused.Send(standin.Array("DO", "5", "no-such-class", "req="+req(90)+",ts=1764576000123", "") + standin.Array("GET", "6"))
+	refused.Send(standin.Array("DO", "5", "no-such-class", "req="+standin.RequestID(90)+",ts=1764576000123", "") + standin.Array("GET", "6"))
 	for _, want := range []string{"5 NAK", "6 FAIL"} {
 		if got := refused.Read(); len(got) < 2 || got[0]+" "+got[1] != want {
 			t.Errorf("what can't be taken got %q, want %s", got, want)
@@ -270,7 +267,7 @@
 	s := serveNode(t, ample, rt, server.Address)
 	b := standin.Dial(t, s.address)
 	for i, c := range []struct{ body, word string }{{"first", "ACK"}, {"other", "FAIL"}, {"first", "ACK"}} {
-		b.Do(i+1, "book", req(i+1), time.Now(), c.body, ",opkey=k1")
+		b.Do(i+1, "book", standin.RequestID(i+1), time.Now(), c.body, ",opkey=k1")
 		if got := b.Read(); len(got) < 2 || got[1] != c.word || c.word == "ACK" && got[3] != "first" {
 			t.Errorf("%s got %q, want %s", c.body, got, c.word)
 		}
@@ -286,52 +283,6 @@
 	}
 }
 
-// TestReload: on SIGHUP new addresses are taken over without losing a run, and a bad file leaves the old ones in force.
-func TestReload(t *testing.T) {
-	hold, started := make(chan struct{}), make(chan struct{}, 1)
-	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
-	address := standin.Free(t)
-	c := serveCmd{files: files{Config: filepath.Join(t.TempDir(), "config.json"), Deploy: "none.toml"}}
-	configure := func(text string) {
-		if err := os.WriteFile(c.Config, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	configure(standin.Config(address, rt.Address, "", ample))
-	stopped := make(chan error, 1)
-	go func() { stopped <- c.Run(standin.Quiet, new(slog.LevelVar)) }()
-	signalSelf := func(sig syscall.Signal) {
-		if err := syscall.Kill(os.Getpid(), sig); err != nil {
-			t.Fatal(err)
-		}
-	}
-	<-rt.Syncs
-	b := standin.Dial(t, address)
-	b.Do(1, "book", req(1), time.Now(), "a", ",opkey=k1")
-	<-started
-	configure("{")
-	signalSelf(syscall.SIGHUP)
-	only(t, b, "9")
-	configure(standin.Config(address, rt.Another(t), "", ample))
-	signalSelf(syscall.SIGHUP)
-	<-rt.Syncs // the link is up at the new address
-	close(hold)
-	b.Do(2, "slot-search", req(2), time.Now(), "b", "")
-	for range 2 {
-		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
-			t.Errorf("answer %q", got)
-		}
-	}
-	if n := rt.Runs("a"); n != 1 {
-		t.Errorf("ran %d times", n)
-	}
-	b.Close()
-	signalSelf(syscall.SIGTERM)
-	if err := <-stopped; err != nil {
-		t.Error(err)
-	}
-}
-
 // TestOperatorsState: what operators set takes a node out of service and gives uwsgi work to other servers.
 func TestOperatorsState(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
@@ -369,8 +320,8 @@
 		if err := s.store.Set(store.UwsgiServers, c.set); err != nil {
 			t.Fatal(err)
 		}
-		s.load = func() (*loaded, error) {
-			return &loaded{platform: s.platform, deploy: &config.Deploy{Uwsgi: config.Uwsgi{Listen: s.uwsgi, Servers: []string{c.file}}}}, nil
+		s.load = func() (*Config, error) {
+			return &Config{Platform: s.platform, Deploy: &config.Deploy{Uwsgi: config.Uwsgi{Listen: s.uwsgi, Servers: []string{c.file}}}}, nil
 		}
 		s.reload()
 		if got := ask(t, s.uwsgi, "", get("/slots")...); !strings.HasSuffix(got, c.want) {
@@ -532,7 +483,7 @@
 			wg.Go(func() { answered <- strings.SplitN(ask(t, s.uwsgi, key, post(key)...), "\r\n", 2)[0] })
 			continue
 		}
-		balancers[i/2%len(balancers)].Do(i+1, "book", req(i+1), time.Now(), key, ",opkey="+key)
+		balancers[i/2%len(balancers)].Do(i+1, "book", standin.RequestID(i+1), time.Now(), key, ",opkey="+key)
 	}
 	wg.Wait()
 	close(answered)
@@ -580,12 +531,12 @@
 	b := standin.Dial(t, s.address)
 	defer b.Close()
 	for i := range 6 { // more than a connection may carry of bad messages
-		b.Do(i+1, "fresh", req(i+1), time.Now(), "x", "")
+		b.Do(i+1, "fresh", standin.RequestID(i+1), time.Now(), "x", "")
 		if got := b.Read(); len(got) < 2 || got[1] == "ACK" {
 			t.Fatalf("a class not in the settings: %q", got)
 		}
 	}
-	b.Do(10, "book", req(10), time.Now(), "held", ",opkey=k1")
+	b.Do(10, "book", standin.RequestID(10), time.Now(), "held", ",opkey=k1")
 	base := standin.Config(s.address, rt.Address, "", ample)
 	from := strings.Index(base, `"classes":[`)
 	to := strings.LastIndex(base[:strings.Index(base, `"counted-by"`)], "]")
@@ -600,24 +551,24 @@
 	}
 	for _, name := range []string{"dropped slot-search, added fresh", "no deadline", "a deadline below 0", "cut short"} {
 		text := files[name]
-		s.load = func() (*loaded, error) {
+		s.load = func() (*Config, error) {
 			p, err := config.Parse([]byte(text))
 			if err != nil {
 				return nil, err
 			}
-			return &loaded{platform: p, deploy: &config.Deploy{}}, nil
+			return &Config{Platform: p, Deploy: &config.Deploy{}}, nil
 		}
 		s.reload()
 	}
-	b.Do(11, "fresh", req(11), time.Now(), "y", "")
-	b.Do(12, "slot-search", req(12), time.Now(), "z", "") // dropped: still taken from balancers that learn late
+	b.Do(11, "fresh", standin.RequestID(11), time.Now(), "y", "")
+	b.Do(12, "slot-search", standin.RequestID(12), time.Now(), "z", "") // dropped: still taken from balancers that learn late
 	close(hold)
 	for range 3 {
 		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
 			t.Errorf("after the retuning: %q", got)
 		}
 	}
-	f := operator{s.daemon}.Figures()
+	f := operator{s.Daemon}.Figures()
 	if f.Applied != 1 || f.Rejected != 3 {
 		t.Errorf("files taken %d, turned down %d; want 1 and 3", f.Applied, f.Rejected)
 	}
@@ -668,7 +619,7 @@
 		}
 	}
 	for i := range 3 {
-		b.Do(i+1, "slot-search", req(i+1), time.Now(), "a", "")
+		b.Do(i+1, "slot-search", standin.RequestID(i+1), time.Now(), "a", "")
 		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
 			t.Fatalf("answer %q", got)
 		}
@@ -679,7 +630,7 @@
 			health("7", "RED")
 		}
 	}
-	b.Do(9, "fresh", req(9), time.Now(), "a", "")
+	b.Do(9, "fresh", standin.RequestID(9), time.Now(), "a", "")
 	b.Read()
 	figures := call("telemetry")
 	for _, want := range []string{"ACK", "app.responses.slot-search.ok:3|c", "app.responses.slot-search.tries:3|c", "app.responses.slot-search.shed:0|c",
@@ -717,7 +668,7 @@
 	work := func(*standin.Job) (string, string) { return "OK", "r" }
 	runtimes := []*standin.Runtime{standin.NewRuntime(t, work), standin.NewRuntime(t, work)}
 	var conns []*standin.Balancer
-	var daemons []*daemon
+	var daemons []*Daemon
 	var stops []chan os.Signal
 	stopped := make(chan error, len(runtimes))
 	for _, rt := range runtimes {
@@ -730,13 +681,13 @@
 			t.Fatal(err)
 		}
 		t.Setenv("GW_ACCEPT_FD", fmt.Sprint(inherited))
-		d, err := start(&loaded{platform: p, deploy: &config.Deploy{}}, limits.For(64, 256), standin.Quiet)
+		d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(64, 256), Log: standin.Quiet})
 		if err != nil {
 			t.Fatal(err)
 		}
 		stop := make(chan os.Signal, 1)
 		daemons, stops = append(daemons, d), append(stops, stop)
-		go func() { stopped <- d.run(stamped(stop)) }()
+		go func() { stopped <- d.Run(ReceivedAt(stop)) }()
 		<-rt.Syncs
 		for range 3 {
 			b := standin.Dial(t, ln.Addr().String())
@@ -749,12 +700,12 @@
 		}
 		d.listeners.close() // it takes no more: the next process does
 	}
-	conns[0].Do(2, "book", req(2), time.Now(), "a", ",opkey=k1") // the old process runs it
+	conns[0].Do(2, "book", standin.RequestID(2), time.Now(), "a", ",opkey=k1") // the old process runs it
 	if got := conns[0].Read(); len(got) < 2 || got[1] != "ACK" {
 		t.Fatalf("the first try: %q", got)
 	}
 	for i, b := range conns[1:] {
-		b.Do(i+3, "book", req(i+3), time.Now(), "a", ",opkey=k1")
+		b.Do(i+3, "book", standin.RequestID(i+3), time.Now(), "a", ",opkey=k1")
 	}
 	served := 1
 	for _, b := range conns[1:] {
@@ -779,7 +730,7 @@
 		t.Fatal(err)
 	}
 	var shown strings.Builder
-	if err := (&handoverShowCmd{Config: file, Dir: os.TempDir()}).print(&shown); err != nil {
+	if err := PrintHandover(&shown, file, os.TempDir()); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"would be taken\n", "run time 1.0 ms of 1 runs", "lives: 1 segments", "1 keys, 0 of them run"} {
@@ -842,7 +793,7 @@
 	}
 	b := standin.Dial(t, s.address)
 	defer b.Close()
-	b.Do(1, "slot-search", req(1), time.Now(), "a", "")
+	b.Do(1, "slot-search", standin.RequestID(1), time.Now(), "a", "")
 	if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
 		t.Errorf("a true request in a crowd: %q", got)
 	}
--- a/cmd/sloehitch/leave.go
+++ b/internal/daemon/shutdown.go
@@ -1,6 +1,8 @@
-package main
+package daemon
 
 import (
+	"fmt"
+	"os"
 	"time"
 
 	"sloehitch/internal/handover"
@@ -10,7 +12,7 @@
 // leave carries out the notice to leave that came at the given time, as handover.Depart says. Callers hear of it seconds later, so what comes within
 // the grace is still taken; then they are sent elsewhere, what is in hand goes on, and the end comes when nothing is
 // owed and the callers have closed, or just before the kill.
-func (d *daemon) leave(notice time.Time) {
+func (d *Daemon) leave(notice time.Time) {
 	stop, sight := d.platform.Stop(), handover.Sight{Grace: time.Duration(d.platform.Logic.DrainGrace) * time.Microsecond, Spare: d.limits.GraceSpare}
 	if inherited() {
 		stop, sight.Inherited = d.platform.StopReplaced(), true // the platform holds the listener: a new process replaces this one
@@ -59,3 +61,19 @@
 		}
 	}
 }
+
+// ReceivedAt sends the time at which the first of the signals came. The drain grace and the kill time count from there, also where the
+// process is still starting or reading a new configuration then; further signals change nothing.
+func ReceivedAt(signals <-chan os.Signal) <-chan time.Time {
+	notice := make(chan time.Time, 1)
+	go func() {
+		<-signals
+		notice <- clock.System{}.Now()
+	}()
+	return notice
+}
+
+// ExitCode is an error that only sets the exit code of the process.
+type ExitCode int
+
+func (e ExitCode) Error() string { return fmt.Sprint("exit ", int(e)) }
--- a/internal/platform/clock/sources_test.go
+++ b/internal/platform/clock/sources_test.go
@@ -20,14 +20,14 @@
 		"internal/node", "internal/admission", "internal/frontend/resp", "internal/backend/runtime", "internal/backend/runtime/redelivery", "internal/backend/catalogue",
 		"internal/backend/directory", "internal/frontend/connlimit", "internal/frontend/gracefulclose", "internal/handover", "internal/idempotency/keystore", "internal/idempotency/keystore/keystate",
 		"internal/idempotency/compositejournal", "internal/idempotency/runlog", "internal/frontend/uwsgi", "internal/frontend/uwsgi/balancer", "internal/operatorapi", "internal/platform/reconfigure",
-		"internal/platform/lograte", "internal/platform/latency", "cmd/sloehitch",
+		"internal/platform/lograte", "internal/platform/latency", "internal/daemon", "cmd/sloehitch",
 	} {
 		files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", folder, len(files), err)
 		}
 		for _, file := range files {
-			if strings.HasSuffix(file, "_test.go") || filepath.Base(file) == "drain.go" { // the latter is an operator's command, not the daemon
+			if strings.HasSuffix(file, "_test.go") || strings.HasSuffix(file, "cmd/sloehitch/drain.go") { // the latter is an operator's command, not the daemon
 				continue
 			}
 			text, err := os.ReadFile(file)
--- a/internal/testing/standin/standin.go
+++ b/internal/testing/standin/standin.go
@@ -347,3 +347,6 @@
 	return fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"catalog":%q,"seed":"1","stop_ms":3000,
  "limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":%s}`, listen, runtime, catalog, settings)
 }
+
+// RequestID is the id of the n-th request of a test, in the platform's form of 16 hexadecimal digits.
+func RequestID(n int) string { return fmt.Sprintf("%016x", n) }
