--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -9,13 +9,13 @@
 	"io"
 	"log/slog"
 	"os"
-	"sloehitch/internal/daemon"
 	"sync"
 	"time"
 	"unicode/utf8"
 
 	"github.com/mattn/go-isatty"
 
+	"sloehitch/internal/daemon"
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/platform/limits"
--- a/cmd/sloehitch/release.go
+++ b/cmd/sloehitch/release.go
@@ -5,13 +5,13 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"sloehitch/internal/daemon"
 	"strings"
 	"time"
 
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/fleet"
 	"sloehitch/internal/control/release"
+	"sloehitch/internal/daemon"
 	"sloehitch/internal/store"
 )
 
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -72,7 +72,7 @@
 	late := standin.Do(2, "book", standin.RequestID(2), time.Now(), "half", ",opkey=k2")
 	b.Send(late[:len(late)/2])
 	s.stop <- syscall.SIGTERM
-	s.until(t, "leaving", s.leaving.Load)
+	s.until(t, "leaving", s.service.draining.Load)
 	if got := b.Read(); strings.Join(got, " ") != "0 FIN" {
 		t.Fatalf("got %q, want 0 FIN", got)
 	}
@@ -128,7 +128,7 @@
 			close(gate)
 			s.goOn()
 			s.stop <- syscall.SIGTERM
-			s.until(t, "leaving", s.leaving.Load)
+			s.until(t, "leaving", s.service.draining.Load)
 			s.stop <- syscall.SIGTERM
 		}},
 		{"as it reads a new configuration", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
@@ -141,7 +141,7 @@
 		{"and to read one as it leaves", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
 			s.goOn()
 			s.stop <- syscall.SIGTERM
-			s.until(t, "leaving", s.leaving.Load)
+			s.until(t, "leaving", s.service.draining.Load)
 			hup <- syscall.SIGHUP
 			<-reading
 			close(gate)
@@ -152,7 +152,7 @@
 			rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
 			s := serveChanged(t, rt, "", nil)
 			hup, gate, reading := make(chan os.Signal, 1), make(chan struct{}), make(chan struct{}, 1)
-			s.hup = hup
+			s.reloads = hup
 			s.load = func() (*Config, error) {
 				reading <- struct{}{}
 				<-gate
@@ -162,7 +162,7 @@
 			b.Do(1, "book", standin.RequestID(1), time.Now(), "a", ",opkey=k1")
 			<-started
 			c.play(s, hup, gate, reading)
-			s.until(t, "leaving", s.leaving.Load)
+			s.until(t, "leaving", s.service.draining.Load)
 			close(hold)
 			var got []string
 			for got = b.Read(); len(got) > 1 && got[0] == "0"; got = b.Read() {
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -28,7 +28,7 @@
 		d.Store = config.Store{Admin: admin, Span: "1s"}
 		d.Fleet = config.Fleet{Members: []string{admin}, Report: "100ms", Silent: "30s", LeaseSpan: "1s", Settle: "100ms", Zone: "a"}
 	}, first.Address, second.Address)
-	t.Cleanup(s.apart)
+	t.Cleanup(s.leaveFleet)
 	run := func(args string, more ...string) (out, errs string) {
 		t.Helper()
 		var o, e strings.Builder
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -16,8 +16,8 @@
 	"sloehitch/internal/store"
 )
 
-// startFleet has this node take part in the fleet, where our settings say so. It never holds up the node: its end is asked
-// for at the notice to leave, and waited for by nobody.
+// startFleet has this node take part in the fleet where the deployment file says so. It never delays the node: its end is asked for at shutdown, and
+// nothing waits for it.
 func (d *Daemon) startFleet(l *Config) error {
 	c := l.Deploy.Fleet
 	if len(c.Members) == 0 {
@@ -28,8 +28,8 @@
 		return err
 	}
 	o := fleet.Options{Name: d.name, Version: d.version, Members: c.Members, Every: spans.Report, Silent: spans.Silent, Timeout: min(d.limits.Agree, spans.Lease/4),
-		Pause: spans.Lease / 10, Terms: store.Terms.Of(spans.Lease), State: d.ofFleet,
-		Clock: d.trial.Clock(lease.Now), Now: d.trial.Now, Tell: d.trial.Tell, Dir: c.Backups, Keep: c.Keep, Log: d.log}
+		Pause: spans.Lease / 10, Terms: store.Terms.Of(spans.Lease), State: d.fleetReport,
+		Clock: d.faultHooks.Clock(lease.Now), Now: d.faultHooks.Now, Tell: d.faultHooks.Tell, Dir: c.Backups, Keep: c.Keep, Log: d.log}
 	if o.Dir != "" {
 		o.Each = spans.Each
 	}
@@ -41,15 +41,15 @@
 		if err != nil {
 			return fmt.Errorf("fleet: dir: %w", err)
 		}
-		if o.Memory, err = ledger.Open(d.trial.Disk(dir), ledger.Options{Limits: limits.ForLedger(1 << 20), Log: d.log}); err != nil {
+		if o.Memory, err = ledger.Open(d.faultHooks.Disk(dir), ledger.Options{Limits: limits.ForLedger(1 << 20), Log: d.log}); err != nil {
 			return fmt.Errorf("fleet: dir: %w", err)
 		}
 	}
 	o.Apply = func(s desiredstate.State) {
-		d.unwanted.Store(s.Out)
-		d.outOfService()
+		d.service.outByDesired.Store(s.Out)
+		d.advertise()
 	}
-	o.Outs, err = d.outs(c, spans)
+	o.Outs, err = d.drainOptions(c, spans)
 	if err != nil {
 		if o.Memory != nil {
 			err = errors.Join(err, o.Memory.Close())
@@ -64,7 +64,7 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	d.apart, d.fleet = cancel, f
+	d.leaveFleet, d.fleet = cancel, f
 	go func() {
 		f.Serve(ctx)
 		if o.Memory != nil {
@@ -74,24 +74,15 @@
 	return nil
 }
 
-// ofFleet is what the node tells of itself.
-func (d *Daemon) ofFleet() map[string]any {
-	state := "ready"
-	switch {
-	case d.leaving.Load():
-		state = "leaving"
-	case d.evacuated.Load() || d.away():
-		state = "out of service"
-	case !d.ready.Load():
-		state = "starting"
-	}
+// fleetReport is what the node reports of itself. Its keys are part of the stored document.
+func (d *Daemon) fleetReport() map[string]any {
 	running, held := d.node.Hand()
-	told := map[string]any{"state": state, "well": d.gate.Well(), "running": running, "held": held}
+	told := map[string]any{"state": d.service.reported(), "well": d.admission.Well(), "running": running, "held": held}
 	var served, refused, failed int
 	for _, c := range d.node.Classes() {
 		served, refused, failed = served+c.Served, refused+c.Refused, failed+c.Failed
 	}
-	if p99 := d.took.Quantile(0.99, clock.System{}.Now()); p99 > 0 {
+	if p99 := d.latency.Quantile(0.99, clock.System{}.Now()); p99 > 0 {
 		told["p99_ms"] = float64(p99) / float64(time.Millisecond)
 	}
 	told["served"], told["refused"], told["errors"] = served, refused, failed
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"os"
+	"sync/atomic"
 	"time"
 
 	"sloehitch/internal/idempotency/compositejournal"
@@ -16,46 +17,56 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// openRecords opens what the configuration names to keep keyed requests in, and returns it as the core's journal: the
-// ledger, claims shared with the process that comes next (where the platform holds the clients' listener), both, or nil.
-func (d *Daemon) openRecords(system clock.System) (node.Journal, error) {
-	if inherited() {
-		if err := d.openClaims(system); err != nil {
+// journals are where keyed runs are recorded, so that another process of this node, or this node after a restart, does not run them again.
+type journals struct {
+	keys      *keystore.Claims             // shared with the node's other processes; nil but where clients come from an inherited listener
+	ledger    atomic.Pointer[ledger.Store] // nil where it is off, or the process that this one replaces still has it
+	released  chan *ledger.Store           // the ledger, once that process has released it
+	runs      *runlog.Record               // on the ledger, nil with it; owned by the goroutine of Run once that runs
+	composite *compositejournal.Journal    // nil but where there are both
+	earlier   *ledger.Store                // what is on record as this process starts, until restoreRuns has read it
+}
+
+// openJournals opens the journals that the configuration names and returns them as the core's: the ledger, the keys shared with the next process (where
+// the platform holds the clients' listener), both, or nil.
+func (d *Daemon) openJournals(system clock.System) (node.Journal, error) {
+	if listenerInherited() {
+		if err := d.openKeystore(system); err != nil {
 			return nil, err
 		}
 	}
 	if d.deploy.Load().Ledger.Dir == "" {
-		if d.claims == nil {
+		if d.journals.keys == nil {
 			return nil, nil
 		}
-		return d.claims, nil
+		return d.journals.keys, nil
 	}
-	if d.claims != nil {
-		d.tandem = compositejournal.New(d.claims, d.limits.LogEvery, d.log)
+	if d.journals.keys != nil {
+		d.journals.composite = compositejournal.New(d.journals.keys, d.limits.LogEvery, d.log)
 	}
 	if err := d.openLedger(); err != nil {
-		return nil, errors.Join(err, d.closeRecords())
+		return nil, errors.Join(err, d.closeJournals())
 	}
-	if d.tandem != nil {
-		return d.tandem, nil
+	if d.journals.composite != nil {
+		return d.journals.composite, nil
 	}
-	return d.bookings, nil
+	return d.journals.runs, nil
 }
 
-// openClaims joins the processes that share keys.
-func (d *Daemon) openClaims(system clock.System) (err error) {
+// openKeystore opens the keys that the processes of this node share.
+func (d *Daemon) openKeystore(system clock.System) (err error) {
 	dir := KeystoreDir(os.TempDir(), d.name)
-	d.claims, err = keystore.Open(keystore.Options{Dir: dir, Spare: node.Spare(d.limits), Now: system.Now,
+	d.journals.keys, err = keystore.Open(keystore.Options{Dir: dir, Spare: node.Spare(d.limits), Now: system.Now,
 		Limits: limits.ForClaims(d.platform.Caps.MemoryMB), Log: d.log})
 	if err != nil {
 		return err
 	}
-	d.log.Info("keys claimed in a folder shared with the process that comes next", "folder", dir)
+	d.log.Info("idempotency keys are shared with the next process", "folder", dir)
 	return nil
 }
 
-// openLedger opens the record of bookings, for restore to read. While the process that this one replaces still has it,
-// it is only read, and taken over as soon as that process lets go.
+// openLedger opens the ledger, for restoreRuns to read. While the process that this one replaces still holds it, it is opened for reading only, and for
+// writing as soon as that process releases it.
 func (d *Daemon) openLedger() error {
 	c := d.deploy.Load().Ledger
 	every, err := c.Interval()
@@ -67,25 +78,25 @@
 		return err
 	}
 	o := ledger.Options{Limits: limits.ForLedger(c.IndexBytes()), Flush: every, Log: d.log}
-	d.earlier, err = ledger.Open(dir, o)
+	d.journals.earlier, err = ledger.Open(dir, o)
 	switch {
 	case err == nil:
-		d.attach(d.earlier)
+		d.attachLedger(d.journals.earlier)
 		return nil
-	case d.tandem == nil || !errors.Is(err, disk.ErrLocked):
+	case d.journals.composite == nil || !errors.Is(err, disk.ErrLocked):
 		return fmt.Errorf("ledger: %w", err)
 	}
-	d.log.Info("the process before still writes the ledger: starts are made durable when it lets go", "folder", c.Dir)
+	d.log.Info("the replaced process still holds the ledger; starts become durable once it releases it", "folder", c.Dir)
 	read := o
 	read.ReadOnly = true
-	if d.earlier, err = ledger.Open(dir, read); err != nil {
+	if d.journals.earlier, err = ledger.Open(dir, read); err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
 	go d.awaitLedger(dir, o)
 	return nil
 }
 
-// awaitLedger opens the ledger once the process that has it lets go.
+// awaitLedger opens the ledger once the process that holds it has released it. It blocks until then.
 func (d *Daemon) awaitLedger(dir disk.FS, o ledger.Options) {
 	for ; ; time.Sleep(d.limits.RetryLeast) {
 		s, err := ledger.Open(dir, o)
@@ -96,73 +107,72 @@
 			d.failed <- fmt.Errorf("ledger: %w", err)
 			return
 		}
-		d.freed <- s
+		d.journals.released <- s
 		return
 	}
 }
 
-// attach has bookings written to the ledger as of now.
-func (d *Daemon) attach(s *ledger.Store) {
-	d.bookings = runlog.New(s, node.Spare(d.limits), d.limits.LogEvery, d.log)
-	d.ledger.Store(s)
-	late := 0
-	if d.tandem != nil {
-		late = d.tandem.Late()
-		d.tandem.Attach(d.bookings)
+// attachLedger has keyed runs recorded on the ledger from now on.
+func (d *Daemon) attachLedger(s *ledger.Store) {
+	d.journals.runs = runlog.New(s, node.Spare(d.limits), d.limits.LogEvery, d.log)
+	d.journals.ledger.Store(s)
+	backlog := 0
+	if d.journals.composite != nil {
+		backlog = d.journals.composite.Late()
+		d.journals.composite.Attach(d.journals.runs)
 	}
 	r := s.Recovery()
 	d.log.Info("ledger opened", "folder", d.deploy.Load().Ledger.Dir, "keys", r.Keys, "records", r.Records, "segments", r.Segments,
-		"torn_bytes", r.Torn, "took", r.Took, "missed", late)
+		"torn_bytes", r.Torn, "took", r.Took, "backlog", backlog)
 }
 
-// restore tells the core what ran before a restart, one booking after another: their results together may be more than
-// there is memory for.
-func (d *Daemon) restore() error {
-	if d.earlier == nil {
+// restoreRuns tells the core what ran before a restart, one run after another: their results together may exceed the memory.
+func (d *Daemon) restoreRuns() error {
+	if d.journals.earlier == nil {
 		return nil
 	}
-	err := runlog.New(d.earlier, node.Spare(d.limits), d.limits.LogEvery, d.log).All(func(b node.Booking) {
-		if d.tandem == nil || d.tandem.Restore(b) {
+	err := runlog.New(d.journals.earlier, node.Spare(d.limits), d.limits.LogEvery, d.log).All(func(b node.Booking) {
+		if d.journals.composite == nil || d.journals.composite.Restore(b) {
 			d.node.Restore(b)
 		}
 	})
 	if err != nil {
-		err = fmt.Errorf("ledger: %w", errors.Join(err, d.closeRecords()))
+		err = fmt.Errorf("ledger: %w", errors.Join(err, d.closeJournals()))
 	}
-	if d.earlier != d.ledger.Load() {
-		err = errors.Join(err, d.earlier.Close()) // it was only to be read
+	if d.journals.earlier != d.journals.ledger.Load() {
+		err = errors.Join(err, d.journals.earlier.Close()) // it was only to be read
 	}
-	d.earlier = nil
+	d.journals.earlier = nil
 	return err
 }
 
-// sweepRecords writes once more what could not be written, and drops what has expired.
-func (d *Daemon) sweepRecords() {
-	if d.bookings != nil {
-		d.bookings.Retry()
+// sweepJournals retries writes that failed, and drops what has expired.
+func (d *Daemon) sweepJournals() {
+	if d.journals.runs != nil {
+		d.journals.runs.Retry()
 	}
-	if d.tandem != nil {
-		d.tandem.Retry()
+	if d.journals.composite != nil {
+		d.journals.composite.Retry()
 	}
-	if d.claims != nil {
-		d.claims.Sweep()
+	if d.journals.keys != nil {
+		d.journals.keys.Sweep()
 	}
 }
 
-// ledgerStats are the ledger's figures: none while another process has it.
+// ledgerStats are the ledger's figures: none while another process holds it.
 func (d *Daemon) ledgerStats() ledger.Stats {
-	if s := d.ledger.Load(); s != nil {
+	if s := d.journals.ledger.Load(); s != nil {
 		return s.Stats()
 	}
 	return ledger.Stats{}
 }
 
-// closeRecords writes what is still on its way to the ledger, and tells other processes what is still to be told.
-func (d *Daemon) closeRecords() (err error) {
-	if d.claims != nil {
-		err = d.claims.Close()
+// closeJournals completes the pending writes of each journal and closes it.
+func (d *Daemon) closeJournals() (err error) {
+	if d.journals.keys != nil {
+		err = d.journals.keys.Close()
 	}
-	if s := d.ledger.Load(); s != nil {
+	if s := d.journals.ledger.Load(); s != nil {
 		err = errors.Join(err, s.Close())
 	}
 	return err
--- a/internal/daemon/journal_test.go
+++ b/internal/daemon/journal_test.go
@@ -25,8 +25,8 @@
 	other := &Config{Platform: s.platform, Deploy: &config.Deploy{Ledger: config.Ledger{Dir: filepath.Join(t.TempDir(), "new")}}}
 	s.load = func() (*Config, error) { return other, nil }
 	s.reload()
-	if s.ledger.Load() != nil || !strings.Contains(log.String(), "[ledger]") {
-		t.Errorf("ledger %v; log: %s", s.ledger.Load(), log.String())
+	if s.journals.ledger.Load() != nil || !strings.Contains(log.String(), "[ledger]") {
+		t.Errorf("ledger %v; log: %s", s.journals.ledger.Load(), log.String())
 	}
 	if _, err := os.Stat(other.Deploy.Ledger.Dir); err == nil {
 		t.Error("the new folder was made")
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -49,13 +49,13 @@
 	return l.closed
 }
 
-// clients is the listener for balancers: the one that the platform holds and hands down as the descriptor named in
+// clientListener is the listener for balancers: the one that the platform holds and hands down as the descriptor named in
 // $GW_ACCEPT_FD, so that an old and a new process take from the same queue while one replaces the other; without
 // it, a socket of its own on address.
-func (d *Daemon) clients(address string) (net.Listener, error) {
+func (d *Daemon) clientListener(address string) (net.Listener, error) {
 	text := os.Getenv("GW_ACCEPT_FD")
 	if text == "" {
-		return d.listenPatiently(address)
+		return d.listenOn(address)
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
@@ -67,17 +67,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_ACCEPT_FD %d: %w", fd, err)
 	}
-	d.log.Info("clients taken from the inherited listener", "descriptor", fd, "address", ln.Addr().String())
+	d.log.Info("accepting clients from the inherited listener", "descriptor", fd, "address", ln.Addr().String())
 	return ln, nil
 }
 
-// listenPatiently listens on an address, and tries again for limits.Agree while the reason why it can't be had may pass: a process that
-// ended at once would be taken for one that can't start.
-func (d *Daemon) listenPatiently(address string) (net.Listener, error) {
-	return patiently(d.limits, func() (net.Listener, error) { return net.Listen("tcp", address) })
+// listenOn listens on an address as listenWithRetry does.
+func (d *Daemon) listenOn(address string) (net.Listener, error) {
+	return listenWithRetry(d.limits, func() (net.Listener, error) { return net.Listen("tcp", address) })
 }
 
-func patiently(l limits.Limits, listen func() (net.Listener, error)) (net.Listener, error) {
+// listenWithRetry retries for limits.Agree while the error may pass: a process that ended at once would be taken for one that cannot start.
+func listenWithRetry(l limits.Limits, listen func() (net.Listener, error)) (net.Listener, error) {
 	for end := time.Now().Add(l.Agree); ; time.Sleep(l.RetryLeast) {
 		ln, err := listen()
 		if err == nil || !sockerr.PassingListen(err) || time.Now().After(end) {
@@ -90,8 +90,8 @@
 // listener) that one may still have the address: it is taken as soon as it is free, and the clients don't wait for it.
 func (d *Daemon) serveOn(what string, listen func() (net.Listener, error), serve func(net.Listener) error) error {
 	ln, err := listen()
-	if errors.Is(err, syscall.EADDRINUSE) && inherited() {
-		d.log.Info("an address is taken: waiting for the process before to leave it", "for", what, "error", err)
+	if errors.Is(err, syscall.EADDRINUSE) && listenerInherited() {
+		d.log.Info("address in use; waiting for the replaced process to release it", "for", what, "error", err)
 		go d.serveLater(what, listen, serve)
 		return nil
 	}
@@ -124,7 +124,7 @@
 			return
 		}
 		if d.listeners.add(ln) {
-			d.log.Info("the address is free", "for", what, "address", ln.Addr().String())
+			d.log.Info("address released; listening", "for", what, "address", ln.Addr().String())
 			d.served(ln, serve)
 		}
 		return
--- a/internal/daemon/listeners_test.go
+++ b/internal/daemon/listeners_test.go
@@ -12,7 +12,7 @@
 func TestAnAddressThatIsNotFreeYet(t *testing.T) {
 	lim := limits.For(64, 256)
 	tries := 0
-	ln, err := patiently(lim, func() (net.Listener, error) {
+	ln, err := listenWithRetry(lim, func() (net.Listener, error) {
 		if tries++; tries < 4 {
 			errno := []syscall.Errno{syscall.EADDRINUSE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL}[tries]
 			return nil, &net.OpError{Op: "listen", Err: os.NewSyscallError("bind", errno)}
@@ -24,11 +24,11 @@
 	}
 	defer ln.Close()
 	tries = 0
-	if _, err := patiently(lim, func() (net.Listener, error) { tries++; return nil, syscall.EACCES }); err == nil || tries != 1 {
+	if _, err := listenWithRetry(lim, func() (net.Listener, error) { tries++; return nil, syscall.EACCES }); err == nil || tries != 1 {
 		t.Errorf("%v after %d tries, want an error at once", err, tries)
 	}
 	lim.Agree = 0
-	if _, err := patiently(lim, func() (net.Listener, error) { return nil, syscall.EADDRINUSE }); err == nil {
+	if _, err := listenWithRetry(lim, func() (net.Listener, error) { return nil, syscall.EADDRINUSE }); err == nil {
 		t.Error("waited for ever")
 	}
 }
--- /dev/null
+++ b/internal/daemon/metrics.go
@@ -0,0 +1,44 @@
+package daemon
+
+import (
+	"net"
+
+	"sloehitch/internal/frontend/uwsgi"
+	"sloehitch/internal/platform/metrics"
+)
+
+// startMetrics serves the metrics where the deployment file names an address for them.
+func (d *Daemon) startMetrics() error {
+	address := d.deploy.Load().Metrics.Listen
+	if address == "" {
+		return nil
+	}
+	m := metrics.New(d.metricSources())
+	d.metrics.Store(m)
+	return d.serveOn("metrics", func() (net.Listener, error) { return net.Listen("tcp", address) },
+		func(ln net.Listener) error { return m.Serve(ln, d.limits, d.log) })
+}
+
+// metricSources are the parts whose figures are read at each scrape.
+func (d *Daemon) metricSources() metrics.Sources {
+	from := metrics.Sources{Core: d.node.Totals, Resp: d.resp.Open, Classes: d.node.Classes,
+		Config: func() (int, int) { return int(d.counts.applied.Load()), int(d.counts.rejected.Load()) }}
+	if d.uwsgi != nil {
+		from.Uwsgi = func() (uwsgi.Counts, int) { return d.uwsgi.Totals(), d.uwsgi.Open() }
+		from.Servers = d.upstreams.pool.Servers
+	}
+	if d.deploy.Load().Ledger.Dir != "" {
+		from.Ledger = d.ledgerStats
+	}
+	if d.fleet != nil {
+		from.Fleet = d.fleet.Figures
+	}
+	return from
+}
+
+// observeRun hands a uwsgi run's times to the metrics, where they are on.
+func (d *Daemon) observeRun(r uwsgi.RunTimes) {
+	if m := d.metrics.Load(); m != nil {
+		m.Run(r)
+	}
+}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -9,12 +9,12 @@
 	"sloehitch/internal/operatorapi"
 )
 
-// startOps answers the operators' calls where the configuration names an address for them.
-func (d *Daemon) startOps() error {
+// startOperatorCalls answers the operators' calls where the configuration names an address for them.
+func (d *Daemon) startOperatorCalls() error {
 	if d.platform.Ops == "" {
 		return nil
 	}
-	server := operatorapi.New(operator{d}, d.limits, d.log)
+	server := operatorapi.New(operatorCalls{d}, d.limits, d.log)
 	listen := func() (net.Listener, error) { return net.Listen("tcp", d.platform.Ops) }
 	if err := d.serveOn("ops", listen, server.Serve); err != nil {
 		return fmt.Errorf("ops: %w", err)
@@ -22,17 +22,17 @@
 	return nil
 }
 
-// operator is what the operators' calls do to the daemon.
-type operator struct{ d *Daemon }
+// operatorCalls carries out the operators' calls.
+type operatorCalls struct{ d *Daemon }
 
-func (o operator) Ready() bool { return o.d.ready.Load() && !o.d.leaving.Load() }
+func (o operatorCalls) Ready() bool { return o.d.service.ready.Load() && !o.d.service.draining.Load() }
 
-func (o operator) Evacuate() { o.d.evacuated.Store(true) }
+func (o operatorCalls) Evacuate() { o.d.service.evacuated.Store(true) }
 
-func (o operator) Activate() { o.d.evacuated.Store(false) }
+func (o operatorCalls) Activate() { o.d.service.evacuated.Store(false) }
 
-func (o operator) Figures() operatorapi.Figures {
-	f := operatorapi.Figures{Active: o.d.node.Owed(), Applied: int(o.d.applied.Load()), Rejected: int(o.d.rejected.Load())}
+func (o operatorCalls) Figures() operatorapi.Figures {
+	f := operatorapi.Figures{Active: o.d.node.Owed(), Applied: int(o.d.counts.applied.Load()), Rejected: int(o.d.counts.rejected.Load())}
 	for name, c := range o.d.node.Classes() {
 		f.Classes = append(f.Classes, operatorapi.Class{Name: name, OK: c.Served, Shed: c.Refused, Errors: c.Failed, Tries: c.Ran})
 	}
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -201,7 +201,7 @@
 	if most := rt.Most(); most > 10 {
 		t.Errorf("%d runs at once on 2 cores that survive 10", most)
 	}
-	if got := s.front.Open(); got > conns {
+	if got := s.resp.Open(); got > conns {
 		t.Errorf("%d connections open", got)
 	}
 }
@@ -375,7 +375,7 @@
 		want string
 	}{
 		{"its server is taken off the list", func(s *served, hold chan struct{}) {
-			s.follow(store.UwsgiServers, "127.0.0.1:1") // as a reload does
+			s.applyStoredValue(store.UwsgiServers, "127.0.0.1:1") // as a reload does
 			close(hold)
 		}, "whole"},
 		{"SIGTERM", func(s *served, hold chan struct{}) {
@@ -568,7 +568,7 @@
 			t.Errorf("after the retuning: %q", got)
 		}
 	}
-	f := operator{s.Daemon}.Figures()
+	f := operatorCalls{s.Daemon}.Figures()
 	if f.Applied != 1 || f.Rejected != 3 {
 		t.Errorf("files taken %d, turned down %d; want 1 and 3", f.Applied, f.Rejected)
 	}
@@ -695,8 +695,8 @@
 			b.Read()
 			conns = append(conns, b)
 		}
-		if d.front.Open() != 3 {
-			t.Fatalf("the process holds %d connections, not its 3", d.front.Open())
+		if d.resp.Open() != 3 {
+			t.Fatalf("the process holds %d connections, not its 3", d.resp.Open())
 		}
 		d.listeners.close() // it takes no more: the next process does
 	}
@@ -724,7 +724,7 @@
 		t.Errorf("ran %d times, %d of %d tries served; want one run, heard by all", n, served, len(conns))
 	}
 	// The next process would take what this one has learned, and sees who holds what.
-	daemons[0].leaveLearned(false)
+	daemons[0].saveSnapshot(false)
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(standin.Config("127.0.0.1:1", runtimes[0].Address, "", ample)), 0o600); err != nil {
 		t.Fatal(err)
@@ -738,7 +738,7 @@
 			t.Errorf("handover show lacks %q:\n%s", want, &shown)
 		}
 	}
-	if l := daemons[1].learned(time.Now()); l == nil || l.Classes["book"].Run.N != 1 {
+	if l := daemons[1].loadSnapshot(time.Now()); l == nil || l.Classes["book"].Run.N != 1 {
 		t.Errorf("a process that starts now learns %+v", l)
 	}
 	// Told to leave while the other lives, it asks its callers to close at once, and is well to the last: the node goes on.
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -9,68 +9,82 @@
 	"sloehitch/internal/platform/clock"
 )
 
-// leave carries out the notice to leave that came at the given time, as handover.Depart says. Callers hear of it seconds later, so what comes within
-// the grace is still taken; then they are sent elsewhere, what is in hand goes on, and the end comes when nothing is
-// owed and the callers have closed, or just before the kill.
-func (d *Daemon) leave(notice time.Time) {
-	stop, sight := d.platform.Stop(), handover.Sight{Grace: time.Duration(d.platform.Logic.DrainGrace) * time.Microsecond, Spare: d.limits.GraceSpare}
-	if inherited() {
-		stop, sight.Inherited = d.platform.StopReplaced(), true // the platform holds the listener: a new process replaces this one
-	}
-	if d.claims != nil {
-		sight.Others = d.claims.Others(d.limits.Others)
-	}
-	sight.Stop = stop
-	plan := handover.Depart(sight)
-	d.leaveLearned(true)
-	d.log.Info("leaving", "stop", stop, "others", sight.Others, "quiet", plan.Quiet)
-	end := notice.Add(stop - d.limits.KillSpare/2)
-	kill := time.After(clock.System{}.Until(notice.Add(stop - d.limits.KillSpare*3/4))) // the core has answered all that is left by then
-	d.node.Leave(notice, stop, plan.Quiet)
-	d.quiet.Store(plan.Quiet)
-	d.leaving.Store(true)
-	d.pulse.Close(!plan.Quiet || d.away())
-	grace := time.After(clock.System{}.Until(notice.Add(plan.Shut)))
-	look := time.NewTicker(d.limits.RetryLeast)
-	defer look.Stop()
-	shut := false
+// shutDown carries out the graceful shutdown that was asked for at receivedAt, by the plan of package handover.
+//
+// Callers learn of it seconds later, so requests that arrive within the drain grace are still admitted. Then the listener closes, connections are asked to
+// close, and requests in flight go on. It returns once every request is answered and every connection closed, or just before the kill.
+func (d *Daemon) shutDown(receivedAt time.Time) {
+	conditions := d.shutdownConditions()
+	plan := handover.Depart(conditions)
+	d.saveSnapshot(true)
+	d.log.Info("shutting down", "stop", conditions.Stop, "other_processes", conditions.Others, "keep_advertised", plan.Quiet)
+	end := receivedAt.Add(conditions.Stop - d.limits.KillSpare/2)
+	// The core has answered every request by then.
+	kill := time.After(clock.System{}.Until(receivedAt.Add(conditions.Stop - d.limits.KillSpare*3/4)))
+	d.node.Leave(receivedAt, conditions.Stop, plan.Quiet)
+	d.service.keepAdvertised.Store(plan.Quiet)
+	d.service.draining.Store(true)
+	d.advertise()
+	graceOver := time.After(clock.System{}.Until(receivedAt.Add(plan.Shut)))
+	poll := time.NewTicker(d.limits.RetryLeast)
+	defer poll.Stop()
+	listenersClosed := false
 	for {
 		select {
 		case <-kill:
-			d.log.Info("leaving at the last moment", "open", d.open())
-			// Where the process stood still as its time came, what was just answered still has to be written.
-			d.front.Finish(max(clock.System{}.Until(end), d.limits.KillSpare/2))
+			d.log.Info("shutdown out of time; closing", "open", d.openConnections())
+			// Where the process was suspended until now, answers just given still have to be written.
+			d.resp.Finish(max(clock.System{}.Until(end), d.limits.KillSpare/2))
 			return
-		case <-d.hup: // what is still owed may need the new addresses
+		case <-d.reloads: // requests in flight may need the new addresses
 			d.reload()
-		case s := <-d.freed:
-			d.attach(s)
-		case <-grace:
-			shut = true
+		case s := <-d.journals.released:
+			d.attachLedger(s)
+		case <-graceOver:
+			listenersClosed = true
 			d.listeners.close() // a refused connection proves that nothing ran
-			d.front.Leave()
-		case <-look.C:
-			d.share()
-			if shut {
-				d.front.Ask() // connections taken just before the listener closed are asked to close too; none is cut
-			}
-			if shut && d.open() == 0 && d.node.Owed() == 0 {
-				d.log.Info("left")
+			d.resp.Leave()
+		case <-poll.C:
+			d.updateQuota()
+			if listenersClosed && d.drained() {
+				d.log.Info("shutdown complete")
 				return
 			}
 		}
 	}
 }
 
+// drained asks the connections that are still open to close, and reports whether none is left and every request is answered. It cuts none.
+func (d *Daemon) drained() bool {
+	d.resp.Ask()
+	return d.openConnections() == 0 && d.node.Owed() == 0
+}
+
+// shutdownConditions are what the plan of a shutdown goes by.
+func (d *Daemon) shutdownConditions() handover.Sight {
+	c := handover.Sight{
+		Grace: time.Duration(d.platform.Logic.DrainGrace) * time.Microsecond,
+		Spare: d.limits.GraceSpare,
+		Stop:  d.platform.Stop(),
+	}
+	if listenerInherited() { // the platform holds the listener: another process replaces this one
+		c.Stop, c.Inherited = d.platform.StopReplaced(), true
+	}
+	if d.journals.keys != nil {
+		c.Others = d.journals.keys.Others(d.limits.Others)
+	}
+	return c
+}
+
 // ReceivedAt sends the time at which the first of the signals came. The drain grace and the kill time count from there, also where the
 // process is still starting or reading a new configuration then; further signals change nothing.
 func ReceivedAt(signals <-chan os.Signal) <-chan time.Time {
-	notice := make(chan time.Time, 1)
+	first := make(chan time.Time, 1)
 	go func() {
 		<-signals
-		notice <- clock.System{}.Now()
+		first <- clock.System{}.Now()
 	}()
-	return notice
+	return first
 }
 
 // ExitCode is an error that only sets the exit code of the process.
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -7,7 +7,6 @@
 	"io/fs"
 	"os"
 	"path/filepath"
-	"runtime/debug"
 	"time"
 
 	"sloehitch/internal/handover"
@@ -19,24 +18,24 @@
 	"sloehitch/logic"
 )
 
-// inherited says whether the platform holds the clients' listener: then one process may replace another.
-func inherited() bool { return os.Getenv("GW_ACCEPT_FD") != "" }
+// listenerInherited reports whether the platform holds the clients' listener: then one process may replace another.
+func listenerInherited() bool { return os.Getenv("GW_ACCEPT_FD") != "" }
 
-// KeystoreDir is the folder of claims of a node in dir, which its processes share.
+// KeystoreDir is the folder in dir of the idempotency keys that the processes of a node share.
 func KeystoreDir(dir, name string) string { return filepath.Join(dir, "sloehitch-"+name+"-claims") }
 
-// clockFile is where the processes of a node agree on one steady time, which stamps in the claims and in what was learned go by.
+// clockFile is where the processes of a node agree on one steady clock, which the time stamps of shared keys and of snapshots go by.
 func clockFile(dir, name string) string { return filepath.Join(dir, "sloehitch-"+name+"-clock") }
 
-// wanted is what a process with this configuration can begin with.
-func wanted(p *config.Platform, lim limits.Limits, now time.Time) handover.Wanted {
+// snapshotRequirements are what a snapshot has to meet so that a process with this configuration can start from it.
+func snapshotRequirements(p *config.Platform, lim limits.Limits, now time.Time) handover.Wanted {
 	return handover.Wanted{Node: p.Name, Settings: p.Logic, Now: now, Oldest: lim.LearnedOldest, Ahead: lim.Ahead}
 }
 
-// learned is what an earlier process of this node left, or nil; one line of the log says why it was or wasn't taken.
-func (d *Daemon) learned(now time.Time) *logic.Learned {
-	if !inherited() {
-		return nil // no process replaces another here: what lies there is of another day
+// loadSnapshot is what an earlier process of this node learned, or nil; one log line says why it was or was not used.
+func (d *Daemon) loadSnapshot(now time.Time) *logic.Learned {
+	if !listenerInherited() {
+		return nil // no process replaces another here: a snapshot would be out of date
 	}
 	path := snapshotfile.Path(os.TempDir(), d.name)
 	s, err := snapshotfile.Read(path)
@@ -44,60 +43,34 @@
 		return nil
 	}
 	if err == nil {
-		err = handover.Judge(s, wanted(d.platform, d.limits, now))
+		err = handover.Judge(s, snapshotRequirements(d.platform, d.limits, now))
 	}
 	if err != nil {
-		d.log.Warn("what the process before has learned is left aside", "file", path, "reason", err)
+		d.log.Warn("snapshot of the earlier process not used", "file", path, "reason", err)
 		return nil
 	}
-	d.log.Info("begun with what the process before has learned", "process", s.Process, "age", now.Sub(s.Made).Round(time.Millisecond),
+	d.log.Info("started from the snapshot of the earlier process", "process", s.Process, "age", now.Sub(s.Made).Round(time.Millisecond),
 		"limit", s.Learned.Limit, "classes", len(s.Learned.Classes))
 	learned := handover.Temper(s.Learned, d.platform.Logic)
 	return &learned
 }
 
-// leaveLearned writes what this process has learned for the next one, where there may be one.
-func (d *Daemon) leaveLearned(leaving bool) {
-	if !inherited() {
+// saveSnapshot writes what this process has learned for the next one, where there may be one.
+func (d *Daemon) saveSnapshot(leaving bool) {
+	if !listenerInherited() {
 		return
 	}
-	l, ok := d.gate.Learned()
+	l, ok := d.admission.Learned()
 	if !ok || !handover.Worth(l) {
 		return
 	}
 	s := handover.Snapshot{Node: d.name, Process: os.Getpid(), Made: clock.System{}.Now(), Leaving: leaving,
 		Settings: handover.Settings(d.platform.Logic), Learned: l}
 	if err := snapshotfile.Write(snapshotfile.Path(os.TempDir(), d.name), s); err != nil {
-		d.log.Warn("what was learned is not left for the next process", "error", err)
+		d.log.Warn("snapshot for the next process not written", "error", err)
 	}
 }
 
-// share takes this process's part of the node's means while others of the node live, as handover.Share says.
-func (d *Daemon) share() {
-	if d.claims == nil {
-		return
-	}
-	var own handover.Load
-	own.Running, own.Held = d.node.Hand()
-	own.Connections = d.front.Open()
-	var others []handover.Load
-	for _, note := range d.claims.Exchange(own.Bytes()) {
-		load, _ := handover.ParseLoad(note) // one that has told nothing has nothing in hand
-		others = append(others, load)
-	}
-	is, was := handover.Share(own, others, d.limits.Connections), d.means
-	if is.Cores != was.Cores {
-		d.gate.Share(is.Cores)
-	}
-	if is.Memory != was.Memory {
-		debug.SetMemoryLimit(max(d.limits.MemoryLeast, int64(is.Memory*float64(d.limits.MemoryBytes))))
-	}
-	if is.Connections != was.Connections {
-		d.front.Resize(is.Connections)
-	}
-	d.means = is
-}
-
 // PrintHandover writes what the processes of a node left for the one that replaces them in dir, as platformFile names the node, and whether that
 // one would take it.
 func PrintHandover(w io.Writer, platformFile, dir string) error {
@@ -115,7 +88,7 @@
 		fmt.Fprintf(w, "%s: left aside: %v\n", path, err)
 	default:
 		verdict := "would be taken"
-		if err := handover.Judge(s, wanted(p, limits.For(p.Caps.MemoryMB, p.Caps.Sockets), now)); err != nil {
+		if err := handover.Judge(s, snapshotRequirements(p, limits.For(p.Caps.MemoryMB, p.Caps.Sockets), now)); err != nil {
 			verdict = "would be left aside: " + err.Error()
 		}
 		fmt.Fprintf(w, "%s: by process %d of %s, %v ago, %s\n%s", path, s.Process, s.Node, now.Sub(s.Made).Round(time.Millisecond), verdict, handover.Table(s))
--- /dev/null
+++ b/internal/daemon/start.go
@@ -0,0 +1,155 @@
+package daemon
+
+import (
+	"errors"
+	"hash/fnv"
+	"os"
+	"time"
+
+	"sloehitch/internal/admission"
+	"sloehitch/internal/backend/catalogue"
+	"sloehitch/internal/backend/directory"
+	"sloehitch/internal/backend/runtime"
+	"sloehitch/internal/frontend/resp"
+	"sloehitch/internal/handover"
+	"sloehitch/internal/ledger"
+	"sloehitch/internal/node"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/latency"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/faulthooks"
+	"sloehitch/logic"
+)
+
+// maxFailedParts is how many parts may report that they cannot go on without waiting for Run to hear of it.
+const maxFailedParts = 4
+
+// Start opens the parts that the configuration asks for and sets them going. What it returns serves already; Run has to be called on it.
+func Start(c *Config, o Options) (*Daemon, error) {
+	faultHooks, err := faulthooks.FromEnv()
+	if err != nil {
+		return nil, err
+	}
+	d := newDaemon(c, o, faultHooks)
+	if err := d.startCore(); err != nil {
+		return nil, err
+	}
+	if err := d.startResp(); err != nil {
+		return nil, err
+	}
+	if err := d.startUwsgi(c); err != nil {
+		return nil, err
+	}
+	if err := errors.Join(d.startStore(c), d.startFleet(c)); err != nil {
+		return nil, err
+	}
+	if err := d.startMetrics(); err != nil {
+		return nil, err
+	}
+	if err := d.startOperatorCalls(); err != nil {
+		return nil, err
+	}
+	go d.node.Serve()
+	go d.directory.Serve(nil)
+	d.service.ready.Store(true)
+	d.log.Info("serving", "listen", c.Platform.Listen, "uwsgi", c.Deploy.Uwsgi.Listen, "runtime", c.Platform.Runtime,
+		"catalogue", c.Platform.Catalog, "version", d.version)
+	return d, nil
+}
+
+func newDaemon(c *Config, o Options, faultHooks *faulthooks.Trial) *Daemon {
+	d := &Daemon{
+		name:       c.Platform.Name,
+		version:    o.Version,
+		limits:     o.Limits,
+		log:        o.Log,
+		faultHooks: faultHooks,
+		platform:   c.Platform,
+		reloads:    o.Reload,
+		load:       o.Load,
+		directory:  directory.New(c.Platform.Name, c.Platform.Lookup, o.Limits, o.Log),
+		quota:      handover.Share(handover.Load{}, nil, o.Limits.Connections),
+		failed:     make(chan error, maxFailedParts),
+		replaced:   make(chan int, 1),
+	}
+	d.journals.released = make(chan *ledger.Store, 1)
+	d.deploy.Store(c.Deploy)
+	return d
+}
+
+// startCore opens the decisions, the links that they need, the journals and the core, and tells the core what ran before a restart.
+func (d *Daemon) startCore() error {
+	if listenerInherited() {
+		if err := clock.Share(clockFile(os.TempDir(), d.name)); err != nil {
+			d.log.Warn("no clock shared between processes; key windows count by this process's own clock", "error", err)
+		}
+	}
+	system := clock.System{}
+	if err := d.openAdmission(system); err != nil {
+		return err
+	}
+	options := node.Options{Settings: d.platform.Logic, Gate: d.admission, Clock: system, Limits: d.limits, Log: d.log}
+	if d.platform.Catalog != "" {
+		d.catalogue = catalogue.New(d.platform.Catalog, d.limits, d.log)
+		options.Caller = d.catalogue
+	}
+	var err error
+	if options.Journal, err = d.openJournals(system); err != nil {
+		return err
+	}
+	if len(d.deploy.Load().Fleet.Members) > 0 {
+		d.latency = latency.New(system.Now())
+		options.Took = d.latency.Add
+	}
+	d.node = node.New(options)
+	return d.restoreRuns() // before the first request is taken
+}
+
+// openAdmission opens the decisions, with what an earlier process learned and the link to the runtime as their source of gauges.
+func (d *Daemon) openAdmission(system clock.System) error {
+	options := admission.Options{Seed: seedNumber(d.platform.Seed), Clock: system, Patience: d.limits.Gauges, Learned: d.loadSnapshot(system.Now())}
+	if d.platform.Runtime != "" {
+		d.runtime = runtime.New(runtime.Options{Address: d.platform.Runtime, Meters: d.platform.Names.Meters, Limits: d.limits, Log: d.log,
+			Gauges: func(g admission.Gauges) { d.admission.Tick(g) }})
+		options.Ask = d.runtime.Ask
+	}
+	var err error
+	d.admission, err = admission.New(d.platform.Logic, options)
+	return err
+}
+
+// startResp starts the platform's front. Without a runtime nothing could run what balancers send, so it takes no clients then.
+func (d *Daemon) startResp() error {
+	d.resp = resp.New(resp.Options{Core: d.node, Standing: nodeStatus{d.admission, &d.service}, Runner: d.runtime, Classes: d.platform.Names.Classes,
+		Tenants: d.platform.Names.Tenants, Unknown: d.node.Unknown, Limits: d.limits, Log: d.log,
+		Stamps: clock.NewStamps(d.limits.Ahead, maxStampAge(d.platform.Logic, d.limits), d.faultHooks.Offset)})
+	if d.runtime == nil {
+		return nil
+	}
+	ln, err := d.clientListener(d.platform.Listen)
+	if err != nil {
+		return err
+	}
+	go d.runtime.Serve(d.node)
+	clients := d.resp.Listen(ln, listenerInherited())
+	d.listeners.add(clients)
+	go func() { d.failed <- d.resp.Serve(clients) }()
+	return nil
+}
+
+// maxStampAge is how far in the past a request's time stamp may lie. A request older than its deadline has been given up by its caller, so an older stamp
+// comes from a clock that is wrong.
+func maxStampAge(s logic.Settings, l limits.Limits) time.Duration {
+	longest := time.Duration(0)
+	for _, c := range s.Classes {
+		longest = max(longest, time.Duration(c.Deadline)*time.Microsecond)
+	}
+	return min(l.Behind, longest+l.Ahead)
+}
+
+// seedNumber turns the platform's seed, a text, into a number.
+func seedNumber(text string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(text)) // a hash never errs
+	return h.Sum64()
+}
--- /dev/null
+++ b/internal/daemon/store.go
@@ -0,0 +1,48 @@
+package daemon
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"slices"
+
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/store"
+)
+
+// startStore opens this node's copy of the replicated store, follows it and serves operators on their address.
+func (d *Daemon) startStore(c *Config) error {
+	settings := c.Deploy.Store
+	duration, err := settings.Lease()
+	if err != nil {
+		return err
+	}
+	d.store, err = store.Open(store.Options{Name: d.platform.Name, Members: settings.Members, Dir: settings.Dir, Timeout: d.limits.Agree,
+		Beat: d.limits.Beat, Log: d.log, Terms: store.Terms.Of(duration), Join: settings.Join,
+		Clock: d.faultHooks.Clock(lease.Now), Disk: d.faultHooks.Disk, Tell: d.faultHooks.Tell})
+	if err != nil {
+		return err
+	}
+	d.store.Watch(d.applyStoredValue)
+	if settings.Admin == "" {
+		return nil
+	}
+	server := &http.Server{Handler: d.store.Handler(), ReadTimeout: d.limits.Agree, WriteTimeout: 2 * d.limits.Agree}
+	return d.serveOn("admin", func() (net.Listener, error) { return net.Listen("tcp", settings.Admin) }, func(ln net.Listener) error {
+		if err := server.Serve(ln); !errors.Is(err, net.ErrClosed) {
+			return err
+		}
+		return nil
+	})
+}
+
+// applyStoredValue applies a change of the operators' state to this node.
+func (d *Daemon) applyStoredValue(key, value string) {
+	switch key {
+	case store.Closed:
+		d.service.closed.Store(slices.Contains(store.Items(value), d.name))
+		d.advertise()
+	case store.UwsgiServers:
+		d.setUpstreams(value)
+	}
+}
--- /dev/null
+++ b/internal/daemon/upstreams.go
@@ -0,0 +1,157 @@
+package daemon
+
+import (
+	"cmp"
+	"net"
+	"slices"
+	"sync"
+
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/frontend/uwsgi"
+	"sloehitch/internal/frontend/uwsgi/balancer"
+	"sloehitch/internal/platform/config"
+	"sloehitch/internal/platform/endpoint"
+	"sloehitch/internal/platform/tlskeys"
+	"sloehitch/internal/platform/traces"
+	"sloehitch/internal/store"
+	"sloehitch/logic"
+)
+
+// upstreams are the uwsgi servers that this node sends requests to.
+type upstreams struct {
+	pool *uwsgi.Pool // nil where uwsgi is off
+
+	mu       sync.Mutex
+	listed   []string // addresses by the configuration or the operators' state
+	excluded []string // of them those that hold a drain permit
+}
+
+// startUwsgi starts the uwsgi front and its pool where the deployment file says so.
+func (d *Daemon) startUwsgi(c *Config) error {
+	u := c.Deploy.Uwsgi
+	if u.Listen == "" {
+		return nil
+	}
+	mode, err := u.FileMode()
+	if err != nil {
+		return err
+	}
+	address, err := endpoint.Parse(u.Listen)
+	if err != nil {
+		return err
+	}
+	frontKeys, err := d.loadKeys(u.TLS)
+	if err != nil {
+		return err
+	}
+	if err := d.startPool(c); err != nil {
+		return err
+	}
+	observe, err := d.openTraces()
+	if err != nil {
+		return err
+	}
+	classes := c.Platform.Logic.Classes
+	d.uwsgi = uwsgi.New(uwsgi.Options{Over: observe, Core: d.node, Mapper: c.Operations, Pool: d.upstreams.pool, Limits: d.limits, Log: d.log,
+		Safe: func(class int) bool { return classes[class].Effect == logic.Safe }, Well: func() bool { return !d.service.outOfService() },
+		Modifiers: u.ModifierBytes(), Deadline: u.Deadline, HalfClose: u.HalfClose == "leaves", PerSource: u.PerSource, BodyMost: u.BodyMost()})
+	return d.serveOn("uwsgi", func() (net.Listener, error) { return address.Listen(mode, frontKeys) }, d.uwsgi.Serve)
+}
+
+// startPool opens the pool of uwsgi servers.
+func (d *Daemon) startPool(c *Config) error {
+	u := c.Deploy.Uwsgi
+	keys, err := d.loadKeys(u.ServersTLS)
+	if err != nil {
+		return err
+	}
+	rules := balancer.Default()
+	rules.Most = u.ServerMost
+	d.upstreams.pool = uwsgi.NewPool(uwsgi.PoolOptions{Rules: rules, Seed: seedNumber(c.Platform.Seed), Keys: keys, Name: u.ServersTLS.Name,
+		Over: d.observeRun, Limits: d.limits, Log: d.log})
+	d.upstreams.listed = slices.Clone(u.Servers)
+	if err := d.upstreams.pool.Use(u.Servers); err != nil {
+		return err
+	}
+	d.upstreams.pool.Serve(d.node)
+	return nil
+}
+
+// loadKeys reads one end's TLS keys; nil where none are named.
+func (d *Daemon) loadKeys(t config.TLS) (*tlskeys.Keys, error) {
+	if t.Files() == (tlskeys.Files{}) {
+		return nil, nil
+	}
+	k, err := tlskeys.Load(t.Files(), d.log)
+	if err == nil {
+		d.tlsKeys = append(d.tlsKeys, k)
+	}
+	return k, err
+}
+
+// openTraces opens the file for spans where the deployment file names one, and returns what takes the times of requests that are over.
+func (d *Daemon) openTraces() (func(uwsgi.RequestTimes), error) {
+	c := d.deploy.Load().Traces
+	if c.File == "" {
+		return nil, nil
+	}
+	t, err := traces.Open(c.File, d.name, c.Part(), d.limits, d.log)
+	if err != nil {
+		return nil, err
+	}
+	d.traces = t
+	return t.Request, nil
+}
+
+// setUpstreams has the pool send to the servers that the operators' state names, else to those of the configuration, but for those that hold a drain
+// permit.
+func (d *Daemon) setUpstreams(named string) {
+	u := &d.upstreams
+	if u.pool == nil {
+		return
+	}
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	addresses := store.Items(named)
+	if len(addresses) == 0 {
+		addresses = d.deploy.Load().Uwsgi.Servers
+	}
+	u.listed = slices.Clone(addresses)
+	addresses = slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(u.excluded, a) })
+	if err := u.pool.Use(addresses); err != nil {
+		d.log.Error("uwsgi servers unchanged: the new list is not valid", "error", err)
+	}
+}
+
+// excludeUpstreams has this node send no more to servers that hold a drain permit. Those that no longer do begin in slow start.
+func (d *Daemon) excludeUpstreams(addresses []string) {
+	u := &d.upstreams
+	u.mu.Lock()
+	unchanged := slices.Equal(u.excluded, addresses)
+	u.excluded = addresses
+	u.mu.Unlock()
+	if unchanged {
+		return
+	}
+	d.log.Info("uwsgi servers excluded while they hold drain permits", "servers", addresses)
+	d.setUpstreams(d.store.Get(store.UwsgiServers))
+}
+
+// upstreamStatus is the state of each listed server as this node sees it, by address.
+func (d *Daemon) upstreamStatus() map[string]drainpermit.Below {
+	status := map[string]drainpermit.Below{}
+	listed := map[string]string{} // by the form in which the pool has the address
+	d.upstreams.mu.Lock()
+	for _, address := range d.upstreams.listed {
+		status[address] = drainpermit.Below{}
+		if e, err := endpoint.Parse(address); err == nil {
+			listed[e.String()] = address
+		}
+	}
+	d.upstreams.mu.Unlock()
+	for _, s := range d.upstreams.pool.Servers() {
+		status[cmp.Or(listed[s.Name], s.Name)] = drainpermit.Below{Uses: s.State != balancer.Draining, Open: s.Open,
+			Well: s.State == balancer.In || s.State == balancer.Warming}
+	}
+	return status
+}
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -117,111 +117,146 @@
 	reloads    = desc("config_reloads_total", "Configuration files at SIGHUP, taken (applied) or turned down (rejected).", "result")
 )
 
-// Describe names nothing: the servers come and go.
+// Describe sends no descriptions: servers come and go, so the set of metrics is not fixed.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads all figures.
+// Collect reads all sources and sends their metrics.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
-	send := func(d *prometheus.Desc, kind prometheus.ValueType, v float64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, kind, v, labels...)
-	}
-	const total, now = prometheus.CounterValue, prometheus.GaugeValue
+	s := sender(ch)
 	if c.from.Core != nil {
-		n, hand, known := c.from.Core()
-		for what, v := range map[string]int{"read": n.Read, "served": n.Served, "refused": n.Refused, "failed": n.Failed, "gone": n.Gone, "late": n.Late, "joined": n.Joined} {
-			send(requests, total, float64(v), what)
-		}
-		send(started, total, float64(n.Ran))
-		send(unrecorded, total, float64(n.Unrecorded))
-		send(abroad, total, float64(n.Abroad), "waited")
-		send(abroad, total, float64(n.Shared), "heard")
-		send(restored, now, float64(n.Restored))
-		send(handled, now, float64(hand))
-		send(keys, now, float64(known))
+		c.core(s)
 	}
 	if c.from.Classes != nil {
-		for name, n := range c.from.Classes() {
-			send(byClass, total, float64(n.Served), name, "ok")
-			send(byClass, total, float64(n.Refused), name, "shed")
-			send(byClass, total, float64(n.Failed), name, "errors")
-			send(classRuns, total, float64(n.Ran), name)
-		}
+		c.classes(s)
 	}
 	if c.from.Config != nil {
 		applied, rejected := c.from.Config()
-		send(reloads, total, float64(applied), "applied")
-		send(reloads, total, float64(rejected), "rejected")
+		s.counter(reloads, applied, "applied")
+		s.counter(reloads, rejected, "rejected")
 	}
 	if c.from.Fleet != nil {
-		c.fleet(send)
+		c.fleet(s)
 	}
 	if c.from.Resp != nil {
-		send(conns, now, float64(c.from.Resp()), "resp")
+		s.gauge(conns, c.from.Resp(), "resp")
 	}
 	if c.from.Uwsgi != nil {
-		n, open := c.from.Uwsgi()
-		send(conns, now, float64(open), "uwsgi")
-		for what, v := range map[string]int{"read": n.Read, "malformed": n.Malformed, "oversize": n.Oversize, "slow": n.Slow, "left": n.Left, "crowded": n.Crowded,
-			"pings": n.Pings, "streamed": n.Streamed, "broken": n.Broken} {
-			send(clients, total, float64(v), what)
-		}
+		c.uwsgi(s)
 	}
 	if c.from.Servers != nil {
-		for _, s := range c.from.Servers() {
-			send(serverOpen, now, float64(s.Open), s.Name)
-			send(serverRoom, now, float64(s.Room), s.Name)
-			send(serverIs, now, 1, s.Name, s.State.String())
-		}
+		c.servers(s)
 	}
 	if c.from.Ledger != nil {
-		t := c.from.Ledger()
-		broken := 0.0
-		if t.Broken != "" {
-			broken = 1
-		}
-		send(ledgerKeys, now, float64(t.Keys))
-		send(ledgerMem, now, float64(t.Index))
-		send(ledgerMost, now, float64(t.IndexLimit))
-		send(ledgerDisk, now, float64(t.Disk))
-		send(ledgerDead, now, float64(t.Garbage))
-		send(ledgerOut, total, float64(t.Written), "writers")
-		send(ledgerOut, total, float64(t.Packed), "compactions")
-		send(ledgerSync, total, float64(t.Flushes))
-		send(ledgerSick, now, broken)
+		c.ledger(s)
+	}
+}
+
+// sender sends metrics to the channel of one scrape.
+type sender chan<- prometheus.Metric
+
+func (s sender) counter(d *prometheus.Desc, value int, labels ...string) {
+	s <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(value), labels...)
+}
+
+func (s sender) gauge(d *prometheus.Desc, value int, labels ...string) {
+	s <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(value), labels...)
+}
+
+// flag sends 1 for true and 0 for false.
+func (s sender) flag(d *prometheus.Desc, is bool, labels ...string) {
+	value := 0
+	if is {
+		value = 1
 	}
+	s.gauge(d, value, labels...)
+}
+
+func (c *collector) core(s sender) {
+	n, hand, known := c.from.Core()
+	s.counter(requests, n.Read, "read")
+	s.counter(requests, n.Served, "served")
+	s.counter(requests, n.Refused, "refused")
+	s.counter(requests, n.Failed, "failed")
+	s.counter(requests, n.Gone, "gone")
+	s.counter(requests, n.Late, "late")
+	s.counter(requests, n.Joined, "joined")
+	s.counter(started, n.Ran)
+	s.counter(unrecorded, n.Unrecorded)
+	s.counter(abroad, n.Abroad, "waited")
+	s.counter(abroad, n.Shared, "heard")
+	s.gauge(restored, n.Restored)
+	s.gauge(handled, hand)
+	s.gauge(keys, known)
+}
+
+func (c *collector) classes(s sender) {
+	for name, n := range c.from.Classes() {
+		s.counter(byClass, n.Served, name, "ok")
+		s.counter(byClass, n.Refused, name, "shed")
+		s.counter(byClass, n.Failed, name, "errors")
+		s.counter(classRuns, n.Ran, name)
+	}
+}
+
+func (c *collector) uwsgi(s sender) {
+	n, open := c.from.Uwsgi()
+	s.gauge(conns, open, "uwsgi")
+	s.counter(clients, n.Read, "read")
+	s.counter(clients, n.Malformed, "malformed")
+	s.counter(clients, n.Oversize, "oversize")
+	s.counter(clients, n.Slow, "slow")
+	s.counter(clients, n.Left, "left")
+	s.counter(clients, n.Crowded, "crowded")
+	s.counter(clients, n.Pings, "pings")
+	s.counter(clients, n.Streamed, "streamed")
+	s.counter(clients, n.Broken, "broken")
+}
+
+func (c *collector) servers(s sender) {
+	for _, server := range c.from.Servers() {
+		s.gauge(serverOpen, server.Open, server.Name)
+		s.gauge(serverRoom, server.Room, server.Name)
+		s.gauge(serverIs, 1, server.Name, server.State.String())
+	}
+}
+
+func (c *collector) ledger(s sender) {
+	t := c.from.Ledger()
+	s.gauge(ledgerKeys, t.Keys)
+	s.gauge(ledgerMem, int(t.Index))
+	s.gauge(ledgerMost, int(t.IndexLimit))
+	s.gauge(ledgerDisk, int(t.Disk))
+	s.gauge(ledgerDead, int(t.Garbage))
+	s.counter(ledgerOut, int(t.Written), "writers")
+	s.counter(ledgerOut, int(t.Packed), "compactions")
+	s.counter(ledgerSync, int(t.Flushes))
+	s.flag(ledgerSick, t.Broken != "")
 }
 
 // fleet sends the figures of this node's part in the fleet.
-func (c *collector) fleet(send func(d *prometheus.Desc, kind prometheus.ValueType, v float64, labels ...string)) {
-	const total, now = prometheus.CounterValue, prometheus.GaugeValue
+func (c *collector) fleet(s sender) {
 	x := c.from.Fleet()
-	flag := func(is bool) float64 {
-		if is {
-			return 1
-		}
-		return 0
-	}
-	send(fleetOut, now, flag(x.Out), "by permit")
-	send(fleetOut, now, flag(x.Overdue), "overdue")
+	s.flag(fleetOut, x.Out, "by permit")
+	s.flag(fleetOut, x.Overdue, "overdue")
 	for _, result := range []string{"made", "failed"} {
-		send(fleetTold, total, float64(x.Reports[result]), result)
+		s.counter(fleetTold, int(x.Reports[result]), result)
 	}
 	for _, what := range []string{"begun", "late", "replaced", "granted", "freed"} {
-		send(permitted, total, float64(x.Permits[what]), what)
+		s.counter(permitted, int(x.Permits[what]), what)
 	}
 	if x.Kept != nil {
-		send(keptAsks, now, float64(x.Kept.Waiting))
+		s.gauge(keptAsks, x.Kept.Waiting)
 		for state, n := range x.Kept.Permits {
-			send(keptState, now, float64(n), string(state))
+			s.gauge(keptState, n, string(state))
 		}
 		for why, n := range x.Kept.Out {
-			send(keptOut, now, float64(n), string(why))
+			s.gauge(keptOut, n, string(why))
 		}
 	}
 	for _, r := range x.Releases {
-		send(rollNodes, now, float64(r.Nodes), r.Name, "all")
-		send(rollNodes, now, float64(r.Changed), r.Name, "changed")
-		send(rollWave, now, float64(r.Wave), r.Name, string(r.State))
-		send(rollHalted, now, flag(r.Halted), r.Name)
+		s.gauge(rollNodes, r.Nodes, r.Name, "all")
+		s.gauge(rollNodes, r.Changed, r.Name, "changed")
+		s.gauge(rollWave, r.Wave, r.Name, string(r.State))
+		s.flag(rollHalted, r.Halted, r.Name)
 	}
 }
