--- a/cmd/sloehitch-lab/fleetload.go
+++ b/cmd/sloehitch-lab/fleetload.go
@@ -75,17 +75,17 @@
 	var members []store.Member
 	var admins []string
 	for i := range c.Members {
-		members = append(members, store.Member{Name: fmt.Sprint("m", i), Raft: addresses[2*i], Admin: addresses[2*i+1]})
+		members = append(members, store.Member{Name: fmt.Sprint("m", i), RaftAddress: addresses[2*i], AdminAddress: addresses[2*i+1]})
 		admins = append(admins, addresses[2*i+1])
 	}
 	var stores []*store.Store
 	for _, m := range members {
-		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), Timeout: 5 * time.Second, Beat: time.Second, Log: quiet})
+		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), CommitTimeout: 5 * time.Second, ElectionTimeout: time.Second, Logger: quiet})
 		if err != nil {
 			return err
 		}
 		defer s.Close()
-		ln, err := net.Listen("tcp", m.Admin)
+		ln, err := net.Listen("tcp", m.AdminAddress)
 		if err != nil {
 			return err
 		}
@@ -106,8 +106,8 @@
 	counting := false
 	var wg sync.WaitGroup
 	for i := range c.Nodes {
-		f, err := fleet.New(fleet.Options{Name: fmt.Sprint("n", i), Members: admins, Every: c.Every, Silent: 5 * c.Every, Timeout: 2500 * time.Millisecond, Pause: time.Second, Terms: store.Terms, Log: quiet,
-			Reported: func(took time.Duration, err error) {
+		f, err := fleet.New(fleet.Options{Name: fmt.Sprint("n", i), StoreMembers: admins, ReportInterval: c.Every, SilentAfter: 5 * c.Every, RequestTimeout: 2500 * time.Millisecond, RetryDelay: time.Second, LeaseTerms: store.DefaultLeaseTerms, Log: quiet,
+			OnReport: func(took time.Duration, err error) {
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
--- a/cmd/sloehitch-lab/walk.go
+++ b/cmd/sloehitch-lab/walk.go
@@ -26,26 +26,26 @@
 }
 
 func (c *walkCmd) Run() error {
-	mutants, play := duties.Mutants, func(seed uint64) string { return duties.Play(seed, c.Mutant) }
+	mutants, play := duties.Mutants, func(seed uint64) string { return duties.Run(seed, c.Mutant) }
 	switch c.What {
 	case "members":
 		mutants, play = members.Mutants, func(seed uint64) string {
-			wrong, _ := members.Play(seed, c.Mutant)
+			wrong, _ := members.Run(seed, c.Mutant)
 			return wrong
 		}
 	case "permits":
 		mutants, play = permits.Mutants, func(seed uint64) string {
-			wrong, _ := permits.PlayOf(c.Nodes, seed, c.Mutant)
+			wrong, _ := permits.RunFleet(c.Nodes, seed, c.Mutant)
 			return wrong
 		}
 	case "releases":
 		mutants, play = permits.ReleaseMutants, func(seed uint64) string {
-			wrong, _ := permits.Releases(seed, c.Mutant)
+			wrong, _ := permits.RunRelease(seed, c.Mutant)
 			return wrong
 		}
 	case "leases":
-		terms := lease.Terms{Length: 10 * time.Second, Drift: 0.05}
-		mutants, play = leases.Mutants, func(seed uint64) string { return leases.Play(seed, terms, c.Drift, c.Mutant) }
+		terms := lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.05}
+		mutants, play = leases.Mutants, func(seed uint64) string { return leases.Run(seed, terms, c.Drift, c.Mutant) }
 	}
 	if c.Mutant != "" && !slices.Contains(mutants, c.Mutant) {
 		return fmt.Errorf("--mutant %q: one of %q is wanted", c.Mutant, mutants)
--- a/cmd/sloehitch/drain.go
+++ b/cmd/sloehitch/drain.go
@@ -26,7 +26,7 @@
 type outView struct {
 	drainpermit.View
 	at   drainpermit.Versions
-	seen store.Seen
+	seen store.ReadStatus
 }
 
 // look reads it, confirmed by a majority.
@@ -37,7 +37,7 @@
 	}
 	v.seen = seen
 	var wrong error
-	v.View, v.at, wrong = drainpermit.ViewOf(docs, drainpermit.Plain, time.Now().UnixMilli())
+	v.View, v.at, wrong = drainpermit.DecodeView(docs, drainpermit.DefaultDecoder, time.Now().UnixMilli())
 	silent := map[string]bool{}
 	for _, d := range docs {
 		if name, marked := strings.CutPrefix(d.Key, "silent/"); marked {
@@ -49,15 +49,15 @@
 		if !is {
 			continue
 		}
-		s := drainpermit.Seen{Name: name}
-		s.Bad = json.Unmarshal([]byte(d.Value), &s.Report) != nil
-		s.Since = s.Report.Since
+		s := drainpermit.ObservedMember{Name: name}
+		s.Unreadable = json.Unmarshal([]byte(d.Value), &s.Report) != nil
+		s.SinceMS = s.Report.ProcessStartMS
 		if silent[name] {
-			s.Quiet = disruption.Silent
+			s.Liveness = disruption.Silent
 		}
 		v.Members = append(v.Members, s)
 	}
-	v.View = v.WithServers(fleet.Service)
+	v.View = v.WithUpstreams(fleet.UpstreamService)
 	return v, wrong
 }
 
@@ -75,13 +75,13 @@
 	}
 	if c.File == "" {
 		fmt.Println(since(v.seen))
-		for _, r := range v.Rules {
-			fmt.Println(drainpermit.Text(r))
+		for _, r := range v.Budgets {
+			fmt.Println(drainpermit.Encode(r))
 		}
-		if len(v.Rules) == 0 {
+		if len(v.Budgets) == 0 {
 			fmt.Println("no budget is set: nothing may go out by choice")
 		}
-		room := disruption.Room(v.Rules, v.Counted(0))
+		room := disruption.Headroom(v.Budgets, v.BudgetMembers(0))
 		for _, group := range slices.Sorted(maps.Keys(room)) {
 			fmt.Printf("%s: %d more may go out now\n", group, room[group])
 		}
@@ -98,21 +98,21 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	r, err := setIf(ask, reason{c.By, c.Why}, drainpermit.Rules, v.at[drainpermit.Rules], drainpermit.Text(rules))
+	r, err := setIf(ask, reason{c.By, c.Why}, drainpermit.BudgetsKey, v.at[drainpermit.BudgetsKey], drainpermit.Encode(rules))
 	if err != nil {
 		return err
 	}
 	fmt.Printf("revision %d: %d budgets\n", r.Revision, len(rules))
-	for _, o := range disruption.Over(rules, v.Counted(0)) {
-		fmt.Printf("of %s %d may be out and %d are: nothing of it begins until it fits\n", o.Group, o.Most, len(o.Out))
+	for _, o := range disruption.Exceeded(rules, v.BudgetMembers(0)) {
+		fmt.Printf("of %s %d may be out and %d are: nothing of it begins until it fits\n", o.Group, o.MaxUnavailable, len(o.Unavailable))
 	}
 	return nil
 }
 
 // parseBudgets reads a file of budgets.
-func parseBudgets(text []byte) (disruption.Rules, error) {
+func parseBudgets(text []byte) (disruption.Budgets, error) {
 	var file struct {
-		Budget disruption.Rules `toml:"budget"`
+		Budget disruption.Budgets `toml:"budget"`
 	}
 	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(&file); err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 	if len(file.Budget) == 0 {
 		return nil, errors.New("it has no budget; write such as [[budget]] group = \"zone\" most_out = 1")
 	}
-	return file.Budget, file.Budget.Check()
+	return file.Budget, file.Budget.Validate()
 }
 
 type fleetDrainCmd struct {
@@ -136,7 +136,7 @@
 	for _, w := range words {
 		zone, all := strings.CutPrefix(w, "zone=")
 		if address, server := strings.CutPrefix(w, "server="); server {
-			w = drainpermit.ServerName(address)
+			w = drainpermit.UpstreamName(address)
 		}
 		found := false
 		for _, m := range v.Members {
@@ -164,18 +164,18 @@
 	if err != nil {
 		return err
 	}
-	a := drainpermit.Ask{By: c.By, Why: c.Why, At: v.Now, Urgent: c.Urgent, Within: c.Within.Milliseconds()}
+	a := drainpermit.Request{RequestedBy: c.By, Reason: c.Why, RequestedAtMS: v.NowMS, Urgent: c.Urgent, DrainTimeoutMS: c.Within.Milliseconds()}
 	if c.Until > 0 {
-		a.Until = v.Now + c.Until.Milliseconds()
+		a.ExpiresAtMS = v.NowMS + c.Until.Milliseconds()
 	}
 	for _, node := range nodes {
-		if was, asked := v.Asks[node]; asked && was.Failed == "" {
-			fmt.Printf("%s: asked for already, by %s: %s\n", node, was.By, was.Why)
+		if was, asked := v.Requests[node]; asked && was.FailureReason == "" {
+			fmt.Printf("%s: asked for already, by %s: %s\n", node, was.RequestedBy, was.Reason)
 			continue
 		}
 		a.ID = rand.Text()
-		key := drainpermit.AskKey(node)
-		if _, err := setIf(ask, c.reason, key, v.at[key], drainpermit.Text(a)); err != nil {
+		key := drainpermit.RequestKey(node)
+		if _, err := setIf(ask, c.reason, key, v.at[key], drainpermit.Encode(a)); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
 		fmt.Printf("%s: asked for; \"fleet outs\" says when it is out, and what it waits for\n", node)
@@ -199,8 +199,8 @@
 		return err
 	}
 	for _, node := range nodes {
-		key := drainpermit.AskKey(node)
-		if _, asked := v.Asks[node]; !asked {
+		key := drainpermit.RequestKey(node)
+		if _, asked := v.Requests[node]; !asked {
 			fmt.Printf("%s: nobody asked for it\n", node)
 			continue
 		}
@@ -219,7 +219,7 @@
 
 // Run halts, and returns once nothing can begin any more, however late a process wakes up.
 func (c *fleetHaltCmd) Run(_ *slog.Logger) error {
-	return halt(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.All), c.reason)
+	return halt(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.reason)
 }
 
 func halt(ask store.Client, what string, r reason) error {
@@ -240,11 +240,11 @@
 }
 
 func (c *fleetResumeCmd) Run(_ *slog.Logger) error {
-	return resume(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.All), c.reason)
+	return resume(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.reason)
 }
 
 func resume(ask store.Client, what string, r reason) error {
-	was, _, err := ask.Document(drainpermit.Halts+what, false)
+	was, _, err := ask.Document(drainpermit.HaltKeyPrefix+what, false)
 	if err != nil {
 		return err
 	}
@@ -273,24 +273,24 @@
 	for _, what := range slices.Sorted(maps.Keys(v.Halted)) {
 		fmt.Printf("HALTED: %s\n", what)
 	}
-	refused := map[string]disruption.Refusal{}
-	step := (&drainpermit.Keeper{Terms: store.Terms}).Decide(v.View, 0)
-	for _, r := range step.Refused {
-		refused[r.Ask.Member] = r
+	refused := map[string]disruption.Rejection{}
+	step := (&drainpermit.Controller{Terms: store.DefaultLeaseTerms}).Decide(v.View, 0)
+	for _, r := range step.Rejected {
+		refused[r.Request.Member] = r
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tZONE\tCOUNTS AS\tPERMIT\tHELD\tASKED BY\tWHY\tWAITS FOR")
-	for _, m := range v.Counted(0) {
-		a, asked := v.Asks[m.Name]
+	for _, m := range v.BudgetMembers(0) {
+		a, asked := v.Requests[m.Name]
 		p, permitted := v.Permits[m.Name]
-		if m.Out == disruption.In && !asked {
+		if m.Availability == disruption.Available && !asked {
 			continue
 		}
 		held, waits := "", ""
-		if i := slices.IndexFunc(v.Members, func(s drainpermit.Seen) bool { return s.Name == m.Name }); i >= 0 && permitted {
+		if i := slices.IndexFunc(v.Members, func(s drainpermit.ObservedMember) bool { return s.Name == m.Name }); i >= 0 && permitted {
 			r := v.Members[i].Report
-			held = fmt.Sprint(r.Running + r.Held)
-			if r.Overdue {
+			held = fmt.Sprint(r.Running + r.Queued)
+			if r.DrainOverdue {
 				held += ", longer than it was to take"
 			}
 			if m := v.Members[i]; m.Service != "" {
@@ -300,17 +300,17 @@
 		if r, no := refused[m.Name]; no {
 			waits = strings.TrimPrefix(r.String(), m.Name+": ")
 		}
-		if a.Failed != "" {
-			waits = "failed: " + a.Failed
+		if a.FailureReason != "" {
+			waits = "failed: " + a.FailureReason
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Labels["zone"], m.Out, p.State, held, a.By, a.Why, waits)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Labels["zone"], m.Availability, p.State, held, a.RequestedBy, a.Reason, waits)
 	}
 	return w.Flush()
 }
 
 // agreed says whether a server below is out on every node's word.
-func agreed(m drainpermit.Seen) string {
-	ok, open, silent := m.Agreed()
+func agreed(m drainpermit.ObservedMember) string {
+	ok, open, silent := m.DrainConfirmed()
 	if ok {
 		return "out, on every node's word"
 	}
--- a/cmd/sloehitch/fleet.go
+++ b/cmd/sloehitch/fleet.go
@@ -45,7 +45,7 @@
 }
 
 // since says how far what was read can be trusted.
-func since(s store.Seen) string {
+func since(s store.ReadStatus) string {
 	switch {
 	case s.Confirmed:
 		return fmt.Sprintf("revision %d, confirmed by a majority", s.Revision)
@@ -77,7 +77,7 @@
 		}
 		wrong = append(wrong, "no majority of the store's members confirms what is read: nothing can be changed. Start the members that are down, or mend the links between them")
 	}
-	owners, _, err := c.Owners()
+	owners, _, err := c.Leases()
 	if err != nil {
 		return err
 	}
@@ -107,8 +107,8 @@
 			}
 		case "duty":
 			var r leasedtask.Record
-			if err := json.Unmarshal([]byte(d.Value), &r); err == nil && r.State == leasedtask.Failed {
-				wrong = append(wrong, fmt.Sprintf("duty %s: job %s failed at step %d, %d times: %s. The next span of time begins a new job", name, r.Job, r.Step, r.Tries, r.Why))
+			if err := json.Unmarshal([]byte(d.Value), &r); err == nil && r.State == leasedtask.StateFailed {
+				wrong = append(wrong, fmt.Sprintf("duty %s: job %s failed at step %d, %d times: %s. The next span of time begins a new job", name, r.JobID, r.Step, r.FailedAttempts, r.FailureReason))
 			}
 		}
 	}
@@ -116,8 +116,8 @@
 		return err
 	}
 	for _, o := range owners {
-		if o.Holder != "" && o.LeftMS == 0 {
-			wrong = append(wrong, fmt.Sprintf("duty %s: %s let its lease lapse, and nobody has asked since: see whether any node with [fleet] reaches the store", o.Duty, o.Holder))
+		if o.Holder != "" && o.RemainingMS == 0 {
+			wrong = append(wrong, fmt.Sprintf("duty %s: %s let its lease lapse, and nobody has asked since: see whether any node with [fleet] reaches the store", o.Task, o.Holder))
 		}
 	}
 	if len(wrong) == 0 {
@@ -135,8 +135,8 @@
 
 // wrongMembers is what is wrong with who keeps the store, and what to do next.
 func wrongMembers(c store.Client) (wrong []string) {
-	if m, err := c.Members(true); err == nil && m.Out != "" {
-		wrong = append(wrong, fmt.Sprintf("member %s takes no part in the store: %s", m.Self, m.Out))
+	if m, err := c.Members(true); err == nil && m.ExclusionReason != "" {
+		wrong = append(wrong, fmt.Sprintf("member %s takes no part in the store: %s", m.ReportedBy, m.ExclusionReason))
 	}
 	m, err := c.Members(false)
 	if err != nil {
@@ -145,10 +145,10 @@
 	voters, there := 0, 0
 	for _, x := range m.Members {
 		if !x.Voter {
-			wrong = append(wrong, fmt.Sprintf("member %s learns and has no vote: \"fleet members promote %s\" once it has caught up (%d entries behind)", x.Name, x.Name, x.Behind))
+			wrong = append(wrong, fmt.Sprintf("member %s learns and has no vote: \"fleet members promote %s\" once it has caught up (%d entries behind)", x.Name, x.Name, x.Lag))
 			continue
 		}
-		if voters++; x.Leader || x.Heard >= 0 && x.Heard < quiet {
+		if voters++; x.Leader || x.SinceContact >= 0 && x.SinceContact < quiet {
 			there++
 			continue
 		}
@@ -166,7 +166,7 @@
 type fleetOwnersCmd struct{}
 
 func (fleetOwnersCmd) Run(_ *slog.Logger) error {
-	owners, seen, err := cli.Fleet.client().Owners()
+	owners, seen, err := cli.Fleet.client().Leases()
 	if err != nil {
 		return err
 	}
@@ -174,16 +174,16 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tHOLDER\tTOKEN\tSTATE")
 	for _, o := range owners {
-		state := fmt.Sprintf("held, %v left", time.Duration(o.LeftMS)*time.Millisecond)
+		state := fmt.Sprintf("held, %v left", time.Duration(o.RemainingMS)*time.Millisecond)
 		switch {
 		case o.Holder == "":
 			state = "given back: free"
-		case o.LeftMS == 0:
+		case o.RemainingMS == 0:
 			state = "lapsed: free to whoever asks; its writes are turned away once another has it"
-		case o.Next != "":
-			state = "being handed over to " + o.Next
+		case o.Successor != "":
+			state = "being handed over to " + o.Successor
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", o.Duty, o.Holder, o.Token, state)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", o.Task, o.Holder, o.Token, state)
 	}
 	return w.Flush()
 }
@@ -198,13 +198,13 @@
 		return err
 	}
 	if forgotten && c.After == 0 {
-		fmt.Printf("changes up to revision %d are no longer remembered\n", seen.From)
-		if changes, seen, forgotten, err = cli.Fleet.client().Changes("", seen.From, 0); err != nil {
+		fmt.Printf("changes up to revision %d are no longer remembered\n", seen.HistoryStart)
+		if changes, seen, forgotten, err = cli.Fleet.client().Changes("", seen.HistoryStart, 0); err != nil {
 			return err
 		}
 	}
 	if forgotten {
-		return fmt.Errorf("not all changes after revision %d are remembered: ask after %d to %d", c.After, seen.From, seen.Revision)
+		return fmt.Errorf("not all changes after revision %d are remembered: ask after %d to %d", c.After, seen.HistoryStart, seen.Revision)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REVISION\tWHEN\tBY\tWHAT\tWHY")
@@ -212,11 +212,11 @@
 		what := fmt.Sprintf("%s = %.60q", x.Key, x.Value)
 		switch {
 		case x.Lease != nil:
-			what = fmt.Sprintf("duty %s: %s, token %d", x.Lease.Duty, x.Lease.Holder, x.Lease.Token)
+			what = fmt.Sprintf("duty %s: %s, token %d", x.Lease.Task, x.Lease.Holder, x.Lease.Token)
 		case x.Deleted:
 			what = x.Key + " deleted"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", x.Revision, time.UnixMilli(x.At).UTC().Format(time.RFC3339), x.By, what, x.Why)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", x.Revision, time.UnixMilli(x.UnixMillis).UTC().Format(time.RFC3339), x.Author, what, x.Reason)
 	}
 	return w.Flush()
 }
@@ -255,8 +255,8 @@
 	if c.ID == "" {
 		c.ID = rand.Text()
 	}
-	r, err := cli.Fleet.client().Make(document.Transaction{ID: c.ID, By: c.By, Why: c.Why,
-		If: []document.Condition{{Key: c.Key, Version: c.Version}}, Do: []document.Operation{{Key: c.Key, Value: c.Value, Delete: c.Delete}}})
+	r, err := cli.Fleet.client().Commit(document.Transaction{ID: c.ID, Author: c.By, Reason: c.Why,
+		Conditions: []document.Condition{{Key: c.Key, Version: c.Version}}, Operations: []document.Operation{{Key: c.Key, Value: c.Value, Delete: c.Delete}}})
 	switch {
 	case errors.Is(err, store.ErrConflict):
 		return err
@@ -269,8 +269,8 @@
 
 // setIf sets a document that still has a version, or deletes it where the value is empty.
 func setIf(ask store.Client, r reason, key string, version uint64, value string) (document.Result, error) {
-	return ask.Make(document.Transaction{ID: rand.Text(), By: r.By, Why: r.Why, If: []document.Condition{{Key: key, Version: version}},
-		Do: []document.Operation{{Key: key, Value: value, Delete: value == ""}}})
+	return ask.Commit(document.Transaction{ID: rand.Text(), Author: r.By, Reason: r.Why, Conditions: []document.Condition{{Key: key, Version: version}},
+		Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}})
 }
 
 type fleetWantCmd struct {
@@ -284,12 +284,12 @@
 		return fmt.Errorf("node %q: a name without slashes is wanted", c.Node)
 	}
 	ask := cli.Fleet.client()
-	key := desiredstate.Prefix + c.Node
+	key := desiredstate.KeyPrefix + c.Node
 	was, _, err := ask.Document(key, false)
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(desiredstate.State{Out: c.State == "out", By: c.By, Why: c.Why})
+	text, err := json.Marshal(desiredstate.State{OutOfService: c.State == "out", RequestedBy: c.By, Reason: c.Why})
 	if err != nil { // strings always marshal
 		panic(err)
 	}
--- a/cmd/sloehitch/fleet_test.go
+++ b/cmd/sloehitch/fleet_test.go
@@ -12,14 +12,14 @@
 
 // TestFleetCommands tries the sub-commands as a person would, against a store that is alone.
 func TestFleetCommands(t *testing.T) {
-	s, err := store.Open(store.Options{Name: "n1", Timeout: time.Second, Log: standin.Quiet, Terms: store.Terms.Of(time.Hour)}) // no machine is so slow
+	s, err := store.Open(store.Options{Name: "n1", CommitTimeout: time.Second, Logger: standin.Quiet, LeaseTerms: store.DefaultLeaseTerms.WithDuration(time.Hour)}) // no machine is so slow
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	admin := httptest.NewServer(s.Handler())
 	defer admin.Close()
-	if _, err := s.Lease("backup", store.Question{Ask: "take", Holder: "n7", Why: "nightly"}); err != nil {
+	if _, err := s.RequestLease("backup", store.LeaseRequest{Action: "take", Holder: "n7", Reason: "nightly"}); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, args, out, err string }{
--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -125,7 +125,7 @@
 func (c *ledgerPutCmd) write(s *ledger.Store, dir disk.Dir, in io.Reader, out io.Writer) error {
 	lim := limits.ForLedger(0)
 	sc := bufio.NewScanner(in)
-	sc.Buffer(nil, 2*(lim.Key+lim.Value))
+	sc.Buffer(nil, 2*(lim.KeyBytes+lim.ValueBytes))
 	w := bufio.NewWriter(out)
 	var mu sync.Mutex
 	var failed error
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -218,7 +218,7 @@
 	write(deploy, fmt.Sprintf("[ledger]\ndir = %q\n", folder))
 
 	// Killed between "began" and the start of the run: that is all there is of this one.
-	ghost := node.Booking{Key: "ghost", Class: "book", Arrived: time.Now(), Window: time.Hour, Request: "x"}
+	ghost := node.RunRecord{Key: "ghost", Class: "book", ArrivedAt: time.Now(), Window: time.Hour, RequestID: "x"}
 	func() {
 		made, err := disk.MakeDir(folder)
 		if err != nil {
@@ -230,7 +230,7 @@
 		}
 		defer s.Close()
 		done := make(chan error, 1)
-		if err := runlog.New(s, time.Second, time.Second, standin.Quiet).Began(ghost, func(err error) { done <- err }); err != nil {
+		if err := runlog.New(s, time.Second, time.Second, standin.Quiet).RecordStart(ghost, func(err error) { done <- err }); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-done; err != nil {
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -87,7 +87,7 @@
 	if l.Dir == "" {
 		return nil
 	}
-	every, err := l.Interval()
+	every, err := l.FlushInterval()
 	if err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 }
 
 func (c *stateCmd) client() store.Client {
-	return store.Client{Address: c.Admin, Timeout: limits.For(0, 0).Agree}
+	return store.Client{Address: c.Admin, Timeout: limits.For(0, 0).CommitTimeout}
 }
 
 type stateShowCmd struct{}
--- a/cmd/sloehitch/members.go
+++ b/cmd/sloehitch/members.go
@@ -34,19 +34,19 @@
 }
 
 func printMembers(m store.Membership) error {
-	if m.Out != "" {
-		fmt.Printf("%s takes no part: %s\n", m.Self, m.Out)
+	if m.ExclusionReason != "" {
+		fmt.Printf("%s takes no part: %s\n", m.ReportedBy, m.ExclusionReason)
 		return nil
 	}
 	if len(m.Members) == 0 {
 		fmt.Println("one process keeps the store by itself")
 		return nil
 	}
-	fmt.Printf("store %s, as %s sees it; leader %s\n", m.Store, m.Self, m.Leader)
+	fmt.Printf("store %s, as %s sees it; leader %s\n", m.StoreID, m.ReportedBy, m.Leader)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tPART\tHEARD\tBEHIND\tRAFT\tADMIN")
 	for _, x := range m.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", x.Name, partOf(x), heardOf(x, m), behindOf(x, m), x.Raft, x.Admin)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", x.Name, partOf(x), heardOf(x, m), behindOf(x, m), x.RaftAddress, x.AdminAddress)
 	}
 	return w.Flush()
 }
@@ -63,21 +63,21 @@
 
 func heardOf(x quorum.Member, m store.Membership) string {
 	switch {
-	case m.Self != m.Leader:
+	case m.ReportedBy != m.Leader:
 		return "?"
 	case x.Leader:
 		return "-"
-	case x.Heard < 0:
+	case x.SinceContact < 0:
 		return "never"
 	}
-	return x.Heard.Round(time.Millisecond).String() + " ago"
+	return x.SinceContact.Round(time.Millisecond).String() + " ago"
 }
 
 func behindOf(x quorum.Member, m store.Membership) string {
-	if m.Self != m.Leader {
+	if m.ReportedBy != m.Leader {
 		return "?"
 	}
-	return fmt.Sprint(x.Behind)
+	return fmt.Sprint(x.Lag)
 }
 
 // reason is who asks for something, and why; it is kept in the history.
@@ -94,7 +94,7 @@
 }
 
 func (c *membersAddCmd) Run(_ *slog.Logger) error {
-	return changeMembers(store.Ask{Do: "add", Name: c.Name, Raft: c.Raft, Admin: c.MemberAdmin, By: c.By, Why: c.Why})
+	return changeMembers(store.MembershipChange{Action: "add", Name: c.Name, RaftAddress: c.Raft, AdminAddress: c.MemberAdmin, Author: c.By, Reason: c.Why})
 }
 
 type membersChangeCmd struct {
@@ -103,7 +103,7 @@
 }
 
 func (c *membersChangeCmd) run(do string) error {
-	return changeMembers(store.Ask{Do: do, Name: c.Name, By: c.By, Why: c.Why})
+	return changeMembers(store.MembershipChange{Action: do, Name: c.Name, Author: c.By, Reason: c.Why})
 }
 
 // Run is told by which command it came.
@@ -118,8 +118,8 @@
 	return c.run("lead")
 }
 
-func changeMembers(a store.Ask) error {
-	m, err := cli.Fleet.client().Change(a)
+func changeMembers(a store.MembershipChange) error {
+	m, err := cli.Fleet.client().ChangeMembers(a)
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		return fmt.Errorf("%w; asked again it is made once", err)
 	}
@@ -174,7 +174,7 @@
 }
 
 func (c *storeFolderCmd) Run(log *slog.Logger) error {
-	f, err := store.Inspect(c.Dir, c.Name, log)
+	f, err := store.InspectDataDir(c.Dir, c.Name, log)
 	if err != nil {
 		return err
 	}
@@ -182,10 +182,10 @@
 	return nil
 }
 
-func folderText(f store.Folder) string {
-	line := fmt.Sprintf("member %s of the store %s, one of %d voters; it goes to %v", f.Name, f.Store, f.Voters, f.Mark)
-	if f.Out != "" {
-		line += "; it was kept out: " + f.Out
+func folderText(f store.DataDirInfo) string {
+	line := fmt.Sprintf("member %s of the store %s, one of %d voters; it goes to %v", f.Name, f.StoreID, f.Voters, f.Progress)
+	if f.ExclusionReason != "" {
+		line += "; it was kept out: " + f.ExclusionReason
 	}
 	return line
 }
@@ -198,14 +198,14 @@
 }
 
 func (c *storeRecoverCmd) Run(log *slog.Logger) error {
-	f, err := store.Inspect(c.Dir, c.Name, log)
+	f, err := store.InspectDataDir(c.Dir, c.Name, log)
 	if err != nil {
 		return err
 	}
 	if !c.LoseTheRest {
 		return fmt.Errorf("%s. Nothing was done. Compare the folders of all members that are left, take the one whose last entry is of the highest term, and of the highest number in it, keep a copy of it, and repeat this on that one only with --lose-the-rest", folderText(f))
 	}
-	if _, err := store.Recover(c.Dir, store.Member{Name: c.Name, Raft: c.Raft}, log); err != nil {
+	if _, err := store.Recover(c.Dir, store.Member{Name: c.Name, RaftAddress: c.Raft}, log); err != nil {
 		return err
 	}
 	fmt.Printf("was: %s\nnow: member %s alone, of a new store. Start it; then empty the folder of each other member, set join = true there, and add and promote it\n", folderText(f), c.Name)
--- a/cmd/sloehitch/members_test.go
+++ b/cmd/sloehitch/members_test.go
@@ -20,11 +20,11 @@
 	for _, name := range []string{"n0", "n1"} {
 		a := httptest.NewUnstartedServer(nil)
 		admins = append(admins, a)
-		members = append(members, store.Member{Name: name, Raft: standin.Free(t), Admin: a.Listener.Addr().String()})
+		members = append(members, store.Member{Name: name, RaftAddress: standin.Free(t), AdminAddress: a.Listener.Addr().String()})
 	}
 	var stores []*store.Store
 	for i, m := range members {
-		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), Timeout: 10 * time.Second, Beat: 500 * time.Millisecond, Log: standin.Quiet})
+		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), CommitTimeout: 10 * time.Second, ElectionTimeout: 500 * time.Millisecond, Logger: standin.Quiet})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 	standin.WaitFor(t, "a leader", func() bool {
 		m, known := stores[0].Leader()
 		leader = m.Name
-		return known && stores[0].Members().Store != "" && stores[1].Members().Store != ""
+		return known && stores[0].Members().StoreID != "" && stores[1].Members().StoreID != ""
 	})
 	next := map[string]string{"n0": "n1", "n1": "n0"}[leader]
 	backup := filepath.Join(dir, "backup.json")
@@ -55,15 +55,15 @@
 			}
 		}
 	}
-	at := "fleet --admin " + members[0].Admin + " "
+	at := "fleet --admin " + members[0].AdminAddress + " "
 	why := " --by ann --why trial"
 	standin.WaitFor(t, "the other to be heard", func() bool {
-		m, _ := store.Client{Address: members[0].Admin, Timeout: time.Second}.Members(false)
-		return len(m.Members) == 2 && m.Members[0].Heard >= 0 && m.Members[1].Heard >= 0
+		m, _ := store.Client{Address: members[0].AdminAddress, Timeout: time.Second}.Members(false)
+		return len(m.Members) == 2 && m.Members[0].SinceContact >= 0 && m.Members[1].SinceContact >= 0
 	})
 	run([]try{
 		{"members", at + "members", leader + "      leads", ""},
-		{"members of one", "fleet --admin " + members[1].Admin + " members --local", "as n1 sees it; leader " + leader, ""},
+		{"members of one", "fleet --admin " + members[1].AdminAddress + " members --local", "as n1 sees it; leader " + leader, ""},
 		{"status", at + "status", "WRONG: 2 voters bear no more losses than 1", "exit"},
 		{"a name with a slash", at + "members add n/2 --raft 127.0.0.1:1 --member-admin 127.0.0.1:2" + why, "", "a word without slashes"},
 		{"add", at + "members add n2 --raft 127.0.0.1:1 --member-admin 127.0.0.1:2" + why, "n2      learns  never", ""},
@@ -95,8 +95,8 @@
 		{"a folder", "store folder " + folder + " --name n0", "member n0 of the store ", ""},
 		{"another's folder", "store folder " + folder + " --name n1", "", "the folder is member n0's"},
 		{"no folder", "store folder " + dir + " --name n0", "", "no member's folder"},
-		{"recover without knowing", "store recover " + folder + " --name n0 --raft " + members[0].Raft, "", "Nothing was done"},
-		{"recover", "store recover " + folder + " --name n0 --raft " + members[0].Raft + " --lose-the-rest", "now: member n0 alone, of a new store", ""},
+		{"recover without knowing", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress, "", "Nothing was done"},
+		{"recover", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress + " --lose-the-rest", "now: member n0 alone, of a new store", ""},
 		{"recovered", "store folder " + folder + " --name n0", "one of 1 voters", ""},
 	})
 }
--- a/cmd/sloehitch/release.go
+++ b/cmd/sloehitch/release.go
@@ -48,9 +48,9 @@
 	if c.Growth < 1 {
 		return r, v, fmt.Errorf("--growth %v: 1 or more is wanted", c.Growth)
 	}
-	r = release.Release{Name: c.Name, To: c.To, At: v.Now, State: release.Running, SoakMS: c.Soak.Milliseconds(), LateMS: c.Late.Milliseconds(), Within: c.Within.Milliseconds()}
-	r.Waves, r.From = release.Plan(v.Members, c.To, c.Growth)
-	return r, v, r.Check()
+	r = release.Release{Name: c.Name, TargetVersion: c.To, RequestedAtMS: v.NowMS, State: release.Running, SoakMS: c.Soak.Milliseconds(), ReturnTimeoutMS: c.Late.Milliseconds(), DrainTimeoutMS: c.Within.Milliseconds()}
+	r.Waves, r.PreviousVersions = release.PlanWaves(v.Members, c.To, c.Growth)
+	return r, v, r.Validate()
 }
 
 type releasePlanCmd struct{ laid }
@@ -69,16 +69,16 @@
 	for i, w := range r.Waves {
 		fmt.Printf("wave %d: %s\n", i+1, strings.Join(w, " "))
 	}
-	for _, rule := range v.Rules {
-		fmt.Println("budget:", drainpermit.Text(rule))
+	for _, rule := range v.Budgets {
+		fmt.Println("budget:", drainpermit.Encode(rule))
 	}
-	if len(v.Rules) == 0 {
+	if len(v.Budgets) == 0 {
 		fmt.Println("no budget is set: nothing would begin; \"fleet budget --file\" sets them")
 	}
 	fmt.Printf("at the least %v of watching, beside what nodes take to empty, be replaced and warm up\n", time.Duration(len(r.Waves)+1)*time.Duration(r.SoakMS)*time.Millisecond)
 	for _, w := range r.Waves {
 		for _, n := range w {
-			if r.From[n] == "" {
+			if r.PreviousVersions[n] == "" {
 				fmt.Printf("%s can't go back: it does not report what is deployed on it\n", n)
 			}
 		}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	r.By, r.Why = c.By, c.Why
+	r.RequestedBy, r.Reason = c.By, c.Why
 	if err := fleet.StartRelease(ask, r); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 		if err != nil {
 			return err
 		}
-		docs, _, err := ask.Documents(release.Prefix, true)
+		docs, _, err := ask.Documents(release.KeyPrefix, true)
 		if err != nil {
 			return err
 		}
@@ -127,10 +127,10 @@
 			if err := json.Unmarshal([]byte(d.Value), &r); err != nil {
 				return fmt.Errorf("%s: %w", d.Key, err)
 			}
-			lines += release.Progress(r, v.View) + "\n"
-			mine := r.State == release.Running || r.State == release.Back
+			lines += release.FormatStatus(r, v.View) + "\n"
+			mine := r.State == release.Running || r.State == release.RollingBack
 			open = open || mine
-			halted = halted || mine && (v.Halted[r.Name] || v.Halted[drainpermit.All])
+			halted = halted || mine && (v.Halted[r.Name] || v.Halted[drainpermit.HaltAll])
 		}
 		if len(docs) == 0 {
 			return errors.New("there is no release")
@@ -174,7 +174,7 @@
 }
 
 func (c *releaseBackCmd) Run(_ *slog.Logger) error {
-	if err := fleet.BackRelease(cli.Release.client(), c.Name, c.By, c.Why); err != nil {
+	if err := fleet.RollBackRelease(cli.Release.client(), c.Name, c.By, c.Why); err != nil {
 		return err
 	}
 	fmt.Println("it goes back; \"release watch\" tells how far it is")
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -20,60 +20,60 @@
 	Gauges  = logic.Gauges
 )
 
-// Verb says what was decided about a request.
-type Verb int
+// DecisionKind says what was decided about a request.
+type DecisionKind int
 
 const (
-	Run    Verb = iota // start it, or go on with a paused run
-	Refuse             // final answer: turned away
-	Fail               // final answer: failed
-	Stop               // stop its run
-	Join               // serve it from the result of the request it repeats
-	Keep               // keep its key
-	Forget             // forget its key
-	Call               // make the call it stands at
-	GoOn               // go on without that call
+	Run       DecisionKind = iota // start it, or go on with a paused run
+	Reject                        // final answer: turned away
+	Fail                          // final answer: failed
+	Stop                          // stop its run
+	Coalesce                      // serve it from the result of the request it repeats
+	StoreKey                      // keep its key
+	DeleteKey                     // forget its key
+	MakeCall                      // make the call it stands at
+	SkipCall                      // go on without that call
 )
 
 // Decision is one thing that the module decided.
 type Decision struct {
-	Verb Verb
-	ID   uint64
-	Span time.Duration // Refuse: when to come back; Call: how long to wait; Keep: how long
-	Last bool          // Refuse: no other node will help
+	Kind       DecisionKind
+	ID         uint64
+	Duration   time.Duration // Refuse: when to come back; Call: how long to wait; Keep: how long
+	NoFailover bool          // Refuse: no other node will help
 }
 
-// News is one thing that happened; the functions below make it.
-type News struct{ event logic.Event }
+// Event is one thing that happened; the functions below make it.
+type Event struct{ event logic.Event }
 
 // Arrived tells of a request that was read.
-func Arrived(id uint64, a Arrival) News {
-	return News{logic.Event{Kind: logic.EvArrival, ID: logic.RequestID(id), Arrival: a}}
+func Arrived(id uint64, a Arrival) Event {
+	return Event{logic.Event{Kind: logic.EventArrival, ID: logic.RequestID(id), Arrival: a}}
 }
 
-// Ended tells that a run or a join is over.
-func Ended(id uint64, o Outcome, took time.Duration) News {
-	return News{logic.Event{Kind: logic.EvDone, ID: logic.RequestID(id), Outcome: o, Elapsed: micros(took)}}
+// RunEnded tells that a run or a join is over.
+func RunEnded(id uint64, o Outcome, took time.Duration) Event {
+	return Event{logic.Event{Kind: logic.EventRunEnded, ID: logic.RequestID(id), Outcome: o, Elapsed: micros(took)}}
 }
 
-// AtCall tells that a run stands at a call.
-func AtCall(id uint64) News {
-	return News{logic.Event{Kind: logic.EvNeedsCall, ID: logic.RequestID(id)}}
+// CallRequested tells that a run stands at a call.
+func CallRequested(id uint64) Event {
+	return Event{logic.Event{Kind: logic.EventCallNeeded, ID: logic.RequestID(id)}}
 }
 
 // CallEnded tells how a call ended.
-func CallEnded(id uint64, o Outcome, took time.Duration) News {
-	return News{logic.Event{Kind: logic.EvCallResult, ID: logic.RequestID(id), Outcome: o, Elapsed: micros(took)}}
+func CallEnded(id uint64, o Outcome, took time.Duration) Event {
+	return Event{logic.Event{Kind: logic.EventCallEnded, ID: logic.RequestID(id), Outcome: o, Elapsed: micros(took)}}
 }
 
-// Gone tells that nobody waits for a request any more.
-func Gone(id uint64) News {
-	return News{logic.Event{Kind: logic.EvGone, ID: logic.RequestID(id)}}
+// Canceled tells that nobody waits for a request any more.
+func Canceled(id uint64) Event {
+	return Event{logic.Event{Kind: logic.EventCanceled, ID: logic.RequestID(id)}}
 }
 
-// Leaving tells that the process is to be stopped after the given time.
-func Leaving(left time.Duration) News {
-	return News{logic.Event{Kind: logic.EvDrain, Left: micros(left)}}
+// Draining tells that the process is to be stopped after the given time.
+func Draining(left time.Duration) Event {
+	return Event{logic.Event{Kind: logic.EventDrain, TimeToKill: micros(left)}}
 }
 
 func micros(d time.Duration) logic.Micros { return logic.Micros(d / time.Microsecond) }
@@ -82,118 +82,118 @@
 type Options struct {
 	Seed  uint64
 	Clock clock.Clock
-	// Carry, if not nil, is given each decision, in turns that the clock calls: the gate has no goroutine of its own then, all
+	// OnDecision, if not nil, is given each decision, in turns that the clock calls: the gate has no goroutine of its own then, all
 	// calls to it must come from the clock's, and Pick is not for use. It is how a virtual clock runs a gate.
-	Carry func(Decision)
-	// Ask requests the gauges; they are to come through Tick. It must not block.
-	Ask func()
-	// Patience is how long a due tick waits for the gauges. While the machine stands still they do not come,
+	OnDecision func(Decision)
+	// RequestGauges requests the gauges; they are to come through Tick. It must not block.
+	RequestGauges func()
+	// GaugesTimeout is how long a due tick waits for the gauges. While the machine stands still they do not come,
 	// and a module that looked at the clock then would take the silence of its runs for an illness.
-	Patience time.Duration
-	Learned  *logic.Learned // what another process of this node found out, to begin with; nil: nothing
+	GaugesTimeout time.Duration
+	LearnedState  *logic.LearnedState // what another process of this node found out, to begin with; nil: nothing
 }
 
-// Gate owns one decision module.
-type Gate struct {
+// Controller owns one decision module.
+type Controller struct {
 	server *logic.Server
 	opts   Options
 
-	mu     sync.Mutex
-	in     []logic.Event
-	out    []Decision
-	ready  *sync.Cond // out has something, or the gate is closed
-	closed bool
-	retune *logic.Settings // to be taken before the next events
-	learn  []chan logic.Learned
-	share  float64 // of the server, to be taken before the next events; 0: as it is
-
-	wake    chan struct{}
-	gauges  chan Gauges
-	fire    chan uint64 // numbers of timers that are due
-	timer   clock.Timer
-	timers  uint64 // the number of the newest; those before it are void
-	soon    bool   // with Carry: a turn is on its way
-	done    chan struct{}
-	pending uint64 // tag of the timer that waits for gauges
-	asked   bool
-	last    logic.Micros
-	lastG   Gauges
-
-	signal atomic.Uint64 // bits of the free value; NaN until one is set
-	sick   atomic.Bool
-	idle   atomic.Int64
+	mu               sync.Mutex
+	events           []logic.Event
+	decisions        []Decision
+	ready            *sync.Cond // out has something, or the gate is closed
+	closed           bool
+	newSettings      *logic.Settings // to be taken before the next events
+	learnedRequests  []chan logic.LearnedState
+	newResourceShare float64 // of the server, to be taken before the next events; 0: as it is
+
+	wake            chan struct{}
+	gauges          chan Gauges
+	timerDue        chan uint64 // numbers of timers that are due
+	timer           clock.Timer
+	timerNumber     uint64 // the number of the newest; those before it are void
+	stepScheduled   bool   // with Carry: a turn is on its way
+	done            chan struct{}
+	timerID         uint64 // tag of the timer that waits for gauges
+	gaugesRequested bool
+	lastStepAt      logic.Micros
+	lastGauges      Gauges
+
+	loadSignal  atomic.Uint64 // bits of the free value; NaN until one is set
+	unhealthy   atomic.Bool
+	idleTimeout atomic.Int64
 }
 
 // New returns a running gate round a module with these settings.
-func New(cfg logic.Settings, opts Options) (*Gate, error) {
+func New(cfg logic.Settings, opts Options) (*Controller, error) {
 	server, err := logic.New(cfg, opts.Seed)
 	if err != nil {
 		return nil, err
 	}
-	if opts.Learned != nil {
-		server.Adopt(*opts.Learned)
+	if opts.LearnedState != nil {
+		server.RestoreLearned(*opts.LearnedState)
 	}
-	g := &Gate{server: server, opts: opts, wake: make(chan struct{}, 1), gauges: make(chan Gauges, 1),
-		fire: make(chan uint64), done: make(chan struct{}), lastG: Gauges{CoreUse: -1, RunQueue: -1, MemoryShare: -1, Connections: -1}}
+	g := &Controller{server: server, opts: opts, wake: make(chan struct{}, 1), gauges: make(chan Gauges, 1),
+		timerDue: make(chan uint64), done: make(chan struct{}), lastGauges: Gauges{CPUUtilization: -1, RunQueueLength: -1, MemoryUtilization: -1, Connections: -1}}
 	g.ready = sync.NewCond(&g.mu)
-	g.signal.Store(math.Float64bits(math.NaN()))
-	if opts.Carry == nil {
-		go g.run()
+	g.loadSignal.Store(math.Float64bits(math.NaN()))
+	if opts.OnDecision == nil {
+		go g.loop()
 	}
 	return g, nil
 }
 
 // Report tells what happened. It never blocks.
-func (g *Gate) Report(news ...News) {
+func (g *Controller) Report(news ...Event) {
 	g.mu.Lock()
 	for _, n := range news {
-		g.in = append(g.in, n.event)
+		g.events = append(g.events, n.event)
 	}
 	g.mu.Unlock()
-	g.turn()
+	g.scheduleStep()
 }
 
-// Retune has the module take new settings before any news reported after this call; cfg must have passed
+// Reconfigure has the module take new settings before any news reported after this call; cfg must have passed
 // logic.New's checks and keep the classes and tenants in their places (logic.Server.Retune). It never blocks.
-func (g *Gate) Retune(cfg logic.Settings) {
+func (g *Controller) Reconfigure(cfg logic.Settings) {
 	g.mu.Lock()
-	g.retune = &cfg
+	g.newSettings = &cfg
 	g.mu.Unlock()
-	g.turn()
+	g.scheduleStep()
 }
 
-// Share has the module use a part of the cores and the memory, above 0 and at most 1: another process of this node has
+// SetResourceShare has the module use a part of the cores and the memory, above 0 and at most 1: another process of this node has
 // the rest. It never blocks.
-func (g *Gate) Share(part float64) {
+func (g *Controller) SetResourceShare(part float64) {
 	g.mu.Lock()
-	g.share = part
+	g.newResourceShare = part
 	g.mu.Unlock()
-	g.turn()
+	g.scheduleStep()
 }
 
-// Learned is what the module has found out so far. It waits for the module's turn, which is short; false: the gate is
+// LearnedState is what the module has found out so far. It waits for the module's turn, which is short; false: the gate is
 // closed.
-func (g *Gate) Learned() (logic.Learned, bool) {
-	if g.opts.Carry != nil {
-		return g.server.Learned(), true
+func (g *Controller) LearnedState() (logic.LearnedState, bool) {
+	if g.opts.OnDecision != nil {
+		return g.server.LearnedState(), true
 	}
-	out := make(chan logic.Learned, 1)
+	out := make(chan logic.LearnedState, 1)
 	g.mu.Lock()
-	g.learn = append(g.learn, out)
+	g.learnedRequests = append(g.learnedRequests, out)
 	g.mu.Unlock()
-	g.turn()
+	g.scheduleStep()
 	select {
 	case l := <-out:
 		return l, true
 	case <-g.done:
-		return logic.Learned{}, false
+		return logic.LearnedState{}, false
 	}
 }
 
-// Tick hands over the gauges that Ask requested. Gauges that nothing waits for are dropped.
-func (g *Gate) Tick(m Gauges) {
-	if g.opts.Carry != nil {
-		g.opts.Clock.AfterFunc(0, func() { g.measured(m) })
+// ReportGauges hands over the gauges that Ask requested. Gauges that nothing waits for are dropped.
+func (g *Controller) ReportGauges(m Gauges) {
+	if g.opts.OnDecision != nil {
+		g.opts.Clock.AfterFunc(0, func() { g.gaugesReceived(m) })
 		return
 	}
 	select {
@@ -202,25 +202,25 @@
 	}
 }
 
-// Pick waits for the next decision. It returns false once the gate is closed.
-func (g *Gate) Pick() (Decision, bool) {
+// Next waits for the next decision. It returns false once the gate is closed.
+func (g *Controller) Next() (Decision, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for len(g.out) == 0 && !g.closed {
+	for len(g.decisions) == 0 && !g.closed {
 		g.ready.Wait()
 	}
-	if len(g.out) == 0 {
+	if len(g.decisions) == 0 {
 		return Decision{}, false
 	}
-	d := g.out[0]
-	if g.out = g.out[1:]; len(g.out) == 0 {
-		g.out = nil
+	d := g.decisions[0]
+	if g.decisions = g.decisions[1:]; len(g.decisions) == 0 {
+		g.decisions = nil
 	}
 	return d, true
 }
 
 // Close ends the gate; Pick returns what is left and then false.
-func (g *Gate) Close() {
+func (g *Controller) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.closed {
@@ -230,37 +230,37 @@
 	}
 }
 
-// Signal is the free value to tell callers, if one was set.
-func (g *Gate) Signal() (float64, bool) {
-	v := math.Float64frombits(g.signal.Load())
+// LoadSignal is the free value to tell callers, if one was set.
+func (g *Controller) LoadSignal() (float64, bool) {
+	v := math.Float64frombits(g.loadSignal.Load())
 	return v, !math.IsNaN(v)
 }
 
-// Well is what health checks are to hear.
-func (g *Gate) Well() bool { return !g.sick.Load() }
+// Healthy is what health checks are to hear.
+func (g *Controller) Healthy() bool { return !g.unhealthy.Load() }
 
-// Idle is how long an unused connection may stay; 0 for as long as its caller likes.
-func (g *Gate) Idle() time.Duration { return time.Duration(g.idle.Load()) }
+// IdleTimeout is how long an unused connection may stay; 0 for as long as its caller likes.
+func (g *Controller) IdleTimeout() time.Duration { return time.Duration(g.idleTimeout.Load()) }
 
-// turn has what was reported taken in soon.
-func (g *Gate) turn() {
-	if g.opts.Carry == nil {
+// scheduleStep has what was reported taken in soon.
+func (g *Controller) scheduleStep() {
+	if g.opts.OnDecision == nil {
 		select {
 		case g.wake <- struct{}{}:
 		default:
 		}
 		return
 	}
-	if !g.soon {
-		g.soon = true
+	if !g.stepScheduled {
+		g.stepScheduled = true
 		g.opts.Clock.AfterFunc(0, func() {
-			g.soon = false
+			g.stepScheduled = false
 			g.step(false)
 		})
 	}
 }
 
-func (g *Gate) run() {
+func (g *Controller) loop() {
 	for {
 		select {
 		case <-g.done:
@@ -268,120 +268,120 @@
 		case <-g.wake:
 			g.step(false)
 		case m := <-g.gauges:
-			g.measured(m)
-		case n := <-g.fire:
-			if n == g.timers {
-				g.rung()
+			g.gaugesReceived(m)
+		case n := <-g.timerDue:
+			if n == g.timerNumber {
+				g.timerFired()
 			}
 		}
 	}
 }
 
-// arm has rung called once d has passed, in place of what was armed before.
-func (g *Gate) arm(d time.Duration) {
+// setTimer has rung called once d has passed, in place of what was armed before.
+func (g *Controller) setTimer(d time.Duration) {
 	if g.timer != nil {
 		g.timer.Stop()
 	}
-	g.timers++
-	n := g.timers
+	g.timerNumber++
+	n := g.timerNumber
 	g.timer = g.opts.Clock.AfterFunc(d, func() {
-		if g.opts.Carry != nil {
-			g.rung()
+		if g.opts.OnDecision != nil {
+			g.timerFired()
 			return
 		}
 		select {
-		case g.fire <- n:
+		case g.timerDue <- n:
 		case <-g.done:
 		}
 	})
 }
 
-// rung takes a timer that is due: the gauges are asked for, or were and did not come.
-func (g *Gate) rung() {
-	if !g.asked && g.opts.Ask != nil {
-		g.asked = true
-		g.arm(g.opts.Patience)
-		g.opts.Ask()
+// timerFired takes a timer that is due: the gauges are asked for, or were and did not come.
+func (g *Controller) timerFired() {
+	if !g.gaugesRequested && g.opts.RequestGauges != nil {
+		g.gaugesRequested = true
+		g.setTimer(g.opts.GaugesTimeout)
+		g.opts.RequestGauges()
 		return
 	}
 	g.step(true)
 }
 
-// measured takes gauges.
-func (g *Gate) measured(m Gauges) {
-	g.lastG = m
-	g.step(g.asked)
+// gaugesReceived takes gauges.
+func (g *Controller) gaugesReceived(m Gauges) {
+	g.lastGauges = m
+	g.step(g.gaugesRequested)
 }
 
 // step takes in what has come and hands out what the module decides on it.
-func (g *Gate) step(due bool) {
+func (g *Controller) step(due bool) {
 	g.mu.Lock()
-	events, closed, retune, learn, share := g.in, g.closed, g.retune, g.learn, g.share
-	g.in, g.retune, g.learn, g.share = nil, nil, nil, 0
+	events, closed, retune, learn, share := g.events, g.closed, g.newSettings, g.learnedRequests, g.newResourceShare
+	g.events, g.newSettings, g.learnedRequests, g.newResourceShare = nil, nil, nil, 0
 	g.mu.Unlock()
 	if closed {
 		return
 	}
 	if retune != nil {
-		if err := g.server.Retune(*retune); err != nil {
+		if err := g.server.Reconfigure(*retune); err != nil {
 			panic(err) // the caller checked them: the classes of requests in hand would be lost
 		}
 	}
 	if share > 0 {
-		g.server.Share(share)
+		g.server.SetResourceShare(share)
 	}
 	for _, out := range learn {
-		out <- g.server.Learned()
+		out <- g.server.LearnedState()
 	}
 	if due {
-		g.asked = false
-		events = append(events, logic.Event{Kind: logic.EvTimer, Tag: g.pending, Gauges: g.lastG})
+		g.gaugesRequested = false
+		events = append(events, logic.Event{Kind: logic.EventTimer, TimerID: g.timerID, Gauges: g.lastGauges})
 	}
 	if len(events) == 0 && share == 0 {
 		return
 	}
 	// The module's clock only advances, whatever is done to the system's.
-	g.last = max(g.last, logic.Micros(g.opts.Clock.Now().UnixMicro()))
-	actions := g.server.Step(g.last, events)
+	g.lastStepAt = max(g.lastStepAt, logic.Micros(g.opts.Clock.Now().UnixMicro()))
+	actions := g.server.Step(g.lastStepAt, events)
 	var out []Decision
 	for _, a := range actions {
-		if a.Kind == logic.ActTimer {
-			g.pending = a.Tag
-			g.arm(time.Duration(a.Span) * time.Microsecond)
+		if a.Kind == logic.ActionSetTimer {
+			g.timerID = a.TimerID
+			g.setTimer(time.Duration(a.Duration) * time.Microsecond)
 			continue
 		}
-		if d, ok := g.decision(a); ok {
+		if d, ok := g.decisionOf(a); ok {
 			out = append(out, d)
 		}
 	}
-	if g.opts.Carry != nil {
+	if g.opts.OnDecision != nil {
 		for _, d := range out {
-			g.opts.Carry(d)
+			g.opts.OnDecision(d)
 		}
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.out = append(g.out, out...); len(g.out) > 0 {
+	if g.decisions = append(g.decisions, out...); len(g.decisions) > 0 {
 		g.ready.Broadcast()
 	}
 }
 
-var verbs = map[logic.ActionKind]Verb{logic.ActRun: Run, logic.ActRefuse: Refuse, logic.ActFail: Fail,
-	logic.ActStop: Stop, logic.ActJoin: Join, logic.ActKeepKey: Keep, logic.ActForgetKey: Forget,
-	logic.ActCall: Call, logic.ActGoOn: GoOn}
+var decisionKinds = map[logic.ActionKind]DecisionKind{logic.ActionRun: Run, logic.ActionReject: Reject, logic.ActionFail: Fail,
+	logic.ActionStop: Stop, logic.ActionCoalesce: Coalesce, logic.ActionStoreKey: StoreKey, logic.ActionDeleteKey: DeleteKey,
+	logic.ActionCall: MakeCall, logic.ActionSkipCall: SkipCall}
 
-// decision is what an action says of a request; false: it says something of the server, which is kept.
-func (g *Gate) decision(a logic.Action) (Decision, bool) {
+// decisionOf is what an action says of a request; false: it says something of the server, which is kept.
+func (g *Controller) decisionOf(a logic.Action) (Decision, bool) {
 	switch a.Kind {
-	case logic.ActSay:
-		g.signal.Store(math.Float64bits(a.Value))
-	case logic.ActHealth:
-		g.sick.Store(!a.On)
-	case logic.ActCloseIdle:
-		g.idle.Store(int64(a.Span) * int64(time.Microsecond))
+	case logic.ActionSetLoadSignal:
+		g.loadSignal.Store(math.Float64bits(a.LoadSignal))
+	case logic.ActionSetHealth:
+		g.unhealthy.Store(!a.Healthy)
+	case logic.ActionSetIdleTimeout:
+		g.idleTimeout.Store(int64(a.Duration) * int64(time.Microsecond))
 	default:
-		return Decision{Verb: verbs[a.Kind], ID: uint64(a.ID), Span: time.Duration(a.Span) * time.Microsecond, Last: a.Last}, true
+		return Decision{Kind: decisionKinds[a.Kind], ID: uint64(a.ID), Duration: time.Duration(a.Duration) * time.Microsecond, NoFailover: a.NoFailover}, true
 	}
 	return Decision{}, false
 }
--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -23,11 +23,11 @@
 		length int
 		ok     bool
 	}{
-		{"ab DATA 140\r\n", "ab", logic.OK, 140, true},
-		{"ab LATER\r\n", "ab", logic.Full, 0, true},
-		{"ab FAULT\r\n", "ab", logic.Failed, 0, true},
-		{"ab TOOSLOW\r\n", "ab", logic.TimedOut, 0, true},
-		{"ab NOUSE\r\n", "ab", logic.Moot, 0, true},
+		{"ab DATA 140\r\n", "ab", logic.OutcomeOK, 140, true},
+		{"ab LATER\r\n", "ab", logic.OutcomeRejected, 0, true},
+		{"ab FAULT\r\n", "ab", logic.OutcomeFailed, 0, true},
+		{"ab TOOSLOW\r\n", "ab", logic.OutcomeTimedOut, 0, true},
+		{"ab NOUSE\r\n", "ab", logic.OutcomeNotStarted, 0, true},
 		{"ab DATA\r\n", "", 0, 0, false},
 		{"ab DATA 4097\r\n", "", 0, 0, false},
 		{"ab DATA -1\r\n", "", 0, 0, false},
@@ -103,15 +103,15 @@
 		want          admission.Outcome
 		neverRan      bool
 	}{
-		{address, "data", logic.OK, false},
-		{address, "later", logic.Full, true},
-		{address, "fault", logic.Failed, false},
-		{address, "tooslow", logic.TimedOut, false},
-		{address, "nouse", logic.Moot, true},
-		{address, "break", logic.Reset, false},
-		{address, "garbage", logic.Reset, false},
-		{address, "", logic.TimedOut, false}, // no reply at all
-		{down, "data", logic.Unreachable, true},
+		{address, "data", logic.OutcomeOK, false},
+		{address, "later", logic.OutcomeRejected, true},
+		{address, "fault", logic.OutcomeFailed, false},
+		{address, "tooslow", logic.OutcomeTimedOut, false},
+		{address, "nouse", logic.OutcomeNotStarted, true},
+		{address, "break", logic.OutcomeReset, false},
+		{address, "garbage", logic.OutcomeReset, false},
+		{address, "", logic.OutcomeTimedOut, false}, // no reply at all
+		{down, "data", logic.OutcomeUnreachable, true},
 	} {
 		client := New(c.address, limits.For(64, 256), standin.Quiet)
 		type result struct {
@@ -123,7 +123,7 @@
 			got <- result{o, string(reply)}
 		})
 		r := <-got
-		if r.o != c.want || r.o.NeverRan() != c.neverRan || c.want == logic.OK && r.reply != "a\nb" {
+		if r.o != c.want || r.o.NeverRan() != c.neverRan || c.want == logic.OutcomeOK && r.reply != "a\nb" {
 			t.Errorf("%q: %v %q, want %v", c.body, r.o, r.reply, c.want)
 		}
 		client.Close()
@@ -134,7 +134,7 @@
 func TestIdleConnectionIsClosed(t *testing.T) {
 	ln := standin.Listen(t)
 	lim := limits.For(64, 256)
-	lim.CallIdle = time.Millisecond
+	lim.CatalogueIdleTimeout = time.Millisecond
 	client := New(ln.Addr().String(), lim, standin.Quiet)
 	done := make(chan admission.Outcome, 1)
 	client.Call("ab", time.Minute, nil, false, func(o admission.Outcome, _ time.Duration, _ []byte) { done <- o })
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	io.WriteString(conn, "ab LATER\r\n")
-	if o := <-done; o != logic.Full {
+	if o := <-done; o != logic.OutcomeRejected {
 		t.Errorf("outcome %v", o)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
@@ -190,7 +190,7 @@
 		return fine
 	})
 	lim := limits.For(64, 256)
-	lim.ReplyRest = 30 * time.Millisecond
+	lim.ReplyTimeout = 30 * time.Millisecond
 	client := New(address, lim, standin.Quiet)
 	defer client.Close()
 	held := begin(client, "a", "held")
@@ -198,16 +198,16 @@
 		body string
 		want ended
 	}{
-		{"\x00\x01?\r\n", ended{o: logic.Reset}},
-		{"ID DATA 3000000000\r\nxxxx", ended{o: logic.Reset}},
-		{"ID DATA 9\r\nok\r\n", ended{o: logic.Reset}},     // the rest never comes
-		{"ID DATA 1\r\nok\r\n", ended{o: logic.Reset}},     // more than it said
-		{"ID DATA", ended{o: logic.Reset}},                 // a line that does not end
-		{strings.Repeat("x", 9000), ended{o: logic.Reset}}, // and one that goes on
-		{"break", ended{o: logic.Reset}},
-		{"more", ended{logic.OK, "ok"}},
-		{"twice", ended{logic.OK, "ok"}},
-		{"fine", ended{logic.OK, "ok"}},
+		{"\x00\x01?\r\n", ended{o: logic.OutcomeReset}},
+		{"ID DATA 3000000000\r\nxxxx", ended{o: logic.OutcomeReset}},
+		{"ID DATA 9\r\nok\r\n", ended{o: logic.OutcomeReset}},     // the rest never comes
+		{"ID DATA 1\r\nok\r\n", ended{o: logic.OutcomeReset}},     // more than it said
+		{"ID DATA", ended{o: logic.OutcomeReset}},                 // a line that does not end
+		{strings.Repeat("x", 9000), ended{o: logic.OutcomeReset}}, // and one that goes on
+		{"break", ended{o: logic.OutcomeReset}},
+		{"more", ended{logic.OutcomeOK, "ok"}},
+		{"twice", ended{logic.OutcomeOK, "ok"}},
+		{"fine", ended{logic.OutcomeOK, "ok"}},
 	} {
 		if got := <-begin(client, fmt.Sprint("b", i), c.body); got != c.want {
 			t.Errorf("%.30q: %v, want %v", c.body, got, c.want)
@@ -218,7 +218,7 @@
 		t.Errorf("the copy of a reply answered the request's next call: %v", got)
 	}
 	close(hold)
-	if got := <-held; got != (ended{logic.OK, "ok"}) {
+	if got := <-held; got != (ended{logic.OutcomeOK, "ok"}) {
 		t.Errorf("a call in hand all the while: %v", got)
 	}
 }
@@ -234,22 +234,22 @@
 		})
 	}
 	lim := limits.For(64, 256)
-	lim.CallConns = 2
+	lim.CatalogueConnections = 2
 	client := New(addresses[0], lim, standin.Quiet)
 	defer client.Close()
 	var calls []<-chan ended
 	for i := range 10 {
 		if i == 5 {
-			client.Move(addresses[1])
+			client.SetAddress(addresses[1])
 		}
 		calls = append(calls, begin(client, fmt.Sprint("a", i), ""))
 	}
-	if n := len(client.lines); n > 4 {
+	if n := len(client.conns); n > 4 {
 		t.Errorf("%d connections", n)
 	}
 	close(hold)
 	for i, c := range calls {
-		if got := <-c; got.o != logic.OK || got.reply != fmt.Sprint(i/5) {
+		if got := <-c; got.o != logic.OutcomeOK || got.reply != fmt.Sprint(i/5) {
 			t.Errorf("call %d: %v", i, got)
 		}
 	}
@@ -286,11 +286,11 @@
 			t.Fatal(err)
 		}
 	}
-	client.Move(next.Addr().String())
+	client.SetAddress(next.Addr().String())
 	after := begin(client, "c", "body")
 	third, _ := take(next, "c")
 	second.Close()
-	if got := <-broken; got.o != logic.Reset {
+	if got := <-broken; got.o != logic.OutcomeReset {
 		t.Errorf("broken off: %+v", got)
 	}
 	for _, piece := range []string{"p", "ly\r", "\n"} {
@@ -298,13 +298,13 @@
 			t.Fatal(err)
 		}
 	}
-	if got := <-whole; got != (ended{logic.OK, "reply"}) {
+	if got := <-whole; got != (ended{logic.OutcomeOK, "reply"}) {
 		t.Errorf("half read at the move: %+v", got)
 	}
 	if _, err := io.WriteString(third, "c DATA 3\r\nnew\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-after; got != (ended{logic.OK, "new"}) {
+	if got := <-after; got != (ended{logic.OutcomeOK, "new"}) {
 		t.Errorf("at the new address: %+v", got)
 	}
 	if err := first.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
@@ -331,13 +331,13 @@
 	}()
 	for i := range 200 {
 		first := begin(client, "a", "first")
-		client.Quit("a")
+		client.Cancel("a")
 		second := begin(client, "a", "second")
-		if got := <-second; got != (ended{logic.OK, "second"}) {
+		if got := <-second; got != (ended{logic.OutcomeOK, "second"}) {
 			t.Fatalf("play %d: %+v", i, got)
 		}
 		if len(first) > 0 { // its reply was first, and told as the call was given up
-			if got := <-first; got != (ended{logic.OK, "first"}) {
+			if got := <-first; got != (ended{logic.OutcomeOK, "first"}) {
 				t.Fatalf("play %d: given up, and ended with %+v", i, got)
 			}
 		}
--- a/internal/backend/catalogue/line.go
+++ b/internal/backend/catalogue/line.go
@@ -12,32 +12,32 @@
 	"sloehitch/logic"
 )
 
-// line is one connection to the proxy. The client's mutex guards it.
-type line struct {
-	client  *Client
-	address string
-	net     net.Conn // nil until it is open
-	calls   map[string]*call
-	queue   []*call // not handed to the socket yet
-	quits   []byte
-	last    string // the request whose call ended last here
-	used    time.Time
-	writing bool
-	closed  bool
+// proxyConn is one connection to the proxy. The client's mutex guards it.
+type proxyConn struct {
+	client       *Client
+	address      string
+	socket       net.Conn // nil until it is open
+	calls        map[string]*call
+	queue        []*call // not handed to the socket yet
+	pendingQuits []byte
+	lastRequest  string // the request whose call ended last here
+	lastUsed     time.Time
+	writing      bool
+	closed       bool
 }
 
-// take queues a call; the caller holds mu.
-func (l *line) take(k *call) {
+// enqueue queues a call; the caller holds mu.
+func (l *proxyConn) enqueue(k *call) {
 	l.calls[k.id] = k
 	l.queue = append(l.queue, k)
-	l.wake()
+	l.startWriter()
 }
 
-// quit tells the proxy that nobody waits for a call; the caller holds mu.
-func (l *line) quit(k *call) {
+// cancel tells the proxy that nobody waits for a call; the caller holds mu.
+func (l *proxyConn) cancel(k *call) {
 	if k.sent {
-		l.quits = fmt.Appendf(l.quits, "QUIT %s\r\n", k.id)
-		l.wake()
+		l.pendingQuits = fmt.Appendf(l.pendingQuits, "QUIT %s\r\n", k.id)
+		l.startWriter()
 		return
 	}
 	for i, q := range l.queue {
@@ -48,83 +48,83 @@
 	}
 }
 
-// wake sees to it that somebody writes what is queued, once there is a connection; the caller holds mu.
-func (l *line) wake() {
-	if l.net != nil && !l.writing && !l.closed {
+// startWriter sees to it that somebody writes what is queued, once there is a connection; the caller holds mu.
+func (l *proxyConn) startWriter() {
+	if l.socket != nil && !l.writing && !l.closed {
 		l.writing = true
-		go l.write()
+		go l.writeLoop()
 	}
 }
 
-func (l *line) dial() {
+func (l *proxyConn) dial() {
 	c := l.client
 	conn, err := dial(l.address, c.limits)
 	c.mu.Lock()
 	if err != nil {
-		lost := c.close(l) // nothing was sent: each call is known not to have run
+		lost := c.closeConn(l) // nothing was sent: each call is known not to have run
 		c.mu.Unlock()
 		c.log.Warn("no connection to the catalogue", err)
-		finishLost(lost)
+		failCalls(lost)
 		return
 	}
-	if l.net = conn; l.closed {
+	if l.socket = conn; l.closed {
 		conn.Close()
 	}
-	l.wake()
+	l.startWriter()
 	c.mu.Unlock()
-	l.read(conn)
+	l.readLoop(conn)
 }
 
-func (l *line) write() {
+func (l *proxyConn) writeLoop() {
 	c := l.client
 	for {
 		c.mu.Lock()
-		if l.closed || len(l.queue) == 0 && len(l.quits) == 0 {
+		if l.closed || len(l.queue) == 0 && len(l.pendingQuits) == 0 {
 			l.writing = false
 			c.mu.Unlock()
 			return
 		}
-		batch := l.quits
-		l.quits = nil
+		batch := l.pendingQuits
+		l.pendingQuits = nil
 		for _, k := range l.queue {
 			k.sent = true
-			batch = append(batch, k.text...)
-			k.text = nil
+			batch = append(batch, k.encoded...)
+			k.encoded = nil
 		}
 		l.queue = nil
 		c.mu.Unlock()
-		err := l.net.SetWriteDeadline(time.Now().Add(c.limits.Write))
+		err := l.socket.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
 		if err == nil {
-			_, err = l.net.Write(batch)
+			_, err = l.socket.Write(batch)
 		}
 		if err != nil {
-			l.net.Close() // the reader notices
+			l.socket.Close() // the reader notices
 		}
 	}
 }
 
-// read takes replies until the connection ends or brings something that is no reply: after that nothing on it can be
+// readLoop takes replies until the connection ends or brings something that is no reply: after that nothing on it can be
 // told apart.
-func (l *line) read(conn net.Conn) {
+func (l *proxyConn) readLoop(conn net.Conn) {
 	in := bufio.NewReaderSize(conn, 4<<10)
 	var err error
 	for err == nil {
-		err = l.reply(conn, in)
+		err = l.handleReply(conn, in)
 	}
 	c := l.client
 	c.mu.Lock()
-	idle := time.Since(l.used)
-	lost := c.close(l)
+	idle := time.Since(l.lastUsed)
+	lost := c.closeConn(l)
 	c.mu.Unlock()
 	if len(lost) > 0 {
 		c.log.Warn("a connection to the catalogue broke during a call", fmt.Errorf("%d calls, used %v ago: %w", len(lost), idle, err))
 	}
-	finishLost(lost)
+	failCalls(lost)
 }
 
-// reply reads one reply and ends its call. Once begun it must come whole within a short time; one for a call that is
+// handleReply reads one reply and ends its call. Once begun it must come whole within a short time; one for a call that is
 // not in hand here, a second copy or one given up meanwhile, is passed over.
-func (l *line) reply(conn net.Conn, in *bufio.Reader) error {
+func (l *proxyConn) handleReply(conn net.Conn, in *bufio.Reader) error {
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
@@ -132,10 +132,10 @@
 		return err
 	}
 	c := l.client
-	if err := conn.SetReadDeadline(time.Now().Add(c.limits.ReplyRest)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(c.limits.ReplyTimeout)); err != nil {
 		return err
 	}
-	id, o, data, err := readReply(in, c.limits.Result)
+	id, o, data, err := readReply(in, c.limits.ResultBytes)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 		c.mu.Unlock()
 		return nil
 	}
-	c.over(k)
+	c.remove(k)
 	c.mu.Unlock()
 	k.finish(o, data)
 	return nil
@@ -158,7 +158,7 @@
 		return "", 0, nil, err
 	}
 	id, o, length, err := parseReply(string(text), most)
-	if err != nil || o != logic.OK {
+	if err != nil || o != logic.OutcomeOK {
 		return id, o, nil, err
 	}
 	data = make([]byte, length+2)
--- a/internal/backend/directory/pulse.go
+++ b/internal/backend/directory/pulse.go
@@ -14,12 +14,12 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Pulse reports a node's name and state until it is stopped.
-type Pulse struct {
-	name   string
-	period time.Duration
-	log    *lograte.Logger
-	now    chan struct{} // something changed: report at once
+// Reporter reports a node's name and state until it is stopped.
+type Reporter struct {
+	name    string
+	period  time.Duration
+	log     *lograte.Logger
+	changed chan struct{} // something changed: report at once
 
 	mu      sync.Mutex
 	address string
@@ -28,27 +28,27 @@
 
 // New returns a pulse for the node of that name, to the directory at the address; with an empty one it reports to
 // nobody until it is moved.
-func New(name, address string, l limits.Limits, log *slog.Logger) *Pulse {
-	return &Pulse{name: name, address: address, period: l.Pulse, log: lograte.New(log, l.LogEvery), now: make(chan struct{}, 1)}
+func New(name, address string, l limits.Limits, log *slog.Logger) *Reporter {
+	return &Reporter{name: name, address: address, period: l.ReportInterval, log: lograte.New(log, l.LogInterval), changed: make(chan struct{}, 1)}
 }
 
-// Close reports the node as closed from now on, or as open again.
-func (p *Pulse) Close(closed bool) { p.change(func() { p.closed = closed }) }
+// SetClosed reports the node as closed from now on, or as open again.
+func (p *Reporter) SetClosed(closed bool) { p.update(func() { p.closed = closed }) }
 
-// Move reports to another address from now on.
-func (p *Pulse) Move(address string) { p.change(func() { p.address = address }) }
+// SetAddress reports to another address from now on.
+func (p *Reporter) SetAddress(address string) { p.update(func() { p.address = address }) }
 
-func (p *Pulse) change(what func()) {
+func (p *Reporter) update(what func()) {
 	p.mu.Lock()
 	what()
 	p.mu.Unlock()
 	select {
-	case p.now <- struct{}{}:
+	case p.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (p *Pulse) report() (address string, text []byte) {
+func (p *Reporter) report() (address string, text []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	state := "open"
@@ -58,8 +58,8 @@
 	return p.address, fmt.Appendf(nil, "PULSE %s %s", p.name, state)
 }
 
-// sent sends a report. The first error may be that of an earlier datagram, which was refused: the second try is this one's own.
-func sent(conn net.Conn, text []byte) bool {
+// send sends a report. The first error may be that of an earlier datagram, which was refused: the second try is this one's own.
+func send(conn net.Conn, text []byte) bool {
 	if _, err := conn.Write(text); err == nil {
 		return true
 	}
@@ -67,9 +67,9 @@
 	return err == nil || errors.Is(err, syscall.ECONNREFUSED) // the directory is down; the way there is fine
 }
 
-// Serve sends a report at once and then one each period until stop is closed. Reports get no answer, and one
+// Run sends a report at once and then one each period until stop is closed. Reports get no answer, and one
 // that can't be sent is only late: the directory may be down for a while.
-func (p *Pulse) Serve(stop <-chan struct{}) {
+func (p *Reporter) Run(stop <-chan struct{}) {
 	var conn net.Conn
 	var to string
 	defer func() {
@@ -91,7 +91,7 @@
 				p.log.Warn("no way to the directory", err)
 			}
 		}
-		if conn != nil && !sent(conn, text) {
+		if conn != nil && !send(conn, text) {
 			// A socket that has lost its way to the directory never finds one again. It is kept while there is no other: under a lack of
 			// descriptors it is the only one.
 			if other, err := net.Dial("udp", to); err == nil {
@@ -103,7 +103,7 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-p.now:
+		case <-p.changed:
 		case <-stop:
 			return
 		}
--- a/internal/backend/directory/pulse_test.go
+++ b/internal/backend/directory/pulse_test.go
@@ -10,16 +10,16 @@
 	"sloehitch/internal/testing/standin"
 )
 
-func fast(address string) *Pulse {
+func fast(address string) *Reporter {
 	lim := limits.For(64, 256)
-	lim.Pulse = time.Millisecond
+	lim.ReportInterval = time.Millisecond
 	return New("n3", address, lim, standin.Quiet)
 }
 
 // TestReportsOutliveLosses: a node is taken off the list 3 s after its last report, and a quarter of them are lost.
 // Once in ten million gaps may all be.
 func TestReportsOutliveLosses(t *testing.T) {
-	if lost := math.Pow(0.25, math.Floor(3/limits.For(64, 256).Pulse.Seconds())); lost > 1e-7 {
+	if lost := math.Pow(0.25, math.Floor(3/limits.For(64, 256).ReportInterval.Seconds())); lost > 1e-7 {
 		t.Errorf("%.2g of the gaps between reports last 3 s", lost)
 	}
 }
@@ -35,7 +35,7 @@
 	}
 	p := fast(conn.LocalAddr().String())
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	go func() { p.Serve(stop); close(stopped) }()
+	go func() { p.Run(stop); close(stopped) }()
 	read := func() string {
 		b := make([]byte, 100)
 		n, _, err := conn.ReadFrom(b)
@@ -49,7 +49,7 @@
 			t.Errorf("report %q", got)
 		}
 	}
-	p.Close(true)
+	p.SetClosed(true)
 	for got := read(); got != "PULSE n3 closed"; got = read() {
 		if got != "PULSE n3 open" {
 			t.Fatalf("report %q", got)
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	p.Move(next.LocalAddr().String())
+	p.SetAddress(next.LocalAddr().String())
 	if err := next.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	conn.Close()
 	p := fast(address)
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	go func() { p.Serve(stop); close(stopped) }()
+	go func() { p.Run(stop); close(stopped) }()
 	time.Sleep(20 * time.Millisecond)
 	again, err := net.ListenPacket("udp", address)
 	if err != nil {
--- a/internal/backend/runtime/crossings_test.go
+++ b/internal/backend/runtime/crossings_test.go
@@ -68,7 +68,7 @@
 	if change != nil {
 		change(&lim)
 	}
-	l := New(Options{Address: ln.Addr().String(), Limits: lim, Log: standin.Quiet, Gauges: func(admission.Gauges) {}})
+	l := New(Options{Address: ln.Addr().String(), Limits: lim, Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 4096), wants: make(chan uint64, 16)}
 	go l.Serve(e)
 	t.Cleanup(l.Close)
@@ -106,8 +106,8 @@
 	p.say(`{"action":"wants","pos":1,"uid":"a","content":""}`)
 	<-e.wants
 	p.Close()
-	until(t, l, func() bool { return l.links == 2 && !l.synced }) // dialled, and not served yet
-	l.Give("a", []byte("one"))
+	until(t, l, func() bool { return l.generation == 2 && !l.synced }) // dialled, and not served yet
+	l.DeliverReply("a", []byte("one"))
 	l.Start("c", "book", nil, true)
 	p, sync := next(t, ln)
 	if *sync.Pos != 1 {
@@ -117,9 +117,9 @@
 	seen := map[string]int{}
 	for c := p.read(); c.UID != "marker"; c = p.read() {
 		seen[c.Action+" "+c.UID]++
-		if c.Echo == barrier {
-			p.say(`{"action":"load","echo":%q,"meters":[]}`, barrier)
-			until(t, l, func() bool { return l.resumed })
+		if c.Echo == echoResumed {
+			p.say(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
+			until(t, l, func() bool { return l.redeliveryDecided })
 			l.Stop("marker")
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 func aWriterThatIsStuck(t *testing.T, once bool) {
-	l, e, ln := scripted(t, func(lim *limits.Limits) { lim.Write, lim.LinkSilence = time.Hour, time.Hour })
+	l, e, ln := scripted(t, func(lim *limits.Limits) { lim.WriteTimeout, lim.RuntimeSilence = time.Hour, time.Hour })
 	p, _ := next(t, ln)
 	p.say(ready)
 	until(t, l, func() bool { return l.synced })
@@ -146,7 +146,7 @@
 	for i := range starts { // far more than the sockets hold
 		l.Start(fmt.Sprint(i), "book", body, once)
 	}
-	until(t, l, func() bool { return len(l.queue) == 0 || l.runs["0"].written == 1 })
+	until(t, l, func() bool { return len(l.queue) == 0 || l.runs["0"].writtenOn == 1 })
 	if err := p.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
@@ -158,9 +158,9 @@
 		if c.Action == "start" {
 			seen[c.UID]++
 		}
-		if c.Echo == barrier {
-			p.say(`{"action":"load","echo":%q,"meters":[]}`, barrier)
-			until(t, l, func() bool { return l.resumed })
+		if c.Echo == echoResumed {
+			p.say(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
+			until(t, l, func() bool { return l.redeliveryDecided })
 			l.Stop("marker")
 		}
 	}
@@ -181,28 +181,30 @@
 // TestALinkGoneSilentIsDialledAnew: one that is up and answers nothing, and one that never says that it is up. One on which only the
 // question after its life is answered stays.
 func TestALinkGoneSilentIsDialledAnew(t *testing.T) {
-	l, _, ln := scripted(t, func(lim *limits.Limits) { lim.LinkSilence, lim.LinkReady = 20*time.Millisecond, 30*time.Millisecond })
+	l, _, ln := scripted(t, func(lim *limits.Limits) {
+		lim.RuntimeSilence, lim.RuntimeReadyTimeout = 20*time.Millisecond, 30*time.Millisecond
+	})
 	p, _ := next(t, ln) // this one never says that it is up
 	defer p.Close()
 	p, _ = next(t, ln)
 	p.say(ready)
 	until(t, l, func() bool { return l.synced })
 	for range 5 {
-		if c := p.read(); c.Action != "gauges" || c.Echo != alive {
+		if c := p.read(); c.Action != "gauges" || c.Echo != echoKeepalive {
 			t.Fatalf("%+v, want a question after its life", c)
 		}
-		p.say(`{"action":"load","echo":%q,"meters":[]}`, alive)
+		p.say(`{"action":"load","echo":%q,"meters":[]}`, echoKeepalive)
 	}
-	until(t, l, func() bool { return l.links == 2 })
+	until(t, l, func() bool { return l.generation == 2 })
 	p.read() // and from here on it says nothing
 	p, _ = next(t, ln)
 	p.say(ready)
-	until(t, l, func() bool { return l.links == 3 && l.synced })
+	until(t, l, func() bool { return l.generation == 3 && l.synced })
 }
 
 // TestANoticeInPieces comes whole, however it is cut, also where the link breaks in the midst of it; then it is read once.
 func TestANoticeInPieces(t *testing.T) {
-	l, e, ln := scripted(t, func(lim *limits.Limits) { lim.LinkSilence = time.Hour })
+	l, e, ln := scripted(t, func(lim *limits.Limits) { lim.RuntimeSilence = time.Hour })
 	p, _ := next(t, ln)
 	p.say(ready)
 	l.Start("a", "book", nil, true)
@@ -222,7 +224,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := <-e.ends; got != (end{"a", logic.OK, "a"}) {
+	if got := <-e.ends; got != (end{"a", logic.OutcomeOK, "a"}) {
 		t.Errorf("%+v", got)
 	}
 	if _, err := io.WriteString(p, second[:len(second)/2]); err != nil {
@@ -235,7 +237,7 @@
 	}
 	p.say(ready)
 	p.say("%s", second)
-	if got := <-e.ends; got != (end{"b", logic.OK, "b"}) || len(e.ends) > 0 {
+	if got := <-e.ends; got != (end{"b", logic.OutcomeOK, "b"}) || len(e.ends) > 0 {
 		t.Errorf("%+v, and %d more", got, len(e.ends))
 	}
 }
@@ -261,7 +263,7 @@
 		}
 		select {
 		case got := <-e.ends:
-			if got != (end{"a", logic.OK, "a"}) {
+			if got != (end{"a", logic.OutcomeOK, "a"}) {
 				t.Errorf("%.30q: %+v", spoilt, got)
 			}
 		case <-time.After(standin.Patience):
@@ -282,7 +284,7 @@
 	p.read()
 	p.say(`{"action":"wants","pos":1,"uid":"a","content":""}`)
 	<-e.wants
-	l.Give("a", []byte("the first call's"))
+	l.DeliverReply("a", []byte("the first call's"))
 	if c := p.read(); c.Action != "give" {
 		t.Fatalf("%+v, want the reply", c)
 	}
@@ -295,8 +297,8 @@
 		}
 		if c.Action == "gauges" {
 			p.say(`{"action":"load","echo":%q,"meters":[]}`, c.Echo)
-			until(t, l, func() bool { return l.resumed })
-			l.Continue("marker") // behind whatever is sent again
+			until(t, l, func() bool { return l.redeliveryDecided })
+			l.Resume("marker") // behind whatever is sent again
 		}
 	}
 }
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -30,30 +30,30 @@
 	wants chan uint64
 
 	mu          sync.Mutex
-	unconfirmed []unconfirmed
+	unconfirmed []unconfirmedCommand
 }
 
-func (e *events) Ended(id string, o admission.Outcome, _ time.Duration, result []byte) {
+func (e *events) RunEnded(id string, o admission.Outcome, _ time.Duration, result []byte) {
 	e.ends <- end{id, o, string(result)}
 }
-func (e *events) Unconfirmed(id string, call uint64) {
+func (e *events) DeliveryUnconfirmed(id string, call uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.unconfirmed = append(e.unconfirmed, unconfirmed{id, call})
+	e.unconfirmed = append(e.unconfirmed, unconfirmedCommand{id, call})
 }
 
 // told is what was told to be unconfirmed so far.
-func (e *events) told() []unconfirmed {
+func (e *events) told() []unconfirmedCommand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.unconfirmed)
 }
-func (e *events) Wants(_ string, pos uint64, _ []byte) { e.wants <- pos }
+func (e *events) CallRequested(_ string, pos uint64, _ []byte) { e.wants <- pos }
 
 func open(t *testing.T, rt *standin.Runtime) (*Link, *events) {
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
-	l := New(Options{Address: rt.Address, Meters: []string{"core_use", "on_cores"}, Limits: limits.For(64, 256),
-		Log: standin.Quiet, Gauges: func(admission.Gauges) {}})
+	l := New(Options{Address: rt.Address, GaugeNames: []string{"core_use", "on_cores"}, Limits: limits.For(64, 256),
+		Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 	go l.Serve(e)
 	t.Cleanup(l.Close)
 	return l, e
@@ -70,7 +70,7 @@
 	for _, c := range []struct {
 		lane string
 		o    admission.Outcome
-	}{{"good", logic.OK}, {"bad", logic.Failed}, {"odd", logic.Failed}} {
+	}{{"good", logic.OutcomeOK}, {"bad", logic.OutcomeFailed}, {"odd", logic.OutcomeFailed}} {
 		l.Start(c.lane, c.lane, []byte("a\nb"), true)
 		if got := <-e.ends; got.id != c.lane || got.o != c.o {
 			t.Errorf("%s: %+v, want %v", c.lane, got, c.o)
@@ -78,7 +78,7 @@
 	}
 	l.Start("x", "calls", nil, true)
 	<-e.wants
-	l.Give("x", []byte("reply"))
+	l.DeliverReply("x", []byte("reply"))
 	if got := <-e.ends; got.result != "reply" {
 		t.Errorf("result %q, want the reply as it was given", got.result)
 	}
@@ -133,7 +133,7 @@
 		rt.Cut()
 		<-rt.Syncs
 	}
-	unconfirmed := func(want ...unconfirmed) {
+	unconfirmed := func(want ...unconfirmedCommand) {
 		t.Helper()
 		until(t, l, func() bool { return len(e.told()) >= len(want) })
 		if got := e.told(); !slices.Equal(got, want) {
@@ -144,11 +144,11 @@
 	unconfirmed(unconfirmedStart("k"))
 	swallow(func() { l.Start("a", "slot-search", []byte("a"), false) })
 	first := <-e.wants
-	swallow(func() { l.Give("a", []byte("1")) })
+	swallow(func() { l.DeliverReply("a", []byte("1")) })
 	unconfirmed(unconfirmedStart("k"), unconfirmedReply("a", first))
-	swallow(func() { l.Omit("a", first) })
+	swallow(func() { l.SkipCall("a", first) })
 	<-e.wants
-	l.Give("a", []byte("2"))
+	l.DeliverReply("a", []byte("2"))
 	if got := <-e.ends; got.result != "2" || rt.Runs("a") != 1 {
 		t.Errorf("result %q after %d runs, want the first call left out and the second answered, once", got.result, rt.Runs("a"))
 	}
@@ -157,38 +157,56 @@
 	}
 }
 
-func unconfirmedStart(id string) unconfirmed              { return unconfirmed{id, 0} }
-func unconfirmedReply(id string, call uint64) unconfirmed { return unconfirmed{id, call} }
+func unconfirmedStart(id string) unconfirmedCommand              { return unconfirmedCommand{id, 0} }
+func unconfirmedReply(id string, call uint64) unconfirmedCommand { return unconfirmedCommand{id, call} }
 
 // TestWhatIsRepeated: what may arrive twice without harm is sent again on the next link, what may not is told to be unconfirmed, as long as
 // nothing shows that it was read.
 func TestWhatIsRepeated(t *testing.T) {
-	ask := func(l *Link) { l.synced = true; l.Ask(); l.synced = false }
-	echo := func(l *Link) { l.took(strconv.FormatUint(l.tag, 10)) }
+	ask := func(l *Link) { l.synced = true; l.RequestGauges(); l.synced = false }
+	echo := func(l *Link) { l.recordGaugesReceived(strconv.FormatUint(l.gaugesRequested, 10)) }
 	for _, c := range []struct {
 		name        string
 		play        func(l *Link)
 		want        string
-		unconfirmed []unconfirmed
+		unconfirmed []unconfirmedCommand
 	}{
 		{"a start that may be repeated", func(l *Link) { l.Start("a", "book", nil, false) }, "start", nil},
 		{"a start that may be repeated, read before", func(l *Link) { l.Start("a", "book", nil, false); ask(l); echo(l) }, "start", nil},
-		{"a start that may not", func(l *Link) { l.Start("a", "book", nil, true) }, "", []unconfirmed{{"a", 0}}},
-		{"a start that may not, asked after", func(l *Link) { l.Start("a", "book", nil, true); ask(l) }, "", []unconfirmed{{"a", 0}}},
+		{"a start that may not", func(l *Link) { l.Start("a", "book", nil, true) }, "", []unconfirmedCommand{{"a", 0}}},
+		{"a start that may not, asked after", func(l *Link) { l.Start("a", "book", nil, true); ask(l) }, "", []unconfirmedCommand{{"a", 0}}},
 		{"a start that may not, read before", func(l *Link) { l.Start("a", "book", nil, true); ask(l); echo(l) }, "", nil},
-		{"a start after gauges that came", func(l *Link) { ask(l); l.Start("a", "book", nil, true); echo(l) }, "", []unconfirmed{{"a", 0}}},
-		{"a start that was heard of", func(l *Link) { l.Start("a", "book", nil, true); l.heard("a", 3) }, "", nil},
-		{"a run that is over", func(l *Link) { l.Start("a", "book", nil, true); l.over("a") }, "", nil},
-		{"a reply", func(l *Link) { l.Start("a", "book", nil, false); l.heard("a", 3); ask(l); echo(l); l.Give("a", nil) }, "", []unconfirmed{{"a", 3}}},
-		{"a reply that was read", func(l *Link) { l.Start("a", "book", nil, true); l.heard("a", 3); l.Give("a", nil); ask(l); echo(l) }, "", nil},
-		{"a call left out", func(l *Link) { l.Start("a", "book", nil, true); l.heard("a", 3); l.Omit("a", 3); ask(l); echo(l) }, "omit", nil},
+		{"a start after gauges that came", func(l *Link) { ask(l); l.Start("a", "book", nil, true); echo(l) }, "", []unconfirmedCommand{{"a", 0}}},
+		{"a start that was heard of", func(l *Link) { l.Start("a", "book", nil, true); l.recordCall("a", 3) }, "", nil},
+		{"a run that is over", func(l *Link) { l.Start("a", "book", nil, true); l.removeRun("a") }, "", nil},
+		{"a reply", func(l *Link) {
+			l.Start("a", "book", nil, false)
+			l.recordCall("a", 3)
+			ask(l)
+			echo(l)
+			l.DeliverReply("a", nil)
+		}, "", []unconfirmedCommand{{"a", 3}}},
+		{"a reply that was read", func(l *Link) {
+			l.Start("a", "book", nil, true)
+			l.recordCall("a", 3)
+			l.DeliverReply("a", nil)
+			ask(l)
+			echo(l)
+		}, "", nil},
+		{"a call left out", func(l *Link) {
+			l.Start("a", "book", nil, true)
+			l.recordCall("a", 3)
+			l.SkipCall("a", 3)
+			ask(l)
+			echo(l)
+		}, "omit", nil},
 	} {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
-		l.links = 1
+		l.generation = 1
 		c.play(l)
-		l.handed()
-		l.links++
-		r := l.resume()
+		l.takeQueue()
+		l.generation++
+		r := l.decideRedelivery()
 		var m command
 		if len(l.queue) > 0 {
 			if err := json.Unmarshal(l.queue[0].line, &m); err != nil {
@@ -201,7 +219,7 @@
 		if !slices.Equal(r.unconfirmed, c.unconfirmed) || len(r.abandoned) > 0 {
 			t.Errorf("%s: unconfirmed %v, abandoned %v, want %v and none", c.name, r.unconfirmed, r.abandoned, c.unconfirmed)
 		}
-		if again := l.resume(); len(again.unconfirmed) > 0 || len(l.queue) > 1 {
+		if again := l.decideRedelivery(); len(again.unconfirmed) > 0 || len(l.queue) > 1 {
 			t.Errorf("%s: decided twice on one link", c.name)
 		}
 	}
@@ -214,17 +232,17 @@
 	l, e := open(t, rt)
 	<-rt.Syncs
 	l.Start("a", "book", []byte("a"), true)
-	l.Move(rt.Another(t))
+	l.SetAddress(rt.Another(t))
 	l.Start("b", "book", []byte("b"), true)
 	close(hold)
 	<-rt.Syncs
 	for range 2 {
 		got := <-e.ends
-		if got.o != logic.OK || rt.Runs(got.id) != 1 {
+		if got.o != logic.OutcomeOK || rt.Runs(got.id) != 1 {
 			t.Errorf("%+v, ran %d times", got, rt.Runs(got.id))
 		}
 	}
-	l.Move(rt.Another(t))
+	l.SetAddress(rt.Another(t))
 	if pos := <-rt.Syncs; pos != 2 {
 		t.Errorf("resumed from %d, want 2", pos)
 	}
@@ -232,13 +250,13 @@
 
 func TestTakeRefusesGarbage(t *testing.T) {
 	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
-	if err := l.take([]byte(`{"action":"info","pos":1,"code":{"a":[1]},"uid":7}`)); err != nil || l.pos != 1 {
+	if err := l.handleNotice([]byte(`{"action":"info","pos":1,"code":{"a":[1]},"uid":7}`)); err != nil || l.lastNotice != 1 {
 		t.Errorf("a remark costs the link: %v", err)
 	}
 	for _, line := range []string{"", "{", "[]", `{"action":"wants","pos":1,"content":"%"}`, `{"pos":-1}`} {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
 		l.events = &events{}
-		if l.take([]byte(line)) == nil {
+		if l.handleNotice([]byte(line)) == nil {
 			t.Errorf("%q was taken", line)
 		}
 	}
@@ -250,17 +268,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, Gauges: func(admission.Gauges) {}})
+	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
 	l.events, l.synced = e, true
 	pos := uint64(7)
-	l.queue = append(l.queue, queued{line: encode(command{Action: "sync", Pos: &pos})})
+	l.queue = append(l.queue, queuedCommand{line: encodeCommand(command{Action: "sync", Pos: &pos})})
 	l.Start("a", "book", nil, true)
 	l.Stop("a")
-	l.Continue("a")
-	l.Give("a", []byte("reply"))
-	l.Omit("a", 3)
-	l.Ask()
+	l.Resume("a")
+	l.DeliverReply("a", []byte("reply"))
+	l.SkipCall("a", 3)
+	l.RequestGauges()
 	for _, q := range l.queue {
 		payload, err := jsonschema.UnmarshalJSON(bytes.NewReader(q.line))
 		if err != nil {
@@ -275,17 +293,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.take(line); err != nil {
+		if err := l.handleNotice(line); err != nil {
 			t.Errorf("%s: %v", line, err)
 		}
 	}
-	if len(e.ends) != 1 || len(e.wants) != 1 || l.pos != 3 {
-		t.Errorf("%d ends and %d calls were told, up to %d", len(e.ends), len(e.wants), l.pos)
+	if len(e.ends) != 1 || len(e.wants) != 1 || l.lastNotice != 3 {
+		t.Errorf("%d ends and %d calls were told, up to %d", len(e.ends), len(e.wants), l.lastNotice)
 	}
 }
 
 func TestPutBack(t *testing.T) {
-	lines := []queued{{line: []byte("abc\n")}, {line: []byte("de\n")}, {line: []byte("f\n")}}
+	lines := []queuedCommand{{line: []byte("abc\n")}, {line: []byte("de\n")}, {line: []byte("f\n")}}
 	for _, c := range []struct {
 		written int
 		want    string
@@ -294,8 +312,8 @@
 		{6, "f\nlater\n"}, {7, "f\nlater\n"}, {8, "later\n"}, {9, "later\n"},
 	} {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
-		l.queue = []queued{{line: []byte("later\n")}}
-		l.putBack(lines, c.written)
+		l.queue = []queuedCommand{{line: []byte("later\n")}}
+		l.requeueUnwritten(lines, c.written)
 		var got string
 		for _, q := range l.queue {
 			got += string(q.line)
@@ -310,22 +328,22 @@
 // heard of since has failed, since its end may be among them; it is not started again.
 func TestNoticesThatAreLost(t *testing.T) {
 	resume := func(first uint64, once bool) (ended []end, queued int) {
-		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, Gauges: func(admission.Gauges) {}})
+		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 		e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
-		l.events, l.synced, l.links = e, true, 1
+		l.events, l.synced, l.generation = e, true, 1
 		for _, id := range []string{"a", "b", "c"} {
 			l.Start(id, "book", nil, once)
 		}
-		l.handed() // all three were written; then the link broke
-		l.pos, l.links = 10, 2
+		l.takeQueue() // all three were written; then the link broke
+		l.lastNotice, l.generation = 10, 2
 		for i, line := range []string{`{"action":"wants","uid":"b"`, `{"action":"info"`} {
-			if err := l.take(fmt.Appendf(nil, `%s,"pos":%d}`, line, first+uint64(i))); err != nil {
+			if err := l.handleNotice(fmt.Appendf(nil, `%s,"pos":%d}`, line, first+uint64(i))); err != nil {
 				t.Fatal(err)
 			}
 		}
 		l.Start("d", "book", nil, true)
-		l.handed()
-		if err := l.take([]byte(`{"action":"load","echo":"resumed","meters":[]}`)); err != nil {
+		l.takeQueue()
+		if err := l.handleNotice([]byte(`{"action":"load","echo":"resumed","meters":[]}`)); err != nil {
 			t.Fatal(err)
 		}
 		close(e.ends)
@@ -341,7 +359,7 @@
 		t.Errorf("without a gap %v ended, %d starts that may come once were sent again", got, queued)
 	}
 	got, queued := resume(5000, false)
-	if !slices.Equal(got, []end{{"a", logic.Failed, ""}, {"c", logic.Failed, ""}}) || queued != 0 {
+	if !slices.Equal(got, []end{{"a", logic.OutcomeFailed, ""}, {"c", logic.OutcomeFailed, ""}}) || queued != 0 {
 		t.Errorf("after a gap %v ended, %d starts were sent again; want a and c failed, d sent once", got, queued)
 	}
 }
--- a/internal/backend/runtime/messages.go
+++ b/internal/backend/runtime/messages.go
@@ -32,12 +32,12 @@
 
 // Echoes that show how far the other end is.
 const (
-	barrier  = "resumed" // all notices up to the resumption have been read
-	handOver = "moved"   // all commands written before the move have been taken
-	alive    = "alive"   // the other end is there: nothing else was heard of it for a while
+	echoResumed   = "resumed" // all notices up to the resumption have been read
+	echoHandover  = "moved"   // all commands written before the move have been taken
+	echoKeepalive = "alive"   // the other end is there: nothing else was heard of it for a while
 )
 
-func encode(c command) []byte {
+func encodeCommand(c command) []byte {
 	line, err := json.Marshal(c)
 	if err != nil { // strings and numbers always marshal
 		panic(err)
@@ -45,9 +45,9 @@
 	return append(line, '\n')
 }
 
-func base(body []byte) *string {
+func encodeBody(body []byte) *string {
 	s := base64.StdEncoding.EncodeToString(body)
 	return &s
 }
 
-var ends = map[string]admission.Outcome{"OK": logic.OK, "ERROR": logic.Failed, "STOPPED": logic.Cancelled, "MOOT": logic.Moot}
+var endOutcomes = map[string]admission.Outcome{"OK": logic.OutcomeOK, "ERROR": logic.OutcomeFailed, "STOPPED": logic.OutcomeCanceled, "MOOT": logic.OutcomeNotStarted}
--- a/internal/backend/runtime/reader.go
+++ b/internal/backend/runtime/reader.go
@@ -15,26 +15,26 @@
 	"sloehitch/logic"
 )
 
-// read takes notices until the link breaks or the other end is silent: from an end that is up, something must come
+// readNotices takes notices until the link breaks or the other end is silent: from an end that is up, something must come
 // within Limits.LinkSilence after it was asked. One that is on its way up may take its time, but is dialled anew after
 // Limits.LinkReady, as the link may be to one that is gone.
-func (l *Link) read(conn net.Conn) error {
+func (l *Link) readNotices(conn net.Conn) error {
 	in := bufio.NewReaderSize(conn, 8<<10)
 	var line []byte
 	asked, long := false, false
 	for {
 		l.mu.Lock()
-		up := l.synced || l.leaving
+		up := l.synced || l.switching
 		l.mu.Unlock()
-		patience := l.opts.Limits.LinkReady
+		patience := l.opts.Limits.RuntimeReadyTimeout
 		if up {
-			patience = l.opts.Limits.LinkSilence
+			patience = l.opts.Limits.RuntimeSilence
 		}
 		if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
 			return err
 		}
 		part, err := in.ReadSlice('\n')
-		if line = append(line, part...); len(line) > l.opts.Limits.NoticeLine {
+		if line = append(line, part...); len(line) > l.opts.Limits.NoticeBytes {
 			line, long = line[:0], true
 		}
 		if len(part) > 0 {
@@ -45,40 +45,40 @@
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded) && up && !asked:
 			asked = len(part) == 0
-			l.simple(command{Action: "gauges", Echo: alive})
+			l.sendCommand(command{Action: "gauges", Echo: echoKeepalive})
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return errSilent
+			return errRuntimeSilent
 		case err != nil:
 			return err
 		}
 		if long {
-			err = errLong
+			err = errNoticeTooLong
 		} else {
-			err = l.take(line)
+			err = l.handleNotice(line)
 		}
-		if err != nil && (errors.Is(err, errMoved) || !l.passOver(err)) {
+		if err != nil && (errors.Is(err, errAddressChanged) || !l.skipUnreadable(err)) {
 			return err
 		}
 		line, long = line[:0], false
 	}
 }
 
-// passOver says whether a notice that can't be read is left out. The first time it is not: it is asked for again on
+// skipUnreadable says whether a notice that can't be read is left out. The first time it is not: it is asked for again on
 // another link, since it may have been spoilt on the way. If it comes so again, no link would ever get past it.
-func (l *Link) passOver(err error) bool {
+func (l *Link) skipUnreadable(err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.spoilt {
-		l.spoilt = true
+	if !l.unreadableNotice {
+		l.unreadableNotice = true
 		return false
 	}
 	l.log.Warn("a notice that can't be read, twice, is left out", err)
 	return true
 }
 
-// take handles one notice. An error costs the link, which is then resumed.
-func (l *Link) take(line []byte) error {
+// handleNotice handles one notice. An error costs the link, which is then resumed.
+func (l *Link) handleNotice(line []byte) error {
 	var m notice
 	var odd *json.UnmarshalTypeError
 	if err := json.Unmarshal(line, &m); err != nil && !(errors.As(err, &odd) && m.Action == "info") {
@@ -96,29 +96,29 @@
 	}
 	switch m.Action {
 	case "ready":
-		l.ready(m)
+		l.handleReady(m)
 	case "end":
-		l.end(m)
+		l.handleEnd(m)
 	case "wants":
-		l.heard(m.UID, m.Pos)
-		l.events.Wants(m.UID, m.Pos, body)
+		l.recordCall(m.UID, m.Pos)
+		l.events.CallRequested(m.UID, m.Pos, body)
 	case "load":
 		switch m.Echo {
-		case barrier:
-			l.tell(l.resume())
+		case echoResumed:
+			l.reportResume(l.decideRedelivery())
 			return nil
-		case handOver:
-			return errMoved
-		case alive:
+		case echoHandover:
+			return errAddressChanged
+		case echoKeepalive:
 			return nil
 		}
-		l.took(m.Echo)
-		l.opts.Gauges(l.gauges(m.Meters))
+		l.recordGaugesReceived(m.Echo)
+		l.opts.OnGauges(l.decodeGauges(m.Meters))
 	case "nack":
 		l.log.Warn("the runtime did not carry out a command", fmt.Errorf("%s %s", m.Code, m.UID))
 		if m.Code == "start" {
-			l.over(m.UID)
-			l.events.Ended(m.UID, logic.Moot, 0, nil)
+			l.removeRun(m.UID)
+			l.events.RunEnded(m.UID, logic.OutcomeNotStarted, 0, nil)
 		}
 	}
 	return nil
@@ -128,63 +128,63 @@
 func (l *Link) advance(pos uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if pos <= l.pos {
+	if pos <= l.lastNotice {
 		return false
 	}
-	if l.pos > 0 && pos > l.pos+1 && !l.gap {
-		l.gap = true
-		l.log.Warn("the runtime no longer had all notices", fmt.Errorf("%d after %d", pos, l.pos))
+	if l.lastNotice > 0 && pos > l.lastNotice+1 && !l.noticesLost {
+		l.noticesLost = true
+		l.log.Warn("the runtime no longer had all notices", fmt.Errorf("%d after %d", pos, l.lastNotice))
 	}
-	l.pos, l.spoilt = pos, false
+	l.lastNotice, l.unreadableNotice = pos, false
 	return true
 }
 
-// ready opens the link for commands. On a resumed link the barrier comes first: once it is echoed, all that
+// handleReady opens the link for commands. On a resumed link the barrier comes first: once it is echoed, all that
 // happened meanwhile has been read.
-func (l *Link) ready(m notice) {
+func (l *Link) handleReady(m notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.opts.Log.Info("runtime ready", "state", m.Code, "up_ms", m.WallMS, "link", l.links, "read_to", l.pos)
-	l.synced, l.resumed = true, false
-	if len(l.runs) > 0 && !l.whole {
-		l.queue = append([]queued{{line: encode(command{Action: "gauges", Echo: barrier})}}, l.queue...)
+	l.opts.Log.Info("runtime ready", "state", m.Code, "up_ms", m.WallMS, "link", l.generation, "read_to", l.lastNotice)
+	l.synced, l.redeliveryDecided = true, false
+	if len(l.runs) > 0 && !l.cleanSwitch {
+		l.queue = append([]queuedCommand{{line: encodeCommand(command{Action: "gauges", Echo: echoResumed})}}, l.queue...)
 	}
 	l.cond.Broadcast()
 }
 
-// tell tells what follows from a break of the link.
-func (l *Link) tell(r resumption) {
+// reportResume tells what follows from a break of the link.
+func (l *Link) reportResume(r resumeOutcome) {
 	for _, id := range r.abandoned {
-		l.events.Ended(id, logic.Failed, 0, nil)
+		l.events.RunEnded(id, logic.OutcomeFailed, 0, nil)
 	}
 	for _, u := range r.unconfirmed {
-		l.events.Unconfirmed(u.id, u.call)
+		l.events.DeliveryUnconfirmed(u.id, u.callNotice)
 	}
 }
 
-// took notes that all commands before these gauges were taken.
-func (l *Link) took(echo string) {
+// recordGaugesReceived notes that all commands before these gauges were taken.
+func (l *Link) recordGaugesReceived(echo string) {
 	if tag, err := strconv.ParseUint(echo, 10, 64); err == nil {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.taken = max(l.taken, tag)
+		l.gaugesReceived = max(l.gaugesReceived, tag)
 	}
 }
 
-func (l *Link) end(m notice) {
-	l.over(m.UID)
-	o, known := ends[m.Code]
+func (l *Link) handleEnd(m notice) {
+	l.removeRun(m.UID)
+	o, known := endOutcomes[m.Code]
 	result, err := base64.StdEncoding.DecodeString(m.Content)
-	if !known || err != nil || len(result) > l.opts.Limits.Result {
+	if !known || err != nil || len(result) > l.opts.Limits.ResultBytes {
 		l.log.Warn("a run ended in a way not understood", fmt.Errorf("%s %s: %w", m.Code, m.UID, err))
-		o, result = logic.Failed, nil
+		o, result = logic.OutcomeFailed, nil
 	}
-	l.events.Ended(m.UID, o, time.Duration(m.WallMS*float64(time.Millisecond)), result)
+	l.events.RunEnded(m.UID, o, time.Duration(m.WallMS*float64(time.Millisecond)), result)
 }
 
-func (l *Link) gauges(values []json.Number) admission.Gauges {
-	g := admission.Gauges{CoreUse: -1, RunQueue: -1, MemoryShare: -1, Connections: -1}
-	for i, name := range l.opts.Meters {
+func (l *Link) decodeGauges(values []json.Number) admission.Gauges {
+	g := admission.Gauges{CPUUtilization: -1, RunQueueLength: -1, MemoryUtilization: -1, Connections: -1}
+	for i, name := range l.opts.GaugeNames {
 		if i >= len(values) {
 			break
 		}
@@ -194,11 +194,11 @@
 		}
 		switch name {
 		case "core_use":
-			g.CoreUse = v
+			g.CPUUtilization = v
 		case "on_cores":
-			g.RunQueue = v
+			g.RunQueueLength = v
 		case "heap_share":
-			g.MemoryShare = v
+			g.MemoryUtilization = v
 		case "links":
 			g.Connections = v
 		}
--- a/internal/backend/runtime/redelivery/redelivery.go
+++ b/internal/backend/runtime/redelivery/redelivery.go
@@ -22,8 +22,8 @@
 // Command is what is known of a command that was written to a link which has broken.
 type Command struct {
 	Kind Kind
-	// Repeatable says that its request may run more than once.
-	Repeatable bool
+	// Idempotent says that its request may run more than once.
+	Idempotent bool
 	// NoticesLost says that the runtime no longer had all notices since then: the end of the run may be among them.
 	NoticesLost bool
 }
@@ -43,7 +43,7 @@
 	switch {
 	case c.NoticesLost:
 		return Abandon
-	case c.Kind == Omission, c.Kind == Start && c.Repeatable:
+	case c.Kind == Omission, c.Kind == Start && c.Idempotent:
 		return Redeliver
 	default:
 		return Await
--- a/internal/backend/runtime/redelivery/redelivery_test.go
+++ b/internal/backend/runtime/redelivery/redelivery_test.go
@@ -9,14 +9,14 @@
 		command Command
 		want    Action
 	}{
-		{"a start that may be repeated", Command{Kind: Start, Repeatable: true}, Redeliver},
+		{"a start that may be repeated", Command{Kind: Start, Idempotent: true}, Redeliver},
 		{"a start that may not", Command{Kind: Start}, Await},
 		{"a reply", Command{Kind: Reply}, Await},
-		{"a reply in a request that may be repeated", Command{Kind: Reply, Repeatable: true}, Await},
+		{"a reply in a request that may be repeated", Command{Kind: Reply, Idempotent: true}, Await},
 		{"an omission", Command{Kind: Omission}, Redeliver},
-		{"an omission in a request that may be repeated", Command{Kind: Omission, Repeatable: true}, Redeliver},
+		{"an omission in a request that may be repeated", Command{Kind: Omission, Idempotent: true}, Redeliver},
 		{"a start whose end may be lost", Command{Kind: Start, NoticesLost: true}, Abandon},
-		{"a start that may be repeated, whose end may be lost", Command{Kind: Start, Repeatable: true, NoticesLost: true}, Abandon},
+		{"a start that may be repeated, whose end may be lost", Command{Kind: Start, Idempotent: true, NoticesLost: true}, Abandon},
 		{"an omission after which notices were lost", Command{Kind: Omission, NoticesLost: true}, Abandon},
 	} {
 		if got := Decide(c.command); got != c.want {
--- a/internal/control/canary/verdict.go
+++ b/internal/control/canary/verdict.go
@@ -16,82 +16,84 @@
 	"slices"
 )
 
-// Span is what a node counted in one stretch of time.
-type Span struct {
-	Served, Refused, Failed float64
-	P99MS                   float64 // 0: not known
+// Interval is what a node counted in one stretch of time.
+type Interval struct {
+	Served, Rejected, Failed float64
+	P99MS                    float64 // 0: not known
 }
 
-// figure is one that is compared.
-type figure struct {
-	name  string
-	of    func(Span) (value float64, known bool)
-	least float64 // a difference below this is no matter
-	most  float64 // one of this much is to be seen, before a version is called no worse
-	unit  string
+// metric is one that is compared.
+type metric struct {
+	name             string
+	value            func(Interval) (value float64, known bool)
+	minEffect        float64 // a difference below this is no matter
+	detectableEffect float64 // one of this much is to be seen, before a version is called no worse
+	unit             string
 
 	smoothed bool // over Terms.Smooth spans
 }
 
-func share(part func(Span) float64) func(Span) (float64, bool) {
-	return func(s Span) (float64, bool) {
-		all := s.Served + s.Refused + s.Failed
+func fraction(part func(Interval) float64) func(Interval) (float64, bool) {
+	return func(s Interval) (float64, bool) {
+		all := s.Served + s.Rejected + s.Failed
 		return part(s) / max(all, 1), all >= 5
 	}
 }
 
-var figures = []figure{
-	{"failed share", share(func(s Span) float64 { return s.Failed }), 0.01, 0.05, "", false},
-	{"refused share", share(func(s Span) float64 { return s.Refused }), 0.03, 0.15, "", false},
-	{"99th percentile of latency", func(s Span) (float64, bool) { return math.Log(max(s.P99MS, 0.01)), s.P99MS > 0 }, math.Log(1.3), math.Log(2.5), " (log)", true},
+var metrics = []metric{
+	{"failed share", fraction(func(s Interval) float64 { return s.Failed }), 0.01, 0.05, "", false},
+	{"refused share", fraction(func(s Interval) float64 { return s.Rejected }), 0.03, 0.15, "", false},
+	{"99th percentile of latency", func(s Interval) (float64, bool) { return math.Log(max(s.P99MS, 0.01)), s.P99MS > 0 }, math.Log(1.3), math.Log(2.5), " (log)", true},
 }
 
-// Terms are how certain a verdict is to be.
-type Terms struct {
-	FalseAlarm float64 // chance that a release of a good version is called worse, over all looks at it: 0.01
-	Looks      int     // at most, over the release
-	Least      int     // spans of a node on either side of its change that are wanted
-	// Smooth is over how many spans a reported percentile is taken: values closer to one another than that are not independent, and count
+// Options are how certain a verdict is to be.
+type Options struct {
+	FalseAlarmProbability float64 // chance that a release of a good version is called worse, over all looks at it: 0.01
+	MaxAnalyses           int     // at most, over the release
+	MinIntervals          int     // spans of a node on either side of its change that are wanted
+	// SmoothingIntervals is over how many spans a reported percentile is taken: values closer to one another than that are not independent, and count
 	// for one. 0 and 1: each is of its own span.
-	Smooth int
+	SmoothingIntervals int
 }
 
-// Node is one node's spans, oldest first, of the same stretches for all nodes: Spans[i] is of the same time in each. Known says which of them
+// NodeSeries is one node's spans, oldest first, of the same stretches for all nodes: Spans[i] is of the same time in each. Known says which of them
 // are; a node that was out or silent has none then.
-type Node struct {
-	Name, Zone string
-	Spans      []Span
-	Known      []bool
-	Began      []bool // its process was started anew in that span, but for its change
-	Changed    int    // the first span that counts as after its change; 0: not changed
-	In         bool   // it is to be judged: it has come back
+type NodeSeries struct {
+	Name, Zone  string
+	Intervals   []Interval
+	Known       []bool
+	Restarted   []bool // its process was started anew in that span, but for its change
+	UpdatedFrom int    // the first span that counts as after its change; 0: not changed
+	InService   bool   // it is to be judged: it has come back
 }
 
-// Judgement is what came of a look.
-type Judgement struct {
-	Worse bool
-	Why   string // of a worse one, or why nothing can be said yet
-	Sure  bool   // there was enough to call it no worse
+// Verdict is what came of a look.
+type Verdict struct {
+	Worse      bool
+	Reason     string // of a worse one, or why nothing can be said yet
+	Conclusive bool   // there was enough to call it no worse
 }
 
-// alarm is the chance of a false alarm of one figure, restarts among them, at one look.
-func (t Terms) alarm() float64 { return t.FalseAlarm / float64(max(1, t.Looks)*(len(figures)+1)) }
+// significance is the chance of a false alarm of one figure, restarts among them, at one look.
+func (t Options) significance() float64 {
+	return t.FalseAlarmProbability / float64(max(1, t.MaxAnalyses)*(len(metrics)+1))
+}
 
-// restarts says whether processes of changed nodes are started anew more often than those of unchanged ones, for the time that each was
+// excessRestarts says whether processes of changed nodes are started anew more often than those of unchanged ones, for the time that each was
 // watched; empty: not for certain. Given how many there were in all, those of the changed nodes are binomial by their part of that time
 // (Przyborowski and Wilenski 1940): a process that ends once, for whatever reason, is no verdict on its version.
-func restarts(t Terms, nodes []Node) string {
+func excessRestarts(t Options, nodes []NodeSeries) string {
 	var began, watched [2]int // of unchanged nodes, of changed ones
 	for _, n := range nodes {
 		for i, known := range n.Known {
 			side := 0
-			if n.Changed > 0 && i >= n.Changed {
+			if n.UpdatedFrom > 0 && i >= n.UpdatedFrom {
 				side = 1
 			}
 			if known {
 				watched[side]++
 			}
-			if i < len(n.Began) && n.Began[i] {
+			if i < len(n.Restarted) && n.Restarted[i] {
 				began[side]++
 			}
 		}
@@ -103,43 +105,43 @@
 	part := float64(watched[1]) / float64(watched[0]+watched[1])
 	chance := 0.0
 	for k := began[1]; k <= all; k++ {
-		chance += math.Exp(choose(all, k) + float64(k)*math.Log(part) + float64(all-k)*math.Log(1-part))
+		chance += math.Exp(logBinomial(all, k) + float64(k)*math.Log(part) + float64(all-k)*math.Log(1-part))
 	}
-	if chance >= t.alarm() {
+	if chance >= t.significance() {
 		return ""
 	}
 	return fmt.Sprintf("changed nodes were started anew %d times in %d spans, the others %d times in %d", began[1], watched[1], began[0], watched[0])
 }
 
-// choose is the logarithm of the number of ways to take k of n.
-func choose(n, k int) float64 {
+// logBinomial is the logarithm of the number of ways to take k of n.
+func logBinomial(n, k int) float64 {
 	log := func(n int) float64 { v, _ := math.Lgamma(float64(n + 1)); return v }
 	return log(n) - log(k) - log(n-k)
 }
 
-// Judge looks at all nodes.
-func Judge(t Terms, nodes []Node) Judgement {
-	z := math.Sqrt2 * math.Erfinv(1-2*t.alarm())
-	var changed []Node
+// Analyze looks at all nodes.
+func Analyze(t Options, nodes []NodeSeries) Verdict {
+	z := math.Sqrt2 * math.Erfinv(1-2*t.significance())
+	var changed []NodeSeries
 	for _, n := range nodes {
-		if n.Changed > 0 && n.In {
+		if n.UpdatedFrom > 0 && n.InService {
 			changed = append(changed, n)
 		}
 	}
 	if len(changed) == 0 {
-		return Judgement{Why: "nothing is changed yet"}
+		return Verdict{Reason: "nothing is changed yet"}
 	}
-	if why := restarts(t, nodes); why != "" {
-		return Judgement{Worse: true, Sure: true, Why: why}
+	if why := excessRestarts(t, nodes); why != "" {
+		return Verdict{Worse: true, Conclusive: true, Reason: why}
 	}
-	j := Judgement{Sure: true}
-	for _, f := range figures {
+	j := Verdict{Conclusive: true}
+	for _, f := range metrics {
 		var all, rest []float64 // differences of all changed nodes, each less its own mean from before; what is left without the means
 		mine := map[string][2]int{}
 		short := 0
 		for _, n := range changed {
-			before, after := paired(f, n, nodes)
-			if len(after) < t.Least || len(before) < t.Least {
+			before, after := pairedDifferences(f, n, nodes)
+			if len(after) < t.MinIntervals || len(before) < t.MinIntervals {
 				short++
 				continue
 			}
@@ -152,8 +154,8 @@
 			}
 			mine[n.Name] = [2]int{len(before), len(after)}
 		}
-		if short > 0 && f.name == figures[0].name {
-			j.Sure, j.Why = false, fmt.Sprintf("%d of %d changed nodes have too few spans, or nobody of their zone to compare with", short, len(changed))
+		if short > 0 && f.name == metrics[0].name {
+			j.Conclusive, j.Reason = false, fmt.Sprintf("%d of %d changed nodes have too few spans, or nobody of their zone to compare with", short, len(changed))
 		}
 		if len(mine) == 0 {
 			continue
@@ -170,52 +172,52 @@
 		}
 		alike := 1
 		if f.smoothed {
-			alike = max(1, t.Smooth)
+			alike = max(1, t.SmoothingIntervals)
 		}
-		chance := student(z, (len(rest)-len(mine)-1)/alike) * deviation(rest, len(mine)+1) * math.Sqrt(share*float64(alike))
+		chance := studentQuantile(z, (len(rest)-len(mine)-1)/alike) * residualDeviation(rest, len(mine)+1) * math.Sqrt(share*float64(alike))
 		switch {
-		case m > f.least && m > chance:
-			return Judgement{Worse: true, Sure: true, Why: fmt.Sprintf("%s of the changed nodes is %.3f%s above the others' of their zones, where %.3f would be chance", f.name, m, f.unit, max(f.least, chance))}
-		case alike == 1 && chance > f.most && j.Sure: // what is smoothed takes too long to wait for
-			j.Sure, j.Why = false, fmt.Sprintf("a difference in the %s below %.3f%s could not be told from chance yet", f.name, chance, f.unit)
+		case m > f.minEffect && m > chance:
+			return Verdict{Worse: true, Conclusive: true, Reason: fmt.Sprintf("%s of the changed nodes is %.3f%s above the others' of their zones, where %.3f would be chance", f.name, m, f.unit, max(f.minEffect, chance))}
+		case alike == 1 && chance > f.detectableEffect && j.Conclusive: // what is smoothed takes too long to wait for
+			j.Conclusive, j.Reason = false, fmt.Sprintf("a difference in the %s below %.3f%s could not be told from chance yet", f.name, chance, f.unit)
 		}
 	}
 	return j
 }
 
-// student is the quantile of Student's distribution that a normal one has at z, for so many degrees of freedom (Abramowitz and Stegun,
+// studentQuantile is the quantile of Student's distribution that a normal one has at z, for so many degrees of freedom (Abramowitz and Stegun,
 // 26.7.5; from seven on within some hundredths at the z that are used here).
-func student(z float64, free int) float64 {
+func studentQuantile(z float64, free int) float64 {
 	n := float64(max(1, free))
 	z3, z5 := z*z*z, z*z*z*z*z
 	return z + (z3+z)/(4*n) + (5*z5+16*z3+3*z)/(96*n*n) + (3*z5*z*z+19*z5+17*z3-15*z)/(384*n*n*n)
 }
 
-// paired are the differences of a node to the unchanged ones of its zone, before and after its change. Spans in which it was not in, or nobody
+// pairedDifferences are the differences of a node to the unchanged ones of its zone, before and after its change. Spans in which it was not in, or nobody
 // was there to compare with, are left out.
-func paired(f figure, n Node, nodes []Node) (before, after []float64) {
-	for i, s := range n.Spans {
+func pairedDifferences(f metric, n NodeSeries, nodes []NodeSeries) (before, after []float64) {
+	for i, s := range n.Intervals {
 		if !n.Known[i] {
 			continue
 		}
-		own, known := f.of(s)
+		own, known := f.value(s)
 		if !known {
 			continue
 		}
 		sum, count := 0.0, 0
 		for _, o := range nodes {
-			if o.Name == n.Name || o.Zone != n.Zone || i >= len(o.Spans) || !o.Known[i] || o.Changed > 0 && i >= o.Changed-1 {
+			if o.Name == n.Name || o.Zone != n.Zone || i >= len(o.Intervals) || !o.Known[i] || o.UpdatedFrom > 0 && i >= o.UpdatedFrom-1 {
 				continue
 			}
-			if v, known := f.of(o.Spans[i]); known {
+			if v, known := f.value(o.Intervals[i]); known {
 				sum, count = sum+v, count+1
 			}
 		}
 		switch {
 		case count == 0:
-		case n.Changed > 0 && i >= n.Changed:
+		case n.UpdatedFrom > 0 && i >= n.UpdatedFrom:
 			after = append(after, own-sum/float64(count))
-		case i < n.Changed-1 || n.Changed == 0:
+		case i < n.UpdatedFrom-1 || n.UpdatedFrom == 0:
 			before = append(before, own-sum/float64(count))
 		}
 	}
@@ -230,8 +232,8 @@
 	return sum / float64(len(x))
 }
 
-// deviation is that of what is left after so many means were taken off.
-func deviation(x []float64, means int) float64 {
+// residualDeviation is that of what is left after so many means were taken off.
+func residualDeviation(x []float64, means int) float64 {
 	sum := 0.0
 	for _, v := range x {
 		sum += v * v
@@ -241,72 +243,74 @@
 
 // Recorder takes the nodes' counts as they report them, and makes spans of them. It is not safe for concurrent use.
 type Recorder struct {
-	keep  int
-	nodes map[string]*recorded
-	spans int
+	capacity  int
+	nodes     map[string]*nodeRecord
+	intervals int
 }
 
-type recorded struct {
-	Node
-	last  Span
-	since int64 // when its process began
-	have  bool
+type nodeRecord struct {
+	NodeSeries
+	lastTotal      Interval
+	processStartMS int64 // when its process began
+	reported       bool
 }
 
 // NewRecorder returns one that keeps so many spans.
-func NewRecorder(keep int) *Recorder { return &Recorder{keep: keep, nodes: map[string]*recorded{}} }
+func NewRecorder(keep int) *Recorder {
+	return &Recorder{capacity: keep, nodes: map[string]*nodeRecord{}}
+}
 
-// Report is what a node's counts are now.
-type Report struct {
-	Name, Zone string
-	Total      Span  // since its process began
-	Since      int64 // when that was
-	In         bool  // it is in service, and has been for long enough
-	Changed    bool  // it runs what it is to be changed to
+// NodeReport is what a node's counts are now.
+type NodeReport struct {
+	Name, Zone     string
+	Total          Interval // since its process began
+	ProcessStartMS int64    // when that was
+	InService      bool     // it is in service, and has been for long enough
+	Updated        bool     // it runs what it is to be changed to
 }
 
-// Take ends a span with the reports as they are.
-func (r *Recorder) Take(reports []Report) {
-	r.spans++
+// Record ends a span with the reports as they are.
+func (r *Recorder) Record(reports []NodeReport) {
+	r.intervals++
 	here := map[string]bool{}
 	for _, x := range reports {
 		here[x.Name] = true
 		n := r.nodes[x.Name]
 		if n == nil {
-			n = &recorded{Node: Node{Name: x.Name, Zone: x.Zone, Spans: make([]Span, r.spans-1), Known: make([]bool, r.spans-1), Began: make([]bool, r.spans-1)}}
+			n = &nodeRecord{NodeSeries: NodeSeries{Name: x.Name, Zone: x.Zone, Intervals: make([]Interval, r.intervals-1), Known: make([]bool, r.intervals-1), Restarted: make([]bool, r.intervals-1)}}
 			r.nodes[x.Name] = n
 		}
-		known := x.In && n.have && x.Since == n.since
-		began := n.since != 0 && x.Since != n.since
-		if x.Changed && n.Changed == 0 && n.have { // what it did while it was out and came back counts as neither
-			n.Changed, began = r.spans+1, false
+		known := x.InService && n.reported && x.ProcessStartMS == n.processStartMS
+		began := n.processStartMS != 0 && x.ProcessStartMS != n.processStartMS
+		if x.Updated && n.UpdatedFrom == 0 && n.reported { // what it did while it was out and came back counts as neither
+			n.UpdatedFrom, began = r.intervals+1, false
 		}
-		d := Span{Served: x.Total.Served - n.last.Served, Refused: x.Total.Refused - n.last.Refused, Failed: x.Total.Failed - n.last.Failed, P99MS: x.Total.P99MS}
-		n.Spans, n.Known, n.Began = append(n.Spans, d), append(n.Known, known), append(n.Began, began)
-		n.last, n.since, n.have, n.In, n.Zone = x.Total, x.Since, true, x.In, x.Zone
+		d := Interval{Served: x.Total.Served - n.lastTotal.Served, Rejected: x.Total.Rejected - n.lastTotal.Rejected, Failed: x.Total.Failed - n.lastTotal.Failed, P99MS: x.Total.P99MS}
+		n.Intervals, n.Known, n.Restarted = append(n.Intervals, d), append(n.Known, known), append(n.Restarted, began)
+		n.lastTotal, n.processStartMS, n.reported, n.InService, n.Zone = x.Total, x.ProcessStartMS, true, x.InService, x.Zone
 	}
 	for name, n := range r.nodes {
 		if !here[name] {
-			n.Spans, n.Known, n.Began, n.have, n.In = append(n.Spans, Span{}), append(n.Known, false), append(n.Began, false), false, false
+			n.Intervals, n.Known, n.Restarted, n.reported, n.InService = append(n.Intervals, Interval{}), append(n.Known, false), append(n.Restarted, false), false, false
 		}
 	}
-	if over := r.spans - r.keep; over > 0 {
-		r.spans -= over
+	if over := r.intervals - r.capacity; over > 0 {
+		r.intervals -= over
 		for _, n := range r.nodes {
-			n.Spans, n.Known, n.Began = slices.Delete(n.Spans, 0, over), slices.Delete(n.Known, 0, over), slices.Delete(n.Began, 0, over)
-			if n.Changed > 0 {
-				n.Changed = max(1, n.Changed-over)
+			n.Intervals, n.Known, n.Restarted = slices.Delete(n.Intervals, 0, over), slices.Delete(n.Known, 0, over), slices.Delete(n.Restarted, 0, over)
+			if n.UpdatedFrom > 0 {
+				n.UpdatedFrom = max(1, n.UpdatedFrom-over)
 			}
 		}
 	}
 }
 
 // Nodes are what was recorded, by name.
-func (r *Recorder) Nodes() (list []Node) {
+func (r *Recorder) Nodes() (list []NodeSeries) {
 	for _, n := range r.nodes {
-		list = append(list, n.Node)
+		list = append(list, n.NodeSeries)
 	}
-	slices.SortFunc(list, func(a, b Node) int {
+	slices.SortFunc(list, func(a, b NodeSeries) int {
 		if a.Name < b.Name {
 			return -1
 		}
--- a/internal/control/canary/verdict_test.go
+++ b/internal/control/canary/verdict_test.go
@@ -10,21 +10,21 @@
 
 // played is a release of eight nodes in two zones, node by node, looked at after each span once the first is changed; bad changes what a
 // changed node counts, all what every node does, from the middle on.
-func played(seed uint64, bad, all func(node int, s *Span)) (Judgement, int) {
+func played(seed uint64, bad, all func(node int, s *Interval)) (Verdict, int) {
 	r := rand.New(rand.NewPCG(seed, 3))
-	terms := Terms{FalseAlarm: 0.01, Looks: 100, Least: 8}
+	terms := Options{FalseAlarmProbability: 0.01, MaxAnalyses: 100, MinIntervals: 8}
 	rec := NewRecorder(200)
-	total := make([]Span, 8)
+	total := make([]Interval, 8)
 	spans := 0
 	for ; spans < 110; spans++ {
 		load := 100 * (1 + 0.5*r.Float64())
-		var reports []Report
+		var reports []NodeReport
 		for i := range total {
 			changed := spans >= 20+12*i && i < 6
-			s := Span{Served: load * (0.9 + 0.2*r.Float64()), P99MS: 20 * (0.8 + 0.4*r.Float64())}
-			s.Refused, s.Failed = s.Served*0.05*r.Float64(), s.Served*0.01*r.Float64()
+			s := Interval{Served: load * (0.9 + 0.2*r.Float64()), P99MS: 20 * (0.8 + 0.4*r.Float64())}
+			s.Rejected, s.Failed = s.Served*0.05*r.Float64(), s.Served*0.01*r.Float64()
 			if i == 3 { // a slow machine, all along
-				s.Refused *= 6
+				s.Rejected *= 6
 				s.P99MS *= 4
 			}
 			if all != nil && spans > 30 {
@@ -33,38 +33,38 @@
 			if changed && bad != nil {
 				bad(i, &s)
 			}
-			total[i] = Span{total[i].Served + s.Served, total[i].Refused + s.Refused, total[i].Failed + s.Failed, s.P99MS}
+			total[i] = Interval{total[i].Served + s.Served, total[i].Rejected + s.Rejected, total[i].Failed + s.Failed, s.P99MS}
 			since := int64(1)
 			if changed {
 				since = 2
 			}
-			reports = append(reports, Report{Name: fmt.Sprint("n", i), Zone: fmt.Sprint(i % 2), Total: total[i], Since: since, In: true, Changed: changed})
+			reports = append(reports, NodeReport{Name: fmt.Sprint("n", i), Zone: fmt.Sprint(i % 2), Total: total[i], ProcessStartMS: since, InService: true, Updated: changed})
 		}
-		rec.Take(reports)
-		if j := Judge(terms, rec.Nodes()); j.Worse {
+		rec.Record(reports)
+		if j := Analyze(terms, rec.Nodes()); j.Worse {
 			return j, spans
 		}
 	}
-	return Judgement{}, spans
+	return Verdict{}, spans
 }
 
 // TestVerdicts: a bad version is seen, by its figure; a rise of load, a sick service below and a slow machine are no verdict on it.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		bad, all func(int, *Span)
+		bad, all func(int, *Interval)
 		why      string
 	}{
 		{"good", nil, nil, ""},
-		{"fails more", func(_ int, s *Span) { s.Failed += 0.05 * s.Served }, nil, "failed share"},
-		{"refuses more", func(_ int, s *Span) { s.Refused += 0.2 * s.Served }, nil, "refused share"},
-		{"is slower", func(_ int, s *Span) { s.P99MS *= 2 }, nil, "latency"},
-		{"a rise of load", nil, func(_ int, s *Span) { s.Refused += s.Served; s.P99MS *= 3 }, ""},
-		{"a sick service below", nil, func(_ int, s *Span) { s.Failed += 0.3 * s.Served }, ""},
-		{"bad, and only under load", func(_ int, s *Span) { s.Failed += 0.1 * max(0, s.Served-110) }, nil, "failed share"},
+		{"fails more", func(_ int, s *Interval) { s.Failed += 0.05 * s.Served }, nil, "failed share"},
+		{"refuses more", func(_ int, s *Interval) { s.Rejected += 0.2 * s.Served }, nil, "refused share"},
+		{"is slower", func(_ int, s *Interval) { s.P99MS *= 2 }, nil, "latency"},
+		{"a rise of load", nil, func(_ int, s *Interval) { s.Rejected += s.Served; s.P99MS *= 3 }, ""},
+		{"a sick service below", nil, func(_ int, s *Interval) { s.Failed += 0.3 * s.Served }, ""},
+		{"bad, and only under load", func(_ int, s *Interval) { s.Failed += 0.1 * max(0, s.Served-110) }, nil, "failed share"},
 	} {
 		j, spans := played(1, c.bad, c.all)
-		if j.Worse != (c.why != "") || !strings.Contains(j.Why, c.why) {
+		if j.Worse != (c.why != "") || !strings.Contains(j.Reason, c.why) {
 			t.Errorf("%s: %+v", c.name, j)
 		}
 		t.Logf("%s: worse %v after %d spans, the first node changed at 20", c.name, j.Worse, spans)
@@ -85,8 +85,8 @@
 }
 
 func TestNothingToCompareWith(t *testing.T) {
-	one := Node{Name: "n0", Zone: "a", Spans: make([]Span, 40), Known: make([]bool, 40), Changed: 10, In: true}
-	if j := Judge(Terms{FalseAlarm: 0.01, Looks: 10, Least: 5}, []Node{one}); j.Worse || j.Sure || !strings.Contains(j.Why, "nobody of their zone") {
+	one := NodeSeries{Name: "n0", Zone: "a", Intervals: make([]Interval, 40), Known: make([]bool, 40), UpdatedFrom: 10, InService: true}
+	if j := Analyze(Options{FalseAlarmProbability: 0.01, MaxAnalyses: 10, MinIntervals: 5}, []NodeSeries{one}); j.Worse || j.Conclusive || !strings.Contains(j.Reason, "nobody of their zone") {
 		t.Errorf("%+v", j)
 	}
 }
@@ -102,7 +102,7 @@
 		ends := [2]int{c.changed, c.others}
 		since := [4]int64{1, 1, 1, 1}
 		for span := range 60 {
-			var now []Report
+			var now []NodeReport
 			for node := range 4 {
 				changed := node == 0 && span >= 30
 				if node == 0 && span == 30 {
@@ -112,11 +112,11 @@
 					ends[side]--
 					since[node]++
 				}
-				now = append(now, Report{Name: string(rune('a' + node)), Zone: "z", Since: since[node], In: true, Changed: changed, Total: Span{Served: float64(100 * span)}})
+				now = append(now, NodeReport{Name: string(rune('a' + node)), Zone: "z", ProcessStartMS: since[node], InService: true, Updated: changed, Total: Interval{Served: float64(100 * span)}})
 			}
-			r.Take(now)
+			r.Record(now)
 		}
-		if j := Judge(Terms{FalseAlarm: 0.01, Looks: 200, Least: 8}, r.Nodes()); j.Worse != c.worse || c.worse && !strings.Contains(j.Why, "started anew 5 times") {
+		if j := Analyze(Options{FalseAlarmProbability: 0.01, MaxAnalyses: 200, MinIntervals: 8}, r.Nodes()); j.Worse != c.worse || c.worse && !strings.Contains(j.Reason, "started anew 5 times") {
 			t.Errorf("%d restarts of a changed node and %d of others: %+v", c.changed, c.others, j)
 		}
 	}
@@ -133,14 +133,14 @@
 			lately := make([][]float64, 4)
 			worse := false
 			for span := range 90 {
-				var now []Report
+				var now []NodeReport
 				for i := range lately {
 					lately[i] = append(lately[i], r.ExpFloat64()*40) // the largest of the last five is what is reported
 					lately[i] = lately[i][max(0, len(lately[i])-5):]
-					now = append(now, Report{Name: string(rune('a' + i)), Zone: "z", Since: 1, In: true, Changed: i == 0 && span >= 30, Total: Span{Served: float64(100 * span), P99MS: 20 + slices.Max(lately[i])}})
+					now = append(now, NodeReport{Name: string(rune('a' + i)), Zone: "z", ProcessStartMS: 1, InService: true, Updated: i == 0 && span >= 30, Total: Interval{Served: float64(100 * span), P99MS: 20 + slices.Max(lately[i])}})
 				}
-				rec.Take(now)
-				worse = worse || Judge(Terms{FalseAlarm: 0.01, Looks: 200, Least: 8, Smooth: smooth}, rec.Nodes()).Worse
+				rec.Record(now)
+				worse = worse || Analyze(Options{FalseAlarmProbability: 0.01, MaxAnalyses: 200, MinIntervals: 8, SmoothingIntervals: smooth}, rec.Nodes()).Worse
 			}
 			if worse {
 				alarms[smooth]++
--- a/internal/control/desiredstate/desired_test.go
+++ b/internal/control/desiredstate/desired_test.go
@@ -45,7 +45,7 @@
 			default:
 				out := r.IntN(2) == 0
 				all = append(all, seen{map[bool]string{true: `{"out":true}`, false: `{"out":false}`}[out], v, v})
-				newest = Applied{v, State{Out: out}}
+				newest = Applied{v, State{OutOfService: out}}
 			}
 		}
 		f := NewFollower(Applied{})
@@ -54,21 +54,21 @@
 			if i >= 90 {
 				at = len(all) - 1 - (i-90)%len(all) // in the end all of them, the newest first
 			}
-			before := f.Last()
-			switch a, v, _ := f.Sees(all[at].text, all[at].version, all[at].revision); v {
+			before := f.LastApplied()
+			switch a, v, _ := f.Observe(all[at].text, all[at].version, all[at].revision); v {
 			case Apply:
 				if a.Version <= before.Version {
 					t.Fatalf("seed %d: version %d after %d", seed, a.Version, before.Version)
 				}
-				f.Did(a)
-			case Refuse:
+				f.MarkApplied(a)
+			case Reject:
 				if all[at].text != "{" {
 					t.Fatalf("seed %d: %q was refused", seed, all[at].text)
 				}
 			}
 		}
-		if f.Last().State != newest.State {
-			t.Fatalf("seed %d: ends at %+v, want %+v", seed, f.Last(), newest)
+		if f.LastApplied().State != newest.State {
+			t.Fatalf("seed %d: ends at %+v, want %+v", seed, f.LastApplied(), newest)
 		}
 	}
 }
--- a/internal/control/drainpermit/agent_test.go
+++ b/internal/control/drainpermit/agent_test.go
@@ -13,37 +13,37 @@
 func TestABeginningThatWasNotThisProcesss(t *testing.T) {
 	const settle = 300 * time.Millisecond
 	for _, made := range []bool{false, true} { // refused; or made, and known too late
-		a := NewAgent(Node{Release: "v1", Terms: lease.Terms{Length: time.Second}, Settle: settle, Tries: 2})
+		a := NewAgent(AgentOptions{DeployedVersion: "v1", Terms: lease.Terms{Duration: time.Second}, MinReady: settle, MaxReplaceAttempts: 2})
 		now := lease.Instant(time.Hour)
-		ask := &Ask{ID: "ask", By: "me", Release: "r", To: "v2"}
-		s := Sight{Ask: ask, Permit: &Permit{ID: "p", Ask: "ask", State: Granted}, Revision: 5, Well: true}
-		if x := a.Next(s, now); x.Kind != Begin {
+		ask := &Request{ID: "ask", RequestedBy: "me", ReleaseName: "r", TargetVersion: "v2"}
+		s := Observation{Request: ask, Permit: &Permit{ID: "p", RequestID: "ask", State: Granted}, Revision: 5, Healthy: true}
+		if x := a.NextAction(s, now); x.Kind != ActionStart {
 			t.Fatalf("%+v, want to begin", x)
 		}
 		now += lease.Instant(2 * time.Second)
-		if a.Began(made, 6, now) {
+		if a.HandleStartResult(made, 6, now) {
 			t.Fatal("goes out by it")
 		}
-		s.Permit, s.Revision = &Permit{ID: "p", Ask: "ask", State: Begun}, 7
-		if x := a.Next(s, now); x.Kind != Note || x.Permit.State != Back {
+		s.Permit, s.Revision = &Permit{ID: "p", RequestID: "ask", State: Started}, 7
+		if x := a.NextAction(s, now); x.Kind != ActionUpdatePermit || x.Permit.State != Returning {
 			t.Fatalf("made %v: %+v, want the note that it comes back", made, x)
 		}
-		a.Noted(true, 8)
-		s.Permit, s.Revision = &Permit{ID: "p", Ask: "ask", State: Back}, 8
-		s.Well = false
-		if x := a.Next(s, now); x.Kind != Nothing {
+		a.HandleWriteResult(true, 8)
+		s.Permit, s.Revision = &Permit{ID: "p", RequestID: "ask", State: Returning}, 8
+		s.Healthy = false
+		if x := a.NextAction(s, now); x.Kind != ActionNone {
 			t.Fatalf("made %v: %+v while it is not well", made, x)
 		}
-		s.Well = true
-		if x := a.Next(s, now); x.Kind != Nothing {
+		s.Healthy = true
+		if x := a.NextAction(s, now); x.Kind != ActionNone {
 			t.Fatalf("made %v: %+v as it gets well", made, x)
 		}
 		now += lease.Instant(settle - time.Millisecond)
-		if x := a.Next(s, now); x.Kind != Nothing {
+		if x := a.NextAction(s, now); x.Kind != ActionNone {
 			t.Fatalf("made %v: %+v a moment before its time", made, x)
 		}
 		now += lease.Instant(time.Millisecond)
-		if x := a.Next(s, now); x.Kind != GiveBack || x.Late || x.Done {
+		if x := a.NextAction(s, now); x.Kind != ActionReturnPermit || x.NeverUsed || x.RequestDone {
 			t.Fatalf("made %v: %+v, want the permit given back and the ask left", made, x)
 		}
 	}
--- a/internal/control/drainpermit/modelcheck/walk_test.go
+++ b/internal/control/drainpermit/modelcheck/walk_test.go
@@ -12,7 +12,7 @@
 func TestPermits(t *testing.T) {
 	met, sum := map[string]int{}, map[string]int{}
 	for seed := range uint64(*seeds) {
-		wrong, here := Play(seed, "")
+		wrong, here := Run(seed, "")
 		if wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
@@ -34,7 +34,7 @@
 	for mutant, first := range map[string]uint64{"halt not looked at": 5, "old permit still good": 5, "window not counted": 1075, "counted before others were granted": 88, "lapse frees a begun permit": 282, "warming counts as in": 5} {
 		found := false
 		for seed := first; seed < first+20 && !found; seed++ {
-			if wrong, _ := Play(seed, mutant); wrong != "" {
+			if wrong, _ := Run(seed, mutant); wrong != "" {
 				t.Logf("%s: seed %d: %.200s", mutant, seed, wrong)
 				found = true
 			}
@@ -49,7 +49,7 @@
 func TestReleases(t *testing.T) {
 	met, few := map[string]int{}, max(1, *seeds/5) // each takes some ten times as long
 	for seed := range uint64(few) {
-		wrong, here := Releases(seed, "")
+		wrong, here := RunRelease(seed, "")
 		if wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
@@ -64,7 +64,7 @@
 		}
 	}
 	for mutant, seed := range map[string]uint64{"halt not looked at before a step": 26, "step of an overtaken owner": 75, "way back ignores the budget": 13, "judgement without pairing": 21} {
-		if wrong, _ := Releases(seed, mutant); wrong == "" {
+		if wrong, _ := RunRelease(seed, mutant); wrong == "" {
 			t.Errorf("%s: not seen at seed %d", mutant, seed)
 		}
 	}
--- a/internal/control/drainpermit/permit.go
+++ b/internal/control/drainpermit/permit.go
@@ -20,31 +20,31 @@
 
 // Keys of the documents.
 const (
-	Prefix = "out/"    // and a node's name, and "/ask" or "/permit": an Ask or a Permit
-	Halts  = "halt/"   // and a release's name, or All: nothing of it begins while it is there
-	Head   = "permits" // changed with each grant, so that no two are decided on one count
-	Rules  = "budget"  // budget.Rules
+	KeyPrefix     = "out/"    // and a node's name, and "/ask" or "/permit": an Ask or a Permit
+	HaltKeyPrefix = "halt/"   // and a release's name, or All: nothing of it begins while it is there
+	LastGrantKey  = "permits" // changed with each grant, so that no two are decided on one count
+	BudgetsKey    = "budget"  // budget.Rules
 )
 
-// AskKey is the key of a node's ask, PermitKey that of its permit.
-func AskKey(node string) string    { return Prefix + node + "/ask" }
-func PermitKey(node string) string { return Prefix + node + "/permit" }
+// RequestKey is the key of a node's ask, PermitKey that of its permit.
+func RequestKey(node string) string { return KeyPrefix + node + "/ask" }
+func PermitKey(node string) string  { return KeyPrefix + node + "/permit" }
 
-// All is what halts everything voluntary.
-const All = "all"
+// HaltAll is what halts everything voluntary.
+const HaltAll = "all"
 
-// Ask is a wish that a node go out of service.
-type Ask struct {
-	ID      string `json:"id"` // new with each
-	By      string `json:"by"`
-	Why     string `json:"why"`
-	At      int64  `json:"at"` // Unix milliseconds; for people
-	Urgent  bool   `json:"urgent,omitempty"`
-	Until   int64  `json:"until,omitempty"`     // Unix milliseconds, at which it lapses by itself; 0: it does not
-	Within  int64  `json:"within_ms,omitempty"` // in which the node should be empty; 0: no matter
-	Release string `json:"release,omitempty"`   // on whose behalf; empty: an operator's drain, which ends when the ask is taken back
-	To      string `json:"to,omitempty"`        // of a release: what the node is to come back as
-	Failed  string `json:"failed,omitempty"`    // why it came to nothing; it is not granted again
+// Request is a wish that a node go out of service.
+type Request struct {
+	ID             string `json:"id"` // new with each
+	RequestedBy    string `json:"by"`
+	Reason         string `json:"why"`
+	RequestedAtMS  int64  `json:"at"` // Unix milliseconds; for people
+	Urgent         bool   `json:"urgent,omitempty"`
+	ExpiresAtMS    int64  `json:"until,omitempty"`     // Unix milliseconds, at which it lapses by itself; 0: it does not
+	DrainTimeoutMS int64  `json:"within_ms,omitempty"` // in which the node should be empty; 0: no matter
+	ReleaseName    string `json:"release,omitempty"`   // on whose behalf; empty: an operator's drain, which ends when the ask is taken back
+	TargetVersion  string `json:"to,omitempty"`        // of a release: what the node is to come back as
+	FailureReason  string `json:"failed,omitempty"`    // why it came to nothing; it is not granted again
 }
 
 // State is how far a permit is.
@@ -52,28 +52,28 @@
 
 // The states.
 const (
-	Granted State = "granted" // the node may have its beginning agreed on
-	Begun   State = "begun"   // agreed on: it may go out at any moment within its window
-	Out     State = "out"     // the node says that it is out
-	Back    State = "back"    // it is in service again, and not yet warm
+	Granted      State = "granted" // the node may have its beginning agreed on
+	Started      State = "begun"   // agreed on: it may go out at any moment within its window
+	OutOfService State = "out"     // the node says that it is out
+	Returning    State = "back"    // it is in service again, and not yet warm
 )
 
 // Permit is a node's right to be out.
 type Permit struct {
-	ID     string            `json:"id"`
-	Ask    string            `json:"ask"` // the ask's id
-	State  State             `json:"state"`
-	By     string            `json:"by"` // the keeper
-	Token  uint64            `json:"token"`
-	Labels map[string]string `json:"labels,omitempty"`    // the node's groups when it was granted
-	Tries  int               `json:"tries,omitempty"`     // times that it was replaced
-	Window int64             `json:"window_ms,omitempty"` // of one that is begun: its node goes out within it, or not at all
-	Since  int64             `json:"since"`               // Unix milliseconds, of this state by the clock of who wrote it; for people
+	ID              string            `json:"id"`
+	RequestID       string            `json:"ask"` // the ask's id
+	State           State             `json:"state"`
+	GrantedBy       string            `json:"by"` // the keeper
+	Token           uint64            `json:"token"`
+	Labels          map[string]string `json:"labels,omitempty"`    // the node's groups when it was granted
+	ReplaceAttempts int               `json:"tries,omitempty"`     // times that it was replaced
+	StartWindowMS   int64             `json:"window_ms,omitempty"` // of one that is begun: its node goes out within it, or not at all
+	SinceMS         int64             `json:"since"`               // Unix milliseconds, of this state by the clock of who wrote it; for people
 }
 
-// Read reads a document's text into an Ask, a Permit or budget.Rules. It errs on what it does not know: to act on half of it is to act on
+// Decode reads a document's text into an Ask, a Permit or budget.Rules. It errs on what it does not know: to act on half of it is to act on
 // another.
-func Read[T Ask | Permit | disruption.Rules](text string) (v T, err error) {
+func Decode[T Request | Permit | disruption.Budgets](text string) (v T, err error) {
 	d := json.NewDecoder(strings.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&v); err != nil {
@@ -85,8 +85,8 @@
 	return v, nil
 }
 
-// Text is a document's text.
-func Text(v any) string {
+// Encode is a document's text.
+func Encode(v any) string {
 	text, err := json.Marshal(v)
 	if err != nil { // strings, numbers and maps of them always marshal
 		panic(err)
@@ -96,28 +96,28 @@
 
 // Report is what a node tells of itself that counts here.
 type Report struct {
-	State   string           `json:"state"` // ready, out of service, leaving or starting
-	Well    bool             `json:"well"`
-	InMS    int64            `json:"in_ms"` // for how long it has been in service and well
-	Running int              `json:"running"`
-	Held    int              `json:"held"`
-	Zone    string           `json:"zone"`
-	Kind    string           `json:"kind"`
-	Release string           `json:"release"` // what is deployed on it
-	Since   int64            `json:"since"`   // Unix milliseconds, when its process began
-	Served  uint64           `json:"served"`
-	Refused uint64           `json:"refused"`
-	Failed  uint64           `json:"errors"`
-	P99MS   float64          `json:"p99_ms"`
-	Overdue bool             `json:"overdue,omitempty"` // it is out and not empty after the time that it was to take
-	Below   map[string]Below `json:"below,omitempty"`   // servers of its pool, by address
+	State           string                    `json:"state"` // ready, out of service, leaving or starting
+	Healthy         bool                      `json:"well"`
+	InServiceMS     int64                     `json:"in_ms"` // for how long it has been in service and well
+	Running         int                       `json:"running"`
+	Queued          int                       `json:"held"`
+	Zone            string                    `json:"zone"`
+	Kind            string                    `json:"kind"`
+	DeployedVersion string                    `json:"release"` // what is deployed on it
+	ProcessStartMS  int64                     `json:"since"`   // Unix milliseconds, when its process began
+	Served          uint64                    `json:"served"`
+	Rejected        uint64                    `json:"refused"`
+	Failed          uint64                    `json:"errors"`
+	P99MS           float64                   `json:"p99_ms"`
+	DrainOverdue    bool                      `json:"overdue,omitempty"` // it is out and not empty after the time that it was to take
+	Upstreams       map[string]UpstreamStatus `json:"below,omitempty"`   // servers of its pool, by address
 }
 
-// Below is a server of a node's pool, as that node sees it.
-type Below struct {
-	Uses bool `json:"uses"` // it may send to it
-	Open int  `json:"open"` // requests there
-	Well bool `json:"well"` // it is not left out after failures
+// UpstreamStatus is a server of a node's pool, as that node sees it.
+type UpstreamStatus struct {
+	Routable bool `json:"uses"` // it may send to it
+	InFlight int  `json:"open"` // requests there
+	Healthy  bool `json:"well"` // it is not left out after failures
 }
 
 // Labels are the groups that a node is in.
@@ -125,16 +125,16 @@
 	return map[string]string{"zone": r.Zone, "kind": r.Kind}
 }
 
-// Counts says why a node counts as out by what it tells, beside any permit: settle is for how long it is to be in and well before it
+// Availability says why a node counts as out by what it tells, beside any permit: settle is for how long it is to be in and well before it
 // counts as in.
-func (r Report) Counts(settle time.Duration) disruption.Reason {
+func (r Report) Availability(settle time.Duration) disruption.Availability {
 	switch {
 	case r.State == "leaving" || r.State == "out of service":
 		return disruption.Draining
-	case r.State != "ready" || !r.Well:
+	case r.State != "ready" || !r.Healthy:
 		return disruption.NotReady
-	case r.InMS < settle.Milliseconds():
-		return disruption.Warming
+	case r.InServiceMS < settle.Milliseconds():
+		return disruption.WarmingUp
 	}
-	return disruption.In
+	return disruption.Available
 }
--- a/internal/control/fencing/fence_test.go
+++ b/internal/control/fencing/fence_test.go
@@ -22,34 +22,34 @@
 func TestNoTokenBelowOneSeen(t *testing.T) {
 	disk := simdisk.New(1)
 	s := open(t, disk)
-	g, err := New(Ledger{s})
+	g, err := New(LedgerTokenStore{s})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var done []uint64
-	pass := func(g *Gate, token uint64) error {
-		return g.Pass("release", token, func() error { done = append(done, token); return nil })
+	pass := func(g *Guard, token uint64) error {
+		return g.Do("release", token, func() error { done = append(done, token); return nil })
 	}
 	for _, c := range []struct {
 		token uint64
 		ok    bool
 	}{{0, false}, {3, true}, {2, false}, {3, true}, {7, true}, {6, false}} {
 		err := pass(g, c.token)
-		var stale *Stale
+		var stale *StaleTokenError
 		if (err == nil) != c.ok || err != nil && !errors.As(err, &stale) {
 			t.Errorf("token %d: %v", c.token, err)
 		}
 	}
-	if g.Turned() != 3 || len(done) != 3 {
-		t.Errorf("%d turned away, %v done", g.Turned(), done)
+	if g.RejectedCount() != 3 || len(done) != 3 {
+		t.Errorf("%d turned away, %v done", g.RejectedCount(), done)
 	}
-	if err := g.Pass("another", 1, func() error { return nil }); err != nil {
+	if err := g.Do("another", 1, func() error { return nil }); err != nil {
 		t.Errorf("another duty's first token: %v", err)
 	}
-	_ = g.Pass("release", 9, func() error { disk = disk.Cut(1); return errors.New("the power is gone") })
+	_ = g.Do("release", 9, func() error { disk = disk.Cut(1); return errors.New("the power is gone") })
 	s = open(t, disk)
 	defer s.Close()
-	if g, err = New(Ledger{s}); err != nil {
+	if g, err = New(LedgerTokenStore{s}); err != nil {
 		t.Fatal(err)
 	}
 	if err := pass(g, 8); err == nil {
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return g.Pass("release", token, func() error { return nil }) == nil
+		return g.Do("release", token, func() error { return nil }) == nil
 	}
 	if !let(9) || !let(8) { // two lives of the receiver
 		t.Error("a gate without memory is not what it is said to be")
@@ -92,10 +92,10 @@
 		t.Fatal(err)
 	}
 	did := false
-	if err := g.Pass("d", 5, func() error { did = true; return nil }); err == nil || did {
+	if err := g.Do("d", 5, func() error { did = true; return nil }); err == nil || did {
 		t.Errorf("a token that was not kept: %v, done %v", err, did)
 	}
-	if err := g.Pass("d", 4, func() error { did = true; return nil }); err != nil || !did {
+	if err := g.Do("d", 4, func() error { did = true; return nil }); err != nil || !did {
 		t.Errorf("the token that is known: %v, done %v", err, did)
 	}
 }
--- a/internal/control/fleet/figures.go
+++ b/internal/control/fleet/figures.go
@@ -8,48 +8,48 @@
 	"sloehitch/internal/control/release"
 )
 
-// Figures are what this node has done in the fleet since its process began, and what it knows where it has a duty.
-type Figures struct {
-	Out      bool              // this node is out of service by a permit
-	Overdue  bool              // and has been for longer than it was to take
-	Reports  map[string]uint64 // made, failed
-	Permits  map[string]uint64 // its own: begun, late, replaced; as the keeper: granted, freed
-	Kept     *Kept             // nil: another node grants permits, or nobody has anything to decide
-	Releases []release.Stand   // that this node takes through the fleet
+// Stats are what this node has done in the fleet since its process began, and what it knows where it has a duty.
+type Stats struct {
+	OutOfService bool              // this node is out of service by a permit
+	DrainOverdue bool              // and has been for longer than it was to take
+	Reports      map[string]uint64 // made, failed
+	Permits      map[string]uint64 // its own: begun, late, replaced; as the keeper: granted, freed
+	Grants       *GrantStats       // nil: another node grants permits, or nobody has anything to decide
+	Releases     []release.Status  // that this node takes through the fleet
 }
 
-// Kept is what the keeper of permits sees.
-type Kept struct {
-	Waiting int                       // asks without a permit
-	Permits map[drainpermit.State]int // by how far they are
-	Out     map[disruption.Reason]int // nodes and servers that count as out, by why
+// GrantStats is what the keeper of permits sees.
+type GrantStats struct {
+	Waiting     int                             // asks without a permit
+	Permits     map[drainpermit.State]int       // by how far they are
+	Unavailable map[disruption.Availability]int // nodes and servers that count as out, by why
 }
 
-// Figures returns them as they are now. It does not block for long.
-func (f *Fleet) Figures() Figures {
+// Stats returns them as they are now. It does not block for long.
+func (f *Participant) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x := f.figures
-	x.Overdue, x.Reports, x.Permits = f.overdue, maps.Clone(x.Reports), maps.Clone(x.Permits)
+	x := f.stats
+	x.DrainOverdue, x.Reports, x.Permits = f.drainOverdue, maps.Clone(x.Reports), maps.Clone(x.Permits)
 	return x
 }
 
-// figure has the figures changed.
-func (f *Fleet) figure(change func(x *Figures)) {
+// updateStats has the figures changed.
+func (f *Participant) updateStats(change func(x *Stats)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	change(&f.figures)
+	change(&f.stats)
 }
 
-// counted counts something of permits.
-func (f *Fleet) counted(what string, n int) {
-	f.figure(func(x *Figures) { x.Permits[what] += uint64(n) })
+// addPermitCount counts something of permits.
+func (f *Participant) addPermitCount(what string, n int) {
+	f.updateStats(func(x *Stats) { x.Permits[what] += uint64(n) })
 }
 
-// keptOf is what a view comes to, and what a step counted in it.
-func keptOf(v drainpermit.View, counted []disruption.Member) *Kept {
-	kept := &Kept{Permits: map[drainpermit.State]int{}, Out: map[disruption.Reason]int{}}
-	for name := range v.Asks {
+// grantStatsOf is what a view comes to, and what a step counted in it.
+func grantStatsOf(v drainpermit.View, counted []disruption.Member) *GrantStats {
+	kept := &GrantStats{Permits: map[drainpermit.State]int{}, Unavailable: map[disruption.Availability]int{}}
+	for name := range v.Requests {
 		if _, permitted := v.Permits[name]; !permitted {
 			kept.Waiting++
 		}
@@ -58,8 +58,8 @@
 		kept.Permits[p.State]++
 	}
 	for _, m := range counted {
-		if m.Out != disruption.In {
-			kept.Out[m.Out]++
+		if m.Availability != disruption.Available {
+			kept.Unavailable[m.Availability]++
 		}
 	}
 	return kept
--- a/internal/control/fleet/fleet.go
+++ b/internal/control/fleet/fleet.go
@@ -28,35 +28,35 @@
 
 // Options say what a node tells and does.
 type Options struct {
-	Name    string
-	Version string
-	Members []string // addresses that members of the store have for operators
-	Every   time.Duration
-	Silent  time.Duration // without a report after which a node is marked
-	Timeout time.Duration // for one request to a member
-	Pause   time.Duration // after what did not work
-	Terms   lease.Terms
-	State   func() map[string]any // what the node says of itself; called from another goroutine
+	Name           string
+	Version        string
+	StoreMembers   []string // addresses that members of the store have for operators
+	ReportInterval time.Duration
+	SilentAfter    time.Duration // without a report after which a node is marked
+	RequestTimeout time.Duration // for one request to a member
+	RetryDelay     time.Duration // after what did not work
+	LeaseTerms     lease.Terms
+	NodeState      func() map[string]any // what the node says of itself; called from another goroutine
 
-	Memory *ledger.Store            // where what was applied outlives the process; nil: nowhere
-	Apply  func(desiredstate.State) // does what the fleet wants of this node; must not block, and cannot fail; nil: it does nothing
+	Ledger            *ledger.Store            // where what was applied outlives the process; nil: nowhere
+	ApplyDesiredState func(desiredstate.State) // does what the fleet wants of this node; must not block, and cannot fail; nil: it does nothing
 
-	Clock lease.Clock            // nil: lease.Now
-	Now   func() time.Time       // nil: time.Now
-	Tell  func(faulthooks.Event) // is told what this node believes and does; nil: nobody
-	// Reported is told how long each report took, and how it ended; nil: nobody.
-	Reported func(took time.Duration, err error)
+	Clock   lease.Clock            // nil: lease.Now
+	Now     func() time.Time       // nil: time.Now
+	OnEvent func(faulthooks.Event) // is told what this node believes and does; nil: nobody
+	// OnReport is told how long each report took, and how it ended; nil: nobody.
+	OnReport func(took time.Duration, err error)
 
-	Outs *Outs // how this node goes out of service by permit; nil: it never does, and grants none
+	Drain *DrainOptions // how this node goes out of service by permit; nil: it never does, and grants none
 
-	Dir  string        // where backups of the store go
-	Each time.Duration // between them; 0: this node takes none
-	Keep int           // the latest so many stay
-	Log  *slog.Logger
+	BackupDir      string        // where backups of the store go
+	BackupInterval time.Duration // between them; 0: this node takes none
+	BackupsKept    int           // the latest so many stay
+	Log            *slog.Logger
 }
 
-// Check errs on options that can't be used, naming all that is wrong.
-func (o *Options) Check() error {
+// Validate errs on options that can't be used, naming all that is wrong.
+func (o *Options) Validate() error {
 	var errs []error
 	want := func(ok bool, what string) {
 		if !ok {
@@ -64,38 +64,38 @@
 		}
 	}
 	want(o.Name != "" && !strings.Contains(o.Name, "/"), "a name without slashes is wanted")
-	want(len(o.Members) > 0, "members: the operators' addresses of the store's members are wanted")
-	want(o.Every > 0 && o.Silent >= 2*o.Every, "silent must be at least twice as long as every, which must be above 0")
-	want(o.Each == 0 || o.Dir != "" && o.Keep > 0, "backups need a folder, and how many to keep")
-	return errors.Join(append(errs, o.Terms.Check())...)
+	want(len(o.StoreMembers) > 0, "members: the operators' addresses of the store's members are wanted")
+	want(o.ReportInterval > 0 && o.SilentAfter >= 2*o.ReportInterval, "silent must be at least twice as long as every, which must be above 0")
+	want(o.BackupInterval == 0 || o.BackupDir != "" && o.BackupsKept > 0, "backups need a folder, and how many to keep")
+	return errors.Join(append(errs, o.LeaseTerms.Validate())...)
 }
 
-// Fleet is one node's part.
-type Fleet struct {
-	opts  Options
-	log   *lograte.Logger
-	clock lease.Clock
-	begun time.Time
-	first atomic.Int64 // the member that is asked first
+// Participant is one node's part.
+type Participant struct {
+	options         Options
+	log             *lograte.Logger
+	clock           lease.Clock
+	startedAt       time.Time
+	preferredMember atomic.Int64 // the member that is asked first
 
-	mu     sync.Mutex
-	sight  *Sight
-	swept  lease.Instant // when this node last did the sweep; 0: never
-	mine   map[string]string
-	wishes *wishes
+	mu        sync.Mutex
+	detector  *FailureDetector
+	lastSweep lease.Instant // when this node last did the sweep; 0: never
+	endedJobs map[string]string
+	applier   *stateApplier
 
-	settled settled // in service and well
-	overdue bool    // out for longer than it was to take
-	figures Figures
+	inService    conditionTimer // in service and well
+	drainOverdue bool           // out for longer than it was to take
+	stats        Stats
 }
 
 // New returns a part that does nothing until Serve.
-func New(o Options) (*Fleet, error) {
-	if err := o.Check(); err != nil {
+func New(o Options) (*Participant, error) {
+	if err := o.Validate(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if o.Apply == nil {
-		o.Apply = func(desiredstate.State) {}
+	if o.ApplyDesiredState == nil {
+		o.ApplyDesiredState = func(desiredstate.State) {}
 	}
 	if o.Clock == nil {
 		o.Clock = lease.Now
@@ -103,37 +103,37 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if o.Tell == nil {
-		o.Tell = func(faulthooks.Event) {}
+	if o.OnEvent == nil {
+		o.OnEvent = func(faulthooks.Event) {}
 	}
-	w, err := newWishes(o.Memory, o.Apply)
+	w, err := newStateApplier(o.Ledger, o.ApplyDesiredState)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	return &Fleet{opts: o, log: lograte.New(o.Log, time.Second), clock: o.Clock, begun: time.Now(), sight: NewSight(o.Silent), mine: map[string]string{}, wishes: w,
-		figures: Figures{Reports: map[string]uint64{}, Permits: map[string]uint64{}}}, nil
+	return &Participant{options: o, log: lograte.New(o.Log, time.Second), clock: o.Clock, startedAt: time.Now(), detector: NewFailureDetector(o.SilentAfter), endedJobs: map[string]string{}, applier: w,
+		stats: Stats{Reports: map[string]uint64{}, Permits: map[string]uint64{}}}, nil
 }
 
-// member is a member to ask, and its turn: what asks it first now.
-func (f *Fleet) member() (c store.Client, turn int64) {
-	turn = f.first.Load()
-	return f.at(turn), turn
+// preferredClient is a member to ask, and its turn: what asks it first now.
+func (f *Participant) preferredClient() (c store.Client, turn int64) {
+	turn = f.preferredMember.Load()
+	return f.clientAt(turn), turn
 }
 
-func (f *Fleet) at(turn int64) store.Client {
-	return store.Client{Address: f.opts.Members[turn%int64(len(f.opts.Members))], Timeout: f.opts.Timeout}
+func (f *Participant) clientAt(turn int64) store.Client {
+	return store.Client{Address: f.options.StoreMembers[turn%int64(len(f.options.StoreMembers))], Timeout: f.options.RequestTimeout}
 }
 
-// gaveNone takes that the member of a turn gave no answer: another is asked first from now on, unless that is so already. (Where several
+// skipMember takes that the member of a turn gave no answer: another is asked first from now on, unless that is so already. (Where several
 // found out at once and each had gone on by one, they would have come round to the same one.)
-func (f *Fleet) gaveNone(turn int64) { f.first.CompareAndSwap(turn, turn+1) }
+func (f *Participant) skipMember(turn int64) { f.preferredMember.CompareAndSwap(turn, turn+1) }
 
-// each asks one member after the other until one answers, which is asked first from now on.
-func (f *Fleet) each(ask func(c store.Client) error) (err error) {
-	turn := f.first.Load()
-	for i := range int64(len(f.opts.Members)) {
-		if err = ask(f.at(turn + i)); err == nil || errors.Is(err, store.ErrConflict) {
-			f.first.CompareAndSwap(turn, turn+i)
+// tryMembers asks one member after the other until one answers, which is asked first from now on.
+func (f *Participant) tryMembers(ask func(c store.Client) error) (err error) {
+	turn := f.preferredMember.Load()
+	for i := range int64(len(f.options.StoreMembers)) {
+		if err = ask(f.clientAt(turn + i)); err == nil || errors.Is(err, store.ErrConflict) {
+			f.preferredMember.CompareAndSwap(turn, turn+i)
 			return err
 		}
 	}
@@ -141,33 +141,33 @@
 }
 
 // Serve reports and takes turns at duties until the context ends; then duties are handed over. It blocks.
-func (f *Fleet) Serve(ctx context.Context) {
-	list := []Duty{{Name: "sweep", Every: f.opts.Silent, Steps: []string{"mark"}, Do: f.sweep}}
-	if f.opts.Each > 0 {
-		list = append(list, Duty{Name: "backup", Every: f.opts.Each, Steps: []string{"write", "prune"}, Do: f.backup})
+func (f *Participant) Serve(ctx context.Context) {
+	list := []PeriodicTask{{Name: "sweep", Interval: f.options.SilentAfter, Steps: []string{"mark"}, RunStep: f.markSilentNodes}}
+	if f.options.BackupInterval > 0 {
+		list = append(list, PeriodicTask{Name: "backup", Interval: f.options.BackupInterval, Steps: []string{"write", "prune"}, RunStep: f.backup})
 	}
 	var wg sync.WaitGroup
 	for _, d := range list {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f.serve(ctx, d)
+			f.runPeriodicTask(ctx, d)
 		}()
 	}
-	wg.Go(func() { f.follow(ctx) })
-	if f.opts.Outs != nil {
-		wg.Go(func() { f.out(ctx) })
-		wg.Go(func() { f.keepPermits(ctx) })
-		wg.Go(func() { f.keepReleases(ctx) })
-		if f.opts.Outs.LeaveAlone != nil {
-			wg.Go(func() { f.leaveAlone(ctx) })
+	wg.Go(func() { f.followDesiredState(ctx) })
+	if f.options.Drain != nil {
+		wg.Go(func() { f.runDrainAgent(ctx) })
+		wg.Go(func() { f.runGrantTask(ctx) })
+		wg.Go(func() { f.runReleaseTask(ctx) })
+		if f.options.Drain.ExcludeUpstreams != nil {
+			wg.Go(func() { f.followExcludedUpstreams(ctx) })
 		}
 	}
-	tick := time.NewTicker(f.opts.Every)
+	tick := time.NewTicker(f.options.ReportInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		f.report()
-		f.look()
+		f.publishReport()
+		f.observeReportsWhileSweeping()
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
@@ -176,128 +176,128 @@
 	wg.Wait()
 }
 
-// report tells the store of this node.
-func (f *Fleet) report() {
-	state := map[string]any{"version": f.opts.Version, "since": f.begun.UnixMilli(), "pid": os.Getpid()}
+// publishReport tells the store of this node.
+func (f *Participant) publishReport() {
+	state := map[string]any{"version": f.options.Version, "since": f.startedAt.UnixMilli(), "pid": os.Getpid()}
 	f.mu.Lock()
-	state["desired"] = f.wishes.follower.Last()
-	if turned := f.wishes.gate.Turned(); turned > 0 {
+	state["desired"] = f.applier.follower.LastApplied()
+	if turned := f.applier.gate.RejectedCount(); turned > 0 {
 		state["turned_away"] = turned
 	}
 	f.mu.Unlock()
-	if f.opts.State != nil {
-		for name, value := range f.opts.State() {
+	if f.options.NodeState != nil {
+		for name, value := range f.options.NodeState() {
 			state[name] = value
 		}
 	}
-	if f.opts.Outs != nil {
-		f.reportOut(state)
+	if f.options.Drain != nil {
+		f.addDrainReport(state)
 	}
 	text, err := json.Marshal(state)
 	begun := time.Now()
 	if err == nil {
-		_, err = f.makes(document.Transaction{ID: rand.Text(), By: f.opts.Name, Why: "report", Do: []document.Operation{{Key: nodes + f.opts.Name, Value: string(text), Passing: true}}})
+		_, err = f.transact(document.Transaction{ID: rand.Text(), Author: f.options.Name, Reason: "report", Operations: []document.Operation{{Key: nodeKeyPrefix + f.options.Name, Value: string(text), ExcludeFromHistory: true}}})
 	}
-	if f.opts.Reported != nil {
-		f.opts.Reported(time.Since(begun), err)
+	if f.options.OnReport != nil {
+		f.options.OnReport(time.Since(begun), err)
 	}
 	ended := "made"
 	if err != nil {
 		ended = "failed"
 	}
-	f.figure(func(x *Figures) { x.Reports[ended]++ })
+	f.updateStats(func(x *Stats) { x.Reports[ended]++ })
 	if err != nil {
 		f.log.Warn("no report to the fleet: the node serves on", err)
 	}
 }
 
-// look takes in when others last reported, on the node that does the sweep: reports of all read by all would be as many as the
+// observeReportsWhileSweeping takes in when others last reported, on the node that does the sweep: reports of all read by all would be as many as the
 // square of the nodes.
-func (f *Fleet) look() {
+func (f *Participant) observeReportsWhileSweeping() {
 	f.mu.Lock()
-	sweeps := f.swept != 0 && f.clock() < f.swept.Add(4*f.opts.Silent)
+	sweeps := f.lastSweep != 0 && f.clock() < f.lastSweep.Add(4*f.options.SilentAfter)
 	f.mu.Unlock()
 	if sweeps {
-		_ = f.watch() // the report has said so
+		_ = f.observeReports() // the report has said so
 	}
 }
 
-// watch reads all reports.
-func (f *Fleet) watch() error {
-	docs, err := f.documents(nodes)
+// observeReports reads all reports.
+func (f *Participant) observeReports() error {
+	docs, err := f.documents(nodeKeyPrefix)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sight.Look(docs, f.clock())
+	f.detector.Observe(docs, f.clock())
 	return nil
 }
 
-// mark is what stands on a node that is silent.
-type mark struct {
+// silentMark is what stands on a node that is silent.
+type silentMark struct {
 	By    string `json:"by"`
 	Since int64  `json:"since"` // Unix milliseconds, by the clock of who marked it
 }
 
-// sweep marks the nodes that are silent and takes marks off those that are back, each under the token.
-func (f *Fleet) sweep(_ context.Context, a leasedtask.Action) error {
-	marks, err := f.documents(silent)
+// markSilentNodes marks the nodes that are silent and takes marks off those that are back, each under the token.
+func (f *Participant) markSilentNodes(_ context.Context, a leasedtask.Action) error {
+	marks, err := f.documents(silentKeyPrefix)
 	if err != nil {
 		return err
 	}
-	if err := f.watch(); err != nil {
+	if err := f.observeReports(); err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.swept = f.clock()
-	quiet := f.sight.Silent(f.swept)
+	f.lastSweep = f.clock()
+	quiet := f.detector.SilentNodes(f.lastSweep)
 	f.mu.Unlock()
-	t := document.Transaction{ID: a.ID + "/" + rand.Text(), By: f.opts.Name, Why: "sweep", If: []document.Condition{{Duty: "sweep", Token: a.Token}}}
+	t := document.Transaction{ID: a.ID + "/" + rand.Text(), Author: f.options.Name, Reason: "sweep", Conditions: []document.Condition{{Task: "sweep", Token: a.Token}}}
 	marked := map[string]bool{}
 	for _, m := range marks {
-		name := strings.TrimPrefix(m.Key, silent)
+		name := strings.TrimPrefix(m.Key, silentKeyPrefix)
 		marked[name] = true
-		if f.heard(name) { // a sweeper that has just begun takes no mark off that another has set
-			t.Do = append(t.Do, document.Operation{Key: m.Key, Delete: true})
+		if f.isAlive(name) { // a sweeper that has just begun takes no mark off that another has set
+			t.Operations = append(t.Operations, document.Operation{Key: m.Key, Delete: true})
 		}
 	}
 	for _, q := range quiet {
 		if marked[q.Node] {
 			continue
 		}
-		text, err := json.Marshal(mark{f.opts.Name, f.opts.Now().Add(-q.For).UnixMilli()})
+		text, err := json.Marshal(silentMark{f.options.Name, f.options.Now().Add(-q.Silence).UnixMilli()})
 		if err != nil {
 			return err
 		}
-		t.Do = append(t.Do, document.Operation{Key: silent + q.Node, Value: string(text)})
+		t.Operations = append(t.Operations, document.Operation{Key: silentKeyPrefix + q.Node, Value: string(text)})
 	}
-	if len(t.Do) == 0 {
+	if len(t.Operations) == 0 {
 		return nil
 	}
-	t.Do = t.Do[:min(len(t.Do), document.Ordinary.Operations)] // the rest at the next turn
-	_, err = f.makes(t)
+	t.Operations = t.Operations[:min(len(t.Operations), document.DefaultLimits.MaxOperations)] // the rest at the next turn
+	_, err = f.transact(t)
 	return err
 }
 
-// heard says whether a node has reported since this one looks, or is not there any more.
-func (f *Fleet) heard(name string) bool {
+// isAlive says whether a node has reported since this one looks, or is not there any more.
+func (f *Participant) isAlive(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sight.Heard(name, f.clock())
+	return f.detector.Alive(name, f.clock())
 }
 
 // backup writes one, or removes those that are too old. A backup's name has its token: what an owner that was overtaken
 // still writes stands beside, and does no harm.
-func (f *Fleet) backup(_ context.Context, a leasedtask.Action) error {
+func (f *Participant) backup(_ context.Context, a leasedtask.Action) error {
 	if a.Step == "prune" {
-		return f.prune()
+		return f.pruneBackups()
 	}
-	if err := os.MkdirAll(f.opts.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(f.options.BackupDir, 0o700); err != nil {
 		return err
 	}
-	name := filepath.Join(f.opts.Dir, fmt.Sprintf("%s-%d.json", a.Record.Job, a.Token))
-	tmp, err := os.CreateTemp(f.opts.Dir, "unfinished-*")
+	name := filepath.Join(f.options.BackupDir, fmt.Sprintf("%s-%d.json", a.Record.JobID, a.Token))
+	tmp, err := os.CreateTemp(f.options.BackupDir, "unfinished-*")
 	if err != nil {
 		return err
 	}
@@ -312,8 +312,8 @@
 }
 
 // copyStore writes all that the store keeps, from the first member that can confirm it.
-func (f *Fleet) copyStore(to *os.File) error {
-	return f.each(func(c store.Client) error {
+func (f *Participant) copyStore(to *os.File) error {
+	return f.tryMembers(func(c store.Client) error {
 		if _, err := to.Seek(0, io.SeekStart); err != nil {
 			return err
 		}
@@ -321,14 +321,14 @@
 	})
 }
 
-func (f *Fleet) prune() error {
-	names, err := filepath.Glob(filepath.Join(f.opts.Dir, "backup-*.json"))
+func (f *Participant) pruneBackups() error {
+	names, err := filepath.Glob(filepath.Join(f.options.BackupDir, "backup-*.json"))
 	if err != nil {
 		return err
 	}
 	slices.Sort(names) // jobs count up, in so many digits
 	var errs []error
-	for _, name := range names[:max(0, len(names)-f.opts.Keep)] {
+	for _, name := range names[:max(0, len(names)-f.options.BackupsKept)] {
 		errs = append(errs, os.Remove(name))
 	}
 	return errors.Join(errs...)
--- a/internal/control/fleet/fleet_test.go
+++ b/internal/control/fleet/fleet_test.go
@@ -16,11 +16,11 @@
 )
 
 func TestSight(t *testing.T) {
-	s := NewSight(10 * time.Second)
+	s := NewFailureDetector(10 * time.Second)
 	at := func(sec int) lease.Instant { return lease.Instant(sec) * lease.Instant(time.Second) }
 	look := func(sec int, reports ...document.Document) string {
-		s.Look(reports, at(sec))
-		return fmt.Sprint(s.Silent(at(sec)))
+		s.Observe(reports, at(sec))
+		return fmt.Sprint(s.SilentNodes(at(sec)))
 	}
 	a, b := document.Document{Key: "node/a", Version: 1}, document.Document{Key: "node/b", Version: 2}
 	for _, c := range []struct {
@@ -42,10 +42,10 @@
 }
 
 func TestWhichJobIsDue(t *testing.T) {
-	d := Duty{Name: "backup", Every: time.Hour, Steps: []string{"write"}}
+	d := PeriodicTask{Name: "backup", Interval: time.Hour, Steps: []string{"write"}}
 	noon := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	first, due := d.job(leasedtask.Record{}, noon, time.Second, false)
-	if !due || first.After != "" {
+	first, due := d.nextJob(leasedtask.Record{}, noon, time.Second, false)
+	if !due || first.Predecessor != "" {
 		t.Fatalf("the first: %+v, %v", first, due)
 	}
 	for _, c := range []struct {
@@ -56,34 +56,34 @@
 		due  bool
 		id   string // empty: a new one
 	}{
-		{"begun: it goes on, whenever", leasedtask.Record{Job: first.ID, State: leasedtask.Begun}, noon.Add(9 * time.Hour), false, true, first.ID},
-		{"over, in the same span", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(59 * time.Minute), true, false, ""},
-		{"over, in the next", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(61 * time.Minute), true, true, ""},
-		{"over, in the next, by another", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(61 * time.Minute), false, false, ""},
-		{"over, in the next, by another that has not come", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(91 * time.Minute), false, true, ""},
-		{"over, by another that is long gone", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(121 * time.Minute), false, true, ""},
-		{"failed, in the next", leasedtask.Record{Job: first.ID, State: leasedtask.Failed}, noon.Add(61 * time.Minute), true, true, ""},
-		{"the clock was set back", leasedtask.Record{Job: first.ID, State: leasedtask.Over}, noon.Add(-2 * time.Hour), true, false, ""},
+		{"begun: it goes on, whenever", leasedtask.Record{JobID: first.ID, State: leasedtask.StateStarted}, noon.Add(9 * time.Hour), false, true, first.ID},
+		{"over, in the same span", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(59 * time.Minute), true, false, ""},
+		{"over, in the next", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(61 * time.Minute), true, true, ""},
+		{"over, in the next, by another", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(61 * time.Minute), false, false, ""},
+		{"over, in the next, by another that has not come", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(91 * time.Minute), false, true, ""},
+		{"over, by another that is long gone", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(121 * time.Minute), false, true, ""},
+		{"failed, in the next", leasedtask.Record{JobID: first.ID, State: leasedtask.StateFailed}, noon.Add(61 * time.Minute), true, true, ""},
+		{"the clock was set back", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(-2 * time.Hour), true, false, ""},
 	} {
-		j, due := d.job(c.on, c.at, time.Second, c.mine)
-		if due != c.due || due && c.id != "" && j.ID != c.id || due && c.id == "" && (j.ID <= first.ID || j.After != first.ID) {
+		j, due := d.nextJob(c.on, c.at, time.Second, c.mine)
+		if due != c.due || due && c.id != "" && j.ID != c.id || due && c.id == "" && (j.ID <= first.ID || j.Predecessor != first.ID) {
 			t.Errorf("%s: %+v, due %v", c.name, j, due)
 		}
 	}
 }
 
 func TestOptions(t *testing.T) {
-	fine := Options{Name: "n1", Members: []string{"127.0.0.1:1"}, Every: time.Second, Silent: 5 * time.Second, Terms: lease.Terms{Length: 10 * time.Second}, Log: standin.Quiet}
+	fine := Options{Name: "n1", StoreMembers: []string{"127.0.0.1:1"}, ReportInterval: time.Second, SilentAfter: 5 * time.Second, LeaseTerms: lease.Terms{Duration: 10 * time.Second}, Log: standin.Quiet}
 	for _, c := range []struct {
 		change func(*Options)
 		wrong  string
 	}{
 		{func(*Options) {}, ""},
 		{func(o *Options) { o.Name = "a/b" }, "slashes"},
-		{func(o *Options) { o.Members = nil }, "members"},
-		{func(o *Options) { o.Silent = time.Second }, "twice"},
-		{func(o *Options) { o.Each = time.Hour }, "folder"},
-		{func(o *Options) { o.Terms.Drift = 2 }, "drift"},
+		{func(o *Options) { o.StoreMembers = nil }, "members"},
+		{func(o *Options) { o.SilentAfter = time.Second }, "twice"},
+		{func(o *Options) { o.BackupInterval = time.Hour }, "folder"},
+		{func(o *Options) { o.LeaseTerms.MaxDrift = 2 }, "drift"},
 	} {
 		o := fine
 		c.change(&o)
@@ -96,11 +96,11 @@
 // TestPruneKeepsTheLatest, and nothing that is no backup goes.
 func TestPruneKeepsTheLatest(t *testing.T) {
 	dir := t.TempDir()
-	f := &Fleet{opts: Options{Dir: dir, Keep: 2}}
-	d := Duty{Name: "backup", Every: time.Hour, Steps: []string{"write"}}
+	f := &Participant{options: Options{BackupDir: dir, BackupsKept: 2}}
+	d := PeriodicTask{Name: "backup", Interval: time.Hour, Steps: []string{"write"}}
 	var names []string
 	for i := range 4 {
-		j, _ := d.job(leasedtask.Record{}, time.Unix(int64(i)*3600*1000, 0), time.Second, false)
+		j, _ := d.nextJob(leasedtask.Record{}, time.Unix(int64(i)*3600*1000, 0), time.Second, false)
 		names = append(names, fmt.Sprintf("%s-%d.json", j.ID, 100-i))
 	}
 	for _, name := range append(names, "notes.txt") {
@@ -108,7 +108,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.prune(); err != nil {
+	if err := f.pruneBackups(); err != nil {
 		t.Fatal(err)
 	}
 	left, err := os.ReadDir(dir)
--- a/internal/control/fleet/follow.go
+++ b/internal/control/fleet/follow.go
@@ -17,21 +17,21 @@
 // appliedKey is where the last applied state lies in a node's ledger, beside the tokens that package fence keeps there.
 const appliedKey = "desired"
 
-// wishes is a node's side of what the fleet wants of it. It is not safe for concurrent use.
-type wishes struct {
+// stateApplier is a node's side of what the fleet wants of it. It is not safe for concurrent use.
+type stateApplier struct {
 	ledger   *ledger.Store // nil: it forgets with the process
-	gate     *fencing.Gate
+	gate     *fencing.Guard
 	follower *desiredstate.Follower
 	apply    func(desiredstate.State)
 }
 
-// newWishes goes on from what the node's ledger has: the state that was applied last is applied again, before the store is heard.
-func newWishes(l *ledger.Store, apply func(desiredstate.State)) (*wishes, error) {
-	w := &wishes{ledger: l, apply: apply}
-	var memory fencing.Memory
+// newStateApplier goes on from what the node's ledger has: the state that was applied last is applied again, before the store is heard.
+func newStateApplier(l *ledger.Store, apply func(desiredstate.State)) (*stateApplier, error) {
+	w := &stateApplier{ledger: l, apply: apply}
+	var memory fencing.TokenStore
 	var last desiredstate.Applied
 	if l != nil {
-		memory = fencing.Ledger{Store: l}
+		memory = fencing.LedgerTokenStore{Ledger: l}
 		text, err := l.Get([]byte(appliedKey))
 		if err == nil {
 			err = json.Unmarshal(text, &last)
@@ -51,10 +51,10 @@
 	return w, nil
 }
 
-// sees takes the document as it was read; version 0: there was none at that revision. An error says why it was not applied; it is
+// observe takes the document as it was read; version 0: there was none at that revision. An error says why it was not applied; it is
 // told once for each version.
-func (w *wishes) sees(text string, version, revision uint64) (applied bool, err error) {
-	a, verdict, err := w.follower.Sees(text, version, revision)
+func (w *stateApplier) observe(text string, version, revision uint64) (applied bool, err error) {
+	a, verdict, err := w.follower.Observe(text, version, revision)
 	if verdict != desiredstate.Apply {
 		return false, err
 	}
@@ -69,72 +69,72 @@
 			}
 		}
 		w.apply(a.State)
-		w.follower.Did(a)
+		w.follower.MarkApplied(a)
 		return nil
 	}
-	if a.State.Duty == "" {
+	if a.State.Task == "" {
 		err = do()
 	} else {
-		err = w.gate.Pass(a.State.Duty, a.State.Token, do)
+		err = w.gate.Do(a.State.Task, a.State.Token, do)
 	}
-	var stale *fencing.Stale
+	var stale *fencing.StaleTokenError
 	switch {
 	case err == nil:
 		return true, nil
 	case errors.As(err, &stale):
-		w.follower.TurnedDown(a)
+		w.follower.MarkRejected(a)
 		return false, err
 	}
-	return false, fmt.Errorf("%w: %w", errNotKept, err)
+	return false, fmt.Errorf("%w: %w", errNotPersisted, err)
 }
 
-// errNotKept says that a state could not be put on the node's disk, so that it was not applied: it is to be tried again.
-var errNotKept = errors.New("it can't be kept")
+// errNotPersisted says that a state could not be put on the node's disk, so that it was not applied: it is to be tried again.
+var errNotPersisted = errors.New("it can't be kept")
 
-// follow pulls what is wanted of this node until the context ends. With the store away it goes on as it is.
-func (f *Fleet) follow(ctx context.Context) {
-	key := desiredstate.Prefix + f.opts.Name
+// followDesiredState pulls what is wanted of this node until the context ends. With the store away it goes on as it is.
+func (f *Participant) followDesiredState(ctx context.Context) {
+	key := desiredstate.KeyPrefix + f.options.Name
 	var at uint64
 	read := false
 	see := func(text string, version, revision uint64) error {
 		f.mu.Lock()
-		applied, err := f.wishes.sees(text, version, revision)
-		last := f.wishes.follower.Last()
+		applied, err := f.applier.observe(text, version, revision)
+		last := f.applier.follower.LastApplied()
 		f.mu.Unlock()
 		if err != nil {
 			f.log.Warn("what the fleet wants of this node was not applied", err)
 		}
 		if applied {
-			f.opts.Tell(faulthooks.Event{What: "applied", Duty: last.State.Duty, ID: fmt.Sprint(last.State.Token), N: last.Version, Out: last.State.Out})
-			f.opts.Log.Info("what the fleet wants of this node was applied", "out", last.State.Out, "version", last.Version, "by", last.State.By, "why", last.State.Why, "duty", last.State.Duty, "token", last.State.Token)
+			f.options.OnEvent(faulthooks.Event{What: "applied", Duty: last.State.Task, ID: fmt.Sprint(last.State.Token), N: last.Version, Out: last.State.OutOfService})
+			f.options.Log.Info("what the fleet wants of this node was applied", "out", last.State.OutOfService, "version", last.Version, "by", last.State.RequestedBy, "why", last.State.Reason, "duty", last.State.Task, "token", last.State.Token)
 		}
-		if !errors.Is(err, errNotKept) {
+		if !errors.Is(err, errNotPersisted) {
 			return nil // what was turned down stays so
 		}
 		return err
 	}
 	for ctx.Err() == nil {
 		var err error
-		c, turn := f.member()
+		c, turn := f.preferredClient()
 		if !read {
-			at, err = readWish(c, key, see)
+			at, err = readDesiredState(c, key, see)
 			read = err == nil
 		}
 		if read {
-			at, read, err = watchWish(c, key, at, see)
+			at, read, err = watchDesiredState(c, key, at, see)
 		}
 		if err != nil {
-			f.gaveNone(turn)
+			f.skipMember(turn)
 			select {
 			case <-ctx.Done():
-			case <-time.After(f.opts.Pause):
+			case <-time.After(f.options.RetryDelay):
 			}
 		}
 	}
 }
 
-// readWish reads the document anew, from the member that is asked first as it has it: an older one than before changes nothing.
-func readWish(c store.Client, key string, see func(text string, version, revision uint64) error) (revision uint64, err error) {
+// readDesiredState reads the document anew, from the member that is asked first as it has it: an older one than before changes nothing.
+func readDesiredState(c store.Client, key string, see func(text string, version, revision uint64) error) (revision uint64, err error) {
 	d, seen, err := c.Document(key, true)
 	if err != nil {
 		return 0, err
@@ -145,9 +145,9 @@
 	return seen.Revision, see(d.Value, d.Version, seen.Revision)
 }
 
-// watchWish waits for changes of the document after a revision, and returns the one to go on from. Not going: the document is to
+// watchDesiredState waits for changes of the document after a revision, and returns the one to go on from. Not going: the document is to
 // be read anew, since not all that came between is remembered.
-func watchWish(c store.Client, key string, after uint64, see func(text string, version, revision uint64) error) (revision uint64, going bool, err error) {
+func watchDesiredState(c store.Client, key string, after uint64, see func(text string, version, revision uint64) error) (revision uint64, going bool, err error) {
 	changes, seen, forgotten, err := c.Changes(key, after, c.Timeout/2)
 	if err != nil {
 		return after, true, err
--- a/internal/control/fleet/follow_test.go
+++ b/internal/control/fleet/follow_test.go
@@ -24,12 +24,12 @@
 func TestWishes(t *testing.T) {
 	disk := simdisk.New(1)
 	var applied []string
-	open := func() (*wishes, *ledger.Store) {
+	open := func() (*stateApplier, *ledger.Store) {
 		l, err := ledger.Open(disk, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w, err := newWishes(l, func(s desiredstate.State) { applied = append(applied, fmt.Sprint(s.Out)) })
+		w, err := newStateApplier(l, func(s desiredstate.State) { applied = append(applied, fmt.Sprint(s.OutOfService)) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,14 +50,14 @@
 		{`{"out":maybe}`, 6, false, "can't be read"},
 		{`{"out":true,"duty":"drain","token":5}`, 7, true, ""},
 	} {
-		ok, err := w.sees(c.text, c.version, c.version)
+		ok, err := w.observe(c.text, c.version, c.version)
 		if ok != c.applied || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
 			t.Errorf("%s at %d: %v, %v", c.text, c.version, ok, err)
 		}
 	}
 	disk.Decide = func(int, simdisk.Op, string) simdisk.Fault { return simdisk.ENOSPC }
-	if ok, err := w.sees(`{"out":false,"by":"ann"}`, 8, 8); ok || !errors.Is(err, errNotKept) || w.follower.Last().Version != 7 {
-		t.Errorf("a full disk: %v, %v, %+v", ok, err, w.follower.Last())
+	if ok, err := w.observe(`{"out":false,"by":"ann"}`, 8, 8); ok || !errors.Is(err, errNotPersisted) || w.follower.LastApplied().Version != 7 {
+		t.Errorf("a full disk: %v, %v, %+v", ok, err, w.follower.LastApplied())
 	}
 	disk = disk.Cut(1)
 	l.Close()
@@ -66,11 +66,11 @@
 	if got := strings.Join(applied, " "); got != "true false true true" {
 		t.Errorf("applied %s", got)
 	}
-	var stale *fencing.Stale
-	if _, err := w.sees(`{"out":false,"duty":"drain","token":4}`, 8, 8); !errors.As(err, &stale) || stale.Seen != 5 {
+	var stale *fencing.StaleTokenError
+	if _, err := w.observe(`{"out":false,"duty":"drain","token":4}`, 8, 8); !errors.As(err, &stale) || stale.HighestSeen != 5 {
 		t.Errorf("an owner of before the cut: %v", err)
 	}
-	if ok, err := w.sees("", 0, 9); !ok || err != nil || w.follower.Last().State.Out {
+	if ok, err := w.observe("", 0, 9); !ok || err != nil || w.follower.LastApplied().State.OutOfService {
 		t.Errorf("the document is gone: %v, %v", ok, err)
 	}
 }
@@ -84,11 +84,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w, err := newWishes(l, func(desiredstate.State) {})
+		w, err := newStateApplier(l, func(desiredstate.State) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		ok, err := w.sees(fmt.Sprintf(`{"out":true,"duty":"drain","token":%d}`, token), uint64(10+i), uint64(10+i))
+		ok, err := w.observe(fmt.Sprintf(`{"out":true,"duty":"drain","token":%d}`, token), uint64(10+i), uint64(10+i))
 		if !ok || err != nil {
 			t.Errorf("token %d after a cut: %v, %v: the mutant is none", token, ok, err)
 		}
@@ -99,7 +99,7 @@
 
 // TestFollow: a node applies what is wanted of it, and of no other, and goes on as it is while the store is away.
 func TestFollow(t *testing.T) {
-	s, err := store.Open(store.Options{Name: "s", Timeout: time.Second, Log: standin.Quiet})
+	s, err := store.Open(store.Options{Name: "s", CommitTimeout: time.Second, Logger: standin.Quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,8 +107,8 @@
 	admin := httptest.NewServer(s.Handler())
 	defer admin.Close()
 	applied := make(chan bool, 10)
-	f, err := New(Options{Name: "n1", Members: []string{admin.Listener.Addr().String()}, Every: 50 * time.Millisecond, Silent: time.Hour, Timeout: 200 * time.Millisecond,
-		Pause: 10 * time.Millisecond, Terms: store.Terms, Apply: func(s desiredstate.State) { applied <- s.Out }, Log: standin.Quiet})
+	f, err := New(Options{Name: "n1", StoreMembers: []string{admin.Listener.Addr().String()}, ReportInterval: 50 * time.Millisecond, SilentAfter: time.Hour, RequestTimeout: 200 * time.Millisecond,
+		RetryDelay: 10 * time.Millisecond, LeaseTerms: store.DefaultLeaseTerms, ApplyDesiredState: func(s desiredstate.State) { applied <- s.OutOfService }, Log: standin.Quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 	go func() { f.Serve(ctx); close(done) }()
 	put := func(key, value string) {
 		t.Helper()
-		if r, err := s.Make(document.Transaction{ID: fmt.Sprint(key, value, time.Now().UnixNano()), By: "test", Do: []document.Operation{{Key: desiredstate.Prefix + key, Value: value, Delete: value == ""}}}); err != nil || !r.Made {
+		if r, err := s.Commit(document.Transaction{ID: fmt.Sprint(key, value, time.Now().UnixNano()), Author: "test", Operations: []document.Operation{{Key: desiredstate.KeyPrefix + key, Value: value, Delete: value == ""}}}); err != nil || !r.Committed {
 			t.Fatal(r, err)
 		}
 	}
--- a/internal/control/fleet/halt.go
+++ b/internal/control/fleet/halt.go
@@ -15,23 +15,23 @@
 // It blocks for a window at the most, and returns how many permits there are. With an error it may be halted all the same, and is to be
 // asked for again.
 func Halt(ask store.Client, what, by, why string) (permits int, err error) {
-	if _, err := ask.Make(document.Transaction{ID: rand.Text(), By: by, Why: "halt " + what + ": " + why, Do: []document.Operation{{Key: drainpermit.Halts + what, Value: by + ": " + why}}}); err != nil {
+	if _, err := ask.Commit(document.Transaction{ID: rand.Text(), Author: by, Reason: "halt " + what + ": " + why, Operations: []document.Operation{{Key: drainpermit.HaltKeyPrefix + what, Value: by + ": " + why}}}); err != nil {
 		return 0, fmt.Errorf("%w; it may have been halted: ask again until it is certain", err)
 	}
 	halted := time.Now()
 	for {
-		docs, _, err := ask.Documents(drainpermit.Prefix, false)
+		docs, _, err := ask.Documents(drainpermit.KeyPrefix, false)
 		if err != nil {
 			return 0, fmt.Errorf("%w; it is halted, and what was begun before may still go out: ask again until it is certain", err)
 		}
-		v, _, err := drainpermit.ViewOf(docs, drainpermit.Plain, halted.UnixMilli())
+		v, _, err := drainpermit.DecodeView(docs, drainpermit.DefaultDecoder, halted.UnixMilli())
 		if err != nil {
 			return 0, err
 		}
 		open := false
 		for name, p := range v.Permits {
-			mine := what == drainpermit.All || v.Asks[name].Release == what
-			open = open || mine && p.State == drainpermit.Begun && time.Since(halted) < time.Duration(p.Window)*time.Millisecond
+			mine := what == drainpermit.HaltAll || v.Requests[name].ReleaseName == what
+			open = open || mine && p.State == drainpermit.Started && time.Since(halted) < time.Duration(p.StartWindowMS)*time.Millisecond
 		}
 		if !open {
 			return len(v.Permits), nil
