--- a/internal/control/fleet/outs.go
+++ b/internal/control/fleet/outs.go
@@ -17,45 +17,45 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// Outs is how a node goes out of service with the fleet's permission. Without Leave it never does.
-type Outs struct {
-	Zone, Kind string
-	Release    string        // what is deployed on the node
-	Settle     time.Duration // in service and well, before it counts as in
-	Tries      int           // to be replaced, of one ask
-	InHand     func() int    // requests running and held
-	Well       func() bool   // it is ready and well
-	Leave      func()        // has the node go out of service; must not block
-	Enter      func()        // and into it
-	// Below are the servers below as this node sees them, by address; nil: it has none. LeaveAlone has it send no more to these; must not block.
-	Below      func() map[string]drainpermit.Below
-	LeaveAlone func(addresses []string)
-	// Replace has this process replaced by what is to be deployed, and the process end. It errs where it could not; nil: nothing is set up
+// DrainOptions is how a node goes out of service with the fleet's permission. Without Leave it never does.
+type DrainOptions struct {
+	Zone, Kind         string
+	DeployedVersion    string        // what is deployed on the node
+	MinReady           time.Duration // in service and well, before it counts as in
+	MaxReplaceAttempts int           // to be replaced, of one ask
+	InFlight           func() int    // requests running and held
+	Healthy            func() bool   // it is ready and well
+	LeaveService       func()        // has the node go out of service; must not block
+	EnterService       func()        // and into it
+	// Upstreams are the servers below as this node sees them, by address; nil: it has none. LeaveAlone has it send no more to these; must not block.
+	Upstreams        func() map[string]drainpermit.UpstreamStatus
+	ExcludeUpstreams func(addresses []string)
+	// ReplaceProcess has this process replaced by what is to be deployed, and the process end. It errs where it could not; nil: nothing is set up
 	// that could. It may block.
-	Replace func(ctx context.Context, to string) error
+	ReplaceProcess func(ctx context.Context, to string) error
 }
 
-// Service is the name that the servers of a node's uwsgi pool go by in budgets.
-const Service = "uwsgi"
+// UpstreamService is the name that the servers of a node's uwsgi pool go by in budgets.
+const UpstreamService = "uwsgi"
 
-// leaveAlone has this node send no more to servers that are permitted to be out, until the context ends. With the store away it goes on with
+// followExcludedUpstreams has this node send no more to servers that are permitted to be out, until the context ends. With the store away it goes on with
 // what it knew.
-func (f *Fleet) leaveAlone(ctx context.Context) {
-	key := drainpermit.Prefix + drainpermit.ServerName("")
-	changed := f.changes(ctx, key)
+func (f *Participant) followExcludedUpstreams(ctx context.Context) {
+	key := drainpermit.KeyPrefix + drainpermit.UpstreamName("")
+	changed := f.watchChanges(ctx, key)
 	var read uint64
 	for {
-		c, turn := f.member()
+		c, turn := f.preferredClient()
 		docs, seen, err := c.Documents(key, true)
 		if err == nil && (seen.AgeMS < 0 || seen.Revision < read) {
 			err = errors.New("the member asked is behind, or has heard of no leader")
 		}
 		var again <-chan time.Time
 		if err != nil {
-			f.gaveNone(turn)
-			again = time.After(f.opts.Pause)
+			f.skipMember(turn)
+			again = time.After(f.options.RetryDelay)
 		} else {
-			f.opts.Outs.LeaveAlone(serversOut(docs))
+			f.options.Drain.ExcludeUpstreams(excludedUpstreams(docs))
 			read = seen.Revision
 		}
 		select {
@@ -67,59 +67,59 @@
 	}
 }
 
-// serversOut are the servers that are permitted to be out, by address. A permit that can't be read counts as one: to leave a server alone is
+// excludedUpstreams are the servers that are permitted to be out, by address. A permit that can't be read counts as one: to leave a server alone is
 // the harmless side.
-func serversOut(docs []document.Document) (addresses []string) {
+func excludedUpstreams(docs []document.Document) (addresses []string) {
 	for _, d := range docs {
-		name, is := strings.CutSuffix(strings.TrimPrefix(d.Key, drainpermit.Prefix), "/permit")
-		if p, err := drainpermit.Read[drainpermit.Permit](d.Value); is && (err != nil || p.State != drainpermit.Back) {
-			addresses = append(addresses, drainpermit.Address(name))
+		name, is := strings.CutSuffix(strings.TrimPrefix(d.Key, drainpermit.KeyPrefix), "/permit")
+		if p, err := drainpermit.Decode[drainpermit.Permit](d.Value); is && (err != nil || p.State != drainpermit.Returning) {
+			addresses = append(addresses, drainpermit.UpstreamAddress(name))
 		}
 	}
 	return addresses
 }
 
-// permits is the duty of who grants them.
-const permits = "permits"
+// grantTaskName is the duty of who grants them.
+const grantTaskName = "permits"
 
-// inFor is for how long the node has been in service and well.
-func (f *Fleet) inFor() time.Duration {
+// inServiceFor is for how long the node has been in service and well.
+func (f *Participant) inServiceFor() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.settled.For(f.clock())
+	return f.inService.Duration(f.clock())
 }
 
-// settled is since when something has been so.
-type settled struct {
+// conditionTimer is since when something has been so.
+type conditionTimer struct {
 	since lease.Instant
-	is    bool
+	holds bool
 }
 
-// Look takes in whether it is so now.
-func (s *settled) Look(is bool, now lease.Instant) {
-	if is && !s.is {
+// Observe takes in whether it is so now.
+func (s *conditionTimer) Observe(is bool, now lease.Instant) {
+	if is && !s.holds {
 		s.since = now
 	}
-	s.is = is
+	s.holds = is
 }
 
-// For is for how long it has been so.
-func (s *settled) For(now lease.Instant) time.Duration {
-	if !s.is {
+// Duration is for how long it has been so.
+func (s *conditionTimer) Duration(now lease.Instant) time.Duration {
+	if !s.holds {
 		return 0
 	}
 	return time.Duration(now - s.since)
 }
 
-// out is the loop of a node's own permits: it looks at what the store has of this node, and does what its agent says, until the context
+// runDrainAgent is the loop of a node's own permits: it looks at what the store has of this node, and does what its agent says, until the context
 // ends. With the store away it stays as it is.
-func (f *Fleet) out(ctx context.Context) {
-	o := f.opts.Outs
-	agent := drainpermit.NewAgent(drainpermit.Node{Release: o.Release, Terms: f.opts.Terms, Settle: o.Settle, Tries: max(1, o.Tries)})
-	changed := f.changes(ctx, drainpermit.Prefix+f.opts.Name+"/")
-	var s drainpermit.Sight
+func (f *Participant) runDrainAgent(ctx context.Context) {
+	o := f.options.Drain
+	agent := drainpermit.NewAgent(drainpermit.AgentOptions{DeployedVersion: o.DeployedVersion, Terms: f.options.LeaseTerms, MinReady: o.MinReady, MaxReplaceAttempts: max(1, o.MaxReplaceAttempts)})
+	changed := f.watchChanges(ctx, drainpermit.KeyPrefix+f.options.Name+"/")
+	var s drainpermit.Observation
 	known := false
-	again := time.NewTicker(f.opts.Pause)
+	again := time.NewTicker(f.options.RetryDelay)
 	defer again.Stop()
 	fresh := 0 // ticks until the documents are read though nothing was heard to have changed
 	for {
@@ -132,23 +132,23 @@
 			fresh--
 		}
 		if fresh <= 0 {
-			if seen, err := f.seesOut(); err != nil {
+			if seen, err := f.observeDrain(); err != nil {
 				f.log.Warn("what the fleet permits this node can't be read", err)
 			} else {
 				s, known, fresh = seen, true, 20
 			}
 		}
-		s.InHand, s.Well = o.InHand(), o.Well()
+		s.InFlight, s.Healthy = o.InFlight(), o.Healthy()
 		f.mu.Lock()
-		f.settled.Look(s.Well && !agent.Out(), f.clock())
-		f.overdue = agent.Overdue(s, f.clock())
+		f.inService.Observe(s.Healthy && !agent.OutOfService(), f.clock())
+		f.drainOverdue = agent.DrainOverdue(s, f.clock())
 		f.mu.Unlock()
 		for known && ctx.Err() == nil {
-			a := agent.Next(s, f.clock())
-			if a.Kind == drainpermit.Nothing {
+			a := agent.NextAction(s, f.clock())
+			if a.Kind == drainpermit.ActionNone {
 				break
 			}
-			if f.doOut(ctx, agent, s, a) {
+			if f.carryOutDrainAction(ctx, agent, s, a) {
 				fresh = 0
 				break // what it wrote is to be seen first
 			}
@@ -156,19 +156,19 @@
 	}
 }
 
-// changes tells when documents whose keys begin so may have changed, until the context ends.
-func (f *Fleet) changes(ctx context.Context, prefix string) <-chan struct{} {
+// watchChanges tells when documents whose keys begin so may have changed, until the context ends.
+func (f *Participant) watchChanges(ctx context.Context, prefix string) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	go func() {
 		var at uint64
 		for ctx.Err() == nil {
-			c, turn := f.member()
+			c, turn := f.preferredClient()
 			changes, seen, forgotten, err := c.Changes(prefix, at, c.Timeout/2)
 			if err != nil {
-				f.gaveNone(turn)
+				f.skipMember(turn)
 				select {
 				case <-ctx.Done():
-				case <-time.After(f.opts.Pause):
+				case <-time.After(f.options.RetryDelay):
 				}
 				continue
 			}
@@ -183,28 +183,28 @@
 	return changed
 }
 
-// seesOut reads what the store has of this node, as the member that is asked first has it.
-func (f *Fleet) seesOut() (s drainpermit.Sight, err error) {
-	c, turn := f.member()
-	docs, seen, err := c.Documents(drainpermit.Prefix+f.opts.Name+"/", true)
+// observeDrain reads what the store has of this node, as the member that is asked first has it.
+func (f *Participant) observeDrain() (s drainpermit.Observation, err error) {
+	c, turn := f.preferredClient()
+	docs, seen, err := c.Documents(drainpermit.KeyPrefix+f.options.Name+"/", true)
 	if err == nil && seen.AgeMS < 0 {
 		err = errors.New("the member asked has heard of no leader")
 	}
 	if err != nil {
-		f.gaveNone(turn)
+		f.skipMember(turn)
 		return s, err
 	}
 	s.Revision = seen.Revision
 	for _, d := range docs {
 		switch d.Key {
-		case drainpermit.AskKey(f.opts.Name):
-			a, err := drainpermit.Read[drainpermit.Ask](d.Value)
+		case drainpermit.RequestKey(f.options.Name):
+			a, err := drainpermit.Decode[drainpermit.Request](d.Value)
 			if err != nil {
 				return s, err
 			}
-			s.Ask, s.AskVersion = &a, d.Version
-		case drainpermit.PermitKey(f.opts.Name):
-			p, err := drainpermit.Read[drainpermit.Permit](d.Value)
+			s.Request, s.RequestVersion = &a, d.Version
+		case drainpermit.PermitKey(f.options.Name):
+			p, err := drainpermit.Decode[drainpermit.Permit](d.Value)
 			if err != nil {
 				return s, err
 			}
@@ -214,167 +214,167 @@
 	return s, nil
 }
 
-// doOut does what the agent says, and says whether that changed what the store has.
-func (f *Fleet) doOut(ctx context.Context, agent *drainpermit.Agent, s drainpermit.Sight, a drainpermit.Action) (wrote bool) {
-	o := f.opts.Outs
+// carryOutDrainAction does what the agent says, and says whether that changed what the store has.
+func (f *Participant) carryOutDrainAction(ctx context.Context, agent *drainpermit.Agent, s drainpermit.Observation, a drainpermit.Action) (wrote bool) {
+	o := f.options.Drain
 	id := ""
 	if s.Permit != nil {
 		id = s.Permit.ID
 	}
 	leave := func(what string) {
-		o.Leave()
-		agent.Left(f.clock())
-		f.opts.Tell(faulthooks.Event{What: what, ID: id, Duty: s.Ask.Release})
-		f.figure(func(x *Figures) { x.Out = true; x.Permits["begun"]++ })
-		f.opts.Log.Info("this node goes out of service, as permitted", "permit", id, "by", s.Ask.By, "why", s.Ask.Why, "release", s.Ask.Release)
+		o.LeaveService()
+		agent.LeftService(f.clock())
+		f.options.OnEvent(faulthooks.Event{What: what, ID: id, Duty: s.Request.ReleaseName})
+		f.updateStats(func(x *Stats) { x.OutOfService = true; x.Permits["begun"]++ })
+		f.options.Log.Info("this node goes out of service, as permitted", "permit", id, "by", s.Request.RequestedBy, "why", s.Request.Reason, "release", s.Request.ReleaseName)
 	}
-	a.Permit.Since = f.opts.Now().UnixMilli()
+	a.Permit.SinceMS = f.options.Now().UnixMilli()
 	switch a.Kind {
-	case drainpermit.Leave:
+	case drainpermit.ActionLeaveService:
 		leave("goes on out") // what a process before this one began
 		return false
-	case drainpermit.Enter:
-		o.Enter()
-		agent.Entered(f.clock())
-		f.opts.Tell(faulthooks.Event{What: "enters", ID: id})
-		f.figure(func(x *Figures) { x.Out = false })
-		f.opts.Log.Info("this node is in service again", "permit", id)
+	case drainpermit.ActionEnterService:
+		o.EnterService()
+		agent.EnteredService(f.clock())
+		f.options.OnEvent(faulthooks.Event{What: "enters", ID: id})
+		f.updateStats(func(x *Stats) { x.OutOfService = false })
+		f.options.Log.Info("this node is in service again", "permit", id)
 		return false
-	case drainpermit.Begin:
-		r, err := f.makes(drainpermit.Begins(f.opts.Name, s, a.Permit, rand.Text()))
-		if agent.Began(err == nil, r.Revision, f.clock()) {
+	case drainpermit.ActionStart:
+		r, err := f.transact(drainpermit.StartTransaction(f.options.Name, s, a.Permit, rand.Text()))
+		if agent.HandleStartResult(err == nil, r.Revision, f.clock()) {
 			leave("begins out")
 		} else if err == nil {
-			f.opts.Tell(faulthooks.Event{What: "late", ID: id})
-			f.counted("late", 1)
+			f.options.OnEvent(faulthooks.Event{What: "late", ID: id})
+			f.addPermitCount("late", 1)
 		} else {
 			f.log.Warn("a permit was not begun", err)
 		}
 		return true
 	}
-	if a.Kind == drainpermit.GiveBack {
+	if a.Kind == drainpermit.ActionReturnPermit {
 		what := "warm" // before it is given back: from then on another may have its place
-		if a.Late {
+		if a.NeverUsed {
 			what = "late"
-			f.counted("late", 1)
+			f.addPermitCount("late", 1)
 		}
-		f.opts.Tell(faulthooks.Event{What: what, ID: id})
+		f.options.OnEvent(faulthooks.Event{What: what, ID: id})
 	}
-	r, err := f.makes(drainpermit.Writes(f.opts.Name, s, a, rand.Text()))
-	if a.Kind == drainpermit.Replace && err == nil {
-		f.replace(ctx, agent, s.Ask.To)
+	r, err := f.transact(drainpermit.ActionTransaction(f.options.Name, s, a, rand.Text()))
+	if a.Kind == drainpermit.ActionReplaceProcess && err == nil {
+		f.replaceProcess(ctx, agent, s.Request.TargetVersion)
 		return true
 	}
-	agent.Noted(err == nil, r.Revision)
+	agent.HandleWriteResult(err == nil, r.Revision)
 	if err != nil {
 		f.log.Warn("what became of a permit is not written yet", err)
 	}
 	return true
 }
 
-// replace has this process replaced; it goes on where that fails.
-func (f *Fleet) replace(ctx context.Context, agent *drainpermit.Agent, to string) {
+// replaceProcess has this process replaced; it goes on where that fails.
+func (f *Participant) replaceProcess(ctx context.Context, agent *drainpermit.Agent, to string) {
 	err := errors.New("nothing is set up by which this node could be replaced: [fleet] replace")
-	if f.opts.Outs.Replace != nil {
-		f.opts.Log.Info("this process is replaced", "by", to)
-		f.opts.Tell(faulthooks.Event{What: "replaced", ID: to})
-		f.counted("replaced", 1)
-		err = f.opts.Outs.Replace(ctx, to)
+	if f.options.Drain.ReplaceProcess != nil {
+		f.options.Log.Info("this process is replaced", "by", to)
+		f.options.OnEvent(faulthooks.Event{What: "replaced", ID: to})
+		f.addPermitCount("replaced", 1)
+		err = f.options.Drain.ReplaceProcess(ctx, to)
 	}
 	if err != nil {
 		f.log.Warn("this process was not replaced", err)
-		agent.Replaced(err.Error())
+		agent.HandleReplaceFailure(err.Error())
 	}
 }
 
-// reportOut is what a report says of it.
-func (f *Fleet) reportOut(state map[string]any) {
-	o := f.opts.Outs
-	state["zone"], state["kind"], state["release"] = o.Zone, o.Kind, o.Release
-	state["in_ms"] = f.inFor().Milliseconds()
-	if o.Below != nil {
-		state["below"] = o.Below()
+// addDrainReport is what a report says of it.
+func (f *Participant) addDrainReport(state map[string]any) {
+	o := f.options.Drain
+	state["zone"], state["kind"], state["release"] = o.Zone, o.Kind, o.DeployedVersion
+	state["in_ms"] = f.inServiceFor().Milliseconds()
+	if o.Upstreams != nil {
+		state["below"] = o.Upstreams()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.overdue {
+	if f.drainOverdue {
 		state["overdue"] = true
 	}
 }
 
-// standing is a duty that one node has for as long as there is anything to do, without jobs: what it does each time follows from what it reads,
+// leasedLoop is a duty that one node has for as long as there is anything to do, without jobs: what it does each time follows from what it reads,
 // in transactions under its token.
-type standing struct {
-	*Fleet
-	duty   string
-	prefix string // of the documents that give it something to do
-	reset  func() // forgets what an earlier time at the duty has seen
-	do     func(token uint64) (idle bool, err error)
+type leasedLoop struct {
+	*Participant
+	task      string
+	keyPrefix string // of the documents that give it something to do
+	reset     func() // forgets what an earlier time at the duty has seen
+	runTurn   func(token uint64) (idle bool, err error)
 
-	claim *lease.Claim
-	idle  int // turns with nothing to do
-	pause time.Duration
+	claim     *lease.Claim
+	idleTurns int // turns with nothing to do
+	delay     time.Duration
 }
 
-// serve takes this node's turn at the duty until the context ends.
-func (k *standing) serve(ctx context.Context) {
-	k.begin()
+// run takes this node's turn at the duty until the context ends.
+func (k *leasedLoop) run(ctx context.Context) {
+	k.resetClaim()
 	defer k.handOver("this node leaves")
 	for {
 		k.turn()
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(k.pause):
+		case <-time.After(k.delay):
 		}
 	}
 }
 
-func (k *standing) begin() {
-	k.claim = lease.NewClaim(k.opts.Terms)
+func (k *leasedLoop) resetClaim() {
+	k.claim = lease.NewClaim(k.options.LeaseTerms)
 	k.reset()
 }
 
-func (k *standing) handOver(why string) {
+func (k *leasedLoop) handOver(why string) {
 	if token, holds := k.claim.Holds(k.clock()); holds {
 		k.claim.Stop()
-		k.opts.Tell(faulthooks.Event{What: "gives", Duty: k.duty, N: token})
-		_, err := k.ask(k.duty, store.Question{Ask: "hand-over", Holder: k.opts.Name, Token: token, Why: why})
-		k.opts.Log.Debug("a duty was handed over", "duty", k.duty, "token", token, "error", err)
+		k.options.OnEvent(faulthooks.Event{What: "gives", Duty: k.task, N: token})
+		_, err := k.requestLease(k.task, store.LeaseRequest{Action: "hand-over", Holder: k.options.Name, Token: token, Reason: why})
+		k.options.Log.Debug("a duty was handed over", "duty", k.task, "token", token, "error", err)
 	}
-	k.begin()
+	k.resetClaim()
 }
 
 // turn looks once.
-func (k *standing) turn() {
-	k.pause = k.opts.Pause
+func (k *leasedLoop) turn() {
+	k.delay = k.options.RetryDelay
 	token, holds := k.claim.Holds(k.clock())
 	if !holds {
-		k.pause = 4 * k.opts.Pause
-		c, turn := k.member()
-		docs, _, err := c.Documents(k.prefix, true)
+		k.delay = 4 * k.options.RetryDelay
+		c, turn := k.preferredClient()
+		docs, _, err := c.Documents(k.keyPrefix, true)
 		if err != nil {
-			k.gaveNone(turn)
+			k.skipMember(turn)
 		}
 		if len(docs) == 0 {
 			return // nothing to do
 		}
 	}
-	if !holds || k.claim.Renews(k.clock()) {
+	if !holds || k.claim.RenewalDue(k.clock()) {
 		if !holds {
-			k.begin()
+			k.resetClaim()
 		}
-		q := store.Question{Ask: "take", Holder: k.opts.Name}
+		q := store.LeaseRequest{Action: "take", Holder: k.options.Name}
 		if holds {
-			q.Ask, q.Token = "renew", token
+			q.Action, q.Token = "renew", token
 		}
-		question := k.claim.Ask(k.clock())
-		switch rec, err := k.ask(k.duty, q); {
+		question := k.claim.BeginRequest(k.clock())
+		switch rec, err := k.requestLease(k.task, q); {
 		case err == nil:
-			k.claim.Granted(question, rec.Token)
-			k.opts.Tell(faulthooks.Event{What: "holds", Duty: k.duty, N: rec.Token, Until: k.claim.Until()})
+			k.claim.HandleGrant(question, rec.Token)
+			k.options.OnEvent(faulthooks.Event{What: "holds", Duty: k.task, N: rec.Token, Until: k.claim.ValidUntil()})
 		case errors.Is(err, store.ErrConflict):
-			k.claim.Refused(question)
+			k.claim.HandleRejection(question)
 			return
 		default:
 			return
@@ -383,98 +383,98 @@
 			return
 		}
 	}
-	idle, err := k.do(token)
+	idle, err := k.runTurn(token)
 	if err != nil {
-		k.log.Warn("a duty can't be done now", fmt.Errorf("%s: %w", k.duty, err))
+		k.log.Warn("a duty can't be done now", fmt.Errorf("%s: %w", k.task, err))
 	}
 	if idle {
-		k.idle++
+		k.idleTurns++
 	} else {
-		k.idle = 0
+		k.idleTurns = 0
 	}
-	if k.idle > 20 {
-		k.idle = 0
+	if k.idleTurns > 20 {
+		k.idleTurns = 0
 		k.handOver("nothing to do")
 	}
 }
 
-// make makes a transaction while the duty is held. It errs with store.ErrConflict where something has changed meanwhile.
-func (k *standing) make(t document.Transaction) error {
+// transactWhileHeld makes a transaction while the duty is held. It errs with store.ErrConflict where something has changed meanwhile.
+func (k *leasedLoop) transactWhileHeld(t document.Transaction) error {
 	if _, holds := k.claim.Holds(k.clock()); !holds {
 		return errors.New("the duty is over")
 	}
-	_, err := k.makes(t)
+	_, err := k.transact(t)
 	return err
 }
 
-// keeping is one candidate for granting permits.
-type keeping struct {
-	*standing
-	sight  *Sight
-	keeper drainpermit.Keeper
+// grantTask is one candidate for granting permits.
+type grantTask struct {
+	*leasedLoop
+	detector   *FailureDetector
+	controller drainpermit.Controller
 }
 
-// keepPermits takes this node's turn at granting permits, while there is anything to decide, until the context ends.
-func (f *Fleet) keepPermits(ctx context.Context) {
-	k := &keeping{}
-	k.standing = &standing{Fleet: f, duty: permits, prefix: drainpermit.Prefix, do: k.decide, reset: func() {
-		k.sight = NewSight(f.opts.Silent) // nodes are unknown until they are heard of anew
-		k.keeper = drainpermit.Keeper{Terms: f.opts.Terms, Settle: f.opts.Outs.Settle}
-		f.figure(func(x *Figures) { x.Kept = nil })
+// runGrantTask takes this node's turn at granting permits, while there is anything to decide, until the context ends.
+func (f *Participant) runGrantTask(ctx context.Context) {
+	k := &grantTask{}
+	k.leasedLoop = &leasedLoop{Participant: f, task: grantTaskName, keyPrefix: drainpermit.KeyPrefix, runTurn: k.decide, reset: func() {
+		k.detector = NewFailureDetector(f.options.SilentAfter) // nodes are unknown until they are heard of anew
+		k.controller = drainpermit.Controller{Terms: f.options.LeaseTerms, MinReady: f.options.Drain.MinReady}
+		f.updateStats(func(x *Stats) { x.Grants = nil })
 	}}
-	k.serve(ctx)
+	k.run(ctx)
 }
 
-// view reads all that counts for permits, confirmed, with the nodes as this process has heard of them.
-func (f *Fleet) view(sight *Sight) (v drainpermit.View, at drainpermit.Versions, docs []document.Document, err error) {
+// readView reads all that counts for permits, confirmed, with the nodes as this process has heard of them.
+func (f *Participant) readView(sight *FailureDetector) (v drainpermit.View, at drainpermit.Versions, docs []document.Document, err error) {
 	if docs, err = f.documents(""); err != nil {
 		return v, at, docs, err
 	}
-	v, at, err = drainpermit.ViewOf(docs, drainpermit.Plain, f.opts.Now().UnixMilli())
+	v, at, err = drainpermit.DecodeView(docs, drainpermit.DefaultDecoder, f.options.Now().UnixMilli())
 	if err != nil {
 		f.log.Warn("a document can't be read", err)
 	}
 	var reports []document.Document
 	for _, d := range docs {
-		if strings.HasPrefix(d.Key, nodes) {
+		if strings.HasPrefix(d.Key, nodeKeyPrefix) {
 			reports = append(reports, d)
 		}
 	}
 	now := f.clock()
-	sight.Look(reports, now)
+	sight.Observe(reports, now)
 	quiet := map[string]time.Duration{}
-	for _, q := range sight.Silent(now) {
-		quiet[q.Node] = q.For
+	for _, q := range sight.SilentNodes(now) {
+		quiet[q.Node] = q.Silence
 	}
 	for _, d := range reports {
-		s := drainpermit.Seen{Name: strings.TrimPrefix(d.Key, nodes)}
-		s.Bad = json.Unmarshal([]byte(d.Value), &s.Report) != nil
-		s.Since = s.Report.Since
+		s := drainpermit.ObservedMember{Name: strings.TrimPrefix(d.Key, nodeKeyPrefix)}
+		s.Unreadable = json.Unmarshal([]byte(d.Value), &s.Report) != nil
+		s.SinceMS = s.Report.ProcessStartMS
 		if long, silent := quiet[s.Name]; silent {
-			s.Quiet, s.Since = disruption.Silent, f.opts.Now().Add(-long).UnixMilli()
-		} else if !sight.Heard(s.Name, now) {
-			s.Quiet = disruption.Unknown
+			s.Liveness, s.SinceMS = disruption.Silent, f.options.Now().Add(-long).UnixMilli()
+		} else if !sight.Alive(s.Name, now) {
+			s.Liveness = disruption.Unknown
 		}
 		v.Members = append(v.Members, s)
 	}
-	return v.WithServers(Service), at, docs, nil
+	return v.WithUpstreams(UpstreamService), at, docs, nil
 }
 
 // decide reads all, and makes what follows from it.
-func (k *keeping) decide(token uint64) (idle bool, err error) {
-	v, at, _, err := k.view(k.sight)
+func (k *grantTask) decide(token uint64) (idle bool, err error) {
+	v, at, _, err := k.readView(k.detector)
 	if err != nil {
 		return false, err
 	}
-	step := k.keeper.Decide(v, k.clock())
-	kept := keptOf(v, step.Counted)
-	k.figure(func(x *Figures) { x.Kept = kept })
-	for _, t := range step.Transactions(v, at, permits, token, k.opts.Name, rand.Text) {
-		if err := k.make(t); err != nil && !errors.Is(err, store.ErrConflict) { // what changed meanwhile is decided on anew
-			return false, fmt.Errorf("%s: %w", t.Why, err)
+	step := k.controller.Decide(v, k.clock())
+	kept := grantStatsOf(v, step.BudgetMembers)
+	k.updateStats(func(x *Stats) { x.Grants = kept })
+	for _, t := range step.Transactions(v, at, grantTaskName, token, k.options.Name, rand.Text) {
+		if err := k.transactWhileHeld(t); err != nil && !errors.Is(err, store.ErrConflict) { // what changed meanwhile is decided on anew
+			return false, fmt.Errorf("%s: %w", t.Reason, err)
 		}
 	}
-	k.counted("granted", len(step.Grant))
-	k.counted("freed", len(step.Free))
-	return len(v.Asks)+len(v.Permits) == 0, nil
+	k.addPermitCount("granted", len(step.Grant))
+	k.addPermitCount("freed", len(step.Remove))
+	return len(v.Requests)+len(v.Permits) == 0, nil
 }
--- a/internal/control/fleet/sight.go
+++ b/internal/control/fleet/sight.go
@@ -14,64 +14,66 @@
 
 // Keys of the documents that nodes write.
 const (
-	nodes  = "node/"   // the last report of each node
-	silent = "silent/" // a mark on each that no longer reports
-	duties = "duty/"   // how far each duty's job is
+	nodeKeyPrefix   = "node/"   // the last report of each node
+	silentKeyPrefix = "silent/" // a mark on each that no longer reports
+	taskKeyPrefix   = "duty/"   // how far each duty's job is
 )
 
-// Sight follows when nodes were last heard of, on this process's own clock: the times that they write are of theirs. It
+// FailureDetector follows when nodes were last heard of, on this process's own clock: the times that they write are of theirs. It
 // has no I/O and is not safe for concurrent use.
-type Sight struct {
-	after time.Duration
-	seen  map[string]glimpse
+type FailureDetector struct {
+	timeout time.Duration
+	reports map[string]lastReport
 }
 
-type glimpse struct {
-	version uint64
-	at      lease.Instant
-	changed bool // since it was first looked at
+type lastReport struct {
+	version    uint64
+	observedAt lease.Instant
+	changed    bool // since it was first looked at
 }
 
-// NewSight returns one that takes a node for silent when its report has not changed for so long. Nodes count from when they
+// NewFailureDetector returns one that takes a node for silent when its report has not changed for so long. Nodes count from when they
 // are first looked at.
-func NewSight(after time.Duration) *Sight { return &Sight{after: after, seen: map[string]glimpse{}} }
+func NewFailureDetector(after time.Duration) *FailureDetector {
+	return &FailureDetector{timeout: after, reports: map[string]lastReport{}}
+}
 
-// Look takes in the reports as they are now.
-func (s *Sight) Look(reports []document.Document, now lease.Instant) {
+// Observe takes in the reports as they are now.
+func (s *FailureDetector) Observe(reports []document.Document, now lease.Instant) {
 	here := map[string]bool{}
 	for _, d := range reports {
-		name := strings.TrimPrefix(d.Key, nodes)
+		name := strings.TrimPrefix(d.Key, nodeKeyPrefix)
 		here[name] = true
-		if g, known := s.seen[name]; !known || g.version != d.Version {
-			s.seen[name] = glimpse{d.Version, now, known}
+		if g, known := s.reports[name]; !known || g.version != d.Version {
+			s.reports[name] = lastReport{d.Version, now, known}
 		}
 	}
-	for name := range s.seen {
+	for name := range s.reports {
 		if !here[name] {
-			delete(s.seen, name)
+			delete(s.reports, name)
 		}
 	}
 }
 
-// Quiet is a node that is silent.
-type Quiet struct {
-	Node string
-	For  time.Duration
+// SilentNode is a node that is silent.
+type SilentNode struct {
+	Node    string
+	Silence time.Duration
 }
 
-// Silent returns the nodes that are silent now, by name.
-func (s *Sight) Silent(now lease.Instant) (list []Quiet) {
-	for name, g := range s.seen {
-		if d := time.Duration(now - g.at); d >= s.after {
-			list = append(list, Quiet{name, d})
+// SilentNodes returns the nodes that are silent now, by name.
+func (s *FailureDetector) SilentNodes(now lease.Instant) (list []SilentNode) {
+	for name, g := range s.reports {
+		if d := time.Duration(now - g.observedAt); d >= s.timeout {
+			list = append(list, SilentNode{name, d})
 		}
 	}
-	slices.SortFunc(list, func(a, b Quiet) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(list, func(a, b SilentNode) int { return cmp.Compare(a.Node, b.Node) })
 	return list
 }
 
-// Heard says whether a node has reported since it was first looked at, and is not silent; or is not on the list any more.
-func (s *Sight) Heard(name string, now lease.Instant) bool {
-	g, known := s.seen[name]
-	return !known || g.changed && time.Duration(now-g.at) < s.after
+// Alive says whether a node has reported since it was first looked at, and is not silent; or is not on the list any more.
+func (s *FailureDetector) Alive(name string, now lease.Instant) bool {
+	g, known := s.reports[name]
+	return !known || g.changed && time.Duration(now-g.observedAt) < s.timeout
 }
--- a/internal/control/lease/modelcheck/walk.go
+++ b/internal/control/lease/modelcheck/walk.go
@@ -82,32 +82,32 @@
 // ask is a candidate's question to whoever leads as it comes there, and the answer.
 func (w *world) ask(c *candidate, kind string) {
 	token, _ := c.claim.Holds(c.clock.at(w.now))
-	q := c.claim.Ask(c.clock.at(w.now))
+	q := c.claim.BeginRequest(c.clock.at(w.now))
 	c.last, c.open = q, true
-	w.after(w.some(2*w.terms.Length), func() { // the way there
+	w.after(w.some(2*w.terms.Duration), func() { // the way there
 		var rec lease.Record
 		var err error
 		switch at := w.lead.at(w.now); kind {
 		case "take":
-			rec, err = w.table.Take("d", c.name, at)
+			rec, err = w.table.Acquire("d", c.name, at)
 		case "renew":
 			rec, err = w.table.Renew("d", c.name, token)
 		}
 		term := w.term
-		w.after(w.some(w.terms.Length/4), func() { // until it is agreed on
+		w.after(w.some(w.terms.Duration/4), func() { // until it is agreed on
 			if err == nil && term != w.term {
 				err = errors.New("the lead was lost") // what a stale leader proposed is not agreed on
 			}
 			if w.mutant == "applies what was decided on an older record" {
 				rec.Serial = w.table.Get("d").Serial + 1
 			}
-			if err == nil && !w.table.Applied(rec, w.lead.at(w.now)) {
+			if err == nil && !w.table.Apply(rec, w.lead.at(w.now)) {
 				err = errors.New("another came first")
 			}
 			if err == nil {
 				w.most = max(w.most, rec.Token)
 			}
-			w.after(w.some(2*w.terms.Length), func() {
+			w.after(w.some(2*w.terms.Duration), func() {
 				if c.still > w.now { // it comes when the process goes on
 					w.after(c.still-w.now, func() { w.answer(c, q, rec, err) })
 					return
@@ -123,16 +123,16 @@
 		c.open = false
 	}
 	if err != nil {
-		c.claim.Refused(q)
+		c.claim.HandleRejection(q)
 		return
 	}
 	switch w.mutant {
 	case "counts from the answer":
-		q = c.claim.Ask(c.clock.at(w.now))
+		q = c.claim.BeginRequest(c.clock.at(w.now))
 	case "takes any answer":
 		q = c.last
 	}
-	c.claim.Granted(q, rec.Token)
+	c.claim.HandleGrant(q, rec.Token)
 }
 
 // Mutants are faults of the program itself that a walk can be played with, to show that it sees them.
@@ -144,9 +144,9 @@
 	return ok
 }
 
-// Play plays a seed with clocks that go wrong by drift, whatever the terms allow for, and returns what did not hold: two that
+// Run plays a seed with clocks that go wrong by drift, whatever the terms allow for, and returns what did not hold: two that
 // hold the duty at once, or a token that went back; empty: all held. mutant is one of Mutants, or empty.
-func Play(seed uint64, terms lease.Terms, drift float64, mutant string) string {
+func Run(seed uint64, terms lease.Terms, drift float64, mutant string) string {
 	w := &world{r: rand.New(rand.NewPCG(seed, 25)), terms: terms, drift: drift, mutant: mutant}
 	var err error
 	if w.table, err = lease.NewTable(terms); err != nil {
@@ -155,12 +155,12 @@
 	w.lead = w.clock()
 	held := terms
 	if mutant == "no drift allowed for" {
-		held.Drift = 0
+		held.MaxDrift = 0
 	}
 	for i := range 3 {
 		w.people = append(w.people, &candidate{name: fmt.Sprint("p", i), clock: w.clock(), claim: lease.NewClaim(held)})
 	}
-	step := terms.Length / 50
+	step := terms.Duration / 50
 	for range 600 {
 		w.now += step
 		for i := 0; i < len(w.queue); i++ { // what is due, in the order in which it was asked for
@@ -187,10 +187,10 @@
 			if mutant == "counts on after a change of leader" {
 				continue
 			}
-			w.table.Lead(w.lead.at(w.now))
+			w.table.StartLeading(w.lead.at(w.now))
 		case w.r.IntN(40) == 0:
-			c.still = w.now + w.some(4*w.terms.Length)
-		case c.claim.Renews(at):
+			c.still = w.now + w.some(4*w.terms.Duration)
+		case c.claim.RenewalDue(at):
 			w.ask(c, "renew")
 		case !holds(c, at) && !c.open && w.r.IntN(4) == 0:
 			w.ask(c, "take")
@@ -199,7 +199,7 @@
 			c.claim.Stop()
 			c.open = false
 			if rec, err := w.table.HandOver("d", c.name, token, w.people[w.r.IntN(3)].name); err == nil {
-				w.table.Applied(rec, w.lead.at(w.now))
+				w.table.Apply(rec, w.lead.at(w.now))
 			}
 		}
 	}
--- a/internal/control/lease/modelcheck/walk_test.go
+++ b/internal/control/lease/modelcheck/walk_test.go
@@ -10,12 +10,12 @@
 
 var seeds = flag.Uint64("lease.seeds", 10000, "how many seeds the walk is played with")
 
-var terms = lease.Terms{Length: 10 * time.Second, Drift: 0.05}
+var terms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.05}
 
 // TestOneHolderAtATime: with clocks that go wrong by as much as the terms allow.
 func TestOneHolderAtATime(t *testing.T) {
 	for seed := range *seeds {
-		if wrong := Play(seed, terms, terms.Drift, ""); wrong != "" {
+		if wrong := Run(seed, terms, terms.MaxDrift, ""); wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
 	}
@@ -26,7 +26,7 @@
 	caught := func(mutant string, drift float64) {
 		const within = 3000
 		seed := uint64(0)
-		for ; seed < within && Play(seed, terms, drift, mutant) == ""; seed++ {
+		for ; seed < within && Run(seed, terms, drift, mutant) == ""; seed++ {
 		}
 		if seed == within {
 			t.Errorf("%q with a drift of %v: not caught within %d seeds", mutant, drift, within)
@@ -36,6 +36,6 @@
 	}
 	caught("", 0.08) // of 0.05 allowed for
 	for _, mutant := range Mutants {
-		caught(mutant, terms.Drift)
+		caught(mutant, terms.MaxDrift)
 	}
 }
--- a/internal/control/leasedtask/duty.go
+++ b/internal/control/leasedtask/duty.go
@@ -16,11 +16,11 @@
 
 // Job is a piece of work.
 type Job struct {
-	ID    string // new with each job; the steps' ids follow from it
-	After string // the job that must have ended on record before; empty: there is none before it
-	Steps []string
-	Tries int           // of a step, after which the job has failed
-	Pause time.Duration // after a step that failed, and before asking for a duty again that another has
+	ID          string // new with each job; the steps' ids follow from it
+	Predecessor string // the job that must have ended on record before; empty: there is none before it
+	Steps       []string
+	MaxAttempts int           // of a step, after which the job has failed
+	RetryDelay  time.Duration // after a step that failed, and before asking for a duty again that another has
 }
 
 // State is how far a step is.
@@ -28,49 +28,49 @@
 
 // The states of a record. The zero value stands for a job that nobody has begun.
 const (
-	Begun  State = "begun"
-	Done   State = "done"
-	Over   State = "over"   // all steps are done
-	Failed State = "failed" // a step failed as often as it may; the record says why, and the job stays so
+	StateStarted   State = "begun"
+	StateDone      State = "done"
+	StateCompleted State = "over"   // all steps are done
+	StateFailed    State = "failed" // a step failed as often as it may; the record says why, and the job stays so
 )
 
 // Record is a job as the store keeps it.
 type Record struct {
-	Job   string `json:"job"`
-	Step  int    `json:"step"`
-	State State  `json:"state"`
-	Tries int    `json:"tries,omitempty"` // of this step that failed
-	Why   string `json:"why,omitempty"`   // the last one did
+	JobID          string `json:"job"`
+	Step           int    `json:"step"`
+	State          State  `json:"state"`
+	FailedAttempts int    `json:"tries,omitempty"` // of this step that failed
+	FailureReason  string `json:"why,omitempty"`   // the last one did
 }
 
-// Ended says whether nothing is left to do.
-func (r Record) Ended() bool { return r.State == Over || r.State == Failed }
+// Finished says whether nothing is left to do.
+func (r Record) Finished() bool { return r.State == StateCompleted || r.State == StateFailed }
 
-// Kind is what is to be done.
-type Kind int
+// ActionKind is what is to be done.
+type ActionKind int
 
 // What Next asks for.
 const (
-	Wait     Kind = iota // nothing before At, unless something comes
-	Take                 // ask the store for the duty; tell Granted or Refused
-	Renew                // the same, to keep it
-	Read                 // read the record, confirmed; tell Found
-	Write                // the record, if its version is still Version and the duty's token still Token; tell Written or Lost
-	Do                   // the step; tell Did
-	HandOver             // give the duty back; what comes of it need not be told
-	Stop                 // nothing any more: the job has ended, was left, or does not follow the one on record
+	ActionWait        ActionKind = iota // nothing before At, unless something comes
+	ActionAcquire                       // ask the store for the duty; tell Granted or Refused
+	ActionRenew                         // the same, to keep it
+	ActionReadRecord                    // read the record, confirmed; tell Found
+	ActionWriteRecord                   // the record, if its version is still Version and the duty's token still Token; tell Written or Lost
+	ActionRunStep                       // the step; tell Did
+	ActionHandOver                      // give the duty back; what comes of it need not be told
+	ActionStop                          // nothing any more: the job has ended, was left, or does not follow the one on record
 )
 
 // Action is what is to be done.
 type Action struct {
-	Kind     Kind
-	Question uint64 // of Take and Renew: to be told with the answer
-	Token    uint64
-	Record   Record
-	Version  uint64
-	ID       string // of Write and Do: the same for each try of one
-	Step     string
-	At       lease.Instant
+	Kind      ActionKind
+	RequestID uint64 // of Take and Renew: to be told with the answer
+	Token     uint64
+	Record    Record
+	Version   uint64
+	ID        string // of Write and Do: the same for each try of one
+	Step      string
+	WakeAt    lease.Instant
 }
 
 // Runner is one candidate for a job. It is not safe for concurrent use.
@@ -79,162 +79,162 @@
 	terms lease.Terms
 	claim *lease.Claim
 
-	asked   bool          // a question about the lease is open
-	again   lease.Instant // nothing is tried before
-	known   bool          // the record is known
-	busy    bool          // a read, a write or a step is on its way
-	record  Record
-	version uint64
-	next    *Record // to be written
-	writes  int     // so far, under this token
-	leaving bool
-	given   bool
-	moot    bool // the record is of a job that this one does not follow
+	leaseRequestPending bool          // a question about the lease is open
+	retryAt             lease.Instant // nothing is tried before
+	recordKnown         bool          // the record is known
+	operationPending    bool          // a read, a write or a step is on its way
+	record              Record
+	version             uint64
+	pendingWrite        *Record // to be written
+	writes              int     // so far, under this token
+	stopping            bool
+	handedOver          bool
+	superseded          bool // the record is of a job that this one does not follow
 }
 
 // NewRunner returns a candidate that holds nothing. It errs on a job without id or steps.
 func NewRunner(j Job, t lease.Terms) (*Runner, error) {
-	if j.ID == "" || len(j.Steps) == 0 || j.Tries < 1 || j.Pause <= 0 {
+	if j.ID == "" || len(j.Steps) == 0 || j.MaxAttempts < 1 || j.RetryDelay <= 0 {
 		return nil, fmt.Errorf("duty: a job needs an id, steps, one try or more and a pause, not %+v", j)
 	}
-	return &Runner{job: j, terms: t, claim: lease.NewClaim(t)}, t.Check()
+	return &Runner{job: j, terms: t, claim: lease.NewClaim(t)}, t.Validate()
 }
 
 // Record is the job as far as this candidate knows, and whether it knows at all.
-func (r *Runner) Record() (Record, bool) { return r.record, r.known }
+func (r *Runner) Record() (Record, bool) { return r.record, r.recordKnown }
 
-// Until is to when this candidate was last known to hold the duty.
-func (r *Runner) Until() lease.Instant { return r.claim.Until() }
+// LeaseValidUntil is to when this candidate was last known to hold the duty.
+func (r *Runner) LeaseValidUntil() lease.Instant { return r.claim.ValidUntil() }
 
-// Leave has the runner stop after the step that it is at, and hand the duty over.
-func (r *Runner) Leave() { r.leaving = true }
+// StopAfterStep has the runner stop after the step that it is at, and hand the duty over.
+func (r *Runner) StopAfterStep() { r.stopping = true }
 
-// Next returns what is to be done now. It is to be called again after each thing told, and at At.
-func (r *Runner) Next(now lease.Instant) Action {
+// NextAction returns what is to be done now. It is to be called again after each thing told, and at At.
+func (r *Runner) NextAction(now lease.Instant) Action {
 	token, holds := r.claim.Holds(now)
 	switch {
-	case r.known && (r.record.Ended() || r.moot) && !r.busy, r.leaving && !r.busy:
-		if holds && !r.given {
-			r.given = true
+	case r.recordKnown && (r.record.Finished() || r.superseded) && !r.operationPending, r.stopping && !r.operationPending:
+		if holds && !r.handedOver {
+			r.handedOver = true
 			r.claim.Stop() // first stopped, then said
-			return Action{Kind: HandOver, Token: token}
+			return Action{Kind: ActionHandOver, Token: token}
 		}
-		return Action{Kind: Stop}
-	case !r.asked && holds && r.claim.Renews(now):
-		r.asked = true
-		return Action{Kind: Renew, Question: r.claim.Ask(now), Token: token}
-	case r.busy:
-		return r.wait(now)
-	case now < r.again:
-		return r.wait(now)
+		return Action{Kind: ActionStop}
+	case !r.leaseRequestPending && holds && r.claim.RenewalDue(now):
+		r.leaseRequestPending = true
+		return Action{Kind: ActionRenew, RequestID: r.claim.BeginRequest(now), Token: token}
+	case r.operationPending:
+		return r.waitAction(now)
+	case now < r.retryAt:
+		return r.waitAction(now)
 	case !holds:
-		r.known, r.next = false, nil
-		if r.asked {
-			return r.wait(now)
+		r.recordKnown, r.pendingWrite = false, nil
+		if r.leaseRequestPending {
+			return r.waitAction(now)
 		}
-		r.asked = true
-		return Action{Kind: Take, Question: r.claim.Ask(now)}
-	case !r.known:
-		r.busy = true
-		return Action{Kind: Read, Token: token}
+		r.leaseRequestPending = true
+		return Action{Kind: ActionAcquire, RequestID: r.claim.BeginRequest(now)}
+	case !r.recordKnown:
+		r.operationPending = true
+		return Action{Kind: ActionReadRecord, Token: token}
 	}
-	r.busy = true
-	if r.next == nil && r.record.State == Begun {
-		return Action{Kind: Do, Token: token, ID: r.step(r.record.Step), Step: r.job.Steps[r.record.Step], Record: r.record}
+	r.operationPending = true
+	if r.pendingWrite == nil && r.record.State == StateStarted {
+		return Action{Kind: ActionRunStep, Token: token, ID: r.stepID(r.record.Step), Step: r.job.Steps[r.record.Step], Record: r.record}
 	}
-	if r.next == nil { // Done, or nothing yet: the next step is begun
-		next := Record{Job: r.job.ID, State: Begun}
-		if r.record.State == Done {
+	if r.pendingWrite == nil { // Done, or nothing yet: the next step is begun
+		next := Record{JobID: r.job.ID, State: StateStarted}
+		if r.record.State == StateDone {
 			next.Step = r.record.Step + 1
 		}
 		if next.Step == len(r.job.Steps) {
-			next.Step, next.State = r.record.Step, Over
+			next.Step, next.State = r.record.Step, StateCompleted
 		}
-		r.next = &next
+		r.pendingWrite = &next
 	}
-	return Action{Kind: Write, Token: token, Record: *r.next, Version: r.version, ID: fmt.Sprintf("%s/%d/%d", r.job.ID, token, r.writes)}
+	return Action{Kind: ActionWriteRecord, Token: token, Record: *r.pendingWrite, Version: r.version, ID: fmt.Sprintf("%s/%d/%d", r.job.ID, token, r.writes)}
 }
 
-// step is a step's id: the same whoever does it.
-func (r *Runner) step(i int) string { return fmt.Sprintf("%s/%d", r.job.ID, i) }
+// stepID is a step's id: the same whoever does it.
+func (r *Runner) stepID(i int) string { return fmt.Sprintf("%s/%d", r.job.ID, i) }
 
-// wait is until something is to be looked at again.
-func (r *Runner) wait(now lease.Instant) Action {
-	at := now.Add(r.terms.Hold() / 10)
-	if r.again > now && r.again < at {
-		at = r.again
+// waitAction is until something is to be looked at again.
+func (r *Runner) waitAction(now lease.Instant) Action {
+	at := now.Add(r.terms.HolderDuration() / 10)
+	if r.retryAt > now && r.retryAt < at {
+		at = r.retryAt
 	}
-	return Action{Kind: Wait, At: at}
+	return Action{Kind: ActionWait, WakeAt: at}
 }
 
-// Granted tells that the duty was granted or renewed.
-func (r *Runner) Granted(question, token uint64) {
+// HandleGrant tells that the duty was granted or renewed.
+func (r *Runner) HandleGrant(requestID, token uint64) {
 	if was, _ := r.claim.Holds(0); token != was {
-		r.known, r.next, r.writes = false, nil, 0 // a new lease begins with reading
+		r.recordKnown, r.pendingWrite, r.writes = false, nil, 0 // a new lease begins with reading
 	}
-	r.asked = false
-	r.claim.Granted(question, token)
+	r.leaseRequestPending = false
+	r.claim.HandleGrant(requestID, token)
 }
 
-// Refused tells that another has the duty, or that this one lost it.
-func (r *Runner) Refused(question uint64, now lease.Instant) {
-	r.asked = false
-	r.claim.Refused(question)
-	r.again = now.Add(r.job.Pause)
+// HandleRejection tells that another has the duty, or that this one lost it.
+func (r *Runner) HandleRejection(requestID uint64, now lease.Instant) {
+	r.leaseRequestPending = false
+	r.claim.HandleRejection(requestID)
+	r.retryAt = now.Add(r.job.RetryDelay)
 }
 
-// Unheard tells that a question about the lease got no answer; it may have been granted all the same. What is held is
+// HandleLeaseTimeout tells that a question about the lease got no answer; it may have been granted all the same. What is held is
 // held on until its end, and asked for again.
-func (r *Runner) Unheard(now lease.Instant) {
-	r.asked = false
+func (r *Runner) HandleLeaseTimeout(now lease.Instant) {
+	r.leaseRequestPending = false
 	if _, holds := r.claim.Holds(now); !holds {
-		r.again = now.Add(r.job.Pause)
+		r.retryAt = now.Add(r.job.RetryDelay)
 	}
 }
 
-// Found tells the record, and its version; version 0: there is none. The job is begun only where the one before it has
+// HandleRecord tells the record, and its version; version 0: there is none. The job is begun only where the one before it has
 // ended; a record of any other job ends the runner, which has come too late or too soon.
-func (r *Runner) Found(record Record, version uint64) {
-	r.busy, r.known, r.version, r.record = false, true, version, record
-	if record.Job == r.job.ID {
+func (r *Runner) HandleRecord(record Record, version uint64) {
+	r.operationPending, r.recordKnown, r.version, r.record = false, true, version, record
+	if record.JobID == r.job.ID {
 		return
 	}
 	r.record = Record{}
-	r.moot = record.Job != r.job.After || record.Job != "" && !record.Ended()
+	r.superseded = record.JobID != r.job.Predecessor || record.JobID != "" && !record.Finished()
 }
 
-// Written tells that what was to be written is on record, under this version.
-func (r *Runner) Written(version uint64) {
-	r.busy, r.version = false, version
+// HandleWritten tells that what was to be written is on record, under this version.
+func (r *Runner) HandleWritten(version uint64) {
+	r.operationPending, r.version = false, version
 	r.writes++
-	if r.next != nil {
-		r.record, r.next = *r.next, nil
+	if r.pendingWrite != nil {
+		r.record, r.pendingWrite = *r.pendingWrite, nil
 	}
 }
 
-// Unsure tells that a read or write got no answer. A write is asked for again under its id.
-func (r *Runner) Unsure(now lease.Instant) {
-	r.busy = false
-	r.again = now.Add(r.job.Pause)
+// HandleRecordTimeout tells that a read or write got no answer. A write is asked for again under its id.
+func (r *Runner) HandleRecordTimeout(now lease.Instant) {
+	r.operationPending = false
+	r.retryAt = now.Add(r.job.RetryDelay)
 }
 
-// Lost tells that a write was turned down: another has changed the record, or taken the duty. The record is read anew.
-func (r *Runner) Lost(now lease.Instant) {
-	r.busy, r.known, r.next = false, false, nil
+// HandleConflict tells that a write was turned down: another has changed the record, or taken the duty. The record is read anew.
+func (r *Runner) HandleConflict(now lease.Instant) {
+	r.operationPending, r.recordKnown, r.pendingWrite = false, false, nil
 	r.writes++ // its id is used up
-	r.again = now.Add(r.job.Pause)
+	r.retryAt = now.Add(r.job.RetryDelay)
 }
 
-// Did tells how the step ended.
-func (r *Runner) Did(err error, now lease.Instant) {
-	r.busy = false
+// HandleStepResult tells how the step ended.
+func (r *Runner) HandleStepResult(err error, now lease.Instant) {
+	r.operationPending = false
 	next := r.record
-	if next.State, next.Why = Done, ""; err != nil {
-		next.State, next.Why = Begun, err.Error()
-		if next.Tries++; next.Tries >= r.job.Tries {
-			next.State = Failed
+	if next.State, next.FailureReason = StateDone, ""; err != nil {
+		next.State, next.FailureReason = StateStarted, err.Error()
+		if next.FailedAttempts++; next.FailedAttempts >= r.job.MaxAttempts {
+			next.State = StateFailed
 		}
-		r.again = now.Add(r.job.Pause)
+		r.retryAt = now.Add(r.job.RetryDelay)
 	}
-	r.next = &next
+	r.pendingWrite = &next
 }
--- a/internal/control/leasedtask/modelcheck/walk.go
+++ b/internal/control/leasedtask/modelcheck/walk.go
@@ -17,8 +17,8 @@
 	"sloehitch/internal/store/document"
 )
 
-// Terms are those of the duty in every world.
-var Terms = lease.Terms{Length: 10 * time.Second, Drift: 0.02, Margin: time.Second}
+// LeaseTerms are those of the duty in every world.
+var LeaseTerms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.02, SafetyMargin: time.Second}
 
 const record = "duty/release"
 
@@ -35,7 +35,7 @@
 	mutant string
 	open   int // job that was as the faults ended
 
-	gate    *fencing.Gate
+	gate    *fencing.Guard
 	kept    memory         // tokens as the receiver keeps them on disk
 	highest uint64         // token of effects that happened
 	effects map[string]int // by step id
@@ -90,7 +90,7 @@
 	if w.calm {
 		return time.Millisecond, true
 	}
-	return w.some(4 * Terms.Length), w.r.IntN(12) > 0
+	return w.some(4 * LeaseTerms.Duration), w.r.IntN(12) > 0
 }
 
 // ask has what happen at the other end, and then back here with what it returned; lost where a message is lost. The process
@@ -122,7 +122,7 @@
 			})
 		}
 	}
-	w.after(Terms.Length, once(lost)) // it waits no longer; what it asked may yet come there
+	w.after(LeaseTerms.Duration, once(lost)) // it waits no longer; what it asked may yet come there
 	to, comes := w.way()
 	if !comes {
 		return
@@ -146,32 +146,32 @@
 		var rec lease.Record
 		var err error
 		at := lease.Instant(w.now)
-		if a.Kind == leasedtask.Take {
-			rec, err = w.store.Leases().Take("release", p.name, at)
+		if a.Kind == leasedtask.ActionAcquire {
+			rec, err = w.store.Leases().Acquire("release", p.name, at)
 		} else {
 			rec, err = w.store.Leases().Renew("release", p.name, a.Token)
 		}
 		if err == nil {
-			w.store.Apply(document.Transaction{ID: fmt.Sprint("l", w.r.Uint64()), Do: []document.Operation{{Lease: &rec}}}, at)
+			w.store.Apply(document.Transaction{ID: fmt.Sprint("l", w.r.Uint64()), Operations: []document.Operation{{Lease: &rec}}}, at)
 		}
 		return owned{rec, err}
 	}, func(got any) {
 		if o := got.(owned); o.err == nil {
-			p.Granted(a.Question, o.Token)
+			p.HandleGrant(a.RequestID, o.Token)
 		} else {
-			p.Refused(a.Question, w.clock(p))
+			p.HandleRejection(a.RequestID, w.clock(p))
 		}
-	}, func() { p.Unheard(w.clock(p)) })
+	}, func() { p.HandleLeaseTimeout(w.clock(p)) })
 }
 
 func (w *world) act(p *person) {
-	a := p.Next(w.clock(p))
+	a := p.NextAction(w.clock(p))
 	switch a.Kind {
-	case leasedtask.Wait:
-		p.wakes = w.now + time.Duration(float64(a.At-w.clock(p))/p.rate)
-	case leasedtask.Take, leasedtask.Renew:
+	case leasedtask.ActionWait:
+		p.wakes = w.now + time.Duration(float64(a.WakeAt-w.clock(p))/p.rate)
+	case leasedtask.ActionAcquire, leasedtask.ActionRenew:
 		w.lease(p, a)
-	case leasedtask.Read:
+	case leasedtask.ActionReadRecord:
 		w.ask(p, func() any { return w.store.Get(record) }, func(got any) {
 			d := got.(document.Document)
 			var rec leasedtask.Record
@@ -180,40 +180,40 @@
 					w.wrong = err.Error()
 				}
 			}
-			p.Found(rec, d.Version)
-		}, func() { p.Unsure(w.clock(p)) })
-	case leasedtask.Write:
+			p.HandleRecord(rec, d.Version)
+		}, func() { p.HandleRecordTimeout(w.clock(p)) })
+	case leasedtask.ActionWriteRecord:
 		text, err := json.Marshal(a.Record)
 		if err != nil {
 			w.wrong = err.Error()
 		}
-		t := document.Transaction{ID: a.ID, By: p.name, Do: []document.Operation{{Key: record, Value: string(text)}},
-			If: []document.Condition{{Duty: "release", Token: a.Token}, {Key: record, Version: a.Version}}}
+		t := document.Transaction{ID: a.ID, Author: p.name, Operations: []document.Operation{{Key: record, Value: string(text)}},
+			Conditions: []document.Condition{{Task: "release", Token: a.Token}, {Key: record, Version: a.Version}}}
 		if w.mutant == "writes without the token" {
-			t.If, t.ID = nil, fmt.Sprint(w.r.Uint64())
+			t.Conditions, t.ID = nil, fmt.Sprint(w.r.Uint64())
 		}
-		if w.mutant == "step not recorded" && a.Record.State != leasedtask.Over { // but said to be
-			w.ask(p, func() any { return w.store.Get(record).Version }, func(got any) { p.Written(got.(uint64)) }, func() { p.Unsure(w.clock(p)) })
+		if w.mutant == "step not recorded" && a.Record.State != leasedtask.StateCompleted { // but said to be
+			w.ask(p, func() any { return w.store.Get(record).Version }, func(got any) { p.HandleWritten(got.(uint64)) }, func() { p.HandleRecordTimeout(w.clock(p)) })
 			return
 		}
 		w.ask(p, func() any { return w.store.Apply(t, lease.Instant(w.now)) }, func(got any) {
-			if r := got.(document.Result); r.Made {
-				p.Written(r.Revision)
+			if r := got.(document.Result); r.Committed {
+				p.HandleWritten(r.Revision)
 			} else {
-				p.Lost(w.clock(p))
+				p.HandleConflict(w.clock(p))
 			}
-		}, func() { p.Unsure(w.clock(p)) })
-	case leasedtask.Do:
+		}, func() { p.HandleRecordTimeout(w.clock(p)) })
+	case leasedtask.ActionRunStep:
 		w.ask(p, func() any { return w.effect(a) }, func(got any) {
 			err, _ := got.(error)
-			p.Did(err, w.clock(p))
-		}, func() { p.Did(errors.New("no answer"), w.clock(p)) })
-	case leasedtask.HandOver:
+			p.HandleStepResult(err, w.clock(p))
+		}, func() { p.HandleStepResult(errors.New("no answer"), w.clock(p)) })
+	case leasedtask.ActionHandOver:
 		rec, err := w.store.Leases().HandOver("release", p.name, a.Token, "")
 		if err == nil {
-			w.store.Apply(document.Transaction{ID: fmt.Sprint("h", w.r.Uint64()), Do: []document.Operation{{Lease: &rec}}}, lease.Instant(w.now))
+			w.store.Apply(document.Transaction{ID: fmt.Sprint("h", w.r.Uint64()), Operations: []document.Operation{{Lease: &rec}}}, lease.Instant(w.now))
 		}
-	case leasedtask.Stop:
+	case leasedtask.ActionStop:
 		p.wakes = 1 << 62
 	}
 }
@@ -221,14 +221,14 @@
 // effect is a step at its receiver: fenced, and done once for its id.
 func (w *world) effect(a leasedtask.Action) error {
 	do := func() error {
-		if a.Record.Job == w.job && a.ID <= w.step && w.mutant != "repeats not known" {
+		if a.Record.JobID == w.job && a.ID <= w.step && w.mutant != "repeats not known" {
 			return nil
 		}
-		w.job, w.step = a.Record.Job, a.ID
+		w.job, w.step = a.Record.JobID, a.ID
 		if a.Token < w.highest {
 			w.wrong = fmt.Sprintf("at %v step %s was done under token %d after %d", w.now, a.ID, a.Token, w.highest)
 		}
-		if rec, _ := w.last(); rec.Job != a.Record.Job || rec.Step != a.Record.Step || rec.State != leasedtask.Begun {
+		if rec, _ := w.last(); rec.JobID != a.Record.JobID || rec.Step != a.Record.Step || rec.State != leasedtask.StateStarted {
 			w.wrong = fmt.Sprintf("at %v step %s was done while %+v was on record", w.now, a.ID, rec)
 		}
 		w.highest = max(w.highest, a.Token)
@@ -240,7 +240,7 @@
 	if w.mutant == "no fence" {
 		return do()
 	}
-	return w.gate.Pass("release", a.Token, do)
+	return w.gate.Do("release", a.Token, do)
 }
 
 // last is the job on record, as a member of the store has it.
@@ -249,7 +249,7 @@
 		if err := json.Unmarshal([]byte(d.Value), &rec); err != nil {
 			w.wrong = err.Error()
 		}
-		fmt.Sscanf(rec.Job, "j%d", &n)
+		fmt.Sscanf(rec.JobID, "j%d", &n)
 	}
 	return rec, n
 }
@@ -257,32 +257,32 @@
 // person is a new process: it goes on with the job on record, or begins the next one after it.
 func (w *world) person(name string, life int) *person {
 	j := leasedtask.Job{ID: "j1"}
-	if rec, n := w.last(); rec.Ended() {
-		j.ID, j.After = fmt.Sprint("j", n+1), rec.Job
+	if rec, n := w.last(); rec.Finished() {
+		j.ID, j.Predecessor = fmt.Sprint("j", n+1), rec.JobID
 	} else if n > 0 {
-		j.ID, j.After = rec.Job, fmt.Sprint("j", n-1)
+		j.ID, j.Predecessor = rec.JobID, fmt.Sprint("j", n-1)
 	}
-	if j.After == "j0" {
-		j.After = ""
+	if j.Predecessor == "j0" {
+		j.Predecessor = ""
 	}
-	j.Steps, j.Tries, j.Pause = []string{"a", "b", "c", "d"}, 50, time.Second
-	r, err := leasedtask.NewRunner(j, Terms)
+	j.Steps, j.MaxAttempts, j.RetryDelay = []string{"a", "b", "c", "d"}, 50, time.Second
+	r, err := leasedtask.NewRunner(j, LeaseTerms)
 	if err != nil {
 		panic(err)
 	}
-	return &person{Runner: r, name: name, rate: 1 + Terms.Drift*(2*float64(w.r.IntN(2))-1), life: life}
+	return &person{Runner: r, name: name, rate: 1 + LeaseTerms.MaxDrift*(2*float64(w.r.IntN(2))-1), life: life}
 }
 
 // Mutants are faults of the program itself that a walk can be played with, to show that it sees them.
 var Mutants = []string{"no fence", "repeats not known", "writes without the token", "step not recorded"}
 
-// Play plays a seed: faults for a while, then none for 40 s, by the end of which what was open and two jobs more have to be
+// Run plays a seed: faults for a while, then none for 40 s, by the end of which what was open and two jobs more have to be
 // done. It returns what did not hold: a step's effect that happened twice, under a token after a higher one or while its step was
 // not on record as begun, or work that does not go on; empty: all held. mutant is one of Mutants, or empty.
-func Play(seed uint64, mutant string) string {
+func Run(seed uint64, mutant string) string {
 	w := &world{r: rand.New(rand.NewPCG(seed, 26)), effects: map[string]int{}, mutant: mutant}
 	var err error
-	if w.store, err = document.New(document.Ordinary, Terms); err != nil {
+	if w.store, err = document.New(document.DefaultLimits, LeaseTerms); err != nil {
 		return err.Error()
 	}
 	w.kept = memory{}
@@ -309,13 +309,13 @@
 			switch {
 			case p.still > w.now:
 			case !w.calm && w.r.IntN(80) == 0:
-				p.still = w.now + w.some(3*Terms.Length)
+				p.still = w.now + w.some(3*LeaseTerms.Duration)
 			case !w.calm && w.r.IntN(400) == 0: // it dies, and comes back knowing nothing
 				p.life++
 				w.people[i].Runner = w.person(p.name, p.life).Runner
 				p.wakes = 0
 			case !w.calm && w.r.IntN(300) == 0:
-				p.Leave()
+				p.StopAfterStep()
 			case p.wakes <= w.now:
 				w.act(p)
 			}
--- a/internal/control/leasedtask/modelcheck/walk_test.go
+++ b/internal/control/leasedtask/modelcheck/walk_test.go
@@ -9,7 +9,7 @@
 
 func TestStepsHappenOnceInTokenOrder(t *testing.T) {
 	for seed := range *seeds {
-		if wrong := Play(seed, ""); wrong != "" {
+		if wrong := Run(seed, ""); wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
 	}
@@ -19,12 +19,12 @@
 	for _, mutant := range Mutants {
 		const within = 2000
 		seed := uint64(0)
-		for ; seed < within && Play(seed, mutant) == ""; seed++ {
+		for ; seed < within && Run(seed, mutant) == ""; seed++ {
 		}
 		if seed == within {
 			t.Errorf("%s: not caught within %d seeds", mutant, within)
 			continue
 		}
-		t.Logf("%s: caught by seed %d: %s", mutant, seed, Play(seed, mutant))
+		t.Logf("%s: caught by seed %d: %s", mutant, seed, Run(seed, mutant))
 	}
 }
--- a/internal/control/release/release_test.go
+++ b/internal/control/release/release_test.go
@@ -12,18 +12,18 @@
 	"sloehitch/internal/control/lease"
 )
 
-func node(name, zone, deployed string) drainpermit.Seen {
-	return drainpermit.Seen{Name: name, Report: drainpermit.Report{State: "ready", Well: true, InMS: 60000, Zone: zone, Release: deployed}}
+func node(name, zone, deployed string) drainpermit.ObservedMember {
+	return drainpermit.ObservedMember{Name: name, Report: drainpermit.Report{State: "ready", Healthy: true, InServiceMS: 60000, Zone: zone, DeployedVersion: deployed}}
 }
 
 func TestPlan(t *testing.T) {
-	var nodes []drainpermit.Seen
+	var nodes []drainpermit.ObservedMember
 	for i := range 9 {
 		nodes = append(nodes, node(fmt.Sprint("n", i), string(rune('a'+i%2)), "v1"))
 	}
-	nodes[3].Report.Release = "v2"
-	nodes[5].Report.Release = ""
-	waves, from := Plan(nodes, "v2", 2)
+	nodes[3].Report.DeployedVersion = "v2"
+	nodes[5].Report.DeployedVersion = ""
+	waves, from := PlanWaves(nodes, "v2", 2)
 	if got := fmt.Sprint(waves); got != "[[n0] [n2 n4] [n6 n8] [n1 n5] [n7]]" {
 		t.Errorf("waves %s", got)
 	}
@@ -31,13 +31,13 @@
 		t.Errorf("from %v", from)
 	}
 	for wrong, r := range map[string]Release{
-		"all report":   {Name: "r", To: "v1", LateMS: 1},
-		"two waves":    {Name: "r", To: "v1", LateMS: 1, Waves: [][]string{{"a"}, {"a"}}},
-		"slashes":      {Name: "a/b", To: "v1", LateMS: 1, Waves: [][]string{{"a"}}},
-		"to what":      {Name: "r", LateMS: 1, Waves: [][]string{{"a"}}},
-		"soak and lat": {Name: "r", To: "v1", Waves: [][]string{{"a"}}},
+		"all report":   {Name: "r", TargetVersion: "v1", ReturnTimeoutMS: 1},
+		"two waves":    {Name: "r", TargetVersion: "v1", ReturnTimeoutMS: 1, Waves: [][]string{{"a"}, {"a"}}},
+		"slashes":      {Name: "a/b", TargetVersion: "v1", ReturnTimeoutMS: 1, Waves: [][]string{{"a"}}},
+		"to what":      {Name: "r", ReturnTimeoutMS: 1, Waves: [][]string{{"a"}}},
+		"soak and lat": {Name: "r", TargetVersion: "v1", Waves: [][]string{{"a"}}},
 	} {
-		if err := r.Check(); err == nil || !strings.Contains(err.Error(), wrong) {
+		if err := r.Validate(); err == nil || !strings.Contains(err.Error(), wrong) {
 			t.Errorf("%+v: %v, want %q", r, err, wrong)
 		}
 	}
@@ -45,82 +45,84 @@
 
 // TestNext: what the owner of a release does next, by what it sees.
 func TestNext(t *testing.T) {
-	sure := canary.Judgement{Sure: true}
-	base := Release{Name: "r", To: "v2", State: Running, Waves: [][]string{{"n0"}, {"n1", "n2"}}, From: map[string]string{"n0": "v1", "n1": "v1"}, SoakMS: 1000, LateMS: 5000}
+	sure := canary.Verdict{Conclusive: true}
+	base := Release{Name: "r", TargetVersion: "v2", State: Running, Waves: [][]string{{"n0"}, {"n1", "n2"}}, PreviousVersions: map[string]string{"n0": "v1", "n1": "v1"}, SoakMS: 1000, ReturnTimeoutMS: 5000}
 	for _, c := range []struct {
 		name   string
-		change func(*Release, *drainpermit.View, *canary.Judgement)
+		change func(*Release, *drainpermit.View, *canary.Verdict)
 		want   string
 	}{
-		{"the first node alone", func(*Release, *drainpermit.View, *canary.Judgement) {}, "ask n0 v2"},
-		{"halted", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) { v.Halted["r"] = true }, ""},
-		{"all is halted", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) { v.Halted[drainpermit.All] = true }, ""},
-		{"asked for", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) {
-			v.Asks["n0"] = drainpermit.Ask{Release: "r"}
+		{"the first node alone", func(*Release, *drainpermit.View, *canary.Verdict) {}, "ask n0 v2"},
+		{"halted", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) { v.Halted["r"] = true }, ""},
+		{"all is halted", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) { v.Halted[drainpermit.HaltAll] = true }, ""},
+		{"asked for", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) {
+			v.Requests["n0"] = drainpermit.Request{ReleaseName: "r"}
 		}, ""},
-		{"another asks for it", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) { v.Asks["n0"] = drainpermit.Ask{By: "ann"} }, ""},
-		{"it failed", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) {
-			v.Asks["n0"] = drainpermit.Ask{Release: "r", Failed: "replaced twice"}
+		{"another asks for it", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) {
+			v.Requests["n0"] = drainpermit.Request{RequestedBy: "ann"}
+		}, ""},
+		{"it failed", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) {
+			v.Requests["n0"] = drainpermit.Request{ReleaseName: "r", FailureReason: "replaced twice"}
 		}, "halt n0: replaced twice"},
-		{"worse", func(_ *Release, _ *drainpermit.View, j *canary.Judgement) {
-			*j = canary.Judgement{Worse: true, Why: "it fails"}
+		{"worse", func(_ *Release, _ *drainpermit.View, j *canary.Verdict) {
+			*j = canary.Verdict{Worse: true, Reason: "it fails"}
 		}, "halt worse: it fails"},
-		{"changed and warm", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) { v.Members[0].Report.Release = "v2" }, "next running 1"},
-		{"changed and not to be judged", func(_ *Release, v *drainpermit.View, j *canary.Judgement) {
-			v.Members[0].Report.Release, *j = "v2", canary.Judgement{Why: "nobody to compare with"}
+		{"changed and warm", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) { v.Members[0].Report.DeployedVersion = "v2" }, "next running 1"},
+		{"changed and not to be judged", func(_ *Release, v *drainpermit.View, j *canary.Verdict) {
+			v.Members[0].Report.DeployedVersion, *j = "v2", canary.Verdict{Reason: "nobody to compare with"}
 		}, "next running 1 wave 1 went without a judgement: nobody to compare with"},
-		{"changed and warming", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) {
-			v.Members[0].Report.Release, v.Members[0].Report.InMS = "v2", 5
+		{"changed and warming", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) {
+			v.Members[0].Report.DeployedVersion, v.Members[0].Report.InServiceMS = "v2", 5
 		}, ""},
-		{"changed and silent", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) {
-			v.Members[0].Report.Release, v.Members[0].Quiet = "v2", disruption.Silent
+		{"changed and silent", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) {
+			v.Members[0].Report.DeployedVersion, v.Members[0].Liveness = "v2", disruption.Silent
 		}, "halt n0 runs v2 and its figures are unknown"},
-		{"out for too long", func(_ *Release, v *drainpermit.View, _ *canary.Judgement) {
-			v.Asks["n0"], v.Permits["n0"] = drainpermit.Ask{Release: "r"}, drainpermit.Permit{ID: "p", State: drainpermit.Out}
+		{"out for too long", func(_ *Release, v *drainpermit.View, _ *canary.Verdict) {
+			v.Requests["n0"], v.Permits["n0"] = drainpermit.Request{ReleaseName: "r"}, drainpermit.Permit{ID: "p", State: drainpermit.OutOfService}
 		}, "halt n0 is not back 5s after it went out (out)"},
-		{"the last wave", func(r *Release, v *drainpermit.View, _ *canary.Judgement) {
-			r.Wave = 1
+		{"the last wave", func(r *Release, v *drainpermit.View, _ *canary.Verdict) {
+			r.CurrentWave = 1
 			for i := range v.Members {
-				v.Members[i].Report.Release = "v2"
+				v.Members[i].Report.DeployedVersion = "v2"
 			}
 		}, "next over 1"},
-		{"back: the latest wave first", func(r *Release, v *drainpermit.View, _ *canary.Judgement) {
-			r.State = Back
-			v.Members[0].Report.Release, v.Members[1].Report.Release = "v2", "v2"
+		{"back: the latest wave first", func(r *Release, v *drainpermit.View, _ *canary.Verdict) {
+			r.State = RollingBack
+			v.Members[0].Report.DeployedVersion, v.Members[1].Report.DeployedVersion = "v2", "v2"
 		}, "ask n1 v1"},
-		{"back: what was not begun is taken back", func(r *Release, v *drainpermit.View, _ *canary.Judgement) {
-			r.State = Back
-			v.Asks["n2"] = drainpermit.Ask{Release: "r", To: "v2"}
+		{"back: what was not begun is taken back", func(r *Release, v *drainpermit.View, _ *canary.Verdict) {
+			r.State = RollingBack
+			v.Requests["n2"] = drainpermit.Request{ReleaseName: "r", TargetVersion: "v2"}
 		}, "drop n2"},
-		{"back, while halted", func(r *Release, v *drainpermit.View, _ *canary.Judgement) {
-			r.State, v.Halted["r"] = Back, true
-			v.Members[0].Report.Release = "v2"
+		{"back, while halted", func(r *Release, v *drainpermit.View, _ *canary.Verdict) {
+			r.State, v.Halted["r"] = RollingBack, true
+			v.Members[0].Report.DeployedVersion = "v2"
 		}, ""},
-		{"back, and one that can't", func(r *Release, v *drainpermit.View, _ *canary.Judgement) {
-			r.State = Back
-			v.Members[2].Report.Release = "v2"
+		{"back, and one that can't", func(r *Release, v *drainpermit.View, _ *canary.Verdict) {
+			r.State = RollingBack
+			v.Members[2].Report.DeployedVersion = "v2"
 		}, "next undone 0 can't go back, since nobody knows to what: n2"},
 	} {
 		r, j := base, sure
-		v := drainpermit.View{Asks: map[string]drainpermit.Ask{}, Permits: map[string]drainpermit.Permit{}, Halted: map[string]bool{}, Members: []drainpermit.Seen{node("n0", "a", "v1"), node("n1", "a", "v1"), node("n2", "a", "v1")}}
+		v := drainpermit.View{Requests: map[string]drainpermit.Request{}, Permits: map[string]drainpermit.Permit{}, Halted: map[string]bool{}, Members: []drainpermit.ObservedMember{node("n0", "a", "v1"), node("n1", "a", "v1"), node("n2", "a", "v1")}}
 		c.change(&r, &v, &j)
-		o := &Owner{}
-		var s Step
+		o := &Controller{}
+		var s Decision
 		for i := range 7 { // seconds: what soaks has soaked, and what is late is late
-			if s = o.Next(r, v, j, time.Second, lease.Instant(i)*lease.Instant(time.Second)); s.Halt != "" || len(s.Asks) > 0 || s.Next != nil {
+			if s = o.Decide(r, v, j, time.Second, lease.Instant(i)*lease.Instant(time.Second)); s.HaltReason != "" || len(s.Requests) > 0 || s.Updated != nil {
 				break
 			}
 		}
 		got := ""
 		switch {
-		case s.Halt != "":
-			got = "halt " + s.Halt
-		case s.Next != nil:
-			got = strings.TrimSpace(fmt.Sprintf("next %s %d %s", s.Next.State, s.Next.Wave, s.Next.Note))
-		case len(s.Asks) > 0 && s.Asks[0].Drop:
-			got = "drop " + s.Asks[0].Node
-		case len(s.Asks) > 0:
-			got = "ask " + s.Asks[0].Node + " " + s.Asks[0].To
+		case s.HaltReason != "":
+			got = "halt " + s.HaltReason
+		case s.Updated != nil:
+			got = strings.TrimSpace(fmt.Sprintf("next %s %d %s", s.Updated.State, s.Updated.CurrentWave, s.Updated.Note))
+		case len(s.Requests) > 0 && s.Requests[0].Withdraw:
+			got = "drop " + s.Requests[0].Node
+		case len(s.Requests) > 0:
+			got = "ask " + s.Requests[0].Node + " " + s.Requests[0].TargetVersion
 		}
 		if got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
@@ -130,15 +132,15 @@
 
 // TestWatchesFirst: how all do without the new version is seen for as long as a wave is watched, before the first node is asked for.
 func TestWatchesFirst(t *testing.T) {
-	r := Release{Name: "r", To: "v2", State: Running, Waves: [][]string{{"n0"}}, SoakMS: 1000, LateMS: 5000}
-	v := drainpermit.View{Asks: map[string]drainpermit.Ask{}, Permits: map[string]drainpermit.Permit{}, Halted: map[string]bool{}, Members: []drainpermit.Seen{node("n0", "a", "v1")}}
-	var o Owner
+	r := Release{Name: "r", TargetVersion: "v2", State: Running, Waves: [][]string{{"n0"}}, SoakMS: 1000, ReturnTimeoutMS: 5000}
+	v := drainpermit.View{Requests: map[string]drainpermit.Request{}, Permits: map[string]drainpermit.Permit{}, Halted: map[string]bool{}, Members: []drainpermit.ObservedMember{node("n0", "a", "v1")}}
+	var o Controller
 	for _, c := range []struct {
 		at   time.Duration
 		asks int
 	}{{5 * time.Second, 0}, {5900 * time.Millisecond, 0}, {6 * time.Second, 1}} {
-		if s := o.Next(r, v, canary.Judgement{}, time.Second, lease.Instant(c.at)); len(s.Asks) != c.asks {
-			t.Errorf("at %v it asks for %v, want %d", c.at, s.Asks, c.asks)
+		if s := o.Decide(r, v, canary.Verdict{}, time.Second, lease.Instant(c.at)); len(s.Requests) != c.asks {
+			t.Errorf("at %v it asks for %v, want %d", c.at, s.Requests, c.asks)
 		}
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -52,7 +52,7 @@
 	version    string
 	limits     limits.Limits
 	log        *slog.Logger
-	faultHooks *faulthooks.Trial // nil but in a test rig
+	faultHooks *faulthooks.Hooks // nil but in a test rig
 
 	platform *config.Platform              // owned by the goroutine of Start, then of Run
 	deploy   atomic.Pointer[config.Deploy] // as last read
@@ -61,11 +61,11 @@
 	counts   reloadCounts
 
 	service   serviceState
-	admission *admission.Gate
+	admission *admission.Controller
 	node      *node.Node
 	runtime   *runtime.Link     // nil without a runtime
 	catalogue *catalogue.Client // nil in the last tier
-	directory *directory.Pulse
+	directory *directory.Reporter
 	resp      *resp.Front
 	uwsgi     *uwsgi.Front // nil where it is off
 	upstreams upstreams
@@ -73,12 +73,12 @@
 	tlsKeys   []*tlskeys.Keys // of the uwsgi side
 
 	journals journals
-	quota    handover.Means // of the node's resources; owned by the goroutine of Run
+	quota    handover.Quota // of the node's resources; owned by the goroutine of Run
 
 	store      *store.Store
-	fleet      *fleet.Fleet    // nil where this node takes no part in one
-	leaveFleet func()          // ends that part; nil with it
-	latency    *latency.Window // of served requests; nil without a fleet
+	fleet      *fleet.Participant // nil where this node takes no part in one
+	leaveFleet func()             // ends that part; nil with it
+	latency    *latency.Window    // of served requests; nil without a fleet
 
 	metrics atomic.Pointer[metrics.Metrics] // nil where they are off
 	traces  *traces.Traces                  // nil where they are off
@@ -95,13 +95,13 @@
 // Run serves until the shutdown that began at the time sent on shutdown has been carried out, or a part fails. It closes what Start opened. An
 // ExitCode as its error means that the process is to be replaced by another.
 func (d *Daemon) Run(shutdown <-chan time.Time) error {
-	sweep := time.NewTicker(d.limits.Sweep)
+	sweep := time.NewTicker(d.limits.SweepInterval)
 	defer sweep.Stop()
-	quota := time.NewTicker(d.limits.Share)
+	quota := time.NewTicker(d.limits.QuotaInterval)
 	defer quota.Stop()
-	keys := time.NewTicker(d.limits.KeyWatch)
+	keys := time.NewTicker(d.limits.TLSKeyPollInterval)
 	defer keys.Stop()
-	totals := time.NewTicker(d.limits.Totals)
+	totals := time.NewTicker(d.limits.TotalsInterval)
 	defer totals.Stop()
 	defer d.logTotals()
 	for {
@@ -140,7 +140,7 @@
 // sweep drops what has expired in every part.
 func (d *Daemon) sweep() {
 	d.node.Sweep()
-	d.resp.Sweep()
+	d.resp.CloseIdle()
 	d.sweepJournals()
 	d.saveSnapshot(false)
 }
@@ -170,9 +170,9 @@
 
 func (d *Daemon) openConnections() int {
 	if d.uwsgi == nil {
-		return d.resp.Open()
+		return d.resp.OpenConnections()
 	}
-	return d.resp.Open() + d.uwsgi.Open()
+	return d.resp.OpenConnections() + d.uwsgi.Open()
 }
 
 // closeTraces writes the spans that are left.
@@ -180,7 +180,7 @@
 	if d.traces == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), d.limits.Write)
+	ctx, cancel := context.WithTimeout(context.Background(), d.limits.WriteTimeout)
 	defer cancel()
 	return d.traces.Close(ctx)
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -20,7 +20,7 @@
 const maxReplaceAttempts = 2
 
 // drainOptions are how this node goes out of service by a drain permit; nil for a node that is in no group.
-func (d *Daemon) drainOptions(c config.Fleet, spans config.Spans) (*fleet.Outs, error) {
+func (d *Daemon) drainOptions(c config.Fleet, spans config.Durations) (*fleet.DrainOptions, error) {
 	if c.Zone == "" && c.Kind == "" && c.ReleaseFile == "" {
 		return nil, nil // a node in no group takes no part in it
 	}
@@ -28,22 +28,22 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &fleet.Outs{Zone: c.Zone, Kind: c.Kind, Release: release, Settle: spans.Settle, Tries: maxReplaceAttempts,
-		InHand: func() int {
-			running, held := d.node.Hand()
+	o := &fleet.DrainOptions{Zone: c.Zone, Kind: c.Kind, DeployedVersion: release, MinReady: spans.MinReady, MaxReplaceAttempts: maxReplaceAttempts,
+		InFlight: func() int {
+			running, held := d.node.InFlight()
 			return running + held
 		},
-		Well: func() bool {
-			return d.service.ready.Load() && !d.service.draining.Load() && !d.service.evacuated.Load() && !d.service.outOfService() && d.admission.Well()
+		Healthy: func() bool {
+			return d.service.ready.Load() && !d.service.draining.Load() && !d.service.evacuated.Load() && !d.service.outOfService() && d.admission.Healthy()
 		},
-		Leave: func() { d.setOutByPermit(true) },
-		Enter: func() { d.setOutByPermit(false) },
+		LeaveService: func() { d.setOutByPermit(true) },
+		EnterService: func() { d.setOutByPermit(false) },
 	}
 	if d.upstreams.pool != nil {
-		o.Below, o.LeaveAlone = d.upstreamStatus, d.excludeUpstreams
+		o.Upstreams, o.ExcludeUpstreams = d.upstreamStatus, d.excludeUpstreams
 	}
 	if c.ReleaseFile != "" {
-		o.Replace = func(ctx context.Context, to string) error { return d.replaceProcess(ctx, c, to) }
+		o.ReplaceProcess = func(ctx context.Context, to string) error { return d.replaceProcess(ctx, c, to) }
 	}
 	return o, nil
 }
@@ -57,7 +57,7 @@
 // replaceProcess runs the command that installs another release, and has this process end. Without a command, what starts the process again installs it.
 func (d *Daemon) replaceProcess(ctx context.Context, c config.Fleet, to string) error {
 	if len(c.Replace) > 0 {
-		ctx, cancel := context.WithTimeout(ctx, limits.Replace)
+		ctx, cancel := context.WithTimeout(ctx, limits.ReplaceTimeout)
 		defer cancel()
 		command := exec.CommandContext(ctx, c.Replace[0], c.Replace[1:]...)
 		command.Env = append(os.Environ(), "SLOEHITCH_RELEASE="+to)
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -25,8 +25,8 @@
 	second := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nsecond" })
 	admin := standin.Free(t)
 	s := serveDeployed(t, limits.For(64, 256), ample, rt, func(d *config.Deploy) {
-		d.Store = config.Store{Admin: admin, Span: "1s"}
-		d.Fleet = config.Fleet{Members: []string{admin}, Report: "100ms", Silent: "30s", LeaseSpan: "1s", Settle: "100ms", Zone: "a"}
+		d.Store = config.Store{Admin: admin, LeaseDuration: "1s"}
+		d.Fleet = config.Fleet{Members: []string{admin}, ReportInterval: "100ms", SilentAfter: "30s", LeaseDuration: "1s", MinReady: "100ms", Zone: "a"}
 	}, first.Address, second.Address)
 	t.Cleanup(s.leaveFleet)
 	run := func(args string, more ...string) (out, errs string) {
@@ -83,7 +83,7 @@
 		out, _ := run(fleet + "show out/")
 		return !strings.Contains(out, "out/")
 	})
-	if x := s.fleet.Figures(); x.Out || x.Permits["begun"] != 1 || x.Permits["granted"] != 1 || x.Reports["made"] == 0 {
+	if x := s.fleet.Stats(); x.OutOfService || x.Permits["begun"] != 1 || x.Permits["granted"] != 1 || x.Reports["made"] == 0 {
 		t.Errorf("after one drain the figures are %+v", x)
 	}
 	server := "server=" + first.Address
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -23,43 +23,43 @@
 	if len(c.Members) == 0 {
 		return nil
 	}
-	spans, err := c.Spans()
+	spans, err := c.Durations()
 	if err != nil {
 		return err
 	}
-	o := fleet.Options{Name: d.name, Version: d.version, Members: c.Members, Every: spans.Report, Silent: spans.Silent, Timeout: min(d.limits.Agree, spans.Lease/4),
-		Pause: spans.Lease / 10, Terms: store.Terms.Of(spans.Lease), State: d.fleetReport,
-		Clock: d.faultHooks.Clock(lease.Now), Now: d.faultHooks.Now, Tell: d.faultHooks.Tell, Dir: c.Backups, Keep: c.Keep, Log: d.log}
-	if o.Dir != "" {
-		o.Each = spans.Each
+	o := fleet.Options{Name: d.name, Version: d.version, StoreMembers: c.Members, ReportInterval: spans.ReportInterval, SilentAfter: spans.SilentAfter, RequestTimeout: min(d.limits.CommitTimeout, spans.Lease/4),
+		RetryDelay: spans.Lease / 10, LeaseTerms: store.DefaultLeaseTerms.WithDuration(spans.Lease), NodeState: d.fleetReport,
+		Clock: d.faultHooks.Clock(lease.Now), Now: d.faultHooks.Now, OnEvent: d.faultHooks.Record, BackupDir: c.Backups, BackupsKept: c.BackupsKept, Log: d.log}
+	if o.BackupDir != "" {
+		o.BackupInterval = spans.BackupInterval
 	}
-	if o.Keep == 0 {
-		o.Keep = 24
+	if o.BackupsKept == 0 {
+		o.BackupsKept = 24
 	}
 	if c.Dir != "" {
 		dir, err := disk.MakeDir(c.Dir)
 		if err != nil {
 			return fmt.Errorf("fleet: dir: %w", err)
 		}
-		if o.Memory, err = ledger.Open(d.faultHooks.Disk(dir), ledger.Options{Limits: limits.ForLedger(1 << 20), Log: d.log}); err != nil {
+		if o.Ledger, err = ledger.Open(d.faultHooks.Disk(dir), ledger.Options{Limits: limits.ForLedger(1 << 20), Log: d.log}); err != nil {
 			return fmt.Errorf("fleet: dir: %w", err)
 		}
 	}
-	o.Apply = func(s desiredstate.State) {
-		d.service.outByDesired.Store(s.Out)
+	o.ApplyDesiredState = func(s desiredstate.State) {
+		d.service.outByDesired.Store(s.OutOfService)
 		d.advertise()
 	}
-	o.Outs, err = d.drainOptions(c, spans)
+	o.Drain, err = d.drainOptions(c, spans)
 	if err != nil {
-		if o.Memory != nil {
-			err = errors.Join(err, o.Memory.Close())
+		if o.Ledger != nil {
+			err = errors.Join(err, o.Ledger.Close())
 		}
 		return err
 	}
 	f, err := fleet.New(o)
 	if err != nil {
-		if o.Memory != nil {
-			err = errors.Join(err, o.Memory.Close())
+		if o.Ledger != nil {
+			err = errors.Join(err, o.Ledger.Close())
 		}
 		return err
 	}
@@ -67,8 +67,8 @@
 	d.leaveFleet, d.fleet = cancel, f
 	go func() {
 		f.Serve(ctx)
-		if o.Memory != nil {
-			_ = o.Memory.Close() // each write was flushed before it was acknowledged
+		if o.Ledger != nil {
+			_ = o.Ledger.Close() // each write was flushed before it was acknowledged
 		}
 	}()
 	return nil
@@ -76,11 +76,11 @@
 
 // fleetReport is what the node reports of itself. Its keys are part of the stored document.
 func (d *Daemon) fleetReport() map[string]any {
-	running, held := d.node.Hand()
-	told := map[string]any{"state": d.service.reported(), "well": d.admission.Well(), "running": running, "held": held}
+	running, held := d.node.InFlight()
+	told := map[string]any{"state": d.service.reported(), "well": d.admission.Healthy(), "running": running, "held": held}
 	var served, refused, failed int
-	for _, c := range d.node.Classes() {
-		served, refused, failed = served+c.Served, refused+c.Refused, failed+c.Failed
+	for _, c := range d.node.CountsByClass() {
+		served, refused, failed = served+c.Served, refused+c.Rejected, failed+c.Failed
 	}
 	if p99 := d.latency.Quantile(0.99, clock.System{}.Now()); p99 > 0 {
 		told["p99_ms"] = float64(p99) / float64(time.Millisecond)
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -19,10 +19,10 @@
 
 // journals are where keyed runs are recorded, so that another process of this node, or this node after a restart, does not run them again.
 type journals struct {
-	keys      *keystore.Claims             // shared with the node's other processes; nil but where clients come from an inherited listener
+	keys      *keystore.Store              // shared with the node's other processes; nil but where clients come from an inherited listener
 	ledger    atomic.Pointer[ledger.Store] // nil where it is off, or the process that this one replaces still has it
 	released  chan *ledger.Store           // the ledger, once that process has released it
-	runs      *runlog.Record               // on the ledger, nil with it; owned by the goroutine of Run once that runs
+	runs      *runlog.Log                  // on the ledger, nil with it; owned by the goroutine of Run once that runs
 	composite *compositejournal.Journal    // nil but where there are both
 	earlier   *ledger.Store                // what is on record as this process starts, until restoreRuns has read it
 }
@@ -42,7 +42,7 @@
 		return d.journals.keys, nil
 	}
 	if d.journals.keys != nil {
-		d.journals.composite = compositejournal.New(d.journals.keys, d.limits.LogEvery, d.log)
+		d.journals.composite = compositejournal.New(d.journals.keys, d.limits.LogInterval, d.log)
 	}
 	if err := d.openLedger(); err != nil {
 		return nil, errors.Join(err, d.closeJournals())
@@ -56,8 +56,8 @@
 // openKeystore opens the keys that the processes of this node share.
 func (d *Daemon) openKeystore(system clock.System) (err error) {
 	dir := KeystoreDir(os.TempDir(), d.name)
-	d.journals.keys, err = keystore.Open(keystore.Options{Dir: dir, Spare: node.Spare(d.limits), Now: system.Now,
-		Limits: limits.ForClaims(d.platform.Caps.MemoryMB), Log: d.log})
+	d.journals.keys, err = keystore.Open(keystore.Options{Dir: dir, RetentionMargin: node.KeyRetentionMargin(d.limits), Now: system.Now,
+		Limits: limits.ForKeyStore(d.platform.Caps.MemoryMB), Log: d.log})
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 // writing as soon as that process releases it.
 func (d *Daemon) openLedger() error {
 	c := d.deploy.Load().Ledger
-	every, err := c.Interval()
+	every, err := c.FlushInterval()
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 
 // awaitLedger opens the ledger once the process that holds it has released it. It blocks until then.
 func (d *Daemon) awaitLedger(dir disk.FS, o ledger.Options) {
-	for ; ; time.Sleep(d.limits.RetryLeast) {
+	for ; ; time.Sleep(d.limits.MinBackoff) {
 		s, err := ledger.Open(dir, o)
 		if errors.Is(err, disk.ErrLocked) {
 			continue
@@ -114,12 +114,12 @@
 
 // attachLedger has keyed runs recorded on the ledger from now on.
 func (d *Daemon) attachLedger(s *ledger.Store) {
-	d.journals.runs = runlog.New(s, node.Spare(d.limits), d.limits.LogEvery, d.log)
+	d.journals.runs = runlog.New(s, node.KeyRetentionMargin(d.limits), d.limits.LogInterval, d.log)
 	d.journals.ledger.Store(s)
 	backlog := 0
 	if d.journals.composite != nil {
-		backlog = d.journals.composite.Late()
-		d.journals.composite.Attach(d.journals.runs)
+		backlog = d.journals.composite.Backlog()
+		d.journals.composite.AttachLog(d.journals.runs)
 	}
 	r := s.Recovery()
 	d.log.Info("ledger opened", "folder", d.deploy.Load().Ledger.Dir, "keys", r.Keys, "records", r.Records, "segments", r.Segments,
@@ -131,8 +131,8 @@
 	if d.journals.earlier == nil {
 		return nil
 	}
-	err := runlog.New(d.journals.earlier, node.Spare(d.limits), d.limits.LogEvery, d.log).All(func(b node.Booking) {
-		if d.journals.composite == nil || d.journals.composite.Restore(b) {
+	err := runlog.New(d.journals.earlier, node.KeyRetentionMargin(d.limits), d.limits.LogInterval, d.log).ForEach(func(b node.RunRecord) {
+		if d.journals.composite == nil || d.journals.composite.ShouldRestore(b) {
 			d.node.Restore(b)
 		}
 	})
@@ -149,10 +149,10 @@
 // sweepJournals retries writes that failed, and drops what has expired.
 func (d *Daemon) sweepJournals() {
 	if d.journals.runs != nil {
-		d.journals.runs.Retry()
+		d.journals.runs.RetryFailed()
 	}
 	if d.journals.composite != nil {
-		d.journals.composite.Retry()
+		d.journals.composite.RetryBacklog()
 	}
 	if d.journals.keys != nil {
 		d.journals.keys.Sweep()
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -78,9 +78,9 @@
 
 // listenWithRetry retries for limits.Agree while the error may pass: a process that ended at once would be taken for one that cannot start.
 func listenWithRetry(l limits.Limits, listen func() (net.Listener, error)) (net.Listener, error) {
-	for end := time.Now().Add(l.Agree); ; time.Sleep(l.RetryLeast) {
+	for end := time.Now().Add(l.CommitTimeout); ; time.Sleep(l.MinBackoff) {
 		ln, err := listen()
-		if err == nil || !sockerr.PassingListen(err) || time.Now().After(end) {
+		if err == nil || !sockerr.IsTransientListen(err) || time.Now().After(end) {
 			return ln, err
 		}
 	}
@@ -114,7 +114,7 @@
 // serveLater tries again until the address is free or the daemon leaves.
 func (d *Daemon) serveLater(what string, listen func() (net.Listener, error), serve func(net.Listener) error) {
 	for !d.listeners.isClosed() {
-		time.Sleep(d.limits.RetryLeast)
+		time.Sleep(d.limits.MinBackoff)
 		ln, err := listen()
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
--- a/internal/daemon/listeners_test.go
+++ b/internal/daemon/listeners_test.go
@@ -27,7 +27,7 @@
 	if _, err := listenWithRetry(lim, func() (net.Listener, error) { tries++; return nil, syscall.EACCES }); err == nil || tries != 1 {
 		t.Errorf("%v after %d tries, want an error at once", err, tries)
 	}
-	lim.Agree = 0
+	lim.CommitTimeout = 0
 	if _, err := listenWithRetry(lim, func() (net.Listener, error) { return nil, syscall.EADDRINUSE }); err == nil {
 		t.Error("waited for ever")
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -21,7 +21,7 @@
 
 // metricSources are the parts whose figures are read at each scrape.
 func (d *Daemon) metricSources() metrics.Sources {
-	from := metrics.Sources{Core: d.node.Totals, Resp: d.resp.Open, Classes: d.node.Classes,
+	from := metrics.Sources{Core: d.node.Totals, Resp: d.resp.OpenConnections, Classes: d.node.CountsByClass,
 		Config: func() (int, int) { return int(d.counts.applied.Load()), int(d.counts.rejected.Load()) }}
 	if d.uwsgi != nil {
 		from.Uwsgi = func() (uwsgi.Counts, int) { return d.uwsgi.Totals(), d.uwsgi.Open() }
@@ -31,7 +31,7 @@
 		from.Ledger = d.ledgerStats
 	}
 	if d.fleet != nil {
-		from.Fleet = d.fleet.Figures
+		from.Fleet = d.fleet.Stats
 	}
 	return from
 }
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -11,22 +11,22 @@
 		return
 	}
 	var own handover.Load
-	own.Running, own.Held = d.node.Hand()
-	own.Connections = d.resp.Open()
+	own.Running, own.Queued = d.node.InFlight()
+	own.Connections = d.resp.OpenConnections()
 	var others []handover.Load
-	for _, note := range d.journals.keys.Exchange(own.Bytes()) {
+	for _, note := range d.journals.keys.ExchangeNotes(own.Encode()) {
 		load, _ := handover.ParseLoad(note) // one that has told nothing has nothing in hand
 		others = append(others, load)
 	}
-	is, was := handover.Share(own, others, d.limits.Connections), d.quota
-	if is.Cores != was.Cores {
-		d.admission.Share(is.Cores)
+	is, was := handover.ComputeQuota(own, others, d.limits.MaxConnections), d.quota
+	if is.CPUFraction != was.CPUFraction {
+		d.admission.SetResourceShare(is.CPUFraction)
 	}
-	if is.Memory != was.Memory {
-		debug.SetMemoryLimit(max(d.limits.MemoryLeast, int64(is.Memory*float64(d.limits.MemoryBytes))))
+	if is.MemoryFraction != was.MemoryFraction {
+		debug.SetMemoryLimit(max(d.limits.MinMemoryBytes, int64(is.MemoryFraction*float64(d.limits.MemoryBytes))))
 	}
 	if is.Connections != was.Connections {
-		d.resp.Resize(is.Connections)
+		d.resp.SetMaxConnections(is.Connections)
 	}
 	d.quota = is
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -30,16 +30,16 @@
 		_ = k.Reload() // it logs its error and keeps the old keys
 	}
 	if d.runtime != nil && p.Runtime != "" {
-		d.runtime.Move(p.Runtime)
+		d.runtime.SetAddress(p.Runtime)
 	}
 	if d.catalogue != nil && p.Catalog != "" {
-		d.catalogue.Move(p.Catalog)
+		d.catalogue.SetAddress(p.Catalog)
 	}
-	d.directory.Move(p.Lookup)
+	d.directory.SetAddress(p.Lookup)
 	d.platform = p
 	d.deploy.Store(l.Deploy)
 	if d.upstreams.pool != nil {
-		d.applyStoredValue(store.UwsgiServers, d.store.Get(store.UwsgiServers))
+		d.applyStoredValue(store.KeyUwsgiServers, d.store.Get(store.KeyUwsgiServers))
 	}
 	d.log.Info("configuration applied", "runtime", p.Runtime, "catalogue", p.Catalog, "directory", p.Lookup)
 }
@@ -68,27 +68,27 @@
 		return nil
 	}
 	running, next, err := flatten(old.Raw), flatten(p.Raw), error(nil)
-	if err = reconfigure.Check(p.Raw, running, next); err != nil {
+	if err = reconfigure.CheckFile(p.Raw, running, next); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	plan, err := reconfigure.Lay(old.Logic, p.Logic)
+	plan, err := reconfigure.Merge(old.Logic, p.Logic)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if len(plan.Settings.Classes) > reconfigure.MostClasses {
-		return fmt.Errorf("settings: %d classes with those kept for requests in hand, %d at most until a restart", len(plan.Settings.Classes), reconfigure.MostClasses)
+	if len(plan.Settings.Classes) > reconfigure.MaxClasses {
+		return fmt.Errorf("settings: %d classes with those kept for requests in hand, %d at most until a restart", len(plan.Settings.Classes), reconfigure.MaxClasses)
 	}
-	if err := d.node.Retune(plan.Settings); err != nil {
+	if err := d.node.Reconfigure(plan.Settings); err != nil {
 		return err
 	}
-	d.resp.Retune(plan.Names)
-	if plan.Tenants {
+	d.resp.SetClasses(plan.ClassIndex)
+	if plan.TenantsChanged {
 		d.log.Warn("tenants unchanged: they take a restart")
 	}
 	names := *old.Names
-	names.Classes = plan.Names
+	names.Classes = plan.ClassIndex
 	p.Logic, p.Names = plan.Settings, &names
-	d.log.Info("settings applied", "added", plan.Added, "dropped", plan.Dropped, "classes", len(plan.Settings.Classes))
+	d.log.Info("settings applied", "added", plan.Added, "dropped", plan.Removed, "classes", len(plan.Settings.Classes))
 	return nil
 }
 
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -201,7 +201,7 @@
 	if most := rt.Most(); most > 10 {
 		t.Errorf("%d runs at once on 2 cores that survive 10", most)
 	}
-	if got := s.resp.Open(); got > conns {
+	if got := s.resp.OpenConnections(); got > conns {
 		t.Errorf("%d connections open", got)
 	}
 }
@@ -293,7 +293,7 @@
 	for _, c := range []struct{ closed, servers, health, response string }{
 		{"", "", "GREEN", "first"}, {"n2,n1", second.Address, "RED", "second"}, {"n2", "", "GREEN", "first"},
 	} {
-		if err := errors.Join(s.store.Set(store.Closed, c.closed), s.store.Set(store.UwsgiServers, c.servers)); err != nil {
+		if err := errors.Join(s.store.Set(store.KeyClosedNodes, c.closed), s.store.Set(store.KeyUwsgiServers, c.servers)); err != nil {
 			t.Fatal(err)
 		}
 		b.Send(standin.Array("PING", "1", ""))
@@ -317,7 +317,7 @@
 	for _, c := range []struct{ file, set, want string }{
 		{servers[0], "", "first"}, {servers[1], "", "second"}, {servers[0], servers[2], "third"}, {servers[0], "", "first"},
 	} {
-		if err := s.store.Set(store.UwsgiServers, c.set); err != nil {
+		if err := s.store.Set(store.KeyUwsgiServers, c.set); err != nil {
 			t.Fatal(err)
 		}
 		s.load = func() (*Config, error) {
@@ -359,7 +359,7 @@
 			t.Errorf("%s ran %d times", body, n)
 		}
 	}
-	s.node.Leave(time.Now(), time.Minute, false) // what comes later than the grace is refused, and told when to come back
+	s.node.Drain(time.Now(), time.Minute, false) // what comes later than the grace is refused, and told when to come back
 	time.Sleep(1100 * time.Millisecond)
 	if got := ask(t, s.uwsgi, "fine", post("4")...); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "\r\nRetry-After: 1\r\n") {
 		t.Errorf("leaving: %q", got)
@@ -375,7 +375,7 @@
 		want string
 	}{
 		{"its server is taken off the list", func(s *served, hold chan struct{}) {
-			s.applyStoredValue(store.UwsgiServers, "127.0.0.1:1") // as a reload does
+			s.applyStoredValue(store.KeyUwsgiServers, "127.0.0.1:1") // as a reload does
 			close(hold)
 		}, "whole"},
 		{"SIGTERM", func(s *served, hold chan struct{}) {
@@ -568,13 +568,13 @@
 			t.Errorf("after the retuning: %q", got)
 		}
 	}
-	f := operatorCalls{s.Daemon}.Figures()
-	if f.Applied != 1 || f.Rejected != 3 {
-		t.Errorf("files taken %d, turned down %d; want 1 and 3", f.Applied, f.Rejected)
+	f := operatorCalls{s.Daemon}.Report()
+	if f.ConfigApplied != 1 || f.ConfigRejected != 3 {
+		t.Errorf("files taken %d, turned down %d; want 1 and 3", f.ConfigApplied, f.ConfigRejected)
 	}
 	want := map[string][2]int{"fresh": {1, 6}, "book": {1, 0}, "slot-search": {1, 0}} // ok, shed
 	for _, c := range f.Classes {
-		if w, ok := want[c.Name]; ok && (c.OK != w[0] || c.Tries != w[0]) {
+		if w, ok := want[c.Name]; ok && (c.OK != w[0] || c.Attempts != w[0]) {
 			t.Errorf("class %s: %+v, want %d served and run", c.Name, c, w[0])
 		}
 		delete(want, c.Name)
@@ -695,8 +695,8 @@
 			b.Read()
 			conns = append(conns, b)
 		}
-		if d.resp.Open() != 3 {
-			t.Fatalf("the process holds %d connections, not its 3", d.resp.Open())
+		if d.resp.OpenConnections() != 3 {
+			t.Fatalf("the process holds %d connections, not its 3", d.resp.OpenConnections())
 		}
 		d.listeners.close() // it takes no more: the next process does
 	}
@@ -738,7 +738,7 @@
 			t.Errorf("handover show lacks %q:\n%s", want, &shown)
 		}
 	}
-	if l := daemons[1].loadSnapshot(time.Now()); l == nil || l.Classes["book"].Run.N != 1 {
+	if l := daemons[1].loadSnapshot(time.Now()); l == nil || l.Classes["book"].RunTime.Samples != 1 {
 		t.Errorf("a process that starts now learns %+v", l)
 	}
 	// Told to leave while the other lives, it asks its callers to close at once, and is well to the last: the node goes on.
@@ -771,7 +771,7 @@
 	s := serveWithin(t, lim, ample, rt)
 	<-rt.Syncs
 	var crowd []net.Conn
-	for i := range lim.Connections + 20 {
+	for i := range lim.MaxConnections + 20 {
 		c, err := net.Dial("tcp", s.address)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -42,14 +42,14 @@
 
 // nodeStatus is what callers are told of the node: load signal and health by the decisions, unless the node is out of service.
 type nodeStatus struct {
-	*admission.Gate
+	*admission.Controller
 	service *serviceState
 }
 
-// Well is what health checks are told.
-func (n nodeStatus) Well() bool {
-	return !n.service.outOfService() && !n.service.evacuated.Load() && n.Gate.Well()
+// Healthy is what health checks are told.
+func (n nodeStatus) Healthy() bool {
+	return !n.service.outOfService() && !n.service.evacuated.Load() && n.Controller.Healthy()
 }
 
 // advertise has the directory told whether this node takes callers.
-func (d *Daemon) advertise() { d.directory.Close(d.service.advertisedClosed()) }
+func (d *Daemon) advertise() { d.directory.SetClosed(d.service.advertisedClosed()) }
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -15,18 +15,18 @@
 // close, and requests in flight go on. It returns once every request is answered and every connection closed, or just before the kill.
 func (d *Daemon) shutDown(receivedAt time.Time) {
 	conditions := d.shutdownConditions()
-	plan := handover.Depart(conditions)
+	plan := handover.PlanShutdown(conditions)
 	d.saveSnapshot(true)
-	d.log.Info("shutting down", "stop", conditions.Stop, "other_processes", conditions.Others, "keep_advertised", plan.Quiet)
-	end := receivedAt.Add(conditions.Stop - d.limits.KillSpare/2)
+	d.log.Info("shutting down", "stop", conditions.StopTimeout, "other_processes", conditions.OtherProcesses, "keep_advertised", plan.KeepAdvertised)
+	end := receivedAt.Add(conditions.StopTimeout - d.limits.KillMargin/2)
 	// The core has answered every request by then.
-	kill := time.After(clock.System{}.Until(receivedAt.Add(conditions.Stop - d.limits.KillSpare*3/4)))
-	d.node.Leave(receivedAt, conditions.Stop, plan.Quiet)
-	d.service.keepAdvertised.Store(plan.Quiet)
+	kill := time.After(clock.System{}.Until(receivedAt.Add(conditions.StopTimeout - d.limits.KillMargin*3/4)))
+	d.node.Drain(receivedAt, conditions.StopTimeout, plan.KeepAdvertised)
+	d.service.keepAdvertised.Store(plan.KeepAdvertised)
 	d.service.draining.Store(true)
 	d.advertise()
-	graceOver := time.After(clock.System{}.Until(receivedAt.Add(plan.Shut)))
-	poll := time.NewTicker(d.limits.RetryLeast)
+	graceOver := time.After(clock.System{}.Until(receivedAt.Add(plan.CloseListenerAfter)))
+	poll := time.NewTicker(d.limits.MinBackoff)
 	defer poll.Stop()
 	listenersClosed := false
 	for {
@@ -34,7 +34,7 @@
 		case <-kill:
 			d.log.Info("shutdown out of time; closing", "open", d.openConnections())
 			// Where the process was suspended until now, answers just given still have to be written.
-			d.resp.Finish(max(clock.System{}.Until(end), d.limits.KillSpare/2))
+			d.resp.Shutdown(max(clock.System{}.Until(end), d.limits.KillMargin/2))
 			return
 		case <-d.reloads: // requests in flight may need the new addresses
 			d.reload()
@@ -43,7 +43,7 @@
 		case <-graceOver:
 			listenersClosed = true
 			d.listeners.close() // a refused connection proves that nothing ran
-			d.resp.Leave()
+			d.resp.StartDrain()
 		case <-poll.C:
 			d.updateQuota()
 			if listenersClosed && d.drained() {
@@ -56,22 +56,22 @@
 
 // drained asks the connections that are still open to close, and reports whether none is left and every request is answered. It cuts none.
 func (d *Daemon) drained() bool {
-	d.resp.Ask()
-	return d.openConnections() == 0 && d.node.Owed() == 0
+	d.resp.RequestClose()
+	return d.openConnections() == 0 && d.node.Unanswered() == 0
 }
 
 // shutdownConditions are what the plan of a shutdown goes by.
-func (d *Daemon) shutdownConditions() handover.Sight {
-	c := handover.Sight{
-		Grace: time.Duration(d.platform.Logic.DrainGrace) * time.Microsecond,
-		Spare: d.limits.GraceSpare,
-		Stop:  d.platform.Stop(),
+func (d *Daemon) shutdownConditions() handover.ShutdownConditions {
+	c := handover.ShutdownConditions{
+		DrainGrace:   time.Duration(d.platform.Logic.DrainGrace) * time.Microsecond,
+		SafetyMargin: d.limits.DrainGraceMargin,
+		StopTimeout:  d.platform.Stop(),
 	}
 	if listenerInherited() { // the platform holds the listener: another process replaces this one
-		c.Stop, c.Inherited = d.platform.StopReplaced(), true
+		c.StopTimeout, c.InheritedListener = d.platform.StopReplaced(), true
 	}
 	if d.journals.keys != nil {
-		c.Others = d.journals.keys.Others(d.limits.Others)
+		c.OtherProcesses = d.journals.keys.LiveProcesses(d.limits.ProcessListTimeout)
 	}
 	return c
 }
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -28,12 +28,12 @@
 func clockFile(dir, name string) string { return filepath.Join(dir, "sloehitch-"+name+"-clock") }
 
 // snapshotRequirements are what a snapshot has to meet so that a process with this configuration can start from it.
-func snapshotRequirements(p *config.Platform, lim limits.Limits, now time.Time) handover.Wanted {
-	return handover.Wanted{Node: p.Name, Settings: p.Logic, Now: now, Oldest: lim.LearnedOldest, Ahead: lim.Ahead}
+func snapshotRequirements(p *config.Platform, lim limits.Limits, now time.Time) handover.Requirements {
+	return handover.Requirements{Node: p.Name, Settings: p.Logic, Now: now, MaxAge: lim.MaxSnapshotAge, MaxClockSkew: lim.MaxClockAhead}
 }
 
 // loadSnapshot is what an earlier process of this node learned, or nil; one log line says why it was or was not used.
-func (d *Daemon) loadSnapshot(now time.Time) *logic.Learned {
+func (d *Daemon) loadSnapshot(now time.Time) *logic.LearnedState {
 	if !listenerInherited() {
 		return nil // no process replaces another here: a snapshot would be out of date
 	}
@@ -43,15 +43,15 @@
 		return nil
 	}
 	if err == nil {
-		err = handover.Judge(s, snapshotRequirements(d.platform, d.limits, now))
+		err = handover.Validate(s, snapshotRequirements(d.platform, d.limits, now))
 	}
 	if err != nil {
 		d.log.Warn("snapshot of the earlier process not used", "file", path, "reason", err)
 		return nil
 	}
-	d.log.Info("started from the snapshot of the earlier process", "process", s.Process, "age", now.Sub(s.Made).Round(time.Millisecond),
-		"limit", s.Learned.Limit, "classes", len(s.Learned.Classes))
-	learned := handover.Temper(s.Learned, d.platform.Logic)
+	d.log.Info("started from the snapshot of the earlier process", "process", s.Process, "age", now.Sub(s.CreatedAt).Round(time.Millisecond),
+		"limit", s.LearnedState.RunLimit, "classes", len(s.LearnedState.Classes))
+	learned := handover.Discount(s.LearnedState, d.platform.Logic)
 	return &learned
 }
 
@@ -60,12 +60,12 @@
 	if !listenerInherited() {
 		return
 	}
-	l, ok := d.admission.Learned()
-	if !ok || !handover.Worth(l) {
+	l, ok := d.admission.LearnedState()
+	if !ok || !handover.HasSamples(l) {
 		return
 	}
-	s := handover.Snapshot{Node: d.name, Process: os.Getpid(), Made: clock.System{}.Now(), Leaving: leaving,
-		Settings: handover.Settings(d.platform.Logic), Learned: l}
+	s := handover.Snapshot{Node: d.name, Process: os.Getpid(), CreatedAt: clock.System{}.Now(), AtShutdown: leaving,
+		SettingsHash: handover.HashSettings(d.platform.Logic), LearnedState: l}
 	if err := snapshotfile.Write(snapshotfile.Path(os.TempDir(), d.name), s); err != nil {
 		d.log.Warn("snapshot for the next process not written", "error", err)
 	}
@@ -88,12 +88,12 @@
 		fmt.Fprintf(w, "%s: left aside: %v\n", path, err)
 	default:
 		verdict := "would be taken"
-		if err := handover.Judge(s, snapshotRequirements(p, limits.For(p.Caps.MemoryMB, p.Caps.Sockets), now)); err != nil {
+		if err := handover.Validate(s, snapshotRequirements(p, limits.For(p.Caps.MemoryMB, p.Caps.Sockets), now)); err != nil {
 			verdict = "would be left aside: " + err.Error()
 		}
-		fmt.Fprintf(w, "%s: by process %d of %s, %v ago, %s\n%s", path, s.Process, s.Node, now.Sub(s.Made).Round(time.Millisecond), verdict, handover.Table(s))
+		fmt.Fprintf(w, "%s: by process %d of %s, %v ago, %s\n%s", path, s.Process, s.Node, now.Sub(s.CreatedAt).Round(time.Millisecond), verdict, handover.FormatSnapshot(s))
 	}
-	owners, err := keystore.Look(KeystoreDir(dir, p.Name), now)
+	owners, err := keystore.Inspect(KeystoreDir(dir, p.Name), now)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -49,15 +49,15 @@
 	if err := d.startOperatorCalls(); err != nil {
 		return nil, err
 	}
-	go d.node.Serve()
-	go d.directory.Serve(nil)
+	go d.node.Run()
+	go d.directory.Run(nil)
 	d.service.ready.Store(true)
 	d.log.Info("serving", "listen", c.Platform.Listen, "uwsgi", c.Deploy.Uwsgi.Listen, "runtime", c.Platform.Runtime,
 		"catalogue", c.Platform.Catalog, "version", d.version)
 	return d, nil
 }
 
-func newDaemon(c *Config, o Options, faultHooks *faulthooks.Trial) *Daemon {
+func newDaemon(c *Config, o Options, faultHooks *faulthooks.Hooks) *Daemon {
 	d := &Daemon{
 		name:       c.Platform.Name,
 		version:    o.Version,
@@ -68,7 +68,7 @@
 		reloads:    o.Reload,
 		load:       o.Load,
 		directory:  directory.New(c.Platform.Name, c.Platform.Lookup, o.Limits, o.Log),
-		quota:      handover.Share(handover.Load{}, nil, o.Limits.Connections),
+		quota:      handover.ComputeQuota(handover.Load{}, nil, o.Limits.MaxConnections),
 		failed:     make(chan error, maxFailedParts),
 		replaced:   make(chan int, 1),
 	}
@@ -80,7 +80,7 @@
 // startCore opens the decisions, the links that they need, the journals and the core, and tells the core what ran before a restart.
 func (d *Daemon) startCore() error {
 	if listenerInherited() {
-		if err := clock.Share(clockFile(os.TempDir(), d.name)); err != nil {
+		if err := clock.ShareReference(clockFile(os.TempDir(), d.name)); err != nil {
 			d.log.Warn("no clock shared between processes; key windows count by this process's own clock", "error", err)
 		}
 	}
@@ -88,10 +88,10 @@
 	if err := d.openAdmission(system); err != nil {
 		return err
 	}
-	options := node.Options{Settings: d.platform.Logic, Gate: d.admission, Clock: system, Limits: d.limits, Log: d.log}
+	options := node.Options{Settings: d.platform.Logic, Admission: d.admission, Clock: system, Limits: d.limits, Log: d.log}
 	if d.platform.Catalog != "" {
 		d.catalogue = catalogue.New(d.platform.Catalog, d.limits, d.log)
-		options.Caller = d.catalogue
+		options.Dependency = d.catalogue
 	}
 	var err error
 	if options.Journal, err = d.openJournals(system); err != nil {
@@ -99,7 +99,7 @@
 	}
 	if len(d.deploy.Load().Fleet.Members) > 0 {
 		d.latency = latency.New(system.Now())
-		options.Took = d.latency.Add
+		options.ObserveLatency = d.latency.Add
 	}
 	d.node = node.New(options)
 	return d.restoreRuns() // before the first request is taken
@@ -107,11 +107,11 @@
 
 // openAdmission opens the decisions, with what an earlier process learned and the link to the runtime as their source of gauges.
 func (d *Daemon) openAdmission(system clock.System) error {
-	options := admission.Options{Seed: seedNumber(d.platform.Seed), Clock: system, Patience: d.limits.Gauges, Learned: d.loadSnapshot(system.Now())}
+	options := admission.Options{Seed: seedNumber(d.platform.Seed), Clock: system, GaugesTimeout: d.limits.GaugesTimeout, LearnedState: d.loadSnapshot(system.Now())}
 	if d.platform.Runtime != "" {
-		d.runtime = runtime.New(runtime.Options{Address: d.platform.Runtime, Meters: d.platform.Names.Meters, Limits: d.limits, Log: d.log,
-			Gauges: func(g admission.Gauges) { d.admission.Tick(g) }})
-		options.Ask = d.runtime.Ask
+		d.runtime = runtime.New(runtime.Options{Address: d.platform.Runtime, GaugeNames: d.platform.Names.GaugeNames, Limits: d.limits, Log: d.log,
+			OnGauges: func(g admission.Gauges) { d.admission.ReportGauges(g) }})
+		options.RequestGauges = d.runtime.RequestGauges
 	}
 	var err error
 	d.admission, err = admission.New(d.platform.Logic, options)
@@ -120,9 +120,9 @@
 
 // startResp starts the platform's front. Without a runtime nothing could run what balancers send, so it takes no clients then.
 func (d *Daemon) startResp() error {
-	d.resp = resp.New(resp.Options{Core: d.node, Standing: nodeStatus{d.admission, &d.service}, Runner: d.runtime, Classes: d.platform.Names.Classes,
-		Tenants: d.platform.Names.Tenants, Unknown: d.node.Unknown, Limits: d.limits, Log: d.log,
-		Stamps: clock.NewStamps(d.limits.Ahead, maxStampAge(d.platform.Logic, d.limits), d.faultHooks.Offset)})
+	d.resp = resp.New(resp.Options{Core: d.node, Status: nodeStatus{d.admission, &d.service}, Runner: d.runtime, Classes: d.platform.Names.Classes,
+		Tenants: d.platform.Names.Tenants, OnUnknownClass: d.node.CountUnknownClass, Limits: d.limits, Log: d.log,
+		Timestamps: clock.NewTimestamps(d.limits.MaxClockAhead, maxStampAge(d.platform.Logic, d.limits), d.faultHooks.Offset)})
 	if d.runtime == nil {
 		return nil
 	}
@@ -142,9 +142,9 @@
 func maxStampAge(s logic.Settings, l limits.Limits) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
-		longest = max(longest, time.Duration(c.Deadline)*time.Microsecond)
+		longest = max(longest, time.Duration(c.ClientTimeout)*time.Microsecond)
 	}
-	return min(l.Behind, longest+l.Ahead)
+	return min(l.MaxClockBehind, longest+l.MaxClockAhead)
 }
 
 // seedNumber turns the platform's seed, a text, into a number.
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -17,9 +17,9 @@
 	if err != nil {
 		return err
 	}
-	d.store, err = store.Open(store.Options{Name: d.platform.Name, Members: settings.Members, Dir: settings.Dir, Timeout: d.limits.Agree,
-		Beat: d.limits.Beat, Log: d.log, Terms: store.Terms.Of(duration), Join: settings.Join,
-		Clock: d.faultHooks.Clock(lease.Now), Disk: d.faultHooks.Disk, Tell: d.faultHooks.Tell})
+	d.store, err = store.Open(store.Options{Name: d.platform.Name, Members: settings.Members, Dir: settings.Dir, CommitTimeout: d.limits.CommitTimeout,
+		ElectionTimeout: d.limits.ElectionTimeout, Logger: d.log, LeaseTerms: store.DefaultLeaseTerms.WithDuration(duration), Join: settings.Join,
+		Clock: d.faultHooks.Clock(lease.Now), WrapFS: d.faultHooks.Disk, OnEvent: d.faultHooks.Record})
 	if err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 	if settings.Admin == "" {
 		return nil
 	}
-	server := &http.Server{Handler: d.store.Handler(), ReadTimeout: d.limits.Agree, WriteTimeout: 2 * d.limits.Agree}
+	server := &http.Server{Handler: d.store.Handler(), ReadTimeout: d.limits.CommitTimeout, WriteTimeout: 2 * d.limits.CommitTimeout}
 	return d.serveOn("admin", func() (net.Listener, error) { return net.Listen("tcp", settings.Admin) }, func(ln net.Listener) error {
 		if err := server.Serve(ln); !errors.Is(err, net.ErrClosed) {
 			return err
@@ -39,10 +39,10 @@
 // applyStoredValue applies a change of the operators' state to this node.
 func (d *Daemon) applyStoredValue(key, value string) {
 	switch key {
-	case store.Closed:
-		d.service.closed.Store(slices.Contains(store.Items(value), d.name))
+	case store.KeyClosedNodes:
+		d.service.closed.Store(slices.Contains(store.SplitList(value), d.name))
 		d.advertise()
-	case store.UwsgiServers:
+	case store.KeyUwsgiServers:
 		d.setUpstreams(value)
 	}
 }
--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -53,8 +53,8 @@
 	}
 	classes := c.Platform.Logic.Classes
 	d.uwsgi = uwsgi.New(uwsgi.Options{Over: observe, Core: d.node, Mapper: c.Operations, Pool: d.upstreams.pool, Limits: d.limits, Log: d.log,
-		Safe: func(class int) bool { return classes[class].Effect == logic.Safe }, Well: func() bool { return !d.service.outOfService() },
-		Modifiers: u.ModifierBytes(), Deadline: u.Deadline, HalfClose: u.HalfClose == "leaves", PerSource: u.PerSource, BodyMost: u.BodyMost()})
+		Safe: func(class int) bool { return classes[class].Idempotency == logic.Idempotent }, Well: func() bool { return !d.service.outOfService() },
+		Modifiers: u.ModifierBytes(), Deadline: u.Deadline, HalfClose: u.HalfClose == "leaves", PerSource: u.ConnectionsPerSource, BodyMost: u.MaxBodyBytes()})
 	return d.serveOn("uwsgi", func() (net.Listener, error) { return address.Listen(mode, frontKeys) }, d.uwsgi.Serve)
 }
 
@@ -66,7 +66,7 @@
 		return err
 	}
 	rules := balancer.Default()
-	rules.Most = u.ServerMost
+	rules.Most = u.MaxPerServer
 	d.upstreams.pool = uwsgi.NewPool(uwsgi.PoolOptions{Rules: rules, Seed: seedNumber(c.Platform.Seed), Keys: keys, Name: u.ServersTLS.Name,
 		Over: d.observeRun, Limits: d.limits, Log: d.log})
 	d.upstreams.listed = slices.Clone(u.Servers)
@@ -95,7 +95,7 @@
 	if c.File == "" {
 		return nil, nil
 	}
-	t, err := traces.Open(c.File, d.name, c.Part(), d.limits, d.log)
+	t, err := traces.Open(c.File, d.name, c.SampleRate(), d.limits, d.log)
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	addresses := store.Items(named)
+	addresses := store.SplitList(named)
 	if len(addresses) == 0 {
 		addresses = d.deploy.Load().Uwsgi.Servers
 	}
@@ -134,24 +134,24 @@
 		return
 	}
 	d.log.Info("uwsgi servers excluded while they hold drain permits", "servers", addresses)
-	d.setUpstreams(d.store.Get(store.UwsgiServers))
+	d.setUpstreams(d.store.Get(store.KeyUwsgiServers))
 }
 
 // upstreamStatus is the state of each listed server as this node sees it, by address.
-func (d *Daemon) upstreamStatus() map[string]drainpermit.Below {
-	status := map[string]drainpermit.Below{}
+func (d *Daemon) upstreamStatus() map[string]drainpermit.UpstreamStatus {
+	status := map[string]drainpermit.UpstreamStatus{}
 	listed := map[string]string{} // by the form in which the pool has the address
 	d.upstreams.mu.Lock()
 	for _, address := range d.upstreams.listed {
-		status[address] = drainpermit.Below{}
+		status[address] = drainpermit.UpstreamStatus{}
 		if e, err := endpoint.Parse(address); err == nil {
 			listed[e.String()] = address
 		}
 	}
 	d.upstreams.mu.Unlock()
 	for _, s := range d.upstreams.pool.Servers() {
-		status[cmp.Or(listed[s.Name], s.Name)] = drainpermit.Below{Uses: s.State != balancer.Draining, Open: s.Open,
-			Well: s.State == balancer.In || s.State == balancer.Warming}
+		status[cmp.Or(listed[s.Name], s.Name)] = drainpermit.UpstreamStatus{Routable: s.State != balancer.Draining, InFlight: s.Open,
+			Healthy: s.State == balancer.In || s.State == balancer.Warming}
 	}
 	return status
 }
--- a/internal/emulator/below.go
+++ b/internal/emulator/below.go
@@ -43,7 +43,7 @@
 		d.queued = true
 		b.queue = append(b.queue, d)
 	default:
-		b.clock.AfterFunc(0, func() { b.end(d, logic.Full) })
+		b.clock.AfterFunc(0, func() { b.end(d, logic.OutcomeRejected) })
 	}
 	return d
 }
@@ -54,7 +54,7 @@
 	span := b.Service.Draw(b.random) / b.speed
 	b.clock.AfterFunc(time.Duration(span*1e9), func() {
 		b.busy--
-		b.end(d, logic.OK)
+		b.end(d, logic.OutcomeOK)
 		for b.busy < b.Slots && len(b.queue) > 0 {
 			next := b.queue[0]
 			if b.queue = b.queue[1:]; !next.gone {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -169,7 +169,7 @@
 	seen []*Try
 }
 
-func (s *spoilt) Offer(t *Try, answer func(node.Answer)) {
+func (s *spoilt) Offer(t *Try, answer func(node.Response)) {
 	s.seen = append(s.seen, t)
 	switch s.rule {
 	case "lost":
@@ -179,7 +179,7 @@
 	case "duplicate":
 		if len(s.seen) == 5 {
 			first := answer
-			answer = func(a node.Answer) { first(a); first(a) }
+			answer = func(a node.Response) { first(a); first(a) }
 		}
 	case "rerun":
 		if t.Key != "" {
@@ -188,7 +188,7 @@
 	case "refused":
 		if t.Key != "" {
 			s.site.Ran(t)
-			answer(node.Answer{Kind: node.Refused})
+			answer(node.Response{Status: node.StatusRejected})
 			return
 		}
 	}
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -35,7 +35,7 @@
 // return.
 type Server interface {
 	// Offer gives it a try; answer is to be called once, unless Gone comes first.
-	Offer(t *Try, answer func(node.Answer))
+	Offer(t *Try, answer func(node.Response))
 	// Gone tells that nobody waits any more.
 	Gone(t *Try)
 	// Leave is the notice that it is to stop after the given time.
@@ -57,17 +57,17 @@
 
 // work does a try's work: all of it, or with a call half way. done is told how it ended.
 func (s Site) work(t *Try, done func(o logic.Outcome)) {
-	if s.below == nil || !s.Settings.Classes[t.Class].Calls {
-		s.Machine.Add(t.Work, func() { done(logic.OK) })
+	if s.below == nil || !s.Settings.Classes[t.Class].CallsDependency {
+		s.Machine.Add(t.Work, func() { done(logic.OutcomeOK) })
 		return
 	}
 	s.Machine.Add(t.Work/2, func() {
 		s.below.call(func(o logic.Outcome, _ time.Duration) {
-			if o != logic.OK {
-				done(logic.Failed)
+			if o != logic.OutcomeOK {
+				done(logic.OutcomeFailed)
 				return
 			}
-			s.Machine.Add(t.Work/2, func() { done(logic.OK) })
+			s.Machine.Add(t.Work/2, func() { done(logic.OutcomeOK) })
 		})
 	})
 }
@@ -120,7 +120,7 @@
 
 type queued struct {
 	try    *Try
-	answer func(node.Answer)
+	answer func(node.Response)
 	came   time.Time
 	gone   bool
 }
@@ -129,7 +129,7 @@
 	return &queue{site: s, most: most, open: map[*Try]*queued{}}
 }
 
-func (q *queue) Offer(t *Try, answer func(node.Answer)) {
+func (q *queue) Offer(t *Try, answer func(node.Response)) {
 	r := &queued{try: t, answer: answer, came: q.site.Clock.Now()}
 	q.open[t] = r
 	if q.running < q.most {
@@ -151,7 +151,7 @@
 	q.refuse(q.take(last))
 }
 
-func (q *queue) worth(r *queued) float64 { return q.site.Settings.Classes[r.try.Class].Worth }
+func (q *queue) worth(r *queued) float64 { return q.site.Settings.Classes[r.try.Class].PriorityWeight }
 
 // take takes one of those that wait out of the queue.
 func (q *queue) take(i int) *queued {
@@ -162,7 +162,7 @@
 
 func (q *queue) refuse(r *queued) {
 	if delete(q.open, r.try); !r.gone {
-		r.answer(node.Answer{Kind: node.Refused})
+		r.answer(node.Response{Status: node.StatusRejected})
 	}
 }
 
@@ -173,11 +173,11 @@
 	q.site.work(r.try, func(o logic.Outcome) {
 		q.running--
 		if delete(q.open, r.try); !r.gone {
-			kind := node.Served
-			if o != logic.OK {
-				kind = node.Failed
+			kind := node.StatusServed
+			if o != logic.OutcomeOK {
+				kind = node.StatusFailed
 			}
-			r.answer(node.Answer{Kind: kind})
+			r.answer(node.Response{Status: kind})
 		}
 		if q.adapt != nil {
 			q.adapt(q, beside, q.site.Clock.Now().Sub(began))
@@ -282,7 +282,7 @@
 type real struct {
 	site Site
 	node *node.Node
-	gate *admission.Gate
+	gate *admission.Controller
 	runs map[string]*run
 	ids  map[*Try]string
 	next int
@@ -304,21 +304,21 @@
 func newReal(s Site) Server {
 	r := &real{site: s, runs: map[string]*run{}, ids: map[*Try]string{}}
 	lim := limits.For(192, 1024)
-	options := admission.Options{Clock: s.Clock, Patience: lim.Gauges, Carry: func(d admission.Decision) { r.node.Decide(d) }}
-	options.Ask = func() {
+	options := admission.Options{Clock: s.Clock, GaugesTimeout: lim.GaugesTimeout, OnDecision: func(d admission.Decision) { r.node.ApplyDecision(d) }}
+	options.RequestGauges = func() {
 		on := float64(s.Machine.Running())
-		r.gate.Tick(admission.Gauges{RunQueue: on, CoreUse: min(1, on/float64(s.Settings.Cores)), MemoryShare: -1, Connections: -1})
+		r.gate.ReportGauges(admission.Gauges{RunQueueLength: on, CPUUtilization: min(1, on/float64(s.Settings.Cores)), MemoryUtilization: -1, Connections: -1})
 	}
 	var err error
 	if r.gate, err = admission.New(s.Settings, options); err != nil {
 		panic(err) // the world's settings were checked as it was made
 	}
-	o := node.Options{Settings: s.Settings, Gate: r.gate, Clock: s.Clock, Limits: lim, Log: quiet}
+	o := node.Options{Settings: s.Settings, Admission: r.gate, Clock: s.Clock, Limits: lim, Log: quiet}
 	if s.below != nil {
-		o.Caller = caller{r}
+		o.Dependency = caller{r}
 	}
 	r.node = node.New(o)
-	r.sweep(lim.Sweep)
+	r.sweep(lim.SweepInterval)
 	return r
 }
 
@@ -330,13 +330,13 @@
 	})
 }
 
-func (r *real) Offer(t *Try, answer func(node.Answer)) {
+func (r *real) Offer(t *Try, answer func(node.Response)) {
 	r.next++
 	id := strconv.Itoa(r.next)
 	r.ids[t] = id
-	r.node.Submit(node.Request{ID: id, Class: t.Class, Tenant: t.Tenant, KB: t.KB, Hint: t.Hint, Retry: t.Retry, Source: t.Source,
-		Arrived: t.Came, Wait: t.Due.Sub(t.Came), Key: t.Key, Runner: runner{r, t}, Front: "emulator"},
-		func(a node.Answer) {
+	r.node.Submit(node.Request{ID: id, Class: t.Class, Tenant: t.Tenant, MemoryKB: t.KB, WorkHint: t.Hint, Retry: t.Retry, CallerID: t.Source,
+		ArrivedAt: t.Came, AttemptTimeout: t.Due.Sub(t.Came), IdempotencyKey: t.Key, Runner: runner{r, t}, Protocol: "emulator"},
+		func(a node.Response) {
 			delete(r.ids, t)
 			r.over(id)
 			r.site.Clock.AfterFunc(0, func() { answer(a) }) // the core is not to be called from within
@@ -346,13 +346,13 @@
 func (r *real) Gone(t *Try) {
 	if id, ok := r.ids[t]; ok {
 		delete(r.ids, t)
-		r.node.Gone(id)
+		r.node.Cancel(id)
 		r.over(id)
 	}
 }
 
-func (r *real) Leave(left time.Duration)    { r.node.Leave(r.site.Clock.Now(), left, false) }
-func (r *real) Counts() (running, held int) { return r.node.Hand() }
+func (r *real) Leave(left time.Duration)    { r.node.Drain(r.site.Clock.Now(), left, false) }
+func (r *real) Counts() (running, held int) { return r.node.InFlight() }
 
 // runner does the work of one try on the machine.
 type runner struct {
@@ -364,7 +364,7 @@
 	w := &run{since: r.site.Clock.Now()}
 	r.runs[id] = w
 	r.site.Ran(r.try)
-	if r.site.below == nil || !r.site.Settings.Classes[r.try.Class].Calls {
+	if r.site.below == nil || !r.site.Settings.Classes[r.try.Class].CallsDependency {
 		w.work = r.site.Machine.Add(r.try.Work, func() { r.ended(id, w) })
 		return
 	}
@@ -375,7 +375,7 @@
 			return
 		}
 		r.calls++
-		r.node.Wants(id, uint64(r.calls), nil)
+		r.node.CallRequested(id, uint64(r.calls), nil)
 	})
 }
 
@@ -387,13 +387,13 @@
 	}
 	if w.over = true; w.standing {
 		delete(r.runs, id)
-		r.site.Clock.AfterFunc(0, func() { r.node.Ended(id, logic.Cancelled, r.site.Clock.Now().Sub(w.since), nil) })
+		r.site.Clock.AfterFunc(0, func() { r.node.RunEnded(id, logic.OutcomeCanceled, r.site.Clock.Now().Sub(w.since), nil) })
 	}
 }
 
 func (r *real) ended(id string, w *run) {
 	delete(r.runs, id)
-	r.node.Ended(id, logic.OK, r.site.Clock.Now().Sub(w.since), nil)
+	r.node.RunEnded(id, logic.OutcomeOK, r.site.Clock.Now().Sub(w.since), nil)
 }
 
 // resume goes on with a run that stood at a call.
@@ -423,13 +423,13 @@
 		w.call = d
 		late = c.site.Clock.AfterFunc(patience, func() {
 			c.site.below.quit(d)
-			done(logic.TimedOut, patience, nil)
+			done(logic.OutcomeTimedOut, patience, nil)
 		})
 		w.late = late
 	})
 }
 
-func (c caller) Quit(id string) {
+func (c caller) Cancel(id string) {
 	if w := c.runs[id]; w != nil && w.call != nil {
 		c.site.below.quit(w.call)
 		w.late.Stop()
@@ -447,11 +447,11 @@
 	}
 	r.site.Machine.Remove(w.work)
 	delete(r.runs, id)
-	r.site.Clock.AfterFunc(0, func() { r.node.Ended(id, logic.Cancelled, r.site.Clock.Now().Sub(w.since), nil) })
+	r.site.Clock.AfterFunc(0, func() { r.node.RunEnded(id, logic.OutcomeCanceled, r.site.Clock.Now().Sub(w.since), nil) })
 }
 
-func (r runner) Continue(string) {}
+func (r runner) Resume(string) {}
 
-// Give and Omit have a run go on that stands at a call.
-func (r runner) Give(id string, _ []byte) { r.resume(id) }
-func (r runner) Omit(id string, _ uint64) { r.resume(id) }
+// DeliverReply and Omit have a run go on that stands at a call.
+func (r runner) DeliverReply(id string, _ []byte) { r.resume(id) }
+func (r runner) SkipCall(id string, _ uint64)     { r.resume(id) }
--- a/internal/emulator/release.go
+++ b/internal/emulator/release.go
@@ -70,10 +70,10 @@
 )
 
 // terms of leases; nobody takes another's place here.
-var releaseTerms = lease.Terms{Length: 10 * time.Second, Drift: 0.02, Margin: time.Second}
+var releaseTerms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.02, SafetyMargin: time.Second}
 
 // judged is by which terms, as in package fleet.
-var judged = canary.Terms{FalseAlarm: 0.01, Looks: 200, Least: 8, Smooth: int(latency.Longest / releaseReport)}
+var judged = canary.Options{FalseAlarmProbability: 0.01, MaxAnalyses: 200, MinIntervals: 8, SmoothingIntervals: int(latency.MaxWindow / releaseReport)}
 
 // version is what a node runs, and what it has done by it.
 type version struct {
@@ -92,8 +92,8 @@
 	*play
 	*Release
 	store  *document.State
-	keeper drainpermit.Keeper
-	owner  release.Owner
+	keeper drainpermit.Controller
+	owner  release.Controller
 	judge  *canary.Recorder
 	tokens map[string]uint64
 	ids    int
@@ -117,17 +117,17 @@
 	if p.Release == nil {
 		return nil
 	}
-	w := &rollout{play: p, Release: p.Release, keeper: drainpermit.Keeper{Terms: releaseTerms, Settle: p.Release.Settle}, judge: canary.NewRecorder(400), tokens: map[string]uint64{}, label: map[*host]string{}}
+	w := &rollout{play: p, Release: p.Release, keeper: drainpermit.Controller{Terms: releaseTerms, MinReady: p.Release.Settle}, judge: canary.NewRecorder(400), tokens: map[string]uint64{}, label: map[*host]string{}}
 	var err error
-	if w.store, err = document.New(document.Ordinary, releaseTerms); err != nil {
+	if w.store, err = document.New(document.DefaultLimits, releaseTerms); err != nil {
 		return err
 	}
-	for _, duty := range []string{"permits", release.Duty} {
-		rec, err := w.store.Leases().Take(duty, "all", 0)
+	for _, duty := range []string{"permits", release.TaskName} {
+		rec, err := w.store.Leases().Acquire(duty, "all", 0)
 		if err != nil {
 			return err
 		}
-		w.store.Apply(document.Transaction{ID: w.id(), Do: []document.Operation{{Lease: &rec}}}, 0)
+		w.store.Apply(document.Transaction{ID: w.id(), Operations: []document.Operation{{Lease: &rec}}}, 0)
 		w.tokens[duty] = rec.Token
 	}
 	most, zone := p.Nodes, p.Nodes
@@ -135,7 +135,7 @@
 		most = max(1, int(w.MostOut*float64(p.Nodes)))
 		zone = max(1, int(math.Ceil(3*w.MostOut*float64(p.Nodes)/float64(w.Zones))))
 	}
-	w.put(drainpermit.Rules, drainpermit.Text(disruption.Rules{{Group: "fleet", MostOut: &most}, {Group: "zone", MostOut: &zone}}))
+	w.put(drainpermit.BudgetsKey, drainpermit.Encode(disruption.Budgets{{Scope: "fleet", MaxUnavailable: &most}, {Scope: "zone", MaxUnavailable: &zone}}))
 	for _, h := range p.nodes {
 		w.starts(h, oldVersion)
 		h.version.in = p.begun.Add(-time.Hour)
@@ -146,14 +146,14 @@
 }
 
 func (w *rollout) put(key, value string) {
-	w.store.Apply(document.Transaction{ID: w.id(), By: "op", Do: []document.Operation{{Key: key, Value: value}}}, w.now())
+	w.store.Apply(document.Transaction{ID: w.id(), Author: "op", Operations: []document.Operation{{Key: key, Value: value}}}, w.now())
 }
 
 // starts has a host's process be of a version from now on.
 func (w *rollout) starts(h *host, label string) {
 	now := w.clock.Now()
 	h.version = &version{label: label, since: now, in: now, took: latency.New(now), luck: w.streams.Stream(fmt.Sprint("luck ", h.name, " ", h.life)),
-		agent: drainpermit.NewAgent(drainpermit.Node{Release: label, Terms: releaseTerms, Settle: w.Settle, Tries: 2})}
+		agent: drainpermit.NewAgent(drainpermit.AgentOptions{DeployedVersion: label, Terms: releaseTerms, MinReady: w.Settle, MaxReplaceAttempts: 2})}
 	if label == newVersion && w.Slow > 0 {
 		h.factor = w.Slow
 	} else {
@@ -163,16 +163,16 @@
 }
 
 // answered counts an answer, and spoils it where the version is bad.
-func (w *rollout) answered(h *host, t *Try, a *node.Answer) {
+func (w *rollout) answered(h *host, t *Try, a *node.Response) {
 	v := h.version
-	if a.Kind == node.Served && v.label == newVersion && w.Fails > 0 && v.luck.Float64() < w.Fails {
-		a.Kind = node.Failed
+	if a.Status == node.StatusServed && v.label == newVersion && w.Fails > 0 && v.luck.Float64() < w.Fails {
+		a.Status = node.StatusFailed
 	}
-	switch a.Kind {
-	case node.Served:
+	switch a.Status {
+	case node.StatusServed:
 		v.served++
 		v.took.Add(w.clock.Now().Sub(t.Came))
-	case node.Refused:
+	case node.StatusRejected:
 		v.refused++
 	default:
 		v.failed++
@@ -182,13 +182,13 @@
 // report is what a node tells of itself.
 func (w *rollout) report(h *host, zone int) drainpermit.Report {
 	v := h.version
-	r := drainpermit.Report{State: "ready", Well: true, Zone: fmt.Sprint("z", zone), Release: v.label, Since: v.since.UnixMilli(), Served: v.served, Refused: v.refused, Failed: v.failed, P99MS: v.p99,
-		InMS: w.clock.Now().Sub(v.in).Milliseconds()}
+	r := drainpermit.Report{State: "ready", Healthy: true, Zone: fmt.Sprint("z", zone), DeployedVersion: v.label, ProcessStartMS: v.since.UnixMilli(), Served: v.served, Rejected: v.refused, Failed: v.failed, P99MS: v.p99,
+		InServiceMS: w.clock.Now().Sub(v.in).Milliseconds()}
 	switch {
 	case h.gone:
-		r.State, r.InMS = "starting", 0
+		r.State, r.InServiceMS = "starting", 0
 	case v.out:
-		r.State, r.InMS = "out of service", 0
+		r.State, r.InServiceMS = "out of service", 0
 	}
 	return r
 }
@@ -201,10 +201,10 @@
 		w.clock.AfterFunc(releaseLook, w.look)
 	}
 	out := 0
-	var members []drainpermit.Seen
+	var members []drainpermit.ObservedMember
 	for i, h := range w.nodes {
 		r := w.report(h, i%w.Zones)
-		members = append(members, drainpermit.Seen{Name: h.name, Report: r})
+		members = append(members, drainpermit.ObservedMember{Name: h.name, Report: r})
 		if h.gone || h.version.out || now.Sub(h.version.in) < w.ColdFor {
 			out++
 		}
@@ -213,12 +213,12 @@
 	res.MostOut = max(res.MostOut, out)
 	res.Changed = 0
 	for _, m := range members {
-		if m.Report.Release == newVersion {
+		if m.Report.DeployedVersion == newVersion {
 			res.Changed++
 		}
 	}
 	if since < w.At {
-		w.take(release.Release{To: newVersion}, members)
+		w.take(release.Release{TargetVersion: newVersion}, members)
 		return
 	}
 	if w.Roll == Batched {
@@ -227,9 +227,9 @@
 	}
 	if !w.began {
 		w.began = true
-		r := release.Release{Name: "r", To: newVersion, By: "op", State: release.Running, SoakMS: w.Soak.Milliseconds(), LateMS: time.Hour.Milliseconds()}
-		r.Waves, r.From = release.Plan(members, newVersion, 2)
-		w.put(release.Prefix+"r", drainpermit.Text(r))
+		r := release.Release{Name: "r", TargetVersion: newVersion, RequestedBy: "op", State: release.Running, SoakMS: w.Soak.Milliseconds(), ReturnTimeoutMS: time.Hour.Milliseconds()}
+		r.Waves, r.PreviousVersions = release.PlanWaves(members, newVersion, 2)
+		w.put(release.KeyPrefix+"r", drainpermit.Encode(r))
 	}
 	for _, h := range w.nodes {
 		if !h.gone {
@@ -239,23 +239,23 @@
 	v, at := w.view(members)
 	w.apply(w.keeper.Decide(v, w.now()).Transactions(v, at, "permits", w.tokens["permits"], "keeper", w.id))
 	v, at = w.view(members)
-	r, err := release.Read(w.store.Get(release.Prefix + "r"))
+	r, err := release.Decode(w.store.Get(release.KeyPrefix + "r"))
 	if err != nil || r.State != release.Running || v.Halted["r"] {
 		return
 	}
 	w.take(r, members)
-	step := w.owner.Next(r, v, canary.Judge(judged, w.judge.Nodes()), w.Settle, w.now())
-	w.apply(step.Transactions(r, v, at, w.tokens[release.Duty], "owner", w.id))
-	if step.Halt != "" {
-		res.Halted, res.Took = step.Halt, since-w.At
+	step := w.owner.Decide(r, v, canary.Analyze(judged, w.judge.Nodes()), w.Settle, w.now())
+	w.apply(step.Transactions(r, v, at, w.tokens[release.TaskName], "owner", w.id))
+	if step.HaltReason != "" {
+		res.Halted, res.Took = step.HaltReason, since-w.At
 	}
-	if step.Next != nil && step.Next.State == release.Over {
+	if step.Updated != nil && step.Updated.State == release.Completed {
 		res.Took = since - w.At
 	}
 }
 
 // take ends a span of the judgement where it is time.
-func (w *rollout) take(r release.Release, members []drainpermit.Seen) {
+func (w *rollout) take(r release.Release, members []drainpermit.ObservedMember) {
 	if now := w.clock.Now(); now.Sub(w.looked) >= releaseReport {
 		w.looked = now
 		for i, h := range w.nodes {
@@ -264,7 +264,7 @@
 				members[i].Report.P99MS = v.p99
 			}
 		}
-		w.judge.Take(r.Reports(drainpermit.View{Members: members}, w.Settle))
+		w.judge.Record(r.CanaryReports(drainpermit.View{Members: members}, w.Settle))
 	}
 }
 
@@ -274,8 +274,8 @@
 	}
 }
 
-func (w *rollout) view(members []drainpermit.Seen) (drainpermit.View, drainpermit.Versions) {
-	v, at, err := drainpermit.ViewOf(w.store.List(""), drainpermit.Plain, w.clock.Now().UnixMilli())
+func (w *rollout) view(members []drainpermit.ObservedMember) (drainpermit.View, drainpermit.Versions) {
+	v, at, err := drainpermit.DecodeView(w.store.List(""), drainpermit.DefaultDecoder, w.clock.Now().UnixMilli())
 	if err != nil {
 		panic(err) // nobody else writes here
 	}
@@ -287,45 +287,45 @@
 func (w *rollout) act(h *host) {
 	v := h.version
 	running, held := h.server.Counts()
-	s := drainpermit.Sight{Revision: w.store.Revision(), InHand: running + held + len(h.intake.line), Well: true}
-	if d := w.store.Get(drainpermit.AskKey(h.name)); d.Version > 0 {
-		if a, err := drainpermit.Read[drainpermit.Ask](d.Value); err == nil {
-			s.Ask, s.AskVersion = &a, d.Version
+	s := drainpermit.Observation{Revision: w.store.Revision(), InFlight: running + held + len(h.intake.line), Healthy: true}
+	if d := w.store.Get(drainpermit.RequestKey(h.name)); d.Version > 0 {
+		if a, err := drainpermit.Decode[drainpermit.Request](d.Value); err == nil {
+			s.Request, s.RequestVersion = &a, d.Version
 		}
 	}
 	if d := w.store.Get(drainpermit.PermitKey(h.name)); d.Version > 0 {
-		if p, err := drainpermit.Read[drainpermit.Permit](d.Value); err == nil {
+		if p, err := drainpermit.Decode[drainpermit.Permit](d.Value); err == nil {
 			s.Permit, s.PermitVersion = &p, d.Version
 		}
 	}
 	now := w.now()
-	switch a := v.agent.Next(s, now); a.Kind {
-	case drainpermit.Begin:
-		r := w.store.Apply(drainpermit.Begins(h.name, s, a.Permit, w.id()), now)
-		if v.agent.Began(r.Made, r.Revision, now) {
+	switch a := v.agent.NextAction(s, now); a.Kind {
+	case drainpermit.ActionStart:
+		r := w.store.Apply(drainpermit.StartTransaction(h.name, s, a.Permit, w.id()), now)
+		if v.agent.HandleStartResult(r.Committed, r.Revision, now) {
 			w.leaves(h)
 		}
-	case drainpermit.Leave:
+	case drainpermit.ActionLeaveService:
 		w.leaves(h)
-	case drainpermit.Enter:
-		v.agent.Entered(now)
+	case drainpermit.ActionEnterService:
+		v.agent.EnteredService(now)
 		v.out, v.in = false, w.clock.Now()
 		w.list(h, true)
-	case drainpermit.Replace:
-		if r := w.store.Apply(drainpermit.Writes(h.name, s, a, w.id()), now); r.Made {
-			w.replace(h, s.Ask.To)
+	case drainpermit.ActionReplaceProcess:
+		if r := w.store.Apply(drainpermit.ActionTransaction(h.name, s, a, w.id()), now); r.Committed {
+			w.replace(h, s.Request.TargetVersion)
 		} else {
-			v.agent.Noted(false, 0)
+			v.agent.HandleWriteResult(false, 0)
 		}
-	case drainpermit.Note, drainpermit.GiveBack, drainpermit.Fail:
-		r := w.store.Apply(drainpermit.Writes(h.name, s, a, w.id()), now)
-		v.agent.Noted(r.Made, r.Revision)
+	case drainpermit.ActionUpdatePermit, drainpermit.ActionReturnPermit, drainpermit.ActionFailRequest:
+		r := w.store.Apply(drainpermit.ActionTransaction(h.name, s, a, w.id()), now)
+		v.agent.HandleWriteResult(r.Committed, r.Revision)
 	}
 }
 
 // leaves has a node take no callers; it does what it has in hand.
 func (w *rollout) leaves(h *host) {
-	h.version.agent.Left(w.now())
+	h.version.agent.LeftService(w.now())
 	h.version.out = true
 	w.list(h, false)
 }
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -58,12 +58,12 @@
 	gone, answered bool
 }
 
-func (k *rules) Offer(t *Try, answer func(node.Answer)) {
+func (k *rules) Offer(t *Try, answer func(node.Response)) {
 	now := k.clock.Now()
 	k.note("offered", t)
 	w := &watched{came: t.Came}
 	k.open[t] = w
-	grace := time.Duration(k.settings.AnswerGrace) * time.Microsecond
+	grace := time.Duration(k.settings.ResponseGrace) * time.Microsecond
 	due := t.Due
 	if due.Before(now) {
 		due = now // read too late: it is to be answered at once
@@ -73,11 +73,11 @@
 			k.breaks("lost", fmt.Sprintf("%s was due %v ago", t.ID, k.clock.Now().Sub(t.Due)))
 		}
 	})
-	k.Server.Offer(t, func(a node.Answer) {
+	k.Server.Offer(t, func(a node.Response) {
 		if k.dead {
 			return
 		}
-		k.note([]string{"served", "refused", "failed"}[a.Kind], t)
+		k.note([]string{"served", "refused", "failed"}[a.Status], t)
 		if w.answered {
 			k.breaks("duplicate", t.ID+" was answered again")
 			return
@@ -86,7 +86,7 @@
 		if w.gone {
 			return // the answer crossed the word that nobody waits: one does no harm
 		}
-		if _, ran := k.keys[t.Key]; a.Kind == node.Refused && t.Key != "" && ran && k.live(t) {
+		if _, ran := k.keys[t.Key]; a.Status == node.StatusRejected && t.Key != "" && ran && k.live(t) {
 			k.breaks("refused", t.ID+" was refused once its key had run")
 		}
 		delete(k.open, t)
@@ -96,7 +96,7 @@
 }
 
 func (k *rules) live(t *Try) bool {
-	window := time.Duration(k.settings.Classes[t.Class].Window) * time.Microsecond
+	window := time.Duration(k.settings.Classes[t.Class].IdempotencyWindow) * time.Microsecond
 	return k.clock.Now().Before(k.keys[t.Key].Add(window))
 }
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -199,23 +199,23 @@
 
 // Settings are what each node is told.
 func (w *World) Settings() logic.Settings {
-	s := logic.Settings{Cores: w.Cores, MemoryKB: w.MemoryKB, RunFactor: 4, CrowdFactor: max(1, w.Crowd), CrowdSpan: 1500000, Servers: w.Nodes,
-		AnswerGrace: logic.Micros(answerGrace.Microseconds()), DrainGrace: 2000000, Tick: 4000, Stop: logic.StopFreeze, MaxAdvice: 1000000}
-	s.TellsWait = w.TellsWait
+	s := logic.Settings{Cores: w.Cores, MemoryKB: w.MemoryKB, RunMemoryFactor: 4, MaxConcurrencyPerCore: max(1, w.Crowd), ConcurrencyWindow: 1500000, FleetSize: w.Nodes,
+		ResponseGrace: logic.Micros(answerGrace.Microseconds()), DrainGrace: 2000000, StepInterval: 4000, StopMode: logic.StopPause, MaxRetryAfter: 1000000}
+	s.DeadlinePropagated = w.TellsWait
 	if w.Grace > 0 {
 		s.DrainGrace = logic.Micros(w.Grace.Microseconds())
 	}
 	for _, t := range w.Tenants {
-		s.Tenants = append(s.Tenants, logic.Tenant{Name: t.Name, Quota: t.Quota})
+		s.Tenants = append(s.Tenants, logic.Tenant{Name: t.Name, QuotaPerSecond: t.Quota})
 	}
-	s.OverShareWorth = 0.05
+	s.OverQuotaWeightShare = 0.05
 	if w.Below != nil { // the share of the slots, and of as much again that may wait, that a node can count on
-		s.CallsShare, s.CallsSpan, s.CallLinger = 2*float64(w.Below.Slots)/float64(w.Nodes), 5000000, 200000
+		s.CallConcurrencyLimit, s.CallConcurrencyWindow, s.AbandonedCallDuration = 2*float64(w.Below.Slots)/float64(w.Nodes), 5000000, 200000
 	}
 	for _, c := range w.Classes {
-		class := logic.Class{Name: c.Name, Aim: logic.Micros(c.Aim.Microseconds()), Deadline: logic.Micros(c.Deadline.Microseconds()), Worth: c.Worth, Calls: c.Calls}
+		class := logic.Class{Name: c.Name, LatencyObjective: logic.Micros(c.Aim.Microseconds()), ClientTimeout: logic.Micros(c.Deadline.Microseconds()), PriorityWeight: c.Worth, CallsDependency: c.Calls}
 		if c.Keyed {
-			class.Effect, class.Window = logic.Keyed, logic.Micros(c.Window.Microseconds())
+			class.Idempotency, class.IdempotencyWindow = logic.IdempotentByKey, logic.Micros(c.Window.Microseconds())
 		}
 		s.Classes = append(s.Classes, class)
 	}
@@ -396,7 +396,7 @@
 	}
 	p.clock.AfterFunc(back, func() {
 		settings := p.Settings()
-		settings.Cold, settings.ColdCapacity, settings.WarmAfter = p.ColdFrom > 0, p.ColdFrom, logic.Micros(p.ColdFor.Microseconds())
+		settings.SlowStart, settings.SlowStartCapacity, settings.SlowStartDuration = p.ColdFrom > 0, p.ColdFrom, logic.Micros(p.ColdFor.Microseconds())
 		p.begin(h, settings)
 		if w := p.rollout; w != nil {
 			label := h.version.label
@@ -590,7 +590,7 @@
 	r.tell(t.Request, t.ID, h.name, "sent", "")
 	r.clock.AfterFunc(r.Hop, func() {
 		if h.gone {
-			r.back(at, &t, node.Answer{Kind: node.Refused}) // nobody listens: it never ran
+			r.back(at, &t, node.Response{Status: node.StatusRejected}) // nobody listens: it never ran
 			return
 		}
 		if r.now != &t || h.lost() {
@@ -611,7 +611,7 @@
 // offer gives a try that has been read to its node.
 func (r *request) offer(at int, t *Try) {
 	h := r.nodes[at]
-	h.server.Offer(t, func(a node.Answer) {
+	h.server.Offer(t, func(a node.Response) {
 		if r.rollout != nil {
 			r.rollout.answered(h, t, &a)
 		}
@@ -626,18 +626,18 @@
 func (h *host) lost() bool { return h.lossy > 0 && h.loss.Float64() < h.lossy }
 
 // back takes the answer to a try.
-func (r *request) back(at int, t *Try, a node.Answer) {
+func (r *request) back(at int, t *Try, a node.Response) {
 	delete(r.tries, t)
 	if r.now != t {
 		return // its client gave up
 	}
 	r.now = nil
 	r.caller.open[at]--
-	if a.Kind == node.Refused && a.Holdoff > 0 {
-		r.caller.keepAway(at, r.clock.Now().Add(a.Holdoff))
+	if a.Status == node.StatusRejected && a.RetryAfter > 0 {
+		r.caller.keepAway(at, r.clock.Now().Add(a.RetryAfter))
 	}
 	switch {
-	case a.Kind == node.Served:
+	case a.Status == node.StatusServed:
 		took := r.clock.Now().Sub(r.born)
 		_ = r.tally.Latency.RecordValue(max(1, took.Microseconds()))
 		if took <= r.class.Aim {
@@ -647,18 +647,18 @@
 			r.end(&r.tally.Late)
 		}
 		return
-	case a.Kind == node.Failed && r.class.Keyed: // it may have run: another node would run it again
+	case a.Status == node.StatusFailed && r.class.Keyed: // it may have run: another node would run it again
 		r.end(&r.tally.Failed)
 		return
-	case r.Walk && a.Kind == node.Refused && r.left > 0 && !(a.Last && r.caller.obeys):
+	case r.Walk && a.Status == node.StatusRejected && r.left > 0 && !(a.NoFailover && r.caller.obeys):
 		r.left--
 		r.send()
 		return
-	case !r.Walk && r.left > 0 && !(a.Last && r.Heed) && r.caller.affords(r.Budget):
+	case !r.Walk && r.left > 0 && !(a.NoFailover && r.Heed) && r.caller.affords(r.Budget):
 		r.left--
 		wait := r.Backoff
-		if r.Heed && a.Holdoff > 0 {
-			wait = a.Holdoff
+		if r.Heed && a.RetryAfter > 0 {
+			wait = a.RetryAfter
 		}
 		if r.Watch != nil {
 			r.tell(t.Request, "", "", "waits", wait.String())
@@ -670,7 +670,7 @@
 		})
 		return
 	}
-	if a.Kind == node.Refused {
+	if a.Status == node.StatusRejected {
 		r.end(&r.tally.Refused)
 	} else {
 		r.end(&r.tally.Failed)
@@ -810,7 +810,7 @@
 	if r := p.tries[t]; r != nil {
 		for i := range p.nodes {
 			if p.nodes[i] == h {
-				p.clock.AfterFunc(p.Hop, func() { r.back(i, t, node.Answer{Kind: node.Failed}) })
+				p.clock.AfterFunc(p.Hop, func() { r.back(i, t, node.Response{Status: node.StatusFailed}) })
 			}
 		}
 	}
--- a/internal/frontend/gracefulclose/linger.go
+++ b/internal/frontend/gracefulclose/linger.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// Drain ends a connection from this side and drops what the peer still sends, until it ends too, span is over or most
+// CloseWriteAndDiscard ends a connection from this side and drops what the peer still sends, until it ends too, span is over or most
 // bytes have come; it blocks for that long. The connection is still to be closed then.
-func Drain(c net.Conn, span time.Duration, most int) {
+func CloseWriteAndDiscard(c net.Conn, span time.Duration, most int) {
 	CloseWrite(c)
 	if c.SetReadDeadline(time.Now().Add(span)) != nil {
 		return
@@ -37,20 +37,20 @@
 	}
 }
 
-// look is how often End looks whether the peer has ended.
-const look = 5 * time.Millisecond
+// pollInterval is how often End looks whether the peer has ended.
+const pollInterval = 5 * time.Millisecond
 
-// End ends a connection from this side and waits until the peer has ended it too, or span is over; it blocks for that long. What the
+// CloseWriteAndWait ends a connection from this side and waits until the peer has ended it too, or span is over; it blocks for that long. What the
 // peer still sends is left unread: a request that is read is owed an answer, and none can follow. The connection is still to be closed then.
-func End(c net.Conn, span time.Duration) {
+func CloseWriteAndWait(c net.Conn, span time.Duration) {
 	CloseWrite(c)
-	for end := time.Now().Add(span); time.Now().Before(end) && !peerEnded(c); {
-		time.Sleep(look)
+	for end := time.Now().Add(span); time.Now().Before(end) && !peerClosed(c); {
+		time.Sleep(pollInterval)
 	}
 }
 
-// peerEnded says whether the peer has ended its side, which can be seen without reading what it sent before.
-func peerEnded(c net.Conn) bool {
+// peerClosed says whether the peer has ended its side, which can be seen without reading what it sent before.
+func peerClosed(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -68,31 +68,31 @@
 	return ended || err != nil
 }
 
-// ErrNothing says that nothing has arrived on a connection.
-var ErrNothing = errors.New("nothing has arrived")
+// ErrNoData says that nothing has arrived on a connection.
+var ErrNoData = errors.New("nothing has arrived")
 
 // Errors that pass by themselves are tried again so often, with a rest between.
 const (
-	passingMost = 500
-	passingRest = 2 * time.Millisecond
+	maxTransientRetries = 500
+	transientRetryDelay = 2 * time.Millisecond
 )
 
-// ReadArrived reads what has arrived on a connection, without waiting; with a deadline in the past the connection's own Read would leave it.
+// ReadAvailable reads what has arrived on a connection, without waiting; with a deadline in the past the connection's own Read would leave it.
 // Where nothing has it returns ErrNothing, and if end is set it shuts the sending side down by the very next system call: a request that arrives
 // in between would get no answer. On a connection without a descriptor of its own, such as one of TLS, nothing has arrived.
-func ReadArrived(c net.Conn, b []byte, end bool) (n int, err error) {
+func ReadAvailable(c net.Conn, b []byte, end bool) (n int, err error) {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
-		return 0, ErrNothing
+		return 0, ErrNoData
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	n, err = readArrived(control, b, end)
-	for tries := 0; sockerr.Passing(err) && tries < passingMost; tries++ {
-		time.Sleep(passingRest) // nothing is wrong with the connection, and what has arrived may be owed an answer
-		n, err = readArrived(control, b, end)
+	n, err = readAvailable(control, b, end)
+	for tries := 0; sockerr.IsTransient(err) && tries < maxTransientRetries; tries++ {
+		time.Sleep(transientRetryDelay) // nothing is wrong with the connection, and what has arrived may be owed an answer
+		n, err = readAvailable(control, b, end)
 	}
 	return n, err
 }
@@ -100,8 +100,8 @@
 // readDescriptor is read(2); tests have it fail.
 var readDescriptor = unix.Read
 
-// readArrived is one try of ReadArrived.
-func readArrived(control syscall.RawConn, b []byte, end bool) (n int, err error) {
+// readAvailable is one try of ReadArrived.
+func readAvailable(control syscall.RawConn, b []byte, end bool) (n int, err error) {
 	var readErr error
 	err = control.Control(func(fd uintptr) {
 		n, readErr = readDescriptor(int(fd), b)
@@ -113,7 +113,7 @@
 	case err != nil:
 		return 0, err
 	case readErr == unix.EAGAIN:
-		return 0, ErrNothing
+		return 0, ErrNoData
 	case readErr != nil:
 		return 0, readErr
 	case n == 0:
@@ -122,9 +122,9 @@
 	return n, nil
 }
 
-// Waiting says whether connections wait in a listener's queue to be accepted. Where none does and end is set, the queue is shut by the very next
+// HasPendingConnections says whether connections wait in a listener's queue to be accepted. Where none does and end is set, the queue is shut by the very next
 // system call: a connection that comes in between would be reset. It is false for a listener that is closed or has no descriptor of its own.
-func Waiting(ln net.Listener, end bool) (waiting bool) {
+func HasPendingConnections(ln net.Listener, end bool) (waiting bool) {
 	raw, ok := ln.(syscall.Conn)
 	if !ok {
 		return false
@@ -136,7 +136,7 @@
 	err = control.Control(func(fd uintptr) {
 		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		n, err := unix.Poll(state, 0)
-		for tries := 0; sockerr.Passing(err) && tries < passingMost; tries++ {
+		for tries := 0; sockerr.IsTransient(err) && tries < maxTransientRetries; tries++ {
 			n, err = unix.Poll(state, 0)
 		}
 		waiting = err == nil && n > 0 && state[0].Revents&unix.POLLIN != 0
--- a/internal/frontend/gracefulclose/linger_test.go
+++ b/internal/frontend/gracefulclose/linger_test.go
@@ -47,9 +47,9 @@
 	}
 	defer func() { readDescriptor = unix.Read }()
 	b := make([]byte, 64)
-	n, err := ReadArrived(ours, b, false)
-	for end := time.Now().Add(standin.Patience); errors.Is(err, ErrNothing) && time.Now().Before(end); {
-		n, err = ReadArrived(ours, b, false)
+	n, err := ReadAvailable(ours, b, false)
+	for end := time.Now().Add(standin.Patience); errors.Is(err, ErrNoData) && time.Now().Before(end); {
+		n, err = ReadAvailable(ours, b, false)
 	}
 	if err != nil || string(b[:n]) != "request" {
 		t.Errorf("%q, %v, want the request", b[:max(0, n)], err)
@@ -60,22 +60,22 @@
 func TestReadArrivedEnds(t *testing.T) {
 	ours, peer := connected(t)
 	b := make([]byte, 64)
-	if n, err := ReadArrived(ours, b, false); n != 0 || !errors.Is(err, ErrNothing) {
+	if n, err := ReadAvailable(ours, b, false); n != 0 || !errors.Is(err, ErrNoData) {
 		t.Errorf("%d, %v where nothing has come", n, err)
 	}
 	if _, err := io.WriteString(ours, "answer"); err != nil {
 		t.Errorf("%v: the sending side is shut down unasked", err)
 	}
-	if _, err := ReadArrived(ours, b, true); !errors.Is(err, ErrNothing) {
+	if _, err := ReadAvailable(ours, b, true); !errors.Is(err, ErrNoData) {
 		t.Error(err)
 	}
 	if got, err := io.ReadAll(peer); err != nil || string(got) != "answer" {
 		t.Errorf("%q, %v, want the answer and the end", got, err)
 	}
 	peer.Close()
-	_, err := ReadArrived(ours, b, true)
-	for end := time.Now().Add(standin.Patience); errors.Is(err, ErrNothing) && time.Now().Before(end); {
-		_, err = ReadArrived(ours, b, true)
+	_, err := ReadAvailable(ours, b, true)
+	for end := time.Now().Add(standin.Patience); errors.Is(err, ErrNoData) && time.Now().Before(end); {
+		_, err = ReadAvailable(ours, b, true)
 	}
 	if !errors.Is(err, io.EOF) {
 		t.Errorf("%v, want the peer's end", err)
@@ -83,7 +83,7 @@
 	one, other := net.Pipe()
 	defer one.Close()
 	defer other.Close()
-	if _, err := ReadArrived(one, b, true); !errors.Is(err, ErrNothing) {
+	if _, err := ReadAvailable(one, b, true); !errors.Is(err, ErrNoData) {
 		t.Errorf("%v on a connection without a descriptor", err)
 	}
 }
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -14,23 +14,23 @@
 
 // conn is one balancer's connection.
 type conn struct {
-	front  *Front
-	net    *guarded
-	seat   *connlimit.Seat
-	served bool // its read loop was entered
-	bad    int  // messages that could not be taken
-	spoken int  // messages so far
+	front        *Front
+	socket       *framedConn
+	slot         *connlimit.Slot
+	served       bool // its read loop was entered
+	badMessages  int  // messages that could not be taken
+	messagesRead int  // messages so far
 
-	mu      sync.Mutex
-	open    map[string]string // tags of open requests to their ids
-	used    time.Time
-	finAt   time.Time // when it was asked to close
-	out     []byte
-	writing bool
-	ended   bool // nothing more is read from it
-	lost    bool // its reading ended by its peer, or the connection is cut: nothing can follow
-	dead    bool // nothing more is written to it
-	ending  bool // its socket is closed, or soon will be
+	mu               sync.Mutex
+	openRequests     map[string]string // tags of open requests to their ids
+	lastUsed         time.Time
+	closeRequestedAt time.Time // when it was asked to close
+	output           []byte
+	flushing         bool
+	readEnded        bool // nothing more is read from it
+	peerGone         bool // its reading ended by its peer, or the connection is cut: nothing can follow
+	writeEnded       bool // nothing more is written to it
+	closing          bool // its socket is closed, or soon will be
 }
 
 // serve reads messages until the connection ends.
@@ -38,180 +38,180 @@
 	k.served = true
 	var err error
 	for err == nil {
-		if err = k.message(cmd.Args); errors.Is(err, errUnseated) {
-			k.net.stop() // what arrived behind it is owed an answer as well
+		if err = k.handleMessage(cmd.Args); errors.Is(err, errSlotLost) {
+			k.socket.stopReading() // what arrived behind it is owed an answer as well
 			err = nil
 		}
 		if err == nil {
 			cmd, err = dc.ReadCommand()
 		}
 	}
-	k.end(err)
+	k.endReading(err)
 }
 
 // Errors of messages after which a connection takes nothing more.
 var (
-	errTagTwice = errors.New("the tag of an open request, or too many open requests")
-	errTooBad   = errors.New("too many messages that can't be taken")
-	errUnseated = errors.New("its place was given away")
-	errCut      = errors.New("it came as the connection was cut")
+	errDuplicateTag       = errors.New("the tag of an open request, or too many open requests")
+	errTooManyBadMessages = errors.New("too many messages that can't be taken")
+	errSlotLost           = errors.New("its place was given away")
+	errAborted            = errors.New("it came as the connection was cut")
 )
 
 // Causes of the end of reading.
-type cause int
+type endCause int
 
 const (
-	byPeer  cause = iota // it left, or the connection is lost: nobody waits for what is open
-	byFront              // the connection is being closed from this side: what was read is still answered
-	byInput              // what can't be taken came
+	endedByPeer     endCause = iota // it left, or the connection is lost: nobody waits for what is open
+	endedLocally                    // the connection is being closed from this side: what was read is still answered
+	endedByBadInput                 // what can't be taken came
 )
 
-func causeOf(err error) cause {
-	for _, bad := range []error{errFrame, errSlow, errTag, errTagTwice, errTooBad} {
+func endCauseOf(err error) endCause {
+	for _, bad := range []error{errFraming, errMessageTimeout, errNoTag, errDuplicateTag, errTooManyBadMessages} {
 		if errors.Is(err, bad) {
-			return byInput
+			return endedByBadInput
 		}
 	}
-	if errors.Is(err, errStopped) || errors.Is(err, errUnseated) {
-		return byFront
+	if errors.Is(err, errReadingStopped) || errors.Is(err, errSlotLost) {
+		return endedLocally
 	}
-	return byPeer
+	return endedByPeer
 }
 
-// end takes the end of reading. If the peer left, nobody waits for what is open. If it sent what can't be taken, what
+// endReading takes the end of reading. If the peer left, nobody waits for what is open. If it sent what can't be taken, what
 // it sent before is answered at once, without waiting for runs, and the connection closes.
-func (k *conn) end(err error) {
-	why := causeOf(err)
+func (k *conn) endReading(err error) {
+	why := endCauseOf(err)
 	k.mu.Lock()
-	k.ended = true
+	k.readEnded = true
 	var ids []string
-	for _, id := range k.open {
+	for _, id := range k.openRequests {
 		ids = append(ids, id)
 	}
-	if why == byPeer {
-		k.lost, k.dead = true, true
-		clear(k.open)
+	if why == endedByPeer {
+		k.peerGone, k.writeEnded = true, true
+		clear(k.openRequests)
 	}
 	k.closeIfDone()
 	k.mu.Unlock()
-	if why == byInput {
+	if why == endedByBadInput {
 		k.front.log.Warn("bad message: the connection is closed", err)
 	} else {
-		k.front.opts.Log.Debug("nothing more is read from a connection", "peer", k.net.RemoteAddr(), "error", err, "open", ids)
+		k.front.opts.Log.Debug("nothing more is read from a connection", "peer", k.socket.RemoteAddr(), "error", err, "open", ids)
 	}
 	for _, id := range ids {
 		switch why {
-		case byPeer:
-			k.front.opts.Core.Gone(id)
-		case byInput:
-			k.front.opts.Core.GiveUp(id)
+		case endedByPeer:
+			k.front.opts.Core.Cancel(id)
+		case endedByBadInput:
+			k.front.opts.Core.Abort(id)
 		}
 	}
 }
 
-// message handles one array. An error ends the reading.
-func (k *conn) message(args [][]byte) error {
+// handleMessage handles one array. An error ends the reading.
+func (k *conn) handleMessage(args [][]byte) error {
 	lim := k.front.opts.Limits
-	m, err := parse(args, lim.Body, lim.Fields)
-	if errors.Is(err, errTag) {
+	m, err := parse(args, lim.BodyBytes, lim.FieldListBytes)
+	if errors.Is(err, errNoTag) {
 		return err
 	}
 	if err == nil && m.verb == "UNDO" {
-		k.undo(m.tag)
+		k.cancelRequest(m.tag)
 		return nil
 	}
 	k.mu.Lock()
-	if k.dead {
+	if k.writeEnded {
 		k.mu.Unlock()
-		return errCut // no answer could follow: it must not run, and its caller learns by the close that it did not
+		return errAborted // no answer could follow: it must not run, and its caller learns by the close that it did not
 	}
 	// Whatever is said under the tag of an open request would be taken for that one's answer.
-	if _, twice := k.open[m.tag]; twice || m.verb == "DO" && len(k.open) >= lim.OpenPerConn {
+	if _, twice := k.openRequests[m.tag]; twice || m.verb == "DO" && len(k.openRequests) >= lim.RequestsPerConnection {
 		k.mu.Unlock()
-		return errTagTwice
+		return errDuplicateTag
 	}
-	k.used = time.Now()
-	k.spoken++
+	k.lastUsed = time.Now()
+	k.messagesRead++
 	if m.verb == "DO" {
-		k.open[m.tag] = m.do.req
+		k.openRequests[m.tag] = m.do.req
 	}
-	seated := k.seat.Set(k.state())
-	waits := !seated && k.net.unseated && !k.net.isStopping()
+	seated := k.slot.SetState(k.slotState())
+	waits := !seated && k.socket.unadmitted && !k.socket.isStopping()
 	k.mu.Unlock()
 	if waits {
-		seated = k.sit(&m.do)
+		seated = k.waitForSlot(&m.do)
 	}
 	var q node.Request
 	switch {
 	case m.verb == "DO" && !seated:
 		// It was read, so it is owed an answer, but there is no place for its connection: the core never hears of it.
-		k.answer(m.tag, node.Answer{Kind: k.front.opts.Core.Refusal(m.do.class, m.do.opkey)})
-		return errUnseated
+		k.sendAnswer(m.tag, node.Response{Status: k.front.opts.Core.RejectionStatus(m.do.class, m.do.opkey)})
+		return errSlotLost
 	case m.verb == "DO":
 		if err == nil {
-			q, err = k.request(&m.do)
+			q, err = k.nodeRequest(&m.do)
 		}
 		if err != nil { // it was read, so it is owed an answer; this try never ran
-			k.answer(m.tag, node.Answer{Kind: k.front.opts.Core.Refusal(m.do.class, m.do.opkey)})
+			k.sendAnswer(m.tag, node.Response{Status: k.front.opts.Core.RejectionStatus(m.do.class, m.do.opkey)})
 		}
 		if errors.Is(err, errUnknownClass) {
 			// Well formed, of a class that the settings do not name (yet, or any more): balancers learn of a retuning
 			// late, and the connection carries others' requests, so it is no fault of the connection's.
 			k.front.log.Warn("unknown class: refused", err)
-			if k.front.opts.Unknown != nil {
-				k.front.opts.Unknown(m.do.class)
+			if k.front.opts.OnUnknownClass != nil {
+				k.front.opts.OnUnknownClass(m.do.class)
 			}
 			return nil
 		}
 	case err != nil:
-		k.write(m.tag, words[node.Failed], k.signal(), nil, "")
+		k.enqueueAnswer(m.tag, answerWords[node.StatusFailed], k.loadSignal(), nil, "")
 	default:
 		word := "GREEN"
-		if !k.front.opts.Standing.Well() {
+		if !k.front.opts.Status.Healthy() {
 			word = "RED"
 		}
-		k.write(m.tag, word, k.signal(), nil, "")
+		k.enqueueAnswer(m.tag, word, k.loadSignal(), nil, "")
 		if !seated {
-			return errUnseated
+			return errSlotLost
 		}
 		return nil
 	}
 	if err != nil {
 		k.front.log.Warn("bad message: turned away", err)
-		if k.bad++; k.bad >= lim.BadPerConn {
-			return errTooBad
+		if k.badMessages++; k.badMessages >= lim.BadMessagesPerConnection {
+			return errTooManyBadMessages
 		}
 		return nil
 	}
-	k.front.opts.Core.Submit(q, func(a node.Answer) { k.answer(m.tag, a) })
+	k.front.opts.Core.Submit(q, func(a node.Response) { k.sendAnswer(m.tag, a) })
 	return nil
 }
 
-// sitPart is the part of its caller's time that a newcomer's request may spend waiting for a place.
-const sitPart = 8
+// slotWaitDivisor is the part of its caller's time that a newcomer's request may spend waiting for a place.
+const slotWaitDivisor = 8
 
-// sit has a newcomer wait for a place, for as long as a connection that spoke just now keeps its own, but not for long by its caller's measure.
-func (k *conn) sit(d *do) bool {
-	patience := k.front.opts.Limits.Quiet
+// waitForSlot has a newcomer wait for a place, for as long as a connection that spoke just now keeps its own, but not for long by its caller's measure.
+func (k *conn) waitForSlot(d *do) bool {
+	patience := k.front.opts.Limits.IdleConnectionGrace
 	if d.wait > 0 {
-		patience = min(patience, d.wait/sitPart)
+		patience = min(patience, d.wait/slotWaitDivisor)
 	}
-	if !k.seat.Sit(patience) {
+	if !k.slot.AcquireWithin(patience) {
 		return false
 	}
 	k.mu.Lock()
-	k.net.unseated = false
-	k.seat.Set(k.state())
+	k.socket.unadmitted = false
+	k.slot.SetState(k.slotState())
 	k.mu.Unlock()
-	k.net.limit = k.front.opts.Limits.Message
-	<-k.front.unseated
+	k.socket.messageTimeout = k.front.opts.Limits.MessageTimeout
+	<-k.front.unadmitted
 	return true
 }
 
 var errUnknownClass = errors.New("unknown class")
 
-// request is what DO asks for in the core's terms, if there can be such a request at all.
-func (k *conn) request(d *do) (node.Request, error) {
+// nodeRequest is what DO asks for in the core's terms, if there can be such a request at all.
+func (k *conn) nodeRequest(d *do) (node.Request, error) {
 	o := &k.front.opts
 	class, known := (*k.front.classes.Load())[d.class]
 	if !known {
@@ -223,64 +223,64 @@
 			return node.Request{}, fmt.Errorf("unknown tenant %.40q", d.owner)
 		}
 	}
-	arrived, err := o.Stamps.Instant(d.stamp)
+	arrived, err := o.Timestamps.Instant(d.stamp)
 	if err != nil {
 		return node.Request{}, err
 	}
-	return node.Request{ID: d.req, Class: class, Tenant: tenant, KB: d.need, Hint: d.work, Rank: d.level, Retry: d.resent,
-		Source: d.via, Arrived: arrived, Wait: d.wait, Key: d.opkey, Body: d.body, Content: d.body, Runner: o.Runner, Front: "resp"}, nil
+	return node.Request{ID: d.req, Class: class, Tenant: tenant, MemoryKB: d.need, WorkHint: d.work, PriorityRank: d.level, Retry: d.resent,
+		CallerID: d.via, ArrivedAt: arrived, AttemptTimeout: d.wait, IdempotencyKey: d.opkey, Body: d.body, Content: d.body, Runner: o.Runner, Protocol: "resp"}, nil
 }
 
-// state is what the connection is doing; the caller holds mu.
-func (k *conn) state() connlimit.State {
-	if len(k.open) > 0 || len(k.out) > 0 || k.writing {
-		return connlimit.Busy
+// slotState is what the connection is doing; the caller holds mu.
+func (k *conn) slotState() connlimit.State {
+	if len(k.openRequests) > 0 || len(k.output) > 0 || k.flushing {
+		return connlimit.StateActive
 	}
-	if k.spoken == 1 {
-		return connlimit.Once
+	if k.messagesRead == 1 {
+		return connlimit.StateIdleAfterOne
 	}
-	return connlimit.Idle
+	return connlimit.StateIdle
 }
 
-// owes says whether an answer is owed on the connection or still to be written. Where none is, the connection is about to end, and its peer is
+// answersOwed says whether an answer is owed on the connection or still to be written. Where none is, the connection is about to end, and its peer is
 // not asked to close it any more.
-func (k *conn) owes() bool {
+func (k *conn) answersOwed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.open) > 0 || len(k.out) > 0 || k.writing {
+	if len(k.openRequests) > 0 || len(k.output) > 0 || k.flushing {
 		return true
 	}
-	if k.finAt.IsZero() {
-		k.finAt = time.Now()
+	if k.closeRequestedAt.IsZero() {
+		k.closeRequestedAt = time.Now()
 	}
 	return false
 }
 
-func (k *conn) undo(tag string) {
+func (k *conn) cancelRequest(tag string) {
 	k.mu.Lock()
-	id, known := k.open[tag]
-	delete(k.open, tag)
-	k.used = time.Now()
-	k.seat.Set(k.state())
+	id, known := k.openRequests[tag]
+	delete(k.openRequests, tag)
+	k.lastUsed = time.Now()
+	k.slot.SetState(k.slotState())
 	k.closeIfDone()
 	k.mu.Unlock()
 	if known {
-		k.front.opts.Core.Gone(id)
+		k.front.opts.Core.Cancel(id)
 	}
 }
 
-var words = map[node.Kind]string{node.Served: "ACK", node.Refused: "NAK", node.Failed: "FAIL"}
+var answerWords = map[node.Status]string{node.StatusServed: "ACK", node.StatusRejected: "NAK", node.StatusFailed: "FAIL"}
 
-func (k *conn) answer(tag string, a node.Answer) {
-	fields := k.signal()
-	if a.Kind == node.Refused && a.Holdoff > 0 {
+func (k *conn) sendAnswer(tag string, a node.Response) {
+	fields := k.loadSignal()
+	if a.Status == node.StatusRejected && a.RetryAfter > 0 {
 		fields = appendField(fields, "holdoff")
-		fields = strconv.AppendInt(fields, (a.Holdoff + time.Millisecond - 1).Milliseconds(), 10)
+		fields = strconv.AppendInt(fields, (a.RetryAfter + time.Millisecond - 1).Milliseconds(), 10)
 	}
-	if a.Kind == node.Refused && a.Last {
+	if a.Status == node.StatusRejected && a.NoFailover {
 		fields = append(appendField(fields, "nomore"), '1')
 	}
-	k.write(tag, words[a.Kind], fields, a.Result, tag)
+	k.enqueueAnswer(tag, answerWords[a.Status], fields, a.Result, tag)
 }
 
 func appendField(fields []byte, name string) []byte {
@@ -290,32 +290,32 @@
 	return append(append(fields, name...), '=')
 }
 
-// signal is the field that goes with every answer once there is something to tell.
-func (k *conn) signal() []byte {
-	v, set := k.front.opts.Standing.Signal()
+// loadSignal is the field that goes with every answer once there is something to tell.
+func (k *conn) loadSignal() []byte {
+	v, set := k.front.opts.Status.LoadSignal()
 	if !set {
 		return nil
 	}
 	return strconv.AppendFloat(appendField(nil, "signal"), v, 'f', 4, 64)
 }
 
-func (k *conn) sweep(now time.Time, idle time.Duration, leaving bool) {
+func (k *conn) closeIfIdle(now time.Time, idle time.Duration, leaving bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case k.ended:
-	case !k.finAt.IsZero():
-		if len(k.open) == 0 && len(k.out) == 0 && !k.writing && now.Sub(k.finAt) > k.front.opts.Limits.Closing {
-			k.net.stop()
+	case k.readEnded:
+	case !k.closeRequestedAt.IsZero():
+		if len(k.openRequests) == 0 && len(k.output) == 0 && !k.flushing && now.Sub(k.closeRequestedAt) > k.front.opts.Limits.PeerCloseTimeout {
+			k.socket.stopReading()
 		}
-	case leaving, len(k.open) == 0 && idle > 0 && now.Sub(k.used) > idle:
-		k.ask(now)
+	case leaving, len(k.openRequests) == 0 && idle > 0 && now.Sub(k.lastUsed) > idle:
+		k.requestClose(now)
 	}
 }
 
-// ask asks the balancer to close the connection; k.mu is held.
-func (k *conn) ask(now time.Time) {
-	k.finAt = now
-	k.front.opts.Log.Debug("a peer is asked to close", "peer", k.net.RemoteAddr())
-	k.queue("0", "FIN", nil, nil)
+// requestClose asks the balancer to close the connection; k.mu is held.
+func (k *conn) requestClose(now time.Time) {
+	k.closeRequestedAt = now
+	k.front.opts.Log.Debug("a peer is asked to close", "peer", k.socket.RemoteAddr())
+	k.enqueue("0", "FIN", nil, nil)
 }
--- a/internal/frontend/resp/crossings_test.go
+++ b/internal/frontend/resp/crossings_test.go
@@ -24,38 +24,38 @@
 // desk is a core that holds each request until the test answers it.
 type desk struct {
 	mu      sync.Mutex
-	replies map[string]func(node.Answer)
+	replies map[string]func(node.Response)
 	gone    []string
 	came    chan string
 }
 
 func newDesk() *desk {
-	return &desk{replies: map[string]func(node.Answer){}, came: make(chan string, 4096)}
+	return &desk{replies: map[string]func(node.Response){}, came: make(chan string, 4096)}
 }
 
-func (d *desk) Submit(q node.Request, reply func(node.Answer)) {
+func (d *desk) Submit(q node.Request, reply func(node.Response)) {
 	d.mu.Lock()
 	d.replies[q.ID] = reply
 	d.mu.Unlock()
 	d.came <- q.ID
 }
 
-func (d *desk) Gone(id string) {
+func (d *desk) Cancel(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.gone = append(d.gone, id)
 }
 
-func (d *desk) Refusal(_, key string) node.Kind {
+func (d *desk) RejectionStatus(_, key string) node.Status {
 	if key == "ran" {
-		return node.Failed
+		return node.StatusFailed
 	}
-	return node.Refused
+	return node.StatusRejected
 }
 
-func (d *desk) GiveUp(id string) { d.answer(id, node.Answer{Kind: node.Refused}) }
+func (d *desk) Abort(id string) { d.answer(id, node.Response{Status: node.StatusRejected}) }
 
-func (d *desk) answer(id string, a node.Answer) {
+func (d *desk) answer(id string, a node.Response) {
 	d.mu.Lock()
 	reply := d.replies[id]
 	d.mu.Unlock()
@@ -65,17 +65,17 @@
 // restless is a standing that wants idle connections closed at once.
 type restless struct{ mood }
 
-func (restless) Idle() time.Duration { return 1 }
+func (restless) IdleTimeout() time.Duration { return 1 }
 
 // opened is a front on a socket, in front of a desk.
-func opened(t *testing.T, s Standing, change func(*limits.Limits)) (*Front, *desk, *Listener) {
+func opened(t *testing.T, s NodeStatus, change func(*limits.Limits)) (*Front, *desk, *Listener) {
 	t.Helper()
 	lim := limits.For(64, 256)
 	if change != nil {
 		change(&lim)
 	}
 	d := newDesk()
-	f := New(Options{Core: d, Standing: s, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.Quiet})
+	f := New(Options{Core: d, Status: s, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.Quiet})
 	ln := f.Listen(standin.Listen(t), false)
 	go f.Serve(ln)
 	t.Cleanup(f.Close)
@@ -123,14 +123,14 @@
 // TestARequestBesideTheCloseOfARestingConnection: it crosses the close, so it is left unread, and the close does not reset what was
 // answered before, though that is still unread.
 func TestARequestBesideTheCloseOfARestingConnection(t *testing.T) {
-	f, d, ln := opened(t, restless{}, func(l *limits.Limits) { l.Closing, l.Linger = 0, time.Hour })
+	f, d, ln := opened(t, restless{}, func(l *limits.Limits) { l.PeerCloseTimeout, l.CloseTimeout = 0, time.Hour })
 	b := standin.Dial(t, ln.Addr().String())
 	b.Send(standin.Array("PING", "1"))
-	until(t, "answered", func() bool { k := f.only(); return k != nil && k.idle() })
-	f.Sweep() // asks
-	until(t, "asked", func() bool { return f.only().idle() })
-	f.Sweep() // ends it from this side
-	until(t, "no longer read", func() bool { k := f.only(); k.mu.Lock(); defer k.mu.Unlock(); return k.ended })
+	until(t, "answered", func() bool { k := f.only(); return k != nil && k.isIdle() })
+	f.CloseIdle() // asks
+	until(t, "asked", func() bool { return f.only().isIdle() })
+	f.CloseIdle() // ends it from this side
+	until(t, "no longer read", func() bool { k := f.only(); k.mu.Lock(); defer k.mu.Unlock(); return k.readEnded })
 	b.Do(7, "book", req, time.Now(), "body", "") // it comes in whole, and stays unread until the peer has ended too
 	b.Send(another)                              // and half of one more
 	if got := rest(t, b); got != green+fin {
@@ -138,17 +138,17 @@
 	}
 	b.Send(standin.Array("PING", "8")) // a reset would have come by now
 	b.Close()
-	until(t, "closed", func() bool { return f.Open() == 0 })
+	until(t, "closed", func() bool { return f.OpenConnections() == 0 })
 	if len(d.came) > 0 || len(d.gone) > 0 {
 		t.Errorf("%d requests were taken, %v told as gone", len(d.came), d.gone)
 	}
 }
 
-// idle says whether nothing is open or waits to be written.
-func (k *conn) idle() bool {
+// isIdle says whether nothing is open or waits to be written.
+func (k *conn) isIdle() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.spoken > 0 && len(k.open) == 0 && len(k.out) == 0 && !k.writing
+	return k.messagesRead > 0 && len(k.openRequests) == 0 && len(k.output) == 0 && !k.flushing
 }
 
 const req = "9b1f03aa5c7e2d41"
@@ -159,12 +159,12 @@
 	b := standin.Dial(t, ln.Addr().String())
 	b.Send(standin.Array("PING", "1"))
 	b.Read()
-	until(t, "idle", func() bool { return f.only().idle() })
+	until(t, "idle", func() bool { return f.only().isIdle() })
 	k := f.only()
 	k.mu.Lock()
-	k.cut()
+	k.abort()
 	k.mu.Unlock()
-	if err := k.message([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(fine), nil}); !errors.Is(err, errCut) || len(d.came) > 0 {
+	if err := k.handleMessage([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(fine), nil}); !errors.Is(err, errAborted) || len(d.came) > 0 {
 		t.Errorf("%v, %d requests taken", err, len(d.came))
 	}
 }
@@ -177,17 +177,17 @@
 		fresh, resting := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
 		resting.Send(standin.Array("PING", "1"))
 		resting.Read()
-		until(t, "both are there", func() bool { return f.Open() == 2 })
+		until(t, "both are there", func() bool { return f.OpenConnections() == 2 })
 		go func() {
 			for id := range d.came {
-				d.answer(id, node.Answer{Kind: node.Served, Result: []byte(id)})
+				d.answer(id, node.Response{Status: node.StatusServed, Result: []byte(id)})
 			}
 		}()
 		finished := make(chan struct{})
 		go func() {
 			defer close(finished)
 			time.Sleep(time.Duration(play) * time.Microsecond)
-			f.Finish(standin.Patience)
+			f.Shutdown(standin.Patience)
 		}()
 		fresh.Do(7, "book", "9b1f03aa5c7e2d41", time.Now(), "body", "")
 		resting.Do(7, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "")
@@ -219,7 +219,7 @@
 	}
 	defer c.Close()
 	lim := limits.For(64, 256)
-	g := &guarded{Conn: c, frames: frames{mostParts: lim.FrameParts, mostBulk: lim.Frame, mostFrame: lim.Frame}, limit: time.Hour, since: time.Now(), spare: lim.Frame}
+	g := &framedConn{Conn: c, frames: frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}, messageTimeout: time.Hour, timeoutFrom: time.Now(), finalBytes: lim.FrameBytes}
 	b.Do(7, "book", req, time.Now(), "body", "")
 	control, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -234,24 +234,24 @@
 		return err == nil && there
 	})
 	buf := make([]byte, 4096)
-	g.since = time.Now().Add(-2 * g.limit) // it stood still since before the request came
+	g.timeoutFrom = time.Now().Add(-2 * g.messageTimeout) // it stood still since before the request came
 	if n, err := g.Read(buf[:10]); err != nil || !strings.HasPrefix(string(buf[:n]), "*5") {
 		t.Errorf("%q, %v past the deadline, want what has arrived", buf[:n], err)
 	}
-	g.stop()
-	g.stop()
+	g.stopReading()
+	g.stopReading()
 	if n, err := g.Read(buf); err != nil || !strings.Contains(string(buf[:n]), "body") {
 		t.Errorf("%q, %v, want the rest of the request", buf[:n], err)
 	}
-	if n, err := g.Read(buf); n != 0 || !errors.Is(err, errStopped) {
+	if n, err := g.Read(buf); n != 0 || !errors.Is(err, errReadingStopped) {
 		t.Errorf("%d bytes, %v, want the end of reading", n, err)
 	}
-	late := &guarded{Conn: c, frames: frames{mostParts: lim.FrameParts, mostBulk: lim.Frame, mostFrame: lim.Frame}, limit: time.Hour, since: time.Now().Add(-2 * time.Hour), spare: lim.Frame}
-	if n, err := late.Read(buf); n != 0 || !errors.Is(err, errSlow) {
+	late := &framedConn{Conn: c, frames: frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}, messageTimeout: time.Hour, timeoutFrom: time.Now().Add(-2 * time.Hour), finalBytes: lim.FrameBytes}
+	if n, err := late.Read(buf); n != 0 || !errors.Is(err, errMessageTimeout) {
 		t.Errorf("%d bytes, %v where nothing has come by the deadline", n, err)
 	}
 	b.Close()
-	g.spare = 1
+	g.finalBytes = 1
 	until(t, "the peer's end is seen", func() bool { _, err := g.Read(buf); return errors.Is(err, io.EOF) })
 }
 
@@ -263,20 +263,20 @@
 	b.Do(7, "book", req, time.Now(), "body", "")
 	<-d.came
 	b.Send("nonsense")
-	until(t, "given up", func() bool { k := f.only(); k.mu.Lock(); defer k.mu.Unlock(); return k.ended })
+	until(t, "given up", func() bool { k := f.only(); k.mu.Lock(); defer k.mu.Unlock(); return k.readEnded })
 	b.Send(strings.Repeat("more of it\r\n", 4000))
 	if got := rest(t, b); got != green+"*2\r\n$1\r\n7\r\n$3\r\nNAK\r\n" {
 		t.Errorf("%q", got)
 	}
 	b.Close()
-	until(t, "closed", func() bool { return f.Open() == 0 })
+	until(t, "closed", func() bool { return f.OpenConnections() == 0 })
 }
 
 // TestMakingRoomTakesNoAnswerAlong: a connection that makes room ends from this side; its answer comes, and what it sends then is
 // not taken. Only a few such may wait for their peers: the longest is cut.
 func TestMakingRoomTakesNoAnswerAlong(t *testing.T) {
 	f, d, ln := opened(t, mood{}, func(l *limits.Limits) {
-		l.Connections, l.Quiet, l.Newcomer, l.Evicted, l.Linger = 1, 0, 0, 2, time.Hour
+		l.MaxConnections, l.IdleConnectionGrace, l.NewConnectionGrace, l.EvictedConnections, l.CloseTimeout = 1, 0, 0, 2, time.Hour
 	})
 	var peers []*standin.Balancer
 	for range 4 {
@@ -286,15 +286,15 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for k := range f.conns {
-				if k.net.RemoteAddr().String() == b.LocalAddr().String() {
-					return k.idle()
+				if k.socket.RemoteAddr().String() == b.LocalAddr().String() {
+					return k.isIdle()
 				}
 			}
 			return false
 		})
 		peers = append(peers, b)
 	}
-	until(t, "three made room", func() bool { return f.evicted.len() == 2 })
+	until(t, "three made room", func() bool { return f.evictions.len() == 2 })
 	b := peers[1]
 	b.Do(7, "book", req, time.Now(), "body", "")
 	if got := rest(t, b); got != green {
@@ -312,7 +312,7 @@
 func TestManyMakeRoomAtOnce(t *testing.T) {
 	const conns = 6
 	for play := range 30 {
-		f, _, ln := opened(t, mood{}, func(l *limits.Limits) { l.Evicted, l.Unseated = 1, conns })
+		f, _, ln := opened(t, mood{}, func(l *limits.Limits) { l.EvictedConnections, l.UnadmittedConnections = 1, conns })
 		var peers []*standin.Balancer
 		for range conns {
 			b := standin.Dial(t, ln.Addr().String())
@@ -320,16 +320,16 @@
 			b.Read()
 			peers = append(peers, b)
 		}
-		until(t, "all idle", func() bool { return !slices.ContainsFunc(f.all(), func(k *conn) bool { return !k.idle() }) })
-		all := f.all()
+		until(t, "all idle", func() bool { return !slices.ContainsFunc(f.connections(), func(k *conn) bool { return !k.isIdle() }) })
+		all := f.connections()
 		for _, k := range all {
-			k.seat.Leave() // it was given away
+			k.slot.Release() // it was given away
 		}
 		for _, b := range peers {
 			b.Do(7, "book", req, time.Now(), "body", "")
 		}
 		for _, k := range all {
-			f.evict(k.net)
+			f.evict(k.socket)
 		}
 		for i, b := range peers {
 			if got := b.Read(); len(got) < 2 || got[1] != "NAK" {
@@ -337,14 +337,14 @@
 			}
 			b.Close()
 		}
-		until(t, "no more wait than may", func() bool { return f.evicted.len() <= 1 })
+		until(t, "no more wait than may", func() bool { return f.evictions.len() <= 1 })
 	}
 }
 
 // TestNoPlaceForANewConnection: all places are busy, and more connections come with a request than may wait beside them. Each is answered: refused,
 // or failed where its key has run. One that says nothing is closed, and those in their places are served.
 func TestNoPlaceForANewConnection(t *testing.T) {
-	f, d, ln := opened(t, mood{}, func(l *limits.Limits) { l.Connections, l.Unseated = 2, 2 })
+	f, d, ln := opened(t, mood{}, func(l *limits.Limits) { l.MaxConnections, l.UnadmittedConnections = 2, 2 })
 	var busy []*standin.Balancer
 	for i := range 2 {
 		b := standin.Dial(t, ln.Addr().String())
@@ -381,18 +381,20 @@
 		t.Errorf("%d requests without a place were taken", len(d.came))
 	}
 	for i, b := range busy {
-		d.answer(fmt.Sprintf("%016x", i), node.Answer{Kind: node.Served})
+		d.answer(fmt.Sprintf("%016x", i), node.Response{Status: node.StatusServed})
 		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
 			t.Errorf("in its place: %q", got)
 		}
 	}
-	until(t, "all who had no place are gone", func() bool { return len(f.unseated) == 0 })
+	until(t, "all who had no place are gone", func() bool { return len(f.unadmitted) == 0 })
 }
 
 // TestANewcomerWaitsNoLongerThanItsCallerCan: all places are with connections that spoke just now and keep them for long. Newcomers are read at
 // once, and refused in good time for callers that have little; one whose caller says nothing of it gets the first place that is free.
 func TestANewcomerWaitsNoLongerThanItsCallerCan(t *testing.T) {
-	f, d, ln := opened(t, mood{}, func(l *limits.Limits) { l.Connections, l.Unseated, l.Quiet = 2, 2, time.Hour })
+	f, d, ln := opened(t, mood{}, func(l *limits.Limits) {
+		l.MaxConnections, l.UnadmittedConnections, l.IdleConnectionGrace = 2, 2, time.Hour
+	})
 	var idle []*standin.Balancer
 	for range 2 {
 		b := standin.Dial(t, ln.Addr().String())
@@ -414,18 +416,18 @@
 	if len(d.came) > 0 {
 		t.Fatal("taken without a place")
 	}
-	until(t, "only the patient one waits", func() bool { return len(f.unseated) == 1 })
+	until(t, "only the patient one waits", func() bool { return len(f.unadmitted) == 1 })
 	idle[0].Close()
 	select {
 	case <-d.came:
 	case <-time.After(standin.Patience):
 		t.Fatal("not taken though a place is free")
 	}
-	d.answer(req, node.Answer{Kind: node.Served})
+	d.answer(req, node.Response{Status: node.StatusServed})
 	if got := patient.Read(); len(got) < 2 || got[1] != "ACK" {
 		t.Errorf("%q, want the answer", got)
 	}
-	until(t, "nobody is without a place", func() bool { return len(f.unseated) == 0 })
+	until(t, "nobody is without a place", func() bool { return len(f.unadmitted) == 0 })
 }
 
 // gatedListener accepts nothing while the gate is shut.
@@ -443,7 +445,7 @@
 // it closes then. The front does not count as free before that.
 func TestAcceptBesideTheCloseOfTheListener(t *testing.T) {
 	d := newDesk()
-	f := New(Options{Core: d, Standing: mood{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: d, Status: mood{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.Quiet})
 	gate := make(chan struct{})
 	under := standin.Listen(t).(*net.TCPListener)
 	ln := f.Listen(&gatedListener{under, gate}, false)
@@ -459,7 +461,7 @@
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if f.Open() == 0 {
+	if f.OpenConnections() == 0 {
 		t.Error("free, with a queue that nobody looked at")
 	}
 	close(gate)
@@ -469,7 +471,7 @@
 		}
 		b.Close()
 	}
-	until(t, "free", func() bool { return f.Open() == 0 })
+	until(t, "free", func() bool { return f.OpenConnections() == 0 })
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		c.Close()
 		t.Error("the listener is open")
@@ -478,7 +480,7 @@
 
 // TestASharedListenerIsLeftAtOnce: what waits in its queue is the other process's.
 func TestASharedListenerIsLeftAtOnce(t *testing.T) {
-	f := New(Options{Core: newDesk(), Standing: mood{}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: newDesk(), Status: mood{}, Limits: limits.For(64, 256), Log: standin.Quiet})
 	gate := make(chan struct{})
 	under := standin.Listen(t).(*net.TCPListener)
 	own, err := under.File()
@@ -498,7 +500,7 @@
 	b.Send("x")
 	ln.Close()
 	close(gate)
-	until(t, "left", func() bool { return f.Open() == 0 })
+	until(t, "left", func() bool { return f.OpenConnections() == 0 })
 	c, err := other.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -518,29 +520,29 @@
 	half.Send(standin.Array("PING", "1") + another)
 	late.Do(7, "book", req, time.Now(), "body", "")
 	<-d.came
-	until(t, "all are there", func() bool { return f.Open() == 4 })
+	until(t, "all are there", func() bool { return f.OpenConnections() == 4 })
 	until(t, "answered", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		n := 0
 		for k := range f.conns {
-			if k.idle() {
+			if k.isIdle() {
 				n++
 			}
 		}
 		return n == 2
 	})
-	d.answer(req, node.Answer{Kind: node.Served, Result: bytes.Repeat([]byte("r"), 4096)})
-	f.Finish(0) // nobody has ended yet
-	if f.Open() == 0 {
+	d.answer(req, node.Response{Status: node.StatusServed, Result: bytes.Repeat([]byte("r"), 4096)})
+	f.Shutdown(0) // nobody has ended yet
+	if f.OpenConnections() == 0 {
 		t.Error("all have ended already")
 	}
 	until(t, "nothing more is read", func() bool {
-		return !slices.ContainsFunc(f.all(), func(k *conn) bool { k.mu.Lock(); defer k.mu.Unlock(); return !k.ended })
+		return !slices.ContainsFunc(f.connections(), func(k *conn) bool { k.mu.Lock(); defer k.mu.Unlock(); return !k.readEnded })
 	})
 	ended := make(chan struct{})
 	go func() {
-		f.Finish(standin.Patience)
+		f.Shutdown(standin.Patience)
 		close(ended)
 	}()
 	resting.Do(8, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "") // too late to be taken
@@ -552,8 +554,8 @@
 		b.Close()
 	}
 	<-ended
-	if f.Open() != 0 || len(d.came) > 0 {
-		t.Errorf("%d connections are open, %d requests were taken", f.Open(), len(d.came))
+	if f.OpenConnections() != 0 || len(d.came) > 0 {
+		t.Errorf("%d connections are open, %d requests were taken", f.OpenConnections(), len(d.came))
 	}
 }
 
@@ -620,11 +622,11 @@
 	lim := limits.For(64, 256)
 	text := standin.Array("PING", "1")
 	s := &short{in: []byte(text)}
-	g := &guarded{Conn: s, frames: frames{mostParts: lim.FrameParts, mostBulk: lim.Frame, mostFrame: lim.Frame}, limit: time.Hour, since: time.Now()}
+	g := &framedConn{Conn: s, frames: frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}, messageTimeout: time.Hour, timeoutFrom: time.Now()}
 	if got, err := io.ReadAll(g); err != nil || string(got) != text {
 		t.Errorf("read %q, %v", got, err)
 	}
-	k := &conn{front: New(Options{Limits: lim, Log: standin.Quiet}), net: g}
+	k := &conn{front: New(Options{Limits: lim, Log: standin.Quiet}), socket: g}
 	if err := k.writeAll([]byte("an answer")); err != nil || string(s.out) != "an answer" {
 		t.Errorf("wrote %q, %v", s.out, err)
 	}
@@ -632,9 +634,9 @@
 
 // TestASlowReader gets its answer whole as long as it reads on; one that does not is cut.
 func TestASlowReader(t *testing.T) {
-	f := New(Options{Core: newDesk(), Standing: mood{}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: newDesk(), Status: mood{}, Limits: limits.For(64, 256), Log: standin.Quiet})
 	peer := &slowly{}
-	k := &conn{front: f, net: &guarded{Conn: peer}}
+	k := &conn{front: f, socket: &framedConn{Conn: peer}}
 	if err := k.writeAll([]byte("an answer of some length")); err != nil || string(peer.got) != "an answer of some length" {
 		t.Errorf("%q, %v", peer.got, err)
 	}
@@ -647,34 +649,34 @@
 // TestWhatNobodyReadsStaysWithinItsBounds: that of each peer, and that of all.
 func TestWhatNobodyReadsStaysWithinItsBounds(t *testing.T) {
 	lim := limits.For(64, 256)
-	lim.Backlogs = 1 << 20
-	f := New(Options{Core: newDesk(), Standing: mood{}, Limits: lim, Log: standin.Quiet})
+	lim.TotalUnreadAnswerBytes = 1 << 20
+	f := New(Options{Core: newDesk(), Status: mood{}, Limits: lim, Log: standin.Quiet})
 	const peers = 40
-	most := int64(lim.Backlogs + peers*lim.Backlog/backlogPart)
+	most := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
 	var conns []*conn
 	for range peers {
 		ours, theirs := net.Pipe() // holds nothing
 		t.Cleanup(func() { theirs.Close() })
-		conns = append(conns, &conn{front: f, net: &guarded{Conn: ours}, seat: f.seats.Take(func() {}), open: map[string]string{}})
+		conns = append(conns, &conn{front: f, socket: &framedConn{Conn: ours}, slot: f.slots.Acquire(func() {}), openRequests: map[string]string{}})
 	}
 	peak, body := int64(0), make([]byte, 4096)
-	for range lim.Backlog/len(body) + 2 {
+	for range lim.UnreadAnswerBytes/len(body) + 2 {
 		for _, k := range conns {
-			k.write("1", "ACK", nil, body, "")
-			if peak = max(peak, f.unread.Load()); peak > most {
+			k.enqueueAnswer("1", "ACK", nil, body, "")
+			if peak = max(peak, f.unreadBytes.Load()); peak > most {
 				t.Fatalf("%d bytes wait for peers, %d at most", peak, most)
 			}
 		}
 	}
 	for _, k := range conns {
 		k.mu.Lock()
-		k.cut()
+		k.abort()
 		k.mu.Unlock()
 	}
-	if peak <= int64(lim.Backlogs) {
-		t.Errorf("%d bytes waited at most: the bound of %d was not reached", peak, lim.Backlogs)
+	if peak <= int64(lim.TotalUnreadAnswerBytes) {
+		t.Errorf("%d bytes waited at most: the bound of %d was not reached", peak, lim.TotalUnreadAnswerBytes)
 	}
-	until(t, "nothing waits any more", func() bool { return f.unread.Load() == 0 })
+	until(t, "nothing waits any more", func() bool { return f.unreadBytes.Load() == 0 })
 }
 
 // narrowListener's connections hold next to nothing of what is written to them.
@@ -692,15 +694,15 @@
 // reads gets its answers.
 func TestAFloodThatNobodyReads(t *testing.T) {
 	lim := limits.For(64, 256)
-	lim.Backlogs, lim.Write = 128<<10, time.Hour
+	lim.TotalUnreadAnswerBytes, lim.WriteTimeout = 128<<10, time.Hour
 	d := newDesk()
-	f := New(Options{Core: d, Standing: mood{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.Quiet})
+	f := New(Options{Core: d, Status: mood{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.Quiet})
 	ln := f.Listen(narrowListener{standin.Listen(t).(*net.TCPListener)}, false)
 	go f.Serve(ln)
 	t.Cleanup(f.Close)
 	good := standin.Dial(t, ln.Addr().String())
 	const peers = 12
-	most := int64(lim.Backlogs + peers*lim.Backlog/backlogPart)
+	most := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
 	var flooding sync.WaitGroup
 	for range peers {
 		b := standin.Dial(t, ln.Addr().String())
@@ -714,25 +716,25 @@
 				if _, err := b.Write(flood); err != nil {
 					return
 				}
-				if n := f.unread.Load(); n > most {
+				if n := f.unreadBytes.Load(); n > most {
 					t.Errorf("%d bytes wait for peers, %d at most", n, most)
 				}
 			}
 		})
 	}
 	flooding.Wait()
-	until(t, "the bound of all holds", func() bool { return f.unread.Load() <= most })
+	until(t, "the bound of all holds", func() bool { return f.unreadBytes.Load() <= most })
 	good.Do(7, "book", req, time.Now(), "body", "")
 	<-d.came
-	d.answer(req, node.Answer{Kind: node.Served, Result: []byte("r")})
+	d.answer(req, node.Response{Status: node.StatusServed, Result: []byte("r")})
 	if got := good.Read(); len(got) < 2 || got[1] != "ACK" {
 		t.Errorf("answer %q", got)
 	}
-	f.Finish(0)
+	f.Shutdown(0)
 	f.mu.Lock()
 	for k := range f.conns {
-		k.net.Close()
+		k.socket.Close()
 	}
 	f.mu.Unlock()
-	until(t, "nothing waits any more", func() bool { return f.unread.Load() == 0 && f.Open() == 0 })
+	until(t, "nothing waits any more", func() bool { return f.unreadBytes.Load() == 0 && f.OpenConnections() == 0 })
 }
--- a/internal/frontend/resp/describe_test.go
+++ b/internal/frontend/resp/describe_test.go
@@ -54,7 +54,7 @@
 		m := described(t)[name]
 		for _, example := range m.Examples {
 			read := func(what string, payload map[string]any) {
-				_, err := parse(array(payload), lim.Body, lim.Fields)
+				_, err := parse(array(payload), lim.BodyBytes, lim.FieldListBytes)
 				if valid := m.Valid(payload); (err == nil) != (valid == nil) {
 					t.Errorf("%s, %s: the parser says %v, the description %v", name, what, err, valid)
 				}
@@ -98,29 +98,29 @@
 	set    bool
 }
 
-func (m mood) Signal() (float64, bool) { return m.signal, m.set }
-func (mood) Well() bool                { return true }
-func (mood) Idle() time.Duration       { return 0 }
+func (m mood) LoadSignal() (float64, bool) { return m.signal, m.set }
+func (mood) Healthy() bool                 { return true }
+func (mood) IdleTimeout() time.Duration    { return 0 }
 
 // TestAnswersFollowTheDescription: every answer that the front can write is a described one.
 func TestAnswersFollowTheDescription(t *testing.T) {
 	messages := described(t)
 	for _, c := range []struct {
-		a    node.Answer
+		a    node.Response
 		m    mood
 		want string
 	}{
-		{node.Answer{Kind: node.Served, Result: []byte("r")}, mood{0.25, true}, "7 ACK signal=0.2500 r"},
-		{node.Answer{Kind: node.Served}, mood{}, "7 ACK"},
-		{node.Answer{Kind: node.Refused, Holdoff: 1500 * time.Microsecond, Last: true}, mood{0, true}, "7 NAK signal=0.0000,holdoff=2,nomore=1 "},
-		{node.Answer{Kind: node.Refused}, mood{}, "7 NAK"},
-		{node.Answer{Kind: node.Failed, Holdoff: time.Second, Last: true}, mood{}, "7 FAIL"},
+		{node.Response{Status: node.StatusServed, Result: []byte("r")}, mood{0.25, true}, "7 ACK signal=0.2500 r"},
+		{node.Response{Status: node.StatusServed}, mood{}, "7 ACK"},
+		{node.Response{Status: node.StatusRejected, RetryAfter: 1500 * time.Microsecond, NoFailover: true}, mood{0, true}, "7 NAK signal=0.0000,holdoff=2,nomore=1 "},
+		{node.Response{Status: node.StatusRejected}, mood{}, "7 NAK"},
+		{node.Response{Status: node.StatusFailed, RetryAfter: time.Second, NoFailover: true}, mood{}, "7 FAIL"},
 	} {
-		f := New(Options{Standing: c.m, Limits: limits.For(64, 256), Log: standin.Quiet})
-		k := &conn{front: f, seat: f.seats.Take(nil), open: map[string]string{"7": "id"}, writing: true} // nothing is flushed
-		k.answer("7", c.a)
-		k.answer("7", c.a) // a second answer must not be written
-		cmd, err := redcon.Parse(k.out)
+		f := New(Options{Status: c.m, Limits: limits.For(64, 256), Log: standin.Quiet})
+		k := &conn{front: f, slot: f.slots.Acquire(nil), openRequests: map[string]string{"7": "id"}, flushing: true} // nothing is flushed
+		k.sendAnswer("7", c.a)
+		k.sendAnswer("7", c.a) // a second answer must not be written
+		cmd, err := redcon.Parse(k.output)
 		if err != nil {
 			t.Fatal(err)
 		}
