--- a/internal/frontend/resp/evict_test.go
+++ b/internal/frontend/resp/evict_test.go
@@ -20,8 +20,8 @@
 		b.Read()
 		peers = append(peers, b)
 		until(t, "it is idle", func() bool {
-			for _, k := range f.all() {
-				if k.net.RemoteAddr().String() == b.LocalAddr().String() && k.idle() {
+			for _, k := range f.connections() {
+				if k.socket.RemoteAddr().String() == b.LocalAddr().String() && k.isIdle() {
 					conns = append(conns, k)
 					return true
 				}
@@ -58,13 +58,13 @@
 	for range 20 {
 		f, d, ln := opened(t, mood{}, nil)
 		peers, conns := idleConnections(t, f, ln.Addr().String(), 1)
-		conns[0].seat.Leave() // whichever is read first, the requests or the end: the place is gone
+		conns[0].slot.Release() // whichever is read first, the requests or the end: the place is gone
 		var burst strings.Builder
 		for _, tag := range []string{"7", "8", "9"} {
 			burst.WriteString(standin.Array("DO", tag, "book", fine, "body"))
 		}
 		peers[0].Send(burst.String())
-		f.evict(conns[0].net)
+		f.evict(conns[0].socket)
 		wantRefusals(t, peers[0], "7", "8", "9")
 		if len(d.came) > 0 {
 			t.Fatal("a request without a place was taken")
@@ -78,7 +78,7 @@
 // TestAllRequestsOfANewcomerWithoutAPlaceAreAnswered: the same where there is no place from the start. What was written on the connection by the
 // time that the first request is refused is answered as well.
 func TestAllRequestsOfANewcomerWithoutAPlaceAreAnswered(t *testing.T) {
-	f, d, ln := opened(t, mood{}, func(l *limits.Limits) { l.Connections = 1 })
+	f, d, ln := opened(t, mood{}, func(l *limits.Limits) { l.MaxConnections = 1 })
 	busy := standin.Dial(t, ln.Addr().String())
 	busy.Do(7, "book", req, time.Now(), "body", "")
 	<-d.came
@@ -91,7 +91,7 @@
 	if words["7"] != "NAK" || words["8"] != "GREEN" || words["9"] != "NAK" {
 		t.Errorf("%v, want both requests refused and the health check answered", words)
 	}
-	until(t, "nobody is without a place", func() bool { return len(f.unseated) == 0 })
+	until(t, "nobody is without a place", func() bool { return len(f.unadmitted) == 0 })
 }
 
 // TestACrowdMakesRoomBeforeItsRequestsAreRead: as the process goes on after a pause, newcomers take the places of many connections faster than
@@ -99,11 +99,13 @@
 // on it. The newcomers have to wait instead.
 func TestACrowdMakesRoomBeforeItsRequestsAreRead(t *testing.T) {
 	const conns = 8
-	f, _, ln := opened(t, mood{}, func(l *limits.Limits) { l.Evicted, l.Unseated, l.Linger = 1, 1, time.Hour })
+	f, _, ln := opened(t, mood{}, func(l *limits.Limits) {
+		l.EvictedConnections, l.UnadmittedConnections, l.CloseTimeout = 1, 1, time.Hour
+	})
 	peers, all := idleConnections(t, f, ln.Addr().String(), conns)
 	for _, k := range all {
-		k.mu.Lock()    // its reader gets no turn yet
-		k.seat.Leave() // and its place is given away by then
+		k.mu.Lock()      // its reader gets no turn yet
+		k.slot.Release() // and its place is given away by then
 	}
 	for _, b := range peers {
 		b.Send(standin.Array("DO", "7", "book", fine, "body"))
@@ -112,7 +114,7 @@
 	go func() {
 		defer close(evicted)
 		for _, k := range all {
-			f.evict(k.net)
+			f.evict(k.socket)
 		}
 	}()
 	time.Sleep(50 * time.Millisecond) // they make room meanwhile, as many as may
@@ -133,12 +135,12 @@
 // TestAPauseOutlastsTheEndOfAConnectionThatMakesRoom: the process stands still for longer than limits.Linger just after a connection made
 // room. The connection was closed by the timer before the request on it was read.
 func TestAPauseOutlastsTheEndOfAConnectionThatMakesRoom(t *testing.T) {
-	f, _, ln := opened(t, mood{}, func(l *limits.Limits) { l.Linger = time.Millisecond })
+	f, _, ln := opened(t, mood{}, func(l *limits.Limits) { l.CloseTimeout = time.Millisecond })
 	peers, all := idleConnections(t, f, ln.Addr().String(), 1)
 	all[0].mu.Lock() // its reader gets no turn yet
 	peers[0].Send(standin.Array("DO", "7", "book", fine, "body"))
-	all[0].seat.Leave()
-	f.evict(all[0].net)
+	all[0].slot.Release()
+	f.evict(all[0].socket)
 	time.Sleep(50 * time.Millisecond)
 	all[0].mu.Unlock()
 	wantRefusals(t, peers[0], "7")
@@ -151,7 +153,7 @@
 	b := standin.Dial(t, ln.Addr().String())
 	b.Do(7, "book", "9b1f03aa5c7e2d41", time.Now(), "body", "")
 	<-d.came
-	go f.Finish(standin.Patience)
+	go f.Shutdown(standin.Patience)
 	time.Sleep(50 * time.Millisecond)
 	b.Do(8, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "")
 	select {
@@ -160,7 +162,7 @@
 		t.Fatal("the second request is not read")
 	}
 	for _, id := range []string{"9b1f03aa5c7e2d42", "9b1f03aa5c7e2d41"} {
-		d.answer(id, node.Answer{Kind: node.Refused})
+		d.answer(id, node.Response{Status: node.StatusRejected})
 	}
 	for _, tag := range []string{"8", "7"} {
 		if got := b.Read(); len(got) < 2 || got[0] != tag || got[1] != "NAK" {
--- a/internal/frontend/resp/guard.go
+++ b/internal/frontend/resp/guard.go
@@ -13,36 +13,36 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// errStopped ends the reading of a connection that is being closed from this side.
-var errStopped = errors.New("nothing more is read: the connection is being closed")
+// errReadingStopped ends the reading of a connection that is being closed from this side.
+var errReadingStopped = errors.New("nothing more is read: the connection is being closed")
 
-// guarded is a connection whose reads are well framed and come in time; after what is not, they fail.
-type guarded struct {
+// framedConn is a connection whose reads are well framed and come in time; after what is not, they fail.
+type framedConn struct {
 	net.Conn
-	frames   frames
-	bad      error
-	limit    time.Duration // for a message to come whole, and for the first one to come
-	since    time.Time     // when that time began
-	seat     *connlimit.Seat
-	unseated bool // there is no place for it: it is refused and ends
-	spare    int  // bytes that may still be read once the reading is to stop
+	frames         frameValidator
+	readErr        error
+	messageTimeout time.Duration // for a message to come whole, and for the first one to come
+	timeoutFrom    time.Time     // when that time began
+	slot           *connlimit.Slot
+	unadmitted     bool // there is no place for it: it is refused and ends
+	finalBytes     int  // bytes that may still be read once the reading is to stop
 
-	settled atomic.Bool // nothing is left to write on it
-	owes    func() bool // whether answers are owed on it; nil: none are, ever
+	flushed     atomic.Bool // nothing is left to write on it
+	answersOwed func() bool // whether answers are owed on it; nil: none are, ever
 
 	mu       sync.Mutex
 	stopping bool
 }
 
 // Close closes the connection.
-func (g *guarded) Close() error {
-	g.settled.Store(true)
+func (g *framedConn) Close() error {
+	g.flushed.Store(true)
 	return g.Conn.Close()
 }
 
-// stop has the connection end from this side once no answer is owed on it; what arrives until then is read, up to spare bytes. It may be called
+// stopReading has the connection end from this side once no answer is owed on it; what arrives until then is read, up to spare bytes. It may be called
 // from any goroutine, and more than once.
-func (g *guarded) stop() {
+func (g *framedConn) stopReading() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopping {
@@ -52,8 +52,8 @@
 	_ = g.SetReadDeadline(time.Now()) // it wakes the reader; one whose connection is closed is awake
 }
 
-// arm sets the time by which the next bytes must come. It returns false where the reading is to stop.
-func (g *guarded) arm(deadline time.Time) (reading bool, err error) {
+// armDeadline sets the time by which the next bytes must come. It returns false where the reading is to stop.
+func (g *framedConn) armDeadline(deadline time.Time) (reading bool, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopping {
@@ -63,31 +63,31 @@
 }
 
 // isStopping says whether the reading is to stop.
-func (g *guarded) isStopping() bool {
+func (g *framedConn) isStopping() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.stopping
 }
 
-func (g *guarded) Read(b []byte) (int, error) {
-	if g.bad != nil {
-		return 0, g.bad
+func (g *framedConn) Read(b []byte) (int, error) {
+	if g.readErr != nil {
+		return 0, g.readErr
 	}
-	whole, begun := g.frames.whole, g.frames.state != wantArray
+	whole, begun := g.frames.complete, g.frames.state != wantArray
 	deadline := time.Time{} // between messages a connection may be quiet for as long as the front lets it
 	if begun || whole == 0 {
-		deadline = g.since.Add(g.limit)
+		deadline = g.timeoutFrom.Add(g.messageTimeout)
 	}
-	n, err := g.readBy(deadline, b)
+	n, err := g.readUntil(deadline, b)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err, g.bad = errSlow, errSlow
+		err, g.readErr = errMessageTimeout, errMessageTimeout
 	}
 	ok, bad := g.frames.check(b[:n])
-	if g.frames.whole > whole || whole > 0 && !begun {
-		g.since = time.Now()
+	if g.frames.complete > whole || whole > 0 && !begun {
+		g.timeoutFrom = time.Now()
 	}
 	if bad != nil {
-		g.bad = bad // what came whole before it is handed on first
+		g.readErr = bad // what came whole before it is handed on first
 		if ok == 0 {
 			return 0, bad
 		}
@@ -96,54 +96,54 @@
 	return n, err
 }
 
-// readBy reads what comes by the deadline, or has come where the reading is to stop.
-func (g *guarded) readBy(deadline time.Time, b []byte) (int, error) {
-	reading, err := g.arm(deadline)
+// readUntil reads what comes by the deadline, or has come where the reading is to stop.
+func (g *framedConn) readUntil(deadline time.Time, b []byte) (int, error) {
+	reading, err := g.armDeadline(deadline)
 	if err != nil {
 		return 0, err
 	}
 	if !reading {
-		return g.readRest(b)
+		return g.readRemaining(b)
 	}
 	n, err := g.Conn.Read(b)
-	for tries := 0; n == 0 && sockerr.Passing(err) && tries < passingMost; tries++ {
-		time.Sleep(passingRest) // nothing is wrong with the connection, and its requests are owed answers
+	for tries := 0; n == 0 && sockerr.IsTransient(err) && tries < maxTransientRetries; tries++ {
+		time.Sleep(transientRetryDelay) // nothing is wrong with the connection, and its requests are owed answers
 		n, err = g.Conn.Read(b)
 	}
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
 	if g.isStopping() {
-		return g.readRest(b)
+		return g.readRemaining(b)
 	}
 	// The deadline may have passed while the process stood still, and what came meanwhile came in time.
-	n, arrived := gracefulclose.ReadArrived(g.Conn, b, false)
-	if errors.Is(arrived, gracefulclose.ErrNothing) {
+	n, arrived := gracefulclose.ReadAvailable(g.Conn, b, false)
+	if errors.Is(arrived, gracefulclose.ErrNoData) {
 		return 0, err
 	}
 	return n, arrived
 }
 
-// passingMost is how many times in a row a read is tried again after errors that pass by themselves.
-const passingMost = 500
+// maxTransientRetries is how many times in a row a read is tried again after errors that pass by themselves.
+const maxTransientRetries = 500
 
-// restLook is how often a connection that is to end looks for further bytes while answers are owed on it.
-const restLook = 2 * time.Millisecond
+// remainingPollInterval is how often a connection that is to end looks for further bytes while answers are owed on it.
+const remainingPollInterval = 2 * time.Millisecond
 
-// readRest reads what arrives on a connection that is to end, up to spare bytes, as long as answers are owed on it. Once none is and nothing has
+// readRemaining reads what arrives on a connection that is to end, up to spare bytes, as long as answers are owed on it. Once none is and nothing has
 // arrived, it ends the connection from this side: a request that arrives before that is read and answered, whenever the process stood still.
-func (g *guarded) readRest(b []byte) (int, error) {
-	for g.spare > 0 {
-		last := g.owes == nil || !g.owes()
-		n, err := gracefulclose.ReadArrived(g.Conn, b, last)
-		if !errors.Is(err, gracefulclose.ErrNothing) {
-			g.spare -= n
+func (g *framedConn) readRemaining(b []byte) (int, error) {
+	for g.finalBytes > 0 {
+		last := g.answersOwed == nil || !g.answersOwed()
+		n, err := gracefulclose.ReadAvailable(g.Conn, b, last)
+		if !errors.Is(err, gracefulclose.ErrNoData) {
+			g.finalBytes -= n
 			return n, err
 		}
 		if last {
 			break
 		}
-		time.Sleep(restLook)
+		time.Sleep(remainingPollInterval)
 	}
-	return 0, errStopped
+	return 0, errReadingStopped
 }
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -13,7 +13,7 @@
 type slowListener struct{ *net.TCPListener }
 
 func (s slowListener) Accept() (net.Conn, error) {
-	time.Sleep(2 * lastLook)
+	time.Sleep(2 * quietPeriod)
 	return s.TCPListener.Accept()
 }
 
@@ -22,7 +22,7 @@
 // seed 1022 of the soak with nothing but pauses, whose connections ended 1.5 ms after the process went on, none of them in its log.
 func TestTheListenerClosesOnlyWithAnEmptyQueue(t *testing.T) {
 	d := newDesk()
-	f := New(Options{Core: d, Standing: mood{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: d, Status: mood{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.Quiet})
 	ln := f.Listen(slowListener{standin.Listen(t).(*net.TCPListener)}, false)
 	go f.Serve(ln)
 	t.Cleanup(f.Close)
@@ -41,7 +41,7 @@
 		}
 		b.Close()
 	}
-	until(t, "free", func() bool { return f.Open() == 0 })
+	until(t, "free", func() bool { return f.OpenConnections() == 0 })
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		c.Close()
 		t.Error("the listener is open")
--- a/internal/frontend/resp/output.go
+++ b/internal/frontend/resp/output.go
@@ -10,54 +10,54 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// write queues an answer, which closes the tag. It never blocks: a peer that doesn't read holds up nobody
+// enqueueAnswer queues an answer, which closes the tag. It never blocks: a peer that doesn't read holds up nobody
 // else, and one that leaves too much unread is cut off.
-func (k *conn) write(tag, word string, fields, body []byte, closes string) {
+func (k *conn) enqueueAnswer(tag, word string, fields, body []byte, closes string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.used = time.Now()
+	k.lastUsed = time.Now()
 	if closes != "" {
-		if _, open := k.open[closes]; !open {
+		if _, open := k.openRequests[closes]; !open {
 			return // undone meanwhile
 		}
-		delete(k.open, closes)
+		delete(k.openRequests, closes)
 	}
-	k.queue(tag, word, fields, body)
-	k.seat.Set(k.state())
+	k.enqueue(tag, word, fields, body)
+	k.slot.SetState(k.slotState())
 }
 
-func (k *conn) queue(tag, word string, fields, body []byte) {
-	if k.dead {
+func (k *conn) enqueue(tag, word string, fields, body []byte) {
+	if k.writeEnded {
 		return
 	}
-	parts, had := 2, len(k.out)
+	parts, had := 2, len(k.output)
 	if len(fields) > 0 || len(body) > 0 {
 		parts = 4
 	}
-	k.out = redcon.AppendArray(k.out, parts)
-	k.out = redcon.AppendBulkString(k.out, tag)
-	k.out = redcon.AppendBulkString(k.out, word)
+	k.output = redcon.AppendArray(k.output, parts)
+	k.output = redcon.AppendBulkString(k.output, tag)
+	k.output = redcon.AppendBulkString(k.output, word)
 	if parts == 4 {
-		k.out = redcon.AppendBulk(k.out, fields)
-		k.out = redcon.AppendBulk(k.out, body)
+		k.output = redcon.AppendBulk(k.output, fields)
+		k.output = redcon.AppendBulk(k.output, body)
 	}
-	k.front.unread.Add(int64(len(k.out) - had))
+	k.front.unreadBytes.Add(int64(len(k.output) - had))
 	lim := k.front.opts.Limits
-	if n := len(k.out); n > lim.Backlog || n > lim.Backlog/backlogPart && k.front.unread.Load() > int64(lim.Backlogs) {
-		k.cut()
+	if n := len(k.output); n > lim.UnreadAnswerBytes || n > lim.UnreadAnswerBytes/sharedBacklogDivisor && k.front.unreadBytes.Load() > int64(lim.TotalUnreadAnswerBytes) {
+		k.abort()
 		return
 	}
-	if !k.writing {
-		k.writing = true
+	if !k.flushing {
+		k.flushing = true
 		go k.flush()
 	}
 }
 
-// backlogPart is the part of a peer's own bound that it may leave unread when all of them together leave too much.
-const backlogPart = 16
+// sharedBacklogDivisor is the part of a peer's own bound that it may leave unread when all of them together leave too much.
+const sharedBacklogDivisor = 16
 
-// passingRest is how long a read or write rests after an error that passes by itself.
-const passingRest = 2 * time.Millisecond
+// transientRetryDelay is how long a read or write rests after an error that passes by itself.
+const transientRetryDelay = 2 * time.Millisecond
 
 // flush writes what is queued. A peer may read as slowly as it likes, as long as it reads something within each
 // limits.Write.
@@ -65,19 +65,19 @@
 	var batch []byte
 	for {
 		k.mu.Lock()
-		k.front.unread.Add(-int64(len(batch)))
-		if k.dead || len(k.out) == 0 {
-			k.writing = false
-			k.seat.Set(k.state())
+		k.front.unreadBytes.Add(-int64(len(batch)))
+		if k.writeEnded || len(k.output) == 0 {
+			k.flushing = false
+			k.slot.SetState(k.slotState())
 			k.closeIfDone()
 			k.mu.Unlock()
 			return
 		}
-		batch, k.out = k.out, batch[:0]
+		batch, k.output = k.output, batch[:0]
 		k.mu.Unlock()
 		if err := k.writeAll(batch); err != nil {
 			k.mu.Lock()
-			k.cut()
+			k.abort()
 			k.mu.Unlock()
 		}
 	}
@@ -86,16 +86,16 @@
 func (k *conn) writeAll(b []byte) error {
 	since := time.Now() // when something was written last
 	for len(b) > 0 {
-		if err := k.net.SetWriteDeadline(time.Now().Add(k.front.opts.Limits.Write)); err != nil {
+		if err := k.socket.SetWriteDeadline(time.Now().Add(k.front.opts.Limits.WriteTimeout)); err != nil {
 			return err
 		}
-		n, err := k.net.Write(b)
+		n, err := k.socket.Write(b)
 		b = b[n:]
 		switch {
 		case err == nil, n > 0 && errors.Is(err, os.ErrDeadlineExceeded):
 			since = time.Now()
-		case sockerr.Passing(err) && time.Since(since) < k.front.opts.Limits.Write:
-			time.Sleep(passingRest) // the connection is as good as before, and an answer is owed on it
+		case sockerr.IsTransient(err) && time.Since(since) < k.front.opts.Limits.WriteTimeout:
+			time.Sleep(transientRetryDelay) // the connection is as good as before, and an answer is owed on it
 		default:
 			return err
 		}
@@ -103,51 +103,51 @@
 	return nil
 }
 
-// cut closes the socket now; the reader sees it and tells the core. k.mu is held.
-func (k *conn) cut() {
-	k.front.opts.Log.Debug("a connection is cut", "peer", k.net.RemoteAddr(), "unread", len(k.out), "open", len(k.open))
-	k.dead, k.lost = true, true
-	k.front.unread.Add(-int64(len(k.out)))
-	k.out = nil
-	k.net.Close()
+// abort closes the socket now; the reader sees it and tells the core. k.mu is held.
+func (k *conn) abort() {
+	k.front.opts.Log.Debug("a connection is cut", "peer", k.socket.RemoteAddr(), "unread", len(k.output), "open", len(k.openRequests))
+	k.writeEnded, k.peerGone = true, true
+	k.front.unreadBytes.Add(-int64(len(k.output)))
+	k.output = nil
+	k.socket.Close()
 }
 
 // closeIfDone closes the socket once nothing more is taken and all is written; k.mu is held.
 func (k *conn) closeIfDone() {
-	if k.ending || !k.ended || !k.dead && (len(k.open) > 0 || len(k.out) > 0 || k.writing) {
+	if k.closing || !k.readEnded || !k.writeEnded && (len(k.openRequests) > 0 || len(k.output) > 0 || k.flushing) {
 		return
 	}
-	k.dead, k.ending = true, true
-	k.front.unread.Add(-int64(len(k.out)))
-	k.out = nil
-	if k.lost {
+	k.writeEnded, k.closing = true, true
+	k.front.unreadBytes.Add(-int64(len(k.output)))
+	k.output = nil
+	if k.peerGone {
 		k.close()
 		return
 	}
 	go func() {
-		k.net.settled.Store(true)
-		k.front.evicted.trim()
-		span := k.front.opts.Limits.Linger
-		if k.net.unseated {
-			span /= unseatedPart
+		k.socket.flushed.Store(true)
+		k.front.evictions.trim()
+		span := k.front.opts.Limits.CloseTimeout
+		if k.socket.unadmitted {
+			span /= unadmittedLingerDivisor
 		}
-		gracefulclose.End(k.net.Conn, span)
+		gracefulclose.CloseWriteAndWait(k.socket.Conn, span)
 		k.close()
 	}()
 }
 
-// unseatedPart is the part of limits.Linger that a connection without a place has to end from the other side.
-const unseatedPart = 10
+// unadmittedLingerDivisor is the part of limits.Linger that a connection without a place has to end from the other side.
+const unadmittedLingerDivisor = 10
 
 // close closes the socket and gives up the connection's place.
 func (k *conn) close() {
-	k.net.Close()
-	k.seat.Leave()
-	k.front.evicted.remove(k.net)
+	k.socket.Close()
+	k.slot.Release()
+	k.front.evictions.remove(k.socket)
 	k.front.mu.Lock()
 	delete(k.front.conns, k)
 	k.front.mu.Unlock()
-	if k.net.unseated {
-		<-k.front.unseated
+	if k.socket.unadmitted {
+		<-k.front.unadmitted
 	}
 }
--- a/internal/frontend/resp/parse.go
+++ b/internal/frontend/resp/parse.go
@@ -29,13 +29,13 @@
 	body                              []byte
 }
 
-// errTag is a message that no answer can name.
-var errTag = errors.New("no tag")
+// errNoTag is a message that no answer can name.
+var errNoTag = errors.New("no tag")
 
 // parse reads an array. With an error and a tag, an answer can still name the request.
 func parse(args [][]byte, mostBody, mostFields int) (message, error) {
 	if len(args) < 2 || !isTag(string(args[1])) {
-		return message{}, errTag
+		return message{}, errNoTag
 	}
 	m := message{verb: string(args[0]), tag: string(args[1])}
 	switch {
--- a/internal/frontend/resp/resp_test.go
+++ b/internal/frontend/resp/resp_test.go
@@ -115,9 +115,9 @@
 func TestFrames(t *testing.T) {
 	for _, c := range framing {
 		for _, size := range []int{1, 7, 1 << 20} { // in fragments and whole
-			g := &guarded{Conn: chunked{strings.NewReader(c.in), size}, frames: frames{mostParts: 8, mostBulk: 8 << 10, mostFrame: 8 << 10}}
+			g := &framedConn{Conn: chunked{strings.NewReader(c.in), size}, frames: frameValidator{maxParts: 8, maxBulkBytes: 8 << 10, maxFrameBytes: 8 << 10}}
 			got, err := io.ReadAll(g)
-			if !strings.HasPrefix(c.in, string(got)) || len(got) != len(c.pass) || errors.Is(err, errFrame) != c.bad {
+			if !strings.HasPrefix(c.in, string(got)) || len(got) != len(c.pass) || errors.Is(err, errFraming) != c.bad {
 				t.Errorf("%s in pieces of %d: passed %.40q, %v; want %.40q, bad %v", c.name, size, got, err, c.pass, c.bad)
 			}
 		}
@@ -159,7 +159,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		lim := limits.For(64, 256)
 		read := func(r io.Reader) (commands int, framed bool) {
-			g := &guarded{Conn: chunked{r, 1 << 20}, frames: frames{mostParts: lim.FrameParts, mostBulk: lim.Frame, mostFrame: lim.Frame}}
+			g := &framedConn{Conn: chunked{r, 1 << 20}, frames: frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}}
 			in := redcon.NewReader(g)
 			for {
 				cmd, err := in.ReadCommand()
@@ -182,31 +182,31 @@
 // told is a core that notes which requests it is told are over.
 type told struct{ gone []string }
 
-func (*told) Refusal(string, string) node.Kind       { return node.Refused }
-func (*told) Submit(node.Request, func(node.Answer)) {}
-func (c *told) Gone(id string)                       { c.gone = append(c.gone, id) }
-func (c *told) GiveUp(id string)                     { c.gone = append(c.gone, id) }
+func (*told) RejectionStatus(string, string) node.Status { return node.StatusRejected }
+func (*told) Submit(node.Request, func(node.Response))   {}
+func (c *told) Cancel(id string)                         { c.gone = append(c.gone, id) }
+func (c *told) Abort(id string)                          { c.gone = append(c.gone, id) }
 
 // TestAMessageAfterTheSeatIsGone: what is read as a connection makes room is refused and not taken, and its end says nothing of the
 // request that it names, which may be another caller's.
 func TestAMessageAfterTheSeatIsGone(t *testing.T) {
 	c := &told{}
-	f := New(Options{Core: c, Standing: mood{}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: c, Status: mood{}, Limits: limits.For(64, 256), Log: standin.Quiet})
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
-	k := &conn{front: f, net: &guarded{Conn: ours}, seat: f.seats.Take(func() {}), open: map[string]string{}}
-	k.seat.Leave()
+	k := &conn{front: f, socket: &framedConn{Conn: ours}, slot: f.slots.Acquire(func() {}), openRequests: map[string]string{}}
+	k.slot.Release()
 	answer := make(chan string, 1)
 	go func() {
 		b := make([]byte, 64)
 		n, _ := theirs.Read(b)
 		answer <- string(b[:n])
 	}()
-	err := k.message([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(fine), nil})
+	err := k.handleMessage([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(fine), nil})
 	if got := <-answer; got != "*2\r\n$1\r\n7\r\n$3\r\nNAK\r\n" {
 		t.Errorf("%q, want a refusal", got)
 	}
-	if k.end(err); !errors.Is(err, errUnseated) || len(c.gone) > 0 {
+	if k.endReading(err); !errors.Is(err, errSlotLost) || len(c.gone) > 0 {
 		t.Errorf("%v, told that %v are over", err, c.gone)
 	}
 }
--- a/internal/frontend/uwsgi/caller.go
+++ b/internal/frontend/uwsgi/caller.go
@@ -51,7 +51,7 @@
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if n, arrived := closing.ReadArrived(k.Conn, b, false); arrived == nil {
+	if n, arrived := closing.ReadAvailable(k.Conn, b, false); arrived == nil {
 		return n, nil
 	}
 	return 0, err
--- a/internal/frontend/uwsgi/evict_test.go
+++ b/internal/frontend/uwsgi/evict_test.go
@@ -26,7 +26,7 @@
 		{"half of one", whole[:len(whole)/2], ""},
 		{"nothing", "", ""},
 	} {
-		r := newRig(t, nil, func(o *Options, p *PoolOptions) { o.Limits.Message = standin.Patience })
+		r := newRig(t, nil, func(o *Options, p *PoolOptions) { o.Limits.MessageTimeout = standin.Patience })
 		ln := standin.Listen(t)
 		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -38,11 +38,11 @@
 			t.Fatal(err)
 		}
 		k := &caller{Conn: ours}
-		seat := r.seats.Take(k.evict)
+		seat := r.seats.Acquire(k.evict)
 		if _, err := io.WriteString(client, c.sent); err != nil {
 			t.Fatal(err)
 		}
-		seat.Leave()
+		seat.Release()
 		k.evict()
 		served := make(chan struct{})
 		go func() {
@@ -66,7 +66,7 @@
 func TestACrowdOfCallersKeepsItsDescriptors(t *testing.T) {
 	r := newRig(t, nil, func(o *Options, p *PoolOptions) {
 		o.Limits = limits.For(64, 256)
-		o.Limits.UwsgiConns, o.Limits.Newcomer = 2, time.Millisecond
+		o.Limits.UwsgiConnections, o.Limits.NewConnectionGrace = 2, time.Millisecond
 	})
 	var callers []net.Conn
 	for range 20 {
--- a/internal/frontend/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -28,9 +28,9 @@
 
 // Core is what the front asks of the node.
 type Core interface {
-	Submit(q node.Request, reply func(node.Answer))
-	Gone(id string)
-	Begin(id string) bool
+	Submit(q node.Request, reply func(node.Response))
+	Cancel(id string)
+	BeginResponse(id string) bool
 }
 
 // Mapper finds out what a request is from its variables. It fills class, tenant, key and expectations, or says with which status it
@@ -74,7 +74,7 @@
 	opts   Options
 	log    *lograte.Logger
 	prefix string
-	seats  *connlimit.Table
+	seats  *connlimit.Limiter
 
 	mu      sync.Mutex
 	next    uint64
@@ -88,8 +88,8 @@
 	if o.Modifiers == nil {
 		o.Modifiers = []byte{0}
 	}
-	return &Front{opts: o, log: lograte.New(o.Log, o.Limits.LogEvery), sources: map[string]int{},
-		seats: connlimit.New(o.Limits.UwsgiConns, o.Limits.Newcomer, o.Limits.Quiet), prefix: "uwsgi-" + strconv.FormatUint(rand.Uint64(), 36) + "-"}
+	return &Front{opts: o, log: lograte.New(o.Log, o.Limits.LogInterval), sources: map[string]int{},
+		seats: connlimit.New(o.Limits.UwsgiConnections, o.Limits.NewConnectionGrace, o.Limits.IdleConnectionGrace), prefix: "uwsgi-" + strconv.FormatUint(rand.Uint64(), 36) + "-"}
 }
 
 // Serve serves what comes in on ln until it is closed.
@@ -101,7 +101,7 @@
 		}
 		if err != nil { // out of descriptors for a moment
 			f.log.Warn("accept failed", err)
-			time.Sleep(f.opts.Limits.RetryLeast)
+			time.Sleep(f.opts.Limits.MinBackoff)
 			continue
 		}
 		host := hostOf(c)
@@ -110,7 +110,7 @@
 			continue
 		}
 		k := &caller{Conn: c}
-		seat := f.seats.Take(k.evict)
+		seat := f.seats.Acquire(k.evict)
 		if seat == nil {
 			c.Close()
 			f.leave(host)
@@ -119,7 +119,7 @@
 		}
 		go func() {
 			defer f.leave(host)
-			defer seat.Leave()
+			defer seat.Release()
 			defer c.Close()
 			f.serve(k, seat, host)
 		}()
@@ -154,7 +154,7 @@
 }
 
 // Open is the number of open connections.
-func (f *Front) Open() int { return f.seats.Len() }
+func (f *Front) Open() int { return f.seats.InUse() }
 
 func (f *Front) count(add func(c *Counts)) {
 	f.mu.Lock()
@@ -166,9 +166,9 @@
 var errPing = errors.New("ping")
 
 // serve reads one request, has it answered and closes the connection.
-func (f *Front) serve(k *caller, seat *connlimit.Seat, host string) {
+func (f *Front) serve(k *caller, seat *connlimit.Slot, host string) {
 	lim, c := f.opts.Limits, k.Conn
-	if err := k.readBy(time.Now().Add(lim.Message)); err != nil {
+	if err := k.readBy(time.Now().Add(lim.MessageTimeout)); err != nil {
 		return
 	}
 	head, vars, err := f.readHead(k)
@@ -185,15 +185,15 @@
 		f.refuseInput(c, err)
 		return
 	}
-	if !seat.Set(connlimit.Busy) { // it made room after its request had arrived
+	if !seat.SetState(connlimit.StateActive) { // it made room after its request had arrived
 		f.count(func(n *Counts) { n.Crowded++ })
-		lim.Linger /= evictedPart
-		f.write(c, response(http.StatusServiceUnavailable, lim.RecordBack))
+		lim.CloseTimeout /= evictedPart
+		f.write(c, response(http.StatusServiceUnavailable, lim.RecordRetryAfter))
 		linger(c, lim)
 		return
 	}
 	f.count(func(n *Counts) { n.Read++ })
-	q := node.Request{Front: "uwsgi", Runner: f.opts.Pool, Arrived: arrived, Source: source(host), Tenant: -1, Wait: f.told(vars)}
+	q := node.Request{Protocol: "uwsgi", Runner: f.opts.Pool, ArrivedAt: arrived, CallerID: source(host), Tenant: -1, AttemptTimeout: f.told(vars)}
 	if status := f.opts.Mapper.Map(vars.Get, &q); status != 0 {
 		f.answer(c, nil, response(status, 0))
 		return
@@ -202,40 +202,40 @@
 	f.next++
 	q.ID = f.prefix + strconv.FormatUint(f.next, 10)
 	f.mu.Unlock()
-	j := &job{head: head, headOnly: vars.Get("REQUEST_METHOD") == http.MethodHead, safe: f.opts.Safe(q.Class), stream: q.Key == "", conn: c}
+	j := &job{head: head, headOnly: vars.Get("REQUEST_METHOD") == http.MethodHead, safe: f.opts.Safe(q.Class), stream: q.IdempotencyKey == "", conn: c}
 	most := f.opts.BodyMost
-	if q.Key != "" {
-		most = int64(lim.Content)
-		lim.Window = lim.Content + 64<<10 // its framing may be in chunks
+	if q.IdempotencyKey != "" {
+		most = int64(lim.BufferedBodyBytes)
+		lim.BodyWindowBytes = lim.BufferedBodyBytes + 64<<10 // its framing may be in chunks
 	}
 	j.body = newInflow(c, body, lim, most, f.opts.HalfClose)
 	if body.Length > most {
 		f.refuseBody(c, j.body, packet.ErrOversize)
 		return
 	}
-	room := lim.Window
+	room := lim.BodyWindowBytes
 	if body.Length >= 0 {
 		room = int(min(body.Length, int64(room)))
 	}
 	if !f.reserve(room) { // its body must not be read: it is refused while it is with the client
 		f.count(func(n *Counts) { n.Crowded++ })
-		f.answer(c, nil, response(http.StatusServiceUnavailable, lim.RecordBack))
+		f.answer(c, nil, response(http.StatusServiceUnavailable, lim.RecordRetryAfter))
 		return
 	}
 	defer f.reserve(-room)
 	j.body.start()
-	if q.Key != "" { // all tries of it must have the same body, so it is needed whole
-		whole, err := j.body.all(lim.Message + lim.BodyIdle)
+	if q.IdempotencyKey != "" { // all tries of it must have the same body, so it is needed whole
+		whole, err := j.body.all(lim.MessageTimeout + lim.BodyIdleTimeout)
 		if err != nil {
 			f.refuseBody(c, j.body, err)
 			return
 		}
 		q.Body, q.Content, j.body.held = whole, whole, true
 	}
-	if q.KB == 0 {
-		q.KB = max(1, float64(len(head)+lim.Window)/1024)
+	if q.MemoryKB == 0 {
+		q.MemoryKB = max(1, float64(len(head)+lim.BodyWindowBytes)/1024)
 		if body.Length >= 0 {
-			q.KB = max(1, float64(int64(len(head))+min(body.Length, int64(lim.Window)))/1024)
+			q.MemoryKB = max(1, float64(int64(len(head))+min(body.Length, int64(lim.BodyWindowBytes)))/1024)
 		}
 	}
 	outcome := f.ask(c, q, j)
@@ -253,7 +253,7 @@
 func (f *Front) reserve(n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n > 0 && f.windows+n > f.opts.Limits.Windows {
+	if n > 0 && f.windows+n > f.opts.Limits.TotalBodyWindowBytes {
 		return false
 	}
 	f.windows += n
@@ -274,17 +274,17 @@
 
 // ask has the core answer a request, writes the answer, and says what became of the request.
 func (f *Front) ask(c net.Conn, q node.Request, j *job) (outcome string) {
-	j.core = func() bool { return f.opts.Core.Begin(q.ID) }
+	j.core = func() bool { return f.opts.Core.BeginResponse(q.ID) }
 	j.due = time.Now().Add(clock.System{}.Until(f.due(q))) // with a monotonic reading, as the pool compares it
-	answers := make(chan node.Answer, 1)
+	answers := make(chan node.Response, 1)
 	f.opts.Pool.expect(q.ID, j)
 	defer f.opts.Pool.forget(q.ID)
-	f.opts.Core.Submit(q, func(a node.Answer) { answers <- a })
-	var a node.Answer
+	f.opts.Core.Submit(q, func(a node.Response) { answers <- a })
+	var a node.Response
 	select {
 	case a = <-answers:
 	case <-j.body.gone:
-		f.opts.Core.Gone(q.ID)
+		f.opts.Core.Cancel(q.ID)
 		select { // the answer may just have been made
 		case a = <-answers:
 		default:
@@ -293,32 +293,32 @@
 		}
 	case <-j.body.extra:
 		// What follows a body may be another request in the eyes of whoever is between: neither is answered as if it were sound.
-		f.opts.Core.Gone(q.ID)
+		f.opts.Core.Cancel(q.ID)
 		f.badBody(c, j, fmt.Errorf("%w: bytes behind the body", packet.ErrMalformed))
 		return "left"
 	}
 	switch {
-	case a.Begun && a.Kind == node.Served:
+	case a.ResponseStarted && a.Status == node.StatusServed:
 		f.count(func(n *Counts) { n.Streamed++ })
 		f.finish(c, j.body)
-	case a.Begun:
+	case a.ResponseStarted:
 		f.count(func(n *Counts) { n.Broken++ })
 		abort(c)
-	case a.Kind == node.Failed && j.body.left(): // it failed because the client left, or sent what is bad: both were told at once
+	case a.Status == node.StatusFailed && j.body.left(): // it failed because the client left, or sent what is bad: both were told at once
 		f.left(c, j)
 		return "left"
 	default:
 		f.answer(c, j.body, render(a))
 	}
-	return map[node.Kind]string{node.Served: "served", node.Refused: "refused", node.Failed: "failed"}[a.Kind]
+	return map[node.Status]string{node.StatusServed: "served", node.StatusRejected: "refused", node.StatusFailed: "failed"}[a.Status]
 }
 
 // due is when the core will have answered at the latest, for the pool's own guard.
 func (f *Front) due(q node.Request) time.Time {
-	if q.Wait > 0 {
-		return q.Arrived.Add(q.Wait)
+	if q.AttemptTimeout > 0 {
+		return q.ArrivedAt.Add(q.AttemptTimeout)
 	}
-	return q.Arrived.Add(f.opts.Limits.Exchange + f.opts.Limits.Orphan)
+	return q.ArrivedAt.Add(f.opts.Limits.UpstreamTimeout + f.opts.Limits.OrphanTimeout)
 }
 
 // left ends a request whose client has gone, or whose body ended badly.
@@ -358,7 +358,7 @@
 		return nil, vars, errPing
 	case !bytes.Contains(f.opts.Modifiers, []byte{h.Mod1}):
 		return nil, vars, fmt.Errorf("%w: modifier %d is not served here", packet.ErrMalformed, h.Mod1)
-	case h.Size > f.opts.Limits.Vars:
+	case h.Size > f.opts.Limits.UwsgiVarBytes:
 		return nil, vars, fmt.Errorf("%w: %d bytes of variables", packet.ErrOversize, h.Size)
 	}
 	head = make([]byte, packet.HeaderSize+h.Size)
@@ -369,7 +369,7 @@
 		}
 		return nil, vars, err
 	}
-	vars, err = packet.ReadVars(head[packet.HeaderSize:], f.opts.Limits.VarCount)
+	vars, err = packet.ReadVars(head[packet.HeaderSize:], f.opts.Limits.UwsgiVars)
 	return head, vars, err
 }
 
@@ -426,7 +426,7 @@
 }
 
 func (f *Front) write(c net.Conn, b []byte) bool {
-	if err := c.SetWriteDeadline(time.Now().Add(f.opts.Limits.Write)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(f.opts.Limits.WriteTimeout)); err != nil {
 		return false
 	}
 	if _, err := c.Write(b); err != nil {
@@ -440,7 +440,7 @@
 // and the reset may overtake the answer.
 func linger(c net.Conn, l limits.Limits) {
 	half, ok := c.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(l.Linger)) != nil {
+	if !ok || half.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(l.CloseTimeout)) != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(c, 16<<20)) // how it ends makes no difference
@@ -474,15 +474,15 @@
 }
 
 // render turns an answer into the bytes of a response.
-func render(a node.Answer) []byte {
+func render(a node.Response) []byte {
 	switch {
-	case a.Kind == node.Served:
+	case a.Status == node.StatusServed:
 		return a.Result
-	case a.Kind == node.Refused:
-		return response(http.StatusServiceUnavailable, a.Holdoff)
-	case a.Taken:
+	case a.Status == node.StatusRejected:
+		return response(http.StatusServiceUnavailable, a.RetryAfter)
+	case a.KeyReused:
 		return response(http.StatusUnprocessableEntity, 0)
-	case a.Late:
+	case a.DeadlineExceeded:
 		return response(http.StatusGatewayTimeout, 0)
 	}
 	return response(http.StatusBadGateway, 0)
--- a/internal/frontend/uwsgi/job.go
+++ b/internal/frontend/uwsgi/job.go
@@ -82,7 +82,7 @@
 }
 
 func newInflow(conn net.Conn, known packet.Body, l limits.Limits, most int64, endIsGone bool) *inflow {
-	f := &inflow{conn: conn, known: known, most: most, idle: l.BodyIdle, size: l.Window, gone: make(chan struct{}), extra: make(chan struct{}), ended: make(chan struct{}), end: endIsGone}
+	f := &inflow{conn: conn, known: known, most: most, idle: l.BodyIdleTimeout, size: l.BodyWindowBytes, gone: make(chan struct{}), extra: make(chan struct{}), ended: make(chan struct{}), end: endIsGone}
 	f.change = sync.NewCond(&f.mu)
 	f.whole = !known.Chunked && known.Length == 0
 	return f
--- a/internal/frontend/uwsgi/pool.go
+++ b/internal/frontend/uwsgi/pool.go
@@ -21,7 +21,7 @@
 
 // Events are where runs tell how they went.
 type Events interface {
-	Ended(id string, o admission.Outcome, took time.Duration, result []byte)
+	RunEnded(id string, o admission.Outcome, took time.Duration, result []byte)
 }
 
 // PoolOptions are what a pool is made of.
@@ -91,7 +91,7 @@
 func (p *Pool) over(r *run, o admission.Outcome) {
 	t := &r.seen
 	last := t.last()
-	t.Outcome = map[admission.Outcome]string{logic.OK: "ok", logic.Failed: "failed", logic.Cancelled: "cancelled", logic.Moot: "moot"}[o]
+	t.Outcome = map[admission.Outcome]string{logic.OutcomeOK: "ok", logic.OutcomeFailed: "failed", logic.OutcomeCanceled: "cancelled", logic.OutcomeNotStarted: "moot"}[o]
 	t.Done = time.Now()
 	r.job.ran(*t)
 	if p.opts.Over != nil {
@@ -112,7 +112,7 @@
 
 // NewPool returns a pool without servers. Serve must be called before it gets work.
 func NewPool(o PoolOptions) *Pool {
-	return &Pool{opts: o, log: lograte.New(o.Log, o.Limits.LogEvery), choice: balancer.New(o.Rules, o.Seed), ends: map[string]endpoint.Endpoint{},
+	return &Pool{opts: o, log: lograte.New(o.Log, o.Limits.LogInterval), choice: balancer.New(o.Rules, o.Seed), ends: map[string]endpoint.Endpoint{},
 		jobs: map[string]*job{}, runs: map[string]*run{}, waits: map[string]chan string{}, closed: make(chan struct{})}
 }
 
@@ -178,7 +178,7 @@
 	j := p.jobs[id]
 	delete(p.jobs, id)
 	if j == nil { // its client has just left, and it isn't held whole
-		go p.events.Ended(id, logic.Moot, 0, nil)
+		go p.events.RunEnded(id, logic.OutcomeNotStarted, 0, nil)
 		return
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), j.due)
@@ -197,14 +197,14 @@
 	}
 }
 
-// Continue, Give and Omit belong to runs that pause and call; uwsgi's do neither.
-func (p *Pool) Continue(string) {}
+// Resume, Give and Omit belong to runs that pause and call; uwsgi's do neither.
+func (p *Pool) Resume(string) {}
 
-// Give does nothing: see Continue.
-func (p *Pool) Give(string, []byte) {}
+// DeliverReply does nothing: see Continue.
+func (p *Pool) DeliverReply(string, []byte) {}
 
-// Omit does nothing: see Continue.
-func (p *Pool) Omit(string, uint64) {}
+// SkipCall does nothing: see Continue.
+func (p *Pool) SkipCall(string, uint64) {}
 
 // run takes a request to one server after the other, until one has answered or no further try is allowed.
 func (p *Pool) run(ctx context.Context, r *run) {
@@ -249,25 +249,25 @@
 	p.mu.Lock()
 	delete(p.runs, r.id)
 	p.mu.Unlock()
-	outcome := logic.OK
+	outcome := logic.OutcomeOK
 	switch {
 	case err == nil:
 	case !r.wrote:
-		outcome = logic.Moot // no server got a byte of it: it never ran
+		outcome = logic.OutcomeNotStarted // no server got a byte of it: it never ran
 		p.log.Warn("uwsgi run not started", err)
 	case errors.Is(ctx.Err(), context.Canceled), errors.As(err, new(*bodyError)), errors.Is(err, errClient):
 		// The client's doing says nothing about how work goes here: taken for failures, a few bad clients would have the
 		// module hold back everybody's work.
-		outcome = logic.Cancelled
+		outcome = logic.OutcomeCanceled
 	default:
-		outcome = logic.Failed // it may have run
+		outcome = logic.OutcomeFailed // it may have run
 		p.log.Warn("uwsgi run failed", err)
 	}
 	if err != nil {
 		r.seen.Why = err.Error()
 	}
 	p.over(r, outcome)
-	p.events.Ended(r.id, outcome, time.Since(began), result)
+	p.events.RunEnded(r.id, outcome, time.Since(began), result)
 }
 
 // take gets a server for a run, and waits for one if need be.
@@ -309,7 +309,7 @@
 
 // tend looks after waiting requests and sick servers until the pool is closed.
 func (p *Pool) tend() {
-	ticker := time.NewTicker(p.opts.Limits.PoolTick)
+	ticker := time.NewTicker(p.opts.Limits.PoolInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -335,7 +335,7 @@
 // probe pings a server that was left out. One that takes the connection and closes it knows no pings, but is there; one
 // that takes it and says nothing is as sick as before.
 func (p *Pool) probe(name string, e endpoint.Endpoint) {
-	ctx, cancel := context.WithTimeout(context.Background(), p.opts.Limits.Dial)
+	ctx, cancel := context.WithTimeout(context.Background(), p.opts.Limits.DialTimeout)
 	defer cancel()
 	ok := false
 	if conn, err := e.Dial(ctx, p.opts.Keys, p.opts.Name); err == nil {
--- a/internal/frontend/uwsgi/try.go
+++ b/internal/frontend/uwsgi/try.go
@@ -41,7 +41,7 @@
 	t.pool.mu.Lock()
 	e := t.pool.ends[t.name]
 	t.pool.mu.Unlock()
-	dialing, cancel := context.WithTimeout(ctx, lim.Dial)
+	dialing, cancel := context.WithTimeout(ctx, lim.DialTimeout)
 	conn, err := e.Dial(dialing, t.pool.opts.Keys, t.pool.opts.Name)
 	cancel()
 	if err != nil {
@@ -92,7 +92,7 @@
 // send writes the request: its head, then the body as it comes from the client.
 func (t *try) send(conn net.Conn, stop <-chan struct{}) error {
 	lim, j := t.pool.opts.Limits, t.run.job
-	if err := conn.SetWriteDeadline(time.Now().Add(lim.Write)); err != nil {
+	if err := conn.SetWriteDeadline(time.Now().Add(lim.WriteTimeout)); err != nil {
 		return err
 	}
 	n, err := conn.Write(j.head)
@@ -103,7 +103,7 @@
 	if err != nil || j.body.held {
 		return err
 	}
-	if err = j.body.copyTo(conn, lim.Write, stop); err != nil && j.body.why() != nil {
+	if err = j.body.copyTo(conn, lim.WriteTimeout, stop); err != nil && j.body.why() != nil {
 		conn.Close() // the server must not take half a body for a whole one
 		return &bodyError{err}
 	}
@@ -133,14 +133,14 @@
 	case j.stream && (head.Body.Length < 0 || head.Body.Length > int64(cap(got)-head.Size)):
 		return nil, t.pass(conn, got, rest)
 	}
-	return t.whole(conn, append([]byte(nil), got...), rest, lim.Response)
+	return t.whole(conn, append([]byte(nil), got...), rest, lim.BufferedResponseBytes)
 }
 
 // readHead reads up to the end of the response's head, past interim ones, which end here: the client may not expect any. got begins with the
 // head, and may have some of the body.
 func (t *try) readHead(conn net.Conn, buf []byte, began time.Time) (got []byte, head packet.Head, err error) {
 	lim := t.pool.opts.Limits
-	if err := conn.SetReadDeadline(time.Now().Add(lim.Exchange)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(lim.UpstreamTimeout)); err != nil {
 		return nil, head, err
 	}
 	n := 0
@@ -152,7 +152,7 @@
 		}
 		n += k
 		for n > 0 {
-			head, headErr := packet.ReadHead(buf[:n], t.run.job.headOnly, min(lim.HTTPHead, len(buf)-1))
+			head, headErr := packet.ReadHead(buf[:n], t.run.job.headOnly, min(lim.ResponseHeadBytes, len(buf)-1))
 			if headErr == packet.ErrShort {
 				break
 			}
@@ -211,7 +211,7 @@
 	}
 	buf := got[:cap(got)]
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(lim.Exchange)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(lim.UpstreamTimeout)); err != nil {
 			return err
 		}
 		n, readErr := conn.Read(buf)
@@ -240,7 +240,7 @@
 		return nil
 	}
 	c := t.run.job.conn
-	if err := c.SetWriteDeadline(time.Now().Add(t.pool.opts.Limits.Write)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(t.pool.opts.Limits.WriteTimeout)); err != nil {
 		return errClient
 	}
 	if _, err := c.Write(b); err != nil {
--- a/internal/frontend/uwsgi/uwsgi_test.go
+++ b/internal/frontend/uwsgi/uwsgi_test.go
@@ -30,16 +30,16 @@
 
 func TestRender(t *testing.T) {
 	for _, c := range []struct {
-		a    node.Answer
+		a    node.Response
 		want string
 	}{
-		{node.Answer{Kind: node.Served, Result: []byte("as it came")}, "as it came"},
-		{node.Answer{Kind: node.Failed, Taken: true}, "HTTP/1.1 422 "},
-		{node.Answer{Kind: node.Refused, Holdoff: 1200 * time.Millisecond}, "Retry-After: 2\r\n"},
-		{node.Answer{Kind: node.Refused}, "HTTP/1.1 503 Service Unavailable\r\n"},
-		{node.Answer{Kind: node.Refused}, "Retry-After: 1\r\n"},
-		{node.Answer{Kind: node.Failed}, "HTTP/1.1 502 Bad Gateway\r\n"},
-		{node.Answer{Kind: node.Failed, Late: true}, "HTTP/1.1 504 Gateway Timeout\r\n"},
+		{node.Response{Status: node.StatusServed, Result: []byte("as it came")}, "as it came"},
+		{node.Response{Status: node.StatusFailed, KeyReused: true}, "HTTP/1.1 422 "},
+		{node.Response{Status: node.StatusRejected, RetryAfter: 1200 * time.Millisecond}, "Retry-After: 2\r\n"},
+		{node.Response{Status: node.StatusRejected}, "HTTP/1.1 503 Service Unavailable\r\n"},
+		{node.Response{Status: node.StatusRejected}, "Retry-After: 1\r\n"},
+		{node.Response{Status: node.StatusFailed}, "HTTP/1.1 502 Bad Gateway\r\n"},
+		{node.Response{Status: node.StatusFailed, DeadlineExceeded: true}, "HTTP/1.1 504 Gateway Timeout\r\n"},
 	} {
 		if got := string(render(c.a)); !strings.Contains(got, c.want) {
 			t.Errorf("%+v: %q lacks %q", c.a, got, c.want)
@@ -61,7 +61,7 @@
 	case "/":
 		q.Class = read
 	case "/book":
-		q.Class, q.Key = book, get("HTTP_IDEMPOTENCY_KEY")
+		q.Class, q.IdempotencyKey = book, get("HTTP_IDEMPOTENCY_KEY")
 	case "/write":
 		q.Class = write
 	default:
@@ -89,11 +89,11 @@
 func newRigOn(t testing.TB, cores int, servers []string, change func(o *Options, p *PoolOptions)) *rig {
 	t.Helper()
 	lim := limits.For(64, 256)
-	lim.Linger = 100 * time.Millisecond
-	cfg := logic.Settings{Cores: cores, MemoryKB: 1e6, CrowdFactor: 5, AnswerGrace: 80000, DrainGrace: 2000000, Classes: []logic.Class{
-		{Name: "read", Aim: 20e6, Deadline: 60e6, Worth: 1},
-		{Name: "book", Aim: 20e6, Deadline: 60e6, Worth: 3, Effect: logic.Keyed, Window: 60e6},
-		{Name: "write", Aim: 20e6, Deadline: 60e6, Worth: 3, Effect: logic.Unsafe}}}
+	lim.CloseTimeout = 100 * time.Millisecond
+	cfg := logic.Settings{Cores: cores, MemoryKB: 1e6, MaxConcurrencyPerCore: 5, ResponseGrace: 80000, DrainGrace: 2000000, Classes: []logic.Class{
+		{Name: "read", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 1},
+		{Name: "book", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.IdempotentByKey, IdempotencyWindow: 60e6},
+		{Name: "write", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.NonIdempotent}}}
 	o := Options{Mapper: mapper{}, Safe: func(class int) bool { return class == read }, BodyMost: 1 << 20, Limits: lim, Log: standin.Quiet}
 	po := PoolOptions{Rules: balancer.Default(), Limits: lim, Log: standin.Quiet}
 	if change != nil {
@@ -103,8 +103,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := node.New(node.Options{Settings: cfg, Gate: g, Clock: clock.System{}, Limits: o.Limits, Log: standin.Quiet})
-	go n.Serve()
+	n := node.New(node.Options{Settings: cfg, Admission: g, Clock: clock.System{}, Limits: o.Limits, Log: standin.Quiet})
+	go n.Run()
 	t.Cleanup(g.Close)
 	po.Limits = o.Limits
 	p := NewPool(po)
@@ -271,7 +271,7 @@
 			if n := s.Connections() + other.Connections(); c.tries >= 0 && n != c.tries {
 				t.Errorf("%d tries, want %d", n, c.tries)
 			}
-			standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Owed() == 0 })
+			standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 })
 		})
 	}
 }
@@ -286,7 +286,7 @@
 	slow := standin.NewScripted(t, standin.Script{{Wait: hold}})
 	r := newRig(t, []string{slow.Address}, func(o *Options, _ *PoolOptions) {
 		o.BodyMost = size
-		o.Limits.Write, o.Limits.BodyIdle = time.Hour, time.Hour
+		o.Limits.WriteTimeout, o.Limits.BodyIdleTimeout = time.Hour, time.Hour
 	})
 	c := r.dial(t)
 	if _, err := io.WriteString(c, standin.Packet(t, "", at("/write", length(size))...)); err != nil {
@@ -343,7 +343,7 @@
 	s := standin.NewScripted(t, standin.Script{{Until: "hello"}, {Send: fine}})
 	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) {
 		o.HalfClose = true
-		o.Limits.UwsgiConns = len(whole) // on a slow machine all of them are there at once: none is to make room for another
+		o.Limits.UwsgiConnections = len(whole) // on a slow machine all of them are there at once: none is to make room for another
 	})
 	goroutines := runtime.NumGoroutine()
 	for n := range len(whole) {
@@ -353,7 +353,7 @@
 		}
 		c.Close()
 	}
-	standin.WaitFor(t, "all are gone", func() bool { return r.Open() == 0 && r.node.Owed() == 0 && r.Totals().Left == len(whole) })
+	standin.WaitFor(t, "all are gone", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 && r.Totals().Left == len(whole) })
 	standin.WaitFor(t, "the servers' connections are over", func() bool { return len(s.Got()) == s.Connections() })
 	for _, got := range s.Got() {
 		if strings.HasSuffix(got, "hello") {
@@ -390,7 +390,7 @@
 func TestSlowClients(t *testing.T) {
 	s := standin.NewScripted(t, standin.Script{{Until: "never"}})
 	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) {
-		o.Limits.Message, o.Limits.BodyIdle = 30*time.Millisecond, 30*time.Millisecond
+		o.Limits.MessageTimeout, o.Limits.BodyIdleTimeout = 30*time.Millisecond, 30*time.Millisecond
 	})
 	for _, in := range []string{"\x00\x05", standin.Packet(t, "he", at("/", length(5))...), standin.Packet(t, "he", at("/book", length(5), [2]string{"HTTP_IDEMPOTENCY_KEY", "k"})...)} {
 		got, err := r.ask(t, standin.Script{{Send: in}})
@@ -402,7 +402,7 @@
 
 // TestPerSource: one host has no more connections than it may.
 func TestPerSource(t *testing.T) {
-	r := newRig(t, nil, func(o *Options, _ *PoolOptions) { o.PerSource = 2; o.Limits.Message = time.Minute })
+	r := newRig(t, nil, func(o *Options, _ *PoolOptions) { o.PerSource = 2; o.Limits.MessageTimeout = time.Minute })
 	for range 2 {
 		c := r.dial(t)
 		if _, err := c.Write([]byte{0}); err != nil {
@@ -495,7 +495,7 @@
 	if !errors.Is(err, syscall.ECONNRESET) || !strings.HasPrefix(got, "HTTP/1.1 200 ") || r.Totals().Broken != 1 {
 		t.Errorf("%d bytes, %v; %+v", len(got), err, r.Totals())
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Owed() == 0 && len(s.Got()) == 1 })
+	standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 && len(s.Got()) == 1 })
 }
 
 // TestNoDescriptors: when the daemon can open no more, what streams goes on, what comes is answered, and nothing is held against the servers.
@@ -547,7 +547,7 @@
 func TestWindows(t *testing.T) {
 	hold := make(chan struct{})
 	s := standin.NewScripted(t, standin.Script{{Until: "0123456789"}, {Wait: hold}, {Send: fine}})
-	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.Limits.Windows = 15 })
+	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.Limits.TotalBodyWindowBytes = 15 })
 	post := standin.Packet(t, "0123456789", at("/write", length(10))...)
 	first := r.dial(t)
 	if _, err := io.WriteString(first, post); err != nil {
@@ -653,7 +653,7 @@
 	}
 	standin.WaitFor(t, "all is over", func() bool {
 		_, hand, _ := r.node.Totals()
-		return r.Open() == 0 && r.node.Owed() == 0 && hand == 0 && len(s.Got()) == s.Connections()
+		return r.Open() == 0 && r.node.Unanswered() == 0 && hand == 0 && len(s.Got()) == s.Connections()
 	})
 	standin.WaitFor(t, "nothing is left", func() bool { return runtime.NumGoroutine() <= goroutines && openFiles(t) <= descriptors })
 	if got, err := r.ask(t, standin.Script{{Send: standin.Packet(t, "", at("/")...)}}); got != fine || err != nil {
@@ -674,7 +674,7 @@
 func TestLeaveWhileHundredsStream(t *testing.T) {
 	const n = 300
 	s := standin.NewScripted(t, standin.Script{{Until: "/"}, {Send: "HTTP/1.1 200 OK\r\n\r\nfirst"}, {Until: "never"}})
-	r := newRigOn(t, 2*n, []string{s.Address}, func(o *Options, p *PoolOptions) { o.Limits.UwsgiConns, p.Rules.Most = n, n })
+	r := newRigOn(t, 2*n, []string{s.Address}, func(o *Options, p *PoolOptions) { o.Limits.UwsgiConnections, p.Rules.Most = n, n })
 	goroutines := runtime.NumGoroutine()
 	conns := make([]net.Conn, n)
 	for i := range conns {
@@ -683,14 +683,14 @@
 			t.Fatalf("%d: %q, %v", i, got, err)
 		}
 	}
-	r.node.Leave(time.Now(), r.limits.KillSpare, false)
+	r.node.Drain(time.Now(), r.limits.KillMargin, false)
 	for i, c := range conns {
 		if rest, err := io.ReadAll(c); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("%d ended with %q, %v", i, rest, err)
 		}
 		c.Close()
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Owed() == 0 && r.Totals().Broken == n })
+	standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 && r.Totals().Broken == n })
 	r.node.Sweep()
 	for id := range r.runs() { // a stop of the process would end them
 		r.pool.Stop(id)
@@ -732,7 +732,7 @@
 		default:
 			t.Errorf("seed %d: %d bytes, %v: %.80q", seed, len(got), err, got)
 		}
-		standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Owed() == 0 })
+		standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 })
 		if n := a.Connections() + b.Connections(); path != "/" && n > 1 {
 			t.Errorf("seed %d: what must not run twice went to %d servers", seed, n)
 		}
@@ -746,7 +746,7 @@
 // TestSlowReader: a client that takes nothing of a large response loses it in time, and its server is let go.
 func TestSlowReader(t *testing.T) {
 	s := standin.NewScripted(t, standin.Script{{Until: "/"}, {Send: "HTTP/1.1 200 OK\r\n\r\n"}, {Flood: 64 << 20}})
-	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.Limits.Write = 50 * time.Millisecond })
+	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.Limits.WriteTimeout = 50 * time.Millisecond })
 	c := r.dial(t)
 	if _, err := io.WriteString(c, standin.Packet(t, "", at("/")...)); err != nil {
 		t.Fatal(err)
--- a/internal/handover/depart_test.go
+++ b/internal/handover/depart_test.go
@@ -9,18 +9,18 @@
 	const s = time.Second
 	for _, c := range []struct {
 		name string
-		in   Sight
-		want Departure
+		in   ShutdownConditions
+		want ShutdownPlan
 	}{
-		{"replaced", Sight{Inherited: true, Others: 1, Grace: 2 * s, Stop: 3 * s}, Departure{Quiet: true}},
-		{"two others", Sight{Inherited: true, Others: 2, Grace: 2 * s, Stop: 3 * s}, Departure{Quiet: true}},
-		{"inherited, but nobody takes over", Sight{Inherited: true, Grace: s, Stop: 3 * s}, Departure{Shut: s}},
-		{"its own listener: another process can't hear its clients", Sight{Others: 1, Grace: s, Stop: 3 * s}, Departure{Shut: s}},
-		{"spare kept", Sight{Grace: 2 * s, Spare: s / 2, Stop: 9 * s}, Departure{Shut: 3 * s / 2}},
-		{"little time", Sight{Grace: 2 * s, Stop: s}, Departure{Shut: s / 2}},
-		{"no grace", Sight{Spare: s, Stop: s}, Departure{}},
+		{"replaced", ShutdownConditions{InheritedListener: true, OtherProcesses: 1, DrainGrace: 2 * s, StopTimeout: 3 * s}, ShutdownPlan{KeepAdvertised: true}},
+		{"two others", ShutdownConditions{InheritedListener: true, OtherProcesses: 2, DrainGrace: 2 * s, StopTimeout: 3 * s}, ShutdownPlan{KeepAdvertised: true}},
+		{"inherited, but nobody takes over", ShutdownConditions{InheritedListener: true, DrainGrace: s, StopTimeout: 3 * s}, ShutdownPlan{CloseListenerAfter: s}},
+		{"its own listener: another process can't hear its clients", ShutdownConditions{OtherProcesses: 1, DrainGrace: s, StopTimeout: 3 * s}, ShutdownPlan{CloseListenerAfter: s}},
+		{"spare kept", ShutdownConditions{DrainGrace: 2 * s, SafetyMargin: s / 2, StopTimeout: 9 * s}, ShutdownPlan{CloseListenerAfter: 3 * s / 2}},
+		{"little time", ShutdownConditions{DrainGrace: 2 * s, StopTimeout: s}, ShutdownPlan{CloseListenerAfter: s / 2}},
+		{"no grace", ShutdownConditions{SafetyMargin: s, StopTimeout: s}, ShutdownPlan{}},
 	} {
-		if got := Depart(c.in); got != c.want {
+		if got := PlanShutdown(c.in); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
--- a/internal/handover/snapshot_test.go
+++ b/internal/handover/snapshot_test.go
@@ -14,13 +14,13 @@
 var now = time.Unix(1764576000, 0).UTC()
 
 func settings() logic.Settings {
-	return logic.Settings{Cores: 4, MemoryKB: 1000, CrowdFactor: 5, Classes: []logic.Class{{Name: "book", Deadline: 1e6}}, Tenants: []logic.Tenant{{Name: "a"}}}
+	return logic.Settings{Cores: 4, MemoryKB: 1000, MaxConcurrencyPerCore: 5, Classes: []logic.Class{{Name: "book", ClientTimeout: 1e6}}, Tenants: []logic.Tenant{{Name: "a"}}}
 }
 
 func snapshot() Snapshot {
-	return Snapshot{Node: "n1", Process: 7, Made: now, Settings: Settings(settings()), Learned: logic.Learned{Limit: 12.5,
-		Gap: logic.Average{Mean: 1000, N: 3}, Told: []float64{0, 1.5}, Classes: map[string]logic.Estimate{"book": {Run: logic.Average{Mean: 5000, N: 9}, Cov: -2}},
-		Tokens: map[string]float64{"a": 3}}}
+	return Snapshot{Node: "n1", Process: 7, CreatedAt: now, SettingsHash: HashSettings(settings()), LearnedState: logic.LearnedState{RunLimit: 12.5,
+		CompletionGap: logic.Average{Mean: 1000, Samples: 3}, TimeoutHistogram: []float64{0, 1.5}, Classes: map[string]logic.Estimate{"book": {RunTime: logic.Average{Mean: 5000, Samples: 9}, Covariance: -2}},
+		TenantTokens: map[string]float64{"a": 3}}}
 }
 
 // TestCutAndFlipped: a snapshot reads back as it was; cut at any byte or with any bit flipped it is left aside.
@@ -33,7 +33,7 @@
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for i := range b {
-		if _, err := Unmarshal(b[:i]); !errors.Is(err, ErrTorn) {
+		if _, err := Unmarshal(b[:i]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut to %d: %v", i, err)
 		}
 		for bit := range 8 {
@@ -52,45 +52,47 @@
 		t.Errorf("the next version: %v", err)
 	}
 	big := snapshot()
-	big.Learned.Told = make([]float64, MostBytes)
+	big.LearnedState.TimeoutHistogram = make([]float64, MaxSnapshotBytes)
 	if _, err := Marshal(big); err == nil {
 		t.Error("too large: no error")
 	}
 }
 
 func TestJudge(t *testing.T) {
-	if !Worth(snapshot().Learned) || Worth(logic.Learned{Limit: 9, Classes: map[string]logic.Estimate{"book": {}}}) {
+	if !HasSamples(snapshot().LearnedState) || HasSamples(logic.LearnedState{RunLimit: 9, Classes: map[string]logic.Estimate{"book": {}}}) {
 		t.Error("what was learned from runs is worth leaving, and nothing else is")
 	}
 	other := settings()
 	other.Classes = append(other.Classes, logic.Class{Name: "search"})
 	for _, c := range []struct {
 		name   string
-		change func(*Snapshot, *Wanted)
+		change func(*Snapshot, *Requirements)
 		want   error
 	}{
-		{"as it was left", func(*Snapshot, *Wanted) {}, nil},
-		{"just in time", func(_ *Snapshot, w *Wanted) { w.Now = now.Add(w.Oldest) }, nil},
-		{"too old", func(_ *Snapshot, w *Wanted) { w.Now = now.Add(w.Oldest + 1) }, ErrOld},
-		{"the clock a little back", func(_ *Snapshot, w *Wanted) { w.Now = now.Add(-w.Ahead) }, nil},
-		{"the clock set back", func(_ *Snapshot, w *Wanted) { w.Now = now.Add(-time.Hour) }, ErrFuture},
-		{"another node's", func(_ *Snapshot, w *Wanted) { w.Node = "n2" }, ErrNode},
-		{"settings retuned in between", func(_ *Snapshot, w *Wanted) { w.Settings = other }, ErrSettings},
-		{"another fleet size is no other settings", func(_ *Snapshot, w *Wanted) { w.Settings.Servers = 99 }, nil},
-		{"made in a storm", func(s *Snapshot, _ *Wanted) { s.Learned.Refusing = logic.Average{Mean: 0.99, N: 1000} }, nil},
-		{"a limit beyond the crowd", func(s *Snapshot, _ *Wanted) { s.Learned.Limit = 21 }, ErrValues},
-		{"a run time that is no number", func(s *Snapshot, _ *Wanted) {
-			s.Learned.Classes["book"] = logic.Estimate{Run: logic.Average{Mean: math.NaN(), N: 1}}
-		}, ErrValues},
-		{"a run time below 0", func(s *Snapshot, _ *Wanted) {
-			s.Learned.Classes["book"] = logic.Estimate{Hinted: logic.Average{Mean: -1}}
-		}, ErrValues},
-		{"fewer than no samples", func(s *Snapshot, _ *Wanted) { s.Learned.CallTime.N = -1 }, ErrValues},
-		{"an endless quota", func(s *Snapshot, _ *Wanted) { s.Learned.Tokens["a"] = math.Inf(1) }, ErrValues},
+		{"as it was left", func(*Snapshot, *Requirements) {}, nil},
+		{"just in time", func(_ *Snapshot, w *Requirements) { w.Now = now.Add(w.MaxAge) }, nil},
+		{"too old", func(_ *Snapshot, w *Requirements) { w.Now = now.Add(w.MaxAge + 1) }, ErrTooOld},
+		{"the clock a little back", func(_ *Snapshot, w *Requirements) { w.Now = now.Add(-w.MaxClockSkew) }, nil},
+		{"the clock set back", func(_ *Snapshot, w *Requirements) { w.Now = now.Add(-time.Hour) }, ErrFromFuture},
+		{"another node's", func(_ *Snapshot, w *Requirements) { w.Node = "n2" }, ErrOtherNode},
+		{"settings retuned in between", func(_ *Snapshot, w *Requirements) { w.Settings = other }, ErrOtherSettings},
+		{"another fleet size is no other settings", func(_ *Snapshot, w *Requirements) { w.Settings.FleetSize = 99 }, nil},
+		{"made in a storm", func(s *Snapshot, _ *Requirements) {
+			s.LearnedState.RejectedShare = logic.Average{Mean: 0.99, Samples: 1000}
+		}, nil},
+		{"a limit beyond the crowd", func(s *Snapshot, _ *Requirements) { s.LearnedState.RunLimit = 21 }, ErrImplausible},
+		{"a run time that is no number", func(s *Snapshot, _ *Requirements) {
+			s.LearnedState.Classes["book"] = logic.Estimate{RunTime: logic.Average{Mean: math.NaN(), Samples: 1}}
+		}, ErrImplausible},
+		{"a run time below 0", func(s *Snapshot, _ *Requirements) {
+			s.LearnedState.Classes["book"] = logic.Estimate{HintedRunTime: logic.Average{Mean: -1}}
+		}, ErrImplausible},
+		{"fewer than no samples", func(s *Snapshot, _ *Requirements) { s.LearnedState.CallTime.Samples = -1 }, ErrImplausible},
+		{"an endless quota", func(s *Snapshot, _ *Requirements) { s.LearnedState.TenantTokens["a"] = math.Inf(1) }, ErrImplausible},
 	} {
-		s, w := snapshot(), Wanted{Node: "n1", Settings: settings(), Now: now, Oldest: 10 * time.Second, Ahead: time.Second}
+		s, w := snapshot(), Requirements{Node: "n1", Settings: settings(), Now: now, MaxAge: 10 * time.Second, MaxClockSkew: time.Second}
 		c.change(&s, &w)
-		if err := Judge(s, w); !errors.Is(err, c.want) || c.want == nil && err != nil {
+		if err := Validate(s, w); !errors.Is(err, c.want) || c.want == nil && err != nil {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
--- a/internal/handover/snapshotfile/keep.go
+++ b/internal/handover/snapshotfile/keep.go
@@ -43,7 +43,7 @@
 		return handover.Snapshot{}, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, handover.MostBytes+1))
+	text, err := io.ReadAll(io.LimitReader(f, handover.MaxSnapshotBytes+1))
 	if err != nil {
 		return handover.Snapshot{}, fmt.Errorf("snapshot: %w", err)
 	}
--- a/internal/idempotency/keystore/claims.go
+++ b/internal/idempotency/keystore/claims.go
@@ -34,76 +34,76 @@
 
 // Options are what claims need.
 type Options struct {
-	Dir    string        // shared by the processes of one node
-	Spare  time.Duration // how long beyond its window a key is held: tries of it may be read late
-	Now    func() time.Time
-	Limits limits.Claims
-	Log    *slog.Logger
+	Dir             string        // shared by the processes of one node
+	RetentionMargin time.Duration // how long beyond its window a key is held: tries of it may be read late
+	Now             func() time.Time
+	Limits          limits.KeyStore
+	Log             *slog.Logger
 }
 
-// Claims are the keys held by this process and by others. It is the core's node.Sharer; its methods may be called
+// Store are the keys held by this process and by others. It is the core's node.Sharer; its methods may be called
 // from any goroutine. What is to be told is written by a goroutine of its own, many records at once.
-type Claims struct {
-	opts   Options
-	log    *lograte.Logger
-	folder *folder
-	wake   chan struct{}
-	stop   chan struct{}
-	ended  chan struct{}      // serve is over
-	sweeps chan chan struct{} // each is closed once its sweep is done
-
-	mu      sync.Mutex
-	queue   []op // to be told, in order
-	closed  bool
-	table   *keystate.Table // of the other processes
-	owners  map[string]int  // by the name of the process
-	dead    map[int]bool    // which of them have ended
-	others  map[int]*segment
-	known   map[string]bool // the others' segments, by path, expired ones included while their files stand
-	own     []*segment      // the last one is being written
-	order   int             // of the last own one
-	numbers int             // given to segments and processes
-	mine    map[format.ID]bool
-	widest  time.Duration // the longest time that a record counted when it was told
-	began   time.Time     // when the newest own segment was made
-	waiters map[format.ID][]func()
-	buffer  []byte
-}
-
-// op is one thing to tell of a key.
-type op struct {
+type Store struct {
+	opts       Options
+	log        *lograte.Logger
+	folder     *folder
+	wake       chan struct{}
+	stop       chan struct{}
+	writerDone chan struct{}      // serve is over
+	sweeps     chan chan struct{} // each is closed once its sweep is done
+
+	mu               sync.Mutex
+	queue            []pendingWrite // to be told, in order
+	closed           bool
+	table            *keystate.Table // of the other processes
+	processes        map[string]int  // by the name of the process
+	dead             map[int]bool    // which of them have ended
+	peerSegments     map[int]*segment
+	knownPaths       map[string]bool // the others' segments, by path, expired ones included while their files stand
+	ownSegments      []*segment      // the last one is being written
+	lastOrder        int             // of the last own one
+	lastNumber       int             // given to segments and processes
+	runningKeys      map[format.ID]bool
+	longestRetention time.Duration // the longest time that a record counted when it was told
+	newestCreatedAt  time.Time     // when the newest own segment was made
+	watchers         map[format.ID][]func()
+	readBuffer       []byte
+}
+
+// pendingWrite is one thing to tell of a key.
+type pendingWrite struct {
 	record format.Record
-	told   func(error) // of a Began: how it went
+	done   func(error) // of a Began: how it went
 }
 
 // Open joins the processes that share the folder, and reads what they told. It waits for the folder's lock. What can't
 // be read is an error: a key could run twice.
-func Open(o Options) (*Claims, error) {
+func Open(o Options) (*Store, error) {
 	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatUint(rand.Uint64(), 36)
-	c := &Claims{opts: o, log: lograte.New(o.Log, o.Limits.LogEvery), wake: make(chan struct{}, 1), stop: make(chan struct{}),
-		ended: make(chan struct{}), sweeps: make(chan chan struct{}, 1), table: keystate.New(), owners: map[string]int{}, dead: map[int]bool{}, others: map[int]*segment{},
-		known: map[string]bool{}, mine: map[format.ID]bool{}, waiters: map[format.ID][]func(){}}
+	c := &Store{opts: o, log: lograte.New(o.Log, o.Limits.LogInterval), wake: make(chan struct{}, 1), stop: make(chan struct{}),
+		writerDone: make(chan struct{}), sweeps: make(chan chan struct{}, 1), table: keystate.New(), processes: map[string]int{}, dead: map[int]bool{}, peerSegments: map[int]*segment{},
+		knownPaths: map[string]bool{}, runningKeys: map[format.ID]bool{}, watchers: map[format.ID][]func(){}}
 	var err error
 	if c.folder, err = openFolder(o.Dir, name); err != nil {
 		return nil, fmt.Errorf("claims: %w", err)
 	}
-	if err = c.folder.locked(); err == nil {
-		c.folder.moved()
-		if err = c.catchUp(true); err == nil {
+	if err = c.folder.acquireLock(); err == nil {
+		c.folder.generationChanged()
+		if err = c.readPeers(true); err == nil {
 			c.sweep()
 		}
-		c.folder.unlock()
+		c.folder.releaseLock()
 	}
 	if err != nil {
 		c.folder.close()
 		return nil, fmt.Errorf("claims: %w", err)
 	}
-	go c.serve()
+	go c.writeLoop()
 	return c, nil
 }
 
-// id names a booking's key and class.
-func id(b node.Booking) (out format.ID) {
+// keyID names a booking's key and class.
+func keyID(b node.RunRecord) (out format.ID) {
 	h := sha256.New()
 	h.Write([]byte(b.Class))
 	h.Write([]byte{0})
@@ -112,166 +112,166 @@
 	return out
 }
 
-func (c *Claims) ends(b node.Booking) int64 {
-	return b.Arrived.Add(b.Window).Add(c.opts.Spare).UnixNano()
+func (c *Store) expiresAt(b node.RunRecord) int64 {
+	return b.ArrivedAt.Add(b.Window).Add(c.opts.RetentionMargin).UnixNano()
 }
 
-// Began claims b's key and calls done from another goroutine: with nil once this process holds it, with node.ErrTaken
+// RecordStart claims b's key and calls done from another goroutine: with nil once this process holds it, with node.ErrTaken
 // where another does, and with another error where that can't be told. It errs at once where too much is to be told
 // already; done is not called then.
-func (c *Claims) Began(b node.Booking, done func(error)) error {
-	return c.tell(op{format.Record{Kind: format.Began, ID: id(b), Ends: c.ends(b), Digest: b.Digest}, done})
+func (c *Store) RecordStart(b node.RunRecord, done func(error)) error {
+	return c.enqueue(pendingWrite{format.Record{Kind: format.KindStarted, ID: keyID(b), ExpiresAt: c.expiresAt(b), Fingerprint: b.Fingerprint}, done})
 }
 
-// Ended tells how the run of a key held here ended, with its result where there is room for it. Without the result a
+// RecordEnd tells how the run of a key held here ended, with its result where there is room for it. Without the result a
 // try that comes to another process fails.
-func (c *Claims) Ended(b node.Booking) {
-	r := format.Record{Kind: format.Ended, ID: id(b), Ends: c.ends(b), Digest: b.Digest, Served: b.Served, Front: b.Front}
-	if r.Kept = b.Kept && len(b.Result) <= c.opts.Limits.Result; r.Kept {
+func (c *Store) RecordEnd(b node.RunRecord) {
+	r := format.Record{Kind: format.KindEnded, ID: keyID(b), ExpiresAt: c.expiresAt(b), Fingerprint: b.Fingerprint, Succeeded: b.Succeeded, Protocol: b.Protocol}
+	if r.ResultStored = b.ResultStored && len(b.Result) <= c.opts.Limits.ResultBytes; r.ResultStored {
 		r.Result = b.Result
 	}
-	_ = c.tell(op{record: r}) // closed: nobody waits
+	_ = c.enqueue(pendingWrite{record: r}) // closed: nobody waits
 }
 
 // Withdraw lets go of a key held here of which nothing ran.
-func (c *Claims) Withdraw(b node.Booking) {
-	_ = c.tell(op{record: format.Record{Kind: format.Withdrawn, ID: id(b), Ends: c.ends(b)}})
+func (c *Store) Withdraw(b node.RunRecord) {
+	_ = c.enqueue(pendingWrite{record: format.Record{Kind: format.KindWithdrawn, ID: keyID(b), ExpiresAt: c.expiresAt(b)}})
 }
 
-func (c *Claims) tell(o op) error {
+func (c *Store) enqueue(o pendingWrite) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || o.told != nil && len(c.queue) >= c.opts.Limits.Queue {
+	if c.closed || o.done != nil && len(c.queue) >= c.opts.Limits.QueuedRecords {
 		return errors.New("claims: too many are on their way")
 	}
 	c.queue = append(c.queue, o)
-	c.poke()
+	c.wakeWriter()
 	return nil
 }
 
-func (c *Claims) poke() {
+func (c *Store) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Find returns what another process told of b's key, as of now: whether its run is over and what came of it. One whose
+// Lookup returns what another process told of b's key, as of now: whether its run is over and what came of it. One whose
 // process died before it told of the end is over and was not served. It reads what the others have written since it
 // last looked, from memory as a rule, and waits for no lock but its own.
-func (c *Claims) Find(b node.Booking) (node.Booking, bool) {
-	key := id(b)
+func (c *Store) Lookup(b node.RunRecord) (node.RunRecord, bool) {
+	key := keyID(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.look()
-	held, ok := c.table.Find(key, c.opts.Now().UnixNano())
+	c.refresh()
+	held, ok := c.table.Lookup(key, c.opts.Now().UnixNano())
 	if !ok {
-		return node.Booking{}, false
+		return node.RunRecord{}, false
 	}
-	found := node.Booking{Key: b.Key, Class: b.Class, Digest: held.Digest, Ended: held.Kind == format.Ended || c.dead[held.Owner]}
-	if held.Kind != format.Ended {
+	found := node.RunRecord{Key: b.Key, Class: b.Class, Fingerprint: held.Fingerprint, Ended: held.Kind == format.KindEnded || c.dead[held.Owner]}
+	if held.Kind != format.KindEnded {
 		return found, true
 	}
-	s := c.others[held.Place.Segment]
-	r, err := s.result(held.Place.Offset, held.Place.Size)
+	s := c.peerSegments[held.Location.Segment]
+	r, err := s.readRecord(held.Location.Offset, held.Location.Size)
 	if err != nil || r.ID != key {
 		c.log.Warn("a result told by another process can't be read", fmt.Errorf("%s: %w", s.path, err))
 		return found, true
 	}
-	found.Served, found.Kept, found.Front, found.Result = r.Served, r.Kept, r.Front, r.Result
+	found.Succeeded, found.ResultStored, found.Protocol, found.Result = r.Succeeded, r.ResultStored, r.Protocol, r.Result
 	return found, true
 }
 
-// Await calls done once, from another goroutine, when Find may have more to say of b's key than that it runs elsewhere.
-func (c *Claims) Await(b node.Booking, done func()) {
-	key := id(b)
+// NotifyOnChange calls done once, from another goroutine, when Find may have more to say of b's key than that it runs elsewhere.
+func (c *Store) NotifyOnChange(b node.RunRecord, done func()) {
+	key := keyID(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held, ok := c.table.Find(key, c.opts.Now().UnixNano())
+	held, ok := c.table.Lookup(key, c.opts.Now().UnixNano())
 	if c.closed {
 		return // this process is about to end
 	}
-	if !ok || held.Kind == format.Ended || c.dead[held.Owner] {
+	if !ok || held.Kind == format.KindEnded || c.dead[held.Owner] {
 		go done()
 		return
 	}
-	c.waiters[key] = append(c.waiters[key], done)
-	c.poke()
+	c.watchers[key] = append(c.watchers[key], done)
+	c.wakeWriter()
 }
 
-// look reads what others told since, without the lock of all: what is there whole was told.
-func (c *Claims) look() {
-	if err := c.catchUp(c.folder.moved()); err != nil {
+// refresh reads what others told since, without the lock of all: what is there whole was told.
+func (c *Store) refresh() {
+	if err := c.readPeers(c.folder.generationChanged()); err != nil {
 		c.log.Warn("the claims of another process can't be read", err)
 	}
 }
 
-// catchUp reads on in the others' segments; news says that there may be new ones. The caller holds mu, or is alone.
-func (c *Claims) catchUp(news bool) error {
+// readPeers reads on in the others' segments; news says that there may be new ones. The caller holds mu, or is alone.
+func (c *Store) readPeers(news bool) error {
 	var errs []error
 	if news {
-		if err := c.find(); err != nil {
+		if err := c.discoverPeers(); err != nil {
 			return err
 		}
 	}
-	for _, s := range c.others {
+	for _, s := range c.peerSegments {
 		if s.file == nil && s.size > 0 {
 			continue // read to its end
 		}
-		errs = append(errs, c.readOn(s))
+		errs = append(errs, c.readSegment(s))
 	}
 	return errors.Join(errs...)
 }
 
-// find looks for processes and segments that are new.
-func (c *Claims) find() error {
+// discoverPeers looks for processes and segments that are new.
+func (c *Store) discoverPeers() error {
 	found, owners, err := c.folder.list()
 	if err != nil {
 		return err
 	}
 	for _, name := range owners {
-		c.owner(name)
+		c.processNumber(name)
 	}
 	known := map[string]bool{}
 	for _, s := range found {
 		known[s.path] = true
-		if !c.known[s.path] {
-			c.numbers++
-			s.number = c.numbers
-			c.others[s.number] = s
-			c.owner(s.owner)
+		if !c.knownPaths[s.path] {
+			c.lastNumber++
+			s.number = c.lastNumber
+			c.peerSegments[s.number] = s
+			c.processNumber(s.owner)
 		}
 	}
-	c.known = known
+	c.knownPaths = known
 	return nil
 }
 
-// readOn takes in what a segment has more than when it was last read.
-func (c *Claims) readOn(s *segment) error {
-	if c.buffer == nil {
-		c.buffer = make([]byte, format.MostRecord+4<<10)
+// readSegment takes in what a segment has more than when it was last read.
+func (c *Store) readSegment(s *segment) error {
+	if c.readBuffer == nil {
+		c.readBuffer = make([]byte, format.MaxRecord+4<<10)
 	}
-	owner := c.owners[s.owner]
-	last := c.followed(s) || c.dead[owner] // as of before it is read: nothing is added to it any more
-	lost := s.lost
-	err := s.read(c.buffer, last, func(r format.Record, at, size int64) {
-		s.ends = max(s.ends, r.Ends)
-		if c.table.Apply(owner, r, keystate.Place{Segment: s.number, Offset: at, Size: size}) && r.Kind != format.Began {
-			c.resolve(r.ID)
+	owner := c.processes[s.owner]
+	last := c.superseded(s) || c.dead[owner] // as of before it is read: nothing is added to it any more
+	lost := s.skippedBytes
+	err := s.read(c.readBuffer, last, func(r format.Record, at, size int64) {
+		s.expiresAt = max(s.expiresAt, r.ExpiresAt)
+		if c.table.Apply(owner, r, keystate.Location{Segment: s.number, Offset: at, Size: size}) && r.Kind != format.KindStarted {
+			c.notifyWatchers(r.ID)
 		}
 	})
 	if last {
-		s.done()
+		s.closeFile()
 	}
-	if s.lost > lost {
-		c.log.Warn("claims of another process were cut or damaged", fmt.Errorf("%s: %d bytes are no records", s.path, s.lost))
+	if s.skippedBytes > lost {
+		c.log.Warn("claims of another process were cut or damaged", fmt.Errorf("%s: %d bytes are no records", s.path, s.skippedBytes))
 	}
 	return err
 }
 
-// followed says whether the owner of a segment has begun a later one.
-func (c *Claims) followed(s *segment) bool {
-	for _, o := range c.others {
+// superseded says whether the owner of a segment has begun a later one.
+func (c *Store) superseded(s *segment) bool {
+	for _, o := range c.peerSegments {
 		if o.owner == s.owner && o.order > s.order {
 			return true
 		}
@@ -279,27 +279,27 @@
 	return false
 }
 
-func (c *Claims) owner(name string) int {
-	n, ok := c.owners[name]
+func (c *Store) processNumber(name string) int {
+	n, ok := c.processes[name]
 	if !ok {
-		c.numbers++
-		n = c.numbers
-		c.owners[name] = n
+		c.lastNumber++
+		n = c.lastNumber
+		c.processes[name] = n
 	}
 	return n
 }
 
-// resolve calls those who wait for a key.
-func (c *Claims) resolve(key format.ID) {
-	for _, done := range c.waiters[key] {
+// notifyWatchers calls those who wait for a key.
+func (c *Store) notifyWatchers(key format.ID) {
+	for _, done := range c.watchers[key] {
 		go done()
 	}
-	delete(c.waiters, key)
+	delete(c.watchers, key)
 }
 
-// serve tells what is to be told, and looks at the others' segments while somebody waits for them, until Close.
-func (c *Claims) serve() {
-	defer close(c.ended)
+// writeLoop tells what is to be told, and looks at the others' segments while somebody waits for them, until Close.
+func (c *Store) writeLoop() {
+	defer close(c.writerDone)
 	look := time.NewTimer(time.Hour)
 	defer look.Stop()
 	for {
@@ -315,92 +315,92 @@
 		}
 		c.flush(nil)
 		c.mu.Lock()
-		if len(c.waiters) > 0 {
-			c.look()
-			look.Reset(c.opts.Limits.Look)
+		if len(c.watchers) > 0 {
+			c.refresh()
+			look.Reset(c.opts.Limits.PollInterval)
 		}
 		c.mu.Unlock()
 	}
 }
 
 // flush tells all that is queued under the lock, and then does what else is to be done there.
-func (c *Claims) flush(also func()) {
+func (c *Store) flush(also func()) {
 	c.mu.Lock()
 	empty := len(c.queue) == 0
 	c.mu.Unlock()
 	if empty && also == nil {
 		return
 	}
-	err := c.folder.locked()
+	err := c.folder.acquireLock()
 	c.mu.Lock()
 	queue := c.queue
 	c.queue = nil
 	var results []error
 	if err == nil {
 		// Without what others hold nothing can be told to be free.
-		if err = c.catchUp(c.folder.moved()); err == nil {
-			results = c.write(queue)
+		if err = c.readPeers(c.folder.generationChanged()); err == nil {
+			results = c.appendWrites(queue)
 		}
 		if also != nil {
 			also()
 		}
 	}
 	c.mu.Unlock()
-	c.folder.unlock()
+	c.folder.releaseLock()
 	for i, o := range queue {
-		if o.told == nil {
+		if o.done == nil {
 			continue
 		}
 		if err != nil {
-			o.told(err)
+			o.done(err)
 		} else {
-			o.told(results[i])
+			o.done(results[i])
 		}
 	}
 }
 
-// write appends the records of ops that may be told, and says of each how it went. The caller holds both locks and has
+// appendWrites appends the records of ops that may be told, and says of each how it went. The caller holds both locks and has
 // read all that others told.
-func (c *Claims) write(ops []op) []error {
+func (c *Store) appendWrites(ops []pendingWrite) []error {
 	results := make([]error, len(ops))
 	now := c.opts.Now()
-	seq, bytes := c.table.Seq(), c.bytes()
+	seq, bytes := c.table.LastSeq(), c.totalBytes()
 	var told []int // which of ops are to be told
 	for i := range ops {
 		r := &ops[i].record
-		if results[i] = c.refusal(r, bytes, now); results[i] != nil {
+		if results[i] = c.checkWrite(r, bytes, now); results[i] != nil {
 			continue
 		}
-		if bytes >= c.opts.Limits.Bytes*3/4 {
-			r.Kept, r.Result = false, nil // claims first: without one a booking can't be taken
+		if bytes >= c.opts.Limits.TotalBytes*3/4 {
+			r.ResultStored, r.Result = false, nil // claims first: without one a booking can't be taken
 		}
 		seq++
 		r.Seq = seq
-		bytes += int64(len(r.Result)) + recordSize
+		bytes += int64(len(r.Result)) + recordOverhead
 		told = append(told, i)
-		c.hold(r, r.Kind == format.Began) // at once: the next of these may be of the same key
-		c.widest = max(c.widest, time.Duration(r.Ends-now.UnixNano()))
+		c.setRunning(r, r.Kind == format.KindStarted) // at once: the next of these may be of the same key
+		c.longestRetention = max(c.longestRetention, time.Duration(r.ExpiresAt-now.UnixNano()))
 	}
-	c.table.Told(seq)
+	c.table.ObserveSeq(seq)
 	if len(told) == 0 {
 		return results
 	}
-	s, err := c.newest(now)
+	s, err := c.writableSegment(now)
 	written, ends := 0, make([]int, len(told))
 	if err == nil {
 		var text []byte
 		for n, i := range told {
-			text = s.salt.Append(text, ops[i].record)
+			text = s.salt.AppendRecord(text, ops[i].record)
 			ends[n] = len(text)
 		}
 		written, err = s.append(text)
 	}
 	for n, i := range told {
 		if r := &ops[i].record; s != nil && ends[n] <= written {
-			s.ends = max(s.ends, r.Ends)
+			s.expiresAt = max(s.expiresAt, r.ExpiresAt)
 		} else {
 			results[i] = err
-			c.hold(r, r.Kind != format.Began) // others go on to take what could not be let go of for held
+			c.setRunning(r, r.Kind != format.KindStarted) // others go on to take what could not be let go of for held
 		}
 	}
 	if err != nil {
@@ -409,64 +409,64 @@
 	return results
 }
 
-// recordSize is about what a record takes beside its result.
-const recordSize = 96
+// recordOverhead is about what a record takes beside its result.
+const recordOverhead = 96
 
-// refusal says why a record is not to be told.
-func (c *Claims) refusal(r *format.Record, bytes int64, now time.Time) error {
-	if r.Kind != format.Began {
-		if !c.mine[r.ID] {
+// checkWrite says why a record is not to be told.
+func (c *Store) checkWrite(r *format.Record, bytes int64, now time.Time) error {
+	if r.Kind != format.KindStarted {
+		if !c.runningKeys[r.ID] {
 			return errors.New("claims: not held here")
 		}
 		return nil
 	}
-	if _, taken := c.table.Find(r.ID, now.UnixNano()); taken {
-		return node.ErrTaken
+	if _, taken := c.table.Lookup(r.ID, now.UnixNano()); taken {
+		return node.ErrKeyHeld
 	}
-	if bytes >= c.opts.Limits.Bytes {
+	if bytes >= c.opts.Limits.TotalBytes {
 		return ErrFull
 	}
 	return nil
 }
 
-// hold notes whether this process holds a key whose run is not over.
-func (c *Claims) hold(r *format.Record, held bool) {
+// setRunning notes whether this process holds a key whose run is not over.
+func (c *Store) setRunning(r *format.Record, held bool) {
 	if held {
-		c.mine[r.ID] = true
+		c.runningKeys[r.ID] = true
 	} else {
-		delete(c.mine, r.ID)
+		delete(c.runningKeys, r.ID)
 	}
 }
 
-// newest is the own segment to write to: a new one where the last is too long, too old or cut.
-func (c *Claims) newest(now time.Time) (*segment, error) {
+// writableSegment is the own segment to write to: a new one where the last is too long, too old or cut.
+func (c *Store) writableSegment(now time.Time) (*segment, error) {
 	var s *segment
-	if len(c.own) > 0 {
-		s = c.own[len(c.own)-1]
+	if len(c.ownSegments) > 0 {
+		s = c.ownSegments[len(c.ownSegments)-1]
 	}
-	age := max(c.opts.Limits.SegmentAge, c.widest/16)
-	if s != nil && s.file != nil && s.size < c.opts.Limits.Segment && now.Sub(c.began) <= age && !now.Before(c.began) {
+	age := max(c.opts.Limits.MaxSegmentAge, c.longestRetention/16)
+	if s != nil && s.file != nil && s.size < c.opts.Limits.SegmentBytes && now.Sub(c.newestCreatedAt) <= age && !now.Before(c.newestCreatedAt) {
 		return s, nil
 	}
-	made, err := c.folder.create(c.order + 1)
+	made, err := c.folder.createSegment(c.lastOrder + 1)
 	if err != nil {
 		return nil, fmt.Errorf("claims: %w", err)
 	}
 	if s != nil {
-		s.done()
+		s.closeFile()
 	}
-	c.order++
-	c.folder.news++ // this process's own; others' that came meanwhile were read before
-	c.own, c.began = append(c.own, made), now
+	c.lastOrder++
+	c.folder.generation++ // this process's own; others' that came meanwhile were read before
+	c.ownSegments, c.newestCreatedAt = append(c.ownSegments, made), now
 	return made, nil
 }
 
-// bytes is what all segments hold together.
-func (c *Claims) bytes() (sum int64) {
-	for _, s := range c.own {
+// totalBytes is what all segments hold together.
+func (c *Store) totalBytes() (sum int64) {
+	for _, s := range c.ownSegments {
 		sum += s.size
 	}
-	for _, s := range c.others {
+	for _, s := range c.peerSegments {
 		sum += s.size
 	}
 	return sum
@@ -474,26 +474,26 @@
 
 // Sweep asks for the segments whose records all count no more to be dropped, and for a look at who has died. The cost is
 // that of what is dropped and of the number of segments. It does not wait.
-func (c *Claims) Sweep() {
+func (c *Store) Sweep() {
 	select {
 	case c.sweeps <- make(chan struct{}):
 	default: // the one before is on its way
 	}
 }
 
-// Exchange leaves a note of at most limits.Note bytes where the other processes find it, and returns those of the others
+// ExchangeNotes leaves a note of at most limits.Note bytes where the other processes find it, and returns those of the others
 // that live. One that has left none yet has an empty one. It costs a write, and a read for each other process.
-func (c *Claims) Exchange(note []byte) (others [][]byte) {
+func (c *Store) ExchangeNotes(note []byte) (others [][]byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return nil
 	}
-	if _, err := c.folder.alive.WriteAt(note[:min(len(note), c.opts.Limits.Note)], 0); err != nil {
+	if _, err := c.folder.alive.WriteAt(note[:min(len(note), c.opts.Limits.NoteBytes)], 0); err != nil {
 		c.log.Warn("the other processes can't be told what this one has in hand", err)
 	}
-	c.look()
-	for name, number := range c.owners {
+	c.refresh()
+	for name, number := range c.processes {
 		if c.dead[number] {
 			continue
 		}
@@ -501,14 +501,14 @@
 		if err != nil {
 			continue // it has ended
 		}
-		others = append(others, text[:min(len(text), c.opts.Limits.Note)])
+		others = append(others, text[:min(len(text), c.opts.Limits.NoteBytes)])
 	}
 	return others
 }
 
-// Others is the number of other processes of this node that live, as of a look that may take as long as wait; then it
+// LiveProcesses is the number of other processes of this node that live, as of a look that may take as long as wait; then it
 // is as of the last one.
-func (c *Claims) Others(wait time.Duration) (n int) {
+func (c *Store) LiveProcesses(wait time.Duration) (n int) {
 	late := time.NewTimer(wait)
 	defer late.Stop()
 	swept := make(chan struct{})
@@ -522,7 +522,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, number := range c.owners {
+	for _, number := range c.processes {
 		if !c.dead[number] {
 			n++
 		}
@@ -530,77 +530,77 @@
 	return n
 }
 
-func (c *Claims) sweep() {
+func (c *Store) sweep() {
 	now := c.opts.Now().UnixNano()
-	for name, number := range c.owners {
-		if !c.dead[number] && c.folder.dead(name) {
+	for name, number := range c.processes {
+		if !c.dead[number] && c.folder.hasExited(name) {
 			c.dead[number] = true
 		}
 	}
-	left := c.own[:0]
-	for _, s := range c.own {
-		if s.ends >= now {
+	left := c.ownSegments[:0]
+	for _, s := range c.ownSegments {
+		if s.expiresAt >= now {
 			left = append(left, s)
 			continue
 		}
-		s.done()
+		s.closeFile()
 		os.Remove(s.path)
 	}
-	c.own = left
+	c.ownSegments = left
 	standing := map[string]bool{}
-	for number, s := range c.others {
-		dead := c.dead[c.owners[s.owner]]
+	for number, s := range c.peerSegments {
+		dead := c.dead[c.processes[s.owner]]
 		if dead && s.file != nil { // what was cut by its death comes to no more
-			if err := c.readOn(s); err != nil {
+			if err := c.readSegment(s); err != nil {
 				c.log.Warn("the claims of another process can't be read", err)
 			}
 		}
-		if s.ends >= now || s.bad || !dead && !c.followed(s) && s.stands() {
+		if s.expiresAt >= now || s.foreignVersion || !dead && !c.superseded(s) && s.exists() {
 			standing[s.owner] = true
 			continue
 		}
-		s.done()
-		c.table.Forget(number)
-		delete(c.others, number)
+		s.closeFile()
+		c.table.ForgetSegment(number)
+		delete(c.peerSegments, number)
 		if dead {
 			os.Remove(s.path)
 		}
 	}
-	for name, number := range c.owners {
+	for name, number := range c.processes {
 		if c.dead[number] && !standing[name] {
-			c.folder.bury(name)
-			delete(c.owners, name)
+			c.folder.removeAliveFile(name)
+			delete(c.processes, name)
 			delete(c.dead, number)
 		}
 	}
-	for key := range c.waiters {
-		if held, ok := c.table.Find(key, now); !ok || c.dead[held.Owner] {
-			c.resolve(key)
+	for key := range c.watchers {
+		if held, ok := c.table.Lookup(key, now); !ok || c.dead[held.Owner] {
+			c.notifyWatchers(key)
 		}
 	}
-	if len(c.others) == 0 {
-		c.buffer = nil
+	if len(c.peerSegments) == 0 {
+		c.readBuffer = nil
 	}
 }
 
 // Stats are what the claims come to.
 type Stats struct {
-	Own, Others int   // segments
-	Keys        int   // of other processes, that are remembered
-	Running     int   // keys held here whose runs are not over
-	Bytes       int64 // of all segments
-	Waiting     int   // keys whose end in another process is waited for
+	OwnSegments, PeerSegments int   // segments
+	PeerKeys                  int   // of other processes, that are remembered
+	RunningKeys               int   // keys held here whose runs are not over
+	Bytes                     int64 // of all segments
+	WatchedKeys               int   // keys whose end in another process is waited for
 }
 
 // Stats returns them as of now.
-func (c *Claims) Stats() Stats {
+func (c *Store) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Stats{Own: len(c.own), Others: len(c.others), Keys: c.table.Len(), Running: len(c.mine), Bytes: c.bytes(), Waiting: len(c.waiters)}
+	return Stats{OwnSegments: len(c.ownSegments), PeerSegments: len(c.peerSegments), PeerKeys: c.table.Len(), RunningKeys: len(c.runningKeys), Bytes: c.totalBytes(), WatchedKeys: len(c.watchers)}
 }
 
 // Close tells what is still to be told and leaves the folder: the others take this process for ended.
-func (c *Claims) Close() error {
+func (c *Store) Close() error {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -609,33 +609,33 @@
 	c.closed = true
 	c.mu.Unlock()
 	close(c.stop)
-	<-c.ended
+	<-c.writerDone
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key := range c.waiters {
-		c.resolve(key)
+	for key := range c.watchers {
+		c.notifyWatchers(key)
 	}
-	for _, s := range c.own {
-		s.done()
+	for _, s := range c.ownSegments {
+		s.closeFile()
 	}
-	for _, s := range c.others {
-		s.done()
+	for _, s := range c.peerSegments {
+		s.closeFile()
 	}
-	c.folder.bury(c.folder.owner)
+	c.folder.removeAliveFile(c.folder.owner)
 	c.folder.close()
 	return nil
 }
 
-// Look is a line on each process that has told of keys in dir, as of now: whether it lives, its segments and bytes, the
+// Inspect is a line on each process that has told of keys in dir, as of now: whether it lives, its segments and bytes, the
 // keys that count and how many of them run. It changes nothing, and is not for the processes themselves.
-func Look(dir string, now time.Time) ([]string, error) {
+func Inspect(dir string, now time.Time) ([]string, error) {
 	f := &folder{dir: dir}
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	var err error
 	if f.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR, 0); err == nil {
-		err = f.locked()
+		err = f.acquireLock()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("claims: %w", err)
@@ -653,23 +653,23 @@
 	table := keystate.New()
 	numbers := map[string]int{}
 	segments, bytes := map[string]int{}, map[string]int64{}
-	buffer := make([]byte, format.MostRecord+4<<10)
+	buffer := make([]byte, format.MaxRecord+4<<10)
 	for n, name := range owners {
 		numbers[name] = n
 	}
 	for n, s := range found {
 		err = errors.Join(err, s.read(buffer, true, func(r format.Record, at, size int64) {
-			table.Apply(numbers[s.owner], r, keystate.Place{Segment: n})
+			table.Apply(numbers[s.owner], r, keystate.Location{Segment: n})
 		}))
-		s.done()
+		s.closeFile()
 		segments[s.owner]++
 		bytes[s.owner] += s.size
 	}
-	counts := table.Count(now.UnixNano())
+	counts := table.CountByOwner(now.UnixNano())
 	var lines []string
 	for n, name := range owners {
 		state := "lives"
-		if f.dead(name) {
+		if f.hasExited(name) {
 			state = "has ended"
 		}
 		lines = append(lines, fmt.Sprintf("%s: process %s %s: %d segments, %d bytes, %d keys, %d of them run or have no known end",
--- a/internal/idempotency/keystore/claims_test.go
+++ b/internal/idempotency/keystore/claims_test.go
@@ -40,13 +40,13 @@
 
 var start = time.UnixMilli(1764576000000)
 
-func open(t testing.TB, dir string, now func() time.Time, change func(*limits.Claims)) *Claims {
+func open(t testing.TB, dir string, now func() time.Time, change func(*limits.KeyStore)) *Store {
 	t.Helper()
-	lim := limits.ForClaims(64)
+	lim := limits.ForKeyStore(64)
 	if change != nil {
 		change(&lim)
 	}
-	c, err := Open(Options{Dir: dir, Spare: time.Second, Now: now, Limits: lim, Log: standin.Quiet})
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: lim, Log: standin.Quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,15 +54,15 @@
 	return c
 }
 
-func booking(key string) node.Booking {
-	return node.Booking{Key: key, Class: "book", Arrived: start, Window: 10 * time.Second, Digest: [32]byte{1}, Front: "resp"}
+func booking(key string) node.RunRecord {
+	return node.RunRecord{Key: key, Class: "book", ArrivedAt: start, Window: 10 * time.Second, Fingerprint: [32]byte{1}, Protocol: "resp"}
 }
 
 // begin claims a key and waits for how that went.
-func begin(t testing.TB, c *Claims, b node.Booking) error {
+func begin(t testing.TB, c *Store, b node.RunRecord) error {
 	t.Helper()
 	done := make(chan error, 1)
-	if err := c.Began(b, func(err error) { done <- err }); err != nil {
+	if err := c.RecordStart(b, func(err error) { done <- err }); err != nil {
 		return err
 	}
 	return wait(t, done)
@@ -80,14 +80,14 @@
 }
 
 // end tells a served result and waits until it stands: what is told comes in order.
-func end(t testing.TB, c *Claims, b node.Booking, result string) {
+func end(t testing.TB, c *Store, b node.RunRecord, result string) {
 	t.Helper()
-	b.Ended, b.Served, b.Kept, b.Result = true, true, true, []byte(result)
-	c.Ended(b)
+	b.Ended, b.Succeeded, b.ResultStored, b.Result = true, true, true, []byte(result)
+	c.RecordEnd(b)
 	settle(t, c)
 }
 
-func settle(t testing.TB, c *Claims) {
+func settle(t testing.TB, c *Store) {
 	t.Helper()
 	swept := make(chan struct{})
 	c.sweeps <- swept
@@ -99,21 +99,21 @@
 func TestOneHolds(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
-	if n := old.Others(standin.Patience); n != 1 {
+	if n := old.LiveProcesses(standin.Patience); n != 1 {
 		t.Errorf("the old process sees %d others", n)
 	}
-	if notes := old.Exchange([]byte("from old")); len(notes) != 1 || len(notes[0]) != 0 {
+	if notes := old.ExchangeNotes([]byte("from old")); len(notes) != 1 || len(notes[0]) != 0 {
 		t.Errorf("notes to the old process: %q", notes)
 	}
-	if notes := next.Exchange([]byte("from next")); len(notes) != 1 || string(notes[0]) != "from old" {
+	if notes := next.ExchangeNotes([]byte("from next")); len(notes) != 1 || string(notes[0]) != "from old" {
 		t.Errorf("notes to the next process: %q", notes)
 	}
 	a, b, w := booking("a"), booking("b"), booking("w")
-	for _, k := range []node.Booking{a, b, w} {
+	for _, k := range []node.RunRecord{a, b, w} {
 		if err := begin(t, old, k); err != nil {
 			t.Fatal(err)
 		}
-		if err := begin(t, next, k); !errors.Is(err, node.ErrTaken) {
+		if err := begin(t, next, k); !errors.Is(err, node.ErrKeyHeld) {
 			t.Fatalf("two hold %s: %v", k.Key, err)
 		}
 	}
@@ -122,15 +122,15 @@
 		t.Error("the same key of another class is not free")
 	}
 	end(t, old, a, "visit 1")
-	if got, ok := next.Find(a); !ok || !got.Ended || !got.Served || string(got.Result) != "visit 1" || got.Front != "resp" || got.Digest != a.Digest {
+	if got, ok := next.Lookup(a); !ok || !got.Ended || !got.Succeeded || string(got.Result) != "visit 1" || got.Protocol != "resp" || got.Fingerprint != a.Fingerprint {
 		t.Errorf("the result of the other process: %+v, %v", got, ok)
 	}
 	heard := make(chan string, 2)
-	for _, k := range []node.Booking{b, w} {
-		if got, ok := next.Find(k); !ok || got.Ended {
+	for _, k := range []node.RunRecord{b, w} {
+		if got, ok := next.Lookup(k); !ok || got.Ended {
 			t.Fatalf("%s runs elsewhere: %+v, %v", k.Key, got, ok)
 		}
-		next.Await(k, func() { heard <- k.Key })
+		next.NotifyOnChange(k, func() { heard <- k.Key })
 	}
 	end(t, old, b, "visit 2")
 	if k := wait(t, heard); k != "b" {
@@ -140,11 +140,11 @@
 	if k := wait(t, heard); k != "w" {
 		t.Errorf("heard of %s", k)
 	}
-	if _, ok := next.Find(w); ok || begin(t, next, w) != nil {
+	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
 		t.Error("a withdrawn key is not free")
 	}
 	now.move(11*time.Second + 1)
-	if _, ok := next.Find(a); ok || begin(t, next, a) != nil {
+	if _, ok := next.Lookup(a); ok || begin(t, next, a) != nil {
 		t.Error("a key whose window is over is not free")
 	}
 }
@@ -159,25 +159,25 @@
 	}
 	end(t, old, booking("b"), "visit")
 	heard := make(chan struct{})
-	if _, ok := next.Find(booking("a")); !ok {
+	if _, ok := next.Lookup(booking("a")); !ok {
 		t.Fatal("not held")
 	}
-	next.Await(booking("a"), func() { close(heard) })
+	next.NotifyOnChange(booking("a"), func() { close(heard) })
 	old.Close()
-	if notes := next.Exchange(nil); len(notes) != 0 {
+	if notes := next.ExchangeNotes(nil); len(notes) != 0 {
 		t.Errorf("notes of a process that has ended: %q", notes)
 	}
 	settle(t, next)
 	wait(t, heard)
 	third := open(t, dir, now.Now, nil)
-	for _, c := range []*Claims{next, third} {
-		if got, ok := c.Find(booking("a")); !ok || !got.Ended || got.Served {
+	for _, c := range []*Store{next, third} {
+		if got, ok := c.Lookup(booking("a")); !ok || !got.Ended || got.Succeeded {
 			t.Errorf("unknown end: %+v, %v", got, ok)
 		}
-		if got, ok := c.Find(booking("b")); !ok || string(got.Result) != "visit" {
+		if got, ok := c.Lookup(booking("b")); !ok || string(got.Result) != "visit" {
 			t.Errorf("a result of the dead: %+v, %v", got, ok)
 		}
-		if err := begin(t, c, booking("a")); !errors.Is(err, node.ErrTaken) {
+		if err := begin(t, c, booking("a")); !errors.Is(err, node.ErrKeyHeld) {
 			t.Errorf("a key that may have run: %v", err)
 		}
 	}
@@ -186,7 +186,7 @@
 	settle(t, next)
 	left, _ := filepath.Glob(filepath.Join(dir, "*"+logSuffix))
 	alive, _ := filepath.Glob(filepath.Join(dir, "*"+aliveSuffix))
-	if s := next.Stats(); len(left) != 0 || len(alive) != 2 || s.Keys != 0 || s.Bytes != 0 {
+	if s := next.Stats(); len(left) != 0 || len(alive) != 2 || s.PeerKeys != 0 || s.Bytes != 0 {
 		t.Errorf("left: %v %v %+v", left, alive, s)
 	}
 }
@@ -203,7 +203,7 @@
 		}
 		end(t, old, booking(k), "visit "+k)
 	}
-	path := old.own[0].path
+	path := old.ownSegments[0].path
 	old.Close()
 	whole, err := os.ReadFile(path)
 	if err != nil {
@@ -213,7 +213,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, err := Open(Options{Dir: dir, Spare: time.Second, Now: now.Now, Limits: limits.ForClaims(64), Log: standin.Quiet})
+		c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now.Now, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
 		if err != nil {
 			if len(text) >= 16 && string(text[:8]) == string(whole[:8]) {
 				t.Fatalf("%s: %v", what, err)
@@ -223,11 +223,11 @@
 		}
 		found := 0
 		for _, k := range keys {
-			got, ok := c.Find(booking(k))
-			if got.Served && string(got.Result) != "visit "+k {
+			got, ok := c.Lookup(booking(k))
+			if got.Succeeded && string(got.Result) != "visit "+k {
 				t.Fatalf("%s: key %s has result %q", what, k, got.Result)
 			}
-			if ok && got.Served {
+			if ok && got.Succeeded {
 				found++
 			}
 		}
@@ -251,7 +251,7 @@
 // says why. What expires makes room. A folder that can't be written is an error of its own, not a key taken.
 func TestBounds(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
-	small := func(l *limits.Claims) { l.Bytes, l.Segment = 4000, 1000 }
+	small := func(l *limits.KeyStore) { l.TotalBytes, l.SegmentBytes = 4000, 1000 }
 	c, next := open(t, dir, now.Now, small), open(t, dir, now.Now, small)
 	var full error
 	n := 0
@@ -261,34 +261,34 @@
 			end(t, c, b, strings.Repeat("x", 200))
 		}
 	}
-	if s := c.Stats(); !errors.Is(full, ErrFull) || s.Bytes > 4000+400 || s.Own < 3 {
+	if s := c.Stats(); !errors.Is(full, ErrFull) || s.Bytes > 4000+400 || s.OwnSegments < 3 {
 		t.Fatalf("after %d keys: %v, %+v", n, full, s)
 	}
-	first, _ := next.Find(booking("0"))
-	last, ok := next.Find(booking(fmt.Sprint(n - 2)))
-	if !first.Kept || !ok || !last.Ended || last.Kept {
-		t.Errorf("the first result %v, the last %v %v", first.Kept, last.Ended, last.Kept)
+	first, _ := next.Lookup(booking("0"))
+	last, ok := next.Lookup(booking(fmt.Sprint(n - 2)))
+	if !first.ResultStored || !ok || !last.Ended || last.ResultStored {
+		t.Errorf("the first result %v, the last %v %v", first.ResultStored, last.Ended, last.ResultStored)
 	}
 	now.move(11*time.Second + 1)
 	settle(t, c)
 	b := booking("later")
-	if b.Arrived = now.Now(); begin(t, c, b) != nil {
+	if b.ArrivedAt = now.Now(); begin(t, c, b) != nil {
 		t.Error("no room once all has expired")
 	}
 	long := booking("long")
-	long.Arrived = now.Now()
+	long.ArrivedAt = now.Now()
 	if err := begin(t, c, long); err != nil {
 		t.Fatal(err)
 	}
 	end(t, c, long, strings.Repeat("x", 20<<10)) // beyond what is kept of one result
-	if got, ok := next.Find(long); !ok || !got.Ended || got.Kept {
-		t.Errorf("a result too long: %+v, %v", got.Kept, ok)
+	if got, ok := next.Lookup(long); !ok || !got.Ended || got.ResultStored {
+		t.Errorf("a result too long: %+v, %v", got.ResultStored, ok)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	now.move(time.Hour)
-	if err := begin(t, c, booking("z")); err == nil || errors.Is(err, node.ErrTaken) {
+	if err := begin(t, c, booking("z")); err == nil || errors.Is(err, node.ErrKeyHeld) {
 		t.Errorf("without a folder: %v", err)
 	}
 }
@@ -297,7 +297,7 @@
 // result of each that another ran, until it is killed.
 func child(dir, log string, seed uint64) {
 	now := func() time.Time { return start }
-	c, err := Open(Options{Dir: dir, Spare: time.Second, Now: now, Limits: limits.ForClaims(64), Log: standin.Quiet})
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
 	if err != nil {
 		panic(err)
 	}
@@ -309,16 +309,16 @@
 	for _, k := range rand.New(rand.NewPCG(seed, 0)).Perm(killedKeys) {
 		b := booking(fmt.Sprint(k))
 		done := make(chan error, 1)
-		if err := c.Began(b, func(err error) { done <- err }); err != nil {
+		if err := c.RecordStart(b, func(err error) { done <- err }); err != nil {
 			panic(err)
 		}
 		switch err := <-done; {
 		case err == nil:
 			fmt.Fprintf(out, "ran %d\n", k)
-			b.Ended, b.Served, b.Kept, b.Result = true, true, true, []byte("visit "+b.Key)
-			c.Ended(b)
-		case errors.Is(err, node.ErrTaken):
-			if got, ok := c.Find(b); ok && got.Served {
+			b.Ended, b.Succeeded, b.ResultStored, b.Result = true, true, true, []byte("visit "+b.Key)
+			c.RecordEnd(b)
+		case errors.Is(err, node.ErrKeyHeld):
+			if got, ok := c.Lookup(b); ok && got.Succeeded {
 				fmt.Fprintf(out, "heard %d %s\n", k, got.Result)
 			}
 		default:
@@ -336,14 +336,14 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 1000, Max: 1000}); err != nil {
 		panic(err)
 	}
-	c, err := Open(Options{Dir: dir, Spare: time.Second, Now: func() time.Time { return start }, Limits: limits.ForClaims(64), Log: standin.Quiet})
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: func() time.Time { return start }, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
 	if err != nil {
 		panic(err)
 	}
 	var group sync.WaitGroup
 	for i := range 40 { // many in one write
 		group.Add(1)
-		if err := c.Began(booking(fmt.Sprint(i)), func(err error) {
+		if err := c.RecordStart(booking(fmt.Sprint(i)), func(err error) {
 			defer group.Done()
 			fmt.Println(map[bool]string{true: "held", false: "not"}[err == nil], i)
 		}); err != nil {
@@ -374,7 +374,7 @@
 	for said := bufio.NewScanner(out); said.Scan() && said.Text() != "done"; {
 		word, key, _ := strings.Cut(said.Text(), " ")
 		counts[word]++
-		if _, held := c.Find(booking(key)); held != (word == "held") {
+		if _, held := c.Lookup(booking(key)); held != (word == "held") {
 			t.Errorf("key %s: %s, to the other process %v", key, word, held)
 		}
 	}
@@ -393,7 +393,7 @@
 	now.move(-time.Hour)
 	settle(t, old)
 	settle(t, next)
-	if err := begin(t, next, booking("a")); !errors.Is(err, node.ErrTaken) {
+	if err := begin(t, next, booking("a")); !errors.Is(err, node.ErrKeyHeld) {
 		t.Errorf("a key that is held: %v", err)
 	}
 	if err := begin(t, old, booking("b")); err != nil {
@@ -483,29 +483,29 @@
 	for _, keys := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint(keys, " keys"), func(b *testing.B) {
 			dir, now := b.TempDir(), &clock{now: start}
-			room := func(l *limits.Claims) { l.Bytes, l.Segment = 1<<30, 4<<20 }
+			room := func(l *limits.KeyStore) { l.TotalBytes, l.SegmentBytes = 1<<30, 4<<20 }
 			other, c := open(b, dir, now.Now, room), open(b, dir, now.Now, room)
 			for i := range keys {
 				k := booking(fmt.Sprint("other", i))
 				if err := begin(b, other, k); err != nil {
 					b.Fatal(err)
 				}
-				k.Ended, k.Served, k.Kept, k.Result = true, true, true, make([]byte, 200)
-				other.Ended(k)
+				k.Ended, k.Succeeded, k.ResultStored, k.Result = true, true, true, make([]byte, 200)
+				other.RecordEnd(k)
 			}
 			settle(b, other)
 			settle(b, c)
 			b.ResetTimer()
 			for i := range b.N {
 				k := booking(fmt.Sprint("own", i))
-				if _, held := c.Find(k); held {
+				if _, held := c.Lookup(k); held {
 					b.Fatal("held")
 				}
 				if err := begin(b, c, k); err != nil {
 					b.Fatal(err)
 				}
-				k.Ended, k.Served, k.Kept, k.Result = true, true, true, make([]byte, 200)
-				c.Ended(k)
+				k.Ended, k.Succeeded, k.ResultStored, k.Result = true, true, true, make([]byte, 200)
+				c.RecordEnd(k)
 			}
 			b.StopTimer()
 			settle(b, c)
--- a/internal/idempotency/keystore/folder.go
+++ b/internal/idempotency/keystore/folder.go
@@ -19,25 +19,25 @@
 // folder is what the processes share: a file whose lock orders all that is told, one that each process holds locked
 // for as long as it lives, and the segments of each. Files are named OWNER.alive and OWNER.NUMBER.log.
 type folder struct {
-	dir   string
-	owner string   // this process
-	lock  *os.File // its first bytes count the processes and segments so far: a reader looks for new ones when that moves
-	alive *os.File
-	news  uint64 // that count, as last seen
+	dir        string
+	owner      string   // this process
+	lock       *os.File // its first bytes count the processes and segments so far: a reader looks for new ones when that moves
+	alive      *os.File
+	generation uint64 // that count, as last seen
 }
 
 // segment is a file of records. Its owner appends to the newest of its own; the others never change.
 type segment struct {
-	number int    // this process's name for it
-	owner  string // the process that writes it
-	order  int    // its place among that process's
-	path   string
-	file   *os.File // nil once it is read to its end
-	size   int64    // bytes read, or written where it is this process's own
-	ends   int64    // the latest end of a record in it
-	salt   format.Salt
-	bad    bool  // of another version
-	lost   int64 // bytes that were no records
+	number         int    // this process's name for it
+	owner          string // the process that writes it
+	order          int    // its place among that process's
+	path           string
+	file           *os.File // nil once it is read to its end
+	size           int64    // bytes read, or written where it is this process's own
+	expiresAt      int64    // the latest end of a record in it
+	salt           format.Salt
+	foreignVersion bool  // of another version
+	skippedBytes   int64 // bytes that were no records
 }
 
 const (
@@ -55,17 +55,17 @@
 	if f.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return nil, err
 	}
-	if err := f.locked(); err != nil {
+	if err := f.acquireLock(); err != nil {
 		f.lock.Close()
 		return nil, err
 	}
-	defer f.unlock()
+	defer f.releaseLock()
 	// Made and locked while nobody else can look for the dead.
 	if f.alive, err = os.OpenFile(filepath.Join(dir, owner+aliveSuffix), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err == nil {
 		err = flock(f.alive, syscall.LOCK_EX|syscall.LOCK_NB)
 	}
 	if err == nil {
-		err = f.announce()
+		err = f.advanceGeneration()
 	}
 	if err != nil {
 		f.close()
@@ -74,10 +74,10 @@
 	return f, nil
 }
 
-// announce has the others look for what is new. The caller holds the lock.
-func (f *folder) announce() error {
+// advanceGeneration has the others look for what is new. The caller holds the lock.
+func (f *folder) advanceGeneration() error {
 	var b [8]byte
-	binary.LittleEndian.PutUint64(b[:], f.count()+1)
+	binary.LittleEndian.PutUint64(b[:], f.readGeneration()+1)
 	_, err := f.lock.WriteAt(b[:], 0)
 	return err
 }
@@ -91,20 +91,20 @@
 	}
 }
 
-// locked waits until this process alone may tell of keys. The kernel lets go of the lock of one that dies.
-func (f *folder) locked() error { return flock(f.lock, syscall.LOCK_EX) }
+// acquireLock waits until this process alone may tell of keys. The kernel lets go of the lock of one that dies.
+func (f *folder) acquireLock() error { return flock(f.lock, syscall.LOCK_EX) }
 
-func (f *folder) unlock() { _ = flock(f.lock, syscall.LOCK_UN) }
+func (f *folder) releaseLock() { _ = flock(f.lock, syscall.LOCK_UN) }
 
-// moved says whether processes came or segments were made since it said so last.
-func (f *folder) moved() bool {
-	n := f.count()
-	was := f.news
-	f.news = n
+// generationChanged says whether processes came or segments were made since it said so last.
+func (f *folder) generationChanged() bool {
+	n := f.readGeneration()
+	was := f.generation
+	f.generation = n
 	return n != was
 }
 
-func (f *folder) count() uint64 {
+func (f *folder) readGeneration() uint64 {
 	var b [8]byte
 	if _, err := f.lock.ReadAt(b[:], 0); err != nil {
 		return 0 // nothing was made yet
@@ -112,22 +112,22 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// create makes a segment of this process's own. The caller holds the lock: no record of it is told before the others
+// createSegment makes a segment of this process's own. The caller holds the lock: no record of it is told before the others
 // can know of it.
-func (f *folder) create(order int) (*segment, error) {
+func (f *folder) createSegment(order int) (*segment, error) {
 	path := filepath.Join(f.dir, fmt.Sprintf("%s.%08d%s", f.owner, order, logSuffix))
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	salt := format.Salt(rand.Uint64())
-	if _, err = file.Write(format.Head(salt)); err == nil {
-		err = f.announce()
+	if _, err = file.Write(format.Header(salt)); err == nil {
+		err = f.advanceGeneration()
 	}
 	if err != nil {
 		return nil, errors.Join(err, file.Close(), os.Remove(path))
 	}
-	return &segment{owner: f.owner, order: order, path: path, file: file, size: format.HeadSize, salt: salt}, nil
+	return &segment{owner: f.owner, order: order, path: path, file: file, size: format.HeaderSize, salt: salt}, nil
 }
 
 // list finds the other processes and their segments.
@@ -151,8 +151,8 @@
 	return found, owners, nil
 }
 
-// dead says whether a process has ended: its lock is free. The caller holds the folder's lock.
-func (f *folder) dead(owner string) bool {
+// hasExited says whether a process has ended: its lock is free. The caller holds the folder's lock.
+func (f *folder) hasExited(owner string) bool {
 	file, err := os.OpenFile(filepath.Join(f.dir, owner+aliveSuffix), os.O_RDWR, 0)
 	if err != nil {
 		return errors.Is(err, fs.ErrNotExist)
@@ -161,14 +161,14 @@
 	return flock(file, syscall.LOCK_EX|syscall.LOCK_NB) == nil
 }
 
-// bury removes what a dead process left beside its segments.
-func (f *folder) bury(owner string) { os.Remove(filepath.Join(f.dir, owner+aliveSuffix)) }
+// removeAliveFile removes what a dead process left beside its segments.
+func (f *folder) removeAliveFile(owner string) { os.Remove(filepath.Join(f.dir, owner+aliveSuffix)) }
 
 // read reads on in another process's segment, and calls take with each whole record. A record of which only a part is
 // there is left for the next time, but where last says that nothing will be added. What is no record is passed over
 // and counted as lost: whole records follow it.
 func (s *segment) read(buffer []byte, last bool, take func(r format.Record, at, size int64)) error {
-	if s.bad {
+	if s.foreignVersion {
 		return nil
 	}
 	if s.file == nil {
@@ -185,9 +185,9 @@
 		if err != nil && err != io.EOF {
 			return err
 		}
-		used, err := s.records(buffer[:n], last && n < len(buffer), take)
+		used, err := s.decode(buffer[:n], last && n < len(buffer), take)
 		if err != nil {
-			s.bad = true
+			s.foreignVersion = true
 			return err
 		}
 		s.size += used
@@ -197,27 +197,27 @@
 	}
 }
 
-// records takes whole records from b, which begins at s.size; last says that nothing comes after b.
-func (s *segment) records(b []byte, last bool, take func(r format.Record, at, size int64)) (used int64, err error) {
+// decode takes whole records from b, which begins at s.size; last says that nothing comes after b.
+func (s *segment) decode(b []byte, last bool, take func(r format.Record, at, size int64)) (used int64, err error) {
 	if s.size == 0 {
-		if s.salt, err = format.ReadHead(b); errors.Is(err, format.ErrShort) {
+		if s.salt, err = format.ParseHeader(b); errors.Is(err, format.ErrIncomplete) {
 			return 0, nil
 		} else if err != nil {
 			return 0, fmt.Errorf("%s: %w", s.path, err)
 		}
-		used = format.HeadSize
+		used = format.HeaderSize
 	}
 	for int(used) < len(b) {
-		r, n, err := s.salt.Next(b[used:])
+		r, n, err := s.salt.DecodeRecord(b[used:])
 		switch {
 		case err == nil:
 			take(r, s.size+used, int64(n))
 			used += int64(n)
-		case errors.Is(err, format.ErrShort) && !last:
+		case errors.Is(err, format.ErrIncomplete) && !last:
 			return used, nil
 		default:
 			used++
-			s.lost++
+			s.skippedBytes++
 		}
 	}
 	return used, nil
@@ -229,14 +229,14 @@
 	n, err := s.file.Write(text) // not WriteAt, which does not say how much stands where it fails midway
 	s.size += int64(n)
 	if err != nil {
-		s.done() // what stands of the record that was cut must stay the last in its segment
+		s.closeFile() // what stands of the record that was cut must stay the last in its segment
 		return n, fmt.Errorf("claims: %w", err)
 	}
 	return n, nil
 }
 
-// result reads one record again.
-func (s *segment) result(at, size int64) (format.Record, error) {
+// readRecord reads one record again.
+func (s *segment) readRecord(at, size int64) (format.Record, error) {
 	file := s.file
 	if file == nil {
 		var err error
@@ -249,18 +249,18 @@
 	if _, err := file.ReadAt(b, at); err != nil {
 		return format.Record{}, err
 	}
-	r, _, err := s.salt.Next(b)
+	r, _, err := s.salt.DecodeRecord(b)
 	return r, err
 }
 
-// stands says whether a segment's file is still there.
-func (s *segment) stands() bool {
+// exists says whether a segment's file is still there.
+func (s *segment) exists() bool {
 	_, err := os.Stat(s.path)
 	return err == nil
 }
 
-// done closes a segment that is read or written to its end.
-func (s *segment) done() {
+// closeFile closes a segment that is read or written to its end.
+func (s *segment) closeFile() {
 	if s.file != nil {
 		s.file.Close()
 		s.file = nil
--- a/internal/idempotency/keystore/keystate/holding_test.go
+++ b/internal/idempotency/keystore/keystate/holding_test.go
@@ -18,19 +18,19 @@
 		want := map[byte]format.Record{}
 		for seq := uint64(1); seq <= uint64(rapid.IntRange(1, 30).Draw(t, "records")); seq++ {
 			key := byte(rapid.IntRange(1, keys).Draw(t, "key"))
-			r := format.Record{Seq: seq, ID: format.ID{key}, Ends: 10}
+			r := format.Record{Seq: seq, ID: format.ID{key}, ExpiresAt: 10}
 			owner, held := holder[key]
 			switch {
 			case !held:
 				owner = rapid.IntRange(1, processes).Draw(t, "owner")
-				holder[key], r.Kind = owner, format.Began
-			case want[key].Kind == format.Ended:
+				holder[key], r.Kind = owner, format.KindStarted
+			case want[key].Kind == format.KindEnded:
 				continue
 			case rapid.Bool().Draw(t, "withdrawn"):
 				delete(holder, key)
-				r.Kind = format.Withdrawn
+				r.Kind = format.KindWithdrawn
 			default:
-				r.Kind = format.Ended
+				r.Kind = format.KindEnded
 			}
 			want[key] = r
 			told[owner] = append(told[owner], r)
@@ -38,22 +38,22 @@
 		table := New()
 		for len(told) > 0 {
 			owner := rapid.SampledFrom(sortedKeys(told)).Draw(t, "read")
-			table.Apply(owner, told[owner][0], Place{Segment: owner})
+			table.Apply(owner, told[owner][0], Location{Segment: owner})
 			if told[owner] = told[owner][1:]; len(told[owner]) == 0 {
 				delete(told, owner)
 			}
 		}
 		for key, r := range want {
-			c, ok := table.Find(format.ID{key}, 10)
-			if ok != (r.Kind != format.Withdrawn) || ok && (c.Kind != r.Kind || c.Owner != holder[key]) {
+			c, ok := table.Lookup(format.ID{key}, 10)
+			if ok != (r.Kind != format.KindWithdrawn) || ok && (c.Kind != r.Kind || c.Owner != holder[key]) {
 				t.Fatalf("key %d: %+v %v, want %+v by %d", key, c, ok, r, holder[key])
 			}
-			if _, ok := table.Find(format.ID{key}, 11); ok {
+			if _, ok := table.Lookup(format.ID{key}, 11); ok {
 				t.Fatalf("key %d is held after its end", key)
 			}
 		}
 		for segment := range processes + 1 {
-			table.Forget(segment)
+			table.ForgetSegment(segment)
 		}
 		if table.Len() != 0 {
 			t.Fatalf("%d keys are left of forgotten segments", table.Len())
--- a/internal/idempotency/runlog/bookings_test.go
+++ b/internal/idempotency/runlog/bookings_test.go
@@ -17,7 +17,7 @@
 
 var at = time.UnixMicro(1764576000123456)
 
-func open(t *testing.T, fs *simdisk.FS) (*ledger.Store, *Record) {
+func open(t *testing.T, fs *simdisk.FS) (*ledger.Store, *Log) {
 	t.Helper()
 	s, err := ledger.Open(fs, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true, Now: func() time.Time { return at }})
 	if err != nil {
@@ -27,14 +27,14 @@
 	return s, New(s, time.Second, 0, standin.Quiet)
 }
 
-func booking(key string) node.Booking {
-	return node.Booking{Key: key, Class: "book", Digest: [32]byte{1, 31: 2}, Arrived: at, Window: time.Minute, Request: "\xff" + key, Front: "resp"}
+func booking(key string) node.RunRecord {
+	return node.RunRecord{Key: key, Class: "book", Fingerprint: [32]byte{1, 31: 2}, ArrivedAt: at, Window: time.Minute, RequestID: "\xff" + key, Protocol: "resp"}
 }
 
-func began(t *testing.T, r *Record, key string) {
+func began(t *testing.T, r *Log, key string) {
 	t.Helper()
 	done := make(chan error, 1)
-	if err := r.Began(booking(key), func(err error) { done <- err }); err != nil {
+	if err := r.RecordStart(booking(key), func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-done; err != nil {
@@ -42,15 +42,15 @@
 	}
 }
 
-func all(t *testing.T, r *Record) (list string) {
+func all(t *testing.T, r *Log) (list string) {
 	t.Helper()
-	if err := r.All(func(b node.Booking) {
+	if err := r.ForEach(func(b node.RunRecord) {
 		want := booking(b.Key)
-		want.Ended, want.Served, want.Kept, want.Result = b.Ended, b.Served, b.Kept, b.Result
+		want.Ended, want.Succeeded, want.ResultStored, want.Result = b.Ended, b.Succeeded, b.ResultStored, b.Result
 		if !reflect.DeepEqual(b, want) {
 			t.Errorf("%+v, want %+v", b, want)
 		}
-		list += fmt.Sprintf("%q %v %v %v %q, ", b.Key, b.Ended, b.Served, b.Kept, b.Result)
+		list += fmt.Sprintf("%q %v %v %v %q, ", b.Key, b.Ended, b.Succeeded, b.ResultStored, b.Result)
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -65,11 +65,11 @@
 		began(t, r, key)
 	}
 	ended := booking("a")
-	ended.Ended, ended.Served, ended.Kept, ended.Result = true, true, true, []byte("\x00r\xff")
-	r.Ended(ended)
+	ended.Ended, ended.Succeeded, ended.ResultStored, ended.Result = true, true, true, []byte("\x00r\xff")
+	r.RecordEnd(ended)
 	ended = booking("d")
 	ended.Ended = true
-	r.Ended(ended)
+	r.RecordEnd(ended)
 	r.Withdraw(booking("c"))
 	if err := s.Put([]byte("other/x"), []byte("not ours"), time.Time{}); err != nil { // in order, so all before is durable
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 	}
 	fs.Room = 1
 	done := make(chan error, 1)
-	if err := r.Began(booking("c"), func(err error) { done <- err }); err != nil {
+	if err := r.RecordStart(booking("c"), func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-done; !errors.Is(err, ledger.ErrFull) {
@@ -98,10 +98,10 @@
 	}
 	r.Withdraw(booking("a"))
 	r.Withdraw(booking("b"))
-	standin.WaitFor(t, "both have failed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.again) == 2 })
+	standin.WaitFor(t, "both have failed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.failedWrites) == 2 })
 	fs.Room = 0
 	began(t, r, "b")
-	r.Retry()
+	r.RetryFailed()
 	if err := s.Sync(); err != nil {
 		t.Fatal(err)
 	}
@@ -115,29 +115,29 @@
 func TestLateFailure(t *testing.T) {
 	_, r := open(t, simdisk.New(1))
 	withdrawal := &ledger.Batch{}
-	withdrawal.Delete([]byte(prefix + "a"))
-	r.last["a"] = withdrawal // on its way
+	withdrawal.Delete([]byte(keyPrefix + "a"))
+	r.newestWrite["a"] = withdrawal // on its way
 	hold, entered := make(chan struct{}), make(chan struct{})
-	if err := r.Began(booking("first"), func(error) { close(entered); <-hold }); err != nil { // keeps later answers back
+	if err := r.RecordStart(booking("first"), func(error) { close(entered); <-hold }); err != nil { // keeps later answers back
 		t.Fatal(err)
 	}
 	<-entered
 	done := make(chan error, 1)
-	if err := r.Began(booking("a"), func(err error) { done <- err }); err != nil {
+	if err := r.RecordStart(booking("a"), func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
-	r.written("a", withdrawal, ledger.ErrNotWritten)
-	r.Retry()
+	r.writeReturned("a", withdrawal, ledger.ErrNotWritten)
+	r.RetryFailed()
 	close(hold)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	r.Retry()
+	r.RetryFailed()
 	if err := r.store.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	if got := all(t, r); !strings.Contains(got, `"a" false`) || len(r.last)+len(r.again) != 0 {
-		t.Errorf("%s; %d on their way, %d to be tried again", got, len(r.last), len(r.again))
+	if got := all(t, r); !strings.Contains(got, `"a" false`) || len(r.newestWrite)+len(r.failedWrites) != 0 {
+		t.Errorf("%s; %d on their way, %d to be tried again", got, len(r.newestWrite), len(r.failedWrites))
 	}
 }
 
@@ -145,10 +145,10 @@
 func TestBadRecord(t *testing.T) {
 	s, r := open(t, simdisk.New(1))
 	for _, value := range []string{"\xff\xff", "", "\x08\x01"} {
-		if err := s.Put([]byte(prefix+"k"), []byte(value), time.Time{}); err != nil {
+		if err := s.Put([]byte(keyPrefix+"k"), []byte(value), time.Time{}); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.All(func(node.Booking) {}); err == nil || !strings.Contains(err.Error(), `"k"`) {
+		if err := r.ForEach(func(node.RunRecord) {}); err == nil || !strings.Contains(err.Error(), `"k"`) {
 			t.Errorf("%q: %v", value, err)
 		}
 	}
--- a/internal/ledger/compact.go
+++ b/internal/ledger/compact.go
@@ -25,7 +25,7 @@
 
 // tend compacts by itself and forgets what has expired, until the store is closed.
 func (s *Store) tend() {
-	ticker := time.NewTicker(s.opts.Limits.Sweep)
+	ticker := time.NewTicker(s.opts.Limits.SweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -189,7 +189,7 @@
 		if s.isClosed() {
 			return ErrClosed
 		}
-		if written += l.Block; written < l.Paced {
+		if written += l.BlockBytes; written < l.CompactionFlushBytes {
 			return nil
 		}
 		// A large flush would hold up the writers' flushes behind it, so there are many small ones with rests between.
@@ -211,7 +211,7 @@
 		return err
 	}
 	for _, g := range in {
-		_, err := g.scan(l.Value, func(_ int64, r *format.Record) error {
+		_, err := g.scan(l.ValueBytes, func(_ int64, r *format.Record) error {
 			if r.Kind == format.Group {
 				return nil
 			}
@@ -232,14 +232,14 @@
 			case plan.Keep:
 				c.Kept++
 			}
-			if p != nil && p.rawOff >= l.Segment {
+			if p != nil && p.rawOff >= l.SegmentBytes {
 				if err := end(); err != nil {
 					return err
 				}
 			}
 			if p == nil {
 				var err error
-				if p, err = newPacker(s.fs, s.id, s.takeNumber(), l.Block, paced); err != nil {
+				if p, err = newPacker(s.fs, s.id, s.takeNumber(), l.BlockBytes, paced); err != nil {
 					return err
 				}
 				out = append(out, p.segment)
@@ -267,7 +267,7 @@
 		return out, err
 	}
 	for _, g := range out {
-		if end, err := g.scan(l.Value, func(int64, *format.Record) error { return nil }); err != nil {
+		if end, err := g.scan(l.ValueBytes, func(int64, *format.Record) error { return nil }); err != nil {
 			return out, damage(g.name, end, "just written, and not readable: %v", err)
 		}
 		c.Made++
@@ -291,7 +291,7 @@
 // rules are the bounds of the choices in package plan.
 func (s *Store) rules() plan.Rules {
 	l := s.opts.Limits
-	return plan.Rules{Garbage: l.Garbage, Segment: l.Segment, Small: l.Small, Most: l.Compaction, Rest: l.Rest}
+	return plan.Rules{Garbage: l.GarbageShare, Segment: l.SegmentBytes, Small: l.MaxSmallSegments, Most: l.CompactionBytes, Rest: l.CompactionPause}
 }
 
 func (s *Store) takeNumber() uint64 {
@@ -364,14 +364,14 @@
 		}
 		part = part[:0]
 	}
-	_, err := g.scan(s.opts.Limits.Value, func(off int64, r *format.Record) error {
+	_, err := g.scan(s.opts.Limits.ValueBytes, func(off int64, r *format.Record) error {
 		if r.Kind == format.Put {
 			part = append(part, moved{string(r.Key), place{g, r.Seq, r.Expiry, uint32(off), uint32(r.Size())}})
 		}
 		if len(part) >= 64 {
 			apply()
 			// A mutex that is taken again at once starves others for a millisecond.
-			time.Sleep(s.opts.Limits.Rest / 64)
+			time.Sleep(s.opts.Limits.CompactionPause / 64)
 		}
 		return nil
 	})
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -20,7 +20,7 @@
 // small are limits that make segments, blocks and compactions of a few records.
 func small() limits.Ledger {
 	l := limits.ForLedger(1 << 20)
-	l.Segment, l.Block, l.Paced, l.Rest, l.GroupWait, l.Value = 600, 200, 400, 0, 0, 4096
+	l.SegmentBytes, l.BlockBytes, l.CompactionFlushBytes, l.CompactionPause, l.GroupDelay, l.ValueBytes = 600, 200, 400, 0, 0, 4096
 	return l
 }
 
@@ -91,7 +91,7 @@
 	o := options()
 	o.Limits = limits.ForLedger(1 << 20)
 	s := mustOpen(t, dir, o)
-	want := map[string]string{"a": "1", "b\x00\xff\n": "", "bb": strings.Repeat("x", o.Limits.Value), "c": "3"}
+	want := map[string]string{"a": "1", "b\x00\xff\n": "", "bb": strings.Repeat("x", o.Limits.ValueBytes), "c": "3"}
 	for _, k := range slices.Sorted(maps.Keys(want)) {
 		put(t, s, k, want[k])
 	}
@@ -108,7 +108,7 @@
 	for _, c := range []struct {
 		key, value string
 		want       error
-	}{{"", "x", ErrNotWritten}, {strings.Repeat("k", o.Limits.Key+1), "x", ErrTooLarge}, {"k", strings.Repeat("x", o.Limits.Value+1), ErrTooLarge}} {
+	}{{"", "x", ErrNotWritten}, {strings.Repeat("k", o.Limits.KeyBytes+1), "x", ErrTooLarge}, {"k", strings.Repeat("x", o.Limits.ValueBytes+1), ErrTooLarge}} {
 		if err := s.Put([]byte(c.key), []byte(c.value), time.Time{}); !errors.Is(err, c.want) {
 			t.Errorf("key of %d, value of %d bytes: %v, want %v", len(c.key), len(c.value), err, c.want)
 		}
@@ -194,7 +194,7 @@
 		t.Errorf("%v", got)
 	}
 	o := options()
-	o.Limits.Index = 3 * cost(1)
+	o.Limits.IndexBytes = 3 * cost(1)
 	s = mustOpen(t, simdisk.New(1), o)
 	put(t, s, "a", "1")
 	put(t, s, "b", "1")
@@ -331,7 +331,7 @@
 		t.Errorf("%v", got)
 	}
 	s.w.mu.Lock()
-	s.w.bytes = s.opts.Limits.Queue // as if a flush took long
+	s.w.bytes = s.opts.Limits.QueueBytes // as if a flush took long
 	s.w.mu.Unlock()
 	var b Batch
 	b.Put([]byte("k"), nil, time.Time{})
--- a/internal/ledger/recover.go
+++ b/internal/ledger/recover.go
@@ -215,7 +215,7 @@
 	var list []found
 	var mark int64
 	more := false
-	end, err := g.scan(s.opts.Limits.Value, func(off int64, r *format.Record) error {
+	end, err := g.scan(s.opts.Limits.ValueBytes, func(off int64, r *format.Record) error {
 		if r.Kind == format.Group {
 			_, m := r.GroupFields()
 			mark = max(mark, m)
@@ -262,7 +262,7 @@
 	var high uint64
 	whole := t.flushed                    // where the last whole batch ends
 	starts := map[int64]bool{whole: true} // where groups may begin: only there can a flush have ended
-	end, err := g.scan(s.opts.Limits.Value, func(off int64, r *format.Record) error {
+	end, err := g.scan(s.opts.Limits.ValueBytes, func(off int64, r *format.Record) error {
 		if r.Kind == format.Group {
 			if len(batch) > 0 {
 				return format.ErrInvalid
--- a/internal/ledger/repair.go
+++ b/internal/ledger/repair.go
@@ -57,7 +57,7 @@
 		total += g.size
 	}
 	for _, g := range segs {
-		m, err := v.salvage(g, o.Limits.Value, best)
+		m, err := v.salvage(g, o.Limits.ValueBytes, best)
 		if err != nil {
 			return v, fmt.Errorf("%s: %w", g.name, err)
 		}
@@ -82,7 +82,7 @@
 		for len(part) > 0 {
 			var batch Batch
 			n := 0
-			for ; n < len(part) && (n == 0 || batch.bytes < o.Limits.Batch/2-o.Limits.Value); n++ {
+			for ; n < len(part) && (n == 0 || batch.bytes < o.Limits.BatchBytes/2-o.Limits.ValueBytes); n++ {
 				p := best[part[n]].what
 				r, err := p.seg.read(int64(p.off), int(p.size))
 				if err != nil {
--- a/internal/ledger/stats.go
+++ b/internal/ledger/stats.go
@@ -37,7 +37,7 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	c := s.counts
-	t := Stats{Keys: s.index.Len(), Index: s.keys, IndexLimit: s.opts.Limits.Index, Mark: fromMillis(s.mark), Puts: c.puts,
+	t := Stats{Keys: s.index.Len(), Index: s.keys, IndexLimit: s.opts.Limits.IndexBytes, Mark: fromMillis(s.mark), Puts: c.puts,
 		Deletes: c.deletes, Batches: c.batches, Groups: c.groups, Flushes: c.flushes, Asked: c.asked, Written: c.written,
 		Packed: c.packed, Compactions: c.compactions}
 	all := s.sealed
--- a/internal/ledger/write.go
+++ b/internal/ledger/write.go
@@ -101,13 +101,13 @@
 		switch {
 		case len(r.Key) == 0:
 			return fmt.Errorf("%w: a key has at least one byte", ErrNotWritten)
-		case len(r.Key) > min(s.opts.Limits.Key, format.MaxKey):
+		case len(r.Key) > min(s.opts.Limits.KeyBytes, format.MaxKey):
 			return fmt.Errorf("%w: a key of %d bytes", ErrTooLarge, len(r.Key))
-		case len(r.Value) > s.opts.Limits.Value:
+		case len(r.Value) > s.opts.Limits.ValueBytes:
 			return fmt.Errorf("%w: a value of %d bytes", ErrTooLarge, len(r.Value))
 		}
 	}
-	if b.bytes > s.opts.Limits.Batch {
+	if b.bytes > s.opts.Limits.BatchBytes {
 		return fmt.Errorf("%w: a batch of %d bytes", ErrTooLarge, b.bytes)
 	}
 	return s.Err()
@@ -155,7 +155,7 @@
 	w := &s.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for !w.closed && w.bytes > 0 && w.bytes+p.bytes > s.opts.Limits.Queue {
+	for !w.closed && w.bytes > 0 && w.bytes+p.bytes > s.opts.Limits.QueueBytes {
 		if !wait {
 			return ErrBusy
 		}
@@ -167,7 +167,7 @@
 	w.queue = append(w.queue, p)
 	w.bytes += p.bytes
 	// The writing goroutine is woken for the first one, from which on it counts the time, and for the last it waits for.
-	if n := len(w.queue); n == 1 || n >= w.full || w.bytes >= s.opts.Limits.Group {
+	if n := len(w.queue); n == 1 || n >= w.full || w.bytes >= s.opts.Limits.GroupBytes {
 		ring(w.arrived)
 	}
 	return nil
@@ -217,18 +217,18 @@
 	}()
 	for {
 		w.mu.Lock()
-		n, full, closed := len(w.queue), w.bytes >= lim.Group, w.closed
-		w.full = w.group.Full(lim.Writers)
+		n, full, closed := len(w.queue), w.bytes >= lim.GroupBytes, w.closed
+		w.full = w.group.Full(lim.GroupBatches)
 		w.mu.Unlock()
 		if n > 0 {
 			// A monotonic clock: the Unix clock has no say in how long a group waits.
 			if began.IsZero() {
 				began = time.Now()
 			}
-			left := w.group.Wait(n, lim.Writers, time.Since(began), lim.GroupWait)
+			left := w.group.Wait(n, lim.GroupBatches, time.Since(began), lim.GroupDelay)
 			if full || closed || left <= 0 {
 				if timer != nil {
-					w.group.Waited(n >= w.group.Full(lim.Writers))
+					w.group.Waited(n >= w.group.Full(lim.GroupBatches))
 				}
 				break
 			}
@@ -253,7 +253,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	bytes, n := 0, 0
-	for n < len(w.queue) && n < lim.Writers && (n == 0 || bytes+w.queue[n].bytes <= lim.Group) {
+	for n < len(w.queue) && n < lim.GroupBatches && (n == 0 || bytes+w.queue[n].bytes <= lim.GroupBytes) {
 		bytes += w.queue[n].bytes
 		n++
 	}
@@ -276,7 +276,7 @@
 		close(end)
 	})
 	defer close(s.w.settle)
-	every := s.opts.Limits.Mark
+	every := s.opts.Limits.ClockMarkInterval
 	if f := s.opts.Flush; f > 0 {
 		every = min(every, f)
 	}
@@ -309,7 +309,7 @@
 	soonest := s.soonest
 	s.mu.RUnlock()
 	now := s.opts.Now().UnixMilli()
-	if soonest != 0 && soonest <= now && now >= s.w.marked+s.opts.Limits.Mark.Milliseconds() && !s.opts.Manual {
+	if soonest != 0 && soonest <= now && now >= s.w.marked+s.opts.Limits.ClockMarkInterval.Milliseconds() && !s.opts.Manual {
 		s.commit(nil)
 	} else {
 		_ = s.flush() // a failure is noted, and the writers' answers say so
@@ -338,7 +338,7 @@
 	began := time.Now() // monotonic
 	lim := s.opts.Limits
 	rolls := slices.ContainsFunc(group, func(p *pending) bool { return p.roll }) && s.w.records > 0
-	if s.active.size >= lim.Segment || rolls {
+	if s.active.size >= lim.SegmentBytes || rolls {
 		if err := s.rotate(); err != nil {
 			answer(group, err)
 			return
@@ -361,7 +361,7 @@
 		}
 	}
 	w.buf = b
-	if cap(w.buf) > 2*lim.Group {
+	if cap(w.buf) > 2*lim.GroupBytes {
 		w.buf = nil
 	}
 	if _, err := g.file.WriteAt(b, g.size); err != nil {
@@ -460,7 +460,7 @@
 // fit answers those of a group whose new keys have no room in memory, and returns the others.
 func (s *Store) fit(group []*pending) []*pending {
 	s.mu.RLock()
-	room := s.opts.Limits.Index - s.keys
+	room := s.opts.Limits.IndexBytes - s.keys
 	var worst int64
 	for _, p := range group {
 		for i := range p.records {
@@ -471,7 +471,7 @@
 		s.mu.RUnlock()
 		s.w.settling.Wait()
 		s.mu.RLock()
-		room = s.opts.Limits.Index - s.keys
+		room = s.opts.Limits.IndexBytes - s.keys
 	}
 	if worst <= room { // the common case needs no look at each key
 		s.mu.RUnlock()
@@ -507,7 +507,7 @@
 		fits = append(fits, p)
 	}
 	s.mu.RUnlock()
-	answer(over, fmt.Errorf("%w: %w (%d bytes)", ErrNotWritten, ErrIndexFull, s.opts.Limits.Index))
+	answer(over, fmt.Errorf("%w: %w (%d bytes)", ErrNotWritten, ErrIndexFull, s.opts.Limits.IndexBytes))
 	return fits
 }
 
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -8,50 +8,50 @@
 	"sloehitch/logic"
 )
 
-// Booking is what outlives the process of a keyed request that began to run.
-type Booking struct {
-	Key     string
-	Class   string // its name
-	Digest  [sha256.Size]byte
-	Arrived time.Time // when the try that ran reached the machine; the window counts from there
-	Window  time.Duration
-	Request string // the id of that try
-	Ended   bool   // its run is over
-	Served  bool   // and went well
-	Kept    bool   // and this is its result, as the front of that name gave it
-	Result  []byte
-	Front   string
+// RunRecord is what outlives the process of a keyed request that began to run.
+type RunRecord struct {
+	Key          string
+	Class        string // its name
+	Fingerprint  [sha256.Size]byte
+	ArrivedAt    time.Time // when the try that ran reached the machine; the window counts from there
+	Window       time.Duration
+	RequestID    string // the id of that try
+	Ended        bool   // its run is over
+	Succeeded    bool   // and went well
+	ResultStored bool   // and this is its result, as the front of that name gave it
+	Result       []byte
+	Protocol     string
 }
 
 // Journal keeps bookings beyond the life of the process. Its methods must not block.
 type Journal interface {
-	// Began makes a booking durable and calls done from another goroutine once it is, or can't be (ErrTaken: see Sharer). Where
+	// RecordStart makes a booking durable and calls done from another goroutine once it is, or can't be (ErrTaken: see Sharer). Where
 	// it returns an error nothing was written and done is not called.
-	Began(b Booking, done func(error)) error
-	// Ended notes that the run is over.
-	Ended(b Booking)
+	RecordStart(b RunRecord, done func(error)) error
+	// RecordEnd notes that the run is over.
+	RecordEnd(b RunRecord)
 	// Withdraw takes back a Began, durable or not, of which nothing was started.
-	Withdraw(b Booking)
+	Withdraw(b RunRecord)
 }
 
-// booking is what the journal is to keep of a request.
-func (n *Node) booking(r *request) Booking {
-	return Booking{Key: r.Key, Class: n.opts.Settings.Classes[r.Class].Name, Digest: r.digest, Arrived: r.stamp,
-		Window: n.keys.window(r.Class), Request: r.ID, Front: r.Front}
+// runRecord is what the journal is to keep of a request.
+func (n *Node) runRecord(r *request) RunRecord {
+	return RunRecord{Key: r.IdempotencyKey, Class: n.opts.Settings.Classes[r.Class].Name, Fingerprint: r.fingerprint, ArrivedAt: r.stampedAt,
+		Window: n.keys.window(r.Class), RequestID: r.ID, Protocol: r.Protocol}
 }
 
-// answerRestored answers a repeat of what ran in an earlier process. There is nothing to wait for, so the module is not asked.
-func (n *Node) answerRestored(r *request, e *entry) {
-	if e.served && e.owner.Front == r.Front {
-		n.settle(r, Answer{Kind: Served, Result: e.result})
+// answerFromEarlierProcess answers a repeat of what ran in an earlier process. There is nothing to wait for, so the module is not asked.
+func (n *Node) answerFromEarlierProcess(r *request, e *keyEntry) {
+	if e.succeeded && e.owner.Protocol == r.Protocol {
+		n.respond(r, Response{Status: StatusServed, Result: e.result})
 		return
 	}
-	n.settle(r, Answer{Kind: Failed})
+	n.respond(r, Response{Status: StatusFailed})
 }
 
 // Restore fills the table of keys with what the journal has of an earlier process. It is to be called before the first Submit.
 // A booking that began and of which no end is known counts as run: nobody can tell.
-func (n *Node) Restore(b Booking) {
+func (n *Node) Restore(b RunRecord) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	class := -1
@@ -61,62 +61,62 @@
 		}
 	}
 	// The owner is of no use but for its key: nothing of it is in hand, and no runner will hear of it.
-	e := &entry{owner: &request{Request: Request{ID: b.Request, Key: b.Key, Class: class, Arrived: b.Arrived, Front: b.Front}},
-		digest: b.Digest, ran: true, over: true, restored: true, from: b.Arrived, window: b.Window}
+	e := &keyEntry{owner: &request{Request: Request{ID: b.RequestID, IdempotencyKey: b.Key, Class: class, ArrivedAt: b.ArrivedAt, Protocol: b.Protocol}},
+		fingerprint: b.Fingerprint, started: true, finished: true, restored: true, arrivedAt: b.ArrivedAt, window: b.Window}
 	// Without room for its result repeats fail, as those of an unknown end do.
-	e.served = b.Served && b.Kept && n.keys.keep(e, b.Result, n.opts.Limits.KeptResult)
+	e.succeeded = b.Succeeded && b.ResultStored && n.keys.storeResult(e, b.Result, n.opts.Limits.StoredResultBytes)
 	n.keys.entries[b.Key] = e
 	n.counts.Restored++
 }
 
-// record asks for a booking's start to be made durable; the run is started when that is done. A start that has to
+// recordStart asks for a booking's start to be made durable; the run is started when that is done. A start that has to
 // wait too long is taken back.
-func (n *Node) record(r *request) {
-	r.stage = starting
-	num := r.num
-	if err := n.opts.Journal.Began(n.booking(r), func(err error) { n.recorded(num, err) }); err != nil {
-		n.unrecorded(r, err)
+func (n *Node) recordStart(r *request) {
+	r.stage = stageRecording
+	num := r.number
+	if err := n.opts.Journal.RecordStart(n.runRecord(r), func(err error) { n.startRecorded(num, err) }); err != nil {
+		n.recordFailed(r, err)
 		return
 	}
-	wait := min(n.opts.Limits.RecordWait, r.due.Sub(n.opts.Clock.Now()))
-	r.wait = n.opts.Clock.AfterFunc(wait, func() { n.recorded(num, errSlow) })
+	wait := min(n.opts.Limits.RecordTimeout, r.deadline.Sub(n.opts.Clock.Now()))
+	r.recordTimer = n.opts.Clock.AfterFunc(wait, func() { n.startRecorded(num, errRecordTimeout) })
 }
 
-// recorded goes on with a request whose start is durable, or can't be made so.
-func (n *Node) recorded(num uint64, err error) {
+// startRecorded goes on with a request whose start is durable, or can't be made so.
+func (n *Node) startRecorded(num uint64, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := n.byNum[num]
-	if r == nil || r.stage != starting {
+	r := n.byNumber[num]
+	if r == nil || r.stage != stageRecording {
 		return // taken back, and withdrawn
 	}
 	switch {
-	case errors.Is(err, ErrTaken):
-		n.taken(r)
+	case errors.Is(err, ErrKeyHeld):
+		n.keyTakenElsewhere(r)
 	case err != nil:
-		n.unrecorded(r, err)
+		n.recordFailed(r, err)
 	default:
-		n.start(r)
+		n.startRun(r)
 	}
 }
 
-// unrecorded refuses a booking that could not be made durable in time.
-func (n *Node) unrecorded(r *request, err error) {
-	n.counts.Unrecorded++
+// recordFailed refuses a booking that could not be made durable in time.
+func (n *Node) recordFailed(r *request, err error) {
+	n.counts.RecordFailures++
 	n.log.Warn("a booking was refused, as its start could not be recorded", err)
-	n.takeBack(r, Answer{Kind: Refused, Holdoff: n.opts.Limits.RecordBack})
+	n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RecordRetryAfter})
 }
 
-// takeBack answers a request whose start is being recorded, and lets go of its key: nothing of it has run, and nothing will.
-func (n *Node) takeBack(r *request, a Answer) {
-	if r.wait != nil {
-		r.wait.Stop()
+// withdrawStart answers a request whose start is being recorded, and lets go of its key: nothing of it has run, and nothing will.
+func (n *Node) withdrawStart(r *request, a Response) {
+	if r.recordTimer != nil {
+		r.recordTimer.Stop()
 	}
-	r.stage = held
-	if e := n.keys.entries[r.Key]; e != nil && e.owner == r {
-		e.ran = false
+	r.stage = stageQueued
+	if e := n.keys.entries[r.IdempotencyKey]; e != nil && e.owner == r {
+		e.started = false
 	}
-	n.opts.Journal.Withdraw(n.booking(r))
-	n.settle(r, a)
-	n.finish(r, logic.Moot, 0, nil)
+	n.opts.Journal.Withdraw(n.runRecord(r))
+	n.respond(r, a)
+	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 }
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -17,21 +17,21 @@
 	fails error
 }
 
-func (j *journal) Began(b Booking, done func(error)) error {
-	j.note("began", b.Request)
-	j.done[b.Request] = done
+func (j *journal) RecordStart(b RunRecord, done func(error)) error {
+	j.note("began", b.RequestID)
+	j.done[b.RequestID] = done
 	return j.fails
 }
-func (j *journal) Ended(b Booking) {
-	j.note(fmt.Sprintf("ended(%v %s)", b.Served, b.Result), b.Request)
+func (j *journal) RecordEnd(b RunRecord) {
+	j.note(fmt.Sprintf("ended(%v %s)", b.Succeeded, b.Result), b.RequestID)
 }
-func (j *journal) Withdraw(b Booking) { j.note("withdraw", b.Request) }
+func (j *journal) Withdraw(b RunRecord) { j.note("withdraw", b.RequestID) }
 
 func journalBench(t *testing.T) (*bench, *journal) {
 	b := newBench(t)
 	j := &journal{recorder: b.work, done: map[string]func(error){}}
 	b.opts.Journal = j
-	b.opts.Limits.RecordWait = time.Hour // no timer in these tests
+	b.opts.Limits.RecordTimeout = time.Hour // no timer in these tests
 	return b, j
 }
 
@@ -49,12 +49,12 @@
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
 			j.done["a"](nil)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 		}, "began a, start a, ended(true r) a", "[served r] [] []"},
 		{"a read needs no record", func(b *bench, j *journal) {
 			b.submit("a", 0, "", 0)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 		}, "start a", "[served r] [] []"},
 		{"it can't be recorded", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
@@ -72,7 +72,7 @@
 		{"durable after it was given up", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.GiveUp("a")
+			b.Abort("a")
 			j.done["a"](nil)
 			b.submit("b", book, "k", 0)
 			b.decide("b", admission.Run)
@@ -81,31 +81,31 @@
 		{"too slow", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.recorded(b.byID["a"].num, errSlow)
+			b.startRecorded(b.byID["a"].number, errRecordTimeout)
 			j.done["a"](nil)
 		}, "began a, withdraw a", "[refused ] [] []"},
 		{"the module changes its mind", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.decide("a", admission.Refuse)
+			b.decide("a", admission.Reject)
 			j.done["a"](nil)
 		}, "began a, withdraw a", "[refused ] [] []"},
 		{"one that waits for a start that fails runs itself", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
 			b.submit("b", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.decide("b", admission.Join)
+			b.decide("b", admission.Coalesce)
 			j.done["a"](full)
 			b.decide("b", admission.Run)
 			j.done["b"](nil)
-			b.Ended("b", logic.OK, 0, []byte("r"))
+			b.RunEnded("b", logic.OutcomeOK, 0, []byte("r"))
 		}, "began a, withdraw a, began b, start b, ended(true r) b", "[refused ] [served r] []"},
 		{"the caller gone meanwhile, its run goes on for repeats", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Gone("a")
+			b.Cancel("a")
 			j.done["a"](nil)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 			b.submit("b", book, "k", 0)
 			b.decide("b", admission.Run)
 		}, "began a, start a, ended(true r) a", "[] [served r] []"},
@@ -127,13 +127,13 @@
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
 			j.done["a"](nil)
-			b.Ended("a", logic.Moot, 0, nil)
+			b.RunEnded("a", logic.OutcomeNotStarted, 0, nil)
 		}, "began a, start a, withdraw a", "[failed ] [] []"},
 		{"the process is to end", func(b *bench, j *journal) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Leave(b.clock.now, time.Minute, false)
-			b.answerAll()
+			b.Drain(b.clock.now, time.Minute, false)
+			b.answerAllForKill()
 			j.done["a"](nil)
 		}, "began a, withdraw a", "[refused ] [] []"},
 	} {
@@ -154,15 +154,15 @@
 // under its key is told apart; when its window is over the key is free.
 func TestRestored(t *testing.T) {
 	b, _ := journalBench(t)
-	old := Booking{Key: "k", Class: "book", Digest: digest("book", &Request{}), Arrived: b.clock.now.Add(-4 * time.Second), Window: 10 * time.Second}
+	old := RunRecord{Key: "k", Class: "book", Fingerprint: fingerprintOf("book", &Request{}), ArrivedAt: b.clock.now.Add(-4 * time.Second), Window: 10 * time.Second}
 	b.Restore(old)
 	old.Key, old.Class = "l", "no longer there"
 	b.Restore(old)
-	old.Key, old.Class, old.Ended, old.Served, old.Kept, old.Result, old.Front = "kept", "book", true, true, true, []byte("r"), ""
+	old.Key, old.Class, old.Ended, old.Succeeded, old.ResultStored, old.Result, old.Protocol = "kept", "book", true, true, true, []byte("r"), ""
 	b.Restore(old)
-	old.Key, old.Front = "other protocol's", "x"
+	old.Key, old.Protocol = "other protocol's", "x"
 	b.Restore(old)
-	old.Key, old.Front, old.Result = "no room", "", make([]byte, b.opts.Limits.KeptResult+1)
+	old.Key, old.Protocol, old.Result = "no room", "", make([]byte, b.opts.Limits.StoredResultBytes+1)
 	b.Restore(old)
 	for i, c := range []struct{ key, want string }{{"kept", "[served r]"}, {"kept", "[served r]"}, {"other protocol's", "[failed ]"}, {"no room", "[failed ]"}} {
 		id := fmt.Sprint("r", i)
@@ -174,7 +174,7 @@
 	b.submit("a", 1, "k", 0)
 	b.submit("b", 1, "l", 0)
 	var taken bool
-	b.Submit(Request{ID: "c", Class: 1, Key: "k", Content: []byte("other"), Arrived: b.clock.now, Runner: b.work}, func(a Answer) { taken = a.Taken })
+	b.Submit(Request{ID: "c", Class: 1, IdempotencyKey: "k", Content: []byte("other"), ArrivedAt: b.clock.now, Runner: b.work}, func(a Response) { taken = a.KeyReused })
 	if got := fmt.Sprint(b.answers["a"], b.answers["b"], taken, b.work); got != "[failed ] [failed ] true " {
 		t.Errorf("%s", got)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,11 +27,11 @@
 func (r *recorder) note(what, id string)                 { r.asked = append(r.asked, what+" "+id) }
 func (r *recorder) Start(id, _ string, _ []byte, _ bool) { r.note("start", id) }
 func (r *recorder) Stop(id string)                       { r.note("stop", id) }
-func (r *recorder) Continue(id string)                   { r.note("continue", id) }
-func (r *recorder) Give(id string, _ []byte)             { r.note("give", id) }
-func (r *recorder) Omit(id string, _ uint64)             { r.note("omit", id) }
+func (r *recorder) Resume(id string)                     { r.note("continue", id) }
+func (r *recorder) DeliverReply(id string, _ []byte)     { r.note("give", id) }
+func (r *recorder) SkipCall(id string, _ uint64)         { r.note("omit", id) }
 func (r *recorder) String() string                       { return strings.Join(r.asked, ", ") }
-func (r *recorder) Quit(id string)                       { r.note("quit", id) }
+func (r *recorder) Cancel(id string)                     { r.note("quit", id) }
 func (r *recorder) Call(id string, _ time.Duration, _ []byte, _ bool, done func(admission.Outcome, time.Duration, []byte)) {
 	r.note("call", id)
 }
@@ -46,10 +46,10 @@
 
 func newBench(t *testing.T) *bench {
 	t.Helper()
-	cfg := logic.Settings{Cores: 2, MemoryKB: 1e6, CrowdFactor: 5, AnswerGrace: 80000, DrainGrace: 2000000, Classes: []logic.Class{
-		{Name: "read", Aim: 1e6, Deadline: 60e6, Worth: 1, Calls: true, DegradedWorth: 0.5},
-		{Name: "book", Aim: 1e6, Deadline: 60e6, Worth: 3, Effect: logic.Keyed, Window: 10e6},
-		{Name: "move", Aim: 1e6, Deadline: 60e6, Worth: 3, Effect: logic.Unsafe}}}
+	cfg := logic.Settings{Cores: 2, MemoryKB: 1e6, MaxConcurrencyPerCore: 5, ResponseGrace: 80000, DrainGrace: 2000000, Classes: []logic.Class{
+		{Name: "read", LatencyObjective: 1e6, ClientTimeout: 60e6, PriorityWeight: 1, CallsDependency: true, DegradedWeightShare: 0.5},
+		{Name: "book", LatencyObjective: 1e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.IdempotentByKey, IdempotencyWindow: 10e6},
+		{Name: "move", LatencyObjective: 1e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.NonIdempotent}}}
 	c := &still{now: time.UnixMilli(1764576000000)}
 	g, err := admission.New(cfg, admission.Options{Clock: c})
 	if err != nil {
@@ -57,13 +57,13 @@
 	}
 	g.Close()
 	r := &recorder{}
-	return &bench{New(Options{Settings: cfg, Gate: g, Caller: r, Clock: c, Limits: limits.For(64, 256), Log: standin.Quiet}), c, r, map[string][]string{}}
+	return &bench{New(Options{Settings: cfg, Admission: g, Dependency: r, Clock: c, Limits: limits.For(64, 256), Log: standin.Quiet}), c, r, map[string][]string{}}
 }
 
 func (b *bench) submit(id string, class int, key string, at time.Duration) {
-	b.Submit(Request{ID: id, Class: class, Key: key, Arrived: b.clock.now.Add(at), Runner: b.work},
-		func(a Answer) {
-			b.answers[id] = append(b.answers[id], fmt.Sprint([]string{"served", "refused", "failed"}[a.Kind], " ", string(a.Result)))
+	b.Submit(Request{ID: id, Class: class, IdempotencyKey: key, ArrivedAt: b.clock.now.Add(at), Runner: b.work},
+		func(a Response) {
+			b.answers[id] = append(b.answers[id], fmt.Sprint([]string{"served", "refused", "failed"}[a.Status], " ", string(a.Result)))
 		})
 }
 
@@ -71,23 +71,23 @@
 func TestRefusal(t *testing.T) {
 	b := newBench(t)
 	b.submit("a", 1, "k", 0)
-	before := b.Refusal("book", "k")
+	before := b.RejectionStatus("book", "k")
 	b.decide("a", admission.Run)
-	during := b.Refusal("book", "k")
-	b.Ended("a", logic.OK, 0, nil)
-	after := b.Refusal("book", "k")
+	during := b.RejectionStatus("book", "k")
+	b.RunEnded("a", logic.OutcomeOK, 0, nil)
+	after := b.RejectionStatus("book", "k")
 	b.clock.now = b.clock.now.Add(11 * time.Second)
-	if past := b.Refusal("book", "k"); before != Refused || during != Failed || after != Failed || past != Refused || b.Refusal("book", "") != Refused {
+	if past := b.RejectionStatus("book", "k"); before != StatusRejected || during != StatusFailed || after != StatusFailed || past != StatusRejected || b.RejectionStatus("book", "") != StatusRejected {
 		t.Errorf("before the run %v, during it %v, after it %v, past its window %v", before, during, after, past)
 	}
 }
 
 // decide plays the module.
-func (b *bench) decide(id string, v admission.Verb) {
+func (b *bench) decide(id string, v admission.DecisionKind) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.byID[id]; r != nil {
-		b.carryOut(r, admission.Decision{Verb: v, ID: r.num})
+		b.apply(r, admission.Decision{Kind: v, ID: r.number})
 	}
 }
 
@@ -102,23 +102,23 @@
 		{"served", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 		}, "start a", "[served r] [] []"},
 		{"an end that comes twice", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("r"))
-			b.Ended("a", logic.OK, 0, []byte("s"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("s"))
 		}, "start a", "[served r] [] []"},
 		{"answered, then its run ends", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.decide("a", admission.Run)
 			b.decide("a", admission.Fail)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 		}, "start a", "[failed ] [] []"},
 		{"gone while held, then run", func(b *bench) {
 			b.submit("a", 0, "", 0)
-			b.Gone("a")
+			b.Cancel("a")
 			b.decide("a", admission.Run)
 		}, "", "[] [] []"},
 		{"the same id twice", func(b *bench) {
@@ -130,61 +130,61 @@
 			b.submit("a", move, "", 0)
 			b.submit("a", move, "", 0)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 		}, "start a", "[failed  served r] [] []"},
 		{"refused by mistake though it runs, and must not run twice", func(b *bench) {
 			b.submit("a", move, "", 0)
 			b.decide("a", admission.Run)
-			b.decide("a", admission.Refuse)
+			b.decide("a", admission.Reject)
 		}, "start a", "[failed ] [] []"},
 		{"a start that nobody can confirm, and the run ends after all", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Unconfirmed("a", 0)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.DeliveryUnconfirmed("a", 0)
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 			b.submit("b", book, "k", 0)
-			b.decide("b", admission.Join)
+			b.decide("b", admission.Coalesce)
 		}, "start a", "[served r] [served r] []"},
 		{"a start that nobody can confirm: its key stays taken, a repeat that waits for it fails with it", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Unconfirmed("a", 0)
+			b.DeliveryUnconfirmed("a", 0)
 			b.submit("b", book, "k", 0)
-			b.decide("b", admission.Join)
+			b.decide("b", admission.Coalesce)
 			b.decide("a", admission.Fail)
 			b.submit("c", book, "k", 0)
 			b.decide("c", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("late"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("late"))
 		}, "start a", "[failed ] [failed ] [failed ]"},
 		{"a start that nobody can confirm, whose caller is gone: it is written off when it was due", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Unconfirmed("a", 0)
-			b.Gone("a")
+			b.DeliveryUnconfirmed("a", 0)
+			b.Cancel("a")
 			b.Sweep()
 			b.submit("b", book, "k", 0)
-			b.decide("b", admission.Join)
+			b.decide("b", admission.Coalesce)
 			b.clock.now = b.clock.now.Add(61 * time.Second)
 			b.Sweep()
 		}, "start a", "[] [failed ] []"},
 		{"a reply that nobody can confirm: the run goes on without the call", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.decide("a", admission.Run)
-			b.Wants("a", 7, nil)
-			b.decide("a", admission.Call)
-			b.Unconfirmed("a", 7)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.CallRequested("a", 7, nil)
+			b.decide("a", admission.MakeCall)
+			b.DeliveryUnconfirmed("a", 7)
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 		}, "start a, call a, omit a, quit a", "[served r] [] []"},
 		{"a reply that nobody can confirm, in a class whose calls can't be left out", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Wants("a", 7, nil)
-			b.Unconfirmed("a", 7)
-			b.Wants("a", 8, nil)
+			b.CallRequested("a", 7, nil)
+			b.DeliveryUnconfirmed("a", 7)
+			b.CallRequested("a", 8, nil)
 			b.decide("a", admission.Fail)
-			b.Ended("a", logic.OK, 0, nil)
+			b.RunEnded("a", logic.OutcomeOK, 0, nil)
 			b.submit("b", book, "k", 0)
-			b.decide("b", admission.Join)
+			b.decide("b", admission.Coalesce)
 		}, "start a", "[failed ] [served ] []"},
 		{"a keyed request without a key", func(b *bench) {
 			b.submit("a", book, "", 0)
@@ -195,39 +195,39 @@
 			b.submit("b", book, "k", 0)
 			b.decide("a", admission.Run)
 			b.decide("b", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 		}, "start a", "[served r] [served r] []"},
 		{"a try that is refused after its forerunner ran is failed", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.Failed, 0, nil)
+			b.RunEnded("a", logic.OutcomeFailed, 0, nil)
 			b.submit("b", book, "k", 0)
-			b.decide("b", admission.Refuse)
+			b.decide("b", admission.Reject)
 		}, "start a", "[failed ] [failed ] []"},
 		{"the key is free once a try was refused unrun", func(b *bench) {
 			b.submit("a", book, "k", 0)
-			b.decide("a", admission.Refuse)
+			b.decide("a", admission.Reject)
 			b.submit("b", book, "k", 0)
 			b.decide("b", admission.Run)
 		}, "start b", "[refused ] [] []"},
 		{"one that waits for a try that never ran runs itself", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.submit("b", book, "k", 0)
-			b.decide("b", admission.Join)
-			b.decide("a", admission.Refuse)
+			b.decide("b", admission.Coalesce)
+			b.decide("a", admission.Reject)
 			b.decide("b", admission.Run)
 		}, "start b", "[refused ] [] []"},
 		{"a run that was moot leaves the key to the next", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.Moot, 0, nil)
+			b.RunEnded("a", logic.OutcomeNotStarted, 0, nil)
 			b.submit("b", book, "k", 0)
 			b.decide("b", admission.Run)
 		}, "start a, start b", "[failed ] [] []"},
 		{"the window counts from the time stamp of the try that ran", func(b *bench) {
 			b.submit("a", book, "k", -5*time.Second)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 			b.clock.now = b.clock.now.Add(4900 * time.Millisecond)
 			b.submit("b", book, "k", 0) // 9.9 s after it: joins
 			b.decide("b", admission.Run)
@@ -239,7 +239,7 @@
 		{"and from one that is ahead of our clock", func(b *bench) {
 			b.submit("a", book, "k", 3*time.Second)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 			b.clock.now = b.clock.now.Add(12900 * time.Millisecond)
 			b.submit("b", book, "k", 0) // 9.9 s after it: joins
 			b.decide("b", admission.Run)
@@ -250,14 +250,14 @@
 		{"a try read late belongs to when it came", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 			b.clock.now = b.clock.now.Add(11 * time.Second)
 			b.Sweep()
 			b.submit("b", book, "k", -2*time.Second)
 			b.decide("b", admission.Run)
 		}, "start a", "[served r] [served r] []"},
 		{"too late after the notice to leave", func(b *bench) {
-			b.Leave(b.clock.now, time.Minute, false)
+			b.Drain(b.clock.now, time.Minute, false)
 			b.clock.now = b.clock.now.Add(1500 * time.Millisecond)
 			b.submit("a", 0, "", 0)
 			b.clock.now = b.clock.now.Add(1500 * time.Millisecond)
@@ -270,22 +270,22 @@
 		{"a repeat that is read too late has the result of the run", func(b *bench) {
 			b.submit("a", book, "k", 0)
 			b.decide("a", admission.Run)
-			b.Leave(b.clock.now, time.Minute, false)
+			b.Drain(b.clock.now, time.Minute, false)
 			b.clock.now = b.clock.now.Add(3 * time.Second)
 			b.submit("b", book, "k", 0)
 			b.submit("c", book, "l", 0)
-			b.decide("b", admission.Join)
-			b.Ended("a", logic.OK, 0, []byte("r"))
+			b.decide("b", admission.Coalesce)
+			b.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 		}, "start a", "[served r] [served r] [refused ]"},
 		{"what is read after all was answered for the kill is answered at once", func(b *bench) {
-			b.Leave(b.clock.now.Add(-time.Second), 1100*time.Millisecond, true) // the module isn't told of it
+			b.Drain(b.clock.now.Add(-time.Second), 1100*time.Millisecond, true) // the module isn't told of it
 			b.submit("a", 0, "", 0)
 			b.submit("b", book, "k", 0)
 			b.decide("a", admission.Run)
 			b.decide("b", admission.Run)
 		}, "", "[refused ] [refused ] []"},
 		{"the grace counts from the notice, however late it is heard of", func(b *bench) {
-			b.Leave(b.clock.now.Add(-1900*time.Millisecond), time.Minute, false)
+			b.Drain(b.clock.now.Add(-1900*time.Millisecond), time.Minute, false)
 			b.submit("a", 0, "", 0)
 			b.clock.now = b.clock.now.Add(200 * time.Millisecond)
 			b.submit("b", 0, "", -150*time.Millisecond)
@@ -297,24 +297,24 @@
 			b.submit("b", book, "k", 0)
 			b.submit("c", book, "l", 0)
 			b.decide("b", admission.Run)
-			b.Gone("c")
-			b.Leave(b.clock.now, time.Minute, false)
-			b.answerAll()
+			b.Cancel("c")
+			b.Drain(b.clock.now, time.Minute, false)
+			b.answerAllForKill()
 		}, "start b", "[refused ] [failed ] []"},
 		{"a call whose request is over is given up", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.decide("a", admission.Run)
-			b.Wants("a", 3, nil)
-			b.decide("a", admission.Call)
-			b.Ended("a", logic.Cancelled, 0, nil)
+			b.CallRequested("a", 3, nil)
+			b.decide("a", admission.MakeCall)
+			b.RunEnded("a", logic.OutcomeCanceled, 0, nil)
 		}, "start a, call a, quit a", "[failed ] [] []"},
 		{"a call left out", func(b *bench) {
 			b.submit("a", 0, "", 0)
 			b.decide("a", admission.Run)
-			b.decide("a", admission.GoOn) // it stands at no call yet
-			b.Wants("a", 3, nil)
-			b.decide("a", admission.GoOn)
-			b.decide("a", admission.Call)
+			b.decide("a", admission.SkipCall) // it stands at no call yet
+			b.CallRequested("a", 3, nil)
+			b.decide("a", admission.SkipCall)
+			b.decide("a", admission.MakeCall)
 		}, "start a, omit a", "[] [] []"},
 		{"paused and taken up again", func(b *bench) {
 			b.submit("a", 0, "", 0)
@@ -345,11 +345,11 @@
 		t.Fatal(err)
 	}
 	defer g.Close()
-	b.opts.Gate = g
+	b.opts.Admission = g
 	picked := make(chan admission.Decision)
 	go func() {
 		for {
-			d, ok := g.Pick()
+			d, ok := g.Next()
 			if !ok {
 				return
 			}
@@ -366,11 +366,11 @@
 			case <-time.After(standin.Patience):
 				t.Fatalf("request %d is not started: the ones before it still count", i)
 			}
-			if d.Verb != admission.Run {
+			if d.Kind != admission.Run {
 				continue // it keeps a key
 			}
-			b.Gone(id)
-			b.Decide(d)
+			b.Cancel(id)
+			b.ApplyDecision(d)
 			break
 		}
 	}
@@ -382,25 +382,25 @@
 // TestBegin: a response that has begun can't be refused any more, and only a run that is owed an answer and need not be kept may begin.
 func TestBegin(t *testing.T) {
 	b := newBench(t)
-	var got []Answer
+	var got []Response
 	for i, class := range []int{0, 0, 1} {
-		b.Submit(Request{ID: fmt.Sprint(i), Class: class, Key: "k", Arrived: b.clock.now, Runner: b.work}, func(a Answer) { got = append(got, a) })
+		b.Submit(Request{ID: fmt.Sprint(i), Class: class, IdempotencyKey: "k", ArrivedAt: b.clock.now, Runner: b.work}, func(a Response) { got = append(got, a) })
 	}
-	if b.Begin("0") || b.Begin("none") {
+	if b.BeginResponse("0") || b.BeginResponse("none") {
 		t.Error("one that does not run has begun")
 	}
 	for i := range 3 {
 		b.decide(fmt.Sprint(i), admission.Run)
 	}
-	if !b.Begin("0") || !b.Begin("0") || !b.Begin("1") || b.Begin("2") {
+	if !b.BeginResponse("0") || !b.BeginResponse("0") || !b.BeginResponse("1") || b.BeginResponse("2") {
 		t.Error("a run may not begin, or one that is kept for repeats may")
 	}
-	b.decide("0", admission.Refuse)
-	b.Ended("1", logic.OK, 0, nil)
-	if b.Begin("0") {
+	b.decide("0", admission.Reject)
+	b.RunEnded("1", logic.OutcomeOK, 0, nil)
+	if b.BeginResponse("0") {
 		t.Error("one that is answered has begun")
 	}
-	if len(got) != 2 || got[0].Kind != Failed || !got[0].Begun || got[1].Kind != Served || !got[1].Begun {
+	if len(got) != 2 || got[0].Status != StatusFailed || !got[0].ResponseStarted || got[1].Status != StatusServed || !got[1].ResponseStarted {
 		t.Errorf("%+v", got)
 	}
 }
@@ -410,8 +410,8 @@
 	b := newBench(t)
 	for _, c := range []struct{ wait, want time.Duration }{{0, time.Minute}, {time.Second, time.Second}, {time.Hour, time.Minute}} {
 		id := fmt.Sprint(c.wait)
-		b.Submit(Request{ID: id, Arrived: b.clock.now, Wait: c.wait, Runner: b.work}, func(Answer) {})
-		if got := b.byID[id].due.Sub(b.clock.now); got != c.want {
+		b.Submit(Request{ID: id, ArrivedAt: b.clock.now, AttemptTimeout: c.wait, Runner: b.work}, func(Response) {})
+		if got := b.byID[id].deadline.Sub(b.clock.now); got != c.want {
 			t.Errorf("a wait of %v: due after %v, want %v", c.wait, got, c.want)
 		}
 	}
@@ -420,11 +420,11 @@
 // TestKeptResultsAreBounded: a result beyond the room is not kept, so its repeat fails; what expires makes room again.
 func TestKeptResultsAreBounded(t *testing.T) {
 	b := newBench(t)
-	b.keys.room = 5
+	b.keys.freeResultBytes = 5
 	run := func(id, key string) {
 		b.submit(id, 1, key, 0)
 		b.decide(id, admission.Run)
-		b.Ended(id, logic.OK, 0, []byte("four"))
+		b.RunEnded(id, logic.OutcomeOK, 0, []byte("four"))
 	}
 	for i, want := range []string{"[served four]", "[served four]", "[served four]", "[failed ]"} {
 		id := fmt.Sprint(i)
@@ -435,28 +435,28 @@
 	}
 	b.clock.now = b.clock.now.Add(time.Hour)
 	b.Sweep()
-	if run("5", "l"); b.keys.room != 1 || len(b.keys.entries) != 1 || b.work.String() != "start 0, start 1, start 5" {
-		t.Errorf("%d bytes left, %d keys after an hour; %s", b.keys.room, len(b.keys.entries), b.work)
+	if run("5", "l"); b.keys.freeResultBytes != 1 || len(b.keys.entries) != 1 || b.work.String() != "start 0, start 1, start 5" {
+		t.Errorf("%d bytes left, %d keys after an hour; %s", b.keys.freeResultBytes, len(b.keys.entries), b.work)
 	}
 }
 
 // TestTablesAreBounded: neither a crowd of requests nor one of keys may take more than its limit.
 func TestTablesAreBounded(t *testing.T) {
 	b := newBench(t)
-	b.opts.Limits.Requests, b.keys.most = 3, 2
+	b.opts.Limits.MaxInFlight, b.keys.maxEntries = 3, 2
 	for i := range 5 {
 		id := fmt.Sprint(i)
 		b.submit(id, 1, "k"+id, 0)
 		b.decide(id, admission.Run)
 	}
-	if got := b.work.String(); got != "start 0, start 1" || len(b.byNum) != 2 {
-		t.Errorf("%s, %d in hand; want two, as there is room for two keys", got, len(b.byNum))
+	if got := b.work.String(); got != "start 0, start 1" || len(b.byNumber) != 2 {
+		t.Errorf("%s, %d in hand; want two, as there is room for two keys", got, len(b.byNumber))
 	}
 	for i := range 5 {
 		b.submit(fmt.Sprint("r", i), 0, "", 0)
 	}
-	if len(b.byNum) != 3 || b.open != 3 {
-		t.Errorf("%d in hand, %d owed; want 3", len(b.byNum), b.open)
+	if len(b.byNumber) != 3 || b.unanswered != 3 {
+		t.Errorf("%d in hand, %d owed; want 3", len(b.byNumber), b.unanswered)
 	}
 	b.clock.now = b.clock.now.Add(time.Hour)
 	b.Sweep() // runs whose end was never told
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -7,22 +7,22 @@
 	"sloehitch/internal/admission"
 )
 
-// traced says whether the log takes each step of each request.
-func traced(log *slog.Logger) bool {
+// tracingEnabled says whether the log takes each step of each request.
+func tracingEnabled(log *slog.Logger) bool {
 	return log != nil && log.Enabled(context.Background(), slog.LevelDebug)
 }
 
 // trace logs one step of a request. Where the log does not take steps it costs a comparison.
 func (n *Node) trace(step string, r *request, more ...any) {
-	if !n.traced {
+	if !n.tracing {
 		return
 	}
-	n.opts.Log.Debug(step, append([]any{"request", r.ID, "key", r.Key, "num", r.num, "stage", r.stage}, more...)...)
+	n.opts.Log.Debug(step, append([]any{"request", r.ID, "key", r.IdempotencyKey, "num", r.number, "stage", r.stage}, more...)...)
 }
 
 // traceUnknown logs what was told of a run that is not in hand.
 func (n *Node) traceUnknown(what, id string, o admission.Outcome) {
-	if n.traced {
+	if n.tracing {
 		n.opts.Log.Debug(what, "request", id, "outcome", o)
 	}
 }
@@ -33,4 +33,4 @@
 }
 
 // String is the kind's name in the log.
-func (k Kind) String() string { return [...]string{"served", "refused", "failed"}[k] }
+func (k Status) String() string { return [...]string{"served", "refused", "failed"}[k] }
--- a/internal/node/work.go
+++ b/internal/node/work.go
@@ -8,251 +8,251 @@
 	"sloehitch/logic"
 )
 
-// carryOut does what the module decided about a request.
-func (n *Node) carryOut(r *request, d admission.Decision) {
-	switch d.Verb {
+// apply does what the module decided about a request.
+func (n *Node) apply(r *request, d admission.Decision) {
+	switch d.Kind {
 	case admission.Run:
-		n.run(r)
-	case admission.Refuse:
-		n.turnAway(r, Answer{Kind: Refused, Holdoff: d.Span, Last: d.Last})
+		n.startOrResume(r)
+	case admission.Reject:
+		n.answerWithoutRun(r, Response{Status: StatusRejected, RetryAfter: d.Duration, NoFailover: d.NoFailover})
 	case admission.Fail:
-		n.turnAway(r, Answer{Kind: Failed})
+		n.answerWithoutRun(r, Response{Status: StatusFailed})
 	case admission.Stop:
 		switch r.stage {
-		case starting:
+		case stageRecording:
 			r.paused = true
-		case runs:
+		case stageRunning:
 			r.paused = true
 			r.Runner.Stop(r.ID)
 		}
-	case admission.Join:
-		n.join(r)
-	case admission.Keep:
-		if r.Key != "" {
-			n.keys.own(r)
+	case admission.Coalesce:
+		n.coalesce(r)
+	case admission.StoreKey:
+		if r.IdempotencyKey != "" {
+			n.keys.claim(r)
 		}
-	case admission.Forget:
-		for _, waiting := range n.keys.abandon(r) {
-			n.again(waiting)
+	case admission.DeleteKey:
+		for _, waiting := range n.keys.release(r) {
+			n.resubmit(waiting)
 		}
-	case admission.Call:
-		n.call(r, d.Span)
-	case admission.GoOn:
-		if r.wants != 0 {
-			pos := r.wants
-			r.wants, r.call = 0, nil
-			r.Runner.Omit(r.ID, pos)
+	case admission.MakeCall:
+		n.startCall(r, d.Duration)
+	case admission.SkipCall:
+		if r.callNotice != 0 {
+			pos := r.callNotice
+			r.callNotice, r.callBody = 0, nil
+			r.Runner.SkipCall(r.ID, pos)
 		}
 	}
 }
 
-// turnAway answers a request by the module's word, and drops it if nothing of it runs.
-func (n *Node) turnAway(r *request, a Answer) {
-	if r.stage == starting {
-		n.takeBack(r, a)
+// answerWithoutRun answers a request by the module's word, and drops it if nothing of it runs.
+func (n *Node) answerWithoutRun(r *request, a Response) {
+	if r.stage == stageRecording {
+		n.withdrawStart(r, a)
 		return
 	}
-	if a.Kind == Refused && r.stage == held && n.moved(r) {
+	if a.Status == StatusRejected && r.stage == stageQueued && n.moveElsewhere(r) {
 		return
 	}
-	n.settle(r, a)
-	if r.stage == held || r.stage == joined {
-		n.drop(r)
+	n.respond(r, a)
+	if r.stage == stageQueued || r.stage == stageCoalesced {
+		n.remove(r)
 	}
-	n.writeOff(r)
+	n.abandonRun(r)
 }
 
-// run starts a request, or goes on with a paused run. It guards two rules against a mistaken module: nothing that
+// startOrResume starts a request, or goes on with a paused run. It guards two rules against a mistaken module: nothing that
 // came too late after the notice to leave is started, and no second try of a key.
-func (n *Node) run(r *request) {
+func (n *Node) startOrResume(r *request) {
 	switch {
-	case r.stage == runs && r.paused:
+	case r.stage == stageRunning && r.paused:
 		r.paused = false
-		r.Runner.Continue(r.ID)
+		r.Runner.Resume(r.ID)
 		return
-	case r.stage == starting:
+	case r.stage == stageRecording:
 		r.paused = false
 		return
-	case r.stage != held:
+	case r.stage != stageQueued:
 		return
-	case n.tooLate(r):
-		n.settle(r, Answer{Kind: Refused})
-		n.finish(r, logic.Moot, 0, nil)
+	case n.pastDrainGrace(r):
+		n.respond(r, Response{Status: StatusRejected})
+		n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 		return
 	}
-	if r.Key != "" {
-		e := n.keys.own(r)
+	if r.IdempotencyKey != "" {
+		e := n.keys.claim(r)
 		if e == nil {
-			n.settle(r, Answer{Kind: Refused})
-			n.finish(r, logic.Moot, 0, nil)
+			n.respond(r, Response{Status: StatusRejected})
+			n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 			return
 		}
-		if e.ran {
-			n.join(r)
+		if e.started {
+			n.coalesce(r)
 			return
 		}
-		e.ran, e.from, e.window = true, r.stamp, n.keys.window(r.Class)
+		e.started, e.arrivedAt, e.window = true, r.stampedAt, n.keys.window(r.Class)
 		if n.opts.Journal != nil {
-			n.record(r)
+			n.recordStart(r)
 			return
 		}
 	}
-	n.start(r)
+	n.startRun(r)
 }
 
-// start hands a request to its runner.
-func (n *Node) start(r *request) {
-	if r.wait != nil {
-		r.wait.Stop()
+// startRun hands a request to its runner.
+func (n *Node) startRun(r *request) {
+	if r.recordTimer != nil {
+		r.recordTimer.Stop()
 	}
-	r.stage = runs
+	r.stage = stageRunning
 	n.trace("started", r)
-	n.counts.Ran++
-	n.class(r).Ran++
+	n.counts.Started++
+	n.countsOf(r).Started++
 	class := &n.opts.Settings.Classes[r.Class]
-	r.Runner.Start(r.ID, class.Name, r.Body, class.Effect != logic.Safe)
+	r.Runner.Start(r.ID, class.Name, r.Body, class.Idempotency != logic.Idempotent)
 	if r.paused { // while its start was being recorded
 		r.Runner.Stop(r.ID)
 	}
 }
 
-// join serves a request from the result of the try that it repeats, now or when that is over.
-func (n *Node) join(r *request) {
-	e := n.keys.key(r)
+// coalesce serves a request from the result of the try that it repeats, now or when that is over.
+func (n *Node) coalesce(r *request) {
+	e := n.keys.lookup(r)
 	switch {
-	case r.stage != held || r.settled:
-	case r.Key == "" || e == nil || e.owner == r && !e.ran:
+	case r.stage != stageQueued || r.settled:
+	case r.IdempotencyKey == "" || e == nil || e.owner == r && !e.started:
 		// The try that it repeats was answered without a run since: nothing stands in the way of this one.
-		n.again(r)
-	case e.over:
-		n.finishJoin(r, e)
+		n.resubmit(r)
+	case e.finished:
+		n.answerCoalesced(r, e)
 	default:
 		n.trace("waits for the run of its key", r, "run", e.owner.ID)
-		n.counts.Joined++
-		r.stage = joined
-		e.waiting = append(e.waiting, r)
+		n.counts.Coalesced++
+		r.stage = stageCoalesced
+		e.coalesced = append(e.coalesced, r)
 	}
 }
 
-// finishJoin answers a request as the try that it waited for was answered.
-func (n *Node) finishJoin(r *request, e *entry) {
-	r.stage = ended
-	took := n.opts.Clock.Now().Sub(r.entered)
-	if e.served && e.owner.Front == r.Front { // another protocol's result would not be understood
-		n.settle(r, Answer{Kind: Served, Result: e.result})
-		n.opts.Gate.Report(admission.Ended(r.num, logic.OK, took))
+// answerCoalesced answers a request as the try that it waited for was answered.
+func (n *Node) answerCoalesced(r *request, e *keyEntry) {
+	r.stage = stageEnded
+	took := n.opts.Clock.Now().Sub(r.reportedAt)
+	if e.succeeded && e.owner.Protocol == r.Protocol { // another protocol's result would not be understood
+		n.respond(r, Response{Status: StatusServed, Result: e.result})
+		n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeOK, took))
 	} else {
-		n.settle(r, Answer{Kind: Failed})
-		n.opts.Gate.Report(admission.Ended(r.num, logic.Failed, took))
+		n.respond(r, Response{Status: StatusFailed})
+		n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeFailed, took))
 	}
-	n.drop(r)
+	n.remove(r)
 }
 
-// Ended tells that a run is over.
-func (n *Node) Ended(id string, o admission.Outcome, took time.Duration, result []byte) {
+// RunEnded tells that a run is over.
+func (n *Node) RunEnded(id string, o admission.Outcome, took time.Duration, result []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.byID[id]
-	if r == nil || r.stage != runs {
+	if r == nil || r.stage != stageRunning {
 		n.traceUnknown("an end of a run that is not in hand", id, o)
 		return
 	}
 	n.trace("its run has ended", r, "outcome", o, "took", took)
-	n.finish(r, o, took, result)
+	n.finishRun(r, o, took, result)
 }
 
-// finish ends a request's run: it answers it and all that waited for it.
-func (n *Node) finish(r *request, o admission.Outcome, took time.Duration, result []byte) {
-	n.opts.Gate.Report(admission.Ended(r.num, o, took))
-	n.conclude(r, o, result)
+// finishRun ends a request's run: it answers it and all that waited for it.
+func (n *Node) finishRun(r *request, o admission.Outcome, took time.Duration, result []byte) {
+	n.opts.Admission.Report(admission.RunEnded(r.number, o, took))
+	n.completeRun(r, o, result)
 }
 
-// conclude is what finish does beside telling the module.
-func (n *Node) conclude(r *request, o admission.Outcome, result []byte) {
-	started := r.stage == runs
-	r.stage = ended
-	if o == logic.OK {
-		n.settle(r, Answer{Kind: Served, Result: result})
+// completeRun is what finish does beside telling the module.
+func (n *Node) completeRun(r *request, o admission.Outcome, result []byte) {
+	started := r.stage == stageRunning
+	r.stage = stageEnded
+	if o == logic.OutcomeOK {
+		n.respond(r, Response{Status: StatusServed, Result: result})
 	} else {
-		n.settle(r, Answer{Kind: Failed})
+		n.respond(r, Response{Status: StatusFailed})
 	}
-	if e := n.keys.entries[r.Key]; r.Key != "" && e != nil && e.owner == r && started {
-		if o == logic.Moot {
-			n.log.Warn("a keyed run was not started: its key is free again", fmt.Errorf("request %s, key %s", r.ID, r.Key))
-			e.ran = false // nothing was started: drop hands the key to whoever waits
+	if e := n.keys.entries[r.IdempotencyKey]; r.IdempotencyKey != "" && e != nil && e.owner == r && started {
+		if o == logic.OutcomeNotStarted {
+			n.log.Warn("a keyed run was not started: its key is free again", fmt.Errorf("request %s, key %s", r.ID, r.IdempotencyKey))
+			e.started = false // nothing was started: drop hands the key to whoever waits
 			if n.opts.Journal != nil {
-				n.opts.Journal.Withdraw(n.booking(r))
+				n.opts.Journal.Withdraw(n.runRecord(r))
 			}
 		} else {
-			e.over, e.served = true, o == logic.OK
+			e.finished, e.succeeded = true, o == logic.OutcomeOK
 			e.result = result
-			waiting := e.waiting
-			e.waiting = nil
+			waiting := e.coalesced
+			e.coalesced = nil
 			for _, w := range waiting {
-				n.finishJoin(w, e)
+				n.answerCoalesced(w, e)
 			}
 			e.result = nil
 			// Without its result later repeats fail: it must not run again.
-			e.served = e.served && n.keys.keep(e, result, n.opts.Limits.KeptResult)
+			e.succeeded = e.succeeded && n.keys.storeResult(e, result, n.opts.Limits.StoredResultBytes)
 			if n.opts.Journal != nil {
-				b := n.booking(r)
-				b.Ended, b.Served = true, o == logic.OK
-				if b.Kept = b.Served && len(result) <= n.opts.Limits.KeptResult; b.Kept {
+				b := n.runRecord(r)
+				b.Ended, b.Succeeded = true, o == logic.OutcomeOK
+				if b.ResultStored = b.Succeeded && len(result) <= n.opts.Limits.StoredResultBytes; b.ResultStored {
 					b.Result = result
 				}
-				n.opts.Journal.Ended(b)
+				n.opts.Journal.RecordEnd(b)
 			}
 		}
 	}
-	n.drop(r)
+	n.remove(r)
 }
 
-// Wants tells that a run stands at a call; pos is the notice that asked for it.
-func (n *Node) Wants(id string, pos uint64, body []byte) {
+// CallRequested tells that a run stands at a call; pos is the notice that asked for it.
+func (n *Node) CallRequested(id string, pos uint64, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.byID[id]
-	if r == nil || r.stage != runs {
+	if r == nil || r.stage != stageRunning {
 		return
 	}
-	r.wants, r.call, r.lost = pos, body, false
+	r.callNotice, r.callBody, r.unconfirmed = pos, body, false
 	n.trace("stands at a call", r, "notice", pos)
-	n.opts.Gate.Report(admission.AtCall(r.num))
+	n.opts.Admission.Report(admission.CallRequested(r.number))
 }
 
-// call makes the call that a run stands at.
-func (n *Node) call(r *request, patience time.Duration) {
-	if r.stage != runs || r.wants == 0 || r.calling {
+// startCall makes the call that a run stands at.
+func (n *Node) startCall(r *request, patience time.Duration) {
+	if r.stage != stageRunning || r.callNotice == 0 || r.callInFlight {
 		return
 	}
-	if n.opts.Caller == nil {
-		n.opts.Gate.Report(admission.CallEnded(r.num, logic.Unreachable, 0))
+	if n.opts.Dependency == nil {
+		n.opts.Admission.Report(admission.CallEnded(r.number, logic.OutcomeUnreachable, 0))
 		return
 	}
 	if patience <= 0 {
-		patience = max(r.due.Sub(n.opts.Clock.Now()), time.Millisecond)
+		patience = max(r.deadline.Sub(n.opts.Clock.Now()), time.Millisecond)
 	}
-	r.calling = true
-	num := r.num
-	once := n.opts.Settings.Classes[r.Class].Effect != logic.Safe
-	n.opts.Caller.Call(r.ID, patience, r.call, once, func(o admission.Outcome, took time.Duration, reply []byte) {
-		n.called(num, o, took, reply)
+	r.callInFlight = true
+	num := r.number
+	once := n.opts.Settings.Classes[r.Class].Idempotency != logic.Idempotent
+	n.opts.Dependency.Call(r.ID, patience, r.callBody, once, func(o admission.Outcome, took time.Duration, reply []byte) {
+		n.callEnded(num, o, took, reply)
 	})
 }
 
-// called takes in how a call ended.
-func (n *Node) called(num uint64, o admission.Outcome, took time.Duration, reply []byte) {
+// callEnded takes in how a call ended.
+func (n *Node) callEnded(num uint64, o admission.Outcome, took time.Duration, reply []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := n.byNum[num]
-	if r == nil || !r.calling {
+	r := n.byNumber[num]
+	if r == nil || !r.callInFlight {
 		return
 	}
-	r.calling = false
+	r.callInFlight = false
 	n.trace("its call has ended", r, "outcome", o, "took", took)
-	if o == logic.OK && r.wants != 0 {
-		r.wants, r.call = 0, nil
-		r.Runner.Give(r.ID, reply)
+	if o == logic.OutcomeOK && r.callNotice != 0 {
+		r.callNotice, r.callBody = 0, nil
+		r.Runner.DeliverReply(r.ID, reply)
 	}
-	n.opts.Gate.Report(admission.CallEnded(num, o, took))
+	n.opts.Admission.Report(admission.CallEnded(num, o, took))
 }
--- a/internal/operatorapi/ops.go
+++ b/internal/operatorapi/ops.go
@@ -56,20 +56,20 @@
 
 // Class is what one class of requests came to since the process started.
 type Class struct {
-	Name                    string
-	OK, Shed, Errors, Tries int // served, refused, failed; runs handed to the runtime
+	Name                       string
+	OK, Shed, Errors, Attempts int // served, refused, failed; runs handed to the runtime
 }
 
-// Figures are the counts that telemetry shows.
-type Figures struct {
-	Classes           []Class
-	Active            int // requests taken and not yet answered
-	Applied, Rejected int // configuration files taken and turned down at SIGHUP
+// Report are the counts that telemetry shows.
+type Report struct {
+	Classes                       []Class
+	InFlight                      int // requests taken and not yet answered
+	ConfigApplied, ConfigRejected int // configuration files taken and turned down at SIGHUP
 }
 
 // Append writes the figures in the statsd form of the operators' page, "app.responses.C.ok:812|c" and
 // "app.active:14|g", a line each.
-func (f Figures) Append(b []byte) []byte {
+func (f Report) Append(b []byte) []byte {
 	counter := func(name string, v int) {
 		b = append(b, "app."...)
 		b = append(b, name...)
@@ -81,20 +81,20 @@
 		counter("responses."+c.Name+".ok", c.OK)
 		counter("responses."+c.Name+".shed", c.Shed)
 		counter("responses."+c.Name+".errors", c.Errors)
-		counter("responses."+c.Name+".tries", c.Tries)
+		counter("responses."+c.Name+".tries", c.Attempts)
 	}
 	b = append(b, "app.active:"...)
-	b = strconv.AppendInt(b, int64(f.Active), 10)
+	b = strconv.AppendInt(b, int64(f.InFlight), 10)
 	b = append(b, "|g\n"...)
-	counter("config_applied", f.Applied)
-	counter("config_rejected", f.Rejected)
+	counter("config_applied", f.ConfigApplied)
+	counter("config_rejected", f.ConfigRejected)
 	return b
 }
 
 // Handler does what the calls ask. Its methods must not block for long: each answer is due within a second.
 type Handler interface {
 	Ready() bool
-	Figures() Figures
+	Report() Report
 	Evacuate()
 	Activate()
 }
@@ -113,7 +113,7 @@
 
 // New returns a server for h.
 func New(h Handler, lim limits.Limits, log *slog.Logger) *Server {
-	return &Server{h: h, lim: lim, log: log, seats: make(chan struct{}, lim.OpsSeats), extra: make(chan struct{}, lim.OpsTold()), conns: map[net.Conn]struct{}{}}
+	return &Server{h: h, lim: lim, log: log, seats: make(chan struct{}, lim.OperatorConnections), extra: make(chan struct{}, lim.RejectedOperatorConnections()), conns: map[net.Conn]struct{}{}}
 }
 
 // Serve answers the calls that come to ln until it is closed; then it closes what is open and returns nil. Each
@@ -129,7 +129,7 @@
 			}
 			var ne net.Error
 			if errors.As(err, &ne) && ne.Timeout() || isTemporary(err) {
-				time.Sleep(s.lim.RetryLeast) // such as no descriptor left: wait a little rather than spin
+				time.Sleep(s.lim.MinBackoff) // such as no descriptor left: wait a little rather than spin
 				continue
 			}
 			return err
@@ -139,7 +139,7 @@
 			s.track(c, true)
 			go s.serve(c)
 		default:
-			go s.refuse(c)
+			go s.rejectConnection(c)
 		}
 	}
 }
@@ -167,14 +167,14 @@
 	}
 }
 
-// refuse tells a caller that there is no seat. A few at once get the time to read it; of a crowd beyond that no
+// rejectConnection tells a caller that there is no seat. A few at once get the time to read it; of a crowd beyond that no
 // descriptor is held.
-func (s *Server) refuse(c net.Conn) {
+func (s *Server) rejectConnection(c net.Conn) {
 	defer c.Close()
 	s.write(c, []byte("NAK busy: too many operators' connections at once\n"))
 	select {
 	case s.extra <- struct{}{}:
-		gracefulclose.Drain(c, s.lim.Linger, s.lim.Frame)
+		gracefulclose.CloseWriteAndDiscard(c, s.lim.CloseTimeout, s.lim.FrameBytes)
 		<-s.extra
 	default:
 	}
@@ -186,18 +186,18 @@
 		c.Close()
 		<-s.seats
 	}()
-	_ = c.SetReadDeadline(time.Now().Add(s.lim.OpsCall))
-	line, err := readLine(bufio.NewReaderSize(c, 64), s.lim.OpsLine)
+	_ = c.SetReadDeadline(time.Now().Add(s.lim.OperatorCallTimeout))
+	line, err := readLine(bufio.NewReaderSize(c, 64), s.lim.OperatorCallBytes)
 	if err != nil {
 		var ne net.Error
 		if !errors.As(err, &ne) || !ne.Timeout() {
 			s.write(c, []byte("NAK "+err.Error()+"\n"))
-			gracefulclose.Drain(c, s.lim.Linger, s.lim.Frame)
+			gracefulclose.CloseWriteAndDiscard(c, s.lim.CloseTimeout, s.lim.FrameBytes)
 		}
 		return // a caller that said nothing in time is let go without a word: it may be gone
 	}
 	s.write(c, s.Answer(line))
-	gracefulclose.Drain(c, s.lim.Linger, s.lim.Frame)
+	gracefulclose.CloseWriteAndDiscard(c, s.lim.CloseTimeout, s.lim.FrameBytes)
 }
 
 var errLong = errors.New("call too long")
@@ -235,7 +235,7 @@
 		}
 		return []byte("NAK not ready: not taking clients\n")
 	case Telemetry:
-		b := s.h.Figures().Append([]byte("ACK\n"))
+		b := s.h.Report().Append([]byte("ACK\n"))
 		return append(b, "--\n"...)
 	case Evacuate:
 		s.h.Evacuate()
@@ -249,7 +249,7 @@
 }
 
 func (s *Server) write(c net.Conn, b []byte) {
-	_ = c.SetWriteDeadline(time.Now().Add(s.lim.Write))
+	_ = c.SetWriteDeadline(time.Now().Add(s.lim.WriteTimeout))
 	_, _ = c.Write(b)
 }
 
--- a/internal/operatorapi/ops_test.go
+++ b/internal/operatorapi/ops_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestFiguresAppend(t *testing.T) {
-	f := Figures{Classes: []Class{{Name: "book", OK: 812, Shed: 3, Errors: 1, Tries: 815}}, Active: 14, Applied: 2, Rejected: 1}
+	f := Report{Classes: []Class{{Name: "book", OK: 812, Shed: 3, Errors: 1, Attempts: 815}}, InFlight: 14, ConfigApplied: 2, ConfigRejected: 1}
 	want := "app.responses.book.ok:812|c\napp.responses.book.shed:3|c\napp.responses.book.errors:1|c\napp.responses.book.tries:815|c\n" +
 		"app.active:14|g\napp.config_applied:2|c\napp.config_rejected:1|c\n"
 	if got := string(f.Append(nil)); got != want {
@@ -52,8 +52,8 @@
 }
 
 func (n *node) Ready() bool { return true }
-func (n *node) Figures() Figures {
-	return Figures{Classes: []Class{{Name: "search", OK: 1}}, Active: 2}
+func (n *node) Report() Report {
+	return Report{Classes: []Class{{Name: "search", OK: 1}}, InFlight: 2}
 }
 func (n *node) Evacuate() { n.mu.Lock(); n.evacuated = true; n.mu.Unlock() }
 func (n *node) Activate() { n.mu.Lock(); n.evacuated = false; n.mu.Unlock() }
@@ -126,11 +126,11 @@
 // is let go when its time is up.
 func TestSilentCallers(t *testing.T) {
 	lim := limits.For(64, 384)
-	lim.OpsSeats = 4
-	lim.OpsCall = time.Hour // only the test ends them
+	lim.OperatorConnections = 4
+	lim.OperatorCallTimeout = time.Hour // only the test ends them
 	_, address := serve(t, lim)
 	var silent []net.Conn
-	for i := range lim.OpsSeats - 1 {
+	for i := range lim.OperatorConnections - 1 {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -167,7 +167,7 @@
 // A caller that says nothing within its time is let go without a word.
 func TestCallerLetGo(t *testing.T) {
 	lim := limits.For(64, 384)
-	lim.OpsCall = 50 * time.Millisecond
+	lim.OperatorCallTimeout = 50 * time.Millisecond
 	_, address := serve(t, lim)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/platform/apispec/openapi.go
+++ b/internal/platform/apispec/openapi.go
@@ -24,8 +24,8 @@
 // extension is the name of the OpenAPI extension that an operation must carry to be served.
 const extension = "x-sloehitch"
 
-// terms are what the extension says of an operation.
-type terms struct {
+// operation are what the extension says of an operation.
+type operation struct {
 	Class     string   `json:"class"`     // a class of the settings
 	Semantics string   `json:"semantics"` // retryable, dedup or fragile; must be the class's
 	Key       string   `json:"key"`       // dedup: header:NAME or query:NAME that is the same for all tries
@@ -41,12 +41,12 @@
 // Operations map uwsgi requests to classes.
 type Operations struct {
 	router  routers.Router
-	terms   map[*openapi3.Operation]*terms
+	terms   map[*openapi3.Operation]*operation
 	tenants map[string]int
 	ranks   []float64
 }
 
-var semantics = map[string]logic.Effect{"retryable": logic.Safe, "dedup": logic.Keyed, "fragile": logic.Unsafe}
+var semantics = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey, "fragile": logic.NonIdempotent}
 
 // Load reads an OpenAPI document and holds it against the settings, in which it may change the worth of classes.
 func Load(text []byte, cfg *logic.Settings, classes, tenants map[string]int) (*Operations, error) {
@@ -59,13 +59,13 @@
 		return nil, err
 	}
 	doc.Servers = nil // paths match wherever the front stands
-	o := &Operations{terms: map[*openapi3.Operation]*terms{}, tenants: tenants}
+	o := &Operations{terms: map[*openapi3.Operation]*operation{}, tenants: tenants}
 	if o.router, err = gorillamux.NewRouter(doc); err != nil {
 		return nil, err
 	}
 	for path, item := range doc.Paths.Map() {
 		for method, op := range item.Operations() {
-			t, err := readTerms(op, cfg, classes)
+			t, err := readOperation(op, cfg, classes)
 			if err != nil {
 				return nil, fmt.Errorf("%s %s: %w", method, path, err)
 			}
@@ -77,17 +77,17 @@
 	if len(o.terms) == 0 {
 		return nil, fmt.Errorf("no operation carries %s", extension)
 	}
-	o.rank(cfg.Classes)
+	o.setRanks(cfg.Classes)
 	return o, nil
 }
 
-// rank gives each class an equal portion from 0 to 1 in order of worth, the least first, and its requests the middle.
-func (o *Operations) rank(classes []logic.Class) {
+// setRanks gives each class an equal portion from 0 to 1 in order of worth, the least first, and its requests the middle.
+func (o *Operations) setRanks(classes []logic.Class) {
 	o.ranks = make([]float64, len(classes))
 	for i, c := range classes {
 		below := 0
 		for j, other := range classes {
-			if other.Worth < c.Worth || other.Worth == c.Worth && j < i {
+			if other.PriorityWeight < c.PriorityWeight || other.PriorityWeight == c.PriorityWeight && j < i {
 				below++
 			}
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// readTerms reads an operation's extension; nil if it has none.
-func readTerms(op *openapi3.Operation, cfg *logic.Settings, classes map[string]int) (*terms, error) {
+// readOperation reads an operation's extension; nil if it has none.
+func readOperation(op *openapi3.Operation, cfg *logic.Settings, classes map[string]int) (*operation, error) {
 	value, found := op.Extensions[extension]
 	if !found {
 		return nil, nil
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &terms{}
+	t := &operation{}
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields() // a misspelt term would be a rule that silently does not hold
 	if err := decoder.Decode(t); err != nil {
@@ -118,14 +118,14 @@
 	return t, t.check(&cfg.Classes[t.class])
 }
 
-func (t *terms) check(class *logic.Class) error {
+func (t *operation) check(class *logic.Class) error {
 	effect, known := semantics[t.Semantics]
 	switch {
 	case !known:
 		return fmt.Errorf("%s: semantics %q is none of retryable, dedup, fragile", extension, t.Semantics)
-	case effect != class.Effect:
+	case effect != class.Idempotency:
 		return fmt.Errorf("%s: semantics %q is not that of class %s in the settings", extension, t.Semantics, t.Class)
-	case effect == logic.Keyed && t.Key == "":
+	case effect == logic.IdempotentByKey && t.Key == "":
 		return fmt.Errorf("%s: dedup needs a key", extension)
 	case t.WorkMS < 0 || t.KB < 0 || t.Worth != nil && *t.Worth < 0:
 		return fmt.Errorf("%s: negative figure", extension)
@@ -136,7 +136,7 @@
 		}
 	}
 	if t.Worth != nil {
-		class.Worth = *t.Worth
+		class.PriorityWeight = *t.Worth
 	}
 	return nil
 }
@@ -157,25 +157,25 @@
 	}
 	t := o.terms[route.Operation]
 	query := at.Query()
-	q.Class, q.Rank = t.class, o.ranks[t.class]
-	q.Hint = time.Duration(t.WorkMS * float64(time.Millisecond))
+	q.Class, q.PriorityRank = t.class, o.ranks[t.class]
+	q.WorkHint = time.Duration(t.WorkMS * float64(time.Millisecond))
 	if t.KB > 0 {
-		q.KB = t.KB
+		q.MemoryKB = t.KB
 	}
-	q.Retry = find(t.Retry, get, query) != ""
-	if tenant, known := o.tenants[find(t.Tenant, get, query)]; known {
+	q.Retry = findValue(t.Retry, get, query) != ""
+	if tenant, known := o.tenants[findValue(t.Tenant, get, query)]; known {
 		q.Tenant = tenant
 	}
 	if t.Key != "" {
-		if q.Key = find(t.Key, get, query); q.Key == "" || len(q.Key) > 256 {
+		if q.IdempotencyKey = findValue(t.Key, get, query); q.IdempotencyKey == "" || len(q.IdempotencyKey) > 256 {
 			return http.StatusBadRequest
 		}
 	}
 	return 0
 }
 
-// find is the value at a place such as header:Idempotency-Key, or "".
-func find(from string, get func(string) string, query url.Values) string {
+// findValue is the value at a place such as header:Idempotency-Key, or "".
+func findValue(from string, get func(string) string, query url.Values) string {
 	place, name, _ := strings.Cut(from, ":")
 	switch place {
 	case "header":
