--- a/internal/platform/apispec/openapi_test.go
+++ b/internal/platform/apispec/openapi_test.go
@@ -29,7 +29,7 @@
 var classes = map[string]int{"slot-search": 0, "book": 1}
 
 func cfg() *logic.Settings {
-	return &logic.Settings{Classes: []logic.Class{{Name: "slot-search", Worth: 1}, {Name: "book", Worth: 3, Effect: logic.Keyed}}}
+	return &logic.Settings{Classes: []logic.Class{{Name: "slot-search", PriorityWeight: 1}, {Name: "book", PriorityWeight: 3, Idempotency: logic.IdempotentByKey}}}
 }
 
 func TestMap(t *testing.T) {
@@ -38,8 +38,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Classes[1].Worth != 5 || c.Classes[0].Worth != 1 {
-		t.Errorf("worth %v and %v, want 1 and 5", c.Classes[0].Worth, c.Classes[1].Worth)
+	if c.Classes[1].PriorityWeight != 5 || c.Classes[0].PriorityWeight != 1 {
+		t.Errorf("worth %v and %v, want 1 and 5", c.Classes[0].PriorityWeight, c.Classes[1].PriorityWeight)
 	}
 	for _, tc := range []struct {
 		name   string
@@ -48,11 +48,11 @@
 		want   node.Request
 	}{
 		{"read", map[string]string{"REQUEST_METHOD": "GET", "PATH_INFO": "/slots/5", "HTTP_X_TENANT": "acme", "HTTP_X_RETRY": "1"}, 0,
-			node.Request{Class: 0, Tenant: 0, KB: 20, Hint: 12500 * time.Microsecond, Rank: 0.25, Retry: true}},
+			node.Request{Class: 0, Tenant: 0, MemoryKB: 20, WorkHint: 12500 * time.Microsecond, PriorityRank: 0.25, Retry: true}},
 		{"unknown tenant", map[string]string{"REQUEST_METHOD": "GET", "PATH_INFO": "/slots/5", "HTTP_X_TENANT": "other"}, 0,
-			node.Request{Class: 0, Tenant: -1, KB: 20, Hint: 12500 * time.Microsecond, Rank: 0.25}},
+			node.Request{Class: 0, Tenant: -1, MemoryKB: 20, WorkHint: 12500 * time.Microsecond, PriorityRank: 0.25}},
 		{"booking", map[string]string{"REQUEST_METHOD": "POST", "REQUEST_URI": "/book?opkey=k", "QUERY_STRING": "opkey=k"}, 0,
-			node.Request{Class: 1, Tenant: -1, KB: 1, Rank: 0.75, Key: "k"}},
+			node.Request{Class: 1, Tenant: -1, MemoryKB: 1, PriorityRank: 0.75, IdempotencyKey: "k"}},
 		{"booking without its key", map[string]string{"REQUEST_METHOD": "POST", "PATH_INFO": "/book"}, 400, node.Request{}},
 		{"key too long", map[string]string{"REQUEST_METHOD": "POST", "PATH_INFO": "/book", "QUERY_STRING": "opkey=" + strings.Repeat("k", 257)}, 400, node.Request{}},
 		{"no terms", map[string]string{"REQUEST_METHOD": "GET", "PATH_INFO": "/book"}, 404, node.Request{}},
@@ -60,14 +60,14 @@
 		{"no such method", map[string]string{"REQUEST_METHOD": "DELETE", "PATH_INFO": "/book"}, 405, node.Request{}},
 		{"nothing", map[string]string{}, 404, node.Request{}},
 	} {
-		q := node.Request{Tenant: -1, KB: 1}
+		q := node.Request{Tenant: -1, MemoryKB: 1}
 		status := o.Map(func(name string) string { return tc.vars[name] }, &q)
 		if status != tc.status {
 			t.Errorf("%s: status %d, want %d", tc.name, status, tc.status)
 		}
 		w := tc.want
-		if status == 0 && (q.Class != w.Class || q.Tenant != w.Tenant || q.KB != w.KB || q.Hint != w.Hint || q.Rank != w.Rank ||
-			q.Retry != w.Retry || q.Key != w.Key) {
+		if status == 0 && (q.Class != w.Class || q.Tenant != w.Tenant || q.MemoryKB != w.MemoryKB || q.WorkHint != w.WorkHint || q.PriorityRank != w.PriorityRank ||
+			q.Retry != w.Retry || q.IdempotencyKey != w.IdempotencyKey) {
 			t.Errorf("%s: %+v\nwant %+v", tc.name, q, w)
 		}
 	}
--- a/internal/platform/clock/shared.go
+++ b/internal/platform/clock/shared.go
@@ -16,15 +16,15 @@
 // bootIDFile names the present boot of the machine (random(4)): monotonic readings of two boots have nothing in common.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// sharedLine is how steady time stands to the machine's monotonic clock, as processes share it.
-type sharedLine struct {
+// sharedReference is how steady time stands to the machine's monotonic clock, as processes share it.
+type sharedReference struct {
 	boot  string
 	ahead time.Duration // of the monotonic clock's reading, since the Unix epoch
 }
 
-// Share has steady time be the same in all processes that share the file: the first of them writes how its own stands to the machine's
+// ShareReference has steady time be the same in all processes that share the file: the first of them writes how its own stands to the machine's
 // monotonic clock, the others go by that, whatever the wall clock was when they started. It is to be called before any instant is read.
-func Share(path string) error {
+func ShareReference(path string) error {
 	boot, err := os.ReadFile(bootIDFile)
 	if err != nil {
 		return fmt.Errorf("shared clock: %w", err)
@@ -33,8 +33,8 @@
 	if err != nil {
 		return fmt.Errorf("shared clock: %w", err)
 	}
-	own := sharedLine{boot: strings.TrimSpace(string(boot)), ahead: time.Duration(steadyAt(read).UnixNano()) - monotonic}
-	line, err := agree(path, own)
+	own := sharedReference{boot: strings.TrimSpace(string(boot)), ahead: time.Duration(steadyAt(read).UnixNano()) - monotonic}
+	line, err := agreeOn(path, own)
 	if err != nil {
 		return fmt.Errorf("shared clock %s: %w", path, err)
 	}
@@ -51,27 +51,27 @@
 	return time.Now(), time.Duration(t.Nano()), nil
 }
 
-// agree returns the line in the file, which it writes where there is none of this boot.
-func agree(path string, own sharedLine) (sharedLine, error) {
-	line, err := readLine(path)
+// agreeOn returns the line in the file, which it writes where there is none of this boot.
+func agreeOn(path string, own sharedReference) (sharedReference, error) {
+	line, err := readReference(path)
 	if err == nil && line.boot == own.boot {
 		return line, nil
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return sharedLine{}, err
+		return sharedReference{}, err
 	}
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.WriteFile(temporary, own.bytes(), 0o600); err != nil {
-		return sharedLine{}, errors.Join(err, removeIfThere(temporary))
+		return sharedReference{}, errors.Join(err, removeIfThere(temporary))
 	}
 	defer os.Remove(temporary)
 	if err == nil { // of an earlier boot
 		return own, os.Rename(temporary, path)
 	}
 	if err := os.Link(temporary, path); errors.Is(err, fs.ErrExist) { // another process was first
-		return readLine(path)
+		return readReference(path)
 	} else if err != nil {
-		return sharedLine{}, err
+		return sharedReference{}, err
 	}
 	return own, nil
 }
@@ -83,18 +83,18 @@
 	return nil
 }
 
-func (l sharedLine) bytes() []byte { return fmt.Appendf(nil, "%s %d\n", l.boot, l.ahead) }
+func (l sharedReference) bytes() []byte { return fmt.Appendf(nil, "%s %d\n", l.boot, l.ahead) }
 
-// readLine reads the file. A line that is not whole errs.
-func readLine(path string) (sharedLine, error) {
+// readReference reads the file. A line that is not whole errs.
+func readReference(path string) (sharedReference, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return sharedLine{}, err
+		return sharedReference{}, err
 	}
 	boot, ahead, _ := strings.Cut(string(bytes.TrimSuffix(text, []byte("\n"))), " ")
 	nanoseconds, err := strconv.ParseInt(ahead, 10, 64)
 	if err != nil || !bytes.HasSuffix(text, []byte("\n")) {
-		return sharedLine{}, fmt.Errorf("%.60q is no boot and offset", text)
+		return sharedReference{}, fmt.Errorf("%.60q is no boot and offset", text)
 	}
-	return sharedLine{boot: boot, ahead: time.Duration(nanoseconds)}, nil
+	return sharedReference{boot: boot, ahead: time.Duration(nanoseconds)}, nil
 }
--- a/internal/platform/clock/shared_test.go
+++ b/internal/platform/clock/shared_test.go
@@ -13,7 +13,7 @@
 	before := processReference.Load()
 	defer processReference.Store(before)
 	path := filepath.Join(t.TempDir(), "clock")
-	if err := Share(path); err != nil {
+	if err := ShareReference(path); err != nil {
 		t.Fatal(err)
 	}
 	first := System{}.Now()
@@ -21,7 +21,7 @@
 	if (System{}).Now().Sub(first) < 59*time.Minute {
 		t.Fatal("not stepped: the test shows nothing")
 	}
-	if err := Share(path); err != nil {
+	if err := ShareReference(path); err != nil {
 		t.Fatal(err)
 	}
 	if apart := (System{}).Now().Sub(first); apart < 0 || apart > time.Minute {
@@ -45,15 +45,15 @@
 	}
 	write("another-boot 5\n")
 	at := System{}.Now()
-	if err := Share(path); err != nil || (System{}).Now().Sub(at).Abs() > time.Minute {
+	if err := ShareReference(path); err != nil || (System{}).Now().Sub(at).Abs() > time.Minute {
 		t.Errorf("%v: taken from an earlier boot", err)
 	}
-	if line, err := readLine(path); err != nil || line.boot == "another-boot" {
+	if line, err := readReference(path); err != nil || line.boot == "another-boot" {
 		t.Errorf("%+v, %v: not replaced", line, err)
 	}
 	for _, text := range []string{"", "boot", "boot 5", "boot x\n"} {
 		write(text)
-		if err := Share(path); err == nil || !strings.Contains(err.Error(), path) {
+		if err := ShareReference(path); err == nil || !strings.Contains(err.Error(), path) {
 			t.Errorf("%q: %v, want an error that names the file", text, err)
 		}
 	}
--- a/internal/platform/clock/stamps.go
+++ b/internal/platform/clock/stamps.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Stamps turns time stamps of the wall clock into instants of steady time. It knows by how much the wall clock was ahead of steady time
+// Timestamps turns time stamps of the wall clock into instants of steady time. It knows by how much the wall clock was ahead of steady time
 // before each step that it has seen. A stamp is read by the offset that makes it the most recent: whoever stamped a message may have done so
 // just before a step, or by a clock that was not stepped at all.
 //
 // Its methods may be called from any goroutine.
-type Stamps struct {
+type Timestamps struct {
 	ahead, behind time.Duration
 	now           func() (steady, wall time.Time)
 
@@ -33,10 +33,10 @@
 	sameClock = time.Second
 )
 
-// NewStamps returns a reader of stamps that takes those up to ahead in the future and behind in the past, by some offset that it knows.
+// NewTimestamps returns a reader of stamps that takes those up to ahead in the future and behind in the past, by some offset that it knows.
 // wrong, if not nil, is by how much the wall clock is to be seen as wrong: a rig steps it so.
-func NewStamps(ahead, behind time.Duration, wrong func() time.Duration) *Stamps {
-	return &Stamps{ahead: ahead, behind: behind, now: func() (steady, wall time.Time) {
+func NewTimestamps(ahead, behind time.Duration, wrong func() time.Duration) *Timestamps {
+	return &Timestamps{ahead: ahead, behind: behind, now: func() (steady, wall time.Time) {
 		read := time.Now()
 		wall = read.Round(0)
 		if wrong != nil {
@@ -48,7 +48,7 @@
 
 // Instant is when a stamp was made. It errs on one that is out of bounds by every offset known. Where the next such stamp
 // agrees with the last, their clock is taken for right and its offset is known from then on.
-func (s *Stamps) Instant(stamp time.Time) (time.Time, error) {
+func (s *Timestamps) Instant(stamp time.Time) (time.Time, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	steady, wall := s.now()
@@ -67,7 +67,7 @@
 }
 
 // age is the least age that a stamp has by any offset; one in the future only where no offset has it in the past.
-func (s *Stamps) age(stamp, steady time.Time) (least time.Duration, known bool) {
+func (s *Timestamps) age(stamp, steady time.Time) (least time.Duration, known bool) {
 	for _, offset := range s.offsets {
 		age := steady.Add(offset).Sub(stamp)
 		if age < -s.ahead || age > s.behind {
@@ -89,7 +89,7 @@
 }
 
 // observe takes in the present offset.
-func (s *Stamps) observe(offset time.Duration) {
+func (s *Timestamps) observe(offset time.Duration) {
 	if len(s.offsets) > 0 && (offset-s.offsets[0]).Abs() < stepLeast {
 		s.offsets[0] = offset
 		return
@@ -100,7 +100,7 @@
 }
 
 // learn adds the offset of another's clock. The present one stays first.
-func (s *Stamps) learn(offset time.Duration) {
+func (s *Timestamps) learn(offset time.Duration) {
 	s.offsets = slices.Insert(s.offsets, 1, offset)
 	s.offsets = s.offsets[:min(len(s.offsets), offsetsMost)]
 }
--- a/internal/platform/clock/stamps_test.go
+++ b/internal/platform/clock/stamps_test.go
@@ -38,7 +38,7 @@
 	} {
 		steady, wall := start, start.Add(42*time.Second)
 		real := wall
-		s := NewStamps(ahead, behind, nil)
+		s := NewTimestamps(ahead, behind, nil)
 		s.now = func() (time.Time, time.Time) { return steady, wall }
 		for i, x := range play {
 			steady, wall, real = steady.Add(x.after), wall.Add(x.after+x.step), real.Add(x.after)
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -34,8 +34,8 @@
 	Caps    Caps            `json:"limits"`
 	Raw     json.RawMessage `json:"settings"`
 
-	Logic logic.Settings       `json:"-"`
-	Names *settings.Vocabulary `json:"-"`
+	Logic logic.Settings      `json:"-"`
+	Names *settings.NameIndex `json:"-"`
 }
 
 // Load reads and checks the file at path.
@@ -57,7 +57,7 @@
 	if err := json.Unmarshal(text, p); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) && wrong.Field != "" {
-			return nil, settings.Faults{{Path: wrong.Field, Value: "a JSON " + wrong.Value, Want: "a value of type " + wrong.Type.String() + " is wanted"}}
+			return nil, settings.FieldErrors{{Path: wrong.Field, Value: "a JSON " + wrong.Value, Expected: "a value of type " + wrong.Type.String() + " is wanted"}}
 		}
 		return nil, err
 	}
@@ -67,16 +67,16 @@
 	faults := p.check()
 	var object map[string]any
 	if err := json.Unmarshal(p.Raw, &object); err != nil || object == nil {
-		faults = append(faults, settings.Fault{Path: "settings", Want: "an object as the platform gives it is needed"})
+		faults = append(faults, settings.FieldError{Path: "settings", Expected: "an object as the platform gives it is needed"})
 		return nil, faults
 	}
 	var err error
 	if p.Logic, p.Names, err = settings.Parse(settings.Flatten(object)); err != nil {
-		var fs settings.Faults
+		var fs settings.FieldErrors
 		if !errors.As(err, &fs) {
 			return nil, err
 		}
-		faults = append(faults, fs.Under("settings")...)
+		faults = append(faults, fs.WithPrefix("settings")...)
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -86,9 +86,9 @@
 }
 
 // check returns all that is wrong beside the settings.
-func (p *Platform) check() (faults settings.Faults) {
+func (p *Platform) check() (faults settings.FieldErrors) {
 	if p.Name == "" {
-		faults = append(faults, settings.Fault{Path: "name", Want: "the node's name is needed: the directory lists it"})
+		faults = append(faults, settings.FieldError{Path: "name", Expected: "the node's name is needed: the directory lists it"})
 	}
 	for _, a := range []struct {
 		field, address string
@@ -98,7 +98,7 @@
 			continue
 		}
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			faults = append(faults, settings.Fault{Path: a.field, Value: a.address, Want: "host and port are wanted, such as 127.0.0.1:4100"})
+			faults = append(faults, settings.FieldError{Path: a.field, Value: a.address, Expected: "host and port are wanted, such as 127.0.0.1:4100"})
 		}
 	}
 	for _, n := range []struct {
@@ -112,8 +112,8 @@
 		{"limits.sockets", float64(p.Caps.Sockets), 16, 1 << 20, "descriptors: fewer leave no room for links and callers"},
 	} {
 		if !(n.value >= n.from && n.value <= n.most) {
-			faults = append(faults, settings.Fault{Path: n.field, Value: fmt.Sprint(n.value),
-				Want: fmt.Sprintf("a number from %v to %v is wanted (%s)", n.from, strconv.FormatFloat(n.most, 'f', -1, 64), n.why)})
+			faults = append(faults, settings.FieldError{Path: n.field, Value: fmt.Sprint(n.value),
+				Expected: fmt.Sprintf("a number from %v to %v is wanted (%s)", n.from, strconv.FormatFloat(n.most, 'f', -1, 64), n.why)})
 		}
 	}
 	return faults
@@ -128,7 +128,7 @@
 func (p *Platform) StopReplaced() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range p.Logic.Classes {
-		longest = max(longest, time.Duration(c.Deadline)*time.Microsecond)
+		longest = max(longest, time.Duration(c.ClientTimeout)*time.Microsecond)
 	}
 	return min(p.Stop(), min(longest, 3*time.Second)+700*time.Millisecond)
 }
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -116,7 +116,7 @@
 	} {
 		p := Platform{StopMS: c.stopMS}
 		for _, d := range c.deadlines {
-			p.Logic.Classes = append(p.Logic.Classes, logic.Class{Deadline: d})
+			p.Logic.Classes = append(p.Logic.Classes, logic.Class{ClientTimeout: d})
 		}
 		if got := p.StopReplaced(); got != c.want {
 			t.Errorf("stop_ms %d, deadlines %v: %v, want %v", c.stopMS, c.deadlines, got, c.want)
--- a/internal/platform/config/deploy.go
+++ b/internal/platform/config/deploy.go
@@ -20,18 +20,18 @@
 
 // Uwsgi says where the uwsgi front listens and what stands below it.
 type Uwsgi struct {
-	Listen     string   `toml:"listen"`      // host:port, suwsgi://host:port or unix:/path; empty: off
-	Mode       string   `toml:"mode"`        // of a Unix socket, octal; by default 0660
-	Servers    []string `toml:"servers"`     // addresses of uwsgi servers, of the same forms
-	OpenAPI    string   `toml:"openapi"`     // the description of what is served, beside this file
-	Modifiers  []int    `toml:"modifiers"`   // modifier1 of applications that are served; by default [0]
-	HalfClose  string   `toml:"half_close"`  // "stays" (by default) or "leaves": what a client does that shuts its sending side
-	Deadline   string   `toml:"deadline"`    // the variable by which clients tell how many milliseconds they wait
-	PerSource  int      `toml:"per_source"`  // connections from one host; 0: no bound of its own
-	BodyMB     int      `toml:"body_mb"`     // the largest body of a request without a key; by default 64
-	ServerMost int      `toml:"server_most"` // requests on one server at once; 0: as its latency allows
-	TLS        TLS      `toml:"tls"`         // of the front
-	ServersTLS TLS      `toml:"servers_tls"` // towards the servers
+	Listen               string   `toml:"listen"`      // host:port, suwsgi://host:port or unix:/path; empty: off
+	Mode                 string   `toml:"mode"`        // of a Unix socket, octal; by default 0660
+	Servers              []string `toml:"servers"`     // addresses of uwsgi servers, of the same forms
+	OpenAPI              string   `toml:"openapi"`     // the description of what is served, beside this file
+	Modifiers            []int    `toml:"modifiers"`   // modifier1 of applications that are served; by default [0]
+	HalfClose            string   `toml:"half_close"`  // "stays" (by default) or "leaves": what a client does that shuts its sending side
+	Deadline             string   `toml:"deadline"`    // the variable by which clients tell how many milliseconds they wait
+	ConnectionsPerSource int      `toml:"per_source"`  // connections from one host; 0: no bound of its own
+	BodyMB               int      `toml:"body_mb"`     // the largest body of a request without a key; by default 64
+	MaxPerServer         int      `toml:"server_most"` // requests on one server at once; 0: as its latency allows
+	TLS                  TLS      `toml:"tls"`         // of the front
+	ServersTLS           TLS      `toml:"servers_tls"` // towards the servers
 }
 
 // TLS names the files of one end's keys.
@@ -69,16 +69,16 @@
 	return b
 }
 
-// BodyMost is the largest body in bytes.
-func (u Uwsgi) BodyMost() int64 {
+// MaxBodyBytes is the largest body in bytes.
+func (u Uwsgi) MaxBodyBytes() int64 {
 	if u.BodyMB == 0 {
 		return 64 << 20
 	}
 	return int64(u.BodyMB) << 20
 }
 
-// reservedFrom and above are modifiers that ask for more than an application: pings, spooling, reloads, caches, RPC, signals and the like.
-const reservedFrom = 17
+// firstReservedModifier and above are modifiers that ask for more than an application: pings, spooling, reloads, caches, RPC, signals and the like.
+const firstReservedModifier = 17
 
 func (u Uwsgi) check() error {
 	if u.Listen == "" {
@@ -99,14 +99,14 @@
 		tls = tls || i == 0 && e.TLS
 	}
 	for _, m := range u.Modifiers {
-		if m < 0 || m >= reservedFrom {
-			return fmt.Errorf("uwsgi: modifier %d is no application's; write 0 to %d", m, reservedFrom-1)
+		if m < 0 || m >= firstReservedModifier {
+			return fmt.Errorf("uwsgi: modifier %d is no application's; write 0 to %d", m, firstReservedModifier-1)
 		}
 	}
 	switch {
 	case u.HalfClose != "" && u.HalfClose != "stays" && u.HalfClose != "leaves":
 		return fmt.Errorf("uwsgi: half_close is %q; write \"stays\" or \"leaves\"", u.HalfClose)
-	case u.PerSource < 0 || u.BodyMB < 0 || u.ServerMost < 0:
+	case u.ConnectionsPerSource < 0 || u.BodyMB < 0 || u.MaxPerServer < 0:
 		return errors.New("uwsgi: per_source, body_mb and server_most are 0 or more")
 	case tls && (u.TLS.Cert == "" || u.TLS.Key == ""):
 		return errors.New("uwsgi: listening on suwsgi:// needs tls.cert and tls.key")
@@ -118,16 +118,16 @@
 
 // Store says who holds the replicated store, and where operators reach this daemon's copy.
 type Store struct {
-	Admin   string         `toml:"admin"`   // address for operators; empty: none
-	Dir     string         `toml:"dir"`     // where it outlives a restart; empty: in memory
-	Members []store.Member `toml:"members"` // none: this daemon alone
-	Span    string         `toml:"lease"`   // for which a duty is kept from others; by default 10s. The same on all members
-	Join    bool           `toml:"join"`    // with an empty dir: wait to be added to a store that is there
+	Admin         string         `toml:"admin"`   // address for operators; empty: none
+	Dir           string         `toml:"dir"`     // where it outlives a restart; empty: in memory
+	Members       []store.Member `toml:"members"` // none: this daemon alone
+	LeaseDuration string         `toml:"lease"`   // for which a duty is kept from others; by default 10s. The same on all members
+	Join          bool           `toml:"join"`    // with an empty dir: wait to be added to a store that is there
 }
 
 // Lease is for how long a duty is kept from others.
 func (s Store) Lease() (time.Duration, error) {
-	return span("store: lease", s.Span, store.Terms.Length)
+	return duration("store: lease", s.LeaseDuration, store.DefaultLeaseTerms.Duration)
 }
 
 func (s Store) check() error {
@@ -138,8 +138,8 @@
 	return err
 }
 
-// span reads a time; absent stands for none.
-func span(key, text string, absent time.Duration) (time.Duration, error) {
+// duration reads a time; absent stands for none.
+func duration(key, text string, absent time.Duration) (time.Duration, error) {
 	if text == "" {
 		return absent, nil
 	}
@@ -152,47 +152,47 @@
 
 // Fleet says how this node takes part in the fleet.
 type Fleet struct {
-	Members   []string `toml:"members"`     // addresses that members of the store have for operators; none: off
-	Dir       string   `toml:"dir"`         // where this node keeps what the fleet wants of it; empty: it forgets with the process
-	Report    string   `toml:"report"`      // between reports; by default 2s
-	Silent    string   `toml:"silent"`      // without one, after which a node is marked; by default 10s
-	Backups   string   `toml:"backups"`     // a folder for backups of the store; empty: this node takes none
-	Each      string   `toml:"backup_each"` // between two; by default 1h
-	Keep      int      `toml:"backup_keep"` // the latest so many stay; by default 24
-	LeaseSpan string   `toml:"lease"`       // of the duties, as the store has it; by default 10s
+	Members        []string `toml:"members"`     // addresses that members of the store have for operators; none: off
+	Dir            string   `toml:"dir"`         // where this node keeps what the fleet wants of it; empty: it forgets with the process
+	ReportInterval string   `toml:"report"`      // between reports; by default 2s
+	SilentAfter    string   `toml:"silent"`      // without one, after which a node is marked; by default 10s
+	Backups        string   `toml:"backups"`     // a folder for backups of the store; empty: this node takes none
+	BackupInterval string   `toml:"backup_each"` // between two; by default 1h
+	BackupsKept    int      `toml:"backup_keep"` // the latest so many stay; by default 24
+	LeaseDuration  string   `toml:"lease"`       // of the duties, as the store has it; by default 10s
 
 	Zone        string   `toml:"zone"` // groups that this node is in, for budgets
 	Kind        string   `toml:"kind"`
-	Settle      string   `toml:"settle"`       // in service and well, before this node counts as in; by default 10s. The same on all nodes
+	MinReady    string   `toml:"settle"`       // in service and well, before this node counts as in; by default 10s. The same on all nodes
 	ReleaseFile string   `toml:"release_file"` // its first line says what is deployed on this node; empty: the program's version is
 	Replace     []string `toml:"replace"`      // a command that puts another release in place, which it finds in $SLOEHITCH_RELEASE; then the process ends
 	ReplaceExit int      `toml:"replace_exit"` // the code that it ends with, for what starts it again; by default 75
 }
 
-// Spans are the times of a fleet's settings.
-type Spans struct{ Report, Silent, Each, Lease, Settle time.Duration }
+// Durations are the times of a fleet's settings.
+type Durations struct{ ReportInterval, SilentAfter, BackupInterval, Lease, MinReady time.Duration }
 
-// Spans reads the times, with what stands for those left out.
-func (f Fleet) Spans() (s Spans, err error) {
+// Durations reads the times, with what stands for those left out.
+func (f Fleet) Durations() (s Durations, err error) {
 	for _, x := range []struct {
 		key, text string
 		absent    time.Duration
 		to        *time.Duration
-	}{{"report", f.Report, 2 * time.Second, &s.Report}, {"silent", f.Silent, 10 * time.Second, &s.Silent},
-		{"backup_each", f.Each, time.Hour, &s.Each}, {"lease", f.LeaseSpan, store.Terms.Length, &s.Lease}, {"settle", f.Settle, 10 * time.Second, &s.Settle}} {
-		if *x.to, err = span("fleet: "+x.key, x.text, x.absent); err != nil {
+	}{{"report", f.ReportInterval, 2 * time.Second, &s.ReportInterval}, {"silent", f.SilentAfter, 10 * time.Second, &s.SilentAfter},
+		{"backup_each", f.BackupInterval, time.Hour, &s.BackupInterval}, {"lease", f.LeaseDuration, store.DefaultLeaseTerms.Duration, &s.Lease}, {"settle", f.MinReady, 10 * time.Second, &s.MinReady}} {
+		if *x.to, err = duration("fleet: "+x.key, x.text, x.absent); err != nil {
 			return s, err
 		}
 	}
-	if s.Silent < 2*s.Report {
-		return s, fmt.Errorf("fleet: silent is %v and report %v: a node would be marked for one late report; write silent at least twice as long", s.Silent, s.Report)
+	if s.SilentAfter < 2*s.ReportInterval {
+		return s, fmt.Errorf("fleet: silent is %v and report %v: a node would be marked for one late report; write silent at least twice as long", s.SilentAfter, s.ReportInterval)
 	}
 	return s, nil
 }
 
 func (f Fleet) check() error {
-	if f.Keep < 0 {
-		return fmt.Errorf("fleet: backup_keep is %d; write 1 or more", f.Keep)
+	if f.BackupsKept < 0 {
+		return fmt.Errorf("fleet: backup_keep is %d; write 1 or more", f.BackupsKept)
 	}
 	if f.ReplaceExit < 0 || f.ReplaceExit > 255 {
 		return fmt.Errorf("fleet: replace_exit is %d; write 1 to 255", f.ReplaceExit)
@@ -205,7 +205,7 @@
 			return fmt.Errorf("fleet: member %q: host and port are wanted, such as 127.0.0.1:7070", a)
 		}
 	}
-	_, err := f.Spans()
+	_, err := f.Durations()
 	return err
 }
 
@@ -218,20 +218,20 @@
 
 // The defaults and bounds of a ledger's settings.
 const (
-	flushEach      = "each"
-	flushMost      = 10 * time.Second
-	ledgerMemoryMB = 16
-	ledgerMemoryGB = 64
+	flushEach             = "each"
+	maxFlushInterval      = 10 * time.Second
+	defaultLedgerMemoryMB = 16
+	maxLedgerMemoryGB     = 64
 )
 
-// Interval is the time between flushes; 0: each before it is acknowledged.
-func (l Ledger) Interval() (time.Duration, error) {
+// FlushInterval is the time between flushes; 0: each before it is acknowledged.
+func (l Ledger) FlushInterval() (time.Duration, error) {
 	if l.Flush == "" || l.Flush == flushEach {
 		return 0, nil
 	}
 	every, err := time.ParseDuration(l.Flush)
-	if err != nil || every < time.Millisecond || every > flushMost {
-		return 0, fmt.Errorf("ledger: flush is %q; write \"each\", or a time from \"1ms\" to %q", l.Flush, flushMost)
+	if err != nil || every < time.Millisecond || every > maxFlushInterval {
+		return 0, fmt.Errorf("ledger: flush is %q; write \"each\", or a time from \"1ms\" to %q", l.Flush, maxFlushInterval)
 	}
 	return every, nil
 }
@@ -239,7 +239,7 @@
 // IndexBytes is the memory for the keys.
 func (l Ledger) IndexBytes() int64 {
 	if l.MemoryMB == 0 {
-		return ledgerMemoryMB << 20
+		return defaultLedgerMemoryMB << 20
 	}
 	return int64(l.MemoryMB) << 20
 }
@@ -248,10 +248,10 @@
 	if l.Dir == "" && (l.Flush != "" || l.MemoryMB != 0) {
 		return errors.New("ledger: flush and memory_mb need dir, the folder on a disk that lasts")
 	}
-	if l.MemoryMB < 0 || l.MemoryMB > ledgerMemoryGB<<10 {
-		return fmt.Errorf("ledger: memory_mb is %d; write 1 to %d", l.MemoryMB, ledgerMemoryGB<<10)
+	if l.MemoryMB < 0 || l.MemoryMB > maxLedgerMemoryGB<<10 {
+		return fmt.Errorf("ledger: memory_mb is %d; write 1 to %d", l.MemoryMB, maxLedgerMemoryGB<<10)
 	}
-	_, err := l.Interval()
+	_, err := l.FlushInterval()
 	return err
 }
 
@@ -262,20 +262,20 @@
 
 // Traces says where spans of uwsgi requests are written.
 type Traces struct {
-	File  string   `toml:"file"`  // empty: off
-	Share *float64 `toml:"share"` // of requests, 0 to 1; by default 1. Those whose client traces them are written in any case
+	File        string   `toml:"file"`  // empty: off
+	SampleShare *float64 `toml:"share"` // of requests, 0 to 1; by default 1. Those whose client traces them are written in any case
 }
 
-// Part is the share of requests that are traced.
-func (t Traces) Part() float64 {
-	if t.Share == nil {
+// SampleRate is the share of requests that are traced.
+func (t Traces) SampleRate() float64 {
+	if t.SampleShare == nil {
 		return 1
 	}
-	return *t.Share
+	return *t.SampleShare
 }
 
 func (t Traces) check() error {
-	if p := t.Part(); p < 0 || p > 1 {
+	if p := t.SampleRate(); p < 0 || p > 1 {
 		return fmt.Errorf("traces: share is %v; write 0 to 1", p)
 	}
 	return nil
@@ -328,10 +328,10 @@
 	}
 	addresses := []string{d.Store.Admin, d.Metrics.Listen}
 	for _, m := range d.Store.Members {
-		if m.Name == "" || m.Raft == "" {
+		if m.Name == "" || m.RaftAddress == "" {
 			return nil, errors.New("store: a member needs a name and a raft address")
 		}
-		addresses = append(addresses, m.Raft, m.Admin)
+		addresses = append(addresses, m.RaftAddress, m.AdminAddress)
 	}
 	for _, address := range addresses {
 		if address == "" {
--- a/internal/platform/latency/latency_test.go
+++ b/internal/platform/latency/latency_test.go
@@ -28,14 +28,14 @@
 	}
 	near("the 99th percentile", 0.99, at, 11*time.Millisecond)
 	near("the longest", 1, at, time.Minute)
-	at = at.Add(span)
+	at = at.Add(histogramPeriod)
 	near("the next span", 0.99, at, 11*time.Millisecond)
 	for range 1000 {
 		w.Add(100 * time.Millisecond)
 	}
-	near("both", 0.99, at.Add(span/2), 100*time.Millisecond)
-	near("the first is past", 0.01, at.Add(span), 100*time.Millisecond)
-	if got := w.Quantile(0.5, at.Add(5*span)); got != 0 {
+	near("both", 0.99, at.Add(histogramPeriod/2), 100*time.Millisecond)
+	near("the first is past", 0.01, at.Add(histogramPeriod), 100*time.Millisecond)
+	if got := w.Quantile(0.5, at.Add(5*histogramPeriod)); got != 0 {
 		t.Errorf("long after: %v", got)
 	}
 	if got := (*Window)(nil).Quantile(0.5, at); got != 0 {
--- a/internal/platform/limits/limits_test.go
+++ b/internal/platform/limits/limits_test.go
@@ -14,11 +14,11 @@
 	)
 	for sockets := 64; sockets <= 4096; sockets++ {
 		l := For(64, sockets)
-		if all := l.Connections + l.Evicted + l.CallConns + l.OpsSeats + l.OpsTold() + own + passing; all > sockets {
+		if all := l.MaxConnections + l.EvictedConnections + l.CatalogueConnections + l.OperatorConnections + l.RejectedOperatorConnections() + own + passing; all > sockets {
 			t.Fatalf("%d descriptors of %d: %+v", all, sockets, l)
 		}
-		if l.Connections < sockets/2 {
-			t.Fatalf("%d connections of %d descriptors: balancers may open half", l.Connections, sockets)
+		if l.MaxConnections < sockets/2 {
+			t.Fatalf("%d connections of %d descriptors: balancers may open half", l.MaxConnections, sockets)
 		}
 	}
 }
@@ -29,10 +29,10 @@
 	l := For(32, 64)
 	const within = 10 * time.Second
 	for what, span := range map[string]time.Duration{
-		"refused until it comes":      l.RetryMost + l.Dial,
-		"no answer to the dialling":   l.Dial + l.RetryMost + l.Dial,
-		"taken, and never ready":      l.LinkReady + l.RetryLeast + l.Dial,
-		"silent once up, then a late": 2*l.LinkSilence + l.RetryLeast + l.Dial,
+		"refused until it comes":      l.MaxBackoff + l.DialTimeout,
+		"no answer to the dialling":   l.DialTimeout + l.MaxBackoff + l.DialTimeout,
+		"taken, and never ready":      l.RuntimeReadyTimeout + l.MinBackoff + l.DialTimeout,
+		"silent once up, then a late": 2*l.RuntimeSilence + l.MinBackoff + l.DialTimeout,
 	} {
 		if span > within-2*time.Second { // the rest is for the process to start
 			t.Errorf("%s: dialled again after up to %v", what, span)
--- a/internal/platform/lograte/lograte.go
+++ b/internal/platform/lograte/lograte.go
@@ -9,17 +9,17 @@
 
 // Logger writes one line in a period and counts what it leaves out.
 type Logger struct {
-	log   *slog.Logger
-	every time.Duration
+	log      *slog.Logger
+	interval time.Duration
 
-	mu   sync.Mutex
-	last map[string]time.Time
-	left map[string]int
+	mu         sync.Mutex
+	lastLogged map[string]time.Time
+	suppressed map[string]int
 }
 
 // New returns a logger that writes a line of each kind once in the period.
 func New(log *slog.Logger, every time.Duration) *Logger {
-	return &Logger{log: log, every: every, last: map[string]time.Time{}, left: map[string]int{}}
+	return &Logger{log: log, interval: every, lastLogged: map[string]time.Time{}, suppressed: map[string]int{}}
 }
 
 // Warn logs a kind of trouble, named by a constant message, with the error it is about.
@@ -27,11 +27,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if last, known := l.last[message]; known && now.Sub(last) < l.every {
-		l.left[message]++
+	if last, known := l.lastLogged[message]; known && now.Sub(last) < l.interval {
+		l.suppressed[message]++
 		return
 	}
-	l.log.Warn(message, "error", err, "left_out", l.left[message])
-	l.last[message] = now
-	l.left[message] = 0
+	l.log.Warn(message, "error", err, "left_out", l.suppressed[message])
+	l.lastLogged[message] = now
+	l.suppressed[message] = 0
 }
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -29,7 +29,7 @@
 	Servers func() []balancer.Server
 	Ledger  func() ledger.Stats
 	Classes func() map[string]node.ClassCounts // the counts that the operators' telemetry shows too
-	Fleet   func() fleet.Figures
+	Fleet   func() fleet.Stats
 	Config  func() (applied, rejected int) // configuration files taken and turned down at SIGHUP
 }
 
@@ -68,7 +68,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{MaxRequestsInFlight: 2,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}))
-	server := &http.Server{Handler: mux, ReadTimeout: l.Agree, WriteTimeout: 2 * l.Agree, MaxHeaderBytes: l.HTTPHead}
+	server := &http.Server{Handler: mux, ReadTimeout: l.CommitTimeout, WriteTimeout: 2 * l.CommitTimeout, MaxHeaderBytes: l.ResponseHeadBytes}
 	if err := server.Serve(ln); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
@@ -83,38 +83,38 @@
 }
 
 var (
-	requests   = desc("requests_total", "Requests by what became of them.", "outcome")
-	started    = desc("runs_total", "Runs that were started.")
-	handled    = desc("requests_in_hand", "Requests that are held, run or end.")
-	keys       = desc("keys", "Keys that are remembered.")
-	unrecorded = desc("bookings_unrecorded_total", "Bookings refused because their start could not be recorded.")
-	abroad     = desc("tries_abroad_total", "Tries of keys that another process of the node held: waited for its run, or heard what came of it.", "how")
-	restored   = desc("bookings_restored", "Bookings known from an earlier process.")
-	conns      = desc("connections", "Open connections.", "front")
-	clients    = desc("uwsgi_requests_total", "What came to the uwsgi front.", "what")
-	serverOpen = desc("uwsgi_server_open", "Requests on a server.", "server")
-	serverRoom = desc("uwsgi_server_room", "Requests that a server may have at once.", "server")
-	serverIs   = desc("uwsgi_server_state", "1 for the state that a server is in.", "server", "state")
-	ledgerKeys = desc("ledger_keys", "Keys on the ledger.")
-	ledgerMem  = desc("ledger_index_bytes", "Memory of the ledger's keys.")
-	ledgerMost = desc("ledger_index_limit_bytes", "Memory that they may take.")
-	ledgerDisk = desc("ledger_disk_bytes", "Bytes of the ledger's files.")
-	ledgerDead = desc("ledger_garbage_bytes", "Bytes of records that no longer count.")
-	ledgerOut  = desc("ledger_written_bytes_total", "Bytes written to the ledger, by whom.", "by")
-	ledgerSync = desc("ledger_flushes_total", "Flushes of the ledger's log.")
-	ledgerSick = desc("ledger_broken", "1 if the ledger takes no writes until a restart.")
-	byClass    = desc("class_responses_total", "Final answers by class: ok (served), shed (refused), errors (failed).", "class", "result")
-	classRuns  = desc("class_tries_total", "Runs handed to the runner, by class.", "class")
-	fleetOut   = desc("fleet_out", "1 while this node is out of service by a permit; overdue: for longer than it was to take.", "how")
-	fleetTold  = desc("fleet_reports_total", "Reports to the fleet: made, or failed.", "result")
-	permitted  = desc("fleet_permits_total", "Permits: begun, late (begun too late to go out by) and replaced by this node; granted and freed by it for all.", "what")
-	keptAsks   = desc("fleet_asks_waiting", "Asks without a permit, on the node that grants them.")
-	keptState  = desc("fleet_permits", "Permits by how far they are, on the node that grants them.", "state")
-	keptOut    = desc("fleet_counted_out", "Nodes and servers that count as out, by why, on the node that grants permits.", "why")
-	rollNodes  = desc("release_nodes", "Nodes of a release, on the node that takes it through the fleet: all, and changed.", "release", "which")
-	rollWave   = desc("release_wave", "The wave of a release that is at work, from 1.", "release", "state")
-	rollHalted = desc("release_halted", "1 while a release is halted.", "release")
-	reloads    = desc("config_reloads_total", "Configuration files at SIGHUP, taken (applied) or turned down (rejected).", "result")
+	requests            = desc("requests_total", "Requests by what became of them.", "outcome")
+	started             = desc("runs_total", "Runs that were started.")
+	inFlight            = desc("requests_in_hand", "Requests that are held, run or end.")
+	keys                = desc("keys", "Keys that are remembered.")
+	unrecorded          = desc("bookings_unrecorded_total", "Bookings refused because their start could not be recorded.")
+	elsewhere           = desc("tries_abroad_total", "Tries of keys that another process of the node held: waited for its run, or heard what came of it.", "how")
+	restored            = desc("bookings_restored", "Bookings known from an earlier process.")
+	conns               = desc("connections", "Open connections.", "front")
+	clients             = desc("uwsgi_requests_total", "What came to the uwsgi front.", "what")
+	serverOpen          = desc("uwsgi_server_open", "Requests on a server.", "server")
+	serverCapacity      = desc("uwsgi_server_room", "Requests that a server may have at once.", "server")
+	serverState         = desc("uwsgi_server_state", "1 for the state that a server is in.", "server", "state")
+	ledgerKeys          = desc("ledger_keys", "Keys on the ledger.")
+	ledgerIndex         = desc("ledger_index_bytes", "Memory of the ledger's keys.")
+	ledgerIndexLimit    = desc("ledger_index_limit_bytes", "Memory that they may take.")
+	ledgerDisk          = desc("ledger_disk_bytes", "Bytes of the ledger's files.")
+	ledgerGarbage       = desc("ledger_garbage_bytes", "Bytes of records that no longer count.")
+	ledgerWritten       = desc("ledger_written_bytes_total", "Bytes written to the ledger, by whom.", "by")
+	ledgerFlushes       = desc("ledger_flushes_total", "Flushes of the ledger's log.")
+	ledgerBroken        = desc("ledger_broken", "1 if the ledger takes no writes until a restart.")
+	byClass             = desc("class_responses_total", "Final answers by class: ok (served), shed (refused), errors (failed).", "class", "result")
+	classRuns           = desc("class_tries_total", "Runs handed to the runner, by class.", "class")
+	fleetOut            = desc("fleet_out", "1 while this node is out of service by a permit; overdue: for longer than it was to take.", "how")
+	fleetReports        = desc("fleet_reports_total", "Reports to the fleet: made, or failed.", "result")
+	fleetPermits        = desc("fleet_permits_total", "Permits: begun, late (begun too late to go out by) and replaced by this node; granted and freed by it for all.", "what")
+	waitingRequests     = desc("fleet_asks_waiting", "Asks without a permit, on the node that grants them.")
+	permitsByState      = desc("fleet_permits", "Permits by how far they are, on the node that grants them.", "state")
+	unavailableByReason = desc("fleet_counted_out", "Nodes and servers that count as out, by why, on the node that grants permits.", "why")
+	releaseNodes        = desc("release_nodes", "Nodes of a release, on the node that takes it through the fleet: all, and changed.", "release", "which")
+	releaseWave         = desc("release_wave", "The wave of a release that is at work, from 1.", "release", "state")
+	releaseHalted       = desc("release_halted", "1 while a release is halted.", "release")
+	reloads             = desc("config_reloads_total", "Configuration files at SIGHUP, taken (applied) or turned down (rejected).", "result")
 )
 
 // Describe sends no descriptions: servers come and go, so the set of metrics is not fixed.
@@ -175,26 +175,26 @@
 	n, hand, known := c.from.Core()
 	s.counter(requests, n.Read, "read")
 	s.counter(requests, n.Served, "served")
-	s.counter(requests, n.Refused, "refused")
+	s.counter(requests, n.Rejected, "refused")
 	s.counter(requests, n.Failed, "failed")
-	s.counter(requests, n.Gone, "gone")
-	s.counter(requests, n.Late, "late")
-	s.counter(requests, n.Joined, "joined")
-	s.counter(started, n.Ran)
-	s.counter(unrecorded, n.Unrecorded)
-	s.counter(abroad, n.Abroad, "waited")
-	s.counter(abroad, n.Shared, "heard")
+	s.counter(requests, n.Canceled, "gone")
+	s.counter(requests, n.DeadlineExpired, "late")
+	s.counter(requests, n.Coalesced, "joined")
+	s.counter(started, n.Started)
+	s.counter(unrecorded, n.RecordFailures)
+	s.counter(elsewhere, n.WaitedElsewhere, "waited")
+	s.counter(elsewhere, n.ServedFromElsewhere, "heard")
 	s.gauge(restored, n.Restored)
-	s.gauge(handled, hand)
+	s.gauge(inFlight, hand)
 	s.gauge(keys, known)
 }
 
 func (c *collector) classes(s sender) {
 	for name, n := range c.from.Classes() {
 		s.counter(byClass, n.Served, name, "ok")
-		s.counter(byClass, n.Refused, name, "shed")
+		s.counter(byClass, n.Rejected, name, "shed")
 		s.counter(byClass, n.Failed, name, "errors")
-		s.counter(classRuns, n.Ran, name)
+		s.counter(classRuns, n.Started, name)
 	}
 }
 
@@ -215,48 +215,48 @@
 func (c *collector) servers(s sender) {
 	for _, server := range c.from.Servers() {
 		s.gauge(serverOpen, server.Open, server.Name)
-		s.gauge(serverRoom, server.Room, server.Name)
-		s.gauge(serverIs, 1, server.Name, server.State.String())
+		s.gauge(serverCapacity, server.Room, server.Name)
+		s.gauge(serverState, 1, server.Name, server.State.String())
 	}
 }
 
 func (c *collector) ledger(s sender) {
 	t := c.from.Ledger()
 	s.gauge(ledgerKeys, t.Keys)
-	s.gauge(ledgerMem, int(t.Index))
-	s.gauge(ledgerMost, int(t.IndexLimit))
+	s.gauge(ledgerIndex, int(t.Index))
+	s.gauge(ledgerIndexLimit, int(t.IndexLimit))
 	s.gauge(ledgerDisk, int(t.Disk))
-	s.gauge(ledgerDead, int(t.Garbage))
-	s.counter(ledgerOut, int(t.Written), "writers")
-	s.counter(ledgerOut, int(t.Packed), "compactions")
-	s.counter(ledgerSync, int(t.Flushes))
-	s.flag(ledgerSick, t.Broken != "")
+	s.gauge(ledgerGarbage, int(t.Garbage))
+	s.counter(ledgerWritten, int(t.Written), "writers")
+	s.counter(ledgerWritten, int(t.Packed), "compactions")
+	s.counter(ledgerFlushes, int(t.Flushes))
+	s.flag(ledgerBroken, t.Broken != "")
 }
 
 // fleet sends the figures of this node's part in the fleet.
 func (c *collector) fleet(s sender) {
 	x := c.from.Fleet()
-	s.flag(fleetOut, x.Out, "by permit")
-	s.flag(fleetOut, x.Overdue, "overdue")
+	s.flag(fleetOut, x.OutOfService, "by permit")
+	s.flag(fleetOut, x.DrainOverdue, "overdue")
 	for _, result := range []string{"made", "failed"} {
-		s.counter(fleetTold, int(x.Reports[result]), result)
+		s.counter(fleetReports, int(x.Reports[result]), result)
 	}
 	for _, what := range []string{"begun", "late", "replaced", "granted", "freed"} {
-		s.counter(permitted, int(x.Permits[what]), what)
+		s.counter(fleetPermits, int(x.Permits[what]), what)
 	}
-	if x.Kept != nil {
-		s.gauge(keptAsks, x.Kept.Waiting)
-		for state, n := range x.Kept.Permits {
-			s.gauge(keptState, n, string(state))
+	if x.Grants != nil {
+		s.gauge(waitingRequests, x.Grants.Waiting)
+		for state, n := range x.Grants.Permits {
+			s.gauge(permitsByState, n, string(state))
 		}
-		for why, n := range x.Kept.Out {
-			s.gauge(keptOut, n, string(why))
+		for why, n := range x.Grants.Unavailable {
+			s.gauge(unavailableByReason, n, string(why))
 		}
 	}
 	for _, r := range x.Releases {
-		s.gauge(rollNodes, r.Nodes, r.Name, "all")
-		s.gauge(rollNodes, r.Changed, r.Name, "changed")
-		s.gauge(rollWave, r.Wave, r.Name, string(r.State))
-		s.flag(rollHalted, r.Halted, r.Name)
+		s.gauge(releaseNodes, r.Nodes, r.Name, "all")
+		s.gauge(releaseNodes, r.Updated, r.Name, "changed")
+		s.gauge(releaseWave, r.Wave, r.Name, string(r.State))
+		s.flag(releaseHalted, r.Halted, r.Name)
 	}
 }
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -43,7 +43,7 @@
 	at := time.UnixMilli(1764576000000)
 	all := get(Sources{
 		Core: func() (node.Counts, int, int) {
-			return node.Counts{Read: 7, Refused: 3, Unrecorded: 1, Abroad: 6, Shared: 8}, 2, 5
+			return node.Counts{Read: 7, Rejected: 3, RecordFailures: 1, WaitedElsewhere: 6, ServedFromElsewhere: 8}, 2, 5
 		},
 		Resp:  func() int { return 4 },
 		Uwsgi: func() (uwsgi.Counts, int) { return uwsgi.Counts{Malformed: 6}, 8 },
@@ -52,12 +52,12 @@
 		},
 		Ledger: func() ledger.Stats { return ledger.Stats{Keys: 11, Broken: "a flush failed"} },
 		Classes: func() map[string]node.ClassCounts {
-			return map[string]node.ClassCounts{"book": {Served: 4, Refused: 2, Ran: 5}}
+			return map[string]node.ClassCounts{"book": {Served: 4, Rejected: 2, Started: 5}}
 		},
 		Config: func() (int, int) { return 2, 1 },
-		Fleet: func() fleet.Figures {
-			return fleet.Figures{Out: true, Reports: map[string]uint64{"failed": 4}, Permits: map[string]uint64{"granted": 6}, Kept: &fleet.Kept{Waiting: 3, Permits: map[drainpermit.State]int{drainpermit.Begun: 2}, Out: map[disruption.Reason]int{disruption.Silent: 5}},
-				Releases: []release.Stand{{Name: "r", State: "running", Halted: true, Nodes: 9, Changed: 7, Wave: 2}}}
+		Fleet: func() fleet.Stats {
+			return fleet.Stats{OutOfService: true, Reports: map[string]uint64{"failed": 4}, Permits: map[string]uint64{"granted": 6}, Grants: &fleet.GrantStats{Waiting: 3, Permits: map[drainpermit.State]int{drainpermit.Started: 2}, Unavailable: map[disruption.Availability]int{disruption.Silent: 5}},
+				Releases: []release.Status{{Name: "r", State: "running", Halted: true, Nodes: 9, Updated: 7, Wave: 2}}}
 		},
 	}, uwsgi.RunTimes{Started: at, Tries: []uwsgi.TryTimes{{Connected: at.Add(time.Millisecond), FirstByte: at.Add(3 * time.Second)}}, Done: at.Add(4 * time.Second), Outcome: "ok"},
 		uwsgi.RunTimes{Started: at, Done: at.Add(time.Second), Outcome: "moot"})
--- a/internal/platform/reconfigure/retune.go
+++ b/internal/platform/reconfigure/retune.go
@@ -13,15 +13,15 @@
 	"sloehitch/logic"
 )
 
-// Missing names the keys that the running settings have and new ones lack, in order. values are settings flattened
+// MissingKeys names the keys that the running settings have and new ones lack, in order. values are settings flattened
 // by path, as settings.Flatten gives them ("classes.0.hard-limit"). A key of the items of a list, such as a class's
 // "hard-limit", is wanted of every item of the new list where every item of the running one has it; other keys are
 // wanted where the running settings have them.
-func Missing(running, next map[string]string) []string {
+func MissingKeys(running, next map[string]string) []string {
 	var missing []string
 	shapes := map[string]int{} // a path with its first index written "*", and how many running items have it
 	for path := range running {
-		if list, rest, ok := item(path); ok {
+		if list, rest, ok := splitListPath(path); ok {
 			shapes[list+".*."+rest]++
 			continue
 		}
@@ -49,8 +49,8 @@
 	return slices.Compact(missing)
 }
 
-// item splits a path at its first index: "classes.0.hard-limit" is "classes", "hard-limit".
-func item(path string) (list, rest string, ok bool) {
+// splitListPath splits a path at its first index: "classes.0.hard-limit" is "classes", "hard-limit".
+func splitListPath(path string) (list, rest string, ok bool) {
 	words := strings.Split(path, ".")
 	for i, w := range words {
 		if _, err := strconv.Atoi(w); err == nil && i > 0 && i < len(words)-1 {
@@ -60,13 +60,13 @@
 	return "", "", false
 }
 
-// Check turns down a whole file: empty, or lacking a key that the running one has. A file cut short, or a deadline
+// CheckFile turns down a whole file: empty, or lacking a key that the running one has. A file cut short, or a deadline
 // that is not a number above 0, is turned down as it is read (package settings and logic.New).
-func Check(text []byte, running, next map[string]string) error {
+func CheckFile(text []byte, running, next map[string]string) error {
 	if len(strings.TrimSpace(string(text))) == 0 {
 		return errors.New("the file is empty")
 	}
-	if m := Missing(running, next); len(m) > 0 {
+	if m := MissingKeys(running, next); len(m) > 0 {
 		if len(m) > 5 {
 			m = append(m[:5], fmt.Sprintf("and %d more", len(m)-5))
 		}
@@ -75,28 +75,28 @@
 	return nil
 }
 
-// MostClasses bounds the classes of settings, those kept for requests in hand included: a dropped class keeps its
+// MaxClasses bounds the classes of settings, those kept for requests in hand included: a dropped class keeps its
 // place until a restart.
-const MostClasses = 256
+const MaxClasses = 256
 
 // Plan is what new settings come to beside the running ones.
 type Plan struct {
-	Settings logic.Settings // the running classes in their places, as the new file has them; then the added ones
-	Names    map[string]int // the classes that fronts take from now on, by name
-	Added    []string
-	Dropped  []string // kept, with the running figures, for the requests in hand and for balancers that learn late
-	Tenants  bool     // the tenants differ: they stay as they are until a restart
+	Settings       logic.Settings // the running classes in their places, as the new file has them; then the added ones
+	ClassIndex     map[string]int // the classes that fronts take from now on, by name
+	Added          []string
+	Removed        []string // kept, with the running figures, for the requests in hand and for balancers that learn late
+	TenantsChanged bool     // the tenants differ: they stay as they are until a restart
 }
 
-// Lay lays new settings beside the running ones. Classes are matched by name: one that both have takes the new
+// Merge lays new settings beside the running ones. Classes are matched by name: one that both have takes the new
 // figures in its old place, one that only the new file has comes after all others, and one that only the running
 // settings have stays in its place as it was, so that no request in hand loses its class. It errs where the result
 // would not be taken by the module (logic.New).
-func Lay(running, next logic.Settings) (Plan, error) {
-	p := Plan{Settings: next, Names: map[string]int{}}
+func Merge(running, next logic.Settings) (Plan, error) {
+	p := Plan{Settings: next, ClassIndex: map[string]int{}}
 	p.Settings.Classes = slices.Clone(running.Classes)
 	p.Settings.Tenants = running.Tenants
-	p.Tenants = !slices.Equal(running.Tenants, next.Tenants)
+	p.TenantsChanged = !slices.Equal(running.Tenants, next.Tenants)
 	place := map[string]int{}
 	for i, c := range running.Classes {
 		place[c.Name] = i
@@ -111,11 +111,11 @@
 		p.Added = append(p.Added, c.Name)
 	}
 	for name := range place {
-		p.Dropped = append(p.Dropped, name)
+		p.Removed = append(p.Removed, name)
 	}
-	slices.Sort(p.Dropped)
+	slices.Sort(p.Removed)
 	for i, c := range p.Settings.Classes {
-		p.Names[c.Name] = i
+		p.ClassIndex[c.Name] = i
 	}
 	if _, err := logic.New(p.Settings, 0); err != nil {
 		return Plan{}, err
--- a/internal/platform/reconfigure/retune_test.go
+++ b/internal/platform/reconfigure/retune_test.go
@@ -41,7 +41,7 @@
 			if strings.TrimSpace(c.next) != "" {
 				next = flat(t, c.next)
 			}
-			err := Check([]byte(c.next), flat(t, running), next)
+			err := CheckFile([]byte(c.next), flat(t, running), next)
 			if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
 				t.Errorf("got %v, want %q", err, c.err)
 			}
@@ -52,15 +52,15 @@
 func settingsOf(classes ...string) logic.Settings {
 	s := logic.Settings{Cores: 4, MemoryKB: 65536}
 	for i, name := range classes {
-		s.Classes = append(s.Classes, logic.Class{Name: name, Aim: logic.Micros(1000 * (i + 1)), Deadline: 5000})
+		s.Classes = append(s.Classes, logic.Class{Name: name, LatencyObjective: logic.Micros(1000 * (i + 1)), ClientTimeout: 5000})
 	}
 	return s
 }
 
 func TestLay(t *testing.T) {
 	next := settingsOf("c", "b", "d")
-	next.Classes[1].Deadline = 9000
-	p, err := Lay(settingsOf("a", "b", "c"), next)
+	next.Classes[1].ClientTimeout = 9000
+	p, err := Merge(settingsOf("a", "b", "c"), next)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,23 +68,23 @@
 	for _, c := range p.Settings.Classes {
 		names = append(names, c.Name)
 	}
-	if !slices.Equal(names, []string{"a", "b", "c", "d"}) || !slices.Equal(p.Added, []string{"d"}) || !slices.Equal(p.Dropped, []string{"a"}) {
-		t.Errorf("classes %v, added %v, dropped %v", names, p.Added, p.Dropped)
+	if !slices.Equal(names, []string{"a", "b", "c", "d"}) || !slices.Equal(p.Added, []string{"d"}) || !slices.Equal(p.Removed, []string{"a"}) {
+		t.Errorf("classes %v, added %v, dropped %v", names, p.Added, p.Removed)
 	}
-	if p.Settings.Classes[1].Deadline != 9000 || p.Settings.Classes[0].Deadline != 5000 {
+	if p.Settings.Classes[1].ClientTimeout != 9000 || p.Settings.Classes[0].ClientTimeout != 5000 {
 		t.Errorf("b takes the new deadline, a keeps its own: %+v", p.Settings.Classes)
 	}
-	if p.Names["d"] != 3 || p.Names["a"] != 0 || len(p.Names) != 4 {
-		t.Errorf("names %v", p.Names)
+	if p.ClassIndex["d"] != 3 || p.ClassIndex["a"] != 0 || len(p.ClassIndex) != 4 {
+		t.Errorf("names %v", p.ClassIndex)
 	}
 	bad := settingsOf("b")
-	bad.Classes[0].Deadline = 0
-	if _, err := Lay(settingsOf("a", "b"), bad); err == nil {
+	bad.Classes[0].ClientTimeout = 0
+	if _, err := Merge(settingsOf("a", "b"), bad); err == nil {
 		t.Error("a deadline of 0 was laid")
 	}
 	tenants := settingsOf("a")
 	tenants.Tenants = []logic.Tenant{{Name: "t"}}
-	if p, err := Lay(settingsOf("a"), tenants); err != nil || !p.Tenants || len(p.Settings.Tenants) != 0 {
+	if p, err := Merge(settingsOf("a"), tenants); err != nil || !p.TenantsChanged || len(p.Settings.Tenants) != 0 {
 		t.Errorf("tenants changed: %v, %+v", err, p)
 	}
 }
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -10,83 +10,83 @@
 	"sloehitch/logic"
 )
 
-var effects = map[string]logic.Effect{"retryable": logic.Safe, "dedup": logic.Keyed, "fragile": logic.Unsafe}
-var signals = map[string]logic.Signal{"off": logic.SignalNone, "floor": logic.SignalFloor,
-	"allowance": logic.SignalAllowance, "weight": logic.SignalWeight}
-var stopModes = map[string]logic.StopMode{"off": logic.StopOff, "discard": logic.StopDiscard,
-	"freeze": logic.StopFreeze}
-var downstreams = map[string]bool{"off": false, "tier": false, "one_for_all": true}
-var counts = map[string]bool{"request": false, "work": true}
+var idempotencyByName = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey, "fragile": logic.NonIdempotent}
+var signalModeByName = map[string]logic.SignalMode{"off": logic.SignalOff, "floor": logic.SignalPriorityFloor,
+	"allowance": logic.SignalConcurrencyLimit, "weight": logic.SignalWeight}
+var stopModeByName = map[string]logic.StopMode{"off": logic.StopOff, "discard": logic.StopDiscard,
+	"freeze": logic.StopPause}
+var sharedDependencyByName = map[string]bool{"off": false, "tier": false, "one_for_all": true}
+var weightPerWorkByName = map[string]bool{"request": false, "work": true}
 
-// Vocabulary maps the names in the settings to the indices that package logic uses.
-type Vocabulary struct {
-	Classes map[string]int
-	Tenants map[string]int
-	Meters  []string // the names of the gauges, in the order in which they are told
+// NameIndex maps the names in the settings to the indices that package logic uses.
+type NameIndex struct {
+	Classes    map[string]int
+	Tenants    map[string]int
+	GaugeNames []string // the names of the gauges, in the order in which they are told
 }
 
 // Parse reads settings given as values by path. Keys that it does not know are left alone, and most may be absent;
 // what an absent one comes to is said with its bound. An error is of type Faults and names all that is wrong.
-func Parse(values map[string]string) (logic.Settings, *Vocabulary, error) {
-	p := &reader{values: values}
+func Parse(values map[string]string) (logic.Settings, *NameIndex, error) {
+	p := &parser{values: values}
 	s := logic.Settings{
-		Servers: int(p.number("servers", servers)), Cold: p.flag("domain.just-started"),
-		Cores:    int(p.number("domain.cores", cores)),
-		MemoryKB: p.number("domain.memory-kb", memory), RunFactor: p.number("domain.run-factor", runFactor),
-		KeyKB: p.number("domain.kb-per-key", keyKB), ColdCapacity: p.number("rules.start-capacity", share),
-		WarmAfter: p.micros("rules.cold", span), CrowdFactor: p.number("rules.overload-factor", crowd),
-		CrowdSpan: p.micros("rules.fall", span), AnswerGrace: p.micros("rules.grace-to-answer", span),
-		DrainGrace: p.micros("rules.stop-sending-within", span), Tick: p.micros("tick", tick),
-		CallsSpan: p.micros("domain.calls-over", span), CallLinger: p.micros("domain.linger", span),
-		TellsWait: p.flag("domain.passes-deadline"), Stop: word(p, "domain.stop-mode", stopModes),
-		Signal: word(p, "domain.signal", signals), IdleSpan: p.micros("domain.idle", span),
-		WorthByWork: word(p, "counted-by", counts), OverShareWorth: p.number("over-share-worth", overShare),
+		FleetSize: int(p.number("servers", fleetSizeRange)), SlowStart: p.boolean("domain.just-started"),
+		Cores:    int(p.number("domain.cores", coresRange)),
+		MemoryKB: p.number("domain.memory-kb", memoryRange), RunMemoryFactor: p.number("domain.run-factor", runMemoryFactorRange),
+		KeyEntryKB: p.number("domain.kb-per-key", keyEntryRange), SlowStartCapacity: p.number("rules.start-capacity", shareRange),
+		SlowStartDuration: p.duration("rules.cold", durationRange), MaxConcurrencyPerCore: p.number("rules.overload-factor", concurrencyPerCoreRange),
+		ConcurrencyWindow: p.duration("rules.fall", durationRange), ResponseGrace: p.duration("rules.grace-to-answer", durationRange),
+		DrainGrace: p.duration("rules.stop-sending-within", durationRange), StepInterval: p.duration("tick", stepIntervalRange),
+		CallConcurrencyWindow: p.duration("domain.calls-over", durationRange), AbandonedCallDuration: p.duration("domain.linger", durationRange),
+		DeadlinePropagated: p.boolean("domain.passes-deadline"), StopMode: oneOf(p, "domain.stop-mode", stopModeByName),
+		SignalMode: oneOf(p, "domain.signal", signalModeByName), CallerIdleTimeout: p.duration("domain.idle", durationRange),
+		WeightPerWork: oneOf(p, "counted-by", weightPerWorkByName), OverQuotaWeightShare: p.number("over-share-worth", overQuotaWeightRange),
 	}
-	if advice := p.micros("ceilings.max-retry-after", span); p.flag("ceilings.retry-after") {
-		s.MaxAdvice = advice
+	if advice := p.duration("ceilings.max-retry-after", durationRange); p.boolean("ceilings.retry-after") {
+		s.MaxRetryAfter = advice
 	}
-	if calls := p.number("domain.calls-out", callsOut); word(p, "domain.downstream", downstreams) {
-		s.CallsShare = calls
-		if s.CallsShare > 0 && s.CallsSpan == 0 {
-			p.fault("domain.calls-over", "a share of calls needs the span over which it is averaged: write microseconds, such as 5000000")
+	if calls := p.number("domain.calls-out", callConcurrencyRange); oneOf(p, "domain.downstream", sharedDependencyByName) {
+		s.CallConcurrencyLimit = calls
+		if s.CallConcurrencyLimit > 0 && s.CallConcurrencyWindow == 0 {
+			p.addError("domain.calls-over", "a share of calls needs the span over which it is averaged: write microseconds, such as 5000000")
 		}
 	}
-	v := &Vocabulary{Classes: map[string]int{}, Tenants: map[string]int{}}
+	v := &NameIndex{Classes: map[string]int{}, Tenants: map[string]int{}}
 	if meters := p.text("domain.meters"); meters != "" {
-		v.Meters = strings.Split(meters, ",")
+		v.GaugeNames = strings.Split(meters, ",")
 	}
-	for i := range p.count("classes", 1, mostClasses) {
+	for i := range p.listLength("classes", 1, maxClasses) {
 		c := p.class(i)
-		p.name(fmt.Sprintf("classes.%d.name", i), i, v.Classes)
+		p.addName(fmt.Sprintf("classes.%d.name", i), i, v.Classes)
 		s.Classes = append(s.Classes, c)
 	}
-	for i := range p.count("projects", 0, mostTenants) {
+	for i := range p.listLength("projects", 0, maxTenants) {
 		at := fmt.Sprintf("projects.%d.", i)
-		p.name(at+"name", i, v.Tenants)
-		s.Tenants = append(s.Tenants, logic.Tenant{Name: p.text(at + "name"), Quota: p.number(at+"quota-per-s", quota)})
+		p.addName(at+"name", i, v.Tenants)
+		s.Tenants = append(s.Tenants, logic.Tenant{Name: p.text(at + "name"), QuotaPerSecond: p.number(at+"quota-per-s", quotaRange)})
 	}
-	if len(p.faults) > 0 {
-		return s, v, p.faults
+	if len(p.errors) > 0 {
+		return s, v, p.errors
 	}
 	return s, v, nil
 }
 
-func (p *reader) class(i int) logic.Class {
+func (p *parser) class(i int) logic.Class {
 	at := fmt.Sprintf("classes.%d.", i)
 	c := logic.Class{
-		Name: p.text(at + "name"), Aim: p.micros(at+"objective", wanted), AimStretch: p.number(at+"aim-stretch", stretch),
-		Deadline: p.micros(at+"hard-limit", wanted), Worth: p.number(at+"credit", credit),
-		LateWorth: p.number(at+"late-worth", share), Effect: word(p, at+"semantics", effects), Window: p.micros(at+"window", window),
-		Calls: p.truth("domain.class-calls", p.item("domain.class-calls", i)),
+		Name: p.text(at + "name"), LatencyObjective: p.duration(at+"objective", requiredDurationRange), ObjectivePerWork: p.number(at+"aim-stretch", objectivePerWorkRange),
+		ClientTimeout: p.duration(at+"hard-limit", requiredDurationRange), PriorityWeight: p.number(at+"credit", priorityWeightRange),
+		LateWeightShare: p.number(at+"late-worth", shareRange), Idempotency: oneOf(p, at+"semantics", idempotencyByName), IdempotencyWindow: p.duration(at+"window", idempotencyWindowRange),
+		CallsDependency: p.parseBoolean("domain.class-calls", p.listItem("domain.class-calls", i)),
 	}
 	if p.text(at+"semantics") == "" {
-		p.fault(at+"semantics", "one of dedup, fragile or retryable is needed: whether a request may run again can't be guessed")
+		p.addError(at+"semantics", "one of dedup, fragile or retryable is needed: whether a request may run again can't be guessed")
 	}
-	if c.Effect == logic.Keyed && c.Window == 0 {
-		p.fault(at+"window", "a dedup class needs the time within which a request may come again: write microseconds, such as 60000000")
+	if c.Idempotency == logic.IdempotentByKey && c.IdempotencyWindow == 0 {
+		p.addError(at+"window", "a dedup class needs the time within which a request may come again: write microseconds, such as 60000000")
 	}
-	if w := p.item("domain.degraded-worth", i); w != "" {
-		c.DegradedWorth = p.parse("domain.degraded-worth", w, share)
+	if w := p.listItem("domain.degraded-worth", i); w != "" {
+		c.DegradedWeightShare = p.parseNumber("domain.degraded-worth", w, shareRange)
 	}
 	return c
 }
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"sloehitch/logic"
 )
 
-func read(t *testing.T, text string) (logic.Settings, *Vocabulary, error) {
+func read(t *testing.T, text string) (logic.Settings, *NameIndex, error) {
 	t.Helper()
 	var object map[string]any
 	if err := json.Unmarshal([]byte(text), &object); err != nil {
@@ -25,14 +25,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v.Classes["book"] != 1 || v.Tenants["acme"] != 0 || len(v.Meters) != 4 || v.Meters[1] != "on_cores" {
+	if v.Classes["book"] != 1 || v.Tenants["acme"] != 0 || len(v.GaugeNames) != 4 || v.GaugeNames[1] != "on_cores" {
 		t.Errorf("names %+v", v)
 	}
 	b := s.Classes[1]
-	if b.Effect != logic.Keyed || b.Window != 90000000 || b.Worth != 3 || !b.Calls || b.DegradedWorth != 0 || s.Classes[0].DegradedWorth != 0.6 {
+	if b.Idempotency != logic.IdempotentByKey || b.IdempotencyWindow != 90000000 || b.PriorityWeight != 3 || !b.CallsDependency || b.DegradedWeightShare != 0 || s.Classes[0].DegradedWeightShare != 0.6 {
 		t.Errorf("classes %+v", s.Classes)
 	}
-	if s.Cores != 2 || s.Stop != logic.StopFreeze || s.Signal != logic.SignalFloor || s.MaxAdvice != 1000000 || s.AnswerGrace != 80000 {
+	if s.Cores != 2 || s.StopMode != logic.StopPause || s.SignalMode != logic.SignalPriorityFloor || s.MaxRetryAfter != 1000000 || s.ResponseGrace != 80000 {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -45,8 +45,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.RunFactor != 1 || s.Tick != 4000 || s.CrowdFactor != 1000 || s.Servers != 1 || s.Classes[0].Worth != 1 || s.OverShareWorth != 1 ||
-		s.MaxAdvice != 0 || s.TellsWait || s.Stop != logic.StopOff || s.Signal != logic.SignalNone || len(v.Meters) != 0 {
+	if s.RunMemoryFactor != 1 || s.StepInterval != 4000 || s.MaxConcurrencyPerCore != 1000 || s.FleetSize != 1 || s.Classes[0].PriorityWeight != 1 || s.OverQuotaWeightShare != 1 ||
+		s.MaxRetryAfter != 0 || s.DeadlinePropagated || s.StopMode != logic.StopOff || s.SignalMode != logic.SignalOff || len(v.GaugeNames) != 0 {
 		t.Errorf("%+v", s)
 	}
 	if _, err := logic.New(s, 1); err != nil {
@@ -113,7 +113,7 @@
 
 func TestFaultsAreToldTogether(t *testing.T) {
 	_, _, err := read(t, `{"tick":0,"domain":{"cores":-1,"run-factor":"x"},"classes":[{"name":"a","semantics":"dedup"}]}`)
-	var fs Faults
+	var fs FieldErrors
 	if !errors.As(err, &fs) {
 		t.Fatal(err)
 	}
@@ -126,10 +126,10 @@
 	if !slices.Equal(paths, want) {
 		t.Errorf("faults at %v, want %v", paths, want)
 	}
-	if f := fs.Under("settings"); !strings.HasPrefix(f[0].Path, "settings.") || strings.HasPrefix(fs[0].Path, "settings.") {
+	if f := fs.WithPrefix("settings"); !strings.HasPrefix(f[0].Path, "settings.") || strings.HasPrefix(fs[0].Path, "settings.") {
 		t.Errorf("under a key: %v", f)
 	}
-	many := make(Faults, 50)
+	many := make(FieldErrors, 50)
 	if text := many.Error(); !strings.HasSuffix(text, "and 30 more") {
 		t.Errorf("fifty faults: %q", text)
 	}
@@ -143,7 +143,7 @@
 		"absent as null": strings.Replace(whole, `"cores":2`, `"cores":2,"signal":null,"degraded-worth":[null],"stop-mode":"-"`, 1),
 	} {
 		s, _, err := read(t, text)
-		if err != nil || len(s.Classes) != 1 || s.Classes[0].Deadline != 3000000 || s.Cores != 2 {
+		if err != nil || len(s.Classes) != 1 || s.Classes[0].ClientTimeout != 3000000 || s.Cores != 2 {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
 	}
--- a/internal/platform/sockerr/sockerr.go
+++ b/internal/platform/sockerr/sockerr.go
@@ -6,12 +6,12 @@
 	"syscall"
 )
 
-// passing are the errors that say nothing about the connection or the address: the system was short of something, or a signal came.
-var passing = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
+// transientErrnos are the errors that say nothing about the connection or the address: the system was short of something, or a signal came.
+var transientErrnos = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
 
-// Passing says whether a read, write or accept that failed so may be tried again on the same socket.
-func Passing(err error) bool {
-	for _, errno := range passing {
+// IsTransient says whether a read, write or accept that failed so may be tried again on the same socket.
+func IsTransient(err error) bool {
+	for _, errno := range transientErrnos {
 		if errors.Is(err, errno) {
 			return true
 		}
@@ -19,13 +19,13 @@
 	return false
 }
 
-// Short says whether the system was short of descriptors or memory: it may be for a while.
-func Short(err error) bool {
-	return Passing(err) && !errors.Is(err, syscall.EINTR) && !errors.Is(err, syscall.EAGAIN)
+// IsResourceShortage says whether the system was short of descriptors or memory: it may be for a while.
+func IsResourceShortage(err error) bool {
+	return IsTransient(err) && !errors.Is(err, syscall.EINTR) && !errors.Is(err, syscall.EAGAIN)
 }
 
-// PassingListen says whether an address that could not be listened on may be had soon: beside what passes, another process may be about to
+// IsTransientListen says whether an address that could not be listened on may be had soon: beside what passes, another process may be about to
 // leave it, and the interface that has it may be about to come up.
-func PassingListen(err error) bool {
-	return Passing(err) || errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.EADDRNOTAVAIL)
+func IsTransientListen(err error) bool {
+	return IsTransient(err) || errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
--- a/internal/platform/sockerr/sockerr_test.go
+++ b/internal/platform/sockerr/sockerr_test.go
@@ -31,11 +31,11 @@
 		{errors.New("another"), false, false},
 		{nil, false, false},
 	} {
-		if short := errors.Is(c.err, syscall.ENOBUFS) || errors.Is(c.err, syscall.ENFILE); Short(c.err) != short {
+		if short := errors.Is(c.err, syscall.ENOBUFS) || errors.Is(c.err, syscall.ENFILE); IsResourceShortage(c.err) != short {
 			t.Errorf("%v: short %v, want %v", c.err, !short, short)
 		}
-		if Passing(c.err) != c.passing || PassingListen(c.err) != c.listen {
-			t.Errorf("%v: %v, %v; want %v, %v", c.err, Passing(c.err), PassingListen(c.err), c.passing, c.listen)
+		if IsTransient(c.err) != c.passing || IsTransientListen(c.err) != c.listen {
+			t.Errorf("%v: %v, %v; want %v, %v", c.err, IsTransient(c.err), IsTransientListen(c.err), c.passing, c.listen)
 		}
 	}
 }
--- a/internal/platform/tlskeys/tlskeys.go
+++ b/internal/platform/tlskeys/tlskeys.go
@@ -50,7 +50,7 @@
 	if (files.Cert == "") != (files.Key == "") {
 		return nil, errors.New("tls: cert and key belong together")
 	}
-	k.seen = k.look()
+	k.seen = k.fileState()
 	p, err := k.read()
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 func (k *Keys) Reload() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.reload(k.look())
+	return k.reload(k.fileState())
 }
 
 func (k *Keys) reload(look string) error {
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// look is how the files look: it changes when one of them does.
-func (k *Keys) look() (s string) {
+// fileState is how the files look: it changes when one of them does.
+func (k *Keys) fileState() (s string) {
 	for _, name := range []string{k.files.Cert, k.files.Key, k.files.CA} {
 		if name == "" {
 			continue
@@ -127,7 +127,7 @@
 func (k *Keys) Check() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if look := k.look(); look != k.seen {
+	if look := k.fileState(); look != k.seen {
 		_ = k.reload(look) // said in the log
 	}
 	k.warn(k.inForce.Load())
--- a/internal/platform/traces/traces.go
+++ b/internal/platform/traces/traces.go
@@ -43,7 +43,7 @@
 	}
 	t := &Traces{file: f, share: share}
 	t.provider = sdktrace.NewTracerProvider(
-		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(l.TraceQueue)), // what doesn't fit is dropped: a slow disk holds up nobody
+		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(l.QueuedSpans)), // what doesn't fit is dropped: a slow disk holds up nobody
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "sloehitch"), attribute.String("service.instance.id", node))))
 	t.tracer = t.provider.Tracer("sloehitch/uwsgi")
 	log.Info("traces are written", "file", path, "share", share)
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -10,9 +10,9 @@
 	"sloehitch/logic"
 )
 
-// host is one instance with the events of the batch in hand.
-type host struct {
-	number  string
+// instance is one instance with the events of the batch in hand.
+type instance struct {
+	id      string
 	server  *logic.Server
 	events  []logic.Event
 	touched bool
@@ -20,94 +20,94 @@
 
 // session is the state of one connection to the simulator.
 type session struct {
-	hosts map[string]*host
-	order []*host // hosts touched by the batch in hand, in order of first mention
-	specs map[string]*settings.Vocabulary
-	now   logic.Micros
-	batch string
-	open  bool
+	instances map[string]*instance
+	touched   []*instance // hosts touched by the batch in hand, in order of first mention
+	names     map[string]*settings.NameIndex
+	now       logic.Micros
+	batch     string
+	inBatch   bool
 }
 
 // Serve answers batches from r on w until r ends.
 func Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, 1<<20)
 	out := bufio.NewWriterSize(w, 1<<16)
-	s := &session{hosts: map[string]*host{}, specs: map[string]*settings.Vocabulary{}}
+	s := &session{instances: map[string]*instance{}, names: map[string]*settings.NameIndex{}}
 	for number := 1; ; number++ {
 		line, err := in.ReadString('\n')
 		if err != nil && !(errors.Is(err, io.EOF) && line != "") {
-			return s.end(err, number)
+			return s.endOfInput(err, number)
 		}
 		if line[len(line)-1] == '\n' {
 			line = line[:len(line)-1]
 		}
-		if err := s.line(line, out); err != nil {
+		if err := s.handleLine(line, out); err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 	}
 }
 
-// end tells a clean end of input from one inside a batch.
-func (s *session) end(err error, number int) error {
+// endOfInput tells a clean end of input from one inside a batch.
+func (s *session) endOfInput(err error, number int) error {
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
-	if s.open {
+	if s.inBatch {
 		return fmt.Errorf("line %d: input ends inside batch %s", number, s.batch)
 	}
 	return nil
 }
 
-func (s *session) line(line string, out *bufio.Writer) error {
+func (s *session) handleLine(line string, out *bufio.Writer) error {
 	if line == "" {
-		if s.open {
+		if s.inBatch {
 			return errors.New("empty line inside a batch")
 		}
 		return nil
 	}
-	f := fields{rest: line}
+	f := lineFields{rest: line}
 	switch name := f.next(); {
 	case name == "MARK":
-		return s.mark(&f)
-	case !s.open:
+		return s.beginBatch(&f)
+	case !s.inBatch:
 		return fmt.Errorf("%q outside a batch", name)
 	case name == "FLUSH":
-		return s.flush(&f, out)
+		return s.endBatch(&f, out)
 	default:
-		return s.event(name, &f)
+		return s.handleMessage(name, &f)
 	}
 }
 
-func (s *session) mark(f *fields) error {
-	if s.open {
+func (s *session) beginBatch(f *lineFields) error {
+	if s.inBatch {
 		return errors.New("MARK inside a batch")
 	}
 	s.now = f.micros("clock")
-	s.batch = f.word("batch number")
-	s.open = true
+	s.batch = f.required("batch number")
+	s.inBatch = true
 	return f.done()
 }
 
-func (s *session) event(name string, f *fields) error {
-	number := f.word("instance")
+func (s *session) handleMessage(name string, f *lineFields) error {
+	number := f.required("instance")
 	if f.err != nil {
 		return f.err
 	}
-	h := s.hosts[number]
+	h := s.instances[number]
 	if name == "BEGIN" {
-		return s.begin(number, f)
+		return s.startInstance(number, f)
 	}
 	if name == "SHUTDOWN" {
 		if h != nil {
 			h.server, h.events = nil, nil
-			delete(s.specs, number)
+			delete(s.names, number)
 		}
 		return f.done()
 	}
 	if h == nil || h.server == nil {
 		return fmt.Errorf("%s for instance %s, which has not begun", name, number)
 	}
-	ev, err := parseEvent(name, f, s.specs[number])
+	ev, err := parseEvent(name, f, s.names[number])
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (s *session) begin(number string, f *fields) error {
+func (s *session) startInstance(number string, f *lineFields) error {
 	seed := f.unsigned("seed")
 	cfg, vocab, err := parseSettings(f)
 	if err != nil {
@@ -126,40 +126,40 @@
 	if err != nil {
 		return err
 	}
-	h := s.hosts[number]
+	h := s.instances[number]
 	if h == nil {
-		h = &host{number: number}
-		s.hosts[number] = h
+		h = &instance{id: number}
+		s.instances[number] = h
 	}
 	h.server, h.events = server, nil
-	s.specs[number] = vocab
+	s.names[number] = vocab
 	s.touch(h)
 	return nil
 }
 
-func (s *session) touch(h *host) {
+func (s *session) touch(h *instance) {
 	if !h.touched {
 		h.touched = true
-		s.order = append(s.order, h)
+		s.touched = append(s.touched, h)
 	}
 }
 
-func (s *session) flush(f *fields, out *bufio.Writer) error {
+func (s *session) endBatch(f *lineFields, out *bufio.Writer) error {
 	if err := f.done(); err != nil {
 		return err
 	}
-	for _, h := range s.order {
+	for _, h := range s.touched {
 		h.touched = false
 		if h.server == nil {
 			continue
 		}
 		for _, a := range h.server.Step(s.now, h.events) {
-			writeAction(out, h.number, a)
+			writeAction(out, h.id, a)
 		}
 		h.events = h.events[:0]
 	}
-	s.order = s.order[:0]
-	s.open = false
+	s.touched = s.touched[:0]
+	s.inBatch = false
 	fmt.Fprintf(out, "NEXT %s\n", s.batch)
 	return out.Flush()
 }
--- a/internal/simadapter/settings.go
+++ b/internal/simadapter/settings.go
@@ -8,12 +8,12 @@
 )
 
 // parseSettings reads the path=value settings of BEGIN.
-func parseSettings(f *fields) (logic.Settings, *settings.Vocabulary, error) {
+func parseSettings(f *lineFields) (logic.Settings, *settings.NameIndex, error) {
 	values := map[string]string{}
 	for _, pair := range strings.Fields(f.rest) {
 		path, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			f.fail("setting", pair)
+			f.invalid("setting", pair)
 		}
 		values[path] = value
 	}
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -13,81 +13,81 @@
 	"sloehitch/logic"
 )
 
-// fields takes the parts of a line one by one and keeps the first error.
-type fields struct {
+// lineFields takes the parts of a line one by one and keeps the first error.
+type lineFields struct {
 	rest string
 	err  error
 }
 
-func (f *fields) next() string {
+func (f *lineFields) next() string {
 	word, rest, _ := strings.Cut(f.rest, " ")
 	f.rest = rest
 	return word
 }
 
-func (f *fields) fail(what, word string) {
+func (f *lineFields) invalid(what, word string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("bad %s %q", what, word)
 	}
 }
 
-// word is a part that must be there.
-func (f *fields) word(what string) string {
+// required is a part that must be there.
+func (f *lineFields) required(what string) string {
 	w := f.next()
 	if w == "" || w == "-" {
-		f.fail(what, w)
+		f.invalid(what, w)
 	}
 	return w
 }
 
 // optional is a part that may be absent: "" then.
-func (f *fields) optional() string {
+func (f *lineFields) optional() string {
 	if w := f.next(); w != "-" {
 		return w
 	}
 	return ""
 }
 
-func (f *fields) unsigned(what string) uint64 {
-	w := f.word(what)
+func (f *lineFields) unsigned(what string) uint64 {
+	w := f.required(what)
 	n, err := strconv.ParseUint(w, 10, 64)
 	if err != nil {
-		f.fail(what, w)
+		f.invalid(what, w)
 	}
 	return n
 }
 
-func (f *fields) optionalUnsigned(what string) uint64 {
+func (f *lineFields) optionalUnsigned(what string) uint64 {
 	w := f.optional()
 	if w == "" {
 		return 0
 	}
 	n, err := strconv.ParseUint(w, 10, 64)
 	if err != nil {
-		f.fail(what, w)
+		f.invalid(what, w)
 	}
 	return n
 }
 
 // micros is a time that must be there; spans are never negative.
-func (f *fields) micros(what string) logic.Micros {
-	w := f.word(what)
+func (f *lineFields) micros(what string) logic.Micros {
+	w := f.required(what)
 	n, err := strconv.ParseInt(w, 10, 64)
 	if err != nil || n < 0 {
-		f.fail(what, w)
+		f.invalid(what, w)
 	}
 	return logic.Micros(n)
 }
 
-func (f *fields) optionalMicros(what string) logic.Micros {
+func (f *lineFields) optionalMicros(what string) logic.Micros {
 	n := f.optionalUnsigned(what)
 	if n > math.MaxInt64 {
-		f.fail(what, strconv.FormatUint(n, 10))
+		f.invalid(what, strconv.FormatUint(n, 10))
 	}
 	return logic.Micros(n)
 }
 
-func (f *fields) optionalFloat(what string) float64 {
+func (f *lineFields) optionalFloat(what string) float64 {
 	w := f.optional()
 	if w == "" {
 		return 0
@@ -95,105 +95,105 @@
 	return f.parseFloat(what, w)
 }
 
-func (f *fields) parseFloat(what, w string) float64 {
+func (f *lineFields) parseFloat(what, w string) float64 {
 	v, err := strconv.ParseFloat(w, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(what, w)
+		f.invalid(what, w)
 	}
 	return v
 }
 
-func (f *fields) done() error {
+func (f *lineFields) done() error {
 	if f.err == nil && f.rest != "" {
-		f.fail("trailing text", f.rest)
+		f.invalid("trailing text", f.rest)
 	}
 	return f.err
 }
 
 // Bits of the attrs part of ORDER.
 const (
-	flagHint  = 1
-	flagRetry = 2
+	attributeHintValid = 1
+	attributeRetry     = 2
 )
 
-func parseEvent(name string, f *fields, v *settings.Vocabulary) (logic.Event, error) {
+func parseEvent(name string, f *lineFields, v *settings.NameIndex) (logic.Event, error) {
 	var ev logic.Event
 	if name != "FIRED" && name != "QUIESCE" {
 		ev.ID = logic.RequestID(f.unsigned("request id"))
 	}
 	switch name {
 	case "ORDER":
-		ev.Kind = logic.EvArrival
+		ev.Kind = logic.EventArrival
 		ev.Arrival = parseArrival(f, v)
 	case "WORK_DONE":
-		ev.Kind = logic.EvDone
+		ev.Kind = logic.EventRunEnded
 		ev.Outcome, ev.Elapsed = parseOutcome(f)
 	case "STALLED_ON_CALL":
-		ev.Kind = logic.EvNeedsCall
+		ev.Kind = logic.EventCallNeeded
 	case "CALL_RESULT":
-		ev.Kind = logic.EvCallResult
+		ev.Kind = logic.EventCallEnded
 		ev.Outcome, ev.Elapsed = parseOutcome(f)
 	case "GONE":
-		ev.Kind = logic.EvGone
+		ev.Kind = logic.EventCanceled
 	case "FIRED":
-		ev.Kind = logic.EvTimer
-		ev.Tag = f.unsigned("tag")
+		ev.Kind = logic.EventTimer
+		ev.TimerID = f.unsigned("tag")
 		ev.Gauges = parseGauges(f)
 	case "QUIESCE":
-		ev.Kind = logic.EvDrain
-		ev.Left = f.optionalMicros("time-budget")
+		ev.Kind = logic.EventDrain
+		ev.TimeToKill = f.optionalMicros("time-budget")
 	default:
 		return ev, fmt.Errorf("unknown message %q", name)
 	}
 	return ev, f.done()
 }
 
-func parseArrival(f *fields, v *settings.Vocabulary) logic.Arrival {
+func parseArrival(f *lineFields, v *settings.NameIndex) logic.Arrival {
 	a := logic.Arrival{Tenant: -1}
-	class := f.word("class")
+	class := f.required("class")
 	index, known := v.Classes[class]
 	if !known {
-		f.fail("class", class)
+		f.invalid("class", class)
 	}
 	a.Class = index
-	a.KB = f.parseFloat("kb", f.word("kb"))
-	if a.KB < 0 {
-		f.fail("kb", strconv.FormatFloat(a.KB, 'g', -1, 64))
+	a.MemoryKB = f.parseFloat("kb", f.required("kb"))
+	if a.MemoryKB < 0 {
+		f.invalid("kb", strconv.FormatFloat(a.MemoryKB, 'g', -1, 64))
 	}
-	a.Hint = f.optionalMicros("predicted")
+	a.WorkHint = f.optionalMicros("predicted")
 	f.optional() // route-key: no decision uses it
-	a.Wait = f.optionalMicros("time-budget")
+	a.AttemptTimeout = f.optionalMicros("time-budget")
 	if owner := f.optional(); owner != "" && owner != "0" {
 		if a.Tenant, known = v.Tenants[owner]; !known {
-			f.fail("owner", owner)
+			f.invalid("owner", owner)
 		}
 	}
 	attrs := f.optionalUnsigned("attrs")
-	if attrs&flagHint == 0 {
-		a.Hint = 0
+	if attrs&attributeHintValid == 0 {
+		a.WorkHint = 0
 	}
-	a.Retry = attrs&flagRetry != 0
-	a.Rank = f.optionalFloat("rank")
-	a.Forerunner = logic.RequestID(f.optionalUnsigned("earlier"))
-	a.Source = int(f.optionalUnsigned("src"))
+	a.Retry = attrs&attributeRetry != 0
+	a.PriorityRank = f.optionalFloat("rank")
+	a.OriginalID = logic.RequestID(f.optionalUnsigned("earlier"))
+	a.CallerID = int(f.optionalUnsigned("src"))
 	a.Age = f.optionalMicros("age")
 	return a
 }
 
-var outcomes = []logic.Outcome{logic.Failed, logic.OK, logic.Full, logic.TimedOut, logic.Unreachable,
-	logic.Reset, logic.Cancelled, logic.Moot}
+var outcomeByCode = []logic.Outcome{logic.OutcomeFailed, logic.OutcomeOK, logic.OutcomeRejected, logic.OutcomeTimedOut, logic.OutcomeUnreachable,
+	logic.OutcomeReset, logic.OutcomeCanceled, logic.OutcomeNotStarted}
 
-func parseOutcome(f *fields) (logic.Outcome, logic.Micros) {
+func parseOutcome(f *lineFields) (logic.Outcome, logic.Micros) {
 	how := f.unsigned("outcome")
-	if how >= uint64(len(outcomes)) {
-		f.fail("outcome", strconv.FormatUint(how, 10))
-		return logic.Failed, 0
+	if how >= uint64(len(outcomeByCode)) {
+		f.invalid("outcome", strconv.FormatUint(how, 10))
+		return logic.OutcomeFailed, 0
 	}
-	return outcomes[how], f.optionalMicros("delay-seen")
+	return outcomeByCode[how], f.optionalMicros("delay-seen")
 }
 
-func parseGauges(f *fields) logic.Gauges {
-	g := logic.Gauges{CoreUse: -1, RunQueue: -1, MemoryShare: -1, Connections: -1}
+func parseGauges(f *lineFields) logic.Gauges {
+	g := logic.Gauges{CPUUtilization: -1, RunQueueLength: -1, MemoryUtilization: -1, Connections: -1}
 	text := f.optional()
 	if text == "" {
 		return g
@@ -202,11 +202,11 @@
 		name, value, _ := strings.Cut(pair, ":")
 		switch name {
 		case "core_use":
-			g.CoreUse = f.parseFloat(name, value)
+			g.CPUUtilization = f.parseFloat(name, value)
 		case "on_cores":
-			g.RunQueue = f.parseFloat(name, value)
+			g.RunQueueLength = f.parseFloat(name, value)
 		case "heap_share":
-			g.MemoryShare = f.parseFloat(name, value)
+			g.MemoryUtilization = f.parseFloat(name, value)
 		case "links":
 			g.Connections = f.parseFloat(name, value)
 		}
@@ -216,36 +216,36 @@
 
 func writeAction(w *bufio.Writer, instance string, a logic.Action) {
 	switch a.Kind {
-	case logic.ActRun:
+	case logic.ActionRun:
 		fmt.Fprintf(w, "RUN %s %d\n", instance, a.ID)
-	case logic.ActRefuse:
-		fmt.Fprintf(w, "SHED %s %d %d %d\n", instance, a.ID, a.Span, bit(a.Last))
-	case logic.ActFail:
+	case logic.ActionReject:
+		fmt.Fprintf(w, "SHED %s %d %d %d\n", instance, a.ID, a.Duration, boolDigit(a.NoFailover))
+	case logic.ActionFail:
 		fmt.Fprintf(w, "LOSE %s %d\n", instance, a.ID)
-	case logic.ActStop:
+	case logic.ActionStop:
 		fmt.Fprintf(w, "STOP %s %d\n", instance, a.ID)
-	case logic.ActJoin:
+	case logic.ActionCoalesce:
 		fmt.Fprintf(w, "ATTACH %s %d\n", instance, a.ID)
-	case logic.ActKeepKey:
-		fmt.Fprintf(w, "STORE_KEY %s %d %d\n", instance, a.ID, a.Span)
-	case logic.ActForgetKey:
+	case logic.ActionStoreKey:
+		fmt.Fprintf(w, "STORE_KEY %s %d %d\n", instance, a.ID, a.Duration)
+	case logic.ActionDeleteKey:
 		fmt.Fprintf(w, "ERASE %s %d\n", instance, a.ID)
-	case logic.ActCall:
-		fmt.Fprintf(w, "GO_CALL %s %d %d\n", instance, a.ID, a.Span)
-	case logic.ActGoOn:
+	case logic.ActionCall:
+		fmt.Fprintf(w, "GO_CALL %s %d %d\n", instance, a.ID, a.Duration)
+	case logic.ActionSkipCall:
 		fmt.Fprintf(w, "GO_ON %s %d\n", instance, a.ID)
-	case logic.ActTimer:
-		fmt.Fprintf(w, "DEFER %s %d %d\n", instance, a.Tag, a.Span)
-	case logic.ActSay:
-		fmt.Fprintf(w, "SAY %s %s\n", instance, strconv.FormatFloat(a.Value, 'f', 4, 64))
-	case logic.ActHealth:
-		fmt.Fprintf(w, "HEALTH %s %d 1\n", instance, bit(a.On))
-	case logic.ActCloseIdle:
-		fmt.Fprintf(w, "CLOSE_IDLE %s %d\n", instance, a.Span)
+	case logic.ActionSetTimer:
+		fmt.Fprintf(w, "DEFER %s %d %d\n", instance, a.TimerID, a.Duration)
+	case logic.ActionSetLoadSignal:
+		fmt.Fprintf(w, "SAY %s %s\n", instance, strconv.FormatFloat(a.LoadSignal, 'f', 4, 64))
+	case logic.ActionSetHealth:
+		fmt.Fprintf(w, "HEALTH %s %d 1\n", instance, boolDigit(a.Healthy))
+	case logic.ActionSetIdleTimeout:
+		fmt.Fprintf(w, "CLOSE_IDLE %s %d\n", instance, a.Duration)
 	}
 }
 
-func bit(b bool) int {
+func boolDigit(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -136,12 +136,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, rest, _ := strings.Cut(strings.TrimPrefix(begin, "BEGIN 3 "), " ")
-			s, _, err := parseSettings(&fields{rest: rest + " " + c.more})
+			s, _, err := parseSettings(&lineFields{rest: rest + " " + c.more})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if s.CallsShare != c.want {
-				t.Errorf("share %v, want %v", s.CallsShare, c.want)
+			if s.CallConcurrencyLimit != c.want {
+				t.Errorf("share %v, want %v", s.CallConcurrencyLimit, c.want)
 			}
 		})
 	}
--- a/internal/store/admin.go
+++ b/internal/store/admin.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-const mostValue = 4 << 10 // bytes of a value that an operator may set
+const maxValueBytes = 4 << 10 // bytes of a value that an operator may set
 
-// Items splits a list with commas between its items.
-func Items(value string) []string {
+// SplitList splits a list with commas between its items.
+func SplitList(value string) []string {
 	return strings.FieldsFunc(value, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
@@ -25,11 +25,11 @@
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(s.All()); err != nil {
-			s.opts.Log.Debug("state not written", "error", err)
+			s.opts.Logger.Debug("state not written", "error", err)
 		}
 	})
 	mux.HandleFunc("PUT /state/{key}", func(w http.ResponseWriter, r *http.Request) {
-		value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostValue))
+		value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValueBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
@@ -38,10 +38,10 @@
 		leader, known := s.Leader()
 		switch {
 		case err == nil:
-			s.opts.Log.Info("state set", "key", r.PathValue("key"), "value", string(value))
+			s.opts.Logger.Info("state set", "key", r.PathValue("key"), "value", string(value))
 			w.WriteHeader(http.StatusNoContent)
-		case errors.Is(err, ErrNotLeader) && known && leader.Admin != "" && leader.Name != s.opts.Name:
-			http.Redirect(w, r, "http://"+leader.Admin+r.URL.Path, http.StatusTemporaryRedirect)
+		case errors.Is(err, ErrNotLeader) && known && leader.AdminAddress != "" && leader.Name != s.opts.Name:
+			http.Redirect(w, r, "http://"+leader.AdminAddress+r.URL.Path, http.StatusTemporaryRedirect)
 		case errors.Is(err, ErrNotLeader):
 			w.Header().Set("Retry-After", "1")
 			http.Error(w, "no leader yet", http.StatusServiceUnavailable)
@@ -49,8 +49,8 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		}
 	})
-	s.documentPaths(mux)
-	s.memberPaths(mux)
+	s.registerDocumentRoutes(mux)
+	s.registerMemberRoutes(mux)
 	return mux
 }
 
@@ -71,8 +71,8 @@
 	return c.do(http.MethodPut, "/state/"+key, []byte(value), func(io.Reader) error { return nil })
 }
 
-// errNoPath says that the member that was asked knows nothing of what it was asked.
-var errNoPath = errors.New("not known to the version of the member that was asked")
+// errUnknownPath says that the member that was asked knows nothing of what it was asked.
+var errUnknownPath = errors.New("not known to the version of the member that was asked")
 
 func (c Client) do(method, path string, body []byte, read func(io.Reader) error) error {
 	req, err := http.NewRequest(method, "http://"+c.Address+path, bytes.NewReader(body))
@@ -85,10 +85,10 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= 300 {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, mostValue)) // the status says enough without it
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxValueBytes)) // the status says enough without it
 		switch resp.StatusCode {
 		case http.StatusNotFound:
-			return fmt.Errorf("%w: %s %s", errNoPath, method, path)
+			return fmt.Errorf("%w: %s %s", errUnknownPath, method, path)
 		case http.StatusConflict:
 			return fmt.Errorf("%w: %s", ErrConflict, bytes.TrimSpace(text))
 		}
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -20,8 +20,11 @@
 				b.Run(fmt.Sprintf("%s/%d members/%d writers", kind, members, writers), func(b *testing.B) {
 					g := newGroupOn(b, members, lease.Terms{}, b.TempDir)
 					s := g.stores[g.leader(b).Name]
-					waitFor(b, "a lease", func() bool { _, err := s.Lease("d", Question{Ask: "take", Holder: "b"}); return err == nil })
-					token := s.docs.Leases().Get("d").Token
+					waitFor(b, "a lease", func() bool {
+						_, err := s.RequestLease("d", LeaseRequest{Action: "take", Holder: "b"})
+						return err == nil
+					})
+					token := s.documents.Leases().Get("d").Token
 					var next atomic.Int64
 					var mu sync.Mutex
 					var took []time.Duration
@@ -39,11 +42,11 @@
 								began := time.Now()
 								var err error
 								if kind == "set" {
-									err = s.Set(Closed, fmt.Sprint("n", i))
+									err = s.Set(KeyClosedNodes, fmt.Sprint("n", i))
 								} else {
 									t := tx(fmt.Sprint("t", i), fmt.Sprint("k", i%100), "a value")
-									t.If = append(t.If, underToken("d", token))
-									_, err = s.Make(t)
+									t.Conditions = append(t.Conditions, underToken("d", token))
+									_, err = s.Commit(t)
 								}
 								if err != nil {
 									b.Error(err)
--- a/internal/store/document/document_test.go
+++ b/internal/store/document/document_test.go
@@ -14,9 +14,9 @@
 	"sloehitch/internal/control/lease"
 )
 
-var terms = lease.Terms{Length: 10 * time.Second, Drift: 0.01, Margin: time.Second}
+var terms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.01, SafetyMargin: time.Second}
 
-func state(t testing.TB, b Bounds) *State {
+func state(t testing.TB, b Limits) *State {
 	t.Helper()
 	s, err := New(b, terms)
 	if err != nil {
@@ -26,24 +26,24 @@
 }
 
 func set(id, key, value string, conditions ...Condition) Transaction {
-	return Transaction{ID: id, By: "ops", Why: "a test", If: conditions, Do: []Operation{{Key: key, Value: value}}}
+	return Transaction{ID: id, Author: "ops", Reason: "a test", Conditions: conditions, Operations: []Operation{{Key: key, Value: value}}}
 }
 
 // take has a duty granted, as a leader's decision that is agreed on.
 func take(t *testing.T, s *State, id, duty, holder string, now lease.Instant) uint64 {
 	t.Helper()
-	r, err := s.Leases().Take(duty, holder, now)
+	r, err := s.Leases().Acquire(duty, holder, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := s.Apply(Transaction{ID: id, By: holder, Do: []Operation{{Lease: &r}}}, now); !got.Made {
+	if got := s.Apply(Transaction{ID: id, Author: holder, Operations: []Operation{{Lease: &r}}}, now); !got.Committed {
 		t.Fatal(got.Reason)
 	}
 	return r.Token
 }
 
 func TestConditions(t *testing.T) {
-	s := state(t, Ordinary)
+	s := state(t, DefaultLimits)
 	one := s.Apply(set("1", "a", "x"), 0)
 	token := take(t, s, "2", "backup", "n1", 0)
 	for i, c := range []struct {
@@ -54,12 +54,12 @@
 		{set("c1", "a", "z", Condition{Key: "a", Version: one.Revision}), "a: version 3, not 1"},
 		{set("c2", "b", "new", Condition{Key: "b"}), ""},
 		{set("c3", "b", "new", Condition{Key: "b"}), "b: version 4, not 0"},
-		{set("c4", "a", "by the holder", Condition{Duty: "backup", Token: token}), ""},
-		{set("c5", "a", "by another", Condition{Duty: "backup", Token: token + 1}), "duty backup: token 2 is not the one"},
-		{set("c6", "a", "for no duty", Condition{Duty: "never held", Token: 0}), "duty never held"},
-		{Transaction{ID: "c7", Do: []Operation{{Key: "d", Value: "1"}, {Key: "a", Delete: true}}, If: []Condition{{Key: "a"}}}, "a: version 5, not 0"},
+		{set("c4", "a", "by the holder", Condition{Task: "backup", Token: token}), ""},
+		{set("c5", "a", "by another", Condition{Task: "backup", Token: token + 1}), "duty backup: token 2 is not the one"},
+		{set("c6", "a", "for no duty", Condition{Task: "never held", Token: 0}), "duty never held"},
+		{Transaction{ID: "c7", Operations: []Operation{{Key: "d", Value: "1"}, {Key: "a", Delete: true}}, Conditions: []Condition{{Key: "a"}}}, "a: version 5, not 0"},
 	} {
-		if got := s.Apply(c.t, 0); got.Made != (c.reason == "") || !strings.Contains(got.Reason, c.reason) {
+		if got := s.Apply(c.t, 0); got.Committed != (c.reason == "") || !strings.Contains(got.Reason, c.reason) {
 			t.Errorf("%d: %+v, want reason %q", i, got, c.reason)
 		}
 	}
@@ -67,77 +67,77 @@
 		t.Errorf("a transaction that was not made left %+v and %+v", s.Get("d"), s.Get("a"))
 	}
 	take(t, s, "9", "backup", "n1", 0) // the same name again: a new process
-	if got := s.Apply(set("10", "a", "late", Condition{Duty: "backup", Token: token}), 0); got.Made {
+	if got := s.Apply(set("10", "a", "late", Condition{Task: "backup", Token: token}), 0); got.Committed {
 		t.Error("a write under an old token was made")
 	}
 }
 
 func TestOnceForAnID(t *testing.T) {
-	b := Ordinary
-	b.Requests = 3
+	b := DefaultLimits
+	b.RememberedRequests = 3
 	s := state(t, b)
 	first := s.Apply(set("r", "a", "1"), 0)
 	s.Apply(set("other", "a", "2"), 0)
 	again := s.Apply(set("r", "a", "1"), 0)
-	if !again.Again || again.Revision != first.Revision || s.Get("a").Value != "2" {
+	if !again.Duplicate || again.Revision != first.Revision || s.Get("a").Value != "2" {
 		t.Errorf("a repeat: %+v, a is %q", again, s.Get("a").Value)
 	}
-	if got := s.Apply(set("r", "a", "3"), 0); got.Made || !strings.Contains(got.Reason, "another request") {
+	if got := s.Apply(set("r", "a", "3"), 0); got.Committed || !strings.Contains(got.Reason, "another request") {
 		t.Errorf("another request under the same id: %+v", got)
 	}
 	refused := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0)
-	if got := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0); refused.Made || got.Reason != refused.Reason || !got.Again {
+	if got := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0); refused.Committed || got.Reason != refused.Reason || !got.Duplicate {
 		t.Errorf("a repeat of what was turned down: %+v after %+v", got, refused)
 	}
 	for i := range 3 {
 		s.Apply(set(fmt.Sprint("more", i), "b", "x"), 0)
 	}
-	if len(s.requests) != 3 || len(s.order) != 3 {
+	if len(s.requests) != 3 || len(s.requestOrder) != 3 {
 		t.Errorf("%d request ids are remembered, of 3", len(s.requests))
 	}
 }
 
 func TestBoundsAndForms(t *testing.T) {
-	b := Bounds{Key: 8, Value: 16, Documents: 2, Bytes: 40, Operations: 2, Requests: 10, Changes: 10}
+	b := Limits{MaxKeyBytes: 8, MaxValueBytes: 16, MaxDocuments: 2, MaxTotalBytes: 40, MaxOperations: 2, RememberedRequests: 10, RememberedChanges: 10}
 	for _, c := range []struct {
 		t      Transaction
 		reason string
 	}{
-		{Transaction{Do: []Operation{{Key: "a"}}}, "id"},
+		{Transaction{Operations: []Operation{{Key: "a"}}}, "id"},
 		{Transaction{ID: "x"}, "1 to 2 operations"},
-		{Transaction{ID: "x", Do: []Operation{{}}}, "either a key or a lease"},
-		{Transaction{ID: "x", Do: []Operation{{Key: "a"}, {Key: "a"}}}, "changed twice"},
-		{Transaction{ID: "x", Do: []Operation{{Key: "123456789"}}}, "at most 8 bytes"},
-		{Transaction{ID: "x", Do: []Operation{{Key: "a", Value: strings.Repeat("v", 17)}}}, "at most 16"},
-		{Transaction{ID: "x", Do: []Operation{{Key: "a"}}, If: []Condition{{}}}, "either a key or a duty"},
-		{Transaction{ID: "x", Do: []Operation{{Lease: &lease.Record{}}}}, "a duty"},
-		{Transaction{ID: "x", Do: []Operation{{Key: "c", Value: "third"}}}, "full: 2 documents"},
-		{Transaction{ID: "x", Do: []Operation{{Key: "a", Value: "sixteen bytes ok"}, {Key: "b", Value: "sixteen bytes ok"}}}, ""},
+		{Transaction{ID: "x", Operations: []Operation{{}}}, "either a key or a lease"},
+		{Transaction{ID: "x", Operations: []Operation{{Key: "a"}, {Key: "a"}}}, "changed twice"},
+		{Transaction{ID: "x", Operations: []Operation{{Key: "123456789"}}}, "at most 8 bytes"},
+		{Transaction{ID: "x", Operations: []Operation{{Key: "a", Value: strings.Repeat("v", 17)}}}, "at most 16"},
+		{Transaction{ID: "x", Operations: []Operation{{Key: "a"}}, Conditions: []Condition{{}}}, "either a key or a duty"},
+		{Transaction{ID: "x", Operations: []Operation{{Lease: &lease.Record{}}}}, "a duty"},
+		{Transaction{ID: "x", Operations: []Operation{{Key: "c", Value: "third"}}}, "full: 2 documents"},
+		{Transaction{ID: "x", Operations: []Operation{{Key: "a", Value: "sixteen bytes ok"}, {Key: "b", Value: "sixteen bytes ok"}}}, ""},
 	} {
 		s := state(t, b)
 		s.Apply(set("1", "a", "1"), 0)
 		s.Apply(set("2", "b", "1"), 0)
-		if got := s.Apply(c.t, 0); got.Made != (c.reason == "") || !strings.Contains(got.Reason, c.reason) {
+		if got := s.Apply(c.t, 0); got.Committed != (c.reason == "") || !strings.Contains(got.Reason, c.reason) {
 			t.Errorf("%+v: %+v, want reason %q", c.t, got, c.reason)
 		}
 	}
 }
 
 func TestWatching(t *testing.T) {
-	b := Ordinary
-	b.Changes = 4
+	b := DefaultLimits
+	b.RememberedChanges = 4
 	s := state(t, b)
 	for i := range 6 {
 		s.Apply(set(fmt.Sprint(i), fmt.Sprint("k", i), "v"), 0)
 	}
-	if _, ok := s.Since(1); ok {
+	if _, ok := s.ChangesSince(1); ok {
 		t.Error("changes that are forgotten were told of as none")
 	}
-	got, ok := s.Since(4)
-	if !ok || len(got) != 2 || got[0].Key != "k4" || got[1].Revision != 6 || got[0].By != "ops" {
+	got, ok := s.ChangesSince(4)
+	if !ok || len(got) != 2 || got[0].Key != "k4" || got[1].Revision != 6 || got[0].Author != "ops" {
 		t.Errorf("changes after 4: %+v, %v", got, ok)
 	}
-	if got, ok := s.Since(6); !ok || len(got) != 0 {
+	if got, ok := s.ChangesSince(6); !ok || len(got) != 0 {
 		t.Errorf("changes after the last: %+v, %v", got, ok)
 	}
 }
@@ -146,8 +146,8 @@
 // member that begins with a snapshot at any point comes to the same bytes.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		b := Ordinary
-		b.Requests, b.Changes = 50, 20
+		b := DefaultLimits
+		b.RememberedRequests, b.RememberedChanges = 50, 20
 		s := state(t, b)
 		docs, versions := map[string]string{}, map[string]uint64{}
 		var done []Transaction
@@ -156,13 +156,13 @@
 		n := rapid.IntRange(1, 40).Draw(r, "steps")
 		for i := range n {
 			now := lease.Instant(i) * lease.Instant(time.Second)
-			tx := Transaction{ID: fmt.Sprint("t", i), By: "p"}
+			tx := Transaction{ID: fmt.Sprint("t", i), Author: "p"}
 			switch rapid.IntRange(0, 4).Draw(r, "kind") {
 			case 0:
 				if len(done) > 0 { // a repeat
 					tx = done[rapid.IntRange(0, len(done)-1).Draw(r, "which")]
 					before := s.Revision()
-					if got := s.Apply(tx, now); !got.Again || s.Revision() != before {
+					if got := s.Apply(tx, now); !got.Duplicate || s.Revision() != before {
 						r.Fatalf("a repeat of %s: %+v", tx.ID, got)
 					}
 					if copied != nil {
@@ -171,35 +171,35 @@
 				}
 				continue
 			case 1:
-				if rec, err := s.Leases().Take("d", rapid.SampledFrom([]string{"p", "q"}).Draw(r, "holder"), now); err == nil {
-					tx.Do = []Operation{{Lease: &rec}}
+				if rec, err := s.Leases().Acquire("d", rapid.SampledFrom([]string{"p", "q"}).Draw(r, "holder"), now); err == nil {
+					tx.Operations = []Operation{{Lease: &rec}}
 				} else {
 					continue
 				}
 			default:
 				for _, key := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3, rapid.ID[string]).Draw(r, "keys") {
-					tx.Do = append(tx.Do, Operation{Key: key, Value: fmt.Sprint(i), Delete: rapid.IntRange(0, 4).Draw(r, "delete") == 0})
+					tx.Operations = append(tx.Operations, Operation{Key: key, Value: fmt.Sprint(i), Delete: rapid.IntRange(0, 4).Draw(r, "delete") == 0})
 				}
 				if rapid.Bool().Draw(r, "if") {
 					key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "if key")
-					tx.If = []Condition{{Key: key, Version: rapid.SampledFrom([]uint64{0, 1, versions[key]}).Draw(r, "version")}}
+					tx.Conditions = []Condition{{Key: key, Version: rapid.SampledFrom([]uint64{0, 1, versions[key]}).Draw(r, "version")}}
 				}
 			}
 			want := true
-			for _, c := range tx.If {
+			for _, c := range tx.Conditions {
 				want = want && versions[c.Key] == c.Version
 			}
 			got := s.Apply(tx, now)
-			if got.Made != want {
+			if got.Committed != want {
 				r.Fatalf("%+v: %+v, want made %v", tx, got, want)
 			}
 			done = append(done, tx)
 			if copied != nil {
 				copied.Apply(tx, now)
 			}
-			for _, o := range tx.Do {
+			for _, o := range tx.Operations {
 				switch {
-				case !got.Made:
+				case !got.Committed:
 				case o.Lease != nil:
 					if o.Lease.Token <= token {
 						r.Fatalf("token %d after %d", o.Lease.Token, token)
@@ -244,7 +244,7 @@
 }
 
 func TestBadSnapshotsLeaveTheState(t *testing.T) {
-	s := state(t, Ordinary)
+	s := state(t, DefaultLimits)
 	s.Apply(set("1", "a", "1"), 0)
 	take(t, s, "2", "d", "n1", 0)
 	whole := save(t, s)
@@ -253,7 +253,7 @@
 			t.Errorf("%.40q: %v, and the state changed", bad, err)
 		}
 	}
-	if got := s.Owners(); len(got) != 1 || got[0].Holder != "n1" || got[0].Token != 1 {
+	if got := s.LeaseRecords(); len(got) != 1 || got[0].Holder != "n1" || got[0].Token != 1 {
 		t.Errorf("owners %+v", got)
 	}
 }
--- a/internal/store/enter.go
+++ b/internal/store/enter.go
@@ -21,47 +21,47 @@
 	"sloehitch/internal/store/raftlog"
 )
 
-// earlier is the file that earlier versions kept their log in.
-const earlier = "raft.db"
+// legacyLogFile is the file that earlier versions kept their log in.
+const legacyLogFile = "raft.db"
 
-// own is what a member must not forget.
-type own struct {
+// raftStorage is what a member must not forget.
+type raftStorage struct {
 	log       *raftlog.Log // nil in memory
 	logs      raft.LogStore
 	stable    raft.StableStore
 	snapshots raft.SnapshotStore
 }
 
-// openOwn opens a member's folder; without one all is in memory.
-func openOwn(dir string, through func(disk.FS) disk.FS, log *slog.Logger) (own, error) {
+// openRaftStorage opens a member's folder; without one all is in memory.
+func openRaftStorage(dir string, through func(disk.FS) disk.FS, log *slog.Logger) (raftStorage, error) {
 	if dir == "" {
 		memory := raft.NewInmemStore()
-		return own{logs: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore()}, nil
+		return raftStorage{logs: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore()}, nil
 	}
-	if _, err := os.Stat(filepath.Join(dir, earlier)); err == nil {
-		return own{}, fmt.Errorf("%s has %s, the log of an earlier version, which this one does not read: keep a copy of the folder, empty it, set join = true and have this member added anew while the others serve (docs/operators/fleet.md)", dir, earlier)
+	if _, err := os.Stat(filepath.Join(dir, legacyLogFile)); err == nil {
+		return raftStorage{}, fmt.Errorf("%s has %s, the log of an earlier version, which this one does not read: keep a copy of the folder, empty it, set join = true and have this member added anew while the others serve (docs/operators/fleet.md)", dir, legacyLogFile)
 	}
 	folder := filepath.Join(dir, "log")
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return own{}, err
+		return raftStorage{}, err
 	}
 	l, err := raftlog.Open(through(disk.Dir(folder)), limits.ForRaftLog, ledger.Options{Limits: limits.ForRaftLog.Ledger(), Log: log})
 	if err != nil {
-		return own{}, err
+		return raftStorage{}, err
 	}
-	return own{l, l, l, l.Snapshots()}, nil // and no cache of entries: they may be large, and the system has one of files
+	return raftStorage{l, l, l, l.Snapshots()}, nil // and no cache of entries: they may be large, and the system has one of files
 }
 
 // ledger is what lies below; nil in memory.
-func (o own) ledger() *ledger.Store {
+func (o raftStorage) ledger() *ledger.Store {
 	if o.log == nil {
 		return nil
 	}
 	return o.log.Ledger()
 }
 
-// mark is how far the folder goes, and whether it is a new one.
-func (o own) mark() (m quorum.Mark, blank bool, err error) {
+// progress is how far the folder goes, and whether it is a new one.
+func (o raftStorage) progress() (m quorum.Progress, blank bool, err error) {
 	held, err := raft.HasExistingState(o.logs, o.stable, o.snapshots)
 	if err != nil || !held {
 		return m, true, err
@@ -78,104 +78,104 @@
 		if err := o.logs.GetLog(last, &e); err != nil {
 			return m, false, err
 		}
-		m = m.Later(quorum.Mark{EntryTerm: e.Term, Index: e.Index})
+		m = m.Max(quorum.Progress{EntryTerm: e.Term, Index: e.Index})
 	}
 	kept, err := o.snapshots.List()
 	if len(kept) > 0 {
-		m = m.Later(quorum.Mark{EntryTerm: kept[0].Term, Index: kept[0].Index})
+		m = m.Max(quorum.Progress{EntryTerm: kept[0].Term, Index: kept[0].Index})
 	}
 	return m, false, err
 }
 
-// join opens this member's folder and link. It takes part at once where nobody is to be asked first, else as soon as enough
+// openMember opens this member's folder and link. It takes part at once where nobody is to be asked first, else as soon as enough
 // have answered.
-func (s *Store) join() error {
-	self, known := s.listed(s.opts.Name)
+func (s *Store) openMember() error {
+	self, known := s.configuredMember(s.opts.Name)
 	if !known {
 		return fmt.Errorf("%s is not among the members", s.opts.Name)
 	}
 	var err error
-	if s.own, err = openOwn(s.opts.Dir, s.opts.Disk, s.opts.Log); err != nil {
+	if s.storage, err = openRaftStorage(s.opts.Dir, s.opts.WrapFS, s.opts.Logger); err != nil {
 		return err
 	}
-	if s.known, err = openKnown(s.own.ledger(), s.opts.Name, len(s.opts.Members)); err != nil {
+	if s.peers, err = openPeerTracker(s.storage.ledger(), s.opts.Name, len(s.opts.Members)); err != nil {
 		return err
 	}
-	if s.net, err = listen(self.Raft, s.opts.Timeout, len(s.opts.Members), s.opts.Log, s.find, s.admit, s.known.heard); err != nil {
+	if s.transport, err = listen(self.RaftAddress, s.opts.CommitTimeout, len(s.opts.Members), s.opts.Logger, s.raftAddress, s.verifyPeer, s.peers.recordProgress); err != nil {
 		return err
 	}
-	mark, blank, err := s.own.mark()
+	mark, blank, err := s.storage.progress()
 	if err != nil {
 		return err
 	}
 	if len(s.opts.Members) == 1 {
-		return s.enter(blank && !s.opts.Join)
+		return s.startRaft(blank && !s.opts.Join)
 	}
-	s.setOut("it has not asked the others yet")
-	s.loops.Go(s.asking(mark, blank).run)
+	s.setExclusionReason("it has not asked the others yet")
+	s.loops.Go(s.newStartCheck(mark, blank).run)
 	return nil
 }
 
-// asking is this member before the others, with a folder that goes so far.
-func (s *Store) asking(mark quorum.Mark, blank bool) *entering {
-	id := s.known.self()
-	e := &entering{s: s, self: quorum.Self{Name: id.Name, Store: id.Store, Mark: mark, Blank: blank, Joins: s.opts.Join, Voters: id.Voters, Others: len(s.opts.Members) - 1, Found: id.Out,
-		Memory: s.opts.Dir == ""},
-		answers: map[string]quorum.Answer{}}
+// newStartCheck is this member before the others, with a folder that goes so far.
+func (s *Store) newStartCheck(mark quorum.Progress, blank bool) *startCheck {
+	id := s.peers.localIdentity()
+	e := &startCheck{s: s, self: quorum.LocalState{Name: id.Name, StoreID: id.StoreID, Progress: mark, Empty: blank, Joining: s.opts.Join, Voters: id.Voters, PeerCount: len(s.opts.Members) - 1, PermanentExclusion: id.ExclusionReason,
+		InMemory: s.opts.Dir == ""},
+		answers: map[string]quorum.PeerAnswer{}}
 	for _, m := range s.opts.Members {
-		if m.Name != id.Name && m.Admin == "" { // there is no way to ask it
-			e.answers[m.Name] = quorum.Answer{From: m.Name, Silent: true}
+		if m.Name != id.Name && m.AdminAddress == "" { // there is no way to ask it
+			e.answers[m.Name] = quorum.PeerAnswer{From: m.Name, Unsupported: true}
 		}
 	}
 	return e
 }
 
-func (s *Store) setOut(why string) {
+func (s *Store) setExclusionReason(why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out = why
+	s.exclusionReason = why
 }
 
-// entering is a member that asks the others before it takes part.
-type entering struct {
+// startCheck is a member that asks the others before it takes part.
+type startCheck struct {
 	s       *Store
-	self    quorum.Self
-	answers map[string]quorum.Answer
+	self    quorum.LocalState
+	answers map[string]quorum.PeerAnswer
 }
 
-func (e *entering) judge() (quorum.Verdict, string) {
-	return quorum.Returns(e.self, slices.Collect(maps.Values(e.answers)))
+func (e *startCheck) decide() (quorum.Decision, string) {
+	return quorum.DecideRejoin(e.self, slices.Collect(maps.Values(e.answers)))
 }
 
-// never has the folder remember that it is not to take part again.
-func (e *entering) never(why string) {
-	if err := e.s.known.never(why); err != nil {
-		e.s.opts.Log.Warn("why this member is kept out is not kept: after a restart it asks again", "error", err)
+// excludePermanently has the folder remember that it is not to take part again.
+func (e *startCheck) excludePermanently(why string) {
+	if err := e.s.peers.excludePermanently(why); err != nil {
+		e.s.opts.Logger.Warn("why this member is kept out is not kept: after a restart it asks again", "error", err)
 	}
 }
 
 // run asks until it is known whether this member may take part.
-func (e *entering) run() {
+func (e *startCheck) run() {
 	s := e.s
-	tick := time.NewTicker(s.opts.Beat / 4)
+	tick := time.NewTicker(s.opts.ElectionTimeout / 4)
 	defer tick.Stop()
 	for {
-		e.ask()
-		verdict, why := e.judge()
-		s.setOut(why)
+		e.askPeers()
+		verdict, why := e.decide()
+		s.setExclusionReason(why)
 		switch verdict {
-		case quorum.Stay, quorum.Never:
-			if verdict == quorum.Never {
-				e.never(why)
+		case quorum.DecisionExclude, quorum.DecisionExcludePermanently:
+			if verdict == quorum.DecisionExcludePermanently {
+				e.excludePermanently(why)
 			}
-			s.opts.Log.Error("this member is kept out of the store; the node serves on", "reason", why)
-			s.net.Close()
+			s.opts.Logger.Error("this member is kept out of the store; the node serves on", "reason", why)
+			s.transport.Close()
 			return
-		case quorum.Enter:
-			if err := s.enter(e.self.Blank && !e.self.Joins); err != nil {
-				s.setOut(err.Error())
-				s.opts.Log.Error("this member can't take part in the store; the node serves on", "error", err)
-				s.net.Close()
+		case quorum.DecisionStart:
+			if err := s.startRaft(e.self.Empty && !e.self.Joining); err != nil {
+				s.setExclusionReason(err.Error())
+				s.opts.Logger.Error("this member can't take part in the store; the node serves on", "error", err)
+				s.transport.Close()
 			}
 			return
 		}
@@ -187,14 +187,14 @@
 	}
 }
 
-// ask asks all others at once, and waits for each for a beat at the most. Who leads is asked too, also where this member's settings
+// askPeers asks all others at once, and waits for each for a beat at the most. Who leads is asked too, also where this member's settings
 // know nothing of it.
-func (e *entering) ask() {
+func (e *startCheck) askPeers() {
 	asked := map[string]bool{}
 	var at []string
 	for _, m := range e.s.opts.Members {
-		if m.Name != e.s.opts.Name && m.Admin != "" {
-			at = append(at, m.Admin)
+		if m.Name != e.s.opts.Name && m.AdminAddress != "" {
+			at = append(at, m.AdminAddress)
 		}
 	}
 	for len(at) > 0 {
@@ -204,14 +204,14 @@
 		for _, admin := range at {
 			asked[admin] = true
 			wg.Go(func() {
-				a, err := Client{admin, e.s.opts.Beat}.identity(e.s.opts.Name)
+				a, err := Client{admin, e.s.opts.ElectionTimeout}.identity(e.s.opts.Name)
 				if err != nil {
 					return
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				e.answers[a.From] = a
-				next = append(next, a.Leader)
+				next = append(next, a.LeaderAdminAddress)
 			})
 		}
 		wg.Wait()
@@ -224,39 +224,39 @@
 	}
 }
 
-// enter takes part. begin: with a list of members that all begin with, so that each may begin by itself.
-func (s *Store) enter(begin bool) error {
+// startRaft takes part. begin: with a list of members that all begin with, so that each may begin by itself.
+func (s *Store) startRaft(begin bool) error {
 	cfg := raft.DefaultConfig()
 	cfg.LocalID = raft.ServerID(s.opts.Name)
-	cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = s.opts.Beat, s.opts.Beat, s.opts.Beat/2
+	cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = s.opts.ElectionTimeout, s.opts.ElectionTimeout, s.opts.ElectionTimeout/2
 	cfg.LogLevel = "WARN"
-	cfg.LogOutput = slog.NewLogLogger(s.opts.Log.Handler(), slog.LevelWarn).Writer()
+	cfg.LogOutput = slog.NewLogLogger(s.opts.Logger.Handler(), slog.LevelWarn).Writer()
 	if s.opts.Join {
-		s.net.joins(func() bool {
-			_, blank, err := s.own.mark()
+		s.transport.withholdVotesWhile(func() bool {
+			_, blank, err := s.storage.progress()
 			return blank || err != nil
 		})
 	}
-	r, err := raft.NewRaft(cfg, (*machine)(s), s.own.logs, s.own.stable, s.own.snapshots, s.net)
+	r, err := raft.NewRaft(cfg, (*stateMachine)(s), s.storage.logs, s.storage.stable, s.storage.snapshots, s.transport)
 	if err != nil {
 		return err
 	}
-	s.part.Store(r)
-	go s.lead(r)
-	s.loops.Go(func() { s.remember(r) })
+	s.raft.Store(r)
+	go s.watchLeadership(r)
+	s.loops.Go(func() { s.watchMembership(r) })
 	if !begin {
 		return nil
 	}
 	var servers []raft.Server
 	for _, m := range s.opts.Members {
-		servers = append(servers, raft.Server{ID: raft.ServerID(m.Name), Address: raft.ServerAddress(m.Raft)})
+		servers = append(servers, raft.Server{ID: raft.ServerID(m.Name), Address: raft.ServerAddress(m.RaftAddress)})
 	}
 	return r.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
 }
 
-// remember keeps what is known of the others in the folder, a beat late at the most.
-func (s *Store) remember(r *raft.Raft) {
-	tick := time.NewTicker(s.opts.Beat)
+// watchMembership keeps what is known of the others in the folder, a beat late at the most.
+func (s *Store) watchMembership(r *raft.Raft) {
+	tick := time.NewTicker(s.opts.ElectionTimeout)
 	defer tick.Stop()
 	for {
 		select {
@@ -265,105 +265,105 @@
 		case <-tick.C:
 		}
 		if c := r.GetConfiguration(); c.Error() == nil && len(c.Configuration().Servers) > 0 {
-			s.known.members(c.Configuration())
+			s.peers.setConfiguration(c.Configuration())
 		}
-		if err := s.known.save(); err != nil {
-			s.opts.Log.Warn("what is known of the other members is not kept", "error", err)
+		if err := s.peers.save(); err != nil {
+			s.opts.Logger.Warn("what is known of the other members is not kept", "error", err)
 		}
 		if _, leader := r.LeaderWithID(); leader != "" || len(s.opts.Members) == 1 {
 			continue
 		}
 		// Nobody tells a member that it was removed: one that has no leader asks. It looks into its folder after the answers: it goes on
 		// answering others meanwhile, and they remember that.
-		e := s.asking(quorum.Mark{}, false)
-		e.ask()
+		e := s.newStartCheck(quorum.Progress{}, false)
+		e.askPeers()
 		var err error
-		if e.self.Mark, e.self.Blank, err = s.own.mark(); err != nil {
-			s.opts.Log.Warn("the folder can't be read", "error", err)
+		if e.self.Progress, e.self.Empty, err = s.storage.progress(); err != nil {
+			s.opts.Logger.Warn("the folder can't be read", "error", err)
 			continue
 		}
-		if verdict, why := e.judge(); verdict >= quorum.Stay {
-			if verdict == quorum.Never {
-				e.never(why)
+		if verdict, why := e.decide(); verdict >= quorum.DecisionExclude {
+			if verdict == quorum.DecisionExcludePermanently {
+				e.excludePermanently(why)
 			}
-			s.opts.Log.Error("this member is out of the store; the node serves on", "reason", why)
-			s.setOut(why)
-			s.part.Store(nil)
-			if s.own.log != nil {
-				s.own.log.Leave()
+			s.opts.Logger.Error("this member is out of the store; the node serves on", "reason", why)
+			s.setExclusionReason(why)
+			s.raft.Store(nil)
+			if s.storage.log != nil {
+				s.storage.log.StopWaiting()
 			}
-			if err := errors.Join(r.Shutdown().Error(), s.net.Close()); err != nil {
-				s.opts.Log.Warn("a member that is out did not end well", "error", err)
+			if err := errors.Join(r.Shutdown().Error(), s.transport.Close()); err != nil {
+				s.opts.Logger.Warn("a member that is out did not end well", "error", err)
 			}
 			return
 		}
 	}
 }
 
-// find tells where a member is reached: as this one's own settings have it, since each may reach the others by a way of its
+// raftAddress tells where a member is reached: as this one's own settings have it, since each may reach the others by a way of its
 // own, else as it was added.
-func (s *Store) find(id raft.ServerID) (raft.ServerAddress, error) {
+func (s *Store) raftAddress(id raft.ServerID) (raft.ServerAddress, error) {
 	m, known := s.member(string(id))
 	if !known {
 		return "", fmt.Errorf("store: no member %s is known", id)
 	}
-	return raft.ServerAddress(m.Raft), nil
+	return raft.ServerAddress(m.RaftAddress), nil
 }
 
-// admit errs where what answers at a member's address is another store's or goes by another name. One that can't be asked is
+// verifyPeer errs where what answers at a member's address is another store's or goes by another name. One that can't be asked is
 // connected to only if it was asked before.
-func (s *Store) admit(address raft.ServerAddress, timeout time.Duration) error {
-	m, known := s.at(string(address))
-	if !known || m.Admin == "" {
+func (s *Store) verifyPeer(address raft.ServerAddress, timeout time.Duration) error {
+	m, known := s.memberAt(string(address))
+	if !known || m.AdminAddress == "" {
 		return nil // there is no way to ask it
 	}
-	a, err := Client{m.Admin, min(timeout, s.opts.Beat)}.identity(s.opts.Name)
+	a, err := Client{m.AdminAddress, min(timeout, s.opts.ElectionTimeout)}.identity(s.opts.Name)
 	if err != nil {
-		if s.known.met(m) {
+		if s.peers.isVerified(m) {
 			return nil
 		}
-		return stranger(address, "%s does not say who it is: %v", m.Name, err)
+		return wrongPeerError(address, "%s does not say who it is: %v", m.Name, err)
 	}
-	own := s.known.self().Store
+	own := s.peers.localIdentity().StoreID
 	switch {
-	case a.Silent:
+	case a.Unsupported:
 	case a.From != m.Name:
-		return stranger(address, "it is %s, not %s", a.From, m.Name)
-	case a.Store != "" && own != "" && a.Store != own:
-		return stranger(address, "%s is of the store %s, not %s", a.From, a.Store, own)
+		return wrongPeerError(address, "it is %s, not %s", a.From, m.Name)
+	case a.StoreID != "" && own != "" && a.StoreID != own:
+		return wrongPeerError(address, "%s is of the store %s, not %s", a.From, a.StoreID, own)
 	}
-	s.known.meet(m)
+	s.peers.markVerified(m)
 	return nil
 }
 
 // identity asks a member who it is, and what it knows of the one that asks.
-func (c Client) identity(asker string) (a quorum.Answer, err error) {
+func (c Client) identity(asker string) (a quorum.PeerAnswer, err error) {
 	err = c.get("/identity?of="+url.QueryEscape(asker), &a)
-	if errors.Is(err, errNoPath) { // a version that knows nothing of this
-		return quorum.Answer{From: c.Address, Silent: true}, nil // several of them are several answers
+	if errors.Is(err, errUnknownPath) { // a version that knows nothing of this
+		return quorum.PeerAnswer{From: c.Address, Unsupported: true}, nil // several of them are several answers
 	}
 	return a, err
 }
 
 // Identity is what this member answers to one that asks who it is.
-func (s *Store) Identity(asker string) quorum.Answer {
-	if !s.grouped {
-		return quorum.Answer{From: s.opts.Name}
+func (s *Store) Identity(asker string) quorum.PeerAnswer {
+	if !s.clustered {
+		return quorum.PeerAnswer{From: s.opts.Name}
 	}
-	a := quorum.Answer{From: s.opts.Name, Store: s.known.self().Store, Member: true, Mark: s.known.of(asker).mark}
-	r := s.part.Load()
+	a := quorum.PeerAnswer{From: s.opts.Name, StoreID: s.peers.localIdentity().StoreID, IsMember: true, Progress: s.peers.peer(asker).progress}
+	r := s.raft.Load()
 	if r == nil {
 		return a
 	}
-	a.Leads, a.Term = r.State() == raft.Leader, r.CurrentTerm()
+	a.IsLeader, a.Term = r.State() == raft.Leader, r.CurrentTerm()
 	if leader, known := s.Leader(); known && leader.Name != asker {
-		a.Leader = leader.Admin
+		a.LeaderAdminAddress = leader.AdminAddress
 	}
 	if c := r.GetConfiguration(); c.Error() == nil && len(c.Configuration().Servers) > 0 {
-		a.Member = false
+		a.IsMember = false
 		for _, m := range c.Configuration().Servers {
 			if string(m.ID) == asker {
-				a.Member, a.Votes = true, m.Suffrage == raft.Voter
+				a.IsMember, a.IsVoter = true, m.Suffrage == raft.Voter
 			}
 		}
 	}
--- a/internal/store/machine.go
+++ b/internal/store/machine.go
@@ -10,11 +10,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// machine is the store as raft sees it.
-type machine Store
+// stateMachine is the store as raft sees it.
+type stateMachine Store
 
 // Apply takes a change that a majority has.
-func (m *machine) Apply(entry *raft.Log) any {
+func (m *stateMachine) Apply(entry *raft.Log) any {
 	s := (*Store)(m)
 	var c change
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
@@ -22,54 +22,54 @@
 	}
 	switch {
 	case c.Make != nil:
-		return s.made(*c.Make)
+		return s.applyTransaction(*c.Make)
 	case c.Restore != nil:
-		return s.restored(*c.Restore)
+		return s.applyRestorePart(*c.Restore)
 	}
-	s.put(c)
+	s.applyValue(c)
 	return nil
 }
 
 // StoreConfiguration takes a change of the members that was agreed on. Nothing is remembered of one that is removed: it may be
 // added anew, with a new folder.
-func (m *machine) StoreConfiguration(_ uint64, c raft.Configuration) {
-	(*Store)(m).known.members(c)
+func (m *stateMachine) StoreConfiguration(_ uint64, c raft.Configuration) {
+	(*Store)(m).peers.setConfiguration(c)
 }
 
 // Snapshot copies all that is kept.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	s := (*Store)(m)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	docs, err := s.saved()
+	docs, err := s.encodeDocuments()
 	if err != nil {
 		return nil, err
 	}
 	n := snapshot{Values: maps.Clone(s.values), Documents: docs}
-	if s.staged != nil {
-		copied := *s.staged
+	if s.stagedBackup != nil {
+		copied := *s.stagedBackup
 		n.Staged = &copied
 	}
 	return n, nil
 }
 
-// saved is the documents' bytes; the caller holds mu.
-func (s *Store) saved() (json.RawMessage, error) {
+// encodeDocuments is the documents' bytes; the caller holds mu.
+func (s *Store) encodeDocuments() (json.RawMessage, error) {
 	var docs bytes.Buffer
-	if err := s.docs.Save(&docs); err != nil {
+	if err := s.documents.Save(&docs); err != nil {
 		return nil, err
 	}
 	return docs.Bytes(), nil
 }
 
 // Restore takes the place of all that is kept.
-func (m *machine) Restore(from io.ReadCloser) error {
+func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	in, err := readSnapshot(from)
 	if err != nil {
 		return err
 	}
-	return (*Store)(m).take(in)
+	return (*Store)(m).loadSnapshot(in)
 }
 
 // readSnapshot reads a snapshot, or a backup. Those from before there were documents hold the values alone, and backups from
@@ -89,42 +89,42 @@
 	return in, nil
 }
 
-// take has all that is kept be what a snapshot has.
-func (s *Store) take(in snapshot) error {
+// loadSnapshot has all that is kept be what a snapshot has.
+func (s *Store) loadSnapshot(in snapshot) error {
 	if in.Documents != nil {
 		s.mu.Lock()
-		err := s.docs.Load(bytes.NewReader(in.Documents), s.clock())
+		err := s.documents.Load(bytes.NewReader(in.Documents), s.clock())
 		if err == nil {
-			s.staged = in.Staged
-			s.wake()
+			s.stagedBackup = in.Staged
+			s.notifyDocumentWatchers()
 		}
 		s.mu.Unlock()
 		if err != nil {
 			return err
 		}
 	}
-	for key := range checks {
-		s.put(change{Key: key, Value: in.Values[key]})
+	for key := range validators {
+		s.applyValue(change{Key: key, Value: in.Values[key]})
 	}
 	return nil
 }
 
-// wake tells those that watch documents, and looks whether this member has learned the store's id; the caller holds mu.
-func (s *Store) wake() {
-	close(s.changed)
-	s.changed = make(chan struct{})
-	if s.known == nil {
+// notifyDocumentWatchers tells those that watch documents, and looks whether this member has learned the store's id; the caller holds mu.
+func (s *Store) notifyDocumentWatchers() {
+	close(s.documentsChanged)
+	s.documentsChanged = make(chan struct{})
+	if s.peers == nil {
 		return
 	}
-	if err := s.known.belongs(s.docs.Get(idKey).Value); err != nil {
-		s.opts.Log.Warn("the store's id is not kept", "error", err)
+	if err := s.peers.setStoreID(s.documents.Get(storeIDKey).Value); err != nil {
+		s.opts.Logger.Warn("the store's id is not kept", "error", err)
 	}
 }
 
 type snapshot struct {
 	Values    map[string]string `json:"values"`
 	Documents json.RawMessage   `json:"documents"`
-	Staged    *staged           `json:"staged,omitempty"`
+	Staged    *partialBackup    `json:"staged,omitempty"`
 }
 
 // Persist writes all that is kept.
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -65,7 +65,7 @@
 
 func (k *keepers) begin(name string, join bool, more ...Member) *Store {
 	k.t.Helper()
-	s, err := Open(Options{Name: name, Members: append(append([]Member(nil), k.members...), more...), Dir: k.dirs[name], Timeout: 5 * time.Second, Beat: 200 * time.Millisecond, Log: standin.Quiet, Join: join})
+	s, err := Open(Options{Name: name, Members: append(append([]Member(nil), k.members...), more...), Dir: k.dirs[name], CommitTimeout: 5 * time.Second, ElectionTimeout: 200 * time.Millisecond, Logger: standin.Quiet, Join: join})
 	if err != nil {
 		k.t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	waitFor(k.t, key+"="+value, func() bool {
 		for _, s := range k.stores {
 			var err error
-			if r, err = s.Make(tx("id "+key+value, key, value)); err == nil {
+			if r, err = s.Commit(tx("id "+key+value, key, value)); err == nil {
 				return true
 			}
 		}
@@ -102,10 +102,10 @@
 }
 
 // ask asks about a duty until the leader has answered, whichever member it is by then.
-func (k *keepers) ask(duty string, q Question) (r lease.Record, err error) {
+func (k *keepers) ask(duty string, q LeaseRequest) (r lease.Record, err error) {
 	k.t.Helper()
 	waitFor(k.t, "an answer about duty "+duty, func() bool {
-		r, err = Client{k.members[0].Admin, 5 * time.Second}.Ask(duty, q)
+		r, err = Client{k.members[0].AdminAddress, 5 * time.Second}.RequestLease(duty, q)
 		return err == nil || errors.Is(err, ErrConflict)
 	})
 	return r, err
@@ -139,7 +139,7 @@
 func (k *keepers) change(do, name string, at Member) {
 	k.t.Helper()
 	waitFor(k.t, do+" "+name, func() bool {
-		_, err := Client{k.members[1].Admin, 5 * time.Second}.Change(Ask{Do: do, Name: name, Raft: at.Raft, Admin: at.Admin, By: "test", Why: "because"})
+		_, err := Client{k.members[1].AdminAddress, 5 * time.Second}.ChangeMembers(MembershipChange{Action: do, Name: name, RaftAddress: at.RaftAddress, AdminAddress: at.AdminAddress, Author: "test", Reason: "because"})
 		return err == nil
 	})
 }
@@ -148,7 +148,7 @@
 	k.t.Helper()
 	var last string
 	for end := time.Now().Add(standin.Patience); ; time.Sleep(5 * time.Millisecond) {
-		if last = k.stores[name].Members().Out; strings.Contains(last, why) {
+		if last = k.stores[name].Members().ExclusionReason; strings.Contains(last, why) {
 			return
 		}
 		if time.Now().After(end) {
@@ -164,12 +164,12 @@
 	k.write("a", "1")
 	n3 := k.address("n3")
 	k.begin("n3", true, n3)
-	waitFor(t, "n3 to have found a store", func() bool { return k.stores["n3"].Members().Out == "" })
+	waitFor(t, "n3 to have found a store", func() bool { return k.stores["n3"].Members().ExclusionReason == "" })
 	k.change("add", "n3", n3)
 	k.change("add", "n3", n3) // asked again: nothing comes of it
 	k.has("n3", "a", "1")
-	m, err := Client{k.members[0].Admin, 5 * time.Second}.Members(false)
-	if err != nil || len(m.Members) != 4 || m.Members[3].Voter || m.Store == "" || m.Members[3].Admin != n3.Admin {
+	m, err := Client{k.members[0].AdminAddress, 5 * time.Second}.Members(false)
+	if err != nil || len(m.Members) != 4 || m.Members[3].Voter || m.StoreID == "" || m.Members[3].AdminAddress != n3.AdminAddress {
 		t.Errorf("%+v, %v", m, err)
 	}
 	k.change("promote", "n3", n3)
@@ -178,7 +178,7 @@
 	k.write("b", "2") // through n3, of which the others' settings know nothing
 	k.change("remove", "n0", n3)
 	k.out("n0", "removed")
-	if _, err := (Client{n3.Admin, 5 * time.Second}).Change(Ask{Do: "remove", Name: "n3"}); !errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), "give the lead") {
+	if _, err := (Client{n3.AdminAddress, 5 * time.Second}).ChangeMembers(MembershipChange{Action: "remove", Name: "n3"}); !errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), "give the lead") {
 		t.Errorf("the leader was removed: %v", err)
 	}
 	k.end("n0")
@@ -186,17 +186,17 @@
 	k.out("n0", "was removed from the store")
 	k.end("n0")
 	k.end("n2")
-	if _, err := (Client{n3.Admin, 5 * time.Second}).Change(Ask{Do: "remove", Name: "n1", By: "test"}); !errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), "n2 has not answered") {
+	if _, err := (Client{n3.AdminAddress, 5 * time.Second}).ChangeMembers(MembershipChange{Action: "remove", Name: "n1", Author: "test"}); !errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), "n2 has not answered") {
 		t.Errorf("the majority was lost: %v", err)
 	}
-	if _, err := (Client{n3.Admin, 5 * time.Second}).Change(Ask{Do: "marry", Name: "n1"}); err == nil || errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), "add, promote, remove or lead") {
+	if _, err := (Client{n3.AdminAddress, 5 * time.Second}).ChangeMembers(MembershipChange{Action: "marry", Name: "n1"}); err == nil || errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), "add, promote, remove or lead") {
 		t.Errorf("no change at all: %v", err)
 	}
-	changes, _, _, err := Client{n3.Admin, 5 * time.Second}.Changes("", 0, 0)
+	changes, _, _, err := Client{n3.AdminAddress, 5 * time.Second}.Changes("", 0, 0)
 	var whys []string
 	for _, c := range changes {
-		if c.By == "test" && strings.HasSuffix(c.Why, ": because") {
-			whys = append(whys, strings.TrimSuffix(c.Why, ": because"))
+		if c.Author == "test" && strings.HasSuffix(c.Reason, ": because") {
+			whys = append(whys, strings.TrimSuffix(c.Reason, ": because"))
 		}
 	}
 	if got := strings.Join(whys, ", "); err != nil || got != "add n3, promote n3, lead n3, remove n0" {
@@ -228,13 +228,13 @@
 	k.dirs["n2"] = older
 	k.begin("n2", false)
 	k.out("n2", "it is an older copy")
-	if _, err := k.stores["n2"].Make(tx("x", "x", "x")); !errors.Is(err, ErrNotLeader) || !strings.Contains(err.Error(), "older copy") {
+	if _, err := k.stores["n2"].Commit(tx("x", "x", "x")); !errors.Is(err, ErrNotLeader) || !strings.Contains(err.Error(), "older copy") {
 		t.Errorf("a change through one that is kept out: %v", err)
 	}
 	waitFor(t, "its own word to be why nobody else can be removed", func() bool {
 		said := false
 		for _, name := range []string{"n0", "n1"} { // one of them leads
-			_, err := Client{k.members[1].Admin, 5 * time.Second}.Change(Ask{Do: "remove", Name: name, By: "test"})
+			_, err := Client{k.members[1].AdminAddress, 5 * time.Second}.ChangeMembers(MembershipChange{Action: "remove", Name: name, Author: "test"})
 			said = said || err != nil && strings.Contains(err.Error(), "n2 is kept out (") && strings.Contains(err.Error(), "it is an older copy")
 		}
 		return said
@@ -252,11 +252,11 @@
 	k.out("n2", "it is empty")
 	k.end("n2")
 
-	if _, err := Open(Options{Name: "n1", Members: k.members, Dir: whole, Beat: time.Second, Log: standin.Quiet}); err == nil || !strings.Contains(err.Error(), "member n2's, and this is member n1") {
+	if _, err := Open(Options{Name: "n1", Members: k.members, Dir: whole, ElectionTimeout: time.Second, Logger: standin.Quiet}); err == nil || !strings.Contains(err.Error(), "member n2's, and this is member n1") {
 		t.Errorf("another's folder: %v", err)
 	}
 	other := newKeepers(t, 1)
-	waitFor(t, "the other store's id", func() bool { return other.stores["n0"].Members().Store != "" })
+	waitFor(t, "the other store's id", func() bool { return other.stores["n0"].Members().StoreID != "" })
 	other.end("n0")
 	mine := *k
 	mine.dirs = map[string]string{"n2": other.dirs["n0"]}
@@ -272,29 +272,29 @@
 	k.begin("n2", false)
 	k.write("a", "3")
 	k.has("n2", "a", "3")
-	if why := k.stores["n2"].Members().Out; why != "" {
+	if why := k.stores["n2"].Members().ExclusionReason; why != "" {
 		t.Errorf("its own folder is kept out: %s", why)
 	}
 }
 
 // TestOlderVersionsCountEach: members whose version knows nothing of the question have answered each for itself.
 func TestOlderVersionsCountEach(t *testing.T) {
-	members := []Member{{Name: "n0", Raft: standin.Free(t)}}
+	members := []Member{{Name: "n0", RaftAddress: standin.Free(t)}}
 	for i := range 4 {
-		m := Member{Name: fmt.Sprint("n", i+1), Raft: standin.Free(t), Admin: standin.Free(t)}
+		m := Member{Name: fmt.Sprint("n", i+1), RaftAddress: standin.Free(t), AdminAddress: standin.Free(t)}
 		if i < 2 {
 			old := httptest.NewServer(http.NotFoundHandler())
 			defer old.Close()
-			m.Admin = old.Listener.Addr().String()
+			m.AdminAddress = old.Listener.Addr().String()
 		}
 		members = append(members, m)
 	}
-	s, err := Open(Options{Name: "n0", Members: members, Dir: t.TempDir(), Timeout: time.Second, Beat: 200 * time.Millisecond, Log: standin.Quiet})
+	s, err := Open(Options{Name: "n0", Members: members, Dir: t.TempDir(), CommitTimeout: time.Second, ElectionTimeout: 200 * time.Millisecond, Logger: standin.Quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	waitFor(t, "two of four answers to be enough", func() bool { return s.part.Load() != nil })
+	waitFor(t, "two of four answers to be enough", func() bool { return s.raft.Load() != nil })
 }
 
 // TestRestore: all go back to a backup; what came after is gone, no token comes again, an owner of before is turned away, and who
@@ -304,21 +304,21 @@
 	k.write("a", "1")
 	leader := k.leader(t)
 	s := k.stores[leader.Name]
-	first, err := k.ask("d", Question{Ask: "take", Holder: "A"})
+	first, err := k.ask("d", LeaseRequest{Action: "take", Holder: "A"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.set(Closed, "n9")
+	k.set(KeyClosedNodes, "n9")
 	var backup bytes.Buffer
-	ask := Client{k.members[0].Admin, 5 * time.Second}
+	ask := Client{k.members[0].AdminAddress, 5 * time.Second}
 	waitFor(t, "a backup", func() bool {
 		backup.Reset()
 		return ask.Backup(&backup) == nil
 	})
 	k.write("a", "2")
 	k.write("later", "1")
-	k.set(Closed, "n8")
-	second, err := k.ask("d", Question{Ask: "take", Holder: "A"})
+	k.set(KeyClosedNodes, "n8")
+	second, err := k.ask("d", LeaseRequest{Action: "take", Holder: "A"})
 	if err != nil || second.Token <= first.Token {
 		t.Fatalf("%+v, %v", second, err)
 	}
@@ -331,7 +331,7 @@
 	k.has(leader.Name, "a", "2")
 	_, now, _ := s.Documents("", false)
 	revision := now.Revision
-	var seen Seen
+	var seen ReadStatus
 	for range 2 { // the same backup twice
 		waitFor(t, "a restore", func() bool {
 			seen, err = ask.Restore(backup.Bytes(), "me", "a mistake")
@@ -348,17 +348,17 @@
 		})
 		k.has(name, "a", "1")
 	}
-	k.all(t, Closed, "n9")
-	if after := s.Members(); after.Store != before.Store || len(after.Members) != 3 {
+	k.all(t, KeyClosedNodes, "n9")
+	if after := s.Members(); after.StoreID != before.StoreID || len(after.Members) != 3 {
 		t.Errorf("the members were %+v and are %+v", before, after)
 	}
-	if _, err := k.ask("d", Question{Ask: "take", Holder: "B"}); err == nil {
+	if _, err := k.ask("d", LeaseRequest{Action: "take", Holder: "B"}); err == nil {
 		t.Error("a duty was granted at once: its owner of before may be at work")
 	}
-	if _, err := k.ask("d", Question{Ask: "renew", Holder: "A", Token: second.Token}); err == nil {
+	if _, err := k.ask("d", LeaseRequest{Action: "renew", Holder: "A", Token: second.Token}); err == nil {
 		t.Error("an owner of before goes on")
 	}
-	third, err := k.ask("new", Question{Ask: "take", Holder: "B"})
+	third, err := k.ask("new", LeaseRequest{Action: "take", Holder: "B"})
 	if err != nil || third.Token <= second.Token {
 		t.Errorf("a duty that the backup knows nothing of: %+v, %v", third, err)
 	}
@@ -366,7 +366,7 @@
 		t.Errorf("who watched was not told: %v", err)
 	}
 	changes, _, _, err := ask.Changes("", seen.Revision, 0)
-	if err != nil || len(changes) == 0 || changes[0].By != "me" || changes[0].Why != "restore: a mistake" {
+	if err != nil || len(changes) == 0 || changes[0].Author != "me" || changes[0].Reason != "restore: a mistake" {
 		t.Errorf("the history has %+v, %v", changes, err)
 	}
 }
@@ -379,13 +379,13 @@
 	for name := range k.stores {
 		k.has(name, "a", "1")
 	}
-	lease, err := k.ask("d", Question{Ask: "take", Holder: "A"})
+	lease, err := k.ask("d", LeaseRequest{Action: "take", Holder: "A"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	revision := k.write("b", "1").Revision
 	k.has("n0", "b", "1")
-	store := k.stores["n0"].Members().Store
+	store := k.stores["n0"].Members().StoreID
 	for _, m := range k.members {
 		k.end(m.Name)
 	}
@@ -395,23 +395,23 @@
 	if _, err := Recover(k.dirs["n0"], k.members[1], standin.Quiet); err == nil || !strings.Contains(err.Error(), "member n0's") {
 		t.Errorf("another's folder was recovered: %v", err)
 	}
-	if f, err := Inspect(k.dirs["n0"], "n0", standin.Quiet); err != nil || f.Name != "n0" || f.Store != store || f.Voters != 3 || f.Mark.Index == 0 {
+	if f, err := InspectDataDir(k.dirs["n0"], "n0", standin.Quiet); err != nil || f.Name != "n0" || f.StoreID != store || f.Voters != 3 || f.Progress.Index == 0 {
 		t.Errorf("%+v, %v", f, err)
 	}
 	was, err := Recover(k.dirs["n0"], k.members[0], standin.Quiet)
-	if err != nil || was.Store != store {
+	if err != nil || was.StoreID != store {
 		t.Fatalf("%+v, %v", was, err)
 	}
 	s := k.begin("n0", false)
-	waitFor(t, "n0 to lead alone", func() bool { return s.Confirm() == nil })
+	waitFor(t, "n0 to lead alone", func() bool { return s.Barrier() == nil })
 	k.has("n0", "b", "1")
-	if m := s.Members(); m.Store == store || len(m.Members) != 1 {
+	if m := s.Members(); m.StoreID == store || len(m.Members) != 1 {
 		t.Errorf("%+v", m)
 	}
-	if next := k.write("c", "1"); next.Revision <= revision+limits.Lost {
+	if next := k.write("c", "1"); next.Revision <= revision+limits.LostChanges {
 		t.Errorf("revision %d after %d", next.Revision, revision)
 	}
-	other, err := k.ask("e", Question{Ask: "take", Holder: "B"})
+	other, err := k.ask("e", LeaseRequest{Action: "take", Holder: "B"})
 	if err != nil || other.Token <= lease.Token+1<<32 {
 		t.Errorf("%+v after %+v, %v", other, lease, err)
 	}
@@ -420,10 +420,10 @@
 	k.end("n1")
 	k.dirs["n1"] = t.TempDir()
 	k.begin("n1", true)
-	waitFor(t, "n1 to have found a store", func() bool { return k.stores["n1"].Members().Out == "" })
+	waitFor(t, "n1 to have found a store", func() bool { return k.stores["n1"].Members().ExclusionReason == "" })
 	for _, do := range []string{"add", "promote"} {
 		waitFor(t, do, func() bool {
-			return s.Change(Ask{Do: do, Name: "n1", Raft: k.members[1].Raft, Admin: k.members[1].Admin}) == nil
+			return s.ChangeMembers(MembershipChange{Action: do, Name: "n1", RaftAddress: k.members[1].RaftAddress, AdminAddress: k.members[1].AdminAddress}) == nil
 		})
 	}
 	k.has("n1", "c", "1")
@@ -434,7 +434,7 @@
 	at := func() (*transport, raft.ServerAddress) {
 		address := standin.Free(t)
 		l, err := listen(address, time.Second, 3, standin.Quiet, func(id raft.ServerID) (raft.ServerAddress, error) { return raft.ServerAddress(id), nil },
-			func(raft.ServerAddress, time.Duration) error { return nil }, func(string, quorum.Mark) {})
+			func(raft.ServerAddress, time.Duration) error { return nil }, func(string, quorum.Progress) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -445,7 +445,7 @@
 	joined, to := at()
 	var blank atomic.Bool
 	blank.Store(true)
-	joined.joins(blank.Load)
+	joined.withholdVotesWhile(blank.Load)
 	go func() {
 		rpc := <-joined.Consumer()
 		rpc.Respond(&raft.RequestVoteResponse{Granted: true}, nil)
--- a/internal/store/quorum/modelcheck/walk.go
+++ b/internal/store/quorum/modelcheck/walk.go
@@ -52,7 +52,7 @@
 	term  uint64
 	voted string
 	log   []entry
-	marks map[string]quorum.Mark // of others
+	marks map[string]quorum.Progress // of others
 }
 
 func (d *disk) copy() disk {
@@ -61,8 +61,8 @@
 	return c
 }
 
-func (d *disk) mark() quorum.Mark {
-	m := quorum.Mark{Term: d.term, Index: uint64(len(d.log))}
+func (d *disk) mark() quorum.Progress {
+	m := quorum.Progress{Term: d.term, Index: uint64(len(d.log))}
 	if len(d.log) > 0 {
 		m.EntryTerm = d.log[len(d.log)-1].term
 	}
@@ -174,7 +174,7 @@
 }
 
 // heardOf notes how far another has answered for.
-func (m *member) heardOf(name string, mark quorum.Mark) { m.marks[name] = m.marks[name].Later(mark) }
+func (m *member) heardOf(name string, mark quorum.Progress) { m.marks[name] = m.marks[name].Max(mark) }
 
 // adopts has a member act in a term.
 func (m *member) adopts(term uint64) {
@@ -208,10 +208,10 @@
 			continue
 		}
 		o.voted = m.name
-		o.heardOf(m.name, quorum.Mark{Term: m.term})
+		o.heardOf(m.name, quorum.Progress{Term: m.term})
 		if back {
 			votes++
-			m.heardOf(o.name, quorum.Mark{Term: m.term})
+			m.heardOf(o.name, quorum.Progress{Term: m.term})
 		}
 	}
 	if votes < quorum.Majority(m.voters()) {
@@ -312,10 +312,10 @@
 	switch {
 	case e.tx != nil:
 		r := w.state.Apply(*e.tx, w.at())
-		if e.n > 0 && !r.Made {
+		if e.n > 0 && !r.Committed {
 			w.fail("write %d was turned down: %s", e.n, r.Reason)
 		}
-		if l := e.tx.Do[0].Lease; l != nil && r.Made {
+		if l := e.tx.Operations[0].Lease; l != nil && r.Committed {
 			if l.Token <= w.tokens {
 				w.fail("token %d was granted after token %d", l.Token, w.tokens)
 			}
@@ -323,13 +323,13 @@
 		}
 		w.acked = max(w.acked, e.n)
 	case e.backup != nil:
-		revision, highest := w.state.Revision(), w.state.Leases().Highest()
+		revision, highest := w.state.Revision(), w.state.Leases().HighestToken()
 		if err := w.state.Load(bytes.NewReader(e.backup), w.at()); err != nil {
 			w.fail("a backup: %v", err)
 			return
 		}
 		if w.mutant != "no floor after a restore" {
-			w.state.Recover(revision, max(e.floor, highest, w.state.Leases().Highest()), nil, w.at())
+			w.state.Recover(revision, max(e.floor, highest, w.state.Leases().HighestToken()), nil, w.at())
 		}
 		w.met["restored"]++
 	}
@@ -344,11 +344,11 @@
 	current := m.commit == len(w.committed) && len(m.log) == m.commit
 	switch n := w.r.IntN(10); {
 	case n == 0 && current:
-		rec, err := w.state.Leases().Take(duty, m.name, w.at())
+		rec, err := w.state.Leases().Acquire(duty, m.name, w.at())
 		if err != nil {
 			return
 		}
-		m.add(entry{term: m.term, tx: &document.Transaction{ID: fmt.Sprint("lease", w.r.Uint64()), Do: []document.Operation{{Lease: &rec}}}})
+		m.add(entry{term: m.term, tx: &document.Transaction{ID: fmt.Sprint("lease", w.r.Uint64()), Operations: []document.Operation{{Lease: &rec}}}})
 	case n == 1 && current && w.r.IntN(20) == 0:
 		var b bytes.Buffer
 		if err := w.state.Save(&b); err != nil {
@@ -359,20 +359,20 @@
 		m.add(entry{term: m.term, backup: w.backup, floor: uint64(w.now / time.Second)})
 	default:
 		w.writes++
-		m.add(entry{term: m.term, n: w.writes, tx: &document.Transaction{ID: fmt.Sprint("w", w.writes, "-", w.r.Uint64()), Do: []document.Operation{{Key: fmt.Sprint("k", w.writes%7), Value: fmt.Sprint(w.writes)}}}})
+		m.add(entry{term: m.term, n: w.writes, tx: &document.Transaction{ID: fmt.Sprint("w", w.writes, "-", w.r.Uint64()), Operations: []document.Operation{{Key: fmt.Sprint("k", w.writes%7), Value: fmt.Sprint(w.writes)}}}})
 	}
 }
 
 // group is the members as a leader sees them after it has just heard all that answer.
 func (w *world) group(m *member) quorum.Group {
-	g := quorum.Group{Near: 3}
+	g := quorum.Group{MaxLag: 3}
 	servers, _ := m.servers()
 	for _, s := range servers {
-		x := quorum.Member{Name: s.name, Raft: s.name + ":1", Admin: s.name + ":2", Voter: s.voter, Heard: -1, Behind: uint64(len(m.log) - m.acked[s.name])}
+		x := quorum.Member{Name: s.name, RaftAddress: s.name + ":1", AdminAddress: s.name + ":2", Voter: s.voter, SinceContact: -1, Lag: uint64(len(m.log) - m.acked[s.name])}
 		if s.name == m.name {
-			x.Leader, x.Heard, x.Behind = true, 0, 0
+			x.Leader, x.SinceContact, x.Lag = true, 0, 0
 		} else if at, heard := m.heard[s.name]; heard {
-			x.Heard = w.now - at
+			x.SinceContact = w.now - at
 		}
 		g.Members = append(g.Members, x)
 	}
@@ -392,15 +392,15 @@
 	var err error
 	switch do {
 	case "add":
-		if err = g.Add(quorum.Member{Name: name, Raft: name + ":1", Admin: name + ":2"}); err == nil && i < 0 {
+		if err = g.CheckAdd(quorum.Member{Name: name, RaftAddress: name + ":1", AdminAddress: name + ":2"}); err == nil && i < 0 {
 			servers = append(servers, server{name, w.mutant == "a vote at once"})
 		}
 	case "promote":
-		if err = g.Promote(name); err == nil {
+		if err = g.CheckPromote(name); err == nil {
 			servers[i].voter = true
 		}
 	case "remove":
-		if err = g.Remove(name); w.mutant == "majority not looked at" && i >= 0 && name != m.name {
+		if err = g.CheckRemove(name); w.mutant == "majority not looked at" && i >= 0 && name != m.name {
 			err = nil
 		}
 		if err == nil && i >= 0 {
@@ -431,36 +431,36 @@
 func (w *world) ends(m *member) {
 	m.up, m.in, m.leads, m.commit, m.out = false, false, false, 0, ""
 	if w.mutant == "marks not on disk" {
-		m.marks = map[string]quorum.Mark{}
+		m.marks = map[string]quorum.Progress{}
 	}
 }
 
 // asks has a member that starts ask the others, and does what it is told.
 func (w *world) asks(m *member) {
-	var answers []quorum.Answer
+	var answers []quorum.PeerAnswer
 	for _, o := range w.members {
 		if o == m || !o.up || !w.reaches(m.name, o.name) {
 			continue
 		}
-		a := quorum.Answer{From: o.name, Store: o.store, Member: true, Mark: o.marks[m.name], Leads: o.leads}
+		a := quorum.PeerAnswer{From: o.name, StoreID: o.store, IsMember: true, Progress: o.marks[m.name], IsLeader: o.leads}
 		if o.in {
 			a.Term = o.term
 		}
 		if servers, _ := o.servers(); len(servers) > 0 && o.in {
-			a.Votes = slices.Contains(servers, server{m.name, true})
-			a.Member = a.Votes || slices.Contains(servers, server{m.name, false})
+			a.IsVoter = slices.Contains(servers, server{m.name, true})
+			a.IsMember = a.IsVoter || slices.Contains(servers, server{m.name, false})
 		}
 		answers = append(answers, a)
 	}
-	verdict, why := quorum.Returns(quorum.Self{Name: m.name, Store: m.store, Mark: m.mark(), Blank: len(m.log) == 0, Joins: m.joins, Found: m.found, Voters: cmp.Or(m.voters(), w.first), Others: len(w.members) - 1}, answers)
+	verdict, why := quorum.DecideRejoin(quorum.LocalState{Name: m.name, StoreID: m.store, Progress: m.mark(), Empty: len(m.log) == 0, Joining: m.joins, PermanentExclusion: m.found, Voters: cmp.Or(m.voters(), w.first), PeerCount: len(w.members) - 1}, answers)
 	if w.mutant == "older copies let in" && len(answers) > 0 {
-		verdict = quorum.Enter
+		verdict = quorum.DecisionStart
 	}
 	switch verdict {
-	case quorum.Enter:
+	case quorum.DecisionStart:
 		m.in = true
-	case quorum.Stay, quorum.Never:
-		if verdict == quorum.Never {
+	case quorum.DecisionExclude, quorum.DecisionExcludePermanently:
+		if verdict == quorum.DecisionExcludePermanently {
 			m.found = why
 		}
 		m.out = why
@@ -496,9 +496,9 @@
 			w.ends(m)
 			switch w.r.IntN(4) {
 			case 0:
-				m.disk = disk{marks: map[string]quorum.Mark{}}
+				m.disk = disk{marks: map[string]quorum.Progress{}}
 			case 1:
-				m.disk = disk{store: "another", term: 3, log: []entry{{term: 3, servers: []server{{m.name, true}, {"x", true}, {"y", true}}, members: 1}}, marks: map[string]quorum.Mark{}}
+				m.disk = disk{store: "another", term: 3, log: []entry{{term: 3, servers: []server{{m.name, true}, {"x", true}, {"y", true}}, members: 1}}, marks: map[string]quorum.Progress{}}
 			default:
 				m.disk = m.older.copy()
 			}
@@ -552,7 +552,7 @@
 		if !there && (m.out != "" || m.joins) {
 			if m.out != "" { // an empty folder, as the page says
 				w.ends(m)
-				m.disk, m.joins, m.up, m.older = disk{marks: map[string]quorum.Mark{}}, true, true, nil
+				m.disk, m.joins, m.up, m.older = disk{marks: map[string]quorum.Progress{}}, true, true, nil
 			}
 			if w.change(leader, "add", m.name) {
 				return
@@ -561,7 +561,7 @@
 	}
 	if !w.calm && w.r.IntN(40) == 0 {
 		if len(w.members) < 6 && w.r.IntN(2) == 0 {
-			m := &member{name: fmt.Sprint("m", len(w.members)), disk: disk{marks: map[string]quorum.Mark{}}, up: true, joins: true}
+			m := &member{name: fmt.Sprint("m", len(w.members)), disk: disk{marks: map[string]quorum.Progress{}}, up: true, joins: true}
 			w.members = append(w.members, m)
 			return
 		}
@@ -581,7 +581,7 @@
 	left = left[:min(len(left), 1+w.r.IntN(2))]
 	furthest := left[0]
 	for _, m := range left[1:] {
-		if f := furthest.mark(); f.Later(m.mark()) != f.Later(quorum.Mark{Term: m.term}) {
+		if f := furthest.mark(); f.Max(m.mark()) != f.Max(quorum.Progress{Term: m.term}) {
 			furthest = m
 		}
 	}
@@ -589,18 +589,18 @@
 		w.ends(m)
 		m.up, m.older = true, nil
 		if m != furthest {
-			m.disk, m.joins, m.out = disk{marks: map[string]quorum.Mark{}}, true, "its folder is lost"
+			m.disk, m.joins, m.out = disk{marks: map[string]quorum.Progress{}}, true, "its folder is lost"
 		}
 	}
 	f := furthest
 	f.found = ""
 	f.store += "'" // another store from now on, with terms of its own
 	clear(w.leaders)
-	f.marks, f.in, f.joins = map[string]quorum.Mark{}, true, false
+	f.marks, f.in, f.joins = map[string]quorum.Progress{}, true, false
 	f.add(entry{term: f.term + 1, servers: []server{{f.name, true}}})
 	f.adopts(f.term + 1)
 	var err error
-	if w.state, err = document.New(document.Ordinary, terms); err != nil {
+	if w.state, err = document.New(document.DefaultLimits, terms); err != nil {
 		w.fail("%v", err)
 	}
 	tokens, revision := w.tokens, w.revision
@@ -608,7 +608,7 @@
 	for _, e := range f.log { // what it has, agreed on or not
 		w.apply(e)
 	}
-	w.state.Recover(w.state.Revision()+lost, w.state.Leases().Highest()+lost, nil, w.at())
+	w.state.Recover(w.state.Revision()+lost, w.state.Leases().HighestToken()+lost, nil, w.at())
 	w.tokens, w.revision = max(w.tokens, tokens), w.state.Revision()
 	if w.revision <= revision {
 		w.fail("revision %d after %d, as the majority was lost", w.revision, revision)
@@ -617,19 +617,19 @@
 	w.met["recovered"]++
 }
 
-var terms = lease.Terms{Length: length, Drift: 0.02, Margin: 100 * time.Millisecond}
+var terms = lease.Terms{Duration: length, MaxDrift: 0.02, SafetyMargin: 100 * time.Millisecond}
 
 // Mutants are faults of the rules that a walk can be played with, to show that it sees them.
 var Mutants = []string{"older copies let in", "marks not on disk", "majority not looked at", "a vote at once", "no floor after a restore"}
 
-// Play plays a seed: faults for a while, then none. It returns what did not hold: something that was acknowledged is gone, two members
+// Run plays a seed: faults for a while, then none. It returns what did not hold: something that was acknowledged is gone, two members
 // led in one term, a change left no majority that answers, a token or a revision went back, or the store was not at work at the
 // end, with every member in it; empty: all held. met counts what happened, so that a walk can be seen to have been where it was
 // to go. mutant is one of Mutants, or empty.
-func Play(seed uint64, mutant string) (wrong string, met map[string]int) {
+func Run(seed uint64, mutant string) (wrong string, met map[string]int) {
 	w := &world{r: rand.New(rand.NewPCG(seed, 44)), mutant: mutant, apart: map[string]bool{}, leaders: map[uint64]string{}, met: map[string]int{}}
 	var err error
-	if w.state, err = document.New(document.Ordinary, terms); err != nil {
+	if w.state, err = document.New(document.DefaultLimits, terms); err != nil {
 		return err.Error(), nil
 	}
 	var servers []server
@@ -638,7 +638,7 @@
 	}
 	first := entry{term: 1, servers: servers, members: 1}
 	for _, s := range servers {
-		w.members = append(w.members, &member{name: s.name, disk: disk{store: "s", term: 1, log: []entry{first}, marks: map[string]quorum.Mark{}}, up: true, in: true})
+		w.members = append(w.members, &member{name: s.name, disk: disk{store: "s", term: 1, log: []entry{first}, marks: map[string]quorum.Progress{}}, up: true, in: true})
 	}
 	w.committed, w.first = []entry{first}, len(servers)
 	lostAt := -1
--- a/internal/store/quorum/modelcheck/walk_test.go
+++ b/internal/store/quorum/modelcheck/walk_test.go
@@ -12,7 +12,7 @@
 func TestMembers(t *testing.T) {
 	met := map[string]int{}
 	for seed := range uint64(*seeds) {
-		wrong, here := Play(seed, "")
+		wrong, here := Run(seed, "")
 		if wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
@@ -33,7 +33,7 @@
 	for mutant, first := range map[string]uint64{"older copies let in": 0, "marks not on disk": 130, "majority not looked at": 0, "a vote at once": 0, "no floor after a restore": 0} {
 		found := false
 		for seed := first; seed < first+20 && !found; seed++ {
-			if wrong, _ := Play(seed, mutant); wrong != "" {
+			if wrong, _ := Run(seed, mutant); wrong != "" {
 				t.Logf("%s: seed %d: %s", mutant, seed, wrong)
 				found = true
 			}
--- a/internal/store/quorum/quorum_test.go
+++ b/internal/store/quorum/quorum_test.go
@@ -9,19 +9,19 @@
 // group reads members: "L" leads, "v" votes, "l" learns; then "!" has not answered for long, "?" never did, "b" is behind, "o" is
 // kept out.
 func group(text string) Group {
-	g := Group{Fresh: time.Second, Near: 10}
+	g := Group{MaxSilence: time.Second, MaxLag: 10}
 	for _, w := range strings.Fields(text) {
 		name, kind, _ := strings.Cut(w, ":")
-		m := Member{Name: name, Raft: name + ":1", Admin: name + ":2", Voter: kind[0] != 'l', Leader: kind[0] == 'L'}
+		m := Member{Name: name, RaftAddress: name + ":1", AdminAddress: name + ":2", Voter: kind[0] != 'l', Leader: kind[0] == 'L'}
 		switch kind[1:] {
 		case "!":
-			m.Heard = time.Minute
+			m.SinceContact = time.Minute
 		case "?":
-			m.Heard = -1
+			m.SinceContact = -1
 		case "b":
-			m.Behind = 11
+			m.Lag = 11
 		case "o":
-			m.Out = "an older copy"
+			m.ExclusionReason = "an older copy"
 		}
 		g.Members = append(g.Members, m)
 	}
@@ -65,13 +65,13 @@
 		var err error
 		switch c.ask {
 		case "add":
-			err = g.Add(Member{Name: c.name, Raft: c.name + ":1", Admin: c.name + ":2"})
+			err = g.CheckAdd(Member{Name: c.name, RaftAddress: c.name + ":1", AdminAddress: c.name + ":2"})
 		case "promote":
-			err = g.Promote(c.name)
+			err = g.CheckPromote(c.name)
 		case "remove":
-			err = g.Remove(c.name)
+			err = g.CheckRemove(c.name)
 		case "lead":
-			err = g.Lead(c.name)
+			err = g.CheckLeadershipTransfer(c.name)
 		}
 		if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
 			t.Errorf("%s, %s %s: %v, want %q", c.group, c.ask, c.name, err, c.err)
@@ -86,55 +86,55 @@
 		{"d", "d:1", ":2", "admin: \":2\": an address"},
 		{"d", "d:0", "d:2", "raft"},
 	} {
-		if err := g.Add(Member{Name: c.name, Raft: c.raft, Admin: c.admin}); err == nil || !strings.Contains(err.Error(), c.err) {
+		if err := g.CheckAdd(Member{Name: c.name, RaftAddress: c.raft, AdminAddress: c.admin}); err == nil || !strings.Contains(err.Error(), c.err) {
 			t.Errorf("add %s %s %s: %v, want %q", c.name, c.raft, c.admin, err, c.err)
 		}
 	}
 }
 
 func TestReturns(t *testing.T) {
-	known := Answer{From: "b", Store: "S", Member: true, Mark: Mark{3, 2, 20}}
-	whole := Self{Name: "a", Store: "S", Mark: Mark{3, 2, 20}, Voters: 3, Others: 2}
-	blank := Self{Name: "a", Blank: true, Voters: 3}
+	known := PeerAnswer{From: "b", StoreID: "S", IsMember: true, Progress: Progress{3, 2, 20}}
+	whole := LocalState{Name: "a", StoreID: "S", Progress: Progress{3, 2, 20}, Voters: 3, PeerCount: 2}
+	blank := LocalState{Name: "a", Empty: true, Voters: 3}
 	joins := blank
-	joins.Joins = true
+	joins.Joining = true
 	memory := blank
-	memory.Memory = true
-	with := func(a Answer, change func(*Answer)) Answer { change(&a); return a }
+	memory.InMemory = true
+	with := func(a PeerAnswer, change func(*PeerAnswer)) PeerAnswer { change(&a); return a }
 	for _, c := range []struct {
 		what    string
-		self    Self
-		answers []Answer
-		verdict Verdict
+		self    LocalState
+		answers []PeerAnswer
+		verdict Decision
 		why     string
 	}{
-		{"comes back whole", whole, []Answer{known}, Enter, ""},
-		{"nobody answers", whole, nil, Wait, "0 of 2 others have answered, 1 are needed"},
-		{"alone", Self{Name: "a", Voters: 1}, nil, Enter, ""},
-		{"one of five", Self{Name: "a", Store: "S", Voters: 5, Mark: Mark{9, 9, 90}}, []Answer{known}, Wait, "1 of 4"},
-		{"the first start", blank, []Answer{{From: "b"}}, Enter, ""},
-		{"another's version", whole, []Answer{{From: "b", Silent: true}}, Enter, ""},
-		{"an older copy by its entries", whole, []Answer{with(known, func(a *Answer) { a.Mark.Index = 21 })}, Never, "it is an older copy"},
-		{"an older copy by its vote", whole, []Answer{known, with(known, func(a *Answer) { a.Mark.Term = 4 })}, Never, "term 4"},
-		{"entries replaced by a later leader's", Self{Name: "a", Store: "S", Mark: Mark{4, 4, 12}, Voters: 3}, []Answer{known}, Enter, ""},
-		{"a lost folder", blank, []Answer{known}, Never, "it is empty"},
-		{"in memory", memory, []Answer{known}, Enter, ""},
-		{"new, and one has not heard that the name was removed", Self{Name: "a", Blank: true, Joins: true, Voters: 3}, []Answer{with(known, func(a *Answer) { a.Term = 3 }), {From: "c", Store: "S", Member: true, Leads: true, Term: 4}}, Enter, ""},
-		{"new, by the word of a leader of before", Self{Name: "a", Blank: true, Joins: true, Voters: 3}, []Answer{with(known, func(a *Answer) { a.Term = 5 }), {From: "c", Store: "S", Member: true, Leads: true, Term: 4}}, Wait, "no leader has said yet"},
-		{"new, and it has a vote", Self{Name: "a", Blank: true, Joins: true, Voters: 3}, []Answer{with(known, func(a *Answer) { a.Term = 3 }), {From: "c", Store: "S", Member: true, Votes: true, Leads: true, Term: 4}}, Wait, "c says that a has a vote"},
-		{"another store's", whole, []Answer{with(known, func(a *Answer) { a.Store = "T" }), with(known, func(a *Answer) { a.From, a.Store = "c", "T" })}, Stay, "b is of the store T, c is of the store T, and this folder is of the store S"},
-		{"one other with another store's folder", whole, []Answer{with(known, func(a *Answer) { a.Store = "T" })}, Wait, "0 of 2 others have answered, 1 are needed; b is of the store T"},
-		{"one other with another store's folder, and one that knows", whole, []Answer{with(known, func(a *Answer) { a.Store = "T" }), with(known, func(a *Answer) { a.From = "c" })}, Enter, ""},
-		{"in memory, another store's", Self{Name: "a", Memory: true, Store: "S", Voters: 2, Others: 1}, []Answer{with(known, func(a *Answer) { a.Store = "T" })}, Stay, "another store's"},
-		{"was removed", whole, []Answer{with(known, func(a *Answer) { a.Member, a.Leads = false, true })}, Stay, "was removed"},
-		{"was added, and a follower has not heard", whole, []Answer{with(known, func(a *Answer) { a.Member = false })}, Enter, ""},
-		{"a name twice", whole, []Answer{with(known, func(a *Answer) { a.From = "a" })}, Stay, "another process goes by the name a"},
-		{"a new one that nobody knows", blank, []Answer{{From: "b", Store: "S"}}, Stay, "set join = true"},
-		{"a new one that joins", joins, []Answer{{From: "b", Store: "S"}}, Enter, ""},
-		{"a new one that joins, too soon", joins, []Answer{{From: "b"}}, Wait, "no member of a store"},
-		{"one that joins on the folder of one that was there", joins, []Answer{known}, Wait, "no leader has said yet"},
+		{"comes back whole", whole, []PeerAnswer{known}, DecisionStart, ""},
+		{"nobody answers", whole, nil, DecisionWait, "0 of 2 others have answered, 1 are needed"},
+		{"alone", LocalState{Name: "a", Voters: 1}, nil, DecisionStart, ""},
+		{"one of five", LocalState{Name: "a", StoreID: "S", Voters: 5, Progress: Progress{9, 9, 90}}, []PeerAnswer{known}, DecisionWait, "1 of 4"},
+		{"the first start", blank, []PeerAnswer{{From: "b"}}, DecisionStart, ""},
+		{"another's version", whole, []PeerAnswer{{From: "b", Unsupported: true}}, DecisionStart, ""},
+		{"an older copy by its entries", whole, []PeerAnswer{with(known, func(a *PeerAnswer) { a.Progress.Index = 21 })}, DecisionExcludePermanently, "it is an older copy"},
+		{"an older copy by its vote", whole, []PeerAnswer{known, with(known, func(a *PeerAnswer) { a.Progress.Term = 4 })}, DecisionExcludePermanently, "term 4"},
+		{"entries replaced by a later leader's", LocalState{Name: "a", StoreID: "S", Progress: Progress{4, 4, 12}, Voters: 3}, []PeerAnswer{known}, DecisionStart, ""},
+		{"a lost folder", blank, []PeerAnswer{known}, DecisionExcludePermanently, "it is empty"},
+		{"in memory", memory, []PeerAnswer{known}, DecisionStart, ""},
+		{"new, and one has not heard that the name was removed", LocalState{Name: "a", Empty: true, Joining: true, Voters: 3}, []PeerAnswer{with(known, func(a *PeerAnswer) { a.Term = 3 }), {From: "c", StoreID: "S", IsMember: true, IsLeader: true, Term: 4}}, DecisionStart, ""},
+		{"new, by the word of a leader of before", LocalState{Name: "a", Empty: true, Joining: true, Voters: 3}, []PeerAnswer{with(known, func(a *PeerAnswer) { a.Term = 5 }), {From: "c", StoreID: "S", IsMember: true, IsLeader: true, Term: 4}}, DecisionWait, "no leader has said yet"},
+		{"new, and it has a vote", LocalState{Name: "a", Empty: true, Joining: true, Voters: 3}, []PeerAnswer{with(known, func(a *PeerAnswer) { a.Term = 3 }), {From: "c", StoreID: "S", IsMember: true, IsVoter: true, IsLeader: true, Term: 4}}, DecisionWait, "c says that a has a vote"},
+		{"another store's", whole, []PeerAnswer{with(known, func(a *PeerAnswer) { a.StoreID = "T" }), with(known, func(a *PeerAnswer) { a.From, a.StoreID = "c", "T" })}, DecisionExclude, "b is of the store T, c is of the store T, and this folder is of the store S"},
+		{"one other with another store's folder", whole, []PeerAnswer{with(known, func(a *PeerAnswer) { a.StoreID = "T" })}, DecisionWait, "0 of 2 others have answered, 1 are needed; b is of the store T"},
+		{"one other with another store's folder, and one that knows", whole, []PeerAnswer{with(known, func(a *PeerAnswer) { a.StoreID = "T" }), with(known, func(a *PeerAnswer) { a.From = "c" })}, DecisionStart, ""},
+		{"in memory, another store's", LocalState{Name: "a", InMemory: true, StoreID: "S", Voters: 2, PeerCount: 1}, []PeerAnswer{with(known, func(a *PeerAnswer) { a.StoreID = "T" })}, DecisionExclude, "another store's"},
+		{"was removed", whole, []PeerAnswer{with(known, func(a *PeerAnswer) { a.IsMember, a.IsLeader = false, true })}, DecisionExclude, "was removed"},
+		{"was added, and a follower has not heard", whole, []PeerAnswer{with(known, func(a *PeerAnswer) { a.IsMember = false })}, DecisionStart, ""},
+		{"a name twice", whole, []PeerAnswer{with(known, func(a *PeerAnswer) { a.From = "a" })}, DecisionExclude, "another process goes by the name a"},
+		{"a new one that nobody knows", blank, []PeerAnswer{{From: "b", StoreID: "S"}}, DecisionExclude, "set join = true"},
+		{"a new one that joins", joins, []PeerAnswer{{From: "b", StoreID: "S"}}, DecisionStart, ""},
+		{"a new one that joins, too soon", joins, []PeerAnswer{{From: "b"}}, DecisionWait, "no member of a store"},
+		{"one that joins on the folder of one that was there", joins, []PeerAnswer{known}, DecisionWait, "no leader has said yet"},
 	} {
-		got, why := Returns(c.self, c.answers)
+		got, why := DecideRejoin(c.self, c.answers)
 		if got != c.verdict || !strings.Contains(why, c.why) || c.why == "" && why != "" {
 			t.Errorf("%s: %v %q, want %v %q", c.what, got, why, c.verdict, c.why)
 		}
--- a/internal/store/raftlog/raftlog.go
+++ b/internal/store/raftlog/raftlog.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	entries   = 'l'
-	stable    = 's'
-	described = 'm'
-	parts     = 'p'
+	entryPrefix    = 'l'
+	stablePrefix   = 's'
+	snapshotPrefix = 'm'
+	partPrefix     = 'p'
 )
 
 // Log is raft's log and stable store. Its methods may be called from any goroutine; each that changes something returns once
@@ -34,12 +34,12 @@
 	ledger *ledger.Store
 	limits limits.RaftLog
 
-	mu          sync.RWMutex
-	first, last uint64          // 0: there are none
-	open        map[string]bool // snapshots that are being written
+	mu            sync.RWMutex
+	first, last   uint64          // 0: there are none
+	openSnapshots map[string]bool // snapshots that are being written
 
-	leaving chan struct{} // raft is being ended
-	leave   sync.Once
+	stopping chan struct{} // raft is being ended
+	stopOnce sync.Once
 }
 
 // Open opens a folder. It errs with what the ledger says, and where the entries are not as a cut could have left them.
@@ -48,8 +48,8 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{ledger: s, limits: lim, open: map[string]bool{}, leaving: make(chan struct{})}
-	err = s.Scan([]byte{entries}, func(p ledger.Pair) error {
+	l := &Log{ledger: s, limits: lim, openSnapshots: map[string]bool{}, stopping: make(chan struct{})}
+	err = s.Scan([]byte{entryPrefix}, func(p ledger.Pair) error {
 		if len(p.Key) != 9 {
 			return fmt.Errorf("raftlog: a key of %d bytes among the entries", len(p.Key))
 		}
@@ -63,7 +63,7 @@
 		return nil
 	})
 	if err == nil {
-		err = l.sweep()
+		err = l.removeStaleSnapshots()
 	}
 	if err != nil {
 		return nil, errors.Join(err, s.Close())
@@ -77,7 +77,7 @@
 // Close lets others at the folder. What was acknowledged is durable before.
 func (l *Log) Close() error { return l.ledger.Close() }
 
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte{entries}, index) }
+func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte{entryPrefix}, index) }
 
 // IsMonotonic says that there are no gaps between entries (raft.MonotonicLogStore).
 func (l *Log) IsMonotonic() bool { return true }
@@ -98,14 +98,14 @@
 
 // GetLog reads an entry. It errs with raft.ErrLogNotFound where there is none.
 func (l *Log) GetLog(index uint64, into *raft.Log) error {
-	value, err := l.ledger.Get(key(index))
+	value, err := l.ledger.Get(entryKey(index))
 	if errors.Is(err, ledger.ErrNotFound) {
 		return raft.ErrLogNotFound
 	}
 	if err != nil {
 		return err
 	}
-	return unpack(value, index, into)
+	return decodeEntry(value, index, into)
 }
 
 // StoreLog keeps an entry.
@@ -124,11 +124,11 @@
 			if last != 0 && e.Index != last+1 {
 				return fmt.Errorf("raftlog: entry %d was to be kept after entry %d", e.Index, last)
 			}
-			value := pack(e)
-			if n > 0 && bytes+len(value) > l.limits.Batch {
+			value := encodeEntry(e)
+			if n > 0 && bytes+len(value) > l.limits.BatchBytes {
 				break
 			}
-			b.Put(key(e.Index), value, time.Time{})
+			b.Put(entryKey(e.Index), value, time.Time{})
 			bytes += len(value)
 			last = e.Index
 		}
@@ -158,15 +158,15 @@
 	oldest := low == l.first // from below up, else from above down
 	for low <= high {
 		var b ledger.Batch
-		for range l.limits.Deletions {
+		for range l.limits.DeletionsPerFlush {
 			if low > high {
 				break
 			}
 			if oldest {
-				b.Delete(key(low))
+				b.Delete(entryKey(low))
 				low++
 			} else {
-				b.Delete(key(high))
+				b.Delete(entryKey(high))
 				high--
 			}
 		}
@@ -187,7 +187,7 @@
 
 // Set keeps a value of raft's own.
 func (l *Log) Set(k, value []byte) error {
-	return l.ledger.Put(append([]byte{stable}, k...), value, time.Time{})
+	return l.ledger.Put(append([]byte{stablePrefix}, k...), value, time.Time{})
 }
 
 // errNotFound has the words that raft looks for.
@@ -195,15 +195,15 @@
 
 // Get reads one.
 func (l *Log) Get(k []byte) ([]byte, error) {
-	value, err := l.ledger.Get(append([]byte{stable}, k...))
+	value, err := l.ledger.Get(append([]byte{stablePrefix}, k...))
 	if errors.Is(err, ledger.ErrNotFound) {
 		return nil, errNotFound
 	}
 	return value, err
 }
 
-// retry is the pause after a number that could not be kept.
-const retry = 100 * time.Millisecond
+// setRetryDelay is the pause after a number that could not be kept.
+const setRetryDelay = 100 * time.Millisecond
 
 // SetUint64 keeps a number. Raft would end the whole process where its term can't be kept, but the process has requests to serve: on a
 // full disk this waits until there is room, and after a flush that failed for good, raft standing still meanwhile. Once Leave was
@@ -215,15 +215,15 @@
 			return nil
 		}
 		select {
-		case <-l.leaving:
+		case <-l.stopping:
 			runtime.Goexit()
-		case <-time.After(retry):
+		case <-time.After(setRetryDelay):
 		}
 	}
 }
 
-// Leave is to be called before raft is ended: nothing waits for the disk any more.
-func (l *Log) Leave() { l.leave.Do(func() { close(l.leaving) }) }
+// StopWaiting is to be called before raft is ended: nothing waits for the disk any more.
+func (l *Log) StopWaiting() { l.stopOnce.Do(func() { close(l.stopping) }) }
 
 // GetUint64 reads one.
 func (l *Log) GetUint64(k []byte) (uint64, error) {
@@ -237,13 +237,13 @@
 	return binary.BigEndian.Uint64(value), nil
 }
 
-// version is that of an entry's bytes: version, type, then term, time (nanoseconds since 1970, zigzag; 0: none) and the length
+// entryVersion is that of an entry's bytes: version, type, then term, time (nanoseconds since 1970, zigzag; 0: none) and the length
 // of the extensions as varints, the extensions, the data.
-const version = 1
+const entryVersion = 1
 
-func pack(e *raft.Log) []byte {
+func encodeEntry(e *raft.Log) []byte {
 	b := make([]byte, 0, 24+len(e.Extensions)+len(e.Data))
-	b = append(b, version, byte(e.Type))
+	b = append(b, entryVersion, byte(e.Type))
 	b = binary.AppendUvarint(b, e.Term)
 	at := int64(0)
 	if !e.AppendedAt.IsZero() {
@@ -254,9 +254,9 @@
 	return append(append(b, e.Extensions...), e.Data...)
 }
 
-func unpack(b []byte, index uint64, e *raft.Log) error {
+func decodeEntry(b []byte, index uint64, e *raft.Log) error {
 	bad := fmt.Errorf("raftlog: entry %d is not one of this version's", index)
-	if len(b) < 2 || b[0] != version {
+	if len(b) < 2 || b[0] != entryVersion {
 		return bad
 	}
 	*e = raft.Log{Index: index, Type: raft.LogType(b[1])}
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -19,7 +19,7 @@
 )
 
 var (
-	small   = limits.RaftLog{Batch: 200, Deletions: 3, Part: 100, Snapshots: 2}
+	small   = limits.RaftLog{BatchBytes: 200, DeletionsPerFlush: 3, SnapshotPartBytes: 100, SnapshotsKept: 2}
 	options = ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true}
 )
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -31,7 +31,7 @@
 
 func (g *group) open(t testing.TB, name, dir string) *Store {
 	t.Helper()
-	s, err := Open(Options{Name: name, Members: g.members, Dir: dir, Timeout: standin.Patience, Beat: 200 * time.Millisecond, Log: standin.Quiet, Terms: g.terms})
+	s, err := Open(Options{Name: name, Members: g.members, Dir: dir, CommitTimeout: standin.Patience, ElectionTimeout: 200 * time.Millisecond, Logger: standin.Quiet, LeaseTerms: g.terms})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,8 +100,8 @@
 	g.leader(t)
 	for i, m := range g.members { // asked of any member, a change reaches the leader
 		value := fmt.Sprintf("127.0.0.1:%d", 3000+i)
-		waitFor(t, "a change through "+m.Name, func() bool { return Client{m.Admin, standin.Patience}.Set(UwsgiServers, value) == nil })
-		g.all(t, UwsgiServers, value)
+		waitFor(t, "a change through "+m.Name, func() bool { return Client{m.AdminAddress, standin.Patience}.Set(KeyUwsgiServers, value) == nil })
+		g.all(t, KeyUwsgiServers, value)
 	}
 	old := g.leader(t)
 	if err := g.stores[old.Name].Close(); err != nil {
@@ -109,36 +109,36 @@
 	}
 	delete(g.stores, old.Name)
 	next := g.leader(t)
-	waitFor(t, "a change after the leader died", func() bool { return g.stores[next.Name].Set(Closed, "n1") == nil })
-	g.all(t, Closed, "n1")
-	if got, err := (Client{next.Admin, standin.Patience}).All(); err != nil || got[Closed] != "n1" || len(got) != 2 {
+	waitFor(t, "a change after the leader died", func() bool { return g.stores[next.Name].Set(KeyClosedNodes, "n1") == nil })
+	g.all(t, KeyClosedNodes, "n1")
+	if got, err := (Client{next.AdminAddress, standin.Patience}).All(); err != nil || got[KeyClosedNodes] != "n1" || len(got) != 2 {
 		t.Errorf("state %v, %v", got, err)
 	}
 }
 
 func TestStateOutlivesARestart(t *testing.T) {
-	g := &group{members: []Member{{Name: "n0", Raft: standin.Free(t)}}, stores: map[string]*Store{}}
+	g := &group{members: []Member{{Name: "n0", RaftAddress: standin.Free(t)}}, stores: map[string]*Store{}}
 	dir := t.TempDir()
 	s := g.open(t, "n0", dir)
 	g.leader(t)
-	if err := s.Set(Closed, "n1"); err != nil {
+	if err := s.Set(KeyClosedNodes, "n1"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.part.Load().Snapshot().Error(); err != nil {
+	if err := s.raft.Load().Snapshot().Error(); err != nil {
 		t.Error(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	s = g.open(t, "n0", dir)
-	g.all(t, Closed, "n1")
+	g.all(t, KeyClosedNodes, "n1")
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestAlone(t *testing.T) {
-	s, err := Open(Options{Name: "n0", Log: standin.Quiet})
+	s, err := Open(Options{Name: "n0", Logger: standin.Quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,8 +148,8 @@
 		key, value string
 		ok         bool
 	}{
-		{Closed, "n1,n2", true}, {Closed, "n1,n2", true}, {Closed, "", true}, {Closed, ", ", false},
-		{UwsgiServers, "127.0.0.1:1, 127.0.0.1:2", true}, {UwsgiServers, "127.0.0.1", false}, {"other", "x", false},
+		{KeyClosedNodes, "n1,n2", true}, {KeyClosedNodes, "n1,n2", true}, {KeyClosedNodes, "", true}, {KeyClosedNodes, ", ", false},
+		{KeyUwsgiServers, "127.0.0.1:1, 127.0.0.1:2", true}, {KeyUwsgiServers, "127.0.0.1", false}, {"other", "x", false},
 	} {
 		if err := s.Set(c.key, c.value); (err == nil) != c.ok {
 			t.Errorf("%s=%s: %v", c.key, c.value, err)
@@ -158,7 +158,7 @@
 	if got := strings.Join(seen, " "); got != "closed=n1,n2 closed= uwsgi-servers=127.0.0.1:1, 127.0.0.1:2" {
 		t.Errorf("watched %s", got)
 	}
-	if _, err := Open(Options{Name: "n9", Members: []Member{{Name: "n0", Raft: "127.0.0.1:0"}}, Log: standin.Quiet}); err == nil {
+	if _, err := Open(Options{Name: "n9", Members: []Member{{Name: "n0", RaftAddress: "127.0.0.1:0"}}, Logger: standin.Quiet}); err == nil {
 		t.Error("opened by no member")
 	}
 }
--- a/internal/testing/faulthooks/trial.go
+++ b/internal/testing/faulthooks/trial.go
@@ -39,8 +39,8 @@
 	Out   bool          `json:"out,omitempty"`   // of a state applied
 }
 
-// Trial is one process's part in a trial. Its methods may be called from any goroutine.
-type Trial struct {
+// Hooks is one process's part in a trial. Its methods may be called from any goroutine.
+type Hooks struct {
 	dir  string
 	slow atomic.Int64 // each flush takes this much longer
 	full atomic.Bool
@@ -54,12 +54,12 @@
 }
 
 // FromEnv returns this process's part, nil where the environment names none.
-func FromEnv() (*Trial, error) {
+func FromEnv() (*Hooks, error) {
 	dir := os.Getenv(Variable)
 	if dir == "" {
 		return nil, nil
 	}
-	t := &Trial{dir: dir, rate: 1, since: lease.Now()}
+	t := &Hooks{dir: dir, rate: 1, since: lease.Now()}
 	var err error
 	if t.events, err = os.OpenFile(filepath.Join(dir, "events"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600); err != nil {
 		return nil, fmt.Errorf("trial: %w", err)
@@ -67,7 +67,7 @@
 	if err := t.read(); err != nil {
 		return nil, err
 	}
-	t.Tell(Event{What: "starts"})
+	t.Record(Event{What: "starts"})
 	go func() {
 		for range time.Tick(look) {
 			_ = t.read() // a file that is being written is read the next time
@@ -77,7 +77,7 @@
 }
 
 // read takes over what the folder says.
-func (t *Trial) read() error {
+func (t *Hooks) read() error {
 	offset, rate := time.Duration(0), 1.0
 	if text, err := os.ReadFile(filepath.Join(t.dir, "clock")); err == nil {
 		words := strings.Fields(string(text))
@@ -117,47 +117,47 @@
 }
 
 // Clock is the machine's clock as this process is made to see it.
-func (t *Trial) Clock(machine lease.Clock) lease.Clock {
+func (t *Hooks) Clock(machine lease.Clock) lease.Clock {
 	if t == nil {
 		return machine
 	}
 	return func() lease.Instant {
 		now := machine()
-		return now + lease.Instant(t.wrong(now))
+		return now + lease.Instant(t.clockError(now))
 	}
 }
 
-// wrong is by how much the clock is off, in nanoseconds.
-func (t *Trial) wrong(now lease.Instant) float64 {
+// clockError is by how much the clock is off, in nanoseconds.
+func (t *Hooks) clockError(now lease.Instant) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.offset + t.drifted + float64(now-t.since)*(t.rate-1)
 }
 
 // Now is the wall clock as this process is made to see it.
-func (t *Trial) Now() time.Time {
+func (t *Hooks) Now() time.Time {
 	if t == nil {
 		return time.Now()
 	}
-	return time.Now().Add(time.Duration(t.wrong(lease.Now())))
+	return time.Now().Add(time.Duration(t.clockError(lease.Now())))
 }
 
 // Offset is by how much the wall clock of this process is wrong.
-func (t *Trial) Offset() time.Duration {
+func (t *Hooks) Offset() time.Duration {
 	if t == nil {
 		return 0
 	}
-	return time.Duration(t.wrong(lease.Now()))
+	return time.Duration(t.clockError(lease.Now()))
 }
 
-// Tell appends an event. What can't be written is lost: a trial must not change what it looks at.
-func (t *Trial) Tell(e Event) {
+// Record appends an event. What can't be written is lost: a trial must not change what it looks at.
+func (t *Hooks) Record(e Event) {
 	if t == nil {
 		return
 	}
 	e.At = lease.Now()
 	if e.Until != 0 { // a clock that runs fast comes there sooner; this is the latest that it can be
-		e.Until -= lease.Instant(t.wrong(e.At))
+		e.Until -= lease.Instant(t.clockError(e.At))
 	}
 	if line, err := json.Marshal(e); err == nil {
 		_, _ = t.events.Write(append(line, '\n')) // one write: lines of one process never mix
@@ -165,19 +165,19 @@
 }
 
 // Disk is a folder as this process is made to see it.
-func (t *Trial) Disk(fs disk.FS) disk.FS {
+func (t *Hooks) Disk(fs disk.FS) disk.FS {
 	if t == nil {
 		return fs
 	}
-	return &folder{fs, t}
+	return &faultyFolder{fs, t}
 }
 
-type folder struct {
+type faultyFolder struct {
 	disk.FS
-	t *Trial
+	t *Hooks
 }
 
-func (f *folder) noRoom(op, name string) error {
+func (f *faultyFolder) diskFull(op, name string) error {
 	if f.t.full.Load() {
 		return &os.PathError{Op: op, Path: name, Err: syscall.ENOSPC}
 	}
@@ -185,41 +185,41 @@
 }
 
 // Create implements disk.FS.
-func (f *folder) Create(name string) (disk.File, error) {
-	if err := f.noRoom("create", name); err != nil {
+func (f *faultyFolder) Create(name string) (disk.File, error) {
+	if err := f.diskFull("create", name); err != nil {
 		return nil, err
 	}
 	return f.wrap(name)(f.FS.Create(name))
 }
 
 // Open implements disk.FS.
-func (f *folder) Open(name string) (disk.File, error) { return f.wrap(name)(f.FS.Open(name)) }
+func (f *faultyFolder) Open(name string) (disk.File, error) { return f.wrap(name)(f.FS.Open(name)) }
 
-func (f *folder) wrap(name string) func(disk.File, error) (disk.File, error) {
+func (f *faultyFolder) wrap(name string) func(disk.File, error) (disk.File, error) {
 	return func(below disk.File, err error) (disk.File, error) {
 		if err != nil {
 			return nil, err
 		}
-		return &file{below, name, f}, nil
+		return &faultyFile{below, name, f}, nil
 	}
 }
 
-type file struct {
+type faultyFile struct {
 	disk.File
 	name string
-	f    *folder
+	f    *faultyFolder
 }
 
 // WriteAt implements disk.File.
-func (f *file) WriteAt(p []byte, off int64) (int, error) {
-	if err := f.f.noRoom("write", f.name); err != nil {
+func (f *faultyFile) WriteAt(p []byte, off int64) (int, error) {
+	if err := f.f.diskFull("write", f.name); err != nil {
 		return 0, err
 	}
 	return f.File.WriteAt(p, off)
 }
 
 // Sync implements disk.File.
-func (f *file) Sync() error {
+func (f *faultyFile) Sync() error {
 	time.Sleep(time.Duration(f.f.t.slow.Load()))
 	return f.File.Sync()
 }
--- a/internal/testing/fleetrig/drains.go
+++ b/internal/testing/fleetrig/drains.go
@@ -38,9 +38,9 @@
 }
 
 // rules are the budgets of a run.
-func rules() disruption.Rules {
+func rules() disruption.Budgets {
 	fleet, zone := mostOut, zoneOut
-	return disruption.Rules{{Group: "fleet", MostOut: &fleet}, {Group: "zone", MostOut: &zone}}
+	return disruption.Budgets{{Scope: "fleet", MaxUnavailable: &fleet}, {Scope: "zone", MaxUnavailable: &zone}}
 }
 
 // halt is a stretch in which nothing may begin.
@@ -86,11 +86,11 @@
 // put has a document set, or deleted where the value is empty, through whichever member takes it, by a time.
 func (d *drains) put(key, value string, by time.Time) bool {
 	d.n++
-	t := document.Transaction{ID: fmt.Sprint("drains ", d.n), By: "rig", Why: "drains", Do: []document.Operation{{Key: key, Value: value, Delete: value == ""}}}
+	t := document.Transaction{ID: fmt.Sprint("drains ", d.n), Author: "rig", Reason: "drains", Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}}
 	turn := d.n
 	return d.until(by, func() bool {
 		turn++
-		_, err := d.client(turn).Make(t)
+		_, err := d.client(turn).Commit(t)
 		return err == nil
 	})
 }
@@ -98,7 +98,7 @@
 // operate asks, takes back, halts and resumes until the end.
 func (d *drains) operate(end time.Time) {
 	by := end.Add(d.Recovery)
-	if !d.put(drainpermit.Rules, drainpermit.Text(rules()), by) {
+	if !d.put(drainpermit.BudgetsKey, drainpermit.Encode(rules()), by) {
 		d.blame("the budgets were not agreed on")
 		return
 	}
@@ -108,20 +108,20 @@
 	asked := map[int]bool{}
 	for time.Now().Before(end) {
 		node := d.r.IntN(d.Nodes)
-		key := drainpermit.AskKey(fmt.Sprint("n", node))
+		key := drainpermit.RequestKey(fmt.Sprint("n", node))
 		switch x := d.r.IntN(12); {
 		case x < 6 && !asked[node]:
 			d.n++
-			a := drainpermit.Ask{ID: fmt.Sprint("ask ", d.n), By: "rig", Why: "drains", Urgent: x == 0}
+			a := drainpermit.Request{ID: fmt.Sprint("ask ", d.n), RequestedBy: "rig", Reason: "drains", Urgent: x == 0}
 			if x < 3 {
-				a.Release, a.To = "r", fmt.Sprint("v", 1+d.r.IntN(3))
+				a.ReleaseName, a.TargetVersion = "r", fmt.Sprint("v", 1+d.r.IntN(3))
 			}
-			asked[node] = d.put(key, drainpermit.Text(a), by)
+			asked[node] = d.put(key, drainpermit.Encode(a), by)
 			d.report.Drains.Asked++
 		case x < 9 && asked[node]:
 			asked[node] = !d.put(key, "", by)
 		case x == 9:
-			d.halt([]string{drainpermit.All, "r"}[d.r.IntN(2)], by)
+			d.halt([]string{drainpermit.HaltAll, "r"}[d.r.IntN(2)], by)
 		case x > 9:
 			d.resume(by)
 			if d.r.IntN(24) == 0 {
@@ -153,7 +153,7 @@
 	for i := range d.halts {
 		if h := &d.halts[i]; h.to == 0 {
 			h.to = lease.Now()
-			d.put(drainpermit.Halts+h.what, "", by)
+			d.put(drainpermit.HaltKeyPrefix+h.what, "", by)
 			d.say("resumed: %s", h.what)
 		}
 	}
@@ -172,14 +172,14 @@
 		if err != nil {
 			return false
 		}
-		var seen []drainpermit.Seen
+		var seen []drainpermit.ObservedMember
 		for _, doc := range docs {
-			s := drainpermit.Seen{Name: strings.TrimPrefix(doc.Key, "node/")}
-			s.Bad = json.Unmarshal([]byte(doc.Value), &s.Report) != nil
+			s := drainpermit.ObservedMember{Name: strings.TrimPrefix(doc.Key, "node/")}
+			s.Unreadable = json.Unmarshal([]byte(doc.Value), &s.Report) != nil
 			seen = append(seen, s)
 		}
-		r := release.Release{Name: "s", To: to, By: "rig", Why: "drains", State: release.Running, SoakMS: 100, LateMS: d.Recovery.Milliseconds()}
-		r.Waves, r.From = release.Plan(seen, to, 2)
+		r := release.Release{Name: "s", TargetVersion: to, RequestedBy: "rig", Reason: "drains", State: release.Running, SoakMS: 100, ReturnTimeoutMS: d.Recovery.Milliseconds()}
+		r.Waves, r.PreviousVersions = release.PlanWaves(seen, to, 2)
 		err = fleet.StartRelease(d.client(turn), r)
 		return err == nil || errors.Is(err, store.ErrConflict)
 	})
@@ -194,7 +194,7 @@
 	turn := 0
 	if !d.until(by, func() bool {
 		turn++
-		err := fleet.BackRelease(d.client(turn), "s", "rig", "drains")
+		err := fleet.RollBackRelease(d.client(turn), "s", "rig", "drains")
 		return err == nil || strings.Contains(err.Error(), "gone back already")
 	}) {
 		d.blame("a release could not be had go back")
@@ -208,18 +208,18 @@
 	turn := 0
 	if !d.until(by, func() bool {
 		turn++
-		doc, _, err := d.client(turn).Document(release.Prefix+"s", false)
+		doc, _, err := d.client(turn).Document(release.KeyPrefix+"s", false)
 		if err != nil {
 			last = err.Error()
 			return false
 		}
-		r, err := release.Read(doc)
+		r, err := release.Decode(doc)
 		if err != nil {
 			last = err.Error()
 			return false
 		}
 		last = doc.Value
-		halted, _, err := d.client(turn).Document(drainpermit.Halts+"s", false)
+		halted, _, err := d.client(turn).Document(drainpermit.HaltKeyPrefix+"s", false)
 		if err == nil && halted.Version > 0 {
 			d.say("the release halted by itself: %s", r.Note)
 			d.report.Drains.ByItself++
@@ -227,9 +227,9 @@
 			return false
 		}
 		switch r.State {
-		case release.Over:
+		case release.Completed:
 			d.report.Drains.Over++
-		case release.Undone:
+		case release.RolledBack:
 			d.report.Drains.Undone++
 		default:
 			return false
@@ -246,12 +246,12 @@
 	by := time.Now().Add(d.Recovery)
 	d.resume(by)
 	for i := range d.Nodes { // drains and asks of people would keep it waiting
-		d.put(drainpermit.AskKey(fmt.Sprint("n", i)), "", by)
+		d.put(drainpermit.RequestKey(fmt.Sprint("n", i)), "", by)
 	}
 	d.ends(by)
 	left := ""
 	if !d.until(by, func() bool {
-		docs, _, err := d.client(d.n).Documents(drainpermit.Prefix, false)
+		docs, _, err := d.client(d.n).Documents(drainpermit.KeyPrefix, false)
 		if err != nil {
 			d.n++
 			left = err.Error()
@@ -259,7 +259,7 @@
 		}
 		left = ""
 		for _, doc := range docs {
-			if a, err := drainpermit.Read[drainpermit.Ask](doc.Value); err == nil && strings.HasSuffix(doc.Key, "/ask") && (a.Release == "" || a.Failed != "") {
+			if a, err := drainpermit.Decode[drainpermit.Request](doc.Value); err == nil && strings.HasSuffix(doc.Key, "/ask") && (a.ReleaseName == "" || a.FailureReason != "") {
 				d.put(doc.Key, "", by)
 			}
 			left += " " + doc.Key + " = " + doc.Value
@@ -309,7 +309,7 @@
 				wrong = append(wrong, fmt.Sprintf("at %d %d nodes are out by choice, n%d last", e.At, len(out), e.Node))
 			}
 			for _, h := range halts {
-				if (h.what == drainpermit.All || h.what == e.Duty) && e.At > h.from && (h.to == 0 || e.At < h.to) {
+				if (h.what == drainpermit.HaltAll || h.what == e.Duty) && e.At > h.from && (h.to == 0 || e.At < h.to) {
 					wrong = append(wrong, fmt.Sprintf("at %d n%d began to go out, %v after a halt of %s was acknowledged", e.At, e.Node, time.Duration(e.At-h.from), h.what))
 				}
 			}
--- a/internal/testing/fleetrig/older.go
+++ b/internal/testing/fleetrig/older.go
@@ -64,8 +64,8 @@
 		out := ""
 		known := f.until(end, func() bool {
 			m, err := f.client(i).Members(true)
-			out = m.Out
-			return err == nil && (m.Out == "" || strings.Contains(m.Out, "remove it"))
+			out = m.ExclusionReason
+			return err == nil && (m.ExclusionReason == "" || strings.Contains(m.ExclusionReason, "remove it"))
 		})
 		switch {
 		case !known:
@@ -81,14 +81,14 @@
 		f.mu.Unlock()
 		name := fmt.Sprint("n", i)
 		change := func(do string) bool {
-			a := store.Ask{Do: do, Name: name, By: "rig", Why: "an older copy"}
+			a := store.MembershipChange{Action: do, Name: name, Author: "rig", Reason: "an older copy"}
 			if do == "add" {
-				a.Raft, a.Admin = f.rafts[i], f.admins[i]
+				a.RaftAddress, a.AdminAddress = f.rafts[i], f.admins[i]
 			}
 			turn := 0
 			return f.until(end, func() bool {
 				turn++
-				_, err := f.client(i + turn%(f.Members-1) + 1).Change(a)
+				_, err := f.client(i + turn%(f.Members-1) + 1).ChangeMembers(a)
 				return err == nil
 			})
 		}
--- a/internal/testing/fleetrig/play.go
+++ b/internal/testing/fleetrig/play.go
@@ -161,12 +161,12 @@
 func (w *work) wish() {
 	for i := 0; time.Now().Before(w.end); i++ {
 		node, out := i%w.Nodes, i/w.Nodes%2 == 0
-		t := document.Transaction{ID: fmt.Sprint("wish ", i), By: "rig", Why: "wish", Do: []document.Operation{{Key: fmt.Sprintf("%sn%d", desiredstate.Prefix, node), Value: fmt.Sprintf(`{"out":%v}`, out)}}}
+		t := document.Transaction{ID: fmt.Sprint("wish ", i), Author: "rig", Reason: "wish", Operations: []document.Operation{{Key: fmt.Sprintf("%sn%d", desiredstate.KeyPrefix, node), Value: fmt.Sprintf(`{"out":%v}`, out)}}}
 		var r document.Result
 		turn := 0
 		if !w.until(w.end.Add(w.Recovery), func() (made bool) {
 			var err error
-			r, err = w.client(i + turn).Make(t)
+			r, err = w.client(i + turn).Commit(t)
 			turn++
 			return err == nil
 		}) {
@@ -184,7 +184,7 @@
 	if f.Schedule.Has(Skew, Jump) {
 		// The store's clock may have run ahead and the lease been granted anew. The holder asked last before that, since a renewal asked
 		// for later is refused, and counts for one hold from then on, on its own clock: sooner by true time where that one runs fast.
-		most = store.Terms.Of(f.Lease).Hold()
+		most = store.DefaultLeaseTerms.WithDuration(f.Lease).HolderDuration()
 	}
 	var all []told
 	var wrong []string
@@ -270,7 +270,7 @@
 		client := w.client(c + i + tries)
 		if a.write {
 			var r document.Result
-			if r, err = client.Make(document.Transaction{ID: a.value, By: "rig", Do: []document.Operation{{Key: "x", Value: a.value}}}); err == nil {
+			if r, err = client.Commit(document.Transaction{ID: a.value, Author: "rig", Operations: []document.Operation{{Key: "x", Value: a.value}}}); err == nil {
 				w.mu.Lock()
 				if was, before := w.acked[a.value]; before && was != r.Revision {
 					w.report.Wrong = append(w.report.Wrong, fmt.Sprintf("%s was made as revision %d and as %d", a.value, was, r.Revision))
@@ -280,7 +280,7 @@
 			}
 		} else {
 			var docs []document.Document
-			var seen store.Seen
+			var seen store.ReadStatus
 			if docs, seen, err = client.Documents("x", w.Careless); err == nil && !seen.Confirmed && !w.Careless {
 				err = errors.New("not confirmed")
 			}
@@ -318,7 +318,7 @@
 	}
 	var changes []document.Change
 	if !f.until(time.Now().Add(f.Recovery), func() bool {
-		var seen store.Seen
+		var seen store.ReadStatus
 		var forgotten bool
 		var err error
 		_, now, err1 := f.client(0).Documents("x", false)
@@ -351,12 +351,12 @@
 	for _, x := range changes {
 		switch name, isJob := strings.CutPrefix(x.Key, "duty/"); {
 		case x.Lease != nil:
-			d := of(x.Lease.Duty)
+			d := of(x.Lease.Task)
 			if x.Lease.Token < d.token {
-				say("revision %d: duty %s: token %d after %d", x.Revision, x.Lease.Duty, x.Lease.Token, d.token)
+				say("revision %d: duty %s: token %d after %d", x.Revision, x.Lease.Task, x.Lease.Token, d.token)
 			}
 			if x.Lease.Token == d.token && x.Lease.Holder != "" && x.Lease.Holder != d.owner {
-				say("revision %d: duty %s: token %d is %s's and %s's", x.Revision, x.Lease.Duty, d.token, d.owner, x.Lease.Holder)
+				say("revision %d: duty %s: token %d is %s's and %s's", x.Revision, x.Lease.Task, d.token, d.owner, x.Lease.Holder)
 			}
 			if x.Lease.Token > d.token {
 				if d.owner != x.Lease.Holder {
@@ -375,16 +375,16 @@
 			before := d.job
 			d.job = rec
 			switch {
-			case x.By != d.owner:
-				say("revision %d: %s wrote the record of %s, which is %s's", x.Revision, x.By, name, d.owner)
-			case rec.Job < before.Job || rec.Job == before.Job && rec.Step < before.Step:
+			case x.Author != d.owner:
+				say("revision %d: %s wrote the record of %s, which is %s's", x.Revision, x.Author, name, d.owner)
+			case rec.JobID < before.JobID || rec.JobID == before.JobID && rec.Step < before.Step:
 				say("revision %d: duty %s: %+v after %+v", x.Revision, name, rec, before)
-			case rec.Job == before.Job && before.Ended():
+			case rec.JobID == before.JobID && before.Finished():
 				say("revision %d: duty %s: %+v after its end", x.Revision, name, rec)
-			case rec.Job != before.Job && before.Job != "" && !before.Ended():
+			case rec.JobID != before.JobID && before.JobID != "" && !before.Finished():
 				say("revision %d: duty %s: %+v before the end of %+v", x.Revision, name, rec, before)
 			}
-			if rec.Ended() {
+			if rec.Finished() {
 				r.Jobs++
 			}
 		case strings.HasPrefix(x.Key, "silent/") && !x.Deleted:
--- a/internal/testing/loadrig/remote.go
+++ b/internal/testing/loadrig/remote.go
@@ -34,7 +34,7 @@
 type open struct {
 	id     string
 	try    *emulator.Try
-	answer func(node.Answer)
+	answer func(node.Response)
 	conn   *conn
 	tag    int
 }
@@ -52,19 +52,19 @@
 
 var errConn = errors.New("a connection to the daemon ended")
 
-func (r *remote) Offer(t *emulator.Try, answer func(node.Answer)) {
+func (r *remote) Offer(t *emulator.Try, answer func(node.Response)) {
 	r.ids++
 	o := &open{id: fmt.Sprintf("%016x", r.ids), try: t, answer: answer}
 	c, err := r.connection(t.Source)
 	if err != nil { // refused: nothing ran
-		answer(node.Answer{Kind: node.Refused})
+		answer(node.Response{Status: node.StatusRejected})
 		return
 	}
 	c.last++
 	o.conn, o.tag = c, c.last
 	c.tags[o.tag], r.open[o.id], r.tries[t] = o, o, o
 	fields := fmt.Sprintf("req=%s,ts=%d,via=%d,owner=lab,need=%.1f,level=0.5,ms=%.2f", o.id, time.Now().UnixMilli(), t.Source, t.KB, float64(t.Hint)/1e6)
-	if r.site.Settings.TellsWait {
+	if r.site.Settings.DeadlinePropagated {
 		fields += fmt.Sprintf(",timeout=%d", max(1, time.Until(t.Due).Milliseconds()))
 	}
 	if t.Retry {
@@ -155,7 +155,7 @@
 	c.fin = true
 	for _, o := range c.tags {
 		delete(r.tries, o.try)
-		o.answer(node.Answer{Kind: node.Failed})
+		o.answer(node.Response{Status: node.StatusFailed})
 		r.failed(errConn)
 	}
 	clear(c.tags)
@@ -192,21 +192,21 @@
 	if o == nil {
 		return // taken back: one answer does no harm
 	}
-	a := node.Answer{Kind: node.Failed}
+	a := node.Response{Status: node.StatusFailed}
 	switch parts[1] {
 	case "ACK":
-		a.Kind = node.Served
+		a.Status = node.StatusServed
 	case "NAK":
-		a.Kind = node.Refused
+		a.Status = node.StatusRejected
 	}
 	if len(parts) > 2 {
 		for _, field := range strings.Split(parts[2], ",") {
 			name, value, _ := strings.Cut(field, "=")
 			switch ms, err := strconv.Atoi(value); {
 			case name == "holdoff" && err == nil:
-				a.Holdoff = time.Duration(ms) * time.Millisecond
+				a.RetryAfter = time.Duration(ms) * time.Millisecond
 			case name == "nomore":
-				a.Last = value == "1"
+				a.NoFailover = value == "1"
 			}
 		}
 	}
