--- a/internal/testing/loadrig/rig.go
+++ b/internal/testing/loadrig/rig.go
@@ -155,17 +155,17 @@
 	var classes []map[string]any
 	for _, c := range s.Classes {
 		semantics := "retryable"
-		if c.Effect == logic.Keyed {
+		if c.Idempotency == logic.IdempotentByKey {
 			semantics = "dedup"
 		}
-		classes = append(classes, map[string]any{"name": c.Name, "objective": c.Aim, "hard-limit": c.Deadline, "credit": c.Worth, "semantics": semantics, "window": c.Window})
+		classes = append(classes, map[string]any{"name": c.Name, "objective": c.LatencyObjective, "hard-limit": c.ClientTimeout, "credit": c.PriorityWeight, "semantics": semantics, "window": c.IdempotencyWindow})
 	}
 	return map[string]any{"name": name, "listen": listen, "runtime": runtime, "seed": "1", "stop_ms": 5000,
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"settings": map[string]any{"ceilings": map[string]any{"retry-after": true, "max-retry-after": s.MaxAdvice}, "classes": classes, "servers": s.Servers, "tick": s.Tick,
-			"domain": map[string]any{"cores": s.Cores, "memory-kb": s.MemoryKB, "run-factor": s.RunFactor, "signal": "off", "stop-mode": "freeze", "passes-deadline": s.TellsWait,
+		"settings": map[string]any{"ceilings": map[string]any{"retry-after": true, "max-retry-after": s.MaxRetryAfter}, "classes": classes, "servers": s.FleetSize, "tick": s.StepInterval,
+			"domain": map[string]any{"cores": s.Cores, "memory-kb": s.MemoryKB, "run-factor": s.RunMemoryFactor, "signal": "off", "stop-mode": "freeze", "passes-deadline": s.DeadlinePropagated,
 				"meters": []string{"core_use", "on_cores", "heap_share", "links"}},
 			"projects": []map[string]any{{"name": "lab", "quota-per-s": 1e6, "share": 1}},
-			"rules": map[string]any{"fall": s.CrowdSpan, "grace-to-answer": s.AnswerGrace, "overload-factor": s.CrowdFactor, "start-capacity": 1,
+			"rules": map[string]any{"fall": s.ConcurrencyWindow, "grace-to-answer": s.ResponseGrace, "overload-factor": s.MaxConcurrencyPerCore, "start-capacity": 1,
 				"stop-sending-within": s.DrainGrace}}}
 }
--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -40,10 +40,10 @@
 func TestIdleServerArmsNoTimer(t *testing.T) {
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 0, 3000*ms))
-	d.step(50*ms, done(1, OK, 50*ms))
+	d.step(50*ms, done(1, OutcomeOK, 50*ms))
 	for range 20 {
 		for _, a := range d.step(30*ms, tick()) {
-			if a.Kind == ActTimer {
+			if a.Kind == ActionSetTimer {
 				t.Fatal("a timer with nothing in hand")
 			}
 		}
--- a/logic/calls_test.go
+++ b/logic/calls_test.go
@@ -20,17 +20,17 @@
 	var news []Event
 	var kept []callOut
 	for _, c := range p.out {
-		end, outcome := c.from+p.takes, OK
+		end, outcome := c.from+p.takes, OutcomeOK
 		left := end
 		if c.from+c.timeout < end {
-			end, outcome, left = c.from+c.timeout, TimedOut, c.from+c.timeout+p.linger
+			end, outcome, left = c.from+c.timeout, OutcomeTimedOut, c.from+c.timeout+p.linger
 		}
 		if end > now {
 			kept = append(kept, c)
 			continue
 		}
 		p.spans = append(p.spans, [2]Micros{c.from, left})
-		news = append(news, Event{Kind: EvCallResult, ID: c.id, Outcome: outcome, Elapsed: end - c.from})
+		news = append(news, Event{Kind: EventCallEnded, ID: c.id, Outcome: outcome, Elapsed: end - c.from})
 	}
 	p.out = kept
 	return news
@@ -67,9 +67,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testSettings()
-			cfg.CallsShare, cfg.Cores, cfg.Cold, cfg.MemoryKB = c.share, 8, c.cold, 1e6
+			cfg.CallConcurrencyLimit, cfg.Cores, cfg.SlowStart, cfg.MemoryKB = c.share, 8, c.cold, 1e6
 			d := drive(t, cfg)
-			p := &dependency{takes: c.takes, linger: cfg.CallLinger}
+			p := &dependency{takes: c.takes, linger: cfg.AbandonedCallDuration}
 			calls := 0
 			var news []Event
 			for id := RequestID(1); id <= 2000; id++ {
@@ -78,26 +78,26 @@
 				news = nil
 				for _, a := range out {
 					switch a.Kind {
-					case ActRun:
+					case ActionRun:
 						news = append(news, needs(a.ID))
-					case ActCall:
+					case ActionCall:
 						calls++
-						p.out = append(p.out, callOut{a.ID, d.now, a.Span})
-					case ActGoOn:
-						news = append(news, done(a.ID, OK, 50*ms))
+						p.out = append(p.out, callOut{a.ID, d.now, a.Duration})
+					case ActionSkipCall:
+						news = append(news, done(a.ID, OutcomeOK, 50*ms))
 					}
 				}
 				for _, e := range append([]Event(nil), news...) {
-					if e.Kind == EvCallResult && e.Outcome == OK {
-						news = append(news, done(e.ID, OK, 50*ms))
+					if e.Kind == EventCallEnded && e.Outcome == OutcomeOK {
+						news = append(news, done(e.ID, OutcomeOK, 50*ms))
 					}
 				}
 			}
 			if calls == 0 {
 				t.Fatal("no call was made")
 			}
-			if most := p.most(cfg.CallsSpan); most > c.share {
-				t.Errorf("a mean of %.2f calls in hand over %v under a share of %v", most, cfg.CallsSpan, c.share)
+			if most := p.most(cfg.CallConcurrencyWindow); most > c.share {
+				t.Errorf("a mean of %.2f calls in hand over %v under a share of %v", most, cfg.CallConcurrencyWindow, c.share)
 			}
 		})
 	}
@@ -105,18 +105,18 @@
 
 func TestDebtOfCallTimeEnds(t *testing.T) {
 	cfg := testSettings()
-	cfg.CallsShare = 0.5
+	cfg.CallConcurrencyLimit = 0.5
 	d := drive(t, cfg)
 	d.step(0, arrival(1, 1, 3000*ms))
-	d.want(d.step(ms, needs(1)), ActCall, 1)
-	d.step(900*ms, Event{Kind: EvCallResult, ID: 1, Outcome: OK, Elapsed: 900 * ms})
-	d.step(ms, done(1, OK, 950*ms))
+	d.want(d.step(ms, needs(1)), ActionCall, 1)
+	d.step(900*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 900 * ms})
+	d.step(ms, done(1, OutcomeOK, 950*ms))
 	for id := RequestID(2); id < 100; id++ { // thin traffic after a crowd at the dependency
 		out := d.step(500*ms, arrival(id, 1, 3000*ms))
-		if find(out, ActRun, id) == nil {
+		if find(out, ActionRun, id) == nil {
 			continue
 		}
-		if find(d.step(ms, needs(id)), ActCall, id) != nil {
+		if find(d.step(ms, needs(id)), ActionCall, id) != nil {
 			return
 		}
 	}
@@ -126,25 +126,25 @@
 // atLateCall brings request 2, of the given class, to a call with 0.23 s left where calls take 0.3 s.
 func atLateCall(t *testing.T, class int) (*driver, []Action) {
 	cfg := testSettings()
-	cfg.CallsShare = 0.3
+	cfg.CallConcurrencyLimit = 0.3
 	d := drive(t, cfg)
 	d.step(0, arrival(1, class, 3000*ms), arrival(2, class, 800*ms))
 	d.step(ms, needs(1))
-	d.step(300*ms, Event{Kind: EvCallResult, ID: 1, Outcome: OK, Elapsed: 300 * ms})
+	d.step(300*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 300 * ms})
 	return d, d.step(150*ms, needs(2))
 }
 
 func TestCallThatCannotEndInTimeIsAnsweredAtOnce(t *testing.T) {
 	d, out := atLateCall(t, 1)
-	d.want(out, ActFail, 2)
-	if find(out, ActCall, 2) != nil {
+	d.want(out, ActionFail, 2)
+	if find(out, ActionCall, 2) != nil {
 		t.Error("called although it can't end in time")
 	}
 }
 
 func TestLateCallIsLeftOutWhereThatHasWorth(t *testing.T) {
 	d, out := atLateCall(t, 0)
-	d.want(out, ActGoOn, 2)
+	d.want(out, ActionSkipCall, 2)
 }
 
 // TestALostReplyHoldsUpNoOtherCall: a call that did not go well tells nothing of the whole tier below. A safe one is
@@ -156,48 +156,48 @@
 		elapsed Micros
 		want    ActionKind // for the request whose reply was lost
 	}{
-		{Reset, 0, 20 * ms, ActCall}, {Failed, 0, 20 * ms, ActCall}, {TimedOut, 0, 3000 * ms, ActCall},
-		{Reset, 1, 20 * ms, ActFail}, {TimedOut, 1, 1500 * ms, ActFail}, {Full, 1, 20 * ms, ActCall},
+		{OutcomeReset, 0, 20 * ms, ActionCall}, {OutcomeFailed, 0, 20 * ms, ActionCall}, {OutcomeTimedOut, 0, 3000 * ms, ActionCall},
+		{OutcomeReset, 1, 20 * ms, ActionFail}, {OutcomeTimedOut, 1, 1500 * ms, ActionFail}, {OutcomeRejected, 1, 20 * ms, ActionCall},
 	} {
 		cfg := testSettings()
-		cfg.CallsShare, cfg.Cores = 0, 8
+		cfg.CallConcurrencyLimit, cfg.Cores = 0, 8
 		d := drive(t, cfg)
 		call := func(id RequestID, class int) {
-			d.want(d.step(0, arrival(id, class, 3000*ms)), ActRun, id)
-			d.want(d.step(0, needs(id)), ActCall, id)
+			d.want(d.step(0, arrival(id, class, 3000*ms)), ActionRun, id)
+			d.want(d.step(0, needs(id)), ActionCall, id)
 		}
 		call(1, 0)
-		d.step(20*ms, Event{Kind: EvCallResult, ID: 1, Outcome: OK, Elapsed: 20 * ms})
+		d.step(20*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 20 * ms})
 		call(2, c.class)
-		out := d.step(20*ms, Event{Kind: EvCallResult, ID: 2, Outcome: c.outcome, Elapsed: c.elapsed})
-		if c.outcome == Full { // it waits for a moment, alone
+		out := d.step(20*ms, Event{Kind: EventCallEnded, ID: 2, Outcome: c.outcome, Elapsed: c.elapsed})
+		if c.outcome == OutcomeRejected { // it waits for a moment, alone
 			call(4, 1)
-			out = d.step(wakeTicks*4*ms, Event{Kind: EvTimer})
+			out = d.step(timerSteps*4*ms, Event{Kind: EventTimer})
 		}
 		d.want(out, c.want, 2)
 		call(3, 1)
-		if mean := d.s.callTime.Mean; mean > float64(callSlow*20*ms) {
+		if mean := d.s.callTime.Mean; mean > float64(slowCallFactor*20*ms) {
 			t.Errorf("%v: calls are taken to last %v", c.outcome, mean)
 		}
 		if c.class != 0 {
 			continue
 		}
-		out = d.step(20*ms, Event{Kind: EvCallResult, ID: 2, Outcome: c.outcome, Elapsed: c.elapsed})
-		d.want(out, ActGoOn, 2) // the second time it is left out
+		out = d.step(20*ms, Event{Kind: EventCallEnded, ID: 2, Outcome: c.outcome, Elapsed: c.elapsed})
+		d.want(out, ActionSkipCall, 2) // the second time it is left out
 	}
 }
 
 // A dependency that answers most calls at once and some never: those hold up neither the others nor the estimate.
 func TestCallsThatHangHoldUpNoOthers(t *testing.T) {
 	cfg := testSettings()
-	cfg.Cores, cfg.CallsShare = 8, 13
+	cfg.Cores, cfg.CallConcurrencyLimit = 8, 13
 	d := drive(t, cfg)
 	hung, made := map[RequestID]bool{}, 0
 	for id := RequestID(1); id <= 400; id++ {
 		class := int(id % 2) // of an effect every other one: its call may take until it is due
 		out := d.step(2*ms, arrival(id, class, 3000*ms))
-		out = append(out, d.step(0, Event{Kind: EvNeedsCall, ID: id})...)
-		if find(out, ActCall, id) == nil {
+		out = append(out, d.step(0, Event{Kind: EventCallNeeded, ID: id})...)
+		if find(out, ActionCall, id) == nil {
 			continue
 		}
 		made++
@@ -205,8 +205,8 @@
 			hung[id] = true
 			continue
 		}
-		d.step(ms, Event{Kind: EvCallResult, ID: id, Outcome: OK, Elapsed: 2 * ms})
-		d.step(0, done(id, OK, 5*ms))
+		d.step(ms, Event{Kind: EventCallEnded, ID: id, Outcome: OutcomeOK, Elapsed: 2 * ms})
+		d.step(0, done(id, OutcomeOK, 5*ms))
 	}
 	if made < 390 {
 		t.Errorf("%d of 400 calls were made at once beside %d that hang", made, len(hung))
--- a/logic/learned_test.go
+++ b/logic/learned_test.go
@@ -8,25 +8,25 @@
 // TestLearned: a server that adopts what another learned knows it, and decides from its first request as one that has
 // learned: what can't be answered in time is refused, where one that knows nothing starts it.
 func TestLearned(t *testing.T) {
-	cfg := Settings{Cores: 1, MemoryKB: 1e6, CrowdFactor: 9, Classes: []Class{{Name: "read", Aim: 1e6, Deadline: 2e6, Worth: 1}},
-		Tenants: []Tenant{{Name: "a", Quota: 100}}}
+	cfg := Settings{Cores: 1, MemoryKB: 1e6, MaxConcurrencyPerCore: 9, Classes: []Class{{Name: "read", LatencyObjective: 1e6, ClientTimeout: 2e6, PriorityWeight: 1}},
+		Tenants: []Tenant{{Name: "a", QuotaPerSecond: 100}}}
 	slow, fresh, next := newServer(t, cfg), newServer(t, cfg), newServer(t, cfg)
-	slow.limit, slow.tokens[0] = 4, 7
-	slow.classes[0].Run.add(5e6, meanWeight)
-	slow.told[3] = 2
-	next.Adopt(slow.Learned())
-	if got, want := next.Learned(), slow.Learned(); !reflect.DeepEqual(got, want) {
+	slow.runLimit, slow.tenantTokens[0] = 4, 7
+	slow.classes[0].RunTime.add(5e6, runTimeSampleWeight)
+	slow.timeoutHistogram[3] = 2
+	next.RestoreLearned(slow.LearnedState())
+	if got, want := next.LearnedState(), slow.LearnedState(); !reflect.DeepEqual(got, want) {
 		t.Errorf("adopted %+v, want %+v", got, want)
 	}
 	for _, c := range []struct {
 		s    *Server
 		want ActionKind
-	}{{fresh, ActRun}, {next, ActRefuse}} {
+	}{{fresh, ActionRun}, {next, ActionReject}} {
 		c.s.Step(0, nil)
-		c.s.lastProbe = 0 // no probe is due
+		c.s.lastProbeAt = 0 // no probe is due
 		var got []ActionKind
-		for _, a := range c.s.Step(100, []Event{{Kind: EvArrival, ID: 1, Arrival: Arrival{Tenant: 0}}}) {
-			if a.Kind == ActRun || a.Kind == ActRefuse {
+		for _, a := range c.s.Step(100, []Event{{Kind: EventArrival, ID: 1, Arrival: Arrival{Tenant: 0}}}) {
+			if a.Kind == ActionRun || a.Kind == ActionReject {
 				got = append(got, a.Kind)
 			}
 		}
@@ -42,28 +42,28 @@
 	started := func(s *Server, now Micros, ids ...RequestID) (n int) {
 		var events []Event
 		for _, id := range ids {
-			events = append(events, Event{Kind: EvArrival, ID: id, Arrival: Arrival{Tenant: -1, KB: 10}})
+			events = append(events, Event{Kind: EventArrival, ID: id, Arrival: Arrival{Tenant: -1, MemoryKB: 10}})
 		}
 		for _, a := range s.Step(now, events) {
-			if a.Kind == ActRun {
+			if a.Kind == ActionRun {
 				n++
 			}
 		}
 		return n
 	}
-	cfg := Settings{Cores: 8, MemoryKB: 1e6, RunFactor: 1, CrowdFactor: 9, Classes: []Class{{Name: "read", Aim: 1e9, Deadline: 2e9, Worth: 1}}}
+	cfg := Settings{Cores: 8, MemoryKB: 1e6, RunMemoryFactor: 1, MaxConcurrencyPerCore: 9, Classes: []Class{{Name: "read", LatencyObjective: 1e9, ClientTimeout: 2e9, PriorityWeight: 1}}}
 	s := newServer(t, cfg)
-	s.Share(0.25)
+	s.SetResourceShare(0.25)
 	if n := started(s, 0, 1, 2, 3, 4, 5, 6, 7, 8); n != 2 {
 		t.Errorf("%d of 8 cores used with a quarter of them", n)
 	}
-	s.Share(1)
+	s.SetResourceShare(1)
 	if n := started(s, 1); n != 6 {
 		t.Errorf("%d more started with all of them", n)
 	}
 	cfg.MemoryKB = 100 // room for 9 requests of 10 KB
 	s = newServer(t, cfg)
-	s.Share(0.5)
+	s.SetResourceShare(0.5)
 	started(s, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	if held := len(s.byID); held != 4 {
 		t.Errorf("%d requests in half of the memory, 4 fit", held)
--- a/logic/legal_test.go
+++ b/logic/legal_test.go
@@ -62,32 +62,32 @@
 	class := l.rng.IntN(len(l.cfg.Classes))
 	c := l.cfg.Classes[class]
 	age := Micros(l.rng.IntN(40000))
-	wait := c.Deadline/4 + Micros(l.rng.Int64N(int64(c.Deadline)))
+	wait := c.ClientTimeout/4 + Micros(l.rng.Int64N(int64(c.ClientTimeout)))
 	r := &tracked{class: class, kb: 5 + 40*l.rng.Float64(), arrived: l.now - age, due: l.now + wait}
-	a := Arrival{Class: class, Tenant: -1, KB: r.kb, Wait: wait, Age: age, Rank: l.rng.Float64(),
-		Source: l.rng.IntN(3)}
-	if !l.cfg.TellsWait {
-		a.Wait, r.due = 0, r.arrived+c.Deadline
+	a := Arrival{Class: class, Tenant: -1, MemoryKB: r.kb, AttemptTimeout: wait, Age: age, PriorityRank: l.rng.Float64(),
+		CallerID: l.rng.IntN(3)}
+	if !l.cfg.DeadlinePropagated {
+		a.AttemptTimeout, r.due = 0, r.arrived+c.ClientTimeout
 	}
 	if len(l.cfg.Tenants) > 0 {
 		a.Tenant = l.rng.IntN(len(l.cfg.Tenants))
 	}
 	if l.rng.IntN(2) == 0 {
-		a.Hint = Micros(l.rng.IntN(300000))
+		a.WorkHint = Micros(l.rng.IntN(300000))
 	}
-	if c.Effect == Keyed {
+	if c.Idempotency == IdempotentByKey {
 		r.key = uint64(l.rng.IntN(40))
 		if e, ok := l.entries[r.key]; ok && e.expires > r.arrived {
 			f := l.live[e.id]
 			if f == nil && len(l.ranKey[r.key]) > 0 || f != nil && !f.answered || f != nil && f.started {
-				a.Forerunner = e.id
+				a.OriginalID = e.id
 			}
 		}
 	}
 	l.live[l.next] = r
 	l.order = append(l.order, l.next)
 	l.keyOf[l.next] = r.key
-	l.pending = append(l.pending, Event{Kind: EvArrival, ID: l.next, Arrival: a})
+	l.pending = append(l.pending, Event{Kind: EventArrival, ID: l.next, Arrival: a})
 	l.next++
 }
 
@@ -104,26 +104,26 @@
 		switch {
 		case r.callOut && draw < 0.2:
 			r.callOut = false
-			out := []Outcome{OK, OK, OK, Failed, Full, TimedOut, Unreachable, Reset}[l.rng.IntN(8)]
-			r.atCall = out != OK
-			if out != OK && !out.NeverRan() && l.cfg.Classes[r.class].Effect != Safe {
+			out := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeReset}[l.rng.IntN(8)]
+			r.atCall = out != OutcomeOK
+			if out != OutcomeOK && !out.NeverRan() && l.cfg.Classes[r.class].Idempotency != Idempotent {
 				r.noCall = true
 			}
-			l.pending = append(l.pending, Event{Kind: EvCallResult, ID: id, Outcome: out, Elapsed: 90000})
+			l.pending = append(l.pending, Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 90000})
 		case r.atCall && r.answered:
-			l.done(id, Cancelled)
+			l.done(id, OutcomeCanceled)
 		case (r.running || r.joined) && !r.atCall && draw < 0.05:
-			out := OK
+			out := OutcomeOK
 			if l.rng.IntN(10) == 0 {
-				out = Failed
+				out = OutcomeFailed
 			}
 			l.done(id, out)
-		case r.running && !r.atCall && !r.callOut && draw < 0.08 && l.cfg.Classes[r.class].Calls:
+		case r.running && !r.atCall && !r.callOut && draw < 0.08 && l.cfg.Classes[r.class].CallsDependency:
 			r.atCall = true
-			l.pending = append(l.pending, Event{Kind: EvNeedsCall, ID: id})
+			l.pending = append(l.pending, Event{Kind: EventCallNeeded, ID: id})
 		case draw > 0.998 && !r.answered:
 			r.answered = true
-			l.pending = append(l.pending, Event{Kind: EvGone, ID: id})
+			l.pending = append(l.pending, Event{Kind: EventCanceled, ID: id})
 			if !r.running {
 				delete(l.live, id)
 			}
@@ -133,10 +133,10 @@
 }
 
 func (l *ledger) done(id RequestID, out Outcome) {
-	if out == OK || out == Failed {
+	if out == OutcomeOK || out == OutcomeFailed {
 		l.answered++
 	}
-	l.pending = append(l.pending, Event{Kind: EvDone, ID: id, Outcome: out, Elapsed: 200000})
+	l.pending = append(l.pending, Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: 200000})
 	delete(l.live, id)
 }
 
@@ -144,8 +144,8 @@
 	due := l.timers[:0]
 	for _, t := range l.timers {
 		if t.at <= l.now {
-			g := Gauges{CoreUse: l.rng.Float64(), RunQueue: 20 * l.rng.Float64(), MemoryShare: 0.5, Connections: 9}
-			l.pending = append(l.pending, Event{Kind: EvTimer, Tag: t.tag, Gauges: g})
+			g := Gauges{CPUUtilization: l.rng.Float64(), RunQueueLength: 20 * l.rng.Float64(), MemoryUtilization: 0.5, Connections: 9}
+			l.pending = append(l.pending, Event{Kind: EventTimer, TimerID: t.tag, Gauges: g})
 			continue
 		}
 		due = append(due, t)
@@ -163,26 +163,26 @@
 func (l *ledger) action(a Action) {
 	r := l.live[a.ID]
 	switch a.Kind {
-	case ActTimer:
-		l.timers = append(l.timers, timer{l.now + a.Span, a.Tag})
-	case ActKeepKey:
-		l.entries[l.keyOf[a.ID]] = keyEntry{a.ID, l.now + a.Span}
-	case ActForgetKey:
+	case ActionSetTimer:
+		l.timers = append(l.timers, timer{l.now + a.Duration, a.TimerID})
+	case ActionStoreKey:
+		l.entries[l.keyOf[a.ID]] = keyEntry{a.ID, l.now + a.Duration}
+	case ActionDeleteKey:
 		delete(l.entries, l.keyOf[a.ID])
-	case ActStop:
-		if l.cfg.Stop == StopOff {
+	case ActionStop:
+		if l.cfg.StopMode == StopOff {
 			l.t.Fatal("stop where it is not allowed")
 		}
 		if r != nil && r.running && r.answered && !r.atCall {
-			l.done(a.ID, Cancelled)
+			l.done(a.ID, OutcomeCanceled)
 		}
-	case ActGoOn:
-		if l.cfg.Classes[r.class].DegradedWorth == 0 {
+	case ActionSkipCall:
+		if l.cfg.Classes[r.class].DegradedWeightShare == 0 {
 			l.t.Fatal("went on without a call where that has no worth")
 		}
 		r.atCall = false
-	case ActSay:
-		if l.cfg.Signal == SignalNone {
+	case ActionSetLoadSignal:
+		if l.cfg.SignalMode == SignalOff {
 			l.t.Fatal("said a value where none is taken")
 		}
 	}
@@ -190,16 +190,16 @@
 		return
 	}
 	switch a.Kind {
-	case ActRun:
+	case ActionRun:
 		l.run(a.ID, r)
-	case ActJoin:
+	case ActionCoalesce:
 		r.joined = true
-	case ActCall:
+	case ActionCall:
 		if r.noCall {
 			l.t.Fatalf("call of an effect repeated: %d", a.ID)
 		}
 		r.callOut = true
-	case ActRefuse, ActFail:
+	case ActionReject, ActionFail:
 		l.answer(a, r)
 	}
 }
@@ -215,9 +215,9 @@
 	if l.kill > 0 && r.arrived > l.drainAt+l.cfg.DrainGrace {
 		l.t.Fatalf("run of %d, which arrived past the drain's grace", id)
 	}
-	if c.Effect == Keyed {
+	if c.Idempotency == IdempotentByKey {
 		for _, at := range l.ranKey[r.key] {
-			if r.arrived-at < c.Window && r.arrived > at-c.Window {
+			if r.arrived-at < c.IdempotencyWindow && r.arrived > at-c.IdempotencyWindow {
 				l.t.Fatalf("key %d ran twice within its window", r.key)
 			}
 		}
@@ -230,7 +230,7 @@
 	if r.answered {
 		l.t.Fatalf("second answer for %d", a.ID)
 	}
-	if a.Kind == ActRefuse && r.started && l.cfg.Classes[r.class].Effect != Safe {
+	if a.Kind == ActionReject && r.started && l.cfg.Classes[r.class].Idempotency != Idempotent {
 		l.t.Fatalf("effect %d refused after a run", a.ID)
 	}
 	r.answered = true
@@ -249,10 +249,10 @@
 		}
 		kb := r.kb
 		if r.running {
-			kb *= l.cfg.RunFactor
+			kb *= l.cfg.RunMemoryFactor
 		}
 		memory += kb
-		if !r.answered && l.now > r.due+l.cfg.AnswerGrace {
+		if !r.answered && l.now > r.due+l.cfg.ResponseGrace {
 			l.t.Fatalf("request %d unanswered past its due time", id)
 		}
 		if l.kill > 0 && l.now >= l.kill && !r.answered {
@@ -260,15 +260,15 @@
 		}
 	}
 	speed := 1.0
-	if l.cfg.Cold {
-		speed = min(1, l.cfg.ColdCapacity+(1-l.cfg.ColdCapacity)*float64(l.now-1<<40)/float64(l.cfg.WarmAfter))
+	if l.cfg.SlowStart {
+		speed = min(1, l.cfg.SlowStartCapacity+(1-l.cfg.SlowStartCapacity)*float64(l.now-1<<40)/float64(l.cfg.SlowStartDuration))
 	}
-	if most := float64(l.cfg.Cores) * (1 + (l.cfg.CrowdFactor-1)*speed); float64(onCores) > most {
+	if most := float64(l.cfg.Cores) * (1 + (l.cfg.MaxConcurrencyPerCore-1)*speed); float64(onCores) > most {
 		l.t.Fatalf("%d runs on cores that survive %.1f", onCores, most)
 	}
 	for _, e := range l.entries {
 		if e.expires > l.now {
-			memory += l.cfg.KeyKB
+			memory += l.cfg.KeyEntryKB
 		}
 	}
 	if memory > l.cfg.MemoryKB {
@@ -280,17 +280,17 @@
 	for name, change := range map[string]func(*Settings){
 		"plain":      func(*Settings) {},
 		"one core":   func(c *Settings) { c.Cores = 1 },
-		"no waits":   func(c *Settings) { c.TellsWait = false },
-		"no stop":    func(c *Settings) { c.Stop = StopOff },
-		"freeze":     func(c *Settings) { c.Stop = StopFreeze },
-		"dear keys":  func(c *Settings) { c.KeyKB, c.MemoryKB = 400, 9000 },
+		"no waits":   func(c *Settings) { c.DeadlinePropagated = false },
+		"no stop":    func(c *Settings) { c.StopMode = StopOff },
+		"freeze":     func(c *Settings) { c.StopMode = StopPause },
+		"dear keys":  func(c *Settings) { c.KeyEntryKB, c.MemoryKB = 400, 9000 },
 		"tight":      func(c *Settings) { c.MemoryKB = 3000 },
-		"few calls":  func(c *Settings) { c.CallsShare = 0.5 },
-		"floor":      func(c *Settings) { c.Signal = SignalFloor },
-		"weight":     func(c *Settings) { c.Signal = SignalWeight },
-		"long tick":  func(c *Settings) { c.Tick = 20000 },
-		"cold":       func(c *Settings) { c.Cold = true },
-		"cold calls": func(c *Settings) { c.Cold, c.CallsShare, c.WarmAfter = true, 50, 60000*ms },
+		"few calls":  func(c *Settings) { c.CallConcurrencyLimit = 0.5 },
+		"floor":      func(c *Settings) { c.SignalMode = SignalPriorityFloor },
+		"weight":     func(c *Settings) { c.SignalMode = SignalWeight },
+		"long tick":  func(c *Settings) { c.StepInterval = 20000 },
+		"cold":       func(c *Settings) { c.SlowStart = true },
+		"cold calls": func(c *Settings) { c.SlowStart, c.CallConcurrencyLimit, c.SlowStartDuration = true, 50, 60000*ms },
 		"no tenants": func(c *Settings) { c.Tenants = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -307,8 +307,8 @@
 	l := newLedger(t, cfg, seed)
 	const steps = 4000
 	for i := range steps {
-		l.now += cfg.Tick * Micros(1+l.rng.IntN(2))
-		if l.kill > 0 && l.now >= l.kill-cfg.Tick {
+		l.now += cfg.StepInterval * Micros(1+l.rng.IntN(2))
+		if l.kill > 0 && l.now >= l.kill-cfg.StepInterval {
 			break
 		}
 		busy := i/500%2 == 1
@@ -322,7 +322,7 @@
 		}
 		if i == steps*3/4 {
 			l.drainAt, l.kill = l.now, l.now+4*cfg.DrainGrace
-			l.pending = append(l.pending, Event{Kind: EvDrain, Left: 4 * cfg.DrainGrace})
+			l.pending = append(l.pending, Event{Kind: EventDrain, TimeToKill: 4 * cfg.DrainGrace})
 		}
 		l.step()
 	}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -14,97 +14,97 @@
 
 // Tuned values. Spans not given as ratios of told quantities are in microseconds.
 const (
-	meanWeight   = 0.1     // weight of one sample in T_m (the paper's alpha): work varies from run to run
-	probeWeight  = 0.5     // weight of a probe's sample: few come, and each tells of a change
-	aimShare     = 0.65    // D1 as a share of the aim: room for runs longer than T_m and for the way back
-	idleShare    = 0.9     // and on a server with an idle core
-	slopeMost    = 2       // run time for each unit of hint that one sample may suggest
-	lateShare    = 0.75    // D2 as a share of the aim, or of a later instant where late answers have worth
-	queuedShare  = 0.02    // a request waits this share of its aim before it may be refused as hopeless
-	stallFloor   = 100000  // least completion gap that may be a stall (the paper's 100 ms)
-	stallGaps    = 6       // a stall is a gap of this many mean gaps, so that thin traffic is none
-	slowShare    = 0.18    // share of the mean aim that reading takes on a server too slow to be sent more
-	readShare    = 0.5     // share of the cores beyond which what is being read takes the place of runs
-	limitCut     = 0.75    // factor on the limit when runs slow each other
-	slowRuns     = 1.3     // recent mean over long mean run time that counts as slowed
-	crowdShare   = 0.75    // share of the crowd that the server survives which may run at once
-	memoryShare  = 0.92    // share of the memory that may be planned; the rest covers late news
-	callsMost    = 0.8     // share of the calls bound that is planned while calls take their least time
-	callsLeast   = 0.25    // and at the least, however slow: crowds slow the dependency well below its bound
-	callSlow     = 2       // mean over least call time from which calls count as slowed
-	callsDrift   = 0.002   // weight with which the least call time follows the mean: it may be over
-	callsBurst   = 10      // calls that may be made at once after a quiet spell
-	callsAhead   = 0.2     // and at least as much as is planned in this part of the mean aim
-	callWaits    = 0.3     // part of an aim that a call to a shared dependency may take, or counts for
-	callsKept    = 4       // calls' time kept back from the least worthy for the most worthy
-	callWeight   = 0.15    // weight of one sample of the call time, or age at reading: few tell of a change
-	callPatience = 6       // a call that may be left out waits this many least call times at most
-	callRepeats  = 1       // times that a safe call which did not go well is made again
-	callBack     = 0.5     // mean call times until a call turned away by a tier is made again, growing
-	callsPart    = 0.5     // share of the room left under the calls bound that one call may take
-	wakeTicks    = 8       // ticks between looks at the clock while work is in hand
-	quotaSlack   = 1.3     // a server's part of a quota over the even one: traffic is uneven
-	quotaBurst   = 3       // seconds of quota that a tenant may use at once
-	inviteShare  = 0.3     // work that callers may have out here, as a share of what fits into the mean aim
-	retryShare   = 0.3     // worth of a marked later try: some of its aim is spent, and how much is not told
-	heardLately  = 32      // arrivals over which the callers' shares of the traffic are averaged
-	failShare    = 0.6     // mean of failures, or of ages at reading, from which the server counts as unwell
-	staleShare   = 0.5     // share of its aim within which a request is read on a server that is well
-	adviceShare  = 1.0 / 3 // advice to stay away, as a share of the time that the backlog takes
-	toldParts    = 100     // parts of the deadline in which told waits are told apart
-	toldLately   = 512     // arrivals over which the told shares of the deadline are counted
-	toldOrdinary = 0.05    // part of the arrivals with a told share from which it is one of first tries
-	idleParts    = 4       // longest idle span over the one kept where all callers come back
-	lastShare    = 0.6     // refused share from which a further try elsewhere is taken to be in vain
-	lastFew      = 0.3     // the same where further tries that come here show that others refuse too
-	lastAgain    = 0.15    // share of further tries among the arrivals from which they show it
-	valveStep    = 0.4     // relative change of the idle span a look, for each unit of intake off its share
-	valveShare   = 0.35    // share of the cores that intake may take before the table is let fill
-	shutMost     = 0.9     // share of the traffic that a backlog keeps away at most
-	shutSick     = 0.98    // share kept away while sick or leaving; the rest tells when it is over
-	sayStep      = 0.25    // relative change of the said value worth saying
+	runTimeSampleWeight            = 0.1     // weight of one sample in T_m (the paper's alpha): work varies from run to run
+	probeSampleWeight              = 0.5     // weight of a probe's sample: few come, and each tells of a change
+	newQueueBoundShare             = 0.65    // D1 as a share of the aim: room for runs longer than T_m and for the way back
+	idleOldQueueBoundShare         = 0.9     // and on a server with an idle core
+	maxRunTimePerHint              = 2       // run time for each unit of hint that one sample may suggest
+	oldQueueBoundShare             = 0.75    // D2 as a share of the aim, or of a later instant where late answers have worth
+	minQueueTimeShare              = 0.02    // a request waits this share of its aim before it may be refused as hopeless
+	minStallGap                    = 100000  // least completion gap that may be a stall (the paper's 100 ms)
+	stallGapFactor                 = 6       // a stall is a gap of this many mean gaps, so that thin traffic is none
+	slowReadShare                  = 0.18    // share of the mean aim that reading takes on a server too slow to be sent more
+	readingCoreShare               = 0.5     // share of the cores beyond which what is being read takes the place of runs
+	runLimitDecrease               = 0.75    // factor on the limit when runs slow each other
+	slowdownThreshold              = 1.3     // recent mean over long mean run time that counts as slowed
+	maxConcurrencyShare            = 0.75    // share of the crowd that the server survives which may run at once
+	plannedMemoryShare             = 0.92    // share of the memory that may be planned; the rest covers late news
+	maxCallPaceShare               = 0.8     // share of the calls bound that is planned while calls take their least time
+	minCallPaceShare               = 0.25    // and at the least, however slow: crowds slow the dependency well below its bound
+	slowCallFactor                 = 2       // mean over least call time from which calls count as slowed
+	minCallTimeDrift               = 0.002   // weight with which the least call time follows the mean: it may be over
+	callBurst                      = 10      // calls that may be made at once after a quiet spell
+	callBurstObjectiveShare        = 0.2     // and at least as much as is planned in this part of the mean aim
+	callObjectiveShare             = 0.3     // part of an aim that a call to a shared dependency may take, or counts for
+	reservedCalls                  = 4       // calls' time kept back from the least worthy for the most worthy
+	callSampleWeight               = 0.15    // weight of one sample of the call time, or age at reading: few tell of a change
+	callPatienceFactor             = 6       // a call that may be left out waits this many least call times at most
+	maxCallRetries                 = 1       // times that a safe call which did not go well is made again
+	callRetryBackoff               = 0.5     // mean call times until a call turned away by a tier is made again, growing
+	maxCallBudgetShare             = 0.5     // share of the room left under the calls bound that one call may take
+	timerSteps                     = 8       // ticks between looks at the clock while work is in hand
+	quotaImbalance                 = 1.3     // a server's part of a quota over the even one: traffic is uneven
+	quotaBurstSeconds              = 3       // seconds of quota that a tenant may use at once
+	offeredWorkShare               = 0.3     // work that callers may have out here, as a share of what fits into the mean aim
+	retryWeightShare               = 0.3     // worth of a marked later try: some of its aim is spent, and how much is not told
+	recentArrivalCount             = 32      // arrivals over which the callers' shares of the traffic are averaged
+	unhealthyShare                 = 0.6     // mean of failures, or of ages at reading, from which the server counts as unwell
+	staleReadShare                 = 0.5     // share of its aim within which a request is read on a server that is well
+	retryAfterShare                = 1.0 / 3 // advice to stay away, as a share of the time that the backlog takes
+	timeoutBuckets                 = 100     // parts of the deadline in which told waits are told apart
+	timeoutHistogramArrivals       = 512     // arrivals over which the told shares of the deadline are counted
+	commonTimeoutShare             = 0.05    // part of the arrivals with a told share from which it is one of first tries
+	idleTimeoutRange               = 4       // longest idle span over the one kept where all callers come back
+	futileRejectedShare            = 0.6     // refused share from which a further try elsewhere is taken to be in vain
+	futileRejectedShareWithRetries = 0.3     // the same where further tries that come here show that others refuse too
+	futileRetryShare               = 0.15    // share of further tries among the arrivals from which they show it
+	idleTimeoutGain                = 0.4     // relative change of the idle span a look, for each unit of intake off its share
+	intakeTargetShare              = 0.35    // share of the cores that intake may take before the table is let fill
+	maxDivertedShare               = 0.9     // share of the traffic that a backlog keeps away at most
+	faultyDivertedShare            = 0.98    // share kept away while sick or leaving; the rest tells when it is over
+	loadSignalMinChange            = 0.25    // relative change of the said value worth saying
 )
 
-type stage int
+type requestState int
 
 const (
-	held    stage = iota // waits for a slot
-	running              // on the cores
-	calling              // stands at a call
-	joined               // waits for its forerunner's result
+	stateQueued    requestState = iota // waits for a slot
+	stateRunning                       // on the cores
+	stateAtCall                        // stands at a call
+	stateCoalesced                     // waits for its forerunner's result
 )
 
 type request struct {
 	Arrival
-	id       RequestID
-	arrived  Micros // when it reached the machine
-	first    Micros // when its first try was made, at the latest
-	due      Micros // its answer is owed by then
-	started  Micros
-	stage    stage
-	stopped  Micros  // when its stop was asked last
-	old      bool    // in the old-request queue
-	density  float64 // worth for core time, as of the last order
-	answered bool
-	keyEnds  Micros  // when its entry of the table of keys expires; 0: it has none
-	over     bool    // beyond its tenant's quota
-	weight   float64 // of its run's sample
-	callOut  bool
-	lost     int    // calls of its run that did not go well
-	callFrom Micros // its next call is not made before
-	called   Micros // when its call was made
-	reserved Micros // the longest that this call can stay in the dependency's hands
-}
-
-// handled is a call that is over.
-type handled struct {
-	left Micros // when it left the dependency's hands
-	span Micros // how long it was in them
+	id               RequestID
+	arrivedAt        Micros // when it reached the machine
+	firstAttemptAt   Micros // when its first try was made, at the latest
+	deadline         Micros // its answer is owed by then
+	startedAt        Micros
+	state            requestState
+	stopRequestedAt  Micros  // when its stop was asked last
+	inOldQueue       bool    // in the old-request queue
+	weightDensity    float64 // worth for core time, as of the last order
+	answered         bool
+	keyExpiresAt     Micros  // when its entry of the table of keys expires; 0: it has none
+	overQuota        bool    // beyond its tenant's quota
+	sampleWeight     float64 // of its run's sample
+	callInFlight     bool
+	failedCalls      int    // calls of its run that did not go well
+	callBlockedUntil Micros // its next call is not made before
+	callStartedAt    Micros // when its call was made
+	callReservation  Micros // the longest that this call can stay in the dependency's hands
+}
+
+// endedCall is a call that is over.
+type endedCall struct {
+	releasedAt Micros // when it left the dependency's hands
+	duration   Micros // how long it was in them
 }
 
 func (a *Average) add(x, weight float64) {
-	a.N++
-	a.Mean += max(weight, 1/float64(a.N)) * (x - a.Mean)
+	a.Samples++
+	a.Mean += max(weight, 1/float64(a.Samples)) * (x - a.Mean)
 }
 
 // classState is what is known of one class.
@@ -115,137 +115,137 @@
 
 // Server decides for one server process. It is not safe for concurrent use.
 type Server struct {
-	cfg     Settings
-	now     Micros
-	started Micros
-	out     []Action
-
-	classes       []*classState
-	aim, topWorth float64 // the mean aim in microseconds and the most worth over the classes, above 0
-	told          [toldParts]float64
-	latest        []Arrival
-	tokens        []float64 // what is left of each tenant's quota on this server
-	byID          map[RequestID]*request
-	queue         []*request // held; order sorts it
-	active        []*request // running, calling or joined
-
-	limit               float64
-	share               float64 // of the cores and the memory: another process of this server has the rest
-	running             int
-	calls               int      // requests that stand at a call
-	memory              float64  // kilobytes of held and running requests
-	keys                []Micros // when entries of the table of keys expire, in order
-	recent              Average  // recent run time over the estimate at its start
-	gap                 Average  // microseconds between completions while the cores are full
-	progress            Micros   // last sign that the cores get work done
-	stallEnd            Micros   // runs started before this are no samples
-	refusing            Average  // share of requests refused
-	failing             Average  // share of recent runs that failed
-	floor               float64  // rank below which callers are asked to send nothing
-	stale               Average  // age at reading, of staleShare of the aim
-	readGap             Average  // microseconds between requests read while cores read
-	again               float64  // share of further tries among the latest arrivals
-	lastProbe, lastRead Micros
-	gauges              Gauges
-
-	callTime  Average // microseconds of a call
-	callBest  float64 // the least that its mean has been lately
-	callsOut  int     // calls in the dependency's hands, abandoned ones not counted
-	ledger    []handled
-	callsDone Micros // sum of the ledger's spans: calls over that the bound still counts
-	callsHeld Micros // the longest that the calls out may take, together
-	callsFrom Micros // no call is made before: the last one was not taken
-	lastCall  Micros
-	credit    float64 // call time that may be used now, in microseconds; below 0: overdrawn
-
-	drainAt, kill  Micros // when the notice to leave came and when it ends; 0: none
-	wakeAt         Micros // 0: no timer armed
-	said           float64
-	healthy        bool
-	idle, idleSaid float64
+	cfg       Settings
+	now       Micros
+	startedAt Micros
+	actions   []Action
+
+	classes                  []*classState
+	meanObjective, maxWeight float64 // the mean aim in microseconds and the most worth over the classes, above 0
+	timeoutHistogram         [timeoutBuckets]float64
+	recentArrivals           []Arrival
+	tenantTokens             []float64 // what is left of each tenant's quota on this server
+	byID                     map[RequestID]*request
+	queue                    []*request // held; order sorts it
+	active                   []*request // running, calling or joined
+
+	runLimit                float64
+	resourceShare           float64 // of the cores and the memory: another process of this server has the rest
+	running                 int
+	atCall                  int      // requests that stand at a call
+	requestMemoryKB         float64  // kilobytes of held and running requests
+	keyExpiries             []Micros // when entries of the table of keys expire, in order
+	runSlowdown             Average  // recent run time over the estimate at its start
+	completionGap           Average  // microseconds between completions while the cores are full
+	lastProgressAt          Micros   // last sign that the cores get work done
+	stallEndedAt            Micros   // runs started before this are no samples
+	rejectedShare           Average  // share of requests refused
+	failedShare             Average  // share of recent runs that failed
+	priorityFloor           float64  // rank below which callers are asked to send nothing
+	readStaleness           Average  // age at reading, of staleShare of the aim
+	readInterval            Average  // microseconds between requests read while cores read
+	retryShare              float64  // share of further tries among the latest arrivals
+	lastProbeAt, lastReadAt Micros
+	gauges                  Gauges
+
+	callTime          Average // microseconds of a call
+	minCallTime       float64 // the least that its mean has been lately
+	callsInFlight     int     // calls in the dependency's hands, abandoned ones not counted
+	endedCalls        []endedCall
+	endedCallTime     Micros // sum of the ledger's spans: calls over that the bound still counts
+	reservedCallTime  Micros // the longest that the calls out may take, together
+	callsBlockedUntil Micros // no call is made before: the last one was not taken
+	lastCallAt        Micros
+	callCredit        float64 // call time that may be used now, in microseconds; below 0: overdrawn
+
+	drainStartedAt, killAt       Micros // when the notice to leave came and when it ends; 0: none
+	timerDueAt                   Micros // 0: no timer armed
+	sentLoadSignal               float64
+	sentHealthy                  bool
+	idleTimeout, sentIdleTimeout float64
 }
 
 // New returns a Server that has decided nothing yet. It needs no seed so far: nothing is drawn at random.
 func New(cfg Settings, _ uint64) (*Server, error) {
-	if err := check(cfg); err != nil {
+	if err := validate(cfg); err != nil {
 		return nil, err
 	}
 	s := &Server{now: -1, byID: map[RequestID]*request{},
-		limit: float64(cfg.Cores), share: 1,
-		tokens: make([]float64, len(cfg.Tenants)), said: -1, healthy: true,
-		topWorth: 1e-9, gauges: Gauges{CoreUse: -1, RunQueue: -1, MemoryShare: -1, Connections: -1}}
-	s.tune(cfg)
-	for i := range s.tokens {
-		s.tokens[i] = s.quota(i) * quotaBurst
+		runLimit: float64(cfg.Cores), resourceShare: 1,
+		tenantTokens: make([]float64, len(cfg.Tenants)), sentLoadSignal: -1, sentHealthy: true,
+		maxWeight: 1e-9, gauges: Gauges{CPUUtilization: -1, RunQueueLength: -1, MemoryUtilization: -1, Connections: -1}}
+	s.applySettings(cfg)
+	for i := range s.tenantTokens {
+		s.tenantTokens[i] = s.quotaRate(i) * quotaBurstSeconds
 	}
 	return s, nil
 }
 
-// Retune takes new settings while requests are in hand. Classes keep their places and new
+// Reconfigure takes new settings while requests are in hand. Classes keep their places and new
 // ones come after them, so that each request keeps its class; tenants stay as they are.
-func (s *Server) Retune(cfg Settings) error {
-	if err := check(cfg); err != nil {
+func (s *Server) Reconfigure(cfg Settings) error {
+	if err := validate(cfg); err != nil {
 		return err
 	}
 	if len(cfg.Classes) < len(s.classes) || len(cfg.Tenants) != len(s.cfg.Tenants) {
 		return errors.New("settings: while requests are in hand classes may only be added")
 	}
-	s.tune(cfg)
+	s.applySettings(cfg)
 	return nil
 }
 
-// tune takes over settings and their classes.
-func (s *Server) tune(cfg Settings) {
-	cfg.RunFactor = max(1, cfg.RunFactor)
-	s.cfg, s.aim = cfg, 0
+// applySettings takes over settings and their classes.
+func (s *Server) applySettings(cfg Settings) {
+	cfg.RunMemoryFactor = max(1, cfg.RunMemoryFactor)
+	s.cfg, s.meanObjective = cfg, 0
 	for i, c := range cfg.Classes {
 		if i == len(s.classes) {
 			s.classes = append(s.classes, &classState{})
 		}
 		s.classes[i].Class = c
-		s.aim += float64(c.Aim) / float64(len(cfg.Classes))
-		s.topWorth = max(s.topWorth, c.Worth)
+		s.meanObjective += float64(c.LatencyObjective) / float64(len(cfg.Classes))
+		s.maxWeight = max(s.maxWeight, c.PriorityWeight)
 	}
 }
 
-// Learned is what this server has found out so far.
-func (s *Server) Learned() Learned {
-	l := Learned{Limit: s.limit, Gap: s.gap, CallTime: s.callTime, CallBest: s.callBest, Refusing: s.refusing,
-		Told: slices.Clone(s.told[:]), Classes: map[string]Estimate{}, Tokens: map[string]float64{}}
+// LearnedState is what this server has found out so far.
+func (s *Server) LearnedState() LearnedState {
+	l := LearnedState{RunLimit: s.runLimit, CompletionGap: s.completionGap, CallTime: s.callTime, MinCallTime: s.minCallTime, RejectedShare: s.rejectedShare,
+		TimeoutHistogram: slices.Clone(s.timeoutHistogram[:]), Classes: map[string]Estimate{}, TenantTokens: map[string]float64{}}
 	for _, c := range s.classes {
 		l.Classes[c.Name] = c.Estimate
 	}
 	for i, t := range s.cfg.Tenants {
-		l.Tokens[t.Name] = s.tokens[i]
+		l.TenantTokens[t.Name] = s.tenantTokens[i]
 	}
 	return l
 }
 
-// Adopt begins with what another server found out; slots caps its limit as it does an own one. It is to be
+// RestoreLearned begins with what another server found out; slots caps its limit as it does an own one. It is to be
 // called before the first Step.
-func (s *Server) Adopt(l Learned) {
-	s.limit, s.gap, s.refusing = max(s.limit, l.Limit), l.Gap, l.Refusing
-	s.callTime, s.callBest = l.CallTime, l.CallBest
-	copy(s.told[:], l.Told)
+func (s *Server) RestoreLearned(l LearnedState) {
+	s.runLimit, s.completionGap, s.rejectedShare = max(s.runLimit, l.RunLimit), l.CompletionGap, l.RejectedShare
+	s.callTime, s.minCallTime = l.CallTime, l.MinCallTime
+	copy(s.timeoutHistogram[:], l.TimeoutHistogram)
 	for _, c := range s.classes {
 		c.Estimate = l.Classes[c.Name]
 	}
 	for i, t := range s.cfg.Tenants {
-		s.tokens[i] = min(s.tokens[i], max(0, l.Tokens[t.Name]))
+		s.tenantTokens[i] = min(s.tenantTokens[i], max(0, l.TenantTokens[t.Name]))
 	}
 }
 
-// Share says which part of the cores and the memory, up to 1, this server may use as of the next Step.
-func (s *Server) Share(part float64) { s.share = part }
+// SetResourceShare says which part of the cores and the memory, up to 1, this server may use as of the next Step.
+func (s *Server) SetResourceShare(part float64) { s.resourceShare = part }
 
-// check errs where nothing could be decided. Package settings says what is wrong with which key.
-func check(cfg Settings) error {
+// validate errs where nothing could be decided. Package settings says what is wrong with which key.
+func validate(cfg Settings) error {
 	ok := len(cfg.Classes) > 0 && min(float64(cfg.Cores), cfg.MemoryKB) > 0
 	for _, c := range cfg.Classes {
-		ok = ok && c.Aim > 0 && c.Deadline > 0 && c.Window >= 0
+		ok = ok && c.LatencyObjective > 0 && c.ClientTimeout > 0 && c.IdempotencyWindow >= 0
 	}
-	if !ok || cfg.CallsShare > 0 && cfg.CallsSpan == 0 || min(cfg.WarmAfter, cfg.CrowdSpan, cfg.AnswerGrace,
-		cfg.DrainGrace, cfg.Tick, cfg.CallsSpan, cfg.CallLinger, cfg.MaxAdvice, cfg.IdleSpan) < 0 {
+	if !ok || cfg.CallConcurrencyLimit > 0 && cfg.CallConcurrencyWindow == 0 || min(cfg.SlowStartDuration, cfg.ConcurrencyWindow, cfg.ResponseGrace,
+		cfg.DrainGrace, cfg.StepInterval, cfg.CallConcurrencyWindow, cfg.AbandonedCallDuration, cfg.MaxRetryAfter, cfg.CallerIdleTimeout) < 0 {
 		return errors.New("settings: cores, memory, aims and deadlines must be above 0, no span below")
 	}
 	return nil
@@ -253,422 +253,424 @@
 
 // Step takes in all that happened, then decides once. The actions are valid until the next call.
 func (s *Server) Step(now Micros, events []Event) []Action {
-	s.advance(now)
+	s.advanceClock(now)
 	for i := range events {
-		s.take(&events[i])
+		s.handleEvent(&events[i])
 	}
-	s.order()
-	s.guardDue()
-	s.guardUseless()
-	s.guardMemory()
-	for s.running < s.slots() && s.round() { // one round for each free slot
+	s.sortQueue()
+	s.answerExpired()
+	s.stopAnsweredRuns()
+	s.shedForMemory()
+	for s.running < s.runSlots() && s.startNext() { // one round for each free slot
 	}
-	s.refuseHopeless()
-	s.guardCalls()
-	s.signal()
-	s.arm()
-	return s.out
+	s.shedHopeless()
+	s.admitCalls()
+	s.updateSignals()
+	s.armTimer()
+	return s.actions
 }
 
-func (s *Server) do(a Action) { s.out = append(s.out, a) }
+func (s *Server) emit(a Action) { s.actions = append(s.actions, a) }
 
-// advance moves the clock and what depends on it alone.
-func (s *Server) advance(now Micros) {
-	s.out = s.out[:0]
+// advanceClock moves the clock and what depends on it alone.
+func (s *Server) advanceClock(now Micros) {
+	s.actions = s.actions[:0]
 	if s.now < 0 {
-		s.started, s.progress, s.now = now, now, now
-		s.do(Action{Kind: ActHealth, On: true})
+		s.startedAt, s.lastProgressAt, s.now = now, now, now
+		s.emit(Action{Kind: ActionSetHealth, Healthy: true})
 	}
 	span := float64(now - s.now)
-	s.credit = min(s.credit+s.callPace()*span, max(callsBurst*s.callTime.Mean, callsAhead*s.aim*s.callPace()))
+	s.callCredit = min(s.callCredit+s.plannedCallConcurrency()*span, max(callBurst*s.callTime.Mean, callBurstObjectiveShare*s.meanObjective*s.plannedCallConcurrency()))
 	s.now = now
-	at, _ := slices.BinarySearch(s.keys, now)
-	s.keys = s.keys[at:]
-	for len(s.ledger) > 0 && s.ledger[0].left+s.cfg.CallsSpan < now {
-		s.callsDone -= s.ledger[0].span
-		s.ledger = s.ledger[1:]
+	at, _ := slices.BinarySearch(s.keyExpiries, now)
+	s.keyExpiries = s.keyExpiries[at:]
+	for len(s.endedCalls) > 0 && s.endedCalls[0].releasedAt+s.cfg.CallConcurrencyWindow < now {
+		s.endedCallTime -= s.endedCalls[0].duration
+		s.endedCalls = s.endedCalls[1:]
 	}
-	for i := range s.tokens {
-		s.tokens[i] = min(s.quota(i)*quotaBurst, s.tokens[i]+s.quota(i)*span/1e6)
+	for i := range s.tenantTokens {
+		s.tenantTokens[i] = min(s.quotaRate(i)*quotaBurstSeconds, s.tenantTokens[i]+s.quotaRate(i)*span/1e6)
 	}
 }
 
-// quota is this server's part of a tenant's quota, in requests a second; at least a request fits the burst.
-func (s *Server) quota(tenant int) float64 {
-	return max(quotaSlack*s.cfg.Tenants[tenant].Quota/float64(max(1, s.cfg.Servers)), 1.0/quotaBurst)
+// quotaRate is this server's part of a tenant's quota, in requests a second; at least a request fits the burst.
+func (s *Server) quotaRate(tenant int) float64 {
+	return max(quotaImbalance*s.cfg.Tenants[tenant].QuotaPerSecond/float64(max(1, s.cfg.FleetSize)), 1.0/quotaBurstSeconds)
 }
 
 // Intake.
 
-func (s *Server) take(ev *Event) {
+func (s *Server) handleEvent(ev *Event) {
 	switch r := s.byID[ev.ID]; {
-	case ev.Kind == EvArrival:
-		s.arrive(ev)
-	case ev.Kind == EvTimer:
-		s.wakeAt, s.gauges = 0, ev.Gauges
-		s.moveFloor()
-		if s.gauges.RunQueue <= float64(s.running) {
-			s.stale.Mean = 0
+	case ev.Kind == EventArrival:
+		s.handleArrival(ev)
+	case ev.Kind == EventTimer:
+		s.timerDueAt, s.gauges = 0, ev.Gauges
+		s.updatePriorityFloor()
+		if s.gauges.RunQueueLength <= float64(s.running) {
+			s.readStaleness.Mean = 0
 		}
-		s.climb()
-		s.closeIdle()
-	case ev.Kind == EvDrain:
-		s.drainAt, s.kill = s.now, s.now+max(1, ev.Left)
+		s.raiseRunLimit()
+		s.adjustIdleTimeout()
+	case ev.Kind == EventDrain:
+		s.drainStartedAt, s.killAt = s.now, s.now+max(1, ev.TimeToKill)
 	case r == nil: // late news of a request that is over
-	case ev.Kind == EvDone:
-		s.finish(r, ev)
-	case ev.Kind == EvGone:
+	case ev.Kind == EventRunEnded:
+		s.handleRunEnded(r, ev)
+	case ev.Kind == EventCanceled:
 		r.answered = true
-		s.dismiss(r)
-	case ev.Kind == EvNeedsCall:
-		s.atCall(r)
-	case ev.Kind == EvCallResult:
-		s.callResult(r, ev)
+		s.removeUnlessRunning(r)
+	case ev.Kind == EventCallNeeded:
+		s.handleCallNeeded(r)
+	case ev.Kind == EventCallEnded:
+		s.handleCallEnded(r, ev)
 	}
 }
 
-func (s *Server) arrive(ev *Event) {
+func (s *Server) handleArrival(ev *Event) {
 	a := ev.Arrival
 	c := s.classes[a.Class]
-	r := &request{Arrival: a, id: ev.ID, arrived: s.now - a.Age, due: s.now + a.Wait, weight: meanWeight}
-	if a.Wait == 0 {
-		r.due = max(s.now, r.arrived+c.Deadline)
-	}
-	r.first = r.arrived - s.spent(c, r.due-r.arrived)
-	r.over = s.overQuota(r)
-	s.stale.add(min(1, float64(a.Age)/(staleShare*float64(c.Aim))), callWeight)
-	if s.reads() > 0 {
-		s.readGap.add(min(s.aim, float64(s.now-s.lastRead)), callWeight)
-	}
-	s.lastRead = s.now
-	s.again *= 1 - 1.0/heardLately
+	r := &request{Arrival: a, id: ev.ID, arrivedAt: s.now - a.Age, deadline: s.now + a.AttemptTimeout, sampleWeight: runTimeSampleWeight}
+	if a.AttemptTimeout == 0 {
+		r.deadline = max(s.now, r.arrivedAt+c.ClientTimeout)
+	}
+	r.firstAttemptAt = r.arrivedAt - s.earlierAttemptTime(c, r.deadline-r.arrivedAt)
+	r.overQuota = s.chargeQuota(r)
+	s.readStaleness.add(min(1, float64(a.Age)/(staleReadShare*float64(c.LatencyObjective))), callSampleWeight)
+	if s.requestsBeingRead() > 0 {
+		s.readInterval.add(min(s.meanObjective, float64(s.now-s.lastReadAt)), callSampleWeight)
+	}
+	s.lastReadAt = s.now
+	s.retryShare *= 1 - 1.0/recentArrivalCount
 	if a.Retry {
-		s.again += 1.0 / heardLately
+		s.retryShare += 1.0 / recentArrivalCount
 	}
-	s.latest = append(s.latest, a)
-	s.latest = s.latest[max(0, len(s.latest)-heardLately):]
+	s.recentArrivals = append(s.recentArrivals, a)
+	s.recentArrivals = s.recentArrivals[max(0, len(s.recentArrivals)-recentArrivalCount):]
 	s.byID[r.id] = r
-	s.memory += r.KB
-	if a.Forerunner != 0 && s.repeat(r) {
+	s.requestMemoryKB += r.MemoryKB
+	if a.OriginalID != 0 && s.handleRepeat(r) {
 		return
 	}
 	s.queue = append(s.queue, r)
-	s.keep(r)
-	if s.tooLateToRun(r) || c.Effect == Keyed && c.Window > 0 && r.keyEnds == 0 {
-		s.giveUp(r) // a keyed request without its entry must not run: a repeat could not be told
+	s.storeKey(r)
+	if s.arrivedAfterDrainGrace(r) || c.Idempotency == IdempotentByKey && c.IdempotencyWindow > 0 && r.keyExpiresAt == 0 {
+		s.rejectOrFail(r) // a keyed request without its entry must not run: a repeat could not be told
 	}
 }
 
-// callers is the number of callers of like traffic that the latest arrivals amount to, since most callers
+// effectiveCallers is the number of callers of like traffic that the latest arrivals amount to, since most callers
 // carry little and an even split of the room would starve those that carry much.
-func (s *Server) callers() float64 {
+func (s *Server) effectiveCallers() float64 {
 	pairs, heard := 0, map[int]int{}
-	for _, a := range s.latest {
-		heard[a.Source]++
-		pairs += 2*heard[a.Source] - 1
+	for _, a := range s.recentArrivals {
+		heard[a.CallerID]++
+		pairs += 2*heard[a.CallerID] - 1
 	}
-	return float64(len(s.latest)*len(s.latest)) / float64(max(1, pairs))
+	return float64(len(s.recentArrivals)*len(s.recentArrivals)) / float64(max(1, pairs))
 }
 
-// spent is how much of its time a request has spent in earlier tries, at the least. Callers give each try the
+// earlierAttemptTime is how much of its time a request has spent in earlier tries, at the least. Callers give each try the
 // same share of the deadline but the last, which gets what is left.
-func (s *Server) spent(c *classState, told Micros) Micros {
-	if !s.cfg.TellsWait || told >= c.Deadline {
+func (s *Server) earlierAttemptTime(c *classState, told Micros) Micros {
+	if !s.cfg.DeadlinePropagated || told >= c.ClientTimeout {
 		return 0
 	}
-	share := int(float64(toldParts) * float64(told) / float64(c.Deadline))
+	share := int(float64(timeoutBuckets) * float64(told) / float64(c.ClientTimeout))
 	sum := 0.0
-	for i := range s.told {
-		s.told[i] *= 1 - 1.0/toldLately
-		sum += s.told[i]
-	}
-	s.told[share]++
-	for i := share; i < toldParts; i++ {
-		if s.told[i] >= toldOrdinary*(sum+1) {
-			return max(0, Micros(float64(i)/toldParts*float64(c.Deadline))-told)
+	for i := range s.timeoutHistogram {
+		s.timeoutHistogram[i] *= 1 - 1.0/timeoutHistogramArrivals
+		sum += s.timeoutHistogram[i]
+	}
+	s.timeoutHistogram[share]++
+	for i := share; i < timeoutBuckets; i++ {
+		if s.timeoutHistogram[i] >= commonTimeoutShare*(sum+1) {
+			return max(0, Micros(float64(i)/timeoutBuckets*float64(c.ClientTimeout))-told)
 		}
 	}
-	return c.Deadline - told
+	return c.ClientTimeout - told
 }
 
-// overQuota takes a first try off its tenant's part of the quota and says whether none was left.
-func (s *Server) overQuota(r *request) bool {
-	if r.Tenant < 0 || r.Tenant >= len(s.tokens) || s.tokens[r.Tenant] < 1 {
+// chargeQuota takes a first try off its tenant's part of the quota and says whether none was left.
+func (s *Server) chargeQuota(r *request) bool {
+	if r.Tenant < 0 || r.Tenant >= len(s.tenantTokens) || s.tenantTokens[r.Tenant] < 1 {
 		return r.Tenant >= 0
 	}
-	if !r.Retry && r.first == r.arrived {
-		s.tokens[r.Tenant]--
+	if !r.Retry && r.firstAttemptAt == r.arrivedAt {
+		s.tenantTokens[r.Tenant]--
 	}
 	return false
 }
 
-// repeat settles a request that names its forerunner: it joins one that ran, and takes the place of
+// handleRepeat settles a request that names its forerunner: it joins one that ran, and takes the place of
 // one of its own key that is still held. It reports whether the request was joined.
-func (s *Server) repeat(r *request) bool {
-	f := s.byID[r.Forerunner]
-	if f != nil && f.stage == held && s.classes[r.Class].Effect == Keyed {
-		f.keyEnds, r.keyEnds = 0, f.keyEnds // the entry passes to the repeat
-		s.giveUp(f)
+func (s *Server) handleRepeat(r *request) bool {
+	f := s.byID[r.OriginalID]
+	if f != nil && f.state == stateQueued && s.classes[r.Class].Idempotency == IdempotentByKey {
+		f.keyExpiresAt, r.keyExpiresAt = 0, f.keyExpiresAt // the entry passes to the repeat
+		s.rejectOrFail(f)
 		return false
 	}
-	r.stage = joined
+	r.state = stateCoalesced
 	s.active = append(s.active, r)
-	s.do(Action{Kind: ActJoin, ID: r.id})
+	s.emit(Action{Kind: ActionCoalesce, ID: r.id})
 	return true
 }
 
-// finish takes in the end of a run or a join. A run stopped by another hand is answered here.
-func (s *Server) finish(r *request, ev *Event) {
-	if r.stage == running && (ev.Outcome == OK || ev.Outcome == Failed) {
-		s.completed(r, ev)
-	} else if (r.stage == running || r.stage == calling) && ev.Outcome == Cancelled {
-		s.giveUp(r)
+// handleRunEnded takes in the end of a run or a join. A run stopped by another hand is answered here.
+func (s *Server) handleRunEnded(r *request, ev *Event) {
+	if r.state == stateRunning && (ev.Outcome == OutcomeOK || ev.Outcome == OutcomeFailed) {
+		s.recordCompletion(r, ev)
+	} else if (r.state == stateRunning || r.state == stateAtCall) && ev.Outcome == OutcomeCanceled {
+		s.rejectOrFail(r)
 	}
-	s.forget(r)
+	s.removeRequest(r)
 }
 
-// dismiss ends a request of which nothing runs.
-func (s *Server) dismiss(r *request) {
-	if r.stage == held || r.stage == joined {
-		s.releaseKey(r)
-		s.forget(r)
+// removeUnlessRunning ends a request of which nothing runs.
+func (s *Server) removeUnlessRunning(r *request) {
+	if r.state == stateQueued || r.state == stateCoalesced {
+		s.deleteKey(r)
+		s.removeRequest(r)
 	}
 }
 
 // Estimate.
 
-// completed takes a run's time into the averages. Failed runs, runs with calls left out and runs begun
+// recordCompletion takes a run's time into the averages. Failed runs, runs with calls left out and runs begun
 // before a stall are no samples of T_m.
-func (s *Server) completed(r *request, ev *Event) {
+func (s *Server) recordCompletion(r *request, ev *Event) {
 	if s.running >= s.cfg.Cores { // in thin traffic a gap tells nothing
-		if s.now-s.progress > s.stallGap() {
-			s.stallEnd = s.now
+		if s.now-s.lastProgressAt > s.stallGap() {
+			s.stallEndedAt = s.now
 		}
-		s.gap.add(float64(s.now-s.progress), meanWeight)
+		s.completionGap.add(float64(s.now-s.lastProgressAt), runTimeSampleWeight)
 	}
-	s.progress = s.now
-	s.refusing.add(0, 1.0/heardLately)
-	s.failing.add(float64(1-ev.Outcome), r.weight) // Failed is 0, OK is 1
-	if ev.Outcome == OK {
-		s.sample(r, float64(ev.Elapsed))
+	s.lastProgressAt = s.now
+	s.rejectedShare.add(0, 1.0/recentArrivalCount)
+	s.failedShare.add(float64(1-ev.Outcome), r.sampleWeight) // Failed is 0, OK is 1
+	if ev.Outcome == OutcomeOK {
+		s.recordRunTime(r, float64(ev.Elapsed))
 	}
-	s.climb()
-	s.cut()
+	s.raiseRunLimit()
+	s.lowerRunLimit()
 }
 
-func (s *Server) sample(r *request, elapsed float64) {
+func (s *Server) recordRunTime(r *request, elapsed float64) {
 	c := s.classes[r.Class]
-	if r.started < s.stallEnd {
+	if r.startedAt < s.stallEndedAt {
 		return
 	}
-	if tm := s.runTime(r); tm > 0 {
-		s.recent.add(elapsed/tm, probeWeight/2)
+	if tm := s.expectedRunTime(r); tm > 0 {
+		s.runSlowdown.add(elapsed/tm, probeSampleWeight/2)
 	}
-	c.Run.add(elapsed, r.weight)
-	if r.Hint <= 0 {
+	c.RunTime.add(elapsed, r.sampleWeight)
+	if r.WorkHint <= 0 {
 		return
 	}
-	hint := float64(r.Hint)
-	if c.Hinted.N == 0 {
+	hint := float64(r.WorkHint)
+	if c.HintedRunTime.Samples == 0 {
 		// At first in proportion to the hint, but no more than that many times: the rest is waits.
-		c.Cov, c.Spread = min(hint*elapsed, slopeMost*hint*hint)/4, hint*hint/4
-		c.Hint.Mean, c.Hinted.Mean = hint, elapsed // one sample has no spread of its own
+		c.Covariance, c.HintVariance = min(hint*elapsed, maxRunTimePerHint*hint*hint)/4, hint*hint/4
+		c.Hint.Mean, c.HintedRunTime.Mean = hint, elapsed // one sample has no spread of its own
 	}
 	off := hint - c.Hint.Mean
-	c.Cov += r.weight * (off*(elapsed-c.Hinted.Mean) - c.Cov)
-	c.Spread += r.weight * (off*off - c.Spread)
-	c.Hint.add(hint, r.weight)
-	c.Hinted.add(elapsed, r.weight)
+	c.Covariance += r.sampleWeight * (off*(elapsed-c.HintedRunTime.Mean) - c.Covariance)
+	c.HintVariance += r.sampleWeight * (off*off - c.HintVariance)
+	c.Hint.add(hint, r.sampleWeight)
+	c.HintedRunTime.add(elapsed, r.sampleWeight)
 }
 
-// runTime is T_m for a request, in microseconds: where it carries a hint, the best straight line through the
+// expectedRunTime is T_m for a request, in microseconds: where it carries a hint, the best straight line through the
 // hints and run times seen, since waits for disk and calls don't grow with the work and hints may be rough.
-func (s *Server) runTime(r *request) float64 {
+func (s *Server) expectedRunTime(r *request) float64 {
 	c := s.classes[r.Class]
-	if r.Hint > 0 && c.Hinted.N > 0 {
-		slope := max(0, c.Cov) / max(1, c.Spread)
-		return max(meanWeight*c.Hinted.Mean, c.Hinted.Mean+slope*(float64(r.Hint)-c.Hint.Mean))
+	if r.WorkHint > 0 && c.HintedRunTime.Samples > 0 {
+		slope := max(0, c.Covariance) / max(1, c.HintVariance)
+		return max(runTimeSampleWeight*c.HintedRunTime.Mean, c.HintedRunTime.Mean+slope*(float64(r.WorkHint)-c.Hint.Mean))
 	}
-	return c.Run.Mean
+	return c.RunTime.Mean
 }
 
 // Two queues.
 
-// bounds are D1 and D2 of a request as instants: its answer is to be ready by then. Both are capped at
+// queueBounds are D1 and D2 of a request as instants: its answer is to be ready by then. Both are capped at
 // the wait that its caller told.
-func (s *Server) bounds(r *request) (d1, d2 float64) {
+func (s *Server) queueBounds(r *request) (d1, d2 float64) {
 	c := s.classes[r.Class]
-	aim := float64(c.Aim) + c.AimStretch*float64(r.Hint)
-	aim = min(aim, float64(c.Deadline))
-	share := lateShare
+	aim := float64(c.LatencyObjective) + c.ObjectivePerWork*float64(r.WorkHint)
+	aim = min(aim, float64(c.ClientTimeout))
+	share := oldQueueBoundShare
 	if s.running < s.cfg.Cores { // nobody else would have the core: what may still make it is worth a run
-		share = idleShare
+		share = idleOldQueueBoundShare
 	}
-	late := aim + c.LateWorth*(float64(c.Deadline)-aim) // the less it earns late, the sooner it goes
-	told := float64(r.due - r.arrived)
-	from, first := float64(r.arrived), float64(r.first)
-	return min(first+aim*aimShare, from+told*lateShare), min(first+late*share, from+told*share)
+	late := aim + c.LateWeightShare*(float64(c.ClientTimeout)-aim) // the less it earns late, the sooner it goes
+	told := float64(r.deadline - r.arrivedAt)
+	from, first := float64(r.arrivedAt), float64(r.firstAttemptAt)
+	return min(first+aim*newQueueBoundShare, from+told*oldQueueBoundShare), min(first+late*share, from+told*share)
 }
 
-// meets reports whether a request that starts after the given wait would be ready by the bound.
-func (s *Server) meets(r *request, bound, wait float64) bool {
-	if c := s.classes[r.Class]; c.Calls {
-		delay := s.callDelay(r, s.calls-s.callsOut)
-		if c.DegradedWorth > 0 {
-			delay = min(delay, callPatience*s.callBest) // then it goes on without
+// meetsBound reports whether a request that starts after the given wait would be ready by the bound.
+func (s *Server) meetsBound(r *request, bound, wait float64) bool {
+	if c := s.classes[r.Class]; c.CallsDependency {
+		delay := s.callQueueDelay(r, s.atCall-s.callsInFlight)
+		if c.DegradedWeightShare > 0 {
+			delay = min(delay, callPatienceFactor*s.minCallTime) // then it goes on without
 		}
 		wait += delay
 	}
-	return float64(s.now)+wait+s.runTime(r) < bound
+	return float64(s.now)+wait+s.expectedRunTime(r) < bound
 }
 
-// density orders the queues: worth for each unit of core time expected.
-func (s *Server) density(r *request) float64 {
+// computeWeightDensity orders the queues: worth for each unit of core time expected.
+func (s *Server) computeWeightDensity(r *request) float64 {
 	c := s.classes[r.Class]
-	worth := c.Worth
-	if r.over {
-		worth *= s.cfg.OverShareWorth
+	worth := c.PriorityWeight
+	if r.overQuota {
+		worth *= s.cfg.OverQuotaWeightShare
 	}
-	if r.Retry || r.first < r.arrived {
-		worth *= retryShare
+	if r.Retry || r.firstAttemptAt < r.arrivedAt {
+		worth *= retryWeightShare
 	}
-	if s.cfg.WorthByWork {
+	if s.cfg.WeightPerWork {
 		return worth
 	}
-	return worth / max(1, s.runTime(r))
+	return worth / max(1, s.expectedRunTime(r))
 }
 
-// order moves requests that can no longer meet D1 to the old queue and sorts what is held: new before old,
+// sortQueue moves requests that can no longer meet D1 to the old queue and sorts what is held: new before old,
 // then by worth for core time, then by arrival.
-func (s *Server) order() {
+func (s *Server) sortQueue() {
 	for _, r := range s.queue {
-		d1, _ := s.bounds(r)
-		r.old = r.old || !s.meets(r, d1, 0)
-		r.density = s.density(r)
+		d1, _ := s.queueBounds(r)
+		r.inOldQueue = r.inOldQueue || !s.meetsBound(r, d1, 0)
+		r.weightDensity = s.computeWeightDensity(r)
 	}
 	slices.SortStableFunc(s.queue, func(a, b *request) int {
 		switch {
-		case a.old && !b.old:
+		case a.inOldQueue && !b.inOldQueue:
 			return 1
-		case b.old && !a.old:
+		case b.inOldQueue && !a.inOldQueue:
 			return -1
 		}
-		return cmp.Or(cmp.Compare(b.density, a.density), cmp.Compare(a.arrived, b.arrived))
+		return cmp.Or(cmp.Compare(b.weightDensity, a.weightDensity), cmp.Compare(a.arrivedAt, b.arrivedAt))
 	})
 }
 
-// round starts the first held request that meets its bound, or as a probe, and reports whether it found
+// startNext starts the first held request that meets its bound, or as a probe, and reports whether it found
 // one. Requests that do not meet D2 are refused on the way.
-func (s *Server) round() bool {
+func (s *Server) startNext() bool {
 	for i := 0; i < len(s.queue); {
 		r := s.queue[i]
-		_, d2 := s.bounds(r)
-		meets := s.meets(r, d2, 0) && !s.sick()
+		_, d2 := s.queueBounds(r)
+		meets := s.meetsBound(r, d2, 0) && !s.stalledOrFailing()
 		switch {
-		case !s.fits(r) || s.sick() && !s.mayProbe(r):
+		case !s.canStart(r) || s.stalledOrFailing() && !s.mayProbe(r):
 			i++ // refuseHopeless settles the sick spell's
 		case meets || s.mayProbe(r):
 			if !meets {
-				r.weight, s.lastProbe = probeWeight, s.now
+				r.sampleWeight, s.lastProbeAt = probeSampleWeight, s.now
 			}
-			s.start(r)
+			s.startRun(r)
 			return true
 		default:
-			s.giveUp(r)
+			s.rejectOrFail(r)
 		}
 	}
 	return false
 }
 
-func (s *Server) start(r *request) {
-	s.queue = drop(s.queue, r)
+func (s *Server) startRun(r *request) {
+	s.queue = removeFrom(s.queue, r)
 	s.active = append(s.active, r)
-	s.do(Action{Kind: ActRun, ID: r.id})
+	s.emit(Action{Kind: ActionRun, ID: r.id})
 	if s.running == 0 {
-		s.progress = s.now
+		s.lastProgressAt = s.now
 	}
-	r.stage, r.started = running, s.now
+	r.state, r.startedAt = stateRunning, s.now
 	s.running++
-	s.memory += r.KB * (s.cfg.RunFactor - 1)
+	s.requestMemoryKB += r.MemoryKB * (s.cfg.RunMemoryFactor - 1)
 }
 
-// refuseHopeless refuses requests that the work ahead of them keeps from meeting D2. The paper tests only the
+// shedHopeless refuses requests that the work ahead of them keeps from meeting D2. The paper tests only the
 // head of a queue; this adds the wait that is still to come. It acts once queuedShare of the aim has passed,
 // so that a burst of a moment refuses nobody, and leaves the caller time to try elsewhere.
-func (s *Server) refuseHopeless() {
+func (s *Server) shedHopeless() {
 	ahead := 0.0
 	for i := 0; i < len(s.queue); {
 		r := s.queue[i]
-		_, d2 := s.bounds(r)
-		waited := float64(s.now-r.arrived) >= queuedShare*float64(s.classes[r.Class].Aim)
-		if waited && (s.sick() || !s.meets(r, d2, ahead/s.limit)) {
-			s.giveUp(r)
+		_, d2 := s.queueBounds(r)
+		waited := float64(s.now-r.arrivedAt) >= minQueueTimeShare*float64(s.classes[r.Class].LatencyObjective)
+		if waited && (s.stalledOrFailing() || !s.meetsBound(r, d2, ahead/s.runLimit)) {
+			s.rejectOrFail(r)
 			continue
 		}
-		ahead += s.runTime(r)
+		ahead += s.expectedRunTime(r)
 		i++
 	}
 }
 
 // Limit.
 
-// climb raises the limit by one while cores idle and work is held: less wants the cores than there are,
+// raiseRunLimit raises the limit by one while cores idle and work is held: less wants the cores than there are,
 // since runs wait for something else.
-func (s *Server) climb() {
-	idle := s.gauges.RunQueue >= 0 && s.gauges.RunQueue < float64(s.cfg.Cores)
-	if idle && len(s.queue) > 0 && s.running >= int(s.limit) {
-		s.limit = min(s.limit+1, s.crowd()*crowdShare)
+func (s *Server) raiseRunLimit() {
+	idle := s.gauges.RunQueueLength >= 0 && s.gauges.RunQueueLength < float64(s.cfg.Cores)
+	if idle && len(s.queue) > 0 && s.running >= int(s.runLimit) {
+		s.runLimit = min(s.runLimit+1, s.maxConcurrency()*maxConcurrencyShare)
 	}
 }
 
-// closeIdle sets how long an unused connection may stay: as long as callers come back, and longer while
+// adjustIdleTimeout sets how long an unused connection may stay: as long as callers come back, and longer while
 // reading and new connections take too much of the cores. A full table turns callers away at no cost, but
 // taxes the cores and doesn't choose. It could harm where one long-lived stream holds each connection.
-func (s *Server) closeIdle() {
-	intake := s.reads() / max(float64(s.cfg.Cores), s.gauges.RunQueue)
-	longest := float64(s.cfg.IdleSpan)
-	shortest := longest / idleParts * max(0.1, 1-s.callers()/float64(max(1, len(s.latest))))
-	s.idle = min(longest, max(s.idle*(1+valveStep*(intake-valveShare)), shortest))
-	if s.idle > 1.25*s.idleSaid || s.idle < 0.8*s.idleSaid {
-		s.idleSaid = s.idle
-		s.do(Action{Kind: ActCloseIdle, Span: Micros(s.idle)})
+func (s *Server) adjustIdleTimeout() {
+	intake := s.requestsBeingRead() / max(float64(s.cfg.Cores), s.gauges.RunQueueLength)
+	longest := float64(s.cfg.CallerIdleTimeout)
+	shortest := longest / idleTimeoutRange * max(0.1, 1-s.effectiveCallers()/float64(max(1, len(s.recentArrivals))))
+	s.idleTimeout = min(longest, max(s.idleTimeout*(1+idleTimeoutGain*(intake-intakeTargetShare)), shortest))
+	if s.idleTimeout > 1.25*s.sentIdleTimeout || s.idleTimeout < 0.8*s.sentIdleTimeout {
+		s.sentIdleTimeout = s.idleTimeout
+		s.emit(Action{Kind: ActionSetIdleTimeout, Duration: Micros(s.idleTimeout)})
 	}
 }
 
-// cut lowers the limit when runs take much longer than T_m while more wants the cores than there are.
-func (s *Server) cut() {
-	if s.recent.Mean > slowRuns && s.gauges.RunQueue > float64(s.cfg.Cores) {
-		s.limit = max(float64(s.cfg.Cores), s.limit*limitCut)
-		s.recent.Mean = 1
+// lowerRunLimit lowers the limit when runs take much longer than T_m while more wants the cores than there are.
+func (s *Server) lowerRunLimit() {
+	if s.runSlowdown.Mean > slowdownThreshold && s.gauges.RunQueueLength > float64(s.cfg.Cores) {
+		s.runLimit = max(float64(s.cfg.Cores), s.runLimit*runLimitDecrease)
+		s.runSlowdown.Mean = 1
 	}
 }
 
-// crowd is how many runs the server survives on its cores; a cold server survives fewer. As a guard it could
+// maxConcurrency is how many runs the server survives on its cores; a cold server survives fewer. As a guard it could
 // harm where runs mostly wait for disk, which the crowd does not count.
-func (s *Server) crowd() float64 {
+func (s *Server) maxConcurrency() float64 {
 	speed := 1.0
-	if s.cfg.Cold && s.now-s.started < s.cfg.WarmAfter {
-		speed = s.cfg.ColdCapacity + (1-s.cfg.ColdCapacity)*float64(s.now-s.started)/float64(s.cfg.WarmAfter)
+	if s.cfg.SlowStart && s.now-s.startedAt < s.cfg.SlowStartDuration {
+		speed = s.cfg.SlowStartCapacity + (1-s.cfg.SlowStartCapacity)*float64(s.now-s.startedAt)/float64(s.cfg.SlowStartDuration)
 	}
-	return max(1, float64(s.cfg.Cores)*(1+(s.cfg.CrowdFactor-1)*speed))
+	return max(1, float64(s.cfg.Cores)*(1+(s.cfg.MaxConcurrencyPerCore-1)*speed))
 }
 
-// reads is how many requests are being read, one a core at most: all that wants the cores and does not run.
-func (s *Server) reads() float64 { return max(0, s.gauges.RunQueue-float64(s.running)) }
+// requestsBeingRead is how many requests are being read, one a core at most: all that wants the cores and does not run.
+func (s *Server) requestsBeingRead() float64 {
+	return max(0, s.gauges.RunQueueLength-float64(s.running))
+}
 
-// slow says whether a core takes so long to read one request, by Little's law, that hardly any can be served
+// readsSlowly says whether a core takes so long to read one request, by Little's law, that hardly any can be served
 // in time. That tells a slow server from a crowded one, where each request has part of a core.
-func (s *Server) slow() bool {
-	part := min(1, float64(s.cfg.Cores)/max(1, s.gauges.RunQueue))
-	return s.reads()*s.readGap.Mean*part > slowShare*s.aim
+func (s *Server) readsSlowly() bool {
+	part := min(1, float64(s.cfg.Cores)/max(1, s.gauges.RunQueueLength))
+	return s.requestsBeingRead()*s.readInterval.Mean*part > slowReadShare*s.meanObjective
 }
 
-// slots is the number of runs allowed on the cores now: all that stand at calls may return together. Unread
+// runSlots is the number of runs allowed on the cores now: all that stand at calls may return together. Unread
 // requests stand in line as they came, so while there is a line reading goes before running.
-func (s *Server) slots() int {
-	crowd, calls := s.crowd()*s.share, float64(s.calls)
-	limit := s.limit*s.share - max(0, s.reads()-readShare*float64(s.cfg.Cores))
-	return int(min(max(1, limit), max(1, crowd*crowdShare-calls/2), crowd-calls))
+func (s *Server) runSlots() int {
+	crowd, calls := s.maxConcurrency()*s.resourceShare, float64(s.atCall)
+	limit := s.runLimit*s.resourceShare - max(0, s.requestsBeingRead()-readingCoreShare*float64(s.cfg.Cores))
+	return int(min(max(1, limit), max(1, crowd*maxConcurrencyShare-calls/2), crowd-calls))
 }
 
 // Guards.
@@ -676,429 +678,431 @@
 // stallGap is the completion gap beyond which full cores are taken to stand still; half the mean aim as
 // long as the ordinary gap is unknown.
 func (s *Server) stallGap() Micros {
-	if s.gap.N < stallGaps {
-		return Micros(s.aim / 2)
+	if s.completionGap.Samples < stallGapFactor {
+		return Micros(s.meanObjective / 2)
 	}
-	return max(stallFloor, Micros(stallGaps*s.gap.Mean))
+	return max(minStallGap, Micros(stallGapFactor*s.completionGap.Mean))
 }
 
-// sick guards against a server that takes work and does none of it, whatever the cause: runs age with no
+// stalledOrFailing guards against a server that takes work and does none of it, whatever the cause: runs age with no
 // completion, or most runs fail. Held requests are then refused with advice, and one probe at a time
 // tells when it is over. It could harm where a few very long runs fill all cores.
-func (s *Server) sick() bool {
-	return s.running >= s.cfg.Cores && s.now-s.progress > 2*s.stallGap() ||
-		s.failing.N > stallGaps && s.failing.Mean > failShare
+func (s *Server) stalledOrFailing() bool {
+	return s.running >= s.cfg.Cores && s.now-s.lastProgressAt > 2*s.stallGap() ||
+		s.failedShare.Samples > stallGapFactor && s.failedShare.Mean > unhealthyShare
 }
 
 // mayProbe says whether a request may start against the estimate, so that a stale T_m or a sick spell that
 // is over cannot shut the door: nothing runs and the last probe is half an aim ago.
 func (s *Server) mayProbe(r *request) bool {
 	c := s.classes[r.Class]
-	return s.running == 0 && s.now-s.lastProbe > c.Aim/2 && s.now < r.arrived+c.Aim
+	return s.running == 0 && s.now-s.lastProbeAt > c.LatencyObjective/2 && s.now < r.arrivedAt+c.LatencyObjective
 }
 
-// used is the memory in use, in kilobytes.
-func (s *Server) used() float64 { return s.memory + float64(len(s.keys))*s.cfg.KeyKB }
+// memoryInUse is the memory in use, in kilobytes.
+func (s *Server) memoryInUse() float64 {
+	return s.requestMemoryKB + float64(len(s.keyExpiries))*s.cfg.KeyEntryKB
+}
 
-// fits says whether a held request may start now as far as memory and the drain go.
-func (s *Server) fits(r *request) bool {
-	return s.used()+r.KB*(s.cfg.RunFactor-1) <= s.share*memoryShare*s.cfg.MemoryKB && !s.tooLateToRun(r)
+// canStart says whether a held request may start now as far as memory and the drain go.
+func (s *Server) canStart(r *request) bool {
+	return s.memoryInUse()+r.MemoryKB*(s.cfg.RunMemoryFactor-1) <= s.resourceShare*plannedMemoryShare*s.cfg.MemoryKB && !s.arrivedAfterDrainGrace(r)
 }
 
-// guardMemory keeps held requests within the memory: the least worthy go first. It could harm when one
+// shedForMemory keeps held requests within the memory: the least worthy go first. It could harm when one
 // huge request pushes out many small ones.
-func (s *Server) guardMemory() {
-	for i := len(s.queue) - 1; i >= 0 && s.used() > s.share*memoryShare*s.cfg.MemoryKB; i-- {
-		s.giveUp(s.queue[i])
+func (s *Server) shedForMemory() {
+	for i := len(s.queue) - 1; i >= 0 && s.memoryInUse() > s.resourceShare*plannedMemoryShare*s.cfg.MemoryKB; i-- {
+		s.rejectOrFail(s.queue[i])
 	}
 }
 
-// keep puts a keyed request in the table, to live until its window from arrival has passed. Where there
+// storeKey puts a keyed request in the table, to live until its window from arrival has passed. Where there
 // is no room it is not kept, and so never runs.
-func (s *Server) keep(r *request) {
+func (s *Server) storeKey(r *request) {
 	c := s.classes[r.Class]
-	ends := r.arrived + c.Window + 2*s.cfg.Tick
-	if c.Effect != Keyed || c.Window == 0 {
+	ends := r.arrivedAt + c.IdempotencyWindow + 2*s.cfg.StepInterval
+	if c.Idempotency != IdempotentByKey || c.IdempotencyWindow == 0 {
 		return
 	}
-	if r.keyEnds == 0 && s.used()+s.cfg.KeyKB > s.share*memoryShare*s.cfg.MemoryKB {
+	if r.keyExpiresAt == 0 && s.memoryInUse()+s.cfg.KeyEntryKB > s.resourceShare*plannedMemoryShare*s.cfg.MemoryKB {
 		return
 	}
-	s.dropKey(r)
-	r.keyEnds = ends
-	at, _ := slices.BinarySearch(s.keys, ends)
-	s.keys = slices.Insert(s.keys, at, ends)
-	s.do(Action{Kind: ActKeepKey, ID: r.id, Span: r.keyEnds - s.now})
+	s.removeKeyExpiry(r)
+	r.keyExpiresAt = ends
+	at, _ := slices.BinarySearch(s.keyExpiries, ends)
+	s.keyExpiries = slices.Insert(s.keyExpiries, at, ends)
+	s.emit(Action{Kind: ActionStoreKey, ID: r.id, Duration: r.keyExpiresAt - s.now})
 }
 
-// dropKey takes a request's entry off the account.
-func (s *Server) dropKey(r *request) {
-	if at, found := slices.BinarySearch(s.keys, r.keyEnds); found {
-		s.keys = slices.Delete(s.keys, at, at+1)
+// removeKeyExpiry takes a request's entry off the account.
+func (s *Server) removeKeyExpiry(r *request) {
+	if at, found := slices.BinarySearch(s.keyExpiries, r.keyExpiresAt); found {
+		s.keyExpiries = slices.Delete(s.keyExpiries, at, at+1)
 	}
 }
 
-// releaseKey forgets the entry of a request that never ran.
-func (s *Server) releaseKey(r *request) {
-	if r.keyEnds == 0 {
+// deleteKey forgets the entry of a request that never ran.
+func (s *Server) deleteKey(r *request) {
+	if r.keyExpiresAt == 0 {
 		return
 	}
-	s.dropKey(r)
-	r.keyEnds = 0
-	s.do(Action{Kind: ActForgetKey, ID: r.id})
+	s.removeKeyExpiry(r)
+	r.keyExpiresAt = 0
+	s.emit(Action{Kind: ActionDeleteKey, ID: r.id})
 }
 
-// tooLateToRun guards the drain: what arrived after the grace of the notice to leave must not run.
-func (s *Server) tooLateToRun(r *request) bool {
-	return s.kill > 0 && r.arrived > s.drainAt+s.cfg.DrainGrace-s.cfg.Tick
+// arrivedAfterDrainGrace guards the drain: what arrived after the grace of the notice to leave must not run.
+func (s *Server) arrivedAfterDrainGrace(r *request) bool {
+	return s.killAt > 0 && r.arrivedAt > s.drainStartedAt+s.cfg.DrainGrace-s.cfg.StepInterval
 }
 
-// margin is how long before a last moment the module acts: a late timer must not break a rule.
-func (s *Server) margin() Micros { return max(2*s.cfg.Tick, s.cfg.AnswerGrace) }
+// responseMargin is how long before a last moment the module acts: a late timer must not break a rule.
+func (s *Server) responseMargin() Micros { return max(2*s.cfg.StepInterval, s.cfg.ResponseGrace) }
 
-// guardDue answers what falls due, running or not, and everything before the kill of a drain, so that
+// answerExpired answers what falls due, running or not, and everything before the kill of a drain, so that
 // nothing is lost.
-func (s *Server) guardDue() {
-	killed := s.kill > 0 && s.now >= s.kill-2*s.margin()
+func (s *Server) answerExpired() {
+	killed := s.killAt > 0 && s.now >= s.killAt-2*s.responseMargin()
 	for _, r := range slices.Concat(s.queue, s.active) {
-		if killed || s.now >= r.due-s.cfg.Tick {
-			s.giveUp(r)
+		if killed || s.now >= r.deadline-s.cfg.StepInterval {
+			s.rejectOrFail(r)
 		}
 	}
 }
 
-// guardUseless guards the cores against safe runs whose answer was given or is wanted no more: they are
+// stopAnsweredRuns guards the cores against safe runs whose answer was given or is wanted no more: they are
 // stopped while others wait. It could harm where such a run is nearly done and would serve repeats.
-func (s *Server) guardUseless() {
-	if s.cfg.Stop == StopOff || len(s.queue) == 0 {
+func (s *Server) stopAnsweredRuns() {
+	if s.cfg.StopMode == StopOff || len(s.queue) == 0 {
 		return
 	}
 	for _, r := range s.active {
-		due := s.now-r.stopped > stallFloor // a stop does nothing while the cores stand still: ask again
-		if r.answered && r.stage == running && s.classes[r.Class].Effect == Safe && due {
-			r.stopped = s.now
-			s.do(Action{Kind: ActStop, ID: r.id})
+		due := s.now-r.stopRequestedAt > minStallGap // a stop does nothing while the cores stand still: ask again
+		if r.answered && r.state == stateRunning && s.classes[r.Class].Idempotency == Idempotent && due {
+			r.stopRequestedAt = s.now
+			s.emit(Action{Kind: ActionStop, ID: r.id})
 		}
 	}
 }
 
 // Calls.
 
-func (s *Server) atCall(r *request) {
-	if r.stage != running {
+func (s *Server) handleCallNeeded(r *request) {
+	if r.state != stateRunning {
 		return
 	}
 	s.running--
-	s.calls++
-	s.progress = s.now
-	r.stage = calling
+	s.atCall++
+	s.lastProgressAt = s.now
+	r.state = stateAtCall
 	if r.answered {
-		s.forget(r)
+		s.removeRequest(r)
 	}
 }
 
-// callResult goes on after a call. One of an effect is repeated only if it never ran, a safe one once more:
+// handleCallEnded goes on after a call. One of an effect is repeated only if it never ran, a safe one once more:
 // its reply may be lost. One that a shared dependency turns away stops calls for a while; a tier has others.
-func (s *Server) callResult(r *request, ev *Event) {
-	if !r.callOut {
+func (s *Server) handleCallEnded(r *request, ev *Event) {
+	if !r.callInFlight {
 		return
 	}
-	s.callOver(r, ev.Outcome == TimedOut || ev.Outcome == Reset)
-	s.callSample(ev)
+	s.releaseCall(r, ev.Outcome == OutcomeTimedOut || ev.Outcome == OutcomeReset)
+	s.recordCallTime(ev)
 	c := s.classes[r.Class]
-	if ev.Outcome == OK {
-		s.resume(r)
+	if ev.Outcome == OutcomeOK {
+		s.resumeRun(r)
 		return
 	}
-	r.lost++
-	if s.cfg.CallsShare > 0 && ev.Outcome.NeverRan() {
-		s.callsFrom = s.now + max(wakeTicks*s.cfg.Tick, Micros(callPatience*s.callTime.Mean))
+	r.failedCalls++
+	if s.cfg.CallConcurrencyLimit > 0 && ev.Outcome.NeverRan() {
+		s.callsBlockedUntil = s.now + max(timerSteps*s.cfg.StepInterval, Micros(callPatienceFactor*s.callTime.Mean))
 	} else if ev.Outcome.NeverRan() {
-		r.callFrom = s.now + max(wakeTicks*s.cfg.Tick, Micros(callBack*float64(r.lost)*s.callTime.Mean))
+		r.callBlockedUntil = s.now + max(timerSteps*s.cfg.StepInterval, Micros(callRetryBackoff*float64(r.failedCalls)*s.callTime.Mean))
 	}
-	if s.cfg.CallsShare <= 0 && c.Effect == Safe && r.lost <= callRepeats {
+	if s.cfg.CallConcurrencyLimit <= 0 && c.Idempotency == Idempotent && r.failedCalls <= maxCallRetries {
 		return
 	}
-	if c.DegradedWorth > 0 {
-		s.goOn(r)
-	} else if !ev.Outcome.NeverRan() && c.Effect != Safe {
-		s.giveUp(r)
+	if c.DegradedWeightShare > 0 {
+		s.skipCall(r)
+	} else if !ev.Outcome.NeverRan() && c.Idempotency != Idempotent {
+		s.rejectOrFail(r)
 	}
 }
 
-// callSample takes a call's time into the averages. One given up took longer than was waited, but its reply
+// recordCallTime takes a call's time into the averages. One given up took longer than was waited, but its reply
 // may be lost: it counts as somewhat slow, so that a few can't pass for a slow dependency.
-func (s *Server) callSample(ev *Event) {
+func (s *Server) recordCallTime(ev *Event) {
 	took := float64(ev.Elapsed)
 	switch {
-	case ev.Outcome == TimedOut && took > s.callTime.Mean && s.callTime.N > 0:
-		took = min(took, callSlow*s.callTime.Mean)
-	case ev.Outcome != OK && (s.callTime.N > 0 || ev.Outcome != TimedOut):
+	case ev.Outcome == OutcomeTimedOut && took > s.callTime.Mean && s.callTime.Samples > 0:
+		took = min(took, slowCallFactor*s.callTime.Mean)
+	case ev.Outcome != OutcomeOK && (s.callTime.Samples > 0 || ev.Outcome != OutcomeTimedOut):
 		return
 	}
-	s.callTime.add(max(1, took), callWeight)
-	if s.callBest += callsDrift * (s.callTime.Mean - s.callBest); float64(s.callTime.N)*callWeight <= 1 {
-		s.callBest = s.callTime.Mean // too few samples to tell the least
+	s.callTime.add(max(1, took), callSampleWeight)
+	if s.minCallTime += minCallTimeDrift * (s.callTime.Mean - s.minCallTime); float64(s.callTime.Samples)*callSampleWeight <= 1 {
+		s.minCallTime = s.callTime.Mean // too few samples to tell the least
 	}
-	s.callBest = min(s.callBest, s.callTime.Mean)
+	s.minCallTime = min(s.minCallTime, s.callTime.Mean)
 }
 
-// callOver moves a call from what is reserved to what is spent. One given up stays in the dependency's
+// releaseCall moves a call from what is reserved to what is spent. One given up stays in the dependency's
 // hands for a while.
-func (s *Server) callOver(r *request, lingers bool) {
-	h := handled{left: s.now, span: s.now - r.called}
+func (s *Server) releaseCall(r *request, lingers bool) {
+	h := endedCall{releasedAt: s.now, duration: s.now - r.callStartedAt}
 	if lingers {
-		h.left, h.span = h.left+s.cfg.CallLinger, h.span+s.cfg.CallLinger
+		h.releasedAt, h.duration = h.releasedAt+s.cfg.AbandonedCallDuration, h.duration+s.cfg.AbandonedCallDuration
 	}
-	r.callOut = false
-	s.callsOut--
-	s.callsHeld -= r.reserved
-	s.callsDone += h.span
+	r.callInFlight = false
+	s.callsInFlight--
+	s.reservedCallTime -= r.callReservation
+	s.endedCallTime += h.duration
 	// A debt from a crowd that has passed must not shut the calls out for long.
-	s.credit = max(s.credit-min(float64(h.span), callWaits*s.aim), -s.callPace()*s.aim/4)
-	s.ledger = append(s.ledger, h)
+	s.callCredit = max(s.callCredit-min(float64(h.duration), callObjectiveShare*s.meanObjective), -s.plannedCallConcurrency()*s.meanObjective/4)
+	s.endedCalls = append(s.endedCalls, h)
 }
 
-func (s *Server) goOn(r *request) {
-	r.started = -1 // its time is no sample
-	s.do(Action{Kind: ActGoOn, ID: r.id})
-	s.resume(r)
+func (s *Server) skipCall(r *request) {
+	r.startedAt = -1 // its time is no sample
+	s.emit(Action{Kind: ActionSkipCall, ID: r.id})
+	s.resumeRun(r)
 }
 
-func (s *Server) resume(r *request) {
-	s.calls--
+func (s *Server) resumeRun(r *request) {
+	s.atCall--
 	s.running++
-	r.stage = running
-	s.progress = s.now
+	r.state = stateRunning
+	s.lastProgressAt = s.now
 }
 
-// guardCalls keeps the mean of the calls in hand under this server's share of what the dependency survives:
+// admitCalls keeps the mean of the calls in hand under this server's share of what the dependency survives:
 // one is made only if the longest that it can stay in hand fits beside those that the span still counts. They
 // are paced well below that, most worth first. What can't end its call in time goes on without it or is
 // answered at once. It could harm where this server is asked for far more than others, whose room is unseen.
-func (s *Server) guardCalls() {
-	for i, r := range s.atCalls() {
-		_, d2 := s.bounds(r)
-		span := s.callSpan(r)
-		wait := s.callDelay(r, i)
-		late := float64(s.now)+wait+s.callTime.Mean > d2 && !s.probesCall()
+func (s *Server) admitCalls() {
+	for i, r := range s.pendingCalls() {
+		_, d2 := s.queueBounds(r)
+		span := s.callTimeout(r)
+		wait := s.callQueueDelay(r, i)
+		late := float64(s.now)+wait+s.callTime.Mean > d2 && !s.mayProbeCall()
 		switch {
-		case s.classes[r.Class].DegradedWorth > 0 && (late || wait > callPatience*s.callBest || span <= 0):
-			s.goOn(r)
+		case s.classes[r.Class].DegradedWeightShare > 0 && (late || wait > callPatienceFactor*s.minCallTime || span <= 0):
+			s.skipCall(r)
 		case late:
-			s.giveUp(r)
-		case s.now >= max(s.callsFrom, r.callFrom) && span > 0 && wait <= 0:
-			s.call(r, span)
+			s.rejectOrFail(r)
+		case s.now >= max(s.callsBlockedUntil, r.callBlockedUntil) && span > 0 && wait <= 0:
+			s.startCall(r, span)
 		}
 	}
 }
 
-// atCalls lists the requests that wait to make a call, most worth first.
-func (s *Server) atCalls() []*request {
+// pendingCalls lists the requests that wait to make a call, most worth first.
+func (s *Server) pendingCalls() []*request {
 	var list []*request
 	for _, r := range s.active {
-		if r.stage == calling && !r.callOut && !r.answered {
+		if r.state == stateAtCall && !r.callInFlight && !r.answered {
 			list = append(list, r)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *request) int { return cmp.Compare(b.density, a.density) })
+	slices.SortStableFunc(list, func(a, b *request) int { return cmp.Compare(b.weightDensity, a.weightDensity) })
 	return list
 }
 
-// callDelay is how long a request's call waits for its turn if so many wait before it, in microseconds. One
+// callQueueDelay is how long a request's call waits for its turn if so many wait before it, in microseconds. One
 // that is out counts for its mean time at least; the less worth a class has, the more is kept for others.
-func (s *Server) callDelay(r *request, ahead int) float64 {
-	if s.cfg.CallsShare <= 0 {
+func (s *Server) callQueueDelay(r *request, ahead int) float64 {
+	if s.cfg.CallConcurrencyLimit <= 0 {
 		return 0
 	}
-	kept := callsKept * (1 - s.classes[r.Class].Worth/s.topWorth)
-	left := s.credit - (float64(ahead)+kept)*s.callTime.Mean
+	kept := reservedCalls * (1 - s.classes[r.Class].PriorityWeight/s.maxWeight)
+	left := s.callCredit - (float64(ahead)+kept)*s.callTime.Mean
 	for _, r := range s.active {
-		if r.callOut {
-			left -= max(s.callTime.Mean, min(float64(s.now-r.called), callWaits*s.aim))
+		if r.callInFlight {
+			left -= max(s.callTime.Mean, min(float64(s.now-r.callStartedAt), callObjectiveShare*s.meanObjective))
 		}
 	}
-	return max(0, -left/s.callPace())
+	return max(0, -left/s.plannedCallConcurrency())
 }
 
-// callPace is the mean number of calls in hand that is planned: most of the bound while calls take about the
+// plannedCallConcurrency is the mean number of calls in hand that is planned: most of the bound while calls take about the
 // least time that they have taken, less in proportion as they take longer.
-func (s *Server) callPace() float64 {
-	if s.callTime.N == 0 {
-		return callsMost * s.cfg.CallsShare
+func (s *Server) plannedCallConcurrency() float64 {
+	if s.callTime.Samples == 0 {
+		return maxCallPaceShare * s.cfg.CallConcurrencyLimit
 	}
-	return min(callsMost, max(callsLeast, callsMost*callSlow*s.callBest/s.callTime.Mean)) * s.cfg.CallsShare
+	return min(maxCallPaceShare, max(minCallPaceShare, maxCallPaceShare*slowCallFactor*s.minCallTime/s.callTime.Mean)) * s.cfg.CallConcurrencyLimit
 }
 
-// callSpan is how long a call may take before it is given up, so that the bound holds even then; 0 if there
+// callTimeout is how long a call may take before it is given up, so that the bound holds even then; 0 if there
 // is no room for one that takes an ordinary time.
-func (s *Server) callSpan(r *request) Micros {
-	span := r.due - s.now
-	if c := s.classes[r.Class]; s.callTime.N > 0 {
-		if c.Effect == Safe { // its reply may be lost: it can be made again, or left out
-			patience := max(callPatience*s.callTime.Mean, min(1, s.cfg.CallsShare)*callWaits*float64(c.Aim))
-			span = min(span, max(wakeTicks*s.cfg.Tick, Micros(patience)))
-		} else if c.LateWorth == 0 && s.cfg.CallsShare <= 0 {
-			span = min(span, max(1, r.first+c.Aim-s.now))
+func (s *Server) callTimeout(r *request) Micros {
+	span := r.deadline - s.now
+	if c := s.classes[r.Class]; s.callTime.Samples > 0 {
+		if c.Idempotency == Idempotent { // its reply may be lost: it can be made again, or left out
+			patience := max(callPatienceFactor*s.callTime.Mean, min(1, s.cfg.CallConcurrencyLimit)*callObjectiveShare*float64(c.LatencyObjective))
+			span = min(span, max(timerSteps*s.cfg.StepInterval, Micros(patience)))
+		} else if c.LateWeightShare == 0 && s.cfg.CallConcurrencyLimit <= 0 {
+			span = min(span, max(1, r.firstAttemptAt+c.LatencyObjective-s.now))
 		}
 	}
-	if s.cfg.CallsShare > 0 {
-		bound := Micros(s.cfg.CallsShare * float64(s.cfg.CallsSpan))
-		room := bound - s.callsDone - s.callsHeld - s.cfg.CallLinger - s.cfg.Tick
-		span = min(span, Micros(callsPart*float64(room)))
+	if s.cfg.CallConcurrencyLimit > 0 {
+		bound := Micros(s.cfg.CallConcurrencyLimit * float64(s.cfg.CallConcurrencyWindow))
+		room := bound - s.endedCallTime - s.reservedCallTime - s.cfg.AbandonedCallDuration - s.cfg.StepInterval
+		span = min(span, Micros(maxCallBudgetShare*float64(room)))
 	}
-	if float64(span) < s.callTime.Mean && !s.probesCall() {
+	if float64(span) < s.callTime.Mean && !s.mayProbeCall() {
 		return 0
 	}
 	return span
 }
 
-// probesCall says whether a call may be made against the estimate, so that a stale call time can't end all
+// mayProbeCall says whether a call may be made against the estimate, so that a stale call time can't end all
 // calls: none is out and the last was made half an aim ago.
-func (s *Server) probesCall() bool {
-	return s.callsOut == 0 && float64(s.now-s.lastCall) > s.aim/2
+func (s *Server) mayProbeCall() bool {
+	return s.callsInFlight == 0 && float64(s.now-s.lastCallAt) > s.meanObjective/2
 }
 
-func (s *Server) call(r *request, span Micros) {
-	s.lastCall, r.called, r.callOut = s.now, s.now, true
-	r.reserved = span + s.cfg.CallLinger + s.cfg.Tick
-	s.callsOut++
-	s.callsHeld += r.reserved
-	s.do(Action{Kind: ActCall, ID: r.id, Span: span})
+func (s *Server) startCall(r *request, span Micros) {
+	s.lastCallAt, r.callStartedAt, r.callInFlight = s.now, s.now, true
+	r.callReservation = span + s.cfg.AbandonedCallDuration + s.cfg.StepInterval
+	s.callsInFlight++
+	s.reservedCallTime += r.callReservation
+	s.emit(Action{Kind: ActionCall, ID: r.id, Duration: span})
 }
 
 // Endings.
 
-// giveUp answers a request that can't be served, at once: an error where it ran and running it again would do
+// rejectOrFail answers a request that can't be served, at once: an error where it ran and running it again would do
 // harm, else a refusal that tells when to come back. What runs keeps its place until it ends.
-func (s *Server) giveUp(r *request) {
+func (s *Server) rejectOrFail(r *request) {
 	if r.answered {
 		return
 	}
 	r.answered = true
-	if took := float64(s.now - r.started); r.stage == running && took > s.runTime(r) {
-		s.sample(r, took) // at least so long
+	if took := float64(s.now - r.startedAt); r.state == stateRunning && took > s.expectedRunTime(r) {
+		s.recordRunTime(r, took) // at least so long
 	}
-	if r.stage == held || s.classes[r.Class].Effect == Safe {
-		s.refusing.add(1, 1.0/heardLately)
-		s.do(Action{Kind: ActRefuse, ID: r.id, Span: s.advice(), Last: s.inVain()})
+	if r.state == stateQueued || s.classes[r.Class].Idempotency == Idempotent {
+		s.rejectedShare.add(1, 1.0/recentArrivalCount)
+		s.emit(Action{Kind: ActionReject, ID: r.id, Duration: s.retryAfter(), NoFailover: s.failoverFutile()})
 	} else {
-		s.do(Action{Kind: ActFail, ID: r.id})
+		s.emit(Action{Kind: ActionFail, ID: r.id})
 	}
-	s.dismiss(r)
+	s.removeUnlessRunning(r)
 }
 
-// inVain says whether a try elsewhere is taken to be in vain: much is refused here and, by tries seen, there.
-func (s *Server) inVain() bool {
-	shares := s.refusing.Mean > lastFew && s.again > lastAgain
-	return !s.slow() && (shares || s.refusing.Mean > lastShare)
+// failoverFutile says whether a try elsewhere is taken to be in vain: much is refused here and, by tries seen, there.
+func (s *Server) failoverFutile() bool {
+	shares := s.rejectedShare.Mean > futileRejectedShareWithRetries && s.retryShare > futileRetryShare
+	return !s.readsSlowly() && (shares || s.rejectedShare.Mean > futileRejectedShare)
 }
 
-// forget drops a request that is over. A call still out stays in the dependency's hands for a while.
-func (s *Server) forget(r *request) {
-	switch r.stage {
-	case running:
+// removeRequest drops a request that is over. A call still out stays in the dependency's hands for a while.
+func (s *Server) removeRequest(r *request) {
+	switch r.state {
+	case stateRunning:
 		s.running--
-	case calling:
-		s.calls--
+	case stateAtCall:
+		s.atCall--
 	}
-	if r.callOut {
-		s.callOver(r, true)
+	if r.callInFlight {
+		s.releaseCall(r, true)
 	}
-	if r.stage == running || r.stage == calling {
-		s.memory -= r.KB * (s.cfg.RunFactor - 1)
+	if r.state == stateRunning || r.state == stateAtCall {
+		s.requestMemoryKB -= r.MemoryKB * (s.cfg.RunMemoryFactor - 1)
 	}
-	if r.stage == held {
-		s.queue = drop(s.queue, r)
+	if r.state == stateQueued {
+		s.queue = removeFrom(s.queue, r)
 	} else {
-		s.active = drop(s.active, r)
+		s.active = removeFrom(s.active, r)
 	}
-	s.memory -= r.KB
+	s.requestMemoryKB -= r.MemoryKB
 	delete(s.byID, r.id)
 }
 
-func drop(list []*request, r *request) []*request {
+func removeFrom(list []*request, r *request) []*request {
 	return slices.DeleteFunc(list, func(other *request) bool { return other == r })
 }
 
 // Signals to callers.
 
-// advice is how long a refused caller should stay away: in proportion to the time that it takes to start what
+// retryAfter is how long a refused caller should stay away: in proportion to the time that it takes to start what
 // is held and to read what stands unread, by the age of what was read.
-func (s *Server) advice() Micros {
-	if s.sick() || s.kill > 0 || s.slow() {
-		return s.cfg.MaxAdvice
+func (s *Server) retryAfter() Micros {
+	if s.stalledOrFailing() || s.killAt > 0 || s.readsSlowly() {
+		return s.cfg.MaxRetryAfter
 	}
-	backlog := staleShare * s.stale.Mean * s.aim
+	backlog := staleReadShare * s.readStaleness.Mean * s.meanObjective
 	for _, r := range s.queue {
-		backlog += s.runTime(r) / s.limit
+		backlog += s.expectedRunTime(r) / s.runLimit
 	}
-	return min(s.cfg.MaxAdvice, Micros(adviceShare*backlog))
+	return min(s.cfg.MaxRetryAfter, Micros(retryAfterShare*backlog))
 }
 
-// signal tells health checks of the symptoms of a hang or of failing work, and callers how much to send here.
-func (s *Server) signal() {
-	if well := !s.sick() && s.stale.Mean < failShare && !s.leaving(); well != s.healthy {
-		s.healthy = well
-		s.do(Action{Kind: ActHealth, On: well})
+// updateSignals tells health checks of the symptoms of a hang or of failing work, and callers how much to send here.
+func (s *Server) updateSignals() {
+	if well := !s.stalledOrFailing() && s.readStaleness.Mean < unhealthyShare && !s.draining(); well != s.sentHealthy {
+		s.sentHealthy = well
+		s.emit(Action{Kind: ActionSetHealth, Healthy: well})
 	}
-	if s.cfg.Signal == SignalNone {
+	if s.cfg.SignalMode == SignalOff {
 		return
 	}
-	v := s.openness()
-	if s.said < 0 || v > s.said*(1+sayStep) || v < s.said*(1-sayStep) {
-		s.said = v
-		s.do(Action{Kind: ActSay, Value: v})
+	v := s.loadSignal()
+	if s.sentLoadSignal < 0 || v > s.sentLoadSignal*(1+loadSignalMinChange) || v < s.sentLoadSignal*(1-loadSignalMinChange) {
+		s.sentLoadSignal = v
+		s.emit(Action{Kind: ActionSetLoadSignal, LoadSignal: v})
 	}
 }
 
-// leaving says whether callers are to stay away as the server leaves service. What comes within the grace may
+// draining says whether callers are to stay away as the server leaves service. What comes within the grace may
 // still run, and callers bear the word in mind for a while: half of the grace is served as ever.
-func (s *Server) leaving() bool {
-	return s.kill > 0 && s.now >= s.drainAt+s.cfg.DrainGrace/2
+func (s *Server) draining() bool {
+	return s.killAt > 0 && s.now >= s.drainStartedAt+s.cfg.DrainGrace/2
 }
 
-// openness is the value to say, by what callers do with it.
-func (s *Server) openness() float64 {
+// loadSignal is the value to say, by what callers do with it.
+func (s *Server) loadSignal() float64 {
 	shut := 0.0
-	if s.sick() || s.leaving() {
-		shut = shutSick
+	if s.stalledOrFailing() || s.draining() {
+		shut = faultyDivertedShare
 	}
-	if s.cfg.Signal == SignalAllowance {
-		room := (1 - shut) * s.limit / max(1, s.callers())
+	if s.cfg.SignalMode == SignalConcurrencyLimit {
+		room := (1 - shut) * s.runLimit / max(1, s.effectiveCallers())
 		time := 0.0 // the mean of T_m over the classes
 		for _, c := range s.classes {
-			time += c.Run.Mean / float64(len(s.classes))
+			time += c.RunTime.Mean / float64(len(s.classes))
 		}
 		if time > 0 {
-			room *= inviteShare * s.aim / time
+			room *= offeredWorkShare * s.meanObjective / time
 		}
 		return room
 	}
-	if s.cfg.Signal == SignalFloor {
-		return max(shut, s.floor)
+	if s.cfg.SignalMode == SignalPriorityFloor {
+		return max(shut, s.priorityFloor)
 	}
-	return 1 - max(shut, min(shutMost, s.refusing.Mean))
+	return 1 - max(shut, min(maxDivertedShare, s.rejectedShare.Mean))
 }
 
-// moveFloor guards against reading what is refused anyway: while cores are short, the floor rises to the
+// updatePriorityFloor guards against reading what is refused anyway: while cores are short, the floor rises to the
 // rank that as much of the latest arrivals lies under as is refused; else it sinks: what it hides returns.
-func (s *Server) moveFloor() {
-	s.floor *= 1 - 1.0/heardLately
-	refused := int(max(0, s.refusing.Mean-lastShare) * float64(len(s.latest)))
-	if s.cfg.Signal == SignalFloor && refused > 0 && s.credit >= callsKept*s.callTime.Mean {
-		ranked := slices.Clone(s.latest)
-		slices.SortFunc(ranked, func(a, b Arrival) int { return cmp.Compare(a.Rank, b.Rank) })
-		s.floor = max(s.floor, min(shutMost, ranked[refused].Rank))
+func (s *Server) updatePriorityFloor() {
+	s.priorityFloor *= 1 - 1.0/recentArrivalCount
+	refused := int(max(0, s.rejectedShare.Mean-futileRejectedShare) * float64(len(s.recentArrivals)))
+	if s.cfg.SignalMode == SignalPriorityFloor && refused > 0 && s.callCredit >= reservedCalls*s.callTime.Mean {
+		ranked := slices.Clone(s.recentArrivals)
+		slices.SortFunc(ranked, func(a, b Arrival) int { return cmp.Compare(a.PriorityRank, b.PriorityRank) })
+		s.priorityFloor = max(s.priorityFloor, min(maxDivertedShare, ranked[refused].PriorityRank))
 	}
 }
 
-// arm asks for one timer while there is work in hand.
-func (s *Server) arm() {
-	if len(s.byID) == 0 && s.healthy || s.wakeAt != 0 {
+// armTimer asks for one timer while there is work in hand.
+func (s *Server) armTimer() {
+	if len(s.byID) == 0 && s.sentHealthy || s.timerDueAt != 0 {
 		return
 	}
-	span := max(1, s.cfg.Tick, min(wakeTicks*s.cfg.Tick, s.cfg.AnswerGrace/2))
-	s.wakeAt = s.now + span
-	s.do(Action{Kind: ActTimer, Tag: uint64(s.wakeAt), Span: span})
+	span := max(1, s.cfg.StepInterval, min(timerSteps*s.cfg.StepInterval, s.cfg.ResponseGrace/2))
+	s.timerDueAt = s.now + span
+	s.emit(Action{Kind: ActionSetTimer, TimerID: uint64(s.timerDueAt), Duration: span})
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -14,17 +14,17 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "read", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, Calls: true, DegradedWorth: 0.5},
-			{Name: "write", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 4, Effect: Keyed, Window: 6000 * ms,
-				Calls: true},
-			{Name: "once", Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 2, Effect: Unsafe, LateWorth: 0.2},
+			{Name: "read", LatencyObjective: 1000 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 1, CallsDependency: true, DegradedWeightShare: 0.5},
+			{Name: "write", LatencyObjective: 1000 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 4, Idempotency: IdempotentByKey, IdempotencyWindow: 6000 * ms,
+				CallsDependency: true},
+			{Name: "once", LatencyObjective: 1000 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 2, Idempotency: NonIdempotent, LateWeightShare: 0.2},
 		},
-		Tenants: []Tenant{{Name: "a", Quota: 40}, {Name: "b", Quota: 4}},
-		Servers: 4, Cores: 2, MemoryKB: 20000, RunFactor: 8, KeyKB: 20,
-		ColdCapacity: 0.2, WarmAfter: 10000 * ms, CrowdFactor: 5, CrowdSpan: 2000 * ms,
-		AnswerGrace: 60 * ms, DrainGrace: 1000 * ms, Tick: 4 * ms, CallsShare: 4, CallsSpan: 5000 * ms,
-		CallLinger: 200 * ms, TellsWait: true, Stop: StopDiscard, Signal: SignalAllowance,
-		MaxAdvice: 1000 * ms, IdleSpan: 30000 * ms, OverShareWorth: 0.05,
+		Tenants:   []Tenant{{Name: "a", QuotaPerSecond: 40}, {Name: "b", QuotaPerSecond: 4}},
+		FleetSize: 4, Cores: 2, MemoryKB: 20000, RunMemoryFactor: 8, KeyEntryKB: 20,
+		SlowStartCapacity: 0.2, SlowStartDuration: 10000 * ms, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 2000 * ms,
+		ResponseGrace: 60 * ms, DrainGrace: 1000 * ms, StepInterval: 4 * ms, CallConcurrencyLimit: 4, CallConcurrencyWindow: 5000 * ms,
+		AbandonedCallDuration: 200 * ms, DeadlinePropagated: true, StopMode: StopDiscard, SignalMode: SignalConcurrencyLimit,
+		MaxRetryAfter: 1000 * ms, CallerIdleTimeout: 30000 * ms, OverQuotaWeightShare: 0.05,
 	}
 }
 
@@ -51,16 +51,16 @@
 }
 
 func arrival(id RequestID, class int, wait Micros) Event {
-	return Event{Kind: EvArrival, ID: id, Arrival: Arrival{Class: class, Tenant: -1, KB: 10, Wait: wait}}
+	return Event{Kind: EventArrival, ID: id, Arrival: Arrival{Class: class, Tenant: -1, MemoryKB: 10, AttemptTimeout: wait}}
 }
 
 func done(id RequestID, out Outcome, elapsed Micros) Event {
-	return Event{Kind: EvDone, ID: id, Outcome: out, Elapsed: elapsed}
+	return Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: elapsed}
 }
 
 // tick is a timer event with gauges of a server whose cores are busy.
 func tick() Event {
-	return Event{Kind: EvTimer, Tag: 1, Gauges: Gauges{CoreUse: 0.9, RunQueue: 2, MemoryShare: 0.1}}
+	return Event{Kind: EventTimer, TimerID: 1, Gauges: Gauges{CPUUtilization: 0.9, RunQueueLength: 2, MemoryUtilization: 0.1}}
 }
 
 // find returns the first action of a kind for a request, or nil.
@@ -76,7 +76,7 @@
 // started returns the id of the first request that the actions start, or 0.
 func started(actions []Action) RequestID {
 	for _, a := range actions {
-		if a.Kind == ActRun {
+		if a.Kind == ActionRun {
 			return a.ID
 		}
 	}
@@ -102,8 +102,8 @@
 // learn makes the class's run time known by one run.
 func (d *driver) learn(id RequestID, class int, elapsed Micros) {
 	d.t.Helper()
-	d.want(d.step(0, arrival(id, class, 3000*ms)), ActRun, id)
-	d.step(elapsed, done(id, OK, elapsed))
+	d.want(d.step(0, arrival(id, class, 3000*ms)), ActionRun, id)
+	d.step(elapsed, done(id, OutcomeOK, elapsed))
 }
 
 func TestLogicStaysReadable(t *testing.T) {
@@ -130,9 +130,9 @@
 		"no cores":        func(c *Settings) { c.Cores = 0 },
 		"no memory":       func(c *Settings) { c.MemoryKB = 0 },
 		"no classes":      func(c *Settings) { c.Classes = nil },
-		"negative span":   func(c *Settings) { c.AnswerGrace = -1 },
-		"negative window": func(c *Settings) { c.Classes[1].Window = -1 },
-		"no aim":          func(c *Settings) { c.Classes[0].Aim = 0 },
+		"negative span":   func(c *Settings) { c.ResponseGrace = -1 },
+		"negative window": func(c *Settings) { c.Classes[1].IdempotencyWindow = -1 },
+		"no aim":          func(c *Settings) { c.Classes[0].LatencyObjective = 0 },
 	} {
 		cfg := testSettings()
 		spoil(&cfg)
@@ -148,7 +148,7 @@
 		for i := range RequestID(50) {
 			all = append(all, d.step(20*ms, arrival(i+1, int(i)%3, 2000*ms))...)
 			if i > 5 {
-				all = append(all, d.step(0, done(i-5, OK, 100*ms))...)
+				all = append(all, d.step(0, done(i-5, OutcomeOK, 100*ms))...)
 			}
 		}
 		return all
--- a/logic/more_test.go
+++ b/logic/more_test.go
@@ -12,12 +12,12 @@
 	}
 	refused := map[int]int{}
 	for _, a := range d.step(0, flood...) {
-		if a.Kind == ActRefuse {
+		if a.Kind == ActionReject {
 			refused[int(a.ID)%2*2]++
 		}
 	}
-	if d.s.used() > cfg.MemoryKB {
-		t.Errorf("%v kB in use of %v", d.s.used(), cfg.MemoryKB)
+	if d.s.memoryInUse() > cfg.MemoryKB {
+		t.Errorf("%v kB in use of %v", d.s.memoryInUse(), cfg.MemoryKB)
 	}
 	if refused[0] <= refused[2] {
 		t.Errorf("refused by class %v: the worthier class lost more", refused)
@@ -26,16 +26,16 @@
 
 func TestCallsAreLeftOutBeforeTheBound(t *testing.T) {
 	cfg := testSettings()
-	cfg.CallsShare, cfg.Cores = 2, 8
+	cfg.CallConcurrencyLimit, cfg.Cores = 2, 8
 	d := drive(t, cfg)
 	var called, left int
 	for id := RequestID(1); id <= 6; id++ {
 		d.step(0, arrival(id, 0, 3000*ms))
 		for _, a := range d.step(ms, needs(id)) {
 			switch a.Kind {
-			case ActCall:
+			case ActionCall:
 				called++
-			case ActGoOn:
+			case ActionSkipCall:
 				left++
 			}
 		}
@@ -52,7 +52,7 @@
 		d.step(900 * ms)
 	}
 	d.learn(21, 0, 800*ms) // one at a time: the gap tells nothing
-	if got := d.s.classes[0].Run.Mean; got <= float64(50*ms) {
+	if got := d.s.classes[0].RunTime.Mean; got <= float64(50*ms) {
 		t.Errorf("T_m stayed at %v: the long run was taken for a stall", got)
 	}
 }
@@ -61,18 +61,18 @@
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 2, 9000*ms), arrival(2, 2, 9000*ms))
 	first := d.step(0, arrival(3, 1, 400*ms))
-	d.want(first, ActKeepKey, 3)
+	d.want(first, ActionStoreKey, 3)
 	d.step(0, arrival(4, 1, 9000*ms))
 	var out []Action
 	for range 50 {
 		out = append(out, d.step(10*ms, tick())...)
 	}
-	if find(out, ActRun, 3) != nil {
+	if find(out, ActionRun, 3) != nil {
 		t.Fatal("3 ran: the test releases nothing")
 	}
-	d.want(out, ActForgetKey, 3)
-	want := d.s.byID[4].keyEnds
-	if keys := d.s.keys; len(keys) != 1 || keys[0] != want {
+	d.want(out, ActionDeleteKey, 3)
+	want := d.s.byID[4].keyExpiresAt
+	if keys := d.s.keyExpiries; len(keys) != 1 || keys[0] != want {
 		t.Errorf("account of entries %v after a release, want only %v", keys, want)
 	}
 }
@@ -85,20 +85,20 @@
 	for range 60 {
 		out = append(out, d.step(10*ms, tick())...)
 	}
-	d.want(out, ActFail, 1)
-	d.wantNone(out, ActStop, 1)
-	d.wantNone(out, ActStop, 2)
+	d.want(out, ActionFail, 1)
+	d.wantNone(out, ActionStop, 1)
+	d.wantNone(out, ActionStop, 2)
 }
 
 func TestCallsOutCountTowardsTheCrowd(t *testing.T) {
 	cfg := testSettings()
-	cfg.CallsShare = 1000
+	cfg.CallConcurrencyLimit = 1000
 	d := drive(t, cfg)
 	for id := RequestID(1); id <= 40; id++ {
 		d.step(0, arrival(id, 1, 3000*ms))
 		d.step(ms, needs(id))
 	}
-	if all := d.s.running + d.s.calls; float64(all) > 2*d.s.crowd()*crowdShare+1 {
-		t.Errorf("%d runs begun under a ceiling of %v", all, d.s.crowd()*crowdShare)
+	if all := d.s.running + d.s.atCall; float64(all) > 2*d.s.maxConcurrency()*maxConcurrencyShare+1 {
+		t.Errorf("%d runs begun under a ceiling of %v", all, d.s.maxConcurrency()*maxConcurrencyShare)
 	}
 }
--- a/logic/pairs_test.go
+++ b/logic/pairs_test.go
@@ -7,14 +7,14 @@
 func TestDrainWhileStalled(t *testing.T) {
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 2, 60000*ms), arrival(2, 0, 60000*ms), arrival(3, 0, 60000*ms))
-	d.step(2000*ms, Event{Kind: EvDrain, Left: 2000 * ms})
+	d.step(2000*ms, Event{Kind: EventDrain, TimeToKill: 2000 * ms})
 	answered := map[RequestID]int{}
 	for range 200 { // nothing completes
 		for _, a := range d.step(10*ms, tick()) {
-			if a.Kind == ActFail || a.Kind == ActRefuse {
+			if a.Kind == ActionFail || a.Kind == ActionReject {
 				answered[a.ID]++
 			}
-			if a.Kind == ActRefuse && a.ID == 1 {
+			if a.Kind == ActionReject && a.ID == 1 {
 				t.Error("a started effect was refused")
 			}
 		}
@@ -28,7 +28,7 @@
 
 func TestColdStartInABurst(t *testing.T) {
 	cfg := testSettings()
-	cfg.Cold = true
+	cfg.SlowStart = true
 	d := drive(t, cfg)
 	var burst []Event
 	for id := RequestID(1); id <= 60; id++ {
@@ -36,8 +36,8 @@
 	}
 	d.step(0, burst...)
 	idle := tick()
-	idle.Gauges.RunQueue = 0 // a gauge that would let the limit climb
-	survives := float64(cfg.Cores) * (1 + (cfg.CrowdFactor-1)*cfg.ColdCapacity)
+	idle.Gauges.RunQueueLength = 0 // a gauge that would let the limit climb
+	survives := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
 	for range 50 {
 		d.step(4*ms, idle)
 		if float64(d.s.running) > survives {
@@ -48,39 +48,39 @@
 
 func TestSlowDependencyUnderARetryStorm(t *testing.T) {
 	cfg := testSettings()
-	cfg.CallsShare, cfg.Cores = 2, 4
+	cfg.CallConcurrencyLimit, cfg.Cores = 2, 4
 	d := drive(t, cfg)
 	most := 0
 	for i := range RequestID(300) {
 		id := i + 1
 		out := d.step(10*ms, arrival(id, 0, 1500*ms))
 		for _, a := range out {
-			if a.Kind == ActRun {
+			if a.Kind == ActionRun {
 				d.step(0, needs(a.ID)) // no call ever ends
 			}
 		}
-		most = max(most, d.s.callsOut)
+		most = max(most, d.s.callsInFlight)
 		for _, r := range append([]*request(nil), d.s.active...) {
-			if r.stage == running {
-				d.step(0, done(r.id, OK, 20*ms))
+			if r.state == stateRunning {
+				d.step(0, done(r.id, OutcomeOK, 20*ms))
 			}
 		}
 	}
-	if most == 0 || float64(most) > 2*cfg.CallsShare+1 {
-		t.Errorf("%d calls in hand under a share of %v", most, cfg.CallsShare)
+	if most == 0 || float64(most) > 2*cfg.CallConcurrencyLimit+1 {
+		t.Errorf("%d calls in hand under a share of %v", most, cfg.CallConcurrencyLimit)
 	}
 }
 
 func TestFullTableInOverloadStillServesReads(t *testing.T) {
 	cfg := testSettings()
-	cfg.KeyKB = cfg.MemoryKB / 3
+	cfg.KeyEntryKB = cfg.MemoryKB / 3
 	d := drive(t, cfg)
 	for id := RequestID(1); id <= 6; id++ {
 		if ran := started(d.step(10*ms, arrival(id, 1, 3000*ms))); ran != 0 {
-			d.step(0, done(ran, OK, 10*ms))
+			d.step(0, done(ran, OutcomeOK, 10*ms))
 		}
 	}
-	d.want(d.step(10*ms, arrival(50, 0, 3000*ms)), ActRun, 50)
+	d.want(d.step(10*ms, arrival(50, 0, 3000*ms)), ActionRun, 50)
 }
 
 func TestFlooredLimitAndAdviceRecover(t *testing.T) {
@@ -91,23 +91,23 @@
 		storm = append(storm, arrival(id, 0, 3000*ms))
 	}
 	d.step(0, storm...)
-	if d.s.advice() == 0 {
+	if d.s.retryAfter() == 0 {
 		t.Fatal("no advice with a long backlog")
 	}
 	for range 100 {
 		var ended []Event
 		for _, r := range d.s.active {
-			ended = append(ended, done(r.id, OK, 100*ms))
+			ended = append(ended, done(r.id, OutcomeOK, 100*ms))
 		}
 		d.step(100*ms, append(ended, tick())...)
 	}
 	if n := len(d.s.byID); n != 0 {
 		t.Fatalf("%d requests left after the storm", n)
 	}
-	if d.s.advice() != 0 || d.s.limit < float64(d.s.cfg.Cores) {
-		t.Errorf("advice %v, limit %v after the storm", d.s.advice(), d.s.limit)
+	if d.s.retryAfter() != 0 || d.s.runLimit < float64(d.s.cfg.Cores) {
+		t.Errorf("advice %v, limit %v after the storm", d.s.retryAfter(), d.s.runLimit)
 	}
-	d.want(d.step(10*ms, arrival(99, 0, 3000*ms)), ActRun, 99)
+	d.want(d.step(10*ms, arrival(99, 0, 3000*ms)), ActionRun, 99)
 }
 
 func TestSlowServerInvitesLess(t *testing.T) {
@@ -116,7 +116,7 @@
 		for id := RequestID(1); id <= 3; id++ {
 			d.learn(id, int(id)-1, run)
 		}
-		return d.s.openness()
+		return d.s.loadSignal()
 	}
 	if fast, slow := said(50*ms), said(600*ms); slow >= fast {
 		t.Errorf("allowance %v on a slow server, %v on a fast one", slow, fast)
@@ -128,11 +128,11 @@
 	d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms))
 	d.step(0, arrival(3, 0, 3000*ms), arrival(4, 1, 3000*ms))
 	for id := RequestID(1); id <= 4; id++ {
-		d.step(4*ms, Event{Kind: EvGone, ID: id})
+		d.step(4*ms, Event{Kind: EventCanceled, ID: id})
 	}
-	d.step(4*ms, done(1, Cancelled, 0), done(2, Cancelled, 0), done(3, Cancelled, 0), done(4, OK, 0))
-	if len(d.s.byID) != 0 || d.s.memory > 1e-6 {
-		t.Errorf("%d requests and %v kB left", len(d.s.byID), d.s.memory)
+	d.step(4*ms, done(1, OutcomeCanceled, 0), done(2, OutcomeCanceled, 0), done(3, OutcomeCanceled, 0), done(4, OutcomeOK, 0))
+	if len(d.s.byID) != 0 || d.s.requestMemoryKB > 1e-6 {
+		t.Errorf("%d requests and %v kB left", len(d.s.byID), d.s.requestMemoryKB)
 	}
 }
 
@@ -144,10 +144,10 @@
 		}
 		for i, src := range sources {
 			ev := arrival(RequestID(100+i), 0, 3000*ms)
-			ev.Arrival.Source = src
-			d.step(100*ms, ev, done(RequestID(99+i), OK, 100*ms))
+			ev.Arrival.CallerID = src
+			d.step(100*ms, ev, done(RequestID(99+i), OutcomeOK, 100*ms))
 		}
-		return d.s.openness()
+		return d.s.loadSignal()
 	}
 	var even, uneven []int
 	for i := range 120 {
--- a/logic/reading_test.go
+++ b/logic/reading_test.go
@@ -5,7 +5,7 @@
 // reading has the gauges show so many requests being read beside what runs.
 func (d *driver) reading(n float64) Event {
 	ev := tick()
-	ev.Gauges.RunQueue = float64(d.s.running) + n
+	ev.Gauges.RunQueueLength = float64(d.s.running) + n
 	return ev
 }
 
@@ -27,14 +27,14 @@
 	}{{0, 8}, {4, 8}, {6, 6}, {8, 4}, {100, 1}} {
 		d := drive(t, cfg)
 		d.step(0, d.reading(c.reads))
-		if got := d.s.slots(); got != c.slots {
+		if got := d.s.runSlots(); got != c.slots {
 			t.Errorf("%v being read on 8 cores leave room for %d runs, want %d", c.reads, got, c.slots)
 		}
 	}
 	d := drive(t, cfg)
 	d.step(0, tick()) // the run queue was not measured
-	d.s.gauges.RunQueue = -1
-	if got := d.s.slots(); got != 8 {
+	d.s.gauges.RunQueueLength = -1
+	if got := d.s.runSlots(); got != 8 {
 		t.Errorf("%d runs without a gauge, want 8", got)
 	}
 }
@@ -53,7 +53,7 @@
 	} {
 		d := drive(t, testSettings())
 		d.read(100, c.gap, c.reads)
-		if got := d.s.slow(); got != c.slow {
+		if got := d.s.readsSlowly(); got != c.slow {
 			t.Errorf("%s: slow is %v", c.name, got)
 		}
 	}
@@ -63,16 +63,16 @@
 	d := drive(t, testSettings())
 	d.learn(1, 0, 100*ms)
 	d.read(100, 600*ms, 2)
-	d.s.refusing.Mean = 0.95
+	d.s.rejectedShare.Mean = 0.95
 	late := arrival(500, 0, 3000*ms)
 	late.Arrival.Age = 990 * ms // of an aim of 1 s
 	out := d.step(4*ms, late)
-	refused := find(out, ActRefuse, 500)
+	refused := find(out, ActionReject, 500)
 	if refused == nil {
 		t.Fatal("a request that is too late was not refused at once")
 	}
-	if refused.Span != d.s.cfg.MaxAdvice || refused.Last {
-		t.Errorf("advice %v, last %v; want the longest, and others left to try", refused.Span, refused.Last)
+	if refused.Duration != d.s.cfg.MaxRetryAfter || refused.NoFailover {
+		t.Errorf("advice %v, last %v; want the longest, and others left to try", refused.Duration, refused.NoFailover)
 	}
 }
 
@@ -84,8 +84,8 @@
 			ev.Arrival.Retry = retries && id%3 == 0
 			d.step(4*ms, ev)
 		}
-		d.s.refusing.Mean = refusing
-		return d.s.inVain()
+		d.s.rejectedShare.Mean = refusing
+		return d.s.failoverFutile()
 	}
 	for _, c := range []struct {
 		retries  bool
@@ -104,9 +104,9 @@
 		for id := RequestID(1); id <= 30; id++ {
 			ev := arrival(id, 0, 3000*ms)
 			ev.Arrival.Age = age
-			d.step(4*ms, ev, Event{Kind: EvGone, ID: id - 1})
+			d.step(4*ms, ev, Event{Kind: EventCanceled, ID: id - 1})
 		}
-		return d.s.advice()
+		return d.s.retryAfter()
 	}
 	if fresh, old := advice(0), advice(400*ms); old < fresh+50*ms {
 		t.Errorf("advice %v with requests read 0.4 s old, %v with fresh ones", old, fresh)
@@ -120,9 +120,9 @@
 		ev := arrival(id, 0, 0)
 		ev.Arrival.Age = 20 * ms
 		d.step(4*ms, ev)
-		if r := d.s.byID[id]; r == nil || r.first != r.arrived || r.due != r.arrived+3000*ms {
+		if r := d.s.byID[id]; r == nil || r.firstAttemptAt != r.arrivedAt || r.deadline != r.arrivedAt+3000*ms {
 			t.Fatalf("request %d: %+v", id, r)
 		}
-		d.step(0, Event{Kind: EvGone, ID: id}, done(id, Cancelled, 0))
+		d.step(0, Event{Kind: EventCanceled, ID: id}, done(id, OutcomeCanceled, 0))
 	}
 }
--- a/logic/retune_test.go
+++ b/logic/retune_test.go
@@ -8,13 +8,13 @@
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 0, 0))
 	next := testSettings()
-	next.Classes = append(next.Classes, Class{Name: "new", Aim: 500 * ms, Deadline: 2000 * ms, Worth: 1})
-	if err := d.s.Retune(next); err != nil {
+	next.Classes = append(next.Classes, Class{Name: "new", LatencyObjective: 500 * ms, ClientTimeout: 2000 * ms, PriorityWeight: 1})
+	if err := d.s.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	ran := map[RequestID]bool{}
 	for _, a := range append(d.step(ms, arrival(2, 3, 0)), d.step(ms, tick())...) {
-		if a.Kind == ActRun {
+		if a.Kind == ActionRun {
 			ran[a.ID] = true
 		}
 	}
@@ -23,13 +23,13 @@
 	}
 	fewer := testSettings()
 	fewer.Classes = fewer.Classes[:1]
-	if err := d.s.Retune(fewer); err == nil {
+	if err := d.s.Reconfigure(fewer); err == nil {
 		t.Error("a class in hand was taken away")
 	}
 	bad := next
 	bad.Classes = append([]Class(nil), next.Classes...)
-	bad.Classes[3].Deadline = 0
-	if err := d.s.Retune(bad); err == nil {
+	bad.Classes[3].ClientTimeout = 0
+	if err := d.s.Reconfigure(bad); err == nil {
 		t.Error("a deadline of 0 was taken")
 	}
 }
--- a/logic/signals_test.go
+++ b/logic/signals_test.go
@@ -5,7 +5,7 @@
 // rankedSettings is a server whose callers heed a floor.
 func rankedSettings() Settings {
 	cfg := testSettings()
-	cfg.Signal = SignalFloor
+	cfg.SignalMode = SignalPriorityFloor
 	return cfg
 }
 
@@ -14,24 +14,24 @@
 	d.learn(1000, 0, 900*ms)
 	for id := RequestID(1); id <= 60; id++ {
 		ev := arrival(id, 0, 3000*ms)
-		ev.Arrival.Rank = float64(id%10) / 20 // reads take the lower half of the ranks
+		ev.Arrival.PriorityRank = float64(id%10) / 20 // reads take the lower half of the ranks
 		if id%6 == 0 {
 			ev = arrival(id, 1, 3000*ms)
-			ev.Arrival.Rank = 0.5 + float64(id%10)/20
+			ev.Arrival.PriorityRank = 0.5 + float64(id%10)/20
 		}
 		d.step(30*ms, ev)
 		d.step(2*ms, tick())
 	}
-	high := d.s.floor
+	high := d.s.priorityFloor
 	if high <= 0.05 || high >= 0.95 {
-		t.Fatalf("floor %.2f with %.2f refused: want it within the ranks of what arrives", high, d.s.refusing.Mean)
+		t.Fatalf("floor %.2f with %.2f refused: want it within the ranks of what arrives", high, d.s.rejectedShare.Mean)
 	}
-	d.s.refusing.Mean = 0
+	d.s.rejectedShare.Mean = 0
 	for range 300 { // 10 s without refusals
 		d.step(32*ms, tick())
 	}
-	if d.s.floor > 0.01 {
-		t.Errorf("floor %.2f 10 s after the last refusal", d.s.floor)
+	if d.s.priorityFloor > 0.01 {
+		t.Errorf("floor %.2f 10 s after the last refusal", d.s.priorityFloor)
 	}
 }
 
@@ -40,13 +40,13 @@
 	d.s.callTime.add(float64(500*ms), 1)
 	for id := RequestID(1); id <= 40; id++ {
 		ev := arrival(id, 0, 3000*ms)
-		ev.Arrival.Rank = 0.3
+		ev.Arrival.PriorityRank = 0.3
 		d.step(0, ev)
 	}
-	d.s.refusing.Mean, d.s.credit = 0.5, 0
-	d.s.moveFloor()
-	if d.s.floor != 0 {
-		t.Errorf("floor %.2f although calls are what is short", d.s.floor)
+	d.s.rejectedShare.Mean, d.s.callCredit = 0.5, 0
+	d.s.updatePriorityFloor()
+	if d.s.priorityFloor != 0 {
+		t.Errorf("floor %.2f although calls are what is short", d.s.priorityFloor)
 	}
 }
 
@@ -59,8 +59,8 @@
 
 func health(actions []Action) (on, said bool) {
 	for _, a := range actions {
-		if a.Kind == ActHealth {
-			on, said = a.On, true
+		if a.Kind == ActionSetHealth {
+			on, said = a.Healthy, true
 		}
 	}
 	return on, said
@@ -79,7 +79,7 @@
 		t.Fatal("health good although everything is read 0.9 s late under an aim of 1 s")
 	}
 	idle := tick()
-	idle.Gauges.RunQueue = 0
+	idle.Gauges.RunQueueLength = 0
 	for range 400 {
 		if on, said := health(d.step(30*ms, idle)); said && on {
 			return
@@ -95,7 +95,7 @@
 		if on, said := health(d.step(50*ms, lateArrival(id, 100*ms))); said && !on {
 			t.Fatal("health failed with reads 0.1 s old")
 		}
-		d.step(10*ms, done(id, OK, 10*ms))
+		d.step(10*ms, done(id, OutcomeOK, 10*ms))
 	}
 }
 
@@ -104,11 +104,11 @@
 	for id := RequestID(1); id <= 60; id++ { // 300 ms of waiting whatever the work
 		work := 50 * ms * Micros(1+id%4)
 		ev := arrival(id, 0, 3000*ms)
-		ev.Arrival.Hint = work
+		ev.Arrival.WorkHint = work
 		d.step(ms, ev)
-		d.step(work+300*ms, done(id, OK, work+300*ms))
+		d.step(work+300*ms, done(id, OutcomeOK, work+300*ms))
 	}
-	got := d.s.runTime(&request{Arrival: Arrival{Class: 0, Hint: 800 * ms}})
+	got := d.s.expectedRunTime(&request{Arrival: Arrival{Class: 0, WorkHint: 800 * ms}})
 	if got < 950e3 || got > 1300e3 {
 		t.Errorf("T_m for 800 ms of work is %.0f ms, want about 1,100", got/1e3)
 	}
@@ -116,7 +116,7 @@
 
 func TestNoAgeWithoutToldWaits(t *testing.T) {
 	cfg := testSettings()
-	cfg.TellsWait = false
+	cfg.DeadlinePropagated = false
 	d := drive(t, cfg)
 	for id := RequestID(1); id <= 40; id++ {
 		ev := arrival(id, 0, 0)
@@ -125,22 +125,22 @@
 			ev.Arrival.Age = 200 * ms // read a little later than the others: no later try
 		}
 		out := d.step(400*ms, ev)
-		d.want(out, ActRun, id)
+		d.want(out, ActionRun, id)
 		if id < 39 { // the last but one still runs, so that the last is no probe
-			d.step(10*ms, done(id, OK, 10*ms))
+			d.step(10*ms, done(id, OutcomeOK, 10*ms))
 		}
 	}
 }
 
 func TestLateWorkLeavesInProportionToItsWorth(t *testing.T) {
 	d := drive(t, testSettings())
-	r := &request{Arrival: Arrival{Class: 2}, due: 3000 * ms} // late worth 0.2: aim 1 s, deadline 3 s
+	r := &request{Arrival: Arrival{Class: 2}, deadline: 3000 * ms} // late worth 0.2: aim 1 s, deadline 3 s
 	for _, c := range []struct {
 		running int
 		share   float64
-	}{{0, idleShare}, {1, idleShare}, {2, lateShare}} { // of two cores
+	}{{0, idleOldQueueBoundShare}, {1, idleOldQueueBoundShare}, {2, oldQueueBoundShare}} { // of two cores
 		d.s.running = c.running
-		_, d2 := d.s.bounds(r)
+		_, d2 := d.s.queueBounds(r)
 		if want := 1400e3 * c.share; d2 < want-1 || d2 > want+1 {
 			t.Errorf("%d running: D2 %.0f ms, want %.0f", c.running, d2/1e3, want/1e3)
 		}
@@ -152,10 +152,10 @@
 func TestFirstSampleSuggestsNoSteepSlope(t *testing.T) {
 	d := drive(t, testSettings())
 	ev := arrival(1, 0, 3000*ms)
-	ev.Arrival.Hint = 50 * ms
+	ev.Arrival.WorkHint = 50 * ms
 	d.step(0, ev)
-	d.step(350*ms, done(1, OK, 350*ms))
-	if got := d.s.runTime(&request{Arrival: Arrival{Class: 0, Hint: 200 * ms}}); got < 350e3 || got > 700e3 {
+	d.step(350*ms, done(1, OutcomeOK, 350*ms))
+	if got := d.s.expectedRunTime(&request{Arrival: Arrival{Class: 0, WorkHint: 200 * ms}}); got < 350e3 || got > 700e3 {
 		t.Errorf("T_m for 200 ms of work is %.0f ms, want 350 to 700", got/1e3)
 	}
 }
@@ -163,10 +163,10 @@
 func TestRunGivenUpIsASample(t *testing.T) {
 	d := drive(t, testSettings())
 	d.learn(1, 1, 50*ms)
-	before := d.s.classes[1].Run.Mean
+	before := d.s.classes[1].RunTime.Mean
 	d.step(0, arrival(2, 1, 900*ms))
-	d.want(d.step(900*ms, tick()), ActFail, 2)
-	if got := d.s.classes[1].Run.Mean; got <= before {
+	d.want(d.step(900*ms, tick()), ActionFail, 2)
+	if got := d.s.classes[1].RunTime.Mean; got <= before {
 		t.Errorf("T_m %.0f ms after a run given up at 900 ms, %.0f before", got/1e3, before/1e3)
 	}
 }
