--- a/client/uwsgi/client.go
+++ b/client/uwsgi/client.go
@@ -311,7 +311,7 @@
 
 func (r *reading) Read(b []byte) (int, error) {
 	n, err := r.from.Read(b)
-	if err != nil && err != io.EOF {
+	if err != nil && !errors.Is(err, io.EOF) {
 		r.err = err
 	}
 	return n, err
@@ -337,7 +337,7 @@
 			_, text, _ = bytes.Cut(text, []byte("\n"))
 		}
 		fields, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(text))).ReadMIMEHeader()
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return nil, err
 		}
 		resp := &Response{Status: head.Status, Header: http.Header(fields), Length: head.Body.Length}
@@ -358,7 +358,7 @@
 	for {
 		b, _ := in.Peek(in.Buffered())
 		head, err := packet.ReadHead(b, headOnly, most)
-		if err != packet.ErrShort {
+		if !errors.Is(err, packet.ErrShort) {
 			return b, head, err
 		}
 		if _, err := in.Peek(len(b) + 1); err != nil {
--- a/cmd/sloehitch-lab/experiment.go
+++ b/cmd/sloehitch-lab/experiment.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	log, err := os.Create(filepath.Join(dir, "daemons.log"))
 	if err != nil {
 		return err
--- a/cmd/sloehitch-lab/fleetload.go
+++ b/cmd/sloehitch-lab/fleetload.go
@@ -67,87 +67,147 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	quiet := slog.New(slog.DiscardHandler)
-	addresses, err := loopback.Addresses(2 * c.Members)
+	group, err := startStoreGroup(dir, c.Members)
 	if err != nil {
+		return errors.Join(err, group.close())
+	}
+	defer func() { err = errors.Join(err, group.close()) }()
+	if err := group.awaitLeader(); err != nil {
 		return err
 	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	m := &reportMeter{latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	var nodes sync.WaitGroup
+	for i := range c.Nodes {
+		if err := c.startNode(ctx, &nodes, i, group.admins, m); err != nil {
+			return err
+		}
+	}
+	c.measure(group.stores[0], m)
+	cancel()
+	nodes.Wait()
+	return nil
+}
+
+// startNode has a node report until the context is canceled. The nodes' first reports are spread over an interval, as those of nodes that start by themselves are.
+func (c *reportsCmd) startNode(ctx context.Context, nodes *sync.WaitGroup, i int, admins []string, m *reportMeter) error {
+	f, err := fleet.New(fleet.Options{Name: fmt.Sprint("n", i), StoreMembers: admins, ReportInterval: c.Every, SilentAfter: 5 * c.Every,
+		RequestTimeout: 2500 * time.Millisecond, RetryDelay: time.Second, LeaseTerms: store.DefaultLeaseTerms, Log: slog.New(slog.DiscardHandler), OnReport: m.observe})
+	if err != nil {
+		return err
+	}
+	nodes.Go(func() {
+		select {
+		case <-time.After(time.Duration(i) * c.Every / time.Duration(c.Nodes)):
+			f.Serve(ctx)
+		case <-ctx.Done():
+		}
+	})
+	return nil
+}
+
+// measure counts reports for a while and prints what they cost.
+func (c *reportsCmd) measure(s *store.Store, m *reportMeter) {
+	time.Sleep(2 * c.Every)
+	before := used()
+	_, from, _ := s.Documents("", false)
+	m.count(true)
+	time.Sleep(c.For)
+	m.count(false)
+	cores := (used() - before).Seconds() / c.For.Seconds()
+	reports := float64(m.latency.TotalCount()) / c.For.Seconds()
+	p50 := time.Duration(m.latency.ValueAtQuantile(50)) * time.Microsecond
+	p99 := time.Duration(m.latency.ValueAtQuantile(99)) * time.Microsecond
+	fmt.Printf("%d nodes, %d members, a report each %v: %.0f reports a second, p50 %v, p99 %v, %d failed; %.2f cores of members and nodes together",
+		c.Nodes, c.Members, c.Every, reports, p50, p99, m.failed, cores)
+	_, to, _ := s.Documents("", false)
+	fmt.Printf("; %.1f revisions a second\n", float64(to.Revision-from.Revision)/c.For.Seconds())
+}
+
+// reportMeter takes the latencies of reports while it counts.
+type reportMeter struct {
+	mu       sync.Mutex
+	counting bool
+	latency  *hdrhistogram.Histogram // microseconds
+	failed   int
+}
+
+func (m *reportMeter) count(on bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.counting = on
+}
+
+func (m *reportMeter) observe(took time.Duration, err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	switch {
+	case !m.counting:
+	case err != nil:
+		m.failed++
+	default:
+		_ = m.latency.RecordValue(took.Microseconds()) // within a minute, as the client's timeout is
+	}
+}
+
+// storeGroup is the members of a store in this process, and their operators' addresses.
+type storeGroup struct {
+	stores  []*store.Store
+	servers []*http.Server
+	admins  []string
+}
+
+// startStoreGroup starts members of a store with folders in dir. What it returns is to be closed also on an error.
+func startStoreGroup(dir string, n int) (*storeGroup, error) {
+	g := &storeGroup{}
+	addresses, err := loopback.Addresses(2 * n)
+	if err != nil {
+		return g, err
+	}
 	var members []store.Member
-	var admins []string
-	for i := range c.Members {
+	for i := range n {
 		members = append(members, store.Member{Name: fmt.Sprint("m", i), RaftAddress: addresses[2*i], AdminAddress: addresses[2*i+1]})
-		admins = append(admins, addresses[2*i+1])
+		g.admins = append(g.admins, addresses[2*i+1])
 	}
-	var stores []*store.Store
 	for _, m := range members {
-		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), CommitTimeout: 5 * time.Second, ElectionTimeout: time.Second, Logger: quiet})
+		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), CommitTimeout: 5 * time.Second,
+			ElectionTimeout: time.Second, Logger: slog.New(slog.DiscardHandler)})
 		if err != nil {
-			return err
+			return g, err
 		}
-		defer s.Close()
+		g.stores = append(g.stores, s)
 		ln, err := net.Listen("tcp", m.AdminAddress)
 		if err != nil {
-			return err
+			return g, err
 		}
 		server := &http.Server{Handler: s.Handler()}
-		defer server.Close()
-		go server.Serve(ln)
-		stores = append(stores, s)
+		g.servers = append(g.servers, server)
+		go func() { _ = server.Serve(ln) }() // until it is closed
 	}
-	for end := time.Now().Add(30 * time.Second); stores[0].Members().Leader == ""; time.Sleep(10 * time.Millisecond) {
+	return g, nil
+}
+
+// awaitLeader blocks until a leader is elected, for 30 s at most.
+func (g *storeGroup) awaitLeader() error {
+	for end := time.Now().Add(30 * time.Second); g.stores[0].Members().Leader == ""; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return errors.New("the store has no leader after 30 s")
 		}
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	var mu sync.Mutex
-	latency, failed := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), 0
-	counting := false
-	var wg sync.WaitGroup
-	for i := range c.Nodes {
-		f, err := fleet.New(fleet.Options{Name: fmt.Sprint("n", i), StoreMembers: admins, ReportInterval: c.Every, SilentAfter: 5 * c.Every, RequestTimeout: 2500 * time.Millisecond, RetryDelay: time.Second, LeaseTerms: store.DefaultLeaseTerms, Log: quiet,
-			OnReport: func(took time.Duration, err error) {
-				mu.Lock()
-				defer mu.Unlock()
-				switch {
-				case !counting:
-				case err != nil:
-					failed++
-				default:
-					_ = latency.RecordValue(took.Microseconds()) // within a minute, as the client's patience is
-				}
-			}})
-		if err != nil {
-			return err
-		}
-		wg.Go(func() {
-			select {
-			case <-time.After(time.Duration(i) * c.Every / time.Duration(c.Nodes)): // spread, as nodes that start by themselves are
-				f.Serve(ctx)
-			case <-ctx.Done():
-			}
-		})
-	}
-	time.Sleep(2 * c.Every)
-	before := used()
-	_, from, _ := stores[0].Documents("", false)
-	mu.Lock()
-	counting = true
-	mu.Unlock()
-	time.Sleep(c.For)
-	mu.Lock()
-	counting = false
-	fmt.Printf("%d nodes, %d members, a report each %v: %.0f reports a second, p50 %v, p99 %v, %d failed; %.2f cores of members and nodes together",
-		c.Nodes, c.Members, c.Every, float64(latency.TotalCount())/c.For.Seconds(), time.Duration(latency.ValueAtQuantile(50))*time.Microsecond, time.Duration(latency.ValueAtQuantile(99))*time.Microsecond, failed, (used()-before).Seconds()/c.For.Seconds())
-	mu.Unlock()
-	_, to, _ := stores[0].Documents("", false)
-	fmt.Printf("; %.1f revisions a second\n", float64(to.Revision-from.Revision)/c.For.Seconds())
-	cancel()
-	wg.Wait()
 	return nil
 }
 
+func (g *storeGroup) close() (err error) {
+	for _, server := range g.servers {
+		err = errors.Join(err, server.Close())
+	}
+	for _, s := range g.stores {
+		err = errors.Join(err, s.Close())
+	}
+	return err
+}
+
 // used is the processor time of this process.
 func used() time.Duration {
 	var u syscall.Rusage
--- a/cmd/sloehitch-lab/main.go
+++ b/cmd/sloehitch-lab/main.go
@@ -98,7 +98,9 @@
 
 func (c *listCmd) Run() error {
 	for _, k := range conformance.Cases(c.Path) {
-		fmt.Printf("%s\t%s\t%s\n", k.Name, k.Want, k.From)
+		if _, err := fmt.Printf("%s\t%s\t%s\n", k.Name, k.Want, k.From); err != nil {
+			return err
+		}
 	}
 	return nil
 }
--- a/cmd/sloehitch-lab/soak.go
+++ b/cmd/sloehitch-lab/soak.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	self, err := os.Executable()
 	if err != nil {
 		return err
--- a/cmd/sloehitch-lab/walk.go
+++ b/cmd/sloehitch-lab/walk.go
@@ -26,66 +26,88 @@
 }
 
 func (c *walkCmd) Run() error {
-	mutants, play := duties.Mutants, func(seed uint64) string { return duties.Run(seed, c.Mutant) }
+	mutants, play := c.model()
+	if c.Mutant != "" && !slices.Contains(mutants, c.Mutant) {
+		return fmt.Errorf("--mutant %q: one of %q is wanted", c.Mutant, mutants)
+	}
+	if c.Nodes < 0 || c.Nodes > 1000 {
+		return fmt.Errorf("--nodes %d: 1 to 1000 are wanted", c.Nodes)
+	}
+	run := &seedRun{play: play, start: c.First, end: c.First + c.Seeds}
+	var workers sync.WaitGroup
+	for range runtime.NumCPU() {
+		workers.Go(run.work)
+	}
+	workers.Wait()
+	if run.violation != "" {
+		fmt.Printf("seed %d: %s\n", run.end, run.violation)
+		return errFailed
+	}
+	fmt.Printf("%d seeds held\n", run.played.Load())
+	return nil
+}
+
+// model returns the mutants of the model that was asked for, and what runs one seed of it and says which rule broke.
+func (c *walkCmd) model() (mutants []string, play func(seed uint64) string) {
 	switch c.What {
 	case "members":
-		mutants, play = members.Mutants, func(seed uint64) string {
-			wrong, _ := members.Run(seed, c.Mutant)
-			return wrong
+		return members.Mutants, func(seed uint64) string {
+			violation, _ := members.Run(seed, c.Mutant)
+			return violation
 		}
 	case "permits":
-		mutants, play = permits.Mutants, func(seed uint64) string {
-			wrong, _ := permits.RunFleet(c.Nodes, seed, c.Mutant)
-			return wrong
+		return permits.Mutants, func(seed uint64) string {
+			violation, _ := permits.RunFleet(c.Nodes, seed, c.Mutant)
+			return violation
 		}
 	case "releases":
-		mutants, play = permits.ReleaseMutants, func(seed uint64) string {
-			wrong, _ := permits.RunRelease(seed, c.Mutant)
-			return wrong
+		return permits.ReleaseMutants, func(seed uint64) string {
+			violation, _ := permits.RunRelease(seed, c.Mutant)
+			return violation
 		}
 	case "leases":
 		terms := lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.05}
-		mutants, play = leases.Mutants, func(seed uint64) string { return leases.Run(seed, terms, c.Drift, c.Mutant) }
+		return leases.Mutants, func(seed uint64) string { return leases.Run(seed, terms, c.Drift, c.Mutant) }
 	}
-	if c.Mutant != "" && !slices.Contains(mutants, c.Mutant) {
-		return fmt.Errorf("--mutant %q: one of %q is wanted", c.Mutant, mutants)
-	}
-	if c.Nodes < 0 || c.Nodes > 1000 {
-		return fmt.Errorf("--nodes %d: 1 to 1000 are wanted", c.Nodes)
-	}
-	var next, played atomic.Uint64
-	var mu sync.Mutex
-	first, wrong := c.First+c.Seeds, ""
-	var wg sync.WaitGroup
-	for range runtime.NumCPU() {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for {
-				seed := c.First + next.Add(1) - 1
-				mu.Lock()
-				over := seed >= first // a later seed than one that is known to be wrong says nothing new
-				mu.Unlock()
-				if over {
-					return
-				}
-				found := play(seed)
-				played.Add(1)
-				if found != "" {
-					mu.Lock()
-					if seed < first {
-						first, wrong = seed, found
-					}
-					mu.Unlock()
-				}
-			}
-		}()
+	return duties.Mutants, func(seed uint64) string { return duties.Run(seed, c.Mutant) }
+}
+
+// seedRun runs the seeds of a model on several workers, and keeps the first seed that breaks a rule.
+type seedRun struct {
+	play         func(seed uint64) string
+	start        uint64
+	next, played atomic.Uint64
+
+	mu        sync.Mutex
+	end       uint64 // seeds from here on are not wanted: a later one than one that breaks a rule says nothing new
+	violation string // of seed end
+}
+
+// work runs seeds until there are no more.
+func (r *seedRun) work() {
+	for {
+		seed := r.start + r.next.Add(1) - 1
+		if !r.wanted(seed) {
+			return
+		}
+		violation := r.play(seed)
+		r.played.Add(1)
+		if violation != "" {
+			r.record(seed, violation)
+		}
 	}
-	wg.Wait()
-	if wrong != "" {
-		fmt.Printf("seed %d: %s\n", first, wrong)
-		return errFailed
+}
+
+func (r *seedRun) wanted(seed uint64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return seed < r.end
+}
+
+func (r *seedRun) record(seed uint64, violation string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if seed < r.end {
+		r.end, r.violation = seed, violation
 	}
-	fmt.Printf("%d seeds held\n", played.Load())
-	return nil
 }
--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -59,6 +59,9 @@
 	return s, nil
 }
 
+// closeReadOnly closes a store that was opened for reading: nothing of it is left to be written.
+func closeReadOnly(s *ledger.Store) { _ = s.Close() }
+
 // progress shows long work on a terminal, and nothing elsewhere.
 func progress() func(what string, done, of int64) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
@@ -108,7 +111,7 @@
 const inFlight = 4096
 
 func (c *ledgerPutCmd) Run(log *slog.Logger) (err error) {
-	dir, err := disk.MakeDir(c.Dir)
+	_, err = disk.MakeDir(c.Dir)
 	if err != nil {
 		return err
 	}
@@ -118,11 +121,11 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, s.Close()) }()
-	return c.write(s, dir, os.Stdin, os.Stdout)
+	return c.write(s, os.Stdin, os.Stdout)
 }
 
 // write puts the lines and prints the keys in their order, each once it is durable and only then.
-func (c *ledgerPutCmd) write(s *ledger.Store, dir disk.Dir, in io.Reader, out io.Writer) error {
+func (c *ledgerPutCmd) write(s *ledger.Store, in io.Reader, out io.Writer) error {
 	lim := limits.ForLedger(0)
 	sc := bufio.NewScanner(in)
 	sc.Buffer(nil, 2*(lim.KeyBytes+lim.ValueBytes))
@@ -164,8 +167,7 @@
 				fail(fmt.Errorf("line %d: %w", at, err))
 				return
 			}
-			w.Write(key)
-			err = w.WriteByte('\n')
+			_, err = fmt.Fprintf(w, "%s\n", key)
 			if len(tokens) <= 1 || w.Buffered() > 2048 { // what is acknowledged is told soon, and many at a time
 				err = errors.Join(err, w.Flush())
 			}
@@ -228,7 +230,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer closeReadOnly(s)
 	w := bufio.NewWriterSize(os.Stdout, 1<<16)
 	enc := json.NewEncoder(w)
 	err = s.Scan([]byte(c.Prefix), func(p ledger.Pair) error {
@@ -238,10 +240,8 @@
 		if bytes.ContainsAny(p.Key, "\t\n") || bytes.ContainsRune(p.Value, '\n') {
 			return fmt.Errorf("key %q: it or its value has a tab or a line break; use --json", p.Key)
 		}
-		w.Write(p.Key)
-		w.WriteByte('\t')
-		w.Write(p.Value)
-		return w.WriteByte('\n')
+		_, err := fmt.Fprintf(w, "%s\t%s\n", p.Key, p.Value)
+		return err
 	})
 	return errors.Join(err, w.Flush())
 }
@@ -272,7 +272,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer closeReadOnly(s)
 	stats, r := s.Stats(), s.Recovery()
 	return c.show(struct {
 		ledger.Stats
@@ -331,7 +331,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer closeReadOnly(s)
 	to, err := disk.MakeDir(c.To)
 	if err != nil {
 		return err
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -149,11 +149,12 @@
 type versionCmd struct{}
 
 func (versionCmd) Run(_ *slog.Logger) error {
-	fmt.Println("sloehitch", version)
+	lines := []any{"sloehitch " + version}
 	if info, ok := debug.ReadBuildInfo(); ok {
-		fmt.Println(info.GoVersion)
+		lines = append(lines, "\n", info.GoVersion)
 	}
-	return nil
+	_, err := fmt.Print(append(lines, "\n")...)
+	return err
 }
 
 func main() {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -46,7 +46,7 @@
 func (c *serveCmd) serve(conn net.Conn) {
 	defer conn.Close()
 	vars, body, err := read(conn)
-	if err == errPing {
+	if errors.Is(err, errPing) {
 		_, err = conn.Write(packet.Pong.Append(nil))
 	}
 	if err != nil {
--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -54,7 +54,7 @@
 	classes := c.Platform.Logic.Classes
 	d.uwsgi = uwsgi.New(uwsgi.Options{Over: observe, Core: d.node, Mapper: c.Operations, Pool: d.upstreams.pool, Limits: d.limits, Log: d.log,
 		Safe: func(class int) bool { return classes[class].Idempotency == logic.Idempotent }, Well: func() bool { return !d.service.outOfService() },
-		Modifiers: u.ModifierBytes(), Deadline: u.Deadline, HalfClose: u.HalfClose == "leaves", PerSource: u.ConnectionsPerSource, BodyMost: u.MaxBodyBytes()})
+		Modifiers: u.ModifierBytes(), Deadline: u.Deadline, HalfClose: u.ClientsLeave(), PerSource: u.ConnectionsPerSource, BodyMost: u.MaxBodyBytes()})
 	return d.serveOn("uwsgi", func() (net.Listener, error) { return address.Listen(mode, frontKeys) }, d.uwsgi.Serve)
 }
 
--- a/internal/emulator/experiment/report.go
+++ b/internal/emulator/experiment/report.go
@@ -145,8 +145,8 @@
 	return seeds
 }
 
-func (i Interval) text(scale float64) string {
-	return fmt.Sprintf("%.3f [%.3f, %.3f]", i.Mean*scale, i.Low*scale, i.High*scale)
+func (i Interval) text() string {
+	return fmt.Sprintf("%.3f [%.3f, %.3f]", i.Mean, i.Low, i.High)
 }
 
 // beyond says whether an interval of differences leaves no place for none.
@@ -160,13 +160,13 @@
 	for _, c := range cells {
 		against := ""
 		if c.Against != nil {
-			if against = c.Against.text(1); !c.Against.beyond() {
+			if against = c.Against.text(); !c.Against.beyond() {
 				against += " (noise)"
 			}
 		}
-		fmt.Fprintf(w, "%.3g\t%d\t%d\t%s\t%s\t%s\t%.0f\t%.1f%%\n", c.Load, c.Nodes, c.Retries, c.Arm, c.Goodput.text(1), against, c.P99.Mean, 100*c.Refused.Mean)
+		fmt.Fprintf(w, "%.3g\t%d\t%d\t%s\t%s\t%s\t%.0f\t%.1f%%\n", c.Load, c.Nodes, c.Retries, c.Arm, c.Goodput.text(), against, c.P99.Mean, 100*c.Refused.Mean)
 	}
-	w.Flush()
+	_ = w.Flush() // a strings.Builder takes every write
 	rolled := slices.DeleteFunc(slices.Clone(cells), func(c Cell) bool { return c.Release == nil })
 	if len(rolled) == 0 {
 		return b.String()
@@ -175,9 +175,9 @@
 	fmt.Fprintln(w, "load\tnodes\tarm\tchanged at the end [95%]\tmost out or cold\tseconds until over or halted\tended, halted by itself")
 	for _, c := range rolled {
 		r := c.Release
-		fmt.Fprintf(w, "%.3g\t%d\t%s\t%s\t%s\t%s\t%d, %d\n", c.Load, c.Nodes, c.Arm, r.Changed.text(1), r.MostOut.text(1), r.Took.text(1), r.Ended, r.Halted)
+		fmt.Fprintf(w, "%.3g\t%d\t%s\t%s\t%s\t%s\t%d, %d\n", c.Load, c.Nodes, c.Arm, r.Changed.text(), r.MostOut.text(), r.Took.text(), r.Ended, r.Halted)
 	}
-	w.Flush()
+	_ = w.Flush() // a strings.Builder takes every write
 	return b.String()
 }
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -42,6 +42,7 @@
 // Habit is how a balancer chooses a node.
 type Habit string
 
+// The habits.
 const (
 	RoundRobin Habit = "round-robin"
 	LeastOpen  Habit = "least-open"  // of those that it has open itself
@@ -131,6 +132,7 @@
 // Kind is what happens.
 type Kind string
 
+// The faults.
 const (
 	Stall Kind = "stall" // its cores stand still for Length
 	Slow  Kind = "slow"  // they go at Factor of their speed for Length
@@ -650,11 +652,11 @@
 	case a.Status == node.StatusFailed && r.class.Keyed: // it may have run: another node would run it again
 		r.end(&r.tally.Failed)
 		return
-	case r.Walk && a.Status == node.StatusRejected && r.left > 0 && !(a.NoFailover && r.caller.obeys):
+	case r.Walk && a.Status == node.StatusRejected && r.left > 0 && (!a.NoFailover || !r.caller.obeys):
 		r.left--
 		r.send()
 		return
-	case !r.Walk && r.left > 0 && !(a.NoFailover && r.Heed) && r.caller.affords(r.Budget):
+	case !r.Walk && r.left > 0 && (!a.NoFailover || !r.Heed) && r.caller.affords(r.Budget):
 		r.left--
 		wait := r.Backoff
 		if r.Heed && a.RetryAfter > 0 {
--- a/internal/frontend/uwsgi/balancer/choice.go
+++ b/internal/frontend/uwsgi/balancer/choice.go
@@ -39,6 +39,7 @@
 // Result is how a try on a server ended.
 type Result int
 
+// The results.
 const (
 	OK        Result = iota // a whole response, whatever its status
 	Refused                 // no connection: nothing can have run
@@ -50,6 +51,7 @@
 // State is a server's.
 type State int
 
+// The states.
 const (
 	In       State = iota
 	Warming        // in, with a growing share
@@ -148,6 +150,7 @@
 // Verdict is what becomes of a request that asks for a server.
 type Verdict int
 
+// The verdicts.
 const (
 	Go        Verdict = iota // to the server
 	Wait                     // a Grant follows, unless it is withdrawn
--- a/internal/frontend/uwsgi/packet/body.go
+++ b/internal/frontend/uwsgi/packet/body.go
@@ -143,10 +143,10 @@
 		}
 		return malformed("%q in a chunk's size", ch)
 	case chunkExt:
-		switch {
-		case ch == '\r':
+		switch ch {
+		case '\r':
 			c.state = chunkSizeLF
-		case ch == '\n' || ch == 0:
+		case '\n', 0:
 			return malformed("%q in a chunk's extension", ch)
 		default:
 			if c.line++; c.line > maxExtension {
@@ -190,9 +190,10 @@
 			return malformed("a trailer begins with %q", ch)
 		}
 	case trailerLine:
-		if ch == '\r' {
+		switch ch {
+		case '\r':
 			c.state = trailerLF
-		} else if ch == '\n' || ch == 0 {
+		case '\n', 0:
 			return malformed("%q in a trailer", ch)
 		}
 	case trailerLF:
--- a/internal/frontend/uwsgi/packet/packet_test.go
+++ b/internal/frontend/uwsgi/packet/packet_test.go
@@ -107,11 +107,9 @@
 		{"a trailer without a name", "0\r\n: b\r\n\r\n", 0, ErrMalformed},
 	} {
 		for cut := -1; cut < len(c.in); cut++ {
-			pieces := []string{c.in}
+			pieces := strings.Split(c.in, "")
 			if cut >= 0 {
 				pieces = []string{c.in[:cut], c.in[cut:]}
-			} else {
-				pieces = strings.Split(c.in, "")
 			}
 			var s Chunks
 			var err error
@@ -173,7 +171,7 @@
 		{"a request", "GET / HTTP/1.1\r\n\r\n", false, Head{}, ErrMalformed},
 	} {
 		got, err := ReadHead([]byte(c.in), c.headOnly, most)
-		if !errors.Is(err, c.err) || (c.err == ErrShort) != (err == ErrShort) || got != c.want {
+		if !errors.Is(err, c.err) || (c.err == ErrShort) != (err == ErrShort) || got != c.want { //nolint:errorlint // callers compare with ErrShort itself
 			t.Errorf("%s: %+v, %v; want %+v, %v", c.name, got, err, c.want, c.err)
 		}
 	}
--- a/internal/frontend/uwsgi/pool.go
+++ b/internal/frontend/uwsgi/pool.go
@@ -197,13 +197,13 @@
 	}
 }
 
-// Resume, Give and Omit belong to runs that pause and call; uwsgi's do neither.
+// Resume does nothing: uwsgi runs neither pause nor call anything below.
 func (p *Pool) Resume(string) {}
 
-// DeliverReply does nothing: see Continue.
+// DeliverReply does nothing, as Resume.
 func (p *Pool) DeliverReply(string, []byte) {}
 
-// SkipCall does nothing: see Continue.
+// SkipCall does nothing, as Resume.
 func (p *Pool) SkipCall(string, uint64) {}
 
 // run takes a request to one server after the other, until one has answered or no further try is allowed.
@@ -234,7 +234,7 @@
 		r.wrote = r.wrote || t.wrote
 		again := false
 		if err != nil && ctx.Err() == nil {
-			again, why = p.choice.Again(now, balancer.Attempt{Wrote: t.wrote, Repeatable: r.job.safe, Whole: r.job.body.complete(),
+			again, _ = p.choice.Again(now, balancer.Attempt{Wrote: t.wrote, Repeatable: r.job.safe, Whole: r.job.body.complete(),
 				Begun: t.begun, Tries: len(tried), Left: r.job.due.Sub(now)})
 		}
 		p.mu.Unlock()
--- a/internal/frontend/uwsgi/try.go
+++ b/internal/frontend/uwsgi/try.go
@@ -153,7 +153,7 @@
 		n += k
 		for n > 0 {
 			head, headErr := packet.ReadHead(buf[:n], t.run.job.headOnly, min(lim.ResponseHeadBytes, len(buf)-1))
-			if headErr == packet.ErrShort {
+			if errors.Is(headErr, packet.ErrShort) {
 				break
 			}
 			if headErr != nil {
--- a/internal/ledger/compact.go
+++ b/internal/ledger/compact.go
@@ -206,7 +206,7 @@
 		if err == nil {
 			err = p.file.Sync()
 		}
-		p.enc.Close()
+		_ = p.enc.Close() // it encodes whole blocks and keeps nothing between them
 		p = nil
 		return err
 	}
--- a/internal/ledger/disk/disk.go
+++ b/internal/ledger/disk/disk.go
@@ -90,6 +90,7 @@
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 func (d Dir) String() string          { return string(d) }
 
+// Create makes a file anew, empty, for reading and writing.
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -98,6 +99,7 @@
 	return osFile{f}, nil
 }
 
+// Open opens a file for reading.
 func (d Dir) Open(name string) (File, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
@@ -106,9 +108,13 @@
 	return osFile{f}, nil
 }
 
+// Rename gives a file another name, in place of a file of that name.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
-func (d Dir) Remove(name string) error     { return os.Remove(d.path(name)) }
 
+// Remove deletes a file.
+func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
+
+// List names the regular files.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -123,6 +129,7 @@
 	return names, nil
 }
 
+// SyncDir makes created, renamed and removed names durable.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
--- a/internal/ledger/format/record.go
+++ b/internal/ledger/format/record.go
@@ -23,6 +23,7 @@
 // Kind says what a record is.
 type Kind uint8
 
+// The kinds.
 const (
 	Put    Kind = 1
 	Delete Kind = 2
--- a/internal/ledger/plan/plan.go
+++ b/internal/ledger/plan/plan.go
@@ -131,6 +131,7 @@
 // Fate says what becomes of a record in a compaction.
 type Fate int
 
+// What becomes of a record.
 const (
 	Drop Fate = iota // nothing needs it
 	Keep             // as it is
--- a/internal/ledger/recover.go
+++ b/internal/ledger/recover.go
@@ -68,13 +68,16 @@
 	return err
 }
 
+// closeRead closes a file that was only read: nothing is left to be written.
+func closeRead(f disk.File) { _ = f.Close() }
+
 // loadManifest reads the manifest; where is at which offset it is bad.
 func loadManifest(fs disk.FS) (m *format.Manifest, where int64, err error) {
 	f, err := fs.Open(manifestName)
 	if err != nil {
 		return nil, 0, err
 	}
-	defer f.Close()
+	defer closeRead(f)
 	size, err := f.Size()
 	if err != nil {
 		return nil, 0, err
@@ -83,7 +86,7 @@
 		return nil, 0, fmt.Errorf("the manifest has %d bytes", size)
 	}
 	b := make([]byte, size)
-	if _, err := f.ReadAt(b, 0); err != nil && err != io.EOF {
+	if _, err := f.ReadAt(b, 0); err != nil && !errors.Is(err, io.EOF) {
 		return nil, 0, err
 	}
 	return format.ReadManifest(b)
--- a/internal/ledger/repair.go
+++ b/internal/ledger/repair.go
@@ -155,14 +155,14 @@
 	h, salt, herr := format.ReadHeader(b)
 	n, _ := number(name)
 	switch {
-	case err == io.EOF && has == 0, err != nil && err != io.EOF:
-		f.Close()
+	case errors.Is(err, io.EOF) && has == 0, err != nil && !errors.Is(err, io.EOF):
+		closeRead(f)
 		return lose("the header can't be read: %v", err)
 	case herr != nil:
-		f.Close()
+		closeRead(f)
 		return lose("%v: the records can't be told without it", herr)
 	case h.Number != n || store != nil && h.Store != *store:
-		f.Close()
+		closeRead(f)
 		return lose("the file is another store's or was renamed")
 	}
 	if size == format.Active {
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -81,7 +81,7 @@
 	g := &segment{number: e.Number, name: name, store: store, file: f, cold: e.Cold, size: e.Size}
 	g.refs.Store(1)
 	if err := g.begin(); err != nil {
-		f.Close()
+		closeRead(f)
 		return nil, err
 	}
 	return g, nil
@@ -140,7 +140,7 @@
 			return w.off, err
 		}
 		r, err := format.ReadRecord(b, g.salt, w.off)
-		if err == format.ErrShort {
+		if errors.Is(err, format.ErrShort) {
 			need := format.RecordHeader + recordRest(b)
 			if need > format.RecordHeader+format.MaxKey+int64(most) || w.off+need > g.size {
 				return w.off, err
@@ -237,7 +237,7 @@
 			need = int64(format.BlockHeader + head.Packed)
 		} else if _, err := format.ReadRecord(b, g.salt, w.off); err == nil {
 			return w.off, nil
-		} else if err != format.ErrShort || need > format.RecordHeader+format.MaxKey+int64(most) {
+		} else if !errors.Is(err, format.ErrShort) || need > format.RecordHeader+format.MaxKey+int64(most) {
 			continue // the fields are looked at before the checksum, so that most offsets cost little
 		}
 		if w.off+need > g.size {
@@ -273,7 +273,7 @@
 	}
 	raw, err := d.DecodeAll(packed, make([]byte, 0, head.Raw))
 	if err != nil || len(raw) != head.Raw {
-		return nil, fmt.Errorf("%w: it does not unpack (%v)", format.ErrInvalid, err)
+		return nil, fmt.Errorf("%w: it does not unpack (%w)", format.ErrInvalid, err)
 	}
 	return raw, nil
 }
@@ -296,7 +296,7 @@
 				end = g.blocks[i+1].off
 			}
 			packed := make([]byte, end-at)
-			if _, err := g.file.ReadAt(packed, at); err != nil && err != io.EOF {
+			if _, err := g.file.ReadAt(packed, at); err != nil && !errors.Is(err, io.EOF) {
 				return format.Record{}, fmt.Errorf("%s: %w", g.name, err)
 			}
 			raw, err := unpack(packed, g.salt, at)
@@ -313,7 +313,7 @@
 		b = bytes.Clone(u.bytes[from : from+size])
 	} else {
 		b = make([]byte, size)
-		if _, err := g.file.ReadAt(b, off); err != nil && err != io.EOF {
+		if _, err := g.file.ReadAt(b, off); err != nil && !errors.Is(err, io.EOF) {
 			return format.Record{}, fmt.Errorf("%s: %w", g.name, err)
 		}
 	}
@@ -342,7 +342,7 @@
 		}
 		w.buf = w.buf[:size]
 		got, err := w.file.ReadAt(w.buf, w.off)
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			w.buf = nil
 			return nil, err
 		}
@@ -405,8 +405,7 @@
 	var b []byte
 	b, g.salt = format.Header{Store: store, Number: number, Cold: cold}.Append(nil)
 	if _, err := f.WriteAt(b, 0); err != nil {
-		f.Close()
-		return nil, err
+		return nil, errors.Join(err, f.Close())
 	}
 	g.file = f
 	return g, nil
--- a/internal/ledger/simdisk/simdisk.go
+++ b/internal/ledger/simdisk/simdisk.go
@@ -27,6 +27,7 @@
 // Op names an operation that changes something.
 type Op string
 
+// The operations.
 const (
 	Create   Op = "create"
 	Write    Op = "write"
@@ -40,6 +41,7 @@
 // Fault is what befalls one operation.
 type Fault int
 
+// The faults.
 const (
 	None      Fault = iota
 	Cut             // the power goes while it is under way
@@ -120,6 +122,7 @@
 	return f, nil
 }
 
+// Create makes a file anew, empty, for reading and writing.
 func (d *FS) Create(name string) (disk.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,6 +145,7 @@
 	return &file{d, node, name}, nil
 }
 
+// Open opens a file for reading.
 func (d *FS) Open(name string) (disk.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,6 +159,7 @@
 	return &file{d, node, name}, nil
 }
 
+// Rename gives a file another name, in place of a file of that name.
 func (d *FS) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,6 +177,7 @@
 	return err
 }
 
+// Remove deletes a file.
 func (d *FS) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,6 +193,7 @@
 	return err
 }
 
+// List names the regular files.
 func (d *FS) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -196,6 +203,7 @@
 	return slices.Sorted(maps.Keys(d.names)), nil
 }
 
+// SyncDir makes created, renamed and removed names durable.
 func (d *FS) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -207,6 +215,7 @@
 	return nil
 }
 
+// Lock keeps the folder from other processes until the returned closer is closed.
 func (d *FS) Lock(string, string) (func() error, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/ledger/stats.go
+++ b/internal/ledger/stats.go
@@ -94,6 +94,6 @@
 	if t.Broken != "" {
 		fmt.Fprintf(w, "takes no writes\t%s\t\n", t.Broken)
 	}
-	w.Flush()
+	_ = w.Flush() // a strings.Builder takes every write
 	return b.String()
 }
--- a/internal/ledger/verify.go
+++ b/internal/ledger/verify.go
@@ -28,7 +28,7 @@
 	o.ReadOnly = true
 	s, err := Open(fs, o)
 	if s != nil {
-		defer s.Close()
+		defer func() { _ = s.Close() }() // opened for reading: nothing is left to be written
 	}
 	var d *Damage
 	switch {
--- a/internal/operatorapi/ops.go
+++ b/internal/operatorapi/ops.go
@@ -21,6 +21,7 @@
 // Call is what an operator asks for.
 type Call int
 
+// The calls.
 const (
 	Readyz    Call = iota + 1 // does this process take clients?
 	Telemetry                 // the figures, then a line "--"
--- a/internal/operatorapi/ops_test.go
+++ b/internal/operatorapi/ops_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"strings"
@@ -183,8 +184,8 @@
 }
 
 func isTimeout(err error) bool {
-	ne, ok := err.(net.Error)
-	return ok && ne.Timeout()
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
 // TestACallThatGoesOn: what follows a call, or makes it too long, does not reset the connection that carries the answer.
--- a/internal/platform/clock/shared.go
+++ b/internal/platform/clock/shared.go
@@ -64,8 +64,8 @@
 	if err := os.WriteFile(temporary, own.bytes(), 0o600); err != nil {
 		return sharedReference{}, errors.Join(err, removeIfThere(temporary))
 	}
-	defer os.Remove(temporary)
-	if err == nil { // of an earlier boot
+	defer func() { _ = os.Remove(temporary) }() // one that stays does no harm
+	if err == nil {                             // of an earlier boot
 		return own, os.Rename(temporary, path)
 	}
 	if err := os.Link(temporary, path); errors.Is(err, fs.ErrExist) { // another process was first
--- a/internal/platform/config/deploy.go
+++ b/internal/platform/config/deploy.go
@@ -90,32 +90,56 @@
 	if _, err := u.FileMode(); err != nil {
 		return err
 	}
-	tls := false
-	for i, text := range append([]string{u.Listen}, u.Servers...) {
-		e, err := endpoint.Parse(text)
-		if err != nil {
-			return fmt.Errorf("uwsgi: %w", err)
-		}
-		tls = tls || i == 0 && e.TLS
+	listenTLS, err := u.checkAddresses()
+	if err != nil {
+		return err
 	}
 	for _, m := range u.Modifiers {
 		if m < 0 || m >= firstReservedModifier {
 			return fmt.Errorf("uwsgi: modifier %d is no application's; write 0 to %d", m, firstReservedModifier-1)
 		}
 	}
-	switch {
-	case u.HalfClose != "" && u.HalfClose != "stays" && u.HalfClose != "leaves":
+	if u.HalfClose != "" && u.HalfClose != halfCloseStays && u.HalfClose != halfCloseLeaves {
 		return fmt.Errorf("uwsgi: half_close is %q; write \"stays\" or \"leaves\"", u.HalfClose)
-	case u.ConnectionsPerSource < 0 || u.BodyMB < 0 || u.MaxPerServer < 0:
+	}
+	if u.ConnectionsPerSource < 0 || u.BodyMB < 0 || u.MaxPerServer < 0 {
 		return errors.New("uwsgi: per_source, body_mb and server_most are 0 or more")
-	case tls && (u.TLS.Cert == "" || u.TLS.Key == ""):
+	}
+	if listenTLS && (u.TLS.Cert == "" || u.TLS.Key == "") {
 		return errors.New("uwsgi: listening on suwsgi:// needs tls.cert and tls.key")
-	case (u.TLS.Cert == "") != (u.TLS.Key == "") || (u.ServersTLS.Cert == "") != (u.ServersTLS.Key == ""):
+	}
+	if !u.TLS.paired() || !u.ServersTLS.paired() {
 		return errors.New("uwsgi: cert and key belong together")
 	}
 	return nil
 }
 
+// What a client does that shuts its sending side.
+const (
+	halfCloseStays  = "stays"
+	halfCloseLeaves = "leaves"
+)
+
+// ClientsLeave reports whether a client that shuts its sending side has left.
+func (u Uwsgi) ClientsLeave() bool { return u.HalfClose == halfCloseLeaves }
+
+// checkAddresses checks where the front listens and its servers, and reports whether the front speaks TLS.
+func (u Uwsgi) checkAddresses() (listenTLS bool, err error) {
+	listen, err := endpoint.Parse(u.Listen)
+	if err != nil {
+		return false, fmt.Errorf("uwsgi: %w", err)
+	}
+	for _, address := range u.Servers {
+		if _, err := endpoint.Parse(address); err != nil {
+			return false, fmt.Errorf("uwsgi: %w", err)
+		}
+	}
+	return listen.TLS, nil
+}
+
+// paired reports whether certificate and key are both there, or neither.
+func (t TLS) paired() bool { return (t.Cert == "") == (t.Key == "") }
+
 // Store says who holds the replicated store, and where operators reach this daemon's copy.
 type Store struct {
 	Admin         string         `toml:"admin"`   // address for operators; empty: none
--- a/internal/platform/traces/traces_test.go
+++ b/internal/platform/traces/traces_test.go
@@ -88,10 +88,11 @@
 	n := 0
 	for i := range 10000 {
 		id := fmt.Sprint("uwsgi-", i)
-		if tr.sampled(id) {
+		first := tr.sampled(id)
+		if first {
 			n++
 		}
-		if tr.sampled(id) != tr.sampled(id) {
+		if again := tr.sampled(id); again != first {
 			t.Fatal("not the same twice")
 		}
 	}
--- a/internal/testing/conformance/conformance.go
+++ b/internal/testing/conformance/conformance.go
@@ -24,6 +24,7 @@
 // Want is what a speaker may answer.
 type Want string
 
+// What a speaker may answer.
 const (
 	Served  Want = "served"  // a sound response with the application's status and, if it echoes, the body
 	Refused Want = "refused" // a sound response of 400 and above, or the end of the connection without a byte
--- a/internal/testing/fleetrig/fleet.go
+++ b/internal/testing/fleetrig/fleet.go
@@ -118,9 +118,9 @@
 // trial is the folder by which a process is put to trial.
 func (f *processes) trial(i int) string { return filepath.Join(f.folder(i), "trial") }
 
-// tell puts a word into a file of that folder, whole or not at all; "" takes the file away.
-func (f *processes) tell(i int, file, word string) {
-	if err := f.put(i, file, word); err != nil {
+// tellDisk has a process's disk be as the word says; "" takes that back.
+func (f *processes) tellDisk(i int, word string) {
+	if err := f.put(i, "disk", word); err != nil {
 		f.blame("%v", err)
 	}
 }
@@ -256,13 +256,13 @@
 	case Twice:
 		each(f.linked(n[0], n[1]), func(l *link) { l.twice++ }, func(l *link) { l.twice-- })
 	case Drag:
-		f.tell(n[0], "disk", "slow 50ms")
-		ends = append(ends, func() { f.tell(n[0], "disk", "") })
+		f.tellDisk(n[0], "slow 50ms")
+		ends = append(ends, func() { f.tellDisk(n[0], "") })
 	case Full:
 		f.fills(n[0], 1)
-		f.tell(n[0], "disk", "full")
+		f.tellDisk(n[0], "full")
 		ends = append(ends, func() {
-			f.tell(n[0], "disk", "")
+			f.tellDisk(n[0], "")
 			f.fills(n[0], -1)
 			f.again(n[0]) // its ledger takes no writes since one failed
 		})
--- a/internal/testing/fleetrig/link.go
+++ b/internal/testing/fleetrig/link.go
@@ -82,7 +82,7 @@
 	if !l.keep(out) {
 		return
 	}
-	var to net.Conn = out
+	to := net.Conn(out)
 	l.mu.Lock()
 	twice := l.twice > 0
 	l.mu.Unlock()
@@ -91,7 +91,7 @@
 		if err == nil {
 			defer l.drop(second)
 			if l.keep(second) {
-				go io.Copy(io.Discard, second)
+				go func() { _, _ = io.Copy(io.Discard, second) }() // until it is closed
 				to = both{out, second}
 			}
 		}
--- a/internal/testing/knownred/main.go
+++ b/internal/testing/knownred/main.go
@@ -123,7 +123,7 @@
 		return err
 	}
 	if command[len(command)-1] != "./..." {
-		return errors.New("the command must end in ./...")
+		return errors.New("the command does not end in ./... as it must")
 	}
 	flags := command[:len(command)-1]
 	rest, err := others(list)
@@ -174,7 +174,7 @@
 
 func runMain(out io.Writer, args []string) error {
 	if len(args) < 3 {
-		return errors.New("usage: knownred FILE go test [FLAG...] ./...")
+		return errors.New("usage: knownred FILE go test [FLAG...] ./... (all packages)")
 	}
 	text, err := os.ReadFile(args[0])
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/testing/loopback/loopback.go
+++ b/internal/testing/loopback/loopback.go
@@ -49,5 +49,5 @@
 			return found, nil
 		}
 	}
-	return nil, fmt.Errorf("loopback: no %d free ports on %s (%v)", n, host, err)
+	return nil, fmt.Errorf("loopback: no %d free ports on %s (%w)", n, host, err)
 }
--- a/internal/testing/soak/client.go
+++ b/internal/testing/soak/client.go
@@ -55,11 +55,11 @@
 	over   bool
 }
 
-// send writes a request on the client's connection, or a new one. It returns false where there is none to be had.
-func (c *client) send(key, class string, retry bool, instead string) bool {
+// send writes a request on the client's connection, or a new one. Without either it sends nothing.
+func (c *client) send(key, class string, retry bool, instead string) {
 	k := c.connection()
 	if k == nil {
-		return false
+		return
 	}
 	p := c.play
 	q := p.requests.create(key, class)
@@ -76,7 +76,7 @@
 	if retry {
 		fields += ",resent=1"
 	}
-	p.requests.change(q, func() {
+	p.requests.change(func() {
 		q.life, q.conn, q.resentOf = p.life(), k.number, instead
 		q.due = stamp.Sub(p.record.began) + wait
 	})
@@ -85,13 +85,12 @@
 	text := array("DO", tag, class, fields, q.body)
 	if err := c.write(k, text); err != nil {
 		k.forget(tag)
-		return false
+		return
 	}
-	p.requests.change(q, func() { q.written = p.record.now() })
+	p.requests.change(func() { q.written = p.record.now() })
 	if c.random.Float64() < undoPart {
 		time.AfterFunc(time.Duration(c.random.Int64N(int64(wait))), func() { c.undo(k, tag, q) })
 	}
-	return true
 }
 
 // undo tells the node that nobody waits for a request.
@@ -99,7 +98,7 @@
 	if !k.forget(tag) {
 		return
 	}
-	c.play.requests.change(q, func() { q.undone = true })
+	c.play.requests.change(func() { q.undone = true })
 	c.play.record.add("client", "undo", q.id, q.key, "")
 	k.writing.Lock()
 	defer k.writing.Unlock()
@@ -217,7 +216,7 @@
 		p.stray(k.number, parts[0])
 		return
 	}
-	p.requests.change(q, func() { q.answers = append(q.answers, answer{at, parts[1], parts[3]}) })
+	p.requests.change(func() { q.answers = append(q.answers, answer{at, parts[1], parts[3]}) })
 	p.record.add("client", "answer", q.id, q.key, parts[1])
 	if done {
 		k.closeWhenDone()
@@ -247,7 +246,7 @@
 	p.record.add("client", "end", "", "", fmt.Sprint(k.number, " ", err, " open ", len(open)))
 	for _, q := range open {
 		crossed := false
-		p.requests.change(q, func() {
+		p.requests.change(func() {
 			q.ended, q.endedAt = how, at
 			crossed = q.written == 0 || at-q.written <= crossing+p.plan.Links["client"].delay()
 		})
--- a/internal/testing/soak/play.go
+++ b/internal/testing/soak/play.go
@@ -394,7 +394,7 @@
 func (d *directory) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.conn.Close()
+	_ = d.conn.Close()
 }
 
 // silent has the directory be away for a while.
--- a/internal/testing/soak/requests.go
+++ b/internal/testing/soak/requests.go
@@ -68,8 +68,8 @@
 	return r
 }
 
-// change has f change a try.
-func (q *requests) change(r *request, f func()) {
+// change runs f, which may change any request.
+func (q *requests) change(f func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	f()
--- a/internal/testing/soak/runtime.go
+++ b/internal/testing/soak/runtime.go
@@ -59,7 +59,6 @@
 	want    string // the reply to that call
 	replies chan string
 	over    chan struct{}
-	end     sync.Once
 }
 
 func newRuntime(record *Record, all *requests, clients Clients, seed uint64) (*runtime, error) {
--- a/internal/testing/standin/echo.go
+++ b/internal/testing/standin/echo.go
@@ -53,16 +53,16 @@
 	in := bufio.NewReaderSize(c, 64<<10)
 	vars, body, err := e.read(in)
 	switch {
-	case err == errPing && e.mutant == "wrong answer to pings":
+	case errors.Is(err, errPing) && e.mutant == "wrong answer to pings":
 		_, _ = c.Write([]byte{packet.Ping, 0, 0, 0})
-	case err == errPing:
+	case errors.Is(err, errPing):
 		_, _ = c.Write(packet.Pong.Append(nil))
 	case err == nil:
 		e.answer(c, vars.Get("REQUEST_METHOD"), body)
 	case e.mutant == "hangs on what is bad":
 		_, _ = io.Copy(io.Discard, in)
 		time.Sleep(Patience / 2)
-	case err != io.EOF:
+	case !errors.Is(err, io.EOF):
 		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 	}
 	if half, ok := c.(*net.TCPConn); ok {
--- a/internal/testing/standin/standin.go
+++ b/internal/testing/standin/standin.go
@@ -7,6 +7,7 @@
 	"encoding/base64"
 	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -260,7 +261,8 @@
 		b.t.Fatal(err)
 	}
 	cmd, err := b.in.ReadCommand()
-	if ne, ok := err.(net.Error); ok && ne.Timeout() {
+	var timeout net.Error
+	if errors.As(err, &timeout) && timeout.Timeout() {
 		b.t.Fatal("no answer")
 	}
 	if err != nil {
@@ -309,7 +311,7 @@
 	}
 	var n int
 	if _, after, found := strings.Cut(string(vars), "CONTENT_LENGTH"); found {
-		fmt.Sscanf(after[2:], "%d", &n)
+		_, _ = fmt.Sscanf(after[2:], "%d", &n) // without a number there is no body
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(conn, body); err != nil {
@@ -318,7 +320,7 @@
 	s.mu.Lock()
 	s.runs[string(body)]++
 	s.mu.Unlock()
-	io.WriteString(conn, respond(string(body)))
+	_, _ = io.WriteString(conn, respond(string(body))) // the peer may have left
 }
 
 // Runs is how often a request with this body was run.
--- a/internal/testing/standin/uwsgi.go
+++ b/internal/testing/standin/uwsgi.go
@@ -10,10 +10,11 @@
 	"sloehitch/internal/testing/scriptedpeer"
 )
 
-// Script and Step are what a scripted peer does.
 type (
+	// Script is what a scripted peer does, in order.
 	Script = scriptedpeer.Script
-	Step   = scriptedpeer.Step
+	// Step is one thing that it does.
+	Step = scriptedpeer.Step
 )
 
 // Scripted is a uwsgi server whose connections follow scripts: the n-th connection the n-th one, later ones the last.
