--- a/internal/platform/limits/storage.go
+++ b/internal/platform/limits/storage.go
@@ -96,4 +96,3 @@
 		CompactionPause:      4 * time.Millisecond,
 	}
 }
-
