--- /dev/null
+++ b/logic/admission_test.go
@@ -0,0 +1,24 @@
+package logic
+
+import "testing"
+
+func TestNewQueueStartsWhatMeetsObjective(t *testing.T) {
+	d := drive(t, testSettings())
+	d.learn(1, 0, 300*ms)
+	d.want(d.step(0, arrival(2, 0, 3000*ms)), ActionRun, 2)
+}
+
+func TestLateBoundFollowsLateWeightShare(t *testing.T) {
+	d := drive(t, testSettings())
+	r := &request{Arrival: Arrival{Class: 2}, deadline: 3000 * ms} // late worth 0.2: aim 1 s, deadline 3 s
+	for _, c := range []struct {
+		running int
+		share   float64
+	}{{0, idleOldQueueBoundShare}, {1, idleOldQueueBoundShare}, {2, oldQueueBoundShare}} { // of two cores
+		d.s.running = c.running
+		_, d2 := d.s.queueBounds(r)
+		if want := 1400e3 * c.share; d2 < want-1 || d2 > want+1 {
+			t.Errorf("%d running: D2 %.0f ms, want %.0f", c.running, d2/1e3, want/1e3)
+		}
+	}
+}
--- a/logic/api.go
+++ b/logic/api.go
@@ -1,61 +1,63 @@
-// Package logic decides, inside one server, which requests it runs, holds and turns away.
-//
-// This file is the interface; the decisions stand in logic.go. A host creates one Server for each
-// process with New, hands it what happened with Step, and carries out the actions that Step returns.
 package logic
 
-// Micros is an instant or a span in microseconds. The origin of instants is the host's choice.
+// Micros is a point in time or a duration, in microseconds. The host chooses the origin of points in time,
+// which must not decrease from one Step to the next. It has no String method: hand-over snapshots compare
+// settings by their printed values.
 type Micros int64
 
-// RequestID names one try of a request. Each try has an id of its own.
+// RequestID identifies one attempt of a request. Each attempt has an ID of its own, above 0.
 type RequestID uint64
 
-// Idempotency says whether a request may run more than once.
+// Idempotency says whether a request may run more than once. Like Micros it has no String method.
 type Idempotency int
 
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // running it again does no harm
-	IdempotentByKey                    // a repeat can be told by its key; it must run once within the window
-	NonIdempotent                      // must never run twice, and repeats cannot be told
+	IdempotentByKey                    // repeats carry a key; it must run once within the window
+	NonIdempotent                      // it must never run twice, and repeats can't be recognized
 )
 
-// SignalMode is what callers do with the value of ActSay.
+// SignalMode says what callers do with the load signal (ActionSetLoadSignal).
 type SignalMode int
 
+// The ways in which callers use the load signal.
 const (
-	SignalOff              SignalMode = iota // callers take no value
-	SignalPriorityFloor                      // callers send nothing with a rank below the value
-	SignalConcurrencyLimit                   // each caller has at most that many requests out here
-	SignalWeight                             // the chance, 0 to 1, that a caller does not skip this server
+	SignalOff              SignalMode = iota // they take no signal
+	SignalPriorityFloor                      // they send no request with a rank below the value, 0 to 1
+	SignalConcurrencyLimit                   // each has at most that many requests in flight here
+	SignalWeight                             // probability, 0 to 1, with which they pick this server
 )
 
-// StopMode is what ActStop does to running work.
+// StopMode is what ActionStop does to a run.
 type StopMode int
 
+// The effects of stopping a run.
 const (
-	StopOff     StopMode = iota // work cannot be stopped
-	StopDiscard                 // what was done is lost and the request is held again
-	StopPause                   // the work pauses, keeps its memory and can go on
+	StopOff     StopMode = iota // runs can't be stopped
+	StopDiscard                 // what was done is lost and the request is queued again
+	StopPause                   // the run pauses, keeps its memory and can be resumed
 )
 
-// Class describes one class of requests.
+// Class describes one class of requests. Hand-over snapshots compare classes by their printed values: the
+// order of the fields matters.
 type Class struct {
 	Name                string
-	LatencyObjective    Micros  // an answer within this span of the first try earns the full worth
-	ObjectivePerWork    float64 // the aim grows by this many times the request's own work
-	ClientTimeout       Micros  // how long a client waits in all
-	PriorityWeight      float64 // worth of an answer within the aim
-	LateWeightShare     float64 // share of the worth after the aim and before the deadline
-	Idempotency         Idempotency
-	IdempotencyWindow   Micros  // Keyed: how long after arriving here a request can come back
-	CallsDependency     bool    // its runs may call the dependency
-	DegradedWeightShare float64 // share of the worth of an answer that left a call out; 0 forbids ActGoOn
+	LatencyObjective    Micros      // from the first attempt; an answer within it earns the full weight
+	ObjectivePerWork    float64     // growth of the objective for each microsecond of WorkHint
+	ClientTimeout       Micros      // from the first attempt; the client waits no longer, over all attempts
+	PriorityWeight      float64     // weight of an answer within the objective; only ratios count
+	LateWeightShare     float64     // share of the weight, 0 to 1, after the objective and before the timeout
+	Idempotency         Idempotency // whether it may run again
+	IdempotencyWindow   Micros      // IdempotentByKey: how long after its arrival a repeat can come
+	CallsDependency     bool        // its runs may call the dependency
+	DegradedWeightShare float64     // the same where a call was skipped; 0 forbids ActionSkipCall
 }
 
 // Tenant describes one tenant.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // requests a second inside its share, over all servers
+	QuotaPerSecond float64 // requests a second within its quota, over all servers of the fleet
 }
 
 // Settings is what a server is told when it starts.
@@ -63,87 +65,89 @@
 	Classes []Class
 	Tenants []Tenant
 
-	FleetSize int  // servers of the fleet listed at this start
-	SlowStart bool // just started, and slow until warm
+	FleetSize int  // servers of the fleet, this one included
+	SlowStart bool // the server has just started and is slow until warmed up
 
 	Cores                 int
-	MemoryKB              float64
-	RunMemoryFactor       float64 // memory of a running or paused request over that of a held one
-	KeyEntryKB            float64 // memory of one entry of the table of keys
-	SlowStartCapacity     float64 // a cold server's share of its speed is no lower than this
-	SlowStartDuration     Micros  // and it is warm after this long at most
-	MaxConcurrencyPerCore float64 // requests on the cores for each core that a warm server survives
-	ConcurrencyWindow     Micros  // the span over which they are averaged
-
-	ResponseGrace Micros // how long after its due time an answer is still valid
-	DrainGrace    Micros // what arrives later than this after EvDrain must not run
+	MemoryKB              float64 // kilobytes for queued and running requests and for key entries
+	RunMemoryFactor       float64 // memory of a running or paused request over a queued one's
+	KeyEntryKB            float64 // kilobytes of one entry of the idempotency key table
+	SlowStartCapacity     float64 // share of its full speed, 0 to 1, that a server has as it starts
+	SlowStartDuration     Micros  // time until full speed, which is approached evenly
+	MaxConcurrencyPerCore float64 // runs a core that a warm server survives as a mean
+	ConcurrencyWindow     Micros  // time over which that mean is taken
+
+	ResponseGrace Micros // how long after its deadline an answer is still valid
+	DrainGrace    Micros // requests that arrive later than this after EventDrain must not run
 	StepInterval  Micros // least time between two steps
 
-	CallConcurrencyLimit  float64 // this server's share of the calls in hand that the dependency survives; 0: none told
-	CallConcurrencyWindow Micros  // the span over which they are averaged
-	AbandonedCallDuration Micros  // a call given up stays in the dependency's hands this long at most
+	CallConcurrencyLimit  float64 // mean calls in flight at a shared dependency; 0: no limit
+	CallConcurrencyWindow Micros  // time over which that mean is taken
+	AbandonedCallDuration Micros  // longest that a call which timed out stays in flight
 
-	DeadlinePropagated bool // arrivals carry how long the caller still waits
-	StopMode           StopMode
-	SignalMode         SignalMode
-	MaxRetryAfter      Micros // longest advice to stay away that callers honour; 0: none
-	CallerIdleTimeout  Micros // callers close idle connections after this long
-	WeightPerWork      bool   // worth counts for each unit of work, not for each request
+	DeadlinePropagated bool       // arrivals carry their AttemptTimeout
+	StopMode           StopMode   // what stopping a run does
+	SignalMode         SignalMode // what callers do with the load signal
+	MaxRetryAfter      Micros     // longest Retry-After that callers honor; 0: they honor none
+	CallerIdleTimeout  Micros     // time after which callers close idle connections
+	WeightPerWork      bool       // weights count for each unit of work, not for each request
 
-	OverQuotaWeightShare float64 // worth of a request over its tenant's share, as a share of its class's
+	OverQuotaWeightShare float64 // weight of a request over its tenant's quota, as a share of its class's
 }
 
 // EventKind says what happened.
 type EventKind int
 
+// The kinds of events, each with the fields of Event that it uses.
 const (
-	EventArrival    EventKind = iota // a request was read and is now held: Arrival
-	EventRunEnded                    // a run or a join ended: ID, Outcome, Elapsed
-	EventCallNeeded                  // a run stands at a call: ID
+	EventArrival    EventKind = iota // a request was read and waits for a decision: ID, Arrival
+	EventRunEnded                    // a run or a coalesced request ended: ID, Outcome, Elapsed
+	EventCallNeeded                  // a run waits to make a call: ID
 	EventCallEnded                   // a call ended: ID, Outcome, Elapsed
-	EventCanceled                    // nobody waits for the request any longer: ID
-	EventTimer                       // a timer is due: Tag, Gauges
-	EventDrain                       // the server leaves service: Left
+	EventCanceled                    // the caller canceled the request or disconnected: ID
+	EventTimer                       // the timer is due: TimerID, Gauges
+	EventDrain                       // the process is to shut down: TimeToKill
 )
 
 // Outcome is how a run or a call ended.
 type Outcome int
 
+// The outcomes. Only those for which NeverRan holds prove that nothing was executed.
 const (
-	OutcomeFailed      Outcome = iota // the run or call failed; it may have had its effect
-	OutcomeOK                         // it went well
-	OutcomeRejected                   // the call was rejected unexamined
-	OutcomeTimedOut                   // the call was given up on; it may still have its effect
-	OutcomeUnreachable                // the dependency could not be reached
-	OutcomeReset                      // the call was interrupted; it may have had its effect
+	OutcomeFailed      Outcome = iota // it failed and may have had its effect
+	OutcomeOK                         // it succeeded
+	OutcomeRejected                   // the call was rejected before it was examined
+	OutcomeTimedOut                   // the call timed out and may still have its effect
+	OutcomeUnreachable                // no connection to the dependency could be made
+	OutcomeReset                      // the connection broke during the call, which may have had its effect
 	OutcomeCanceled                   // the run was stopped
-	OutcomeNotStarted                 // nothing was started: the request was already over
+	OutcomeNotStarted                 // nothing was started: the request was over already
 )
 
-// NeverRan reports whether the outcome proves that nothing was run.
+// NeverRan reports whether the outcome proves that nothing was executed.
 func (o Outcome) NeverRan() bool {
 	return o == OutcomeRejected || o == OutcomeUnreachable || o == OutcomeNotStarted
 }
 
-// Arrival is a request as read.
+// Arrival is a request as it was read.
 type Arrival struct {
-	Class          int     // index into Settings.Classes
-	Tenant         int     // index into Settings.Tenants; -1 without tenants
-	MemoryKB       float64 // memory while held
-	WorkHint       Micros  // a guess of its core time; 0 without a valid one
-	AttemptTimeout Micros  // how long the caller still waits for this try; 0 where not told
-	Age            Micros  // how long ago it reached the machine
-	Retry          bool    // marked as a later try or second copy
-	PriorityRank   float64 // its place by worth, 0 up to just under 1
-	OriginalID     RequestID
-	CallerID       int // the caller
+	Class          int       // index into Settings.Classes
+	Tenant         int       // index into Settings.Tenants; -1 without a tenant
+	MemoryKB       float64   // kilobytes while queued
+	WorkHint       Micros    // estimate of its core time; 0 without a valid one
+	AttemptTimeout Micros    // how long the caller still waits for this attempt; 0 where it is not told
+	Age            Micros    // how long ago it reached the machine
+	Retry          bool      // marked as a retry or a hedged request
+	PriorityRank   float64   // its place among all requests by weight, 0 up to just under 1
+	OriginalID     RequestID // the attempt whose key this one repeats; 0: none
+	CallerID       int
 }
 
-// Gauges are the server's own meters; a negative value was not measured.
+// Gauges are the server's own measurements; a negative value was not measured.
 type Gauges struct {
-	CPUUtilization    float64 // share of the cores busy lately
-	RunQueueLength    float64 // all that wants a core now
-	MemoryUtilization float64 // share of the memory in use
+	CPUUtilization    float64 // share of the cores busy lately, 0 to 1
+	RunQueueLength    float64 // threads that run on a core or wait for one
+	MemoryUtilization float64 // share of the memory in use, 0 to 1
 	Connections       float64 // open connections
 }
 
@@ -153,65 +157,69 @@
 	ID         RequestID
 	Arrival    Arrival
 	Outcome    Outcome
-	Elapsed    Micros // since the action that began it
-	TimeToKill Micros // EvDrain: how long until the kill
-	TimerID    uint64
+	Elapsed    Micros // since the action that began the run or call
+	TimeToKill Micros // EventDrain: time until the process is killed
+	TimerID    uint64 // that of the ActionSetTimer
 	Gauges     Gauges
 }
 
-// ActionKind says what to do.
+// ActionKind says what the host is to do.
 type ActionKind int
 
+// The kinds of actions, each with the fields of Action that it uses.
 const (
-	ActionRun            ActionKind = iota // start a held request, or go on with a paused one: ID
-	ActionReject                           // final answer: turned away, never ran: ID, Span (advice), Last
-	ActionFail                             // final answer: an error, with no guarantee: ID
-	ActionStop                             // stop running work: ID
-	ActionCoalesce                         // serve a repeat from its forerunner's result: ID
-	ActionStoreKey                         // put or renew the request's entry in the table of keys: ID, Span
-	ActionDeleteKey                        // remove the entry: ID
-	ActionCall                             // make the call the request stands at: ID, Span (time-out)
-	ActionSkipCall                         // go on without the call: ID
-	ActionSetTimer                         // ask for an EvTimer: Tag, Span
-	ActionSetLoadSignal                    // set the free value that callers hear: Value
-	ActionSetHealth                        // set what health checks hear, answered from store: On
-	ActionSetIdleTimeout                   // how long an unused connection may stay: Span
+	ActionRun            ActionKind = iota // start a queued request or resume a paused run: ID
+	ActionReject                           // final answer, rejected: ID, Duration (Retry-After), NoFailover
+	ActionFail                             // final answer, an error; it may have had its effect: ID
+	ActionStop                             // stop the run: ID
+	ActionCoalesce                         // answer the repeat with the result of its original: ID
+	ActionStoreKey                         // store or renew the request's key entry: ID, Duration
+	ActionDeleteKey                        // delete the key entry: ID
+	ActionCall                             // make the call that the run waits for: ID, Duration (timeout)
+	ActionSkipCall                         // resume the run without the call: ID
+	ActionSetTimer                         // send an EventTimer after a delay: TimerID, Duration
+	ActionSetLoadSignal                    // set the load signal for callers: LoadSignal
+	ActionSetHealth                        // set the answer to health checks: Healthy
+	ActionSetIdleTimeout                   // close connections that are idle for so long: Duration
 )
 
-// Action is one thing to do. Kind says which of the other fields hold.
+// Action is one thing that the host is to do. Kind says which of the other fields hold.
 type Action struct {
 	Kind       ActionKind
 	ID         RequestID
 	Duration   Micros
-	LoadSignal float64
+	LoadSignal float64 // its meaning depends on Settings.SignalMode
 	TimerID    uint64
-	NoFailover bool // ActRefuse: another server will not help
-	Healthy    bool // ActHealth: the server is well
+	NoFailover bool // ActionReject: an attempt at another server is expected to be rejected too
+	Healthy    bool
 }
 
-// Average is an exponentially moving average that weighs its first samples evenly.
+// Average is an exponentially weighted moving average whose first samples count equally. Its JSON form is
+// stored in hand-over snapshots.
 type Average struct {
 	Mean    float64 `json:"Mean"`
-	Samples int     `json:"N"` // samples
+	Samples int     `json:"N"`
 }
 
-// Estimate is what is learned of a class's run times.
+// Estimate is what is known of the run times of a class (estimate.go). Its JSON form is stored in hand-over
+// snapshots.
 type Estimate struct {
-	RunTime       Average `json:"Run"`    // T_m, in microseconds
-	HintedRunTime Average `json:"Hinted"` // T_m of runs with a hint
-	Hint          Average `json:"Hint"`   // their mean hint
-	Covariance    float64 `json:"Cov"`    // covariance of hint and run time
-	HintVariance  float64 `json:"Spread"` // variance of the hint
+	RunTime       Average `json:"Run"`    // microseconds
+	HintedRunTime Average `json:"Hinted"` // of runs with a hint, microseconds
+	Hint          Average `json:"Hint"`   // of these runs, microseconds
+	Covariance    float64 `json:"Cov"`    // of hint and run time
+	HintVariance  float64 `json:"Spread"`
 }
 
-// LearnedState is what a server has found out that a new one for the same settings can begin with (Server.Learned, Adopt).
+// LearnedState is what a server has learned of its load and that a later process with the same settings can
+// begin with (Server.LearnedState, Server.RestoreLearned). Its JSON form is stored in hand-over snapshots.
 type LearnedState struct {
-	RunLimit         float64             `json:"Limit"`    // the running limit
-	CompletionGap    Average             `json:"Gap"`      // microseconds between completions while the cores are full
+	RunLimit         float64             `json:"Limit"`    // concurrent runs
+	CompletionGap    Average             `json:"Gap"`      // microseconds between completions on full cores
 	CallTime         Average             `json:"CallTime"` // microseconds of a call
-	MinCallTime      float64             `json:"CallBest"` // the least that its mean has been lately
-	RejectedShare    Average             `json:"Refusing"` // share of requests refused
-	TimeoutHistogram []float64           `json:"Told"`     // how often callers told which share of the deadline
-	Classes          map[string]Estimate `json:"Classes"`  // by name
-	TenantTokens     map[string]float64  `json:"Tokens"`   // what is left of each tenant's quota here, by name
+	MinCallTime      float64             `json:"CallBest"` // least mean call time lately, microseconds
+	RejectedShare    Average             `json:"Refusing"` // share of requests rejected, 0 to 1
+	TimeoutHistogram []float64           `json:"Told"`     // of attempt timeouts (attempts.go)
+	Classes          map[string]Estimate `json:"Classes"`  // by class name
+	TenantTokens     map[string]float64  `json:"Tokens"`   // requests left of a quota, by tenant name
 }
--- /dev/null
+++ b/logic/attempts_test.go
@@ -0,0 +1,35 @@
+package logic
+
+import "testing"
+
+func TestNoEarlierAttemptsWithoutDeadlinePropagation(t *testing.T) {
+	cfg := testSettings()
+	cfg.DeadlinePropagated = false
+	d := drive(t, cfg)
+	for id := RequestID(1); id <= 40; id++ {
+		ev := arrival(id, 0, 0)
+		ev.Arrival.Age = 100 * ms
+		if id == 40 {
+			ev.Arrival.Age = 200 * ms // read a little later than the others: no later try
+		}
+		out := d.step(400*ms, ev)
+		d.want(out, ActionRun, id)
+		if id < 39 { // the last but one still runs, so that the last is no probe
+			d.step(10*ms, done(id, OutcomeOK, 10*ms))
+		}
+	}
+}
+
+// A request that tells no wait where others do has spent nothing of its time.
+func TestMissingAttemptTimeoutSpendsNothing(t *testing.T) {
+	d := drive(t, testSettings())
+	for id := RequestID(1); id <= 40; id++ {
+		ev := arrival(id, 0, 0)
+		ev.Arrival.Age = 20 * ms
+		d.step(4*ms, ev)
+		if r := d.s.byID[id]; r == nil || r.firstAttemptAt != r.arrivedAt || r.deadline != r.arrivedAt+3000*ms {
+			t.Fatalf("request %d: %+v", id, r)
+		}
+		d.step(0, Event{Kind: EventCanceled, ID: id}, done(id, OutcomeCanceled, 0))
+	}
+}
--- a/logic/retune_test.go
+++ b/logic/configure_test.go
@@ -2,9 +2,26 @@
 
 import "testing"
 
-// TestRetune: a class added while a request of an old class is in hand is decided on like any other, and the
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for name, spoil := range map[string]func(*Settings){
+		"no cores":        func(c *Settings) { c.Cores = 0 },
+		"no memory":       func(c *Settings) { c.MemoryKB = 0 },
+		"no classes":      func(c *Settings) { c.Classes = nil },
+		"negative span":   func(c *Settings) { c.ResponseGrace = -1 },
+		"negative window": func(c *Settings) { c.Classes[1].IdempotencyWindow = -1 },
+		"no aim":          func(c *Settings) { c.Classes[0].LatencyObjective = 0 },
+	} {
+		cfg := testSettings()
+		spoil(&cfg)
+		if _, err := New(cfg, 1); err == nil {
+			t.Errorf("%s: no error", name)
+		}
+	}
+}
+
+// TestReconfigure: a class added while a request of an old class is in hand is decided on like any other, and the
 // request in hand keeps its class; settings that would take a class away, or are bad, are turned down.
-func TestRetune(t *testing.T) {
+func TestReconfigure(t *testing.T) {
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 0, 0))
 	next := testSettings()
--- /dev/null
+++ b/logic/estimate_test.go
@@ -0,0 +1,80 @@
+package logic
+
+import "testing"
+
+func TestHintsScaleEstimate(t *testing.T) {
+	d := drive(t, testSettings())
+	ev := arrival(1, 0, 3000*ms)
+	ev.Arrival.WorkHint = 100 * ms
+	d.step(0, ev)
+	d.step(200*ms, done(1, OutcomeOK, 200*ms))
+	r := &request{Arrival: Arrival{Class: 0, WorkHint: 50 * ms}}
+	if got := d.s.expectedRunTime(r); got != float64(100*ms) {
+		t.Errorf("T_m for a hint of 50 ms is %v us, want 100000", got)
+	}
+}
+
+func TestHintedRunTimeHasConstantPart(t *testing.T) {
+	d := drive(t, testSettings())
+	for id := RequestID(1); id <= 60; id++ { // 300 ms of waiting whatever the work
+		work := 50 * ms * Micros(1+id%4)
+		ev := arrival(id, 0, 3000*ms)
+		ev.Arrival.WorkHint = work
+		d.step(ms, ev)
+		d.step(work+300*ms, done(id, OutcomeOK, work+300*ms))
+	}
+	got := d.s.expectedRunTime(&request{Arrival: Arrival{Class: 0, WorkHint: 800 * ms}})
+	if got < 950e3 || got > 1300e3 {
+		t.Errorf("T_m for 800 ms of work is %.0f ms, want about 1,100", got/1e3)
+	}
+}
+
+// TestFirstSampleSuggestsNoSteepSlope: a first run that mostly waited must not make work that is four times as large
+// look hopeless.
+func TestFirstSampleSuggestsNoSteepSlope(t *testing.T) {
+	d := drive(t, testSettings())
+	ev := arrival(1, 0, 3000*ms)
+	ev.Arrival.WorkHint = 50 * ms
+	d.step(0, ev)
+	d.step(350*ms, done(1, OutcomeOK, 350*ms))
+	if got := d.s.expectedRunTime(&request{Arrival: Arrival{Class: 0, WorkHint: 200 * ms}}); got < 350e3 || got > 700e3 {
+		t.Errorf("T_m for 200 ms of work is %.0f ms, want 350 to 700", got/1e3)
+	}
+}
+
+func TestOnlyCleanRunsAreSamples(t *testing.T) {
+	for name, ev := range map[string]Event{
+		"failed":    done(2, OutcomeFailed, ms),
+		"cancelled": done(2, OutcomeCanceled, ms),
+		"moot":      done(2, OutcomeNotStarted, ms),
+	} {
+		d := drive(t, testSettings())
+		d.learn(1, 0, 300*ms)
+		d.step(0, arrival(2, 0, 3000*ms))
+		d.step(ms, ev)
+		if got := d.s.classes[0].RunTime.Mean; got != float64(300*ms) {
+			t.Errorf("%s: T_m moved to %v", name, got)
+		}
+	}
+}
+
+func TestSamplesFromBeforeStallAreSkipped(t *testing.T) {
+	d := drive(t, testSettings())
+	d.learn(1, 0, 100*ms)
+	d.step(0, arrival(2, 0, 3000*ms), arrival(3, 0, 3000*ms))
+	d.step(1500*ms, done(2, OutcomeOK, 1500*ms), arrival(4, 0, 3000*ms), done(3, OutcomeOK, 1500*ms))
+	if got := d.s.classes[0].RunTime.Mean; got != float64(100*ms) {
+		t.Errorf("T_m took a sample from before the stall: %v", got)
+	}
+}
+
+func TestAbandonedRunIsSample(t *testing.T) {
+	d := drive(t, testSettings())
+	d.learn(1, 1, 50*ms)
+	before := d.s.classes[1].RunTime.Mean
+	d.step(0, arrival(2, 1, 900*ms))
+	d.want(d.step(900*ms, tick()), ActionFail, 2)
+	if got := d.s.classes[1].RunTime.Mean; got <= before {
+		t.Errorf("T_m %.0f ms after a run given up at 900 ms, %.0f before", got/1e3, before/1e3)
+	}
+}
--- a/logic/pairs_test.go
+++ b/logic/faults_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Two troubles at once, and the way back to service after each.
+// The tests of this file combine two faults, and check the recovery from each.
 
 func TestDrainWhileStalled(t *testing.T) {
 	d := drive(t, testSettings())
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestColdStartInABurst(t *testing.T) {
+func TestSlowStartInBurst(t *testing.T) {
 	cfg := testSettings()
 	cfg.SlowStart = true
 	d := drive(t, cfg)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestSlowDependencyUnderARetryStorm(t *testing.T) {
+func TestSlowDependencyInRetryStorm(t *testing.T) {
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit, cfg.Cores = 2, 4
 	d := drive(t, cfg)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestFullTableInOverloadStillServesReads(t *testing.T) {
+func TestFullKeyTableInOverloadStillServesReads(t *testing.T) {
 	cfg := testSettings()
 	cfg.KeyEntryKB = cfg.MemoryKB / 3
 	d := drive(t, cfg)
@@ -83,7 +83,7 @@
 	d.want(d.step(10*ms, arrival(50, 0, 3000*ms)), ActionRun, 50)
 }
 
-func TestFlooredLimitAndAdviceRecover(t *testing.T) {
+func TestRunLimitAndRetryAfterRecover(t *testing.T) {
 	d := drive(t, testSettings())
 	d.learn(1, 0, 100*ms)
 	var storm []Event
@@ -109,52 +109,3 @@
 	}
 	d.want(d.step(10*ms, arrival(99, 0, 3000*ms)), ActionRun, 99)
 }
-
-func TestSlowServerInvitesLess(t *testing.T) {
-	said := func(run Micros) float64 {
-		d := drive(t, testSettings())
-		for id := RequestID(1); id <= 3; id++ {
-			d.learn(id, int(id)-1, run)
-		}
-		return d.s.loadSignal()
-	}
-	if fast, slow := said(50*ms), said(600*ms); slow >= fast {
-		t.Errorf("allowance %v on a slow server, %v on a fast one", slow, fast)
-	}
-}
-
-func TestGoneRequestsLeaveNothing(t *testing.T) {
-	d := drive(t, testSettings())
-	d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms))
-	d.step(0, arrival(3, 0, 3000*ms), arrival(4, 1, 3000*ms))
-	for id := RequestID(1); id <= 4; id++ {
-		d.step(4*ms, Event{Kind: EventCanceled, ID: id})
-	}
-	d.step(4*ms, done(1, OutcomeCanceled, 0), done(2, OutcomeCanceled, 0), done(3, OutcomeCanceled, 0), done(4, OutcomeOK, 0))
-	if len(d.s.byID) != 0 || d.s.requestMemoryKB > 1e-6 {
-		t.Errorf("%d requests and %v kB left", len(d.s.byID), d.s.requestMemoryKB)
-	}
-}
-
-func TestUnevenCallersShareTheRoomByTraffic(t *testing.T) {
-	said := func(sources []int) float64 {
-		d := drive(t, testSettings())
-		for id := RequestID(1); id <= 3; id++ {
-			d.learn(id, int(id)-1, 100*ms)
-		}
-		for i, src := range sources {
-			ev := arrival(RequestID(100+i), 0, 3000*ms)
-			ev.Arrival.CallerID = src
-			d.step(100*ms, ev, done(RequestID(99+i), OutcomeOK, 100*ms))
-		}
-		return d.s.loadSignal()
-	}
-	var even, uneven []int
-	for i := range 120 {
-		even = append(even, i%10)
-		uneven = append(uneven, max(0, i%20-10)*(i%2)) // caller 0 sends most
-	}
-	if a, b := said(even), said(uneven); b <= 1.5*a {
-		t.Errorf("allowance %.2f with one heavy caller, %.2f with ten alike", b, a)
-	}
-}
--- /dev/null
+++ b/logic/health_test.go
@@ -0,0 +1,133 @@
+package logic
+
+import "testing"
+
+func TestHangFailsHealthAndRecovers(t *testing.T) {
+	d := drive(t, testSettings())
+	for id := RequestID(100); id < 110; id++ {
+		d.learn(id, 0, 100*ms)
+	}
+	d.step(0, arrival(1, 0, 9000*ms), arrival(2, 0, 9000*ms))
+	var off, refused bool
+	for i := range RequestID(60) {
+		for _, a := range d.step(50*ms, tick(), arrival(10+i, 0, 900*ms)) {
+			off = off || a.Kind == ActionSetHealth && !a.Healthy
+			refused = refused || a.Kind == ActionReject && a.Duration == d.s.cfg.MaxRetryAfter
+		}
+	}
+	if !off || !refused {
+		t.Fatalf("stand-still: health failed %v, refused with the longest advice %v", off, refused)
+	}
+	on := false
+	for _, a := range d.step(10*ms, done(1, OutcomeOK, 3000*ms), done(2, OutcomeOK, 3000*ms)) {
+		on = on || a.Kind == ActionSetHealth && a.Healthy
+	}
+	if !on {
+		t.Error("health stays failed after the hang is over")
+	}
+}
+
+func TestFailedHealthRecoversAfterErrors(t *testing.T) {
+	d := drive(t, testSettings())
+	id := RequestID(1)
+	for range 20 {
+		if ran := started(d.step(10*ms, arrival(id, 0, 3000*ms))); ran != 0 {
+			d.step(5*ms, done(ran, OutcomeFailed, 5*ms))
+		}
+		id++
+	}
+	if d.s.sentHealthy {
+		t.Fatal("healthy although all runs fail")
+	}
+	for range 20 {
+		if ran := started(d.step(200*ms, arrival(id, 0, 3000*ms))); ran != 0 {
+			d.step(50*ms, done(ran, OutcomeOK, 50*ms))
+		}
+		id++
+	}
+	if !d.s.sentHealthy {
+		t.Error("health stays failed although all probes went well")
+	}
+}
+
+func TestThinTrafficIsNoStall(t *testing.T) {
+	d := drive(t, testSettings())
+	for id := RequestID(1); id <= 20; id++ {
+		d.learn(id, 0, 50*ms)
+		d.step(900 * ms)
+	}
+	d.learn(21, 0, 800*ms) // one at a time: the gap tells nothing
+	if got := d.s.classes[0].RunTime.Mean; got <= float64(50*ms) {
+		t.Errorf("T_m stayed at %v: the long run was taken for a stall", got)
+	}
+}
+
+func TestStaleEstimateIsProbed(t *testing.T) {
+	d := drive(t, testSettings())
+	d.learn(1, 0, 2900*ms) // far above the aim: T_m alone keeps all out
+	id, ran := RequestID(2), RequestID(0)
+	for i := 0; i < 40 && ran == 0; i++ {
+		ran = started(d.step(100*ms, arrival(id, 0, 3000*ms)))
+		id++
+	}
+	if ran == 0 {
+		t.Fatal("no probe: a stale estimate shut the door")
+	}
+	d.step(50*ms, done(ran, OutcomeOK, 50*ms))
+	for range 3 {
+		if ran := started(d.step(600*ms, arrival(id, 0, 3000*ms))); ran != 0 {
+			d.step(50*ms, done(ran, OutcomeOK, 50*ms))
+		}
+		id++
+	}
+	d.want(d.step(4*ms, arrival(id, 0, 3000*ms)), ActionRun, id)
+}
+
+// lateArrival is a request that was read long after it reached the machine.
+func lateArrival(id RequestID, age Micros) Event {
+	ev := arrival(id, 0, 2000*ms)
+	ev.Arrival.Age = age
+	return ev
+}
+
+func health(actions []Action) (on, said bool) {
+	for _, a := range actions {
+		if a.Kind == ActionSetHealth {
+			on, said = a.Healthy, true
+		}
+	}
+	return on, said
+}
+
+func TestStaleReadsFailHealthUntilNothingIsUnread(t *testing.T) {
+	d := drive(t, testSettings())
+	d.step(0)
+	failed := false
+	for id := RequestID(1); id <= 30; id++ {
+		if on, said := health(d.step(50*ms, lateArrival(id, 900*ms))); said {
+			failed = !on
+		}
+	}
+	if !failed {
+		t.Fatal("health good although everything is read 0.9 s late under an aim of 1 s")
+	}
+	idle := tick()
+	idle.Gauges.RunQueueLength = 0
+	for range 400 {
+		if on, said := health(d.step(30*ms, idle)); said && on {
+			return
+		}
+	}
+	t.Error("health did not return with nothing unread")
+}
+
+func TestPromptReadsKeepHealth(t *testing.T) {
+	d := drive(t, testSettings())
+	d.step(0)
+	for id := RequestID(1); id <= 30; id++ {
+		if on, said := health(d.step(50*ms, lateArrival(id, 100*ms))); said && !on {
+			t.Fatal("health failed with reads 0.1 s old")
+		}
+		d.step(10*ms, done(id, OutcomeOK, 10*ms))
+	}
+}
--- a/logic/legal_test.go
+++ b/logic/invariants_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// ledger plays the host of one Server on generated, legal event sequences and checks what the four rules
+// eventGenerator plays the host of one Server on generated, legal event sequences and checks what the four rules
 // ask of the actions alone. It has no model of speed or load: work ends at random.
-type ledger struct {
+type eventGenerator struct {
 	t        *testing.T
 	s        *Server
 	cfg      Settings
 	rng      *rand.Rand
 	now      Micros
 	next     RequestID
-	live     map[RequestID]*tracked
+	live     map[RequestID]*trackedRequest
 	order    []RequestID // ids in order of arrival, for reproducible draws
 	pending  []Event
 	timers   []timer
@@ -36,38 +36,37 @@
 	expires Micros
 }
 
-type tracked struct {
-	class             int
-	key               uint64
-	kb                float64
-	arrived, due      Micros
-	answered, started bool
-	running, joined   bool
-	atCall, callOut   bool
-	noCall            bool // an earlier call of an effect may have run
-	stopped           bool
+type trackedRequest struct {
+	class                int
+	key                  uint64
+	memoryKB             float64
+	arrived, deadline    Micros
+	answered, started    bool
+	running, coalesced   bool
+	atCall, callInFlight bool
+	callForbidden        bool // an earlier call of an effect may have run
 }
 
-func newLedger(t *testing.T, cfg Settings, seed uint64) *ledger {
+func newEventGenerator(t *testing.T, cfg Settings, seed uint64) *eventGenerator {
 	s, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &ledger{t: t, s: s, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), now: 1 << 40, next: 1,
-		live: map[RequestID]*tracked{}, ranKey: map[uint64][]Micros{}, entries: map[uint64]keyEntry{},
+	return &eventGenerator{t: t, s: s, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), now: 1 << 40, next: 1,
+		live: map[RequestID]*trackedRequest{}, ranKey: map[uint64][]Micros{}, entries: map[uint64]keyEntry{},
 		keyOf: map[RequestID]uint64{}}
 }
 
-func (l *ledger) arrive() {
+func (l *eventGenerator) arrive() {
 	class := l.rng.IntN(len(l.cfg.Classes))
 	c := l.cfg.Classes[class]
 	age := Micros(l.rng.IntN(40000))
 	wait := c.ClientTimeout/4 + Micros(l.rng.Int64N(int64(c.ClientTimeout)))
-	r := &tracked{class: class, kb: 5 + 40*l.rng.Float64(), arrived: l.now - age, due: l.now + wait}
-	a := Arrival{Class: class, Tenant: -1, MemoryKB: r.kb, AttemptTimeout: wait, Age: age, PriorityRank: l.rng.Float64(),
+	r := &trackedRequest{class: class, memoryKB: 5 + 40*l.rng.Float64(), arrived: l.now - age, deadline: l.now + wait}
+	a := Arrival{Class: class, Tenant: -1, MemoryKB: r.memoryKB, AttemptTimeout: wait, Age: age, PriorityRank: l.rng.Float64(),
 		CallerID: l.rng.IntN(3)}
 	if !l.cfg.DeadlinePropagated {
-		a.AttemptTimeout, r.due = 0, r.arrived+c.ClientTimeout
+		a.AttemptTimeout, r.deadline = 0, r.arrived+c.ClientTimeout
 	}
 	if len(l.cfg.Tenants) > 0 {
 		a.Tenant = l.rng.IntN(len(l.cfg.Tenants))
@@ -91,48 +90,57 @@
 	l.next++
 }
 
-// progress ends or moves on a random share of the work in hand.
-func (l *ledger) progress() {
+// progress ends or advances a random share of the requests in flight.
+func (l *eventGenerator) progress() {
 	kept := l.order[:0]
 	for _, id := range l.order {
-		r := l.live[id]
-		if r == nil {
-			continue
-		}
-		kept = append(kept, id)
-		draw := l.rng.Float64()
-		switch {
-		case r.callOut && draw < 0.2:
-			r.callOut = false
-			out := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeReset}[l.rng.IntN(8)]
-			r.atCall = out != OutcomeOK
-			if out != OutcomeOK && !out.NeverRan() && l.cfg.Classes[r.class].Idempotency != Idempotent {
-				r.noCall = true
-			}
-			l.pending = append(l.pending, Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 90000})
-		case r.atCall && r.answered:
-			l.done(id, OutcomeCanceled)
-		case (r.running || r.joined) && !r.atCall && draw < 0.05:
-			out := OutcomeOK
-			if l.rng.IntN(10) == 0 {
-				out = OutcomeFailed
-			}
-			l.done(id, out)
-		case r.running && !r.atCall && !r.callOut && draw < 0.08 && l.cfg.Classes[r.class].CallsDependency:
-			r.atCall = true
-			l.pending = append(l.pending, Event{Kind: EventCallNeeded, ID: id})
-		case draw > 0.998 && !r.answered:
-			r.answered = true
-			l.pending = append(l.pending, Event{Kind: EventCanceled, ID: id})
-			if !r.running {
-				delete(l.live, id)
-			}
+		if r := l.live[id]; r != nil {
+			kept = append(kept, id)
+			l.progressRequest(id, r)
 		}
 	}
 	l.order = kept
 }
 
-func (l *ledger) done(id RequestID, out Outcome) {
+func (l *eventGenerator) progressRequest(id RequestID, r *trackedRequest) {
+	draw := l.rng.Float64()
+	onCore := r.running && !r.atCall
+	switch {
+	case r.callInFlight && draw < 0.2:
+		l.endCall(id, r)
+	case r.atCall && r.answered:
+		l.done(id, OutcomeCanceled)
+	case (onCore || r.coalesced && !r.atCall) && draw < 0.05:
+		out := OutcomeOK
+		if l.rng.IntN(10) == 0 {
+			out = OutcomeFailed
+		}
+		l.done(id, out)
+	case onCore && !r.callInFlight && draw < 0.08 && l.cfg.Classes[r.class].CallsDependency:
+		r.atCall = true
+		l.pending = append(l.pending, Event{Kind: EventCallNeeded, ID: id})
+	case draw > 0.998 && !r.answered:
+		r.answered = true
+		l.pending = append(l.pending, Event{Kind: EventCanceled, ID: id})
+		if !r.running {
+			delete(l.live, id)
+		}
+	}
+}
+
+func (l *eventGenerator) endCall(id RequestID, r *trackedRequest) {
+	r.callInFlight = false
+	outcomes := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut,
+		OutcomeUnreachable, OutcomeReset}
+	out := outcomes[l.rng.IntN(len(outcomes))]
+	r.atCall = out != OutcomeOK
+	if out != OutcomeOK && !out.NeverRan() && l.cfg.Classes[r.class].Idempotency != Idempotent {
+		r.callForbidden = true
+	}
+	l.pending = append(l.pending, Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 90000})
+}
+
+func (l *eventGenerator) done(id RequestID, out Outcome) {
 	if out == OutcomeOK || out == OutcomeFailed {
 		l.answered++
 	}
@@ -140,17 +148,17 @@
 	delete(l.live, id)
 }
 
-func (l *ledger) step() {
-	due := l.timers[:0]
+func (l *eventGenerator) step() {
+	waiting := l.timers[:0]
 	for _, t := range l.timers {
 		if t.at <= l.now {
 			g := Gauges{CPUUtilization: l.rng.Float64(), RunQueueLength: 20 * l.rng.Float64(), MemoryUtilization: 0.5, Connections: 9}
 			l.pending = append(l.pending, Event{Kind: EventTimer, TimerID: t.tag, Gauges: g})
 			continue
 		}
-		due = append(due, t)
+		waiting = append(waiting, t)
 	}
-	l.timers = due
+	l.timers = waiting
 	if len(l.pending) > 0 {
 		for _, a := range l.s.Step(l.now, l.pending) {
 			l.action(a)
@@ -160,7 +168,7 @@
 	l.check()
 }
 
-func (l *ledger) action(a Action) {
+func (l *eventGenerator) action(a Action) {
 	r := l.live[a.ID]
 	switch a.Kind {
 	case ActionSetTimer:
@@ -193,18 +201,18 @@
 	case ActionRun:
 		l.run(a.ID, r)
 	case ActionCoalesce:
-		r.joined = true
+		r.coalesced = true
 	case ActionCall:
-		if r.noCall {
+		if r.callForbidden {
 			l.t.Fatalf("call of an effect repeated: %d", a.ID)
 		}
-		r.callOut = true
+		r.callInFlight = true
 	case ActionReject, ActionFail:
 		l.answer(a, r)
 	}
 }
 
-func (l *ledger) run(id RequestID, r *tracked) {
+func (l *eventGenerator) run(id RequestID, r *trackedRequest) {
 	if r.running {
 		return
 	}
@@ -226,7 +234,7 @@
 	r.running, r.started = true, true
 }
 
-func (l *ledger) answer(a Action, r *tracked) {
+func (l *eventGenerator) answer(a Action, r *trackedRequest) {
 	if r.answered {
 		l.t.Fatalf("second answer for %d", a.ID)
 	}
@@ -241,19 +249,19 @@
 }
 
 // check looks at what must hold after every step.
-func (l *ledger) check() {
+func (l *eventGenerator) check() {
 	memory, onCores := 0.0, 0
 	for id, r := range l.live {
-		if r.running && !r.atCall && !r.callOut {
+		if r.running && !r.atCall && !r.callInFlight {
 			onCores++
 		}
-		kb := r.kb
+		memoryKB := r.memoryKB
 		if r.running {
-			kb *= l.cfg.RunMemoryFactor
+			memoryKB *= l.cfg.RunMemoryFactor
 		}
-		memory += kb
-		if !r.answered && l.now > r.due+l.cfg.ResponseGrace {
-			l.t.Fatalf("request %d unanswered past its due time", id)
+		memory += memoryKB
+		if !r.answered && l.now > r.deadline+l.cfg.ResponseGrace {
+			l.t.Fatalf("request %d unanswered past its deadline", id)
 		}
 		if l.kill > 0 && l.now >= l.kill && !r.answered {
 			l.t.Fatalf("request %d unanswered at the kill", id)
@@ -276,7 +284,7 @@
 	}
 }
 
-func TestGeneratedSequencesKeepTheRules(t *testing.T) {
+func TestGeneratedSequencesKeepInvariants(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"plain":      func(*Settings) {},
 		"one core":   func(c *Settings) { c.Cores = 1 },
@@ -304,7 +312,7 @@
 }
 
 func playGenerated(t *testing.T, cfg Settings, seed uint64) {
-	l := newLedger(t, cfg, seed)
+	l := newEventGenerator(t, cfg, seed)
 	const steps = 4000
 	for i := range steps {
 		l.now += cfg.StepInterval * Micros(1+l.rng.IntN(2))
--- /dev/null
+++ b/logic/limit_test.go
@@ -0,0 +1,105 @@
+package logic
+
+import "testing"
+
+func TestRunLimitRisesAndFalls(t *testing.T) {
+	d := drive(t, testSettings())
+	d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms), arrival(3, 0, 3000*ms))
+	idle := tick()
+	idle.Gauges.RunQueueLength = 1
+	d.want(d.step(4*ms, idle), ActionRun, 3)
+	if d.s.runLimit != 3 {
+		t.Errorf("limit %v after a climb, want 3", d.s.runLimit)
+	}
+	d.s.runLimit, d.s.runSlowdown = 8, Average{Mean: 2, Samples: 9}
+	busy := tick()
+	busy.Gauges.RunQueueLength = 9
+	d.step(4*ms, busy, done(1, OutcomeOK, 100*ms))
+	if d.s.runLimit >= 8 || d.s.runLimit < float64(d.s.cfg.Cores) {
+		t.Errorf("limit %v after runs slowed, want a cut no lower than the cores", d.s.runLimit)
+	}
+}
+
+func TestSlowStartLowersConcurrency(t *testing.T) {
+	cfg := testSettings()
+	cfg.SlowStart = true
+	d := drive(t, cfg)
+	d.step(0)
+	cold := d.s.maxConcurrency() * maxConcurrencyShare
+	d.step(cfg.SlowStartDuration + ms)
+	if warm := d.s.maxConcurrency() * maxConcurrencyShare; cold >= warm {
+		t.Errorf("ceiling cold %v, warm %v", cold, warm)
+	}
+	survives := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
+	if cold >= survives {
+		t.Errorf("cold ceiling %v is not below the %v that it survives", cold, survives)
+	}
+}
+
+func TestCallsInFlightCountTowardsConcurrency(t *testing.T) {
+	cfg := testSettings()
+	cfg.CallConcurrencyLimit = 1000
+	d := drive(t, cfg)
+	for id := RequestID(1); id <= 40; id++ {
+		d.step(0, arrival(id, 1, 3000*ms))
+		d.step(ms, needs(id))
+	}
+	if all := d.s.running + d.s.atCall; float64(all) > 2*d.s.maxConcurrency()*maxConcurrencyShare+1 {
+		t.Errorf("%d runs begun under a ceiling of %v", all, d.s.maxConcurrency()*maxConcurrencyShare)
+	}
+}
+
+func TestReadingGoesBeforeRunning(t *testing.T) {
+	cfg := testSettings()
+	cfg.Cores = 8
+	for _, c := range []struct {
+		reads float64
+		slots int
+	}{{0, 8}, {4, 8}, {6, 6}, {8, 4}, {100, 1}} {
+		d := drive(t, cfg)
+		d.step(0, d.reading(c.reads))
+		if got := d.s.runSlots(); got != c.slots {
+			t.Errorf("%v being read on 8 cores leave room for %d runs, want %d", c.reads, got, c.slots)
+		}
+	}
+	d := drive(t, cfg)
+	d.step(0, tick()) // the run queue was not measured
+	d.s.gauges.RunQueueLength = -1
+	if got := d.s.runSlots(); got != 8 {
+		t.Errorf("%d runs without a gauge, want 8", got)
+	}
+}
+
+// TestSetResourceShare: a server that has a part of the cores and the memory runs and holds no more than that part, and all of it
+// once it has all again.
+func TestSetResourceShare(t *testing.T) {
+	started := func(s *Server, now Micros, ids ...RequestID) (n int) {
+		var events []Event
+		for _, id := range ids {
+			events = append(events, Event{Kind: EventArrival, ID: id, Arrival: Arrival{Tenant: -1, MemoryKB: 10}})
+		}
+		for _, a := range s.Step(now, events) {
+			if a.Kind == ActionRun {
+				n++
+			}
+		}
+		return n
+	}
+	cfg := Settings{Cores: 8, MemoryKB: 1e6, RunMemoryFactor: 1, MaxConcurrencyPerCore: 9, Classes: []Class{{Name: "read", LatencyObjective: 1e9, ClientTimeout: 2e9, PriorityWeight: 1}}}
+	s := newServer(t, cfg)
+	s.SetResourceShare(0.25)
+	if n := started(s, 0, 1, 2, 3, 4, 5, 6, 7, 8); n != 2 {
+		t.Errorf("%d of 8 cores used with a quarter of them", n)
+	}
+	s.SetResourceShare(1)
+	if n := started(s, 1); n != 6 {
+		t.Errorf("%d more started with all of them", n)
+	}
+	cfg.MemoryKB = 100 // room for 9 requests of 10 KB
+	s = newServer(t, cfg)
+	s.SetResourceShare(0.5)
+	started(s, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+	if held := len(s.byID); held != 4 {
+		t.Errorf("%d requests in half of the memory, 4 fit", held)
+	}
+}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -1,159 +1,126 @@
 package logic
 
 import (
-	"os"
 	"reflect"
-	"strings"
 	"testing"
-	"unicode/utf8"
 )
 
-const ms = Micros(1000)
-
-// testSettings is a small server with a safe class, a keyed one that calls, and an unsafe one.
-func testSettings() Settings {
-	return Settings{
-		Classes: []Class{
-			{Name: "read", LatencyObjective: 1000 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 1, CallsDependency: true, DegradedWeightShare: 0.5},
-			{Name: "write", LatencyObjective: 1000 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 4, Idempotency: IdempotentByKey, IdempotencyWindow: 6000 * ms,
-				CallsDependency: true},
-			{Name: "once", LatencyObjective: 1000 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 2, Idempotency: NonIdempotent, LateWeightShare: 0.2},
-		},
-		Tenants:   []Tenant{{Name: "a", QuotaPerSecond: 40}, {Name: "b", QuotaPerSecond: 4}},
-		FleetSize: 4, Cores: 2, MemoryKB: 20000, RunMemoryFactor: 8, KeyEntryKB: 20,
-		SlowStartCapacity: 0.2, SlowStartDuration: 10000 * ms, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 2000 * ms,
-		ResponseGrace: 60 * ms, DrainGrace: 1000 * ms, StepInterval: 4 * ms, CallConcurrencyLimit: 4, CallConcurrencyWindow: 5000 * ms,
-		AbandonedCallDuration: 200 * ms, DeadlinePropagated: true, StopMode: StopDiscard, SignalMode: SignalConcurrencyLimit,
-		MaxRetryAfter: 1000 * ms, CallerIdleTimeout: 30000 * ms, OverQuotaWeightShare: 0.05,
+func TestSameEventsGiveSameActions(t *testing.T) {
+	play := func() (all []Action) {
+		d := drive(t, testSettings())
+		for i := range RequestID(50) {
+			all = append(all, d.step(20*ms, arrival(i+1, int(i)%3, 2000*ms))...)
+			if i > 5 {
+				all = append(all, d.step(0, done(i-5, OutcomeOK, 100*ms))...)
+			}
+		}
+		return all
 	}
-}
-
-// driver steps a Server by hand.
-type driver struct {
-	t   *testing.T
-	s   *Server
-	now Micros
-}
-
-func drive(t *testing.T, cfg Settings) *driver {
-	t.Helper()
-	s, err := New(cfg, 1)
-	if err != nil {
-		t.Fatal(err)
+	if !reflect.DeepEqual(play(), play()) {
+		t.Error("two servers differ on the same events")
 	}
-	return &driver{t: t, s: s, now: 5000 * ms}
-}
-
-// step moves the clock and returns a copy of the actions.
-func (d *driver) step(after Micros, events ...Event) []Action {
-	d.now += after
-	return append([]Action(nil), d.s.Step(d.now, events)...)
 }
 
-func arrival(id RequestID, class int, wait Micros) Event {
-	return Event{Kind: EventArrival, ID: id, Arrival: Arrival{Class: class, Tenant: -1, MemoryKB: 10, AttemptTimeout: wait}}
-}
-
-func done(id RequestID, out Outcome, elapsed Micros) Event {
-	return Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: elapsed}
-}
-
-// tick is a timer event with gauges of a server whose cores are busy.
-func tick() Event {
-	return Event{Kind: EventTimer, TimerID: 1, Gauges: Gauges{CPUUtilization: 0.9, RunQueueLength: 2, MemoryUtilization: 0.1}}
-}
-
-// find returns the first action of a kind for a request, or nil.
-func find(actions []Action, kind ActionKind, id RequestID) *Action {
-	for i := range actions {
-		if actions[i].Kind == kind && actions[i].ID == id {
-			return &actions[i]
+// TestSecondEndOfRequestIsIgnored guards against a host that tells of the end of a request which was still held, and does so twice.
+func TestSecondEndOfRequestIsIgnored(t *testing.T) {
+	for _, o := range []Outcome{OutcomeOK, OutcomeFailed, OutcomeCanceled, OutcomeNotStarted} {
+		cfg := Settings{Classes: []Class{{Name: "read", LatencyObjective: 500_000, ClientTimeout: 2_000_000, PriorityWeight: 1}},
+			FleetSize: 1, Cores: 1, MemoryKB: 100_000, MaxConcurrencyPerCore: 4, ResponseGrace: 50_000, StepInterval: 1_000}
+		s, err := New(cfg, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for id := RequestID(1); id <= 3; id++ { // one runs, the others are held
+			s.Step(1_000_000, []Event{{Kind: EventArrival, ID: id, Arrival: Arrival{Tenant: -1, MemoryKB: 20}}})
+		}
+		ends := []Event{{Kind: EventRunEnded, ID: 3, Outcome: o}, {Kind: EventRunEnded, ID: 3, Outcome: o}}
+		s.Step(1_000_000, ends)
+		if len(s.byID) != 2 || len(s.queue) != 1 || s.requestMemoryKB != 20*2 {
+			t.Errorf("outcome %d: %d in hand, %d held, %v KB", o, len(s.byID), len(s.queue), s.requestMemoryKB)
 		}
 	}
-	return nil
 }
 
-// started returns the id of the first request that the actions start, or 0.
-func started(actions []Action) RequestID {
-	for _, a := range actions {
-		if a.Kind == ActionRun {
-			return a.ID
-		}
+func TestCanceledRequestsLeaveNothing(t *testing.T) {
+	d := drive(t, testSettings())
+	d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms))
+	d.step(0, arrival(3, 0, 3000*ms), arrival(4, 1, 3000*ms))
+	for id := RequestID(1); id <= 4; id++ {
+		d.step(4*ms, Event{Kind: EventCanceled, ID: id})
+	}
+	d.step(4*ms, done(1, OutcomeCanceled, 0), done(2, OutcomeCanceled, 0), done(3, OutcomeCanceled, 0), done(4, OutcomeOK, 0))
+	if len(d.s.byID) != 0 || d.s.requestMemoryKB > 1e-6 {
+		t.Errorf("%d requests and %v kB left", len(d.s.byID), d.s.requestMemoryKB)
 	}
-	return 0
 }
 
-func (d *driver) want(actions []Action, kind ActionKind, id RequestID) *Action {
-	d.t.Helper()
-	a := find(actions, kind, id)
-	if a == nil {
-		d.t.Fatalf("no action %d for request %d in %+v", kind, id, actions)
+func TestTimerFiresWithinResponseGrace(t *testing.T) {
+	cfg := testSettings()
+	cfg.StepInterval = 20 * ms
+	d := drive(t, cfg)
+	timer := find(d.step(0, arrival(1, 0, 500*ms)), ActionSetTimer, 0)
+	if timer == nil || timer.Duration > cfg.ResponseGrace {
+		t.Fatalf("timer %+v is later than the grace of an answer", timer)
 	}
-	return a
 }
 
-func (d *driver) wantNone(actions []Action, kind ActionKind, id RequestID) {
-	d.t.Helper()
-	if find(actions, kind, id) != nil {
-		d.t.Fatalf("unexpected action %d for request %d in %+v", kind, id, actions)
+func TestOneTimerPerServer(t *testing.T) {
+	d := drive(t, testSettings())
+	n := 0
+	for id := range RequestID(20) {
+		for _, a := range d.step(0, arrival(id+1, 0, 3000*ms)) {
+			if a.Kind == ActionSetTimer {
+				n++
+			}
+		}
+	}
+	if n != 1 {
+		t.Errorf("%d timers armed for 20 requests", n)
 	}
 }
 
-// learn makes the class's run time known by one run.
-func (d *driver) learn(id RequestID, class int, elapsed Micros) {
-	d.t.Helper()
-	d.want(d.step(0, arrival(id, class, 3000*ms)), ActionRun, id)
-	d.step(elapsed, done(id, OutcomeOK, elapsed))
+func TestIdleServerSetsNoTimer(t *testing.T) {
+	d := drive(t, testSettings())
+	d.step(0, arrival(1, 0, 3000*ms))
+	d.step(50*ms, done(1, OutcomeOK, 50*ms))
+	for range 20 {
+		for _, a := range d.step(30*ms, tick()) {
+			if a.Kind == ActionSetTimer {
+				t.Fatal("a timer with nothing in hand")
+			}
+		}
+	}
 }
 
-func TestLogicStaysReadable(t *testing.T) {
-	text, err := os.ReadFile("logic.go")
+func BenchmarkStepWithLongQueue(b *testing.B) {
+	cfg := testSettings()
+	cfg.MemoryKB = 1e6
+	s, err := New(cfg, 1)
 	if err != nil {
-		t.Fatal(err)
+		b.Fatal(err)
 	}
-	lines := 0
-	for i, line := range strings.Split(string(text), "\n") {
-		if strings.TrimSpace(line) != "" {
-			lines++
-		}
-		if width := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); width > 110 {
-			t.Errorf("line %d has %d columns", i+1, width)
-		}
+	now := Micros(1)
+	for id := RequestID(1); id <= 1000; id++ {
+		s.Step(now, []Event{arrival(id, int(id)%3, 1e12)})
 	}
-	if lines > 1010 {
-		t.Errorf("%d lines that are not blank; 1,010 at most", lines)
+	held := len(s.queue)
+	events := []Event{tick()}
+	for b.Loop() {
+		s.Step(now, events) // the clock stands, so that the hold keeps its size
 	}
-}
-
-func TestNewRejectsUnusableSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"no cores":        func(c *Settings) { c.Cores = 0 },
-		"no memory":       func(c *Settings) { c.MemoryKB = 0 },
-		"no classes":      func(c *Settings) { c.Classes = nil },
-		"negative span":   func(c *Settings) { c.ResponseGrace = -1 },
-		"negative window": func(c *Settings) { c.Classes[1].IdempotencyWindow = -1 },
-		"no aim":          func(c *Settings) { c.Classes[0].LatencyObjective = 0 },
-	} {
-		cfg := testSettings()
-		spoil(&cfg)
-		if _, err := New(cfg, 1); err == nil {
-			t.Errorf("%s: no error", name)
-		}
+	if held < 500 || len(s.queue) != held {
+		b.Fatalf("%d held at first, %d at the end", held, len(s.queue))
 	}
 }
 
-func TestSameEventsGiveSameActions(t *testing.T) {
-	play := func() (all []Action) {
-		d := drive(t, testSettings())
-		for i := range RequestID(50) {
-			all = append(all, d.step(20*ms, arrival(i+1, int(i)%3, 2000*ms))...)
-			if i > 5 {
-				all = append(all, d.step(0, done(i-5, OutcomeOK, 100*ms))...)
-			}
-		}
-		return all
+func BenchmarkIdleStep(b *testing.B) {
+	s, err := New(testSettings(), 1)
+	if err != nil {
+		b.Fatal(err)
 	}
-	if !reflect.DeepEqual(play(), play()) {
-		t.Error("two servers differ on the same events")
+	now := Micros(1)
+	for b.Loop() {
+		now += 4 * ms
+		s.Step(now, nil)
 	}
 }
--- /dev/null
+++ b/logic/queue.go
@@ -0,0 +1,49 @@
+package logic
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Order of the queue (FEFM, section II.C). Requests that can no longer meet D1 move to the old-request queue
+// for good. New requests come first, then those with more priority weight for each microsecond of their
+// expected run time T_m, then those that arrived earlier:
+//
+//	density = PriorityWeight · (over quota: OverQuotaWeightShare) · (retry: 0.3) / T_m (WeightPerWork: 1)
+
+// retryWeightShare is the share of its weight that a retry or hedged request has: part of its latency
+// objective is spent, and how much is not told.
+const retryWeightShare = 0.3
+
+// sortQueue moves requests to the old-request queue and orders both queues.
+func (s *Server) sortQueue() {
+	for _, r := range s.queue {
+		d1, _ := s.queueBounds(r)
+		r.inOldQueue = r.inOldQueue || !s.meetsBound(r, d1, 0)
+		r.weightDensity = s.computeWeightDensity(r)
+	}
+	slices.SortStableFunc(s.queue, func(a, b *request) int {
+		if a.inOldQueue != b.inOldQueue {
+			if a.inOldQueue {
+				return 1
+			}
+			return -1
+		}
+		return cmp.Or(cmp.Compare(b.weightDensity, a.weightDensity), cmp.Compare(a.arrivedAt, b.arrivedAt))
+	})
+}
+
+// computeWeightDensity returns the priority weight for each microsecond of expected run time.
+func (s *Server) computeWeightDensity(r *request) float64 {
+	weight := s.classes[r.Class].PriorityWeight
+	if r.overQuota {
+		weight *= s.cfg.OverQuotaWeightShare
+	}
+	if r.Retry || r.firstAttemptAt < r.arrivedAt {
+		weight *= retryWeightShare
+	}
+	if s.cfg.WeightPerWork {
+		return weight
+	}
+	return weight / max(1, s.expectedRunTime(r))
+}
--- /dev/null
+++ b/logic/shedding.go
@@ -0,0 +1,74 @@
+package logic
+
+// Load shedding. Beside the paper's test of the head of a queue, a request that has waited for 0.02 of its
+// latency objective is rejected if the work ahead of it keeps it from meeting D2 (admission.go):
+//
+//	now + call delay + Σ T_m ahead / run limit + T_m >= D2
+//
+// so that its caller has time to try another server; a short burst rejects nobody. Retry-After is a third of
+// the time that it takes to start what is queued and to read what is unread, and the longest that callers
+// honor while the server is faulty, draining or slow. NoFailover is set while most requests are rejected
+// here, or many are and frequent retries show that other servers reject too.
+const (
+	minQueueTimeShare = 0.02    // of the latency objective
+	retryAfterShare   = 1.0 / 3 // of the time that the backlog takes
+
+	futileRejectedShare            = 0.6  // share of requests rejected here from which failover is futile
+	futileRejectedShareWithRetries = 0.3  // the same while retries are frequent
+	futileRetryShare               = 0.15 // share of retries among the arrivals that counts as frequent
+)
+
+// shedHopeless rejects requests that the work ahead of them keeps from meeting D2. A faulty server rejects
+// all that have waited.
+func (s *Server) shedHopeless() {
+	ahead := 0.0
+	for i := 0; i < len(s.queue); {
+		r := s.queue[i]
+		_, d2 := s.queueBounds(r)
+		objective := float64(s.classes[r.Class].LatencyObjective)
+		waited := float64(s.now-r.arrivedAt) >= minQueueTimeShare*objective
+		if waited && (s.stalledOrFailing() || !s.meetsBound(r, d2, ahead/s.runLimit)) {
+			s.rejectOrFail(r)
+			continue
+		}
+		ahead += s.expectedRunTime(r)
+		i++
+	}
+}
+
+// rejectOrFail answers a request that can't be served: with an error where its run may have had an effect
+// that must not be repeated, else with a rejection. A run keeps its place until it ends.
+func (s *Server) rejectOrFail(r *request) {
+	if r.answered {
+		return
+	}
+	r.answered = true
+	if elapsed := float64(s.now - r.startedAt); r.state == stateRunning && elapsed > s.expectedRunTime(r) {
+		s.recordRunTime(r, elapsed) // it takes at least so long
+	}
+	if r.state == stateQueued || s.classes[r.Class].Idempotency == Idempotent {
+		s.rejectedShare.add(1, 1.0/recentArrivalCount)
+		s.emit(Action{Kind: ActionReject, ID: r.id, Duration: s.retryAfter(), NoFailover: s.failoverFutile()})
+	} else {
+		s.emit(Action{Kind: ActionFail, ID: r.id})
+	}
+	s.removeUnlessRunning(r)
+}
+
+// failoverFutile reports whether other servers are expected to reject a rejected request too.
+func (s *Server) failoverFutile() bool {
+	shares := s.rejectedShare.Mean > futileRejectedShareWithRetries && s.retryShare > futileRetryShare
+	return !s.readsSlowly() && (shares || s.rejectedShare.Mean > futileRejectedShare)
+}
+
+// retryAfter returns how long a rejected caller is asked to wait.
+func (s *Server) retryAfter() Micros {
+	if s.stalledOrFailing() || s.killAt > 0 || s.readsSlowly() {
+		return s.cfg.MaxRetryAfter
+	}
+	backlog := staleReadShare * s.readStaleness.Mean * s.meanObjective
+	for _, r := range s.queue {
+		backlog += s.expectedRunTime(r) / s.runLimit
+	}
+	return min(s.cfg.MaxRetryAfter, Micros(retryAfterShare*backlog))
+}
--- /dev/null
+++ b/logic/shedding_test.go
@@ -0,0 +1,79 @@
+package logic
+
+import "testing"
+
+func TestRejectedFromOldQueue(t *testing.T) {
+	d := drive(t, testSettings())
+	d.learn(1, 0, 500*ms)
+	d.step(0, arrival(2, 0, 3000*ms), arrival(3, 0, 3000*ms), arrival(4, 0, 3000*ms))
+	// 2 and 3 fill the cores; 4 waits past what D2 leaves for a run of 500 ms.
+	busy := tick()
+	busy.Gauges.RunQueueLength = 5
+	d.wantNone(d.step(10*ms, busy), ActionRun, 4)
+	var refused *Action
+	for range 100 {
+		if refused = find(d.step(8*ms, busy), ActionReject, 4); refused != nil {
+			break
+		}
+	}
+	if refused == nil {
+		t.Fatal("a request that cannot meet D2 was never refused")
+	}
+	if d.now-5500*ms < Micros(minQueueTimeShare*1000)*ms {
+		t.Error("refused before it was held for its share of the aim")
+	}
+}
+
+func TestSlowServerRejectsButAllowsFailover(t *testing.T) {
+	d := drive(t, testSettings())
+	d.learn(1, 0, 100*ms)
+	d.read(100, 600*ms, 2)
+	d.s.rejectedShare.Mean = 0.95
+	late := arrival(500, 0, 3000*ms)
+	late.Arrival.Age = 990 * ms // of an aim of 1 s
+	out := d.step(4*ms, late)
+	refused := find(out, ActionReject, 500)
+	if refused == nil {
+		t.Fatal("a request that is too late was not refused at once")
+	}
+	if refused.Duration != d.s.cfg.MaxRetryAfter || refused.NoFailover {
+		t.Errorf("advice %v, last %v; want the longest, and others left to try", refused.Duration, refused.NoFailover)
+	}
+}
+
+func TestRetriesShowThatOtherServersRejectToo(t *testing.T) {
+	last := func(retries bool, refusing float64) bool {
+		d := drive(t, testSettings())
+		for id := RequestID(1); id <= 40; id++ {
+			ev := arrival(id, 0, 3000*ms)
+			ev.Arrival.Retry = retries && id%3 == 0
+			d.step(4*ms, ev)
+		}
+		d.s.rejectedShare.Mean = refusing
+		return d.s.failoverFutile()
+	}
+	for _, c := range []struct {
+		retries  bool
+		refusing float64
+		want     bool
+	}{{true, 0.2, false}, {true, 0.4, true}, {false, 0.4, false}, {false, 0.7, true}} {
+		if got := last(c.retries, c.refusing); got != c.want {
+			t.Errorf("further tries %v, %v refused: in vain is %v", c.retries, c.refusing, got)
+		}
+	}
+}
+
+func TestUnreadRequestsCountInRetryAfter(t *testing.T) {
+	advice := func(age Micros) Micros {
+		d := drive(t, testSettings())
+		for id := RequestID(1); id <= 30; id++ {
+			ev := arrival(id, 0, 3000*ms)
+			ev.Arrival.Age = age
+			d.step(4*ms, ev, Event{Kind: EventCanceled, ID: id - 1})
+		}
+		return d.s.retryAfter()
+	}
+	if fresh, old := advice(0), advice(400*ms); old < fresh+50*ms {
+		t.Errorf("advice %v with requests read 0.4 s old, %v with fresh ones", old, fresh)
+	}
+}
--- /dev/null
+++ b/logic/signal_test.go
@@ -0,0 +1,99 @@
+package logic
+
+import "testing"
+
+func TestLoadSignalOnlyWhereUsed(t *testing.T) {
+	for _, sig := range []SignalMode{SignalOff, SignalPriorityFloor, SignalConcurrencyLimit, SignalWeight} {
+		cfg := testSettings()
+		cfg.SignalMode = sig
+		d := drive(t, cfg)
+		said := find(d.step(0, arrival(1, 0, 3000*ms)), ActionSetLoadSignal, 0) != nil
+		if said != (sig != SignalOff) {
+			t.Errorf("signal %d: said %v", sig, said)
+		}
+	}
+}
+
+// rankedSettings is a server whose callers heed a floor.
+func rankedSettings() Settings {
+	cfg := testSettings()
+	cfg.SignalMode = SignalPriorityFloor
+	return cfg
+}
+
+func TestPriorityFloorFollowsRejectedRanks(t *testing.T) {
+	d := drive(t, rankedSettings())
+	d.learn(1000, 0, 900*ms)
+	for id := RequestID(1); id <= 60; id++ {
+		ev := arrival(id, 0, 3000*ms)
+		ev.Arrival.PriorityRank = float64(id%10) / 20 // reads take the lower half of the ranks
+		if id%6 == 0 {
+			ev = arrival(id, 1, 3000*ms)
+			ev.Arrival.PriorityRank = 0.5 + float64(id%10)/20
+		}
+		d.step(30*ms, ev)
+		d.step(2*ms, tick())
+	}
+	high := d.s.priorityFloor
+	if high <= 0.05 || high >= 0.95 {
+		t.Fatalf("floor %.2f with %.2f refused: want it within the ranks of what arrives", high, d.s.rejectedShare.Mean)
+	}
+	d.s.rejectedShare.Mean = 0
+	for range 300 { // 10 s without refusals
+		d.step(32*ms, tick())
+	}
+	if d.s.priorityFloor > 0.01 {
+		t.Errorf("floor %.2f 10 s after the last refusal", d.s.priorityFloor)
+	}
+}
+
+func TestPriorityFloorStaysWhereCallsAreShort(t *testing.T) {
+	d := drive(t, rankedSettings())
+	d.s.callTime.add(float64(500*ms), 1)
+	for id := RequestID(1); id <= 40; id++ {
+		ev := arrival(id, 0, 3000*ms)
+		ev.Arrival.PriorityRank = 0.3
+		d.step(0, ev)
+	}
+	d.s.rejectedShare.Mean, d.s.callCredit = 0.5, 0
+	d.s.updatePriorityFloor()
+	if d.s.priorityFloor != 0 {
+		t.Errorf("floor %.2f although calls are what is short", d.s.priorityFloor)
+	}
+}
+
+func TestSlowServerOffersLessConcurrency(t *testing.T) {
+	said := func(run Micros) float64 {
+		d := drive(t, testSettings())
+		for id := RequestID(1); id <= 3; id++ {
+			d.learn(id, int(id)-1, run)
+		}
+		return d.s.loadSignal()
+	}
+	if fast, slow := said(50*ms), said(600*ms); slow >= fast {
+		t.Errorf("allowance %v on a slow server, %v on a fast one", slow, fast)
+	}
+}
+
+func TestUnevenCallersShareLimitByTraffic(t *testing.T) {
+	said := func(sources []int) float64 {
+		d := drive(t, testSettings())
+		for id := RequestID(1); id <= 3; id++ {
+			d.learn(id, int(id)-1, 100*ms)
+		}
+		for i, src := range sources {
+			ev := arrival(RequestID(100+i), 0, 3000*ms)
+			ev.Arrival.CallerID = src
+			d.step(100*ms, ev, done(RequestID(99+i), OutcomeOK, 100*ms))
+		}
+		return d.s.loadSignal()
+	}
+	var even, uneven []int
+	for i := range 120 {
+		even = append(even, i%10)
+		uneven = append(uneven, max(0, i%20-10)*(i%2)) // caller 0 sends most
+	}
+	if a, b := said(even), said(uneven); b <= 1.5*a {
+		t.Errorf("allowance %.2f with one heavy caller, %.2f with ten alike", b, a)
+	}
+}
