--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -10,7 +10,7 @@
 
 func TestLateBoundFollowsLateWeightShare(t *testing.T) {
 	d := drive(t, testSettings())
-	r := &request{Arrival: Arrival{Class: 2}, deadline: 3000 * ms} // late worth 0.2: aim 1 s, deadline 3 s
+	r := &request{Arrival: Arrival{Class: 2}, deadline: 3000 * ms} // LateWeightShare 0.2: objective 1 s, client timeout 3 s
 	for _, c := range []struct {
 		running int
 		share   float64
--- a/logic/attempts_test.go
+++ b/logic/attempts_test.go
@@ -10,7 +10,7 @@
 		ev := arrival(id, 0, 0)
 		ev.Arrival.Age = 100 * ms
 		if id == 40 {
-			ev.Arrival.Age = 200 * ms // read a little later than the others: no later try
+			ev.Arrival.Age = 200 * ms // read a little later than the others: no retry
 		}
 		out := d.step(400*ms, ev)
 		d.want(out, ActionRun, id)
@@ -20,7 +20,7 @@
 	}
 }
 
-// A request that tells no wait where others do has spent nothing of its time.
+// A request without an attempt timeout, where others have one, spent nothing in earlier attempts.
 func TestMissingAttemptTimeoutSpendsNothing(t *testing.T) {
 	d := drive(t, testSettings())
 	for id := RequestID(1); id <= 40; id++ {
--- a/logic/callbudget_test.go
+++ b/logic/callbudget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// dependency plays the shared dependency for one server: each call takes the same time, and one given up
-// stays in hand for the linger. It records when calls were in hand.
+// dependency plays the shared dependency for one server: each call takes the same time, and one that
+// timed out stays in flight for a while. It records when calls were in flight.
 type dependency struct {
 	takes, linger Micros
 	out           []simulatedCall
@@ -15,9 +15,9 @@
 	from, timeout Micros
 }
 
-// due returns the news of calls that end by now.
-func (p *dependency) due(now Micros) []Event {
-	var news []Event
+// endedBy returns the events of calls that end by now.
+func (p *dependency) endedBy(now Micros) []Event {
+	var events []Event
 	var kept []simulatedCall
 	for _, c := range p.out {
 		end, outcome := c.from+p.takes, OutcomeOK
@@ -30,14 +30,14 @@
 			continue
 		}
 		p.spans = append(p.spans, [2]Micros{c.from, left})
-		news = append(news, Event{Kind: EventCallEnded, ID: c.id, Outcome: outcome, Elapsed: end - c.from})
+		events = append(events, Event{Kind: EventCallEnded, ID: c.id, Outcome: outcome, Elapsed: end - c.from})
 	}
 	p.out = kept
-	return news
+	return events
 }
 
-// most is the largest mean of the calls in hand over any span that ends with a call.
-func (p *dependency) most(span Micros) float64 {
+// maxMean returns the largest mean of the calls in flight over any window that ends with a call.
+func (p *dependency) maxMean(span Micros) float64 {
 	most := 0.0
 	for _, last := range p.spans {
 		until, sum := last[1], Micros(0)
@@ -59,10 +59,10 @@
 	}{
 		{"share under one, calls never end", 0.3, 60000 * ms, 1, false},
 		{"share under one, slow calls", 0.5, 900 * ms, 1, false},
-		{"share under one, slow calls, cold", 0.5, 900 * ms, 1, true},
+		{"share under one, slow calls, slow start", 0.5, 900 * ms, 1, true},
 		{"share of two, calls never end", 2, 60000 * ms, 1, false},
 		{"share of two, slow calls", 2, 900 * ms, 1, false},
-		{"calls that may be left out", 0.4, 900 * ms, 0, false},
+		{"calls that may be skipped", 0.4, 900 * ms, 0, false},
 		{"quick calls", 0.5, 20 * ms, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,33 +71,33 @@
 			d := drive(t, cfg)
 			p := &dependency{takes: c.takes, linger: cfg.AbandonedCallDuration}
 			calls := 0
-			var news []Event
+			var events []Event
 			for id := RequestID(1); id <= 2000; id++ {
-				news = append(news, p.due(d.now+10*ms)...)
-				out := d.step(10*ms, append(news, arrival(id, c.class, 3000*ms))...)
-				news = nil
+				events = append(events, p.endedBy(d.now+10*ms)...)
+				out := d.step(10*ms, append(events, arrival(id, c.class, 3000*ms))...)
+				events = nil
 				for _, a := range out {
 					switch a.Kind {
 					case ActionRun:
-						news = append(news, needs(a.ID))
+						events = append(events, needs(a.ID))
 					case ActionCall:
 						calls++
 						p.out = append(p.out, simulatedCall{a.ID, d.now, a.Duration})
 					case ActionSkipCall:
-						news = append(news, done(a.ID, OutcomeOK, 50*ms))
+						events = append(events, done(a.ID, OutcomeOK, 50*ms))
 					}
 				}
-				for _, e := range append([]Event(nil), news...) {
+				for _, e := range append([]Event(nil), events...) {
 					if e.Kind == EventCallEnded && e.Outcome == OutcomeOK {
-						news = append(news, done(e.ID, OutcomeOK, 50*ms))
+						events = append(events, done(e.ID, OutcomeOK, 50*ms))
 					}
 				}
 			}
 			if calls == 0 {
 				t.Fatal("no call was made")
 			}
-			if most := p.most(cfg.CallConcurrencyWindow); most > c.share {
-				t.Errorf("a mean of %.2f calls in hand over %v under a share of %v", most, cfg.CallConcurrencyWindow, c.share)
+			if most := p.maxMean(cfg.CallConcurrencyWindow); most > c.share {
+				t.Errorf("a mean of %.2f calls in flight over %v under a limit of %v", most, cfg.CallConcurrencyWindow, c.share)
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit, cfg.Cores = 0.5, 8
 	d := drive(t, cfg)
-	inHand, most := 0.0, 0.0
+	inFlight, most := 0.0, 0.0
 	mean := 0.0
 	for i := range RequestID(400) {
 		id := i + 1
@@ -115,25 +115,25 @@
 		out = append(out, d.step(0, needs(id))...)
 		for _, a := range out {
 			if a.Kind == ActionCall {
-				inHand++
+				inFlight++
 			}
 			if a.Kind == ActionFail && d.s.byID[a.ID] != nil {
 				d.step(0, done(a.ID, OutcomeCanceled, 0))
 			}
 		}
-		mean += (inHand - mean) * 25 / 5000
+		mean += (inFlight - mean) * 25 / 5000
 		most = max(most, mean)
 		if i%16 == 15 { // the calls end late, all at once
 			for _, r := range append([]*request(nil), d.s.active...) {
 				if r.callInFlight {
-					inHand--
+					inFlight--
 					d.step(0, result(r.id, OutcomeOK), done(r.id, OutcomeOK, 500*ms))
 				}
 			}
 		}
 	}
 	if most == 0 || most > cfg.CallConcurrencyLimit {
-		t.Errorf("mean calls in hand reached %.2f of a share of %.2f", most, cfg.CallConcurrencyLimit)
+		t.Errorf("mean calls in flight reached %.2f of a limit of %.2f", most, cfg.CallConcurrencyLimit)
 	}
 }
 
@@ -145,7 +145,7 @@
 	d.want(d.step(ms, needs(1)), ActionCall, 1)
 	d.step(900*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 900 * ms})
 	d.step(ms, done(1, OutcomeOK, 950*ms))
-	for id := RequestID(2); id < 100; id++ { // thin traffic after a crowd at the dependency
+	for id := RequestID(2); id < 100; id++ { // thin traffic after a burst at the dependency
 		out := d.step(500*ms, arrival(id, 1, 3000*ms))
 		if find(out, ActionRun, id) == nil {
 			continue
@@ -172,7 +172,7 @@
 	d, out := atLateCall(t, 1)
 	d.want(out, ActionFail, 2)
 	if find(out, ActionCall, 2) != nil {
-		t.Error("called although it can't end in time")
+		t.Error("a call was made that can't end in time")
 	}
 }
 
@@ -198,6 +198,6 @@
 		}
 	}
 	if called == 0 || left == 0 {
-		t.Errorf("%d calls made and %d left out: want some of each", called, left)
+		t.Errorf("%d calls made and %d skipped: want some of each", called, left)
 	}
 }
--- a/logic/calls_test.go
+++ b/logic/calls_test.go
@@ -12,7 +12,7 @@
 		d.want(d.step(10*ms, needs(1)), ActionCall, 1)
 		out := append(d.step(100*ms, result(1, c.out)), d.step(60*ms, tick())...)
 		if again := find(out, ActionCall, 1) != nil; again != c.repeat {
-			t.Errorf("outcome %d: call repeated %v, want %v", c.out, again, c.repeat)
+			t.Errorf("outcome %d: call retried %v, want %v", c.out, again, c.repeat)
 		}
 		if !c.repeat {
 			d.want(out, ActionFail, 1)
@@ -27,8 +27,8 @@
 	d.want(d.step(100*ms, result(1, OutcomeTimedOut)), ActionSkipCall, 1)
 }
 
-// TestLostReplyDelaysNoOtherCall: a call that did not go well tells nothing of the whole tier below. A safe one is
-// made again, one of an effect only if it never ran, and the next request's call goes out at once.
+// TestLostReplyDelaysNoOtherCall: a failed call says nothing of the whole tier below. An idempotent one is
+// retried, another only if it never ran, and the next request's call is made at once.
 func TestLostReplyDelaysNoOtherCall(t *testing.T) {
 	for _, c := range []struct {
 		outcome Outcome
@@ -50,7 +50,7 @@
 		d.step(20*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 20 * ms})
 		call(2, c.class)
 		out := d.step(20*ms, Event{Kind: EventCallEnded, ID: 2, Outcome: c.outcome, Elapsed: c.elapsed})
-		if c.outcome == OutcomeRejected { // it waits for a moment, alone
+		if c.outcome == OutcomeRejected { // it alone waits
 			call(4, 1)
 			out = d.step(timerSteps*4*ms, Event{Kind: EventTimer})
 		}
@@ -63,18 +63,19 @@
 			continue
 		}
 		out = d.step(20*ms, Event{Kind: EventCallEnded, ID: 2, Outcome: c.outcome, Elapsed: c.elapsed})
-		d.want(out, ActionSkipCall, 2) // the second time it is left out
+		d.want(out, ActionSkipCall, 2) // the second time it is skipped
 	}
 }
 
-// A dependency that answers most calls at once and some never: those hold up neither the others nor the estimate.
+// TestHangingCallsDelayNoOthers: where a dependency answers most calls at once and some never, those delay neither
+// the others nor the estimate.
 func TestHangingCallsDelayNoOthers(t *testing.T) {
 	cfg := testSettings()
 	cfg.Cores, cfg.CallConcurrencyLimit = 8, 13
 	d := drive(t, cfg)
 	hung, made := map[RequestID]bool{}, 0
 	for id := RequestID(1); id <= 400; id++ {
-		class := int(id % 2) // of an effect every other one: its call may take until it is due
+		class := int(id % 2) // every other one is not idempotent: its call may take until its deadline
 		out := d.step(2*ms, arrival(id, class, 3000*ms))
 		out = append(out, d.step(0, Event{Kind: EventCallNeeded, ID: id})...)
 		if find(out, ActionCall, id) == nil {
--- a/logic/configure_test.go
+++ b/logic/configure_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestReconfigure: a class added while a request of an old class is in hand is decided on like any other, and the
-// request in hand keeps its class; settings that would take a class away, or are bad, are turned down.
+// TestReconfigure: a class added while a request of an old class is in flight is treated like any other, and the
+// request in flight keeps its class; settings that would remove a class, or are invalid, are rejected.
 func TestReconfigure(t *testing.T) {
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 0, 0))
@@ -41,12 +41,12 @@
 	fewer := testSettings()
 	fewer.Classes = fewer.Classes[:1]
 	if err := d.s.Reconfigure(fewer); err == nil {
-		t.Error("a class in hand was taken away")
+		t.Error("a class in use was removed")
 	}
 	bad := next
 	bad.Classes = append([]Class(nil), next.Classes...)
 	bad.Classes[3].ClientTimeout = 0
 	if err := d.s.Reconfigure(bad); err == nil {
-		t.Error("a deadline of 0 was taken")
+		t.Error("a client timeout of 0 was accepted")
 	}
 }
--- a/logic/deadline_test.go
+++ b/logic/deadline_test.go
@@ -8,7 +8,7 @@
 	d.want(d.step(500*ms, tick()), ActionFail, 1)
 	out := d.step(10*ms, tick())
 	d.wantNone(out, ActionFail, 1)
-	d.wantNone(out, ActionStop, 1) // a started effect is not discarded
+	d.wantNone(out, ActionStop, 1) // a started run that is not idempotent is not discarded
 }
 
 func TestDeadlineWithoutAttemptTimeout(t *testing.T) {
--- a/logic/driver_test.go
+++ b/logic/driver_test.go
@@ -4,7 +4,8 @@
 
 const ms = Micros(1000)
 
-// testSettings is a small server with a safe class, a keyed one that calls, and an unsafe one.
+// testSettings is a small server with an idempotent class, one with keys that makes calls, and one that is not
+// idempotent.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
--- a/logic/estimate_test.go
+++ b/logic/estimate_test.go
@@ -75,6 +75,6 @@
 	d.step(0, arrival(2, 1, 900*ms))
 	d.want(d.step(900*ms, tick()), ActionFail, 2)
 	if got := d.s.classes[1].RunTime.Mean; got <= before {
-		t.Errorf("T_m %.0f ms after a run given up at 900 ms, %.0f before", got/1e3, before/1e3)
+		t.Errorf("T_m %.0f ms after a run abandoned at 900 ms, %.0f before", got/1e3, before/1e3)
 	}
 }
--- a/logic/faults_test.go
+++ b/logic/faults_test.go
@@ -15,7 +15,7 @@
 				answered[a.ID]++
 			}
 			if a.Kind == ActionReject && a.ID == 1 {
-				t.Error("a started effect was refused")
+				t.Error("a started run that is not idempotent was rejected")
 			}
 		}
 	}
@@ -36,12 +36,12 @@
 	}
 	d.step(0, burst...)
 	idle := tick()
-	idle.Gauges.RunQueueLength = 0 // a gauge that would let the limit climb
+	idle.Gauges.RunQueueLength = 0 // a gauge that would raise the limit
 	survives := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
 	for range 50 {
 		d.step(4*ms, idle)
 		if float64(d.s.running) > survives {
-			t.Fatalf("%d runs on a cold server that survives %.1f", d.s.running, survives)
+			t.Fatalf("%d runs on a starting server that survives %.1f", d.s.running, survives)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 		}
 	}
 	if most == 0 || float64(most) > 2*cfg.CallConcurrencyLimit+1 {
-		t.Errorf("%d calls in hand under a share of %v", most, cfg.CallConcurrencyLimit)
+		t.Errorf("%d calls in flight under a limit of %v", most, cfg.CallConcurrencyLimit)
 	}
 }
 
@@ -86,13 +86,13 @@
 func TestRunLimitAndRetryAfterRecover(t *testing.T) {
 	d := drive(t, testSettings())
 	d.learn(1, 0, 100*ms)
-	var storm []Event
+	var burst []Event
 	for id := RequestID(10); id < 60; id++ {
-		storm = append(storm, arrival(id, 0, 3000*ms))
+		burst = append(burst, arrival(id, 0, 3000*ms))
 	}
-	d.step(0, storm...)
+	d.step(0, burst...)
 	if d.s.retryAfter() == 0 {
-		t.Fatal("no advice with a long backlog")
+		t.Fatal("no Retry-After with a long backlog")
 	}
 	for range 100 {
 		var ended []Event
@@ -102,10 +102,10 @@
 		d.step(100*ms, append(ended, tick())...)
 	}
 	if n := len(d.s.byID); n != 0 {
-		t.Fatalf("%d requests left after the storm", n)
+		t.Fatalf("%d requests left after the burst", n)
 	}
 	if d.s.retryAfter() != 0 || d.s.runLimit < float64(d.s.cfg.Cores) {
-		t.Errorf("advice %v, limit %v after the storm", d.s.retryAfter(), d.s.runLimit)
+		t.Errorf("Retry-After %v, limit %v after the burst", d.s.retryAfter(), d.s.runLimit)
 	}
 	d.want(d.step(10*ms, arrival(99, 0, 3000*ms)), ActionRun, 99)
 }
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -8,15 +8,15 @@
 		d.learn(id, 0, 100*ms)
 	}
 	d.step(0, arrival(1, 0, 9000*ms), arrival(2, 0, 9000*ms))
-	var off, refused bool
+	var off, rejected bool
 	for i := range RequestID(60) {
 		for _, a := range d.step(50*ms, tick(), arrival(10+i, 0, 900*ms)) {
 			off = off || a.Kind == ActionSetHealth && !a.Healthy
-			refused = refused || a.Kind == ActionReject && a.Duration == d.s.cfg.MaxRetryAfter
+			rejected = rejected || a.Kind == ActionReject && a.Duration == d.s.cfg.MaxRetryAfter
 		}
 	}
-	if !off || !refused {
-		t.Fatalf("stand-still: health failed %v, refused with the longest advice %v", off, refused)
+	if !off || !rejected {
+		t.Fatalf("stall: health failed %v, rejected with the longest Retry-After %v", off, rejected)
 	}
 	on := false
 	for _, a := range d.step(10*ms, done(1, OutcomeOK, 3000*ms), done(2, OutcomeOK, 3000*ms)) {
@@ -56,7 +56,7 @@
 		d.learn(id, 0, 50*ms)
 		d.step(900 * ms)
 	}
-	d.learn(21, 0, 800*ms) // one at a time: the gap tells nothing
+	d.learn(21, 0, 800*ms) // one at a time: the gap says nothing
 	if got := d.s.classes[0].RunTime.Mean; got <= float64(50*ms) {
 		t.Errorf("T_m stayed at %v: the long run was taken for a stall", got)
 	}
@@ -64,14 +64,14 @@
 
 func TestStaleEstimateIsProbed(t *testing.T) {
 	d := drive(t, testSettings())
-	d.learn(1, 0, 2900*ms) // far above the aim: T_m alone keeps all out
+	d.learn(1, 0, 2900*ms) // far above the objective: T_m alone rejects all
 	id, ran := RequestID(2), RequestID(0)
 	for i := 0; i < 40 && ran == 0; i++ {
 		ran = started(d.step(100*ms, arrival(id, 0, 3000*ms)))
 		id++
 	}
 	if ran == 0 {
-		t.Fatal("no probe: a stale estimate shut the door")
+		t.Fatal("no probe: a stale estimate rejects everything")
 	}
 	d.step(50*ms, done(ran, OutcomeOK, 50*ms))
 	for range 3 {
@@ -90,13 +90,13 @@
 	return ev
 }
 
-func health(actions []Action) (on, said bool) {
+func health(actions []Action) (on, sent bool) {
 	for _, a := range actions {
 		if a.Kind == ActionSetHealth {
-			on, said = a.Healthy, true
+			on, sent = a.Healthy, true
 		}
 	}
-	return on, said
+	return on, sent
 }
 
 func TestStaleReadsFailHealthUntilNothingIsUnread(t *testing.T) {
@@ -104,17 +104,17 @@
 	d.step(0)
 	failed := false
 	for id := RequestID(1); id <= 30; id++ {
-		if on, said := health(d.step(50*ms, lateArrival(id, 900*ms))); said {
+		if on, sent := health(d.step(50*ms, lateArrival(id, 900*ms))); sent {
 			failed = !on
 		}
 	}
 	if !failed {
-		t.Fatal("health good although everything is read 0.9 s late under an aim of 1 s")
+		t.Fatal("health good although everything is read 0.9 s late under an objective of 1 s")
 	}
 	idle := tick()
 	idle.Gauges.RunQueueLength = 0
 	for range 400 {
-		if on, said := health(d.step(30*ms, idle)); said && on {
+		if on, sent := health(d.step(30*ms, idle)); sent && on {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 	d := drive(t, testSettings())
 	d.step(0)
 	for id := RequestID(1); id <= 30; id++ {
-		if on, said := health(d.step(50*ms, lateArrival(id, 100*ms))); said && !on {
+		if on, sent := health(d.step(50*ms, lateArrival(id, 100*ms))); sent && !on {
 			t.Fatal("health failed with reads 0.1 s old")
 		}
 		d.step(10*ms, done(id, OutcomeOK, 10*ms))
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// eventGenerator plays the host of one Server on generated, legal event sequences and checks what the four rules
-// ask of the actions alone. It has no model of speed or load: work ends at random.
+// eventGenerator plays the host of one Server on generated, legal event sequences and checks the invariants
+// of the actions alone. It has no model of speed or load: work ends at random.
 type eventGenerator struct {
 	t        *testing.T
 	s        *Server
@@ -18,7 +18,7 @@
 	order    []RequestID // ids in order of arrival, for reproducible draws
 	pending  []Event
 	timers   []timer
-	ranKey   map[uint64][]Micros // arrivals of the tries of a key that ran
+	ranKey   map[uint64][]Micros // arrivals of the attempts of a key that ran
 	entries  map[uint64]keyEntry
 	drainAt  Micros
 	kill     Micros
@@ -44,7 +44,7 @@
 	answered, started    bool
 	running, coalesced   bool
 	atCall, callInFlight bool
-	callForbidden        bool // an earlier call of an effect may have run
+	callForbidden        bool // an earlier call that is not idempotent may have run
 }
 
 func newEventGenerator(t *testing.T, cfg Settings, seed uint64) *eventGenerator {
@@ -186,12 +186,12 @@
 		}
 	case ActionSkipCall:
 		if l.cfg.Classes[r.class].DegradedWeightShare == 0 {
-			l.t.Fatal("went on without a call where that has no worth")
+			l.t.Fatal("skipped a call where that is not allowed")
 		}
 		r.atCall = false
 	case ActionSetLoadSignal:
 		if l.cfg.SignalMode == SignalOff {
-			l.t.Fatal("said a value where none is taken")
+			l.t.Fatal("set a load signal where none is used")
 		}
 	}
 	if r == nil {
@@ -204,7 +204,7 @@
 		r.coalesced = true
 	case ActionCall:
 		if r.callForbidden {
-			l.t.Fatalf("call of an effect repeated: %d", a.ID)
+			l.t.Fatalf("call of %d was retried and is not idempotent", a.ID)
 		}
 		r.callInFlight = true
 	case ActionReject, ActionFail:
@@ -239,7 +239,7 @@
 		l.t.Fatalf("second answer for %d", a.ID)
 	}
 	if a.Kind == ActionReject && r.started && l.cfg.Classes[r.class].Idempotency != Idempotent {
-		l.t.Fatalf("effect %d refused after a run", a.ID)
+		l.t.Fatalf("request %d is not idempotent and was rejected after a run", a.ID)
 	}
 	r.answered = true
 	l.answered++
@@ -325,7 +325,7 @@
 				l.arrive()
 			}
 		}
-		if i/300%3 != 1 { // every third stretch the work hangs
+		if i/300%3 != 1 { // the work hangs for a third of the time
 			l.progress()
 		}
 		if i == steps*3/4 {
--- a/logic/keys_test.go
+++ b/logic/keys_test.go
@@ -27,13 +27,13 @@
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 2, 3000*ms), arrival(2, 2, 3000*ms), arrival(3, 1, 3000*ms))
 	d.step(0, arrival(4, 1, 3000*ms))
-	held := RequestID(4)
+	queued := RequestID(4)
 	if d.s.byID[3].state == 0 {
-		held = 3
+		queued = 3
 	}
-	out := d.step(4*ms, keyedRepeat(9, held))
-	d.want(out, ActionReject, held)
-	d.wantNone(out, ActionDeleteKey, held)
+	out := d.step(4*ms, keyedRepeat(9, queued))
+	d.want(out, ActionReject, queued)
+	d.wantNone(out, ActionDeleteKey, queued)
 	d.want(out, ActionStoreKey, 9)
 	d.wantNone(out, ActionCoalesce, 9)
 }
@@ -71,11 +71,11 @@
 		out = append(out, d.step(10*ms, tick())...)
 	}
 	if find(out, ActionRun, 3) != nil {
-		t.Fatal("3 ran: the test releases nothing")
+		t.Fatal("3 ran: the test deletes no key")
 	}
 	d.want(out, ActionDeleteKey, 3)
 	want := d.s.byID[4].keyExpiresAt
 	if keys := d.s.keyExpiries; len(keys) != 1 || keys[0] != want {
-		t.Errorf("account of entries %v after a release, want only %v", keys, want)
+		t.Errorf("key expiries %v after a deletion, want only %v", keys, want)
 	}
 }
--- a/logic/learned_test.go
+++ b/logic/learned_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRestoreLearned: a server that adopts what another learned knows it, and decides from its first request as one that has
-// learned: what can't be answered in time is refused, where one that knows nothing starts it.
+// TestRestoreLearned: a server that restores what another learned knows it, and decides from its first request as that
+// one does: what can't be answered in time is rejected, where a server that knows nothing starts it.
 func TestRestoreLearned(t *testing.T) {
 	cfg := Settings{Cores: 1, MemoryKB: 1e6, MaxConcurrencyPerCore: 9, Classes: []Class{{Name: "read", LatencyObjective: 1e6, ClientTimeout: 2e6, PriorityWeight: 1}},
 		Tenants: []Tenant{{Name: "a", QuotaPerSecond: 100}}}
@@ -16,7 +16,7 @@
 	slow.timeoutHistogram[3] = 2
 	next.RestoreLearned(slow.LearnedState())
 	if got, want := next.LearnedState(), slow.LearnedState(); !reflect.DeepEqual(got, want) {
-		t.Errorf("adopted %+v, want %+v", got, want)
+		t.Errorf("restored %+v, want %+v", got, want)
 	}
 	for _, c := range []struct {
 		s    *Server
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// TestSecondEndOfRequestIsIgnored guards against a host that tells of the end of a request which was still held, and does so twice.
+// TestSecondEndOfRequestIsIgnored guards against a host that reports the end of a queued request, and
+// does so twice.
 func TestSecondEndOfRequestIsIgnored(t *testing.T) {
 	for _, o := range []Outcome{OutcomeOK, OutcomeFailed, OutcomeCanceled, OutcomeNotStarted} {
 		cfg := Settings{Classes: []Class{{Name: "read", LatencyObjective: 500_000, ClientTimeout: 2_000_000, PriorityWeight: 1}},
@@ -30,13 +31,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for id := RequestID(1); id <= 3; id++ { // one runs, the others are held
+		for id := RequestID(1); id <= 3; id++ { // one runs, the others are queued
 			s.Step(1_000_000, []Event{{Kind: EventArrival, ID: id, Arrival: Arrival{Tenant: -1, MemoryKB: 20}}})
 		}
 		ends := []Event{{Kind: EventRunEnded, ID: 3, Outcome: o}, {Kind: EventRunEnded, ID: 3, Outcome: o}}
 		s.Step(1_000_000, ends)
 		if len(s.byID) != 2 || len(s.queue) != 1 || s.requestMemoryKB != 20*2 {
-			t.Errorf("outcome %d: %d in hand, %d held, %v KB", o, len(s.byID), len(s.queue), s.requestMemoryKB)
+			t.Errorf("outcome %d: %d in flight, %d queued, %v KB", o, len(s.byID), len(s.queue), s.requestMemoryKB)
 		}
 	}
 }
@@ -86,7 +87,7 @@
 	for range 20 {
 		for _, a := range d.step(30*ms, tick()) {
 			if a.Kind == ActionSetTimer {
-				t.Fatal("a timer with nothing in hand")
+				t.Fatal("a timer with nothing in flight")
 			}
 		}
 	}
@@ -103,13 +104,13 @@
 	for id := RequestID(1); id <= 1000; id++ {
 		s.Step(now, []Event{arrival(id, int(id)%3, 1e12)})
 	}
-	held := len(s.queue)
+	queued := len(s.queue)
 	events := []Event{tick()}
 	for b.Loop() {
-		s.Step(now, events) // the clock stands, so that the hold keeps its size
+		s.Step(now, events) // the clock stands, so that the queue keeps its length
 	}
-	if held < 500 || len(s.queue) != held {
-		b.Fatalf("%d held at first, %d at the end", held, len(s.queue))
+	if queued < 500 || len(s.queue) != queued {
+		b.Fatalf("%d queued at first, %d at the end", queued, len(s.queue))
 	}
 }
 
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -4,7 +4,7 @@
 
 func TestMemoryBoundsRuns(t *testing.T) {
 	cfg := testSettings()
-	cfg.MemoryKB = 130 // one run of 80 kB and a few held requests
+	cfg.MemoryKB = 130 // one run of 80 kB and a few queued requests
 	d := drive(t, cfg)
 	out := d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms))
 	runs := 0
@@ -23,19 +23,19 @@
 	cfg.MemoryKB = 1000
 	d := drive(t, cfg)
 	var flood []Event
-	for id := RequestID(1); id <= 200; id++ { // 2000 kB held
+	for id := RequestID(1); id <= 200; id++ { // 2000 kB queued
 		flood = append(flood, arrival(id, int(id)%2*2, 3000*ms))
 	}
-	refused := map[int]int{}
+	rejected := map[int]int{}
 	for _, a := range d.step(0, flood...) {
 		if a.Kind == ActionReject {
-			refused[int(a.ID)%2*2]++
+			rejected[int(a.ID)%2*2]++
 		}
 	}
 	if d.s.memoryInUse() > cfg.MemoryKB {
 		t.Errorf("%v kB in use of %v", d.s.memoryInUse(), cfg.MemoryKB)
 	}
-	if refused[0] <= refused[2] {
-		t.Errorf("refused by class %v: the worthier class lost more", refused)
+	if rejected[0] <= rejected[2] {
+		t.Errorf("rejected by class %v: the class with more weight lost more", rejected)
 	}
 }
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -22,7 +22,7 @@
 		return ev
 	}
 	var burst []Event
-	for id := RequestID(10); id < 20; id++ { // more than tenant 1's part of its quota
+	for id := RequestID(10); id < 20; id++ { // more than this server's share of tenant 1's quota
 		burst = append(burst, of(id, 1))
 	}
 	d.step(0, burst...)
--- a/logic/reading_test.go
+++ b/logic/reading_test.go
@@ -9,7 +9,7 @@
 	return ev
 }
 
-// read has requests come so far apart while cores read so many, under a run queue of so much.
+// read has requests arrive at the given interval while the gauges show so many being read.
 func (d *driver) read(from RequestID, gap Micros, reads float64) {
 	for id := from; id < from+20; id++ {
 		d.step(gap/2, d.reading(reads))
@@ -27,7 +27,7 @@
 	}{
 		{"a read of 0.6 s on its own core", 600 * ms, 1, true},
 		{"a read of 0.02 s", 20 * ms, 1, false},
-		{"one that many runs crowd", 30 * ms, 6, false}, // 0.18 s, of which its part of the 2 cores is 0.06
+		{"one beside many runs", 30 * ms, 6, false}, // 0.18 s, of which its part of the 2 cores is 0.06
 		{"nothing is read", 600 * ms, 0, false},
 	} {
 		d := drive(t, testSettings())
--- a/logic/shedding_test.go
+++ b/logic/shedding_test.go
@@ -10,17 +10,17 @@
 	busy := tick()
 	busy.Gauges.RunQueueLength = 5
 	d.wantNone(d.step(10*ms, busy), ActionRun, 4)
-	var refused *Action
+	var rejected *Action
 	for range 100 {
-		if refused = find(d.step(8*ms, busy), ActionReject, 4); refused != nil {
+		if rejected = find(d.step(8*ms, busy), ActionReject, 4); rejected != nil {
 			break
 		}
 	}
-	if refused == nil {
-		t.Fatal("a request that cannot meet D2 was never refused")
+	if rejected == nil {
+		t.Fatal("a request that cannot meet D2 was never rejected")
 	}
 	if d.now-5500*ms < Micros(minQueueTimeShare*1000)*ms {
-		t.Error("refused before it was held for its share of the aim")
+		t.Error("rejected before it was queued for its share of the objective")
 	}
 }
 
@@ -30,35 +30,35 @@
 	d.read(100, 600*ms, 2)
 	d.s.rejectedShare.Mean = 0.95
 	late := arrival(500, 0, 3000*ms)
-	late.Arrival.Age = 990 * ms // of an aim of 1 s
+	late.Arrival.Age = 990 * ms // of an objective of 1 s
 	out := d.step(4*ms, late)
-	refused := find(out, ActionReject, 500)
-	if refused == nil {
-		t.Fatal("a request that is too late was not refused at once")
+	rejected := find(out, ActionReject, 500)
+	if rejected == nil {
+		t.Fatal("a request that is too late was not rejected at once")
 	}
-	if refused.Duration != d.s.cfg.MaxRetryAfter || refused.NoFailover {
-		t.Errorf("advice %v, last %v; want the longest, and others left to try", refused.Duration, refused.NoFailover)
+	if rejected.Duration != d.s.cfg.MaxRetryAfter || rejected.NoFailover {
+		t.Errorf("Retry-After %v, no failover %v; want the longest, and failover allowed", rejected.Duration, rejected.NoFailover)
 	}
 }
 
 func TestRetriesShowThatOtherServersRejectToo(t *testing.T) {
-	last := func(retries bool, refusing float64) bool {
+	last := func(retries bool, rejectedShare float64) bool {
 		d := drive(t, testSettings())
 		for id := RequestID(1); id <= 40; id++ {
 			ev := arrival(id, 0, 3000*ms)
 			ev.Arrival.Retry = retries && id%3 == 0
 			d.step(4*ms, ev)
 		}
-		d.s.rejectedShare.Mean = refusing
+		d.s.rejectedShare.Mean = rejectedShare
 		return d.s.failoverFutile()
 	}
 	for _, c := range []struct {
-		retries  bool
-		refusing float64
-		want     bool
+		retries       bool
+		rejectedShare float64
+		want          bool
 	}{{true, 0.2, false}, {true, 0.4, true}, {false, 0.4, false}, {false, 0.7, true}} {
-		if got := last(c.retries, c.refusing); got != c.want {
-			t.Errorf("further tries %v, %v refused: in vain is %v", c.retries, c.refusing, got)
+		if got := last(c.retries, c.rejectedShare); got != c.want {
+			t.Errorf("retries %v, %v rejected: futile is %v", c.retries, c.rejectedShare, got)
 		}
 	}
 }
@@ -74,6 +74,6 @@
 		return d.s.retryAfter()
 	}
 	if fresh, old := advice(0), advice(400*ms); old < fresh+50*ms {
-		t.Errorf("advice %v with requests read 0.4 s old, %v with fresh ones", old, fresh)
+		t.Errorf("Retry-After %v with requests read 0.4 s old, %v with fresh ones", old, fresh)
 	}
 }
--- a/logic/signal_test.go
+++ b/logic/signal_test.go
@@ -7,14 +7,14 @@
 		cfg := testSettings()
 		cfg.SignalMode = sig
 		d := drive(t, cfg)
-		said := find(d.step(0, arrival(1, 0, 3000*ms)), ActionSetLoadSignal, 0) != nil
-		if said != (sig != SignalOff) {
-			t.Errorf("signal %d: said %v", sig, said)
+		sent := find(d.step(0, arrival(1, 0, 3000*ms)), ActionSetLoadSignal, 0) != nil
+		if sent != (sig != SignalOff) {
+			t.Errorf("signal %d: sent %v", sig, sent)
 		}
 	}
 }
 
-// rankedSettings is a server whose callers heed a floor.
+// rankedSettings is a server whose callers use a priority floor.
 func rankedSettings() Settings {
 	cfg := testSettings()
 	cfg.SignalMode = SignalPriorityFloor
@@ -36,14 +36,14 @@
 	}
 	high := d.s.priorityFloor
 	if high <= 0.05 || high >= 0.95 {
-		t.Fatalf("floor %.2f with %.2f refused: want it within the ranks of what arrives", high, d.s.rejectedShare.Mean)
+		t.Fatalf("floor %.2f with %.2f rejected: want it within the ranks of what arrives", high, d.s.rejectedShare.Mean)
 	}
 	d.s.rejectedShare.Mean = 0
-	for range 300 { // 10 s without refusals
+	for range 300 { // 10 s without rejections
 		d.step(32*ms, tick())
 	}
 	if d.s.priorityFloor > 0.01 {
-		t.Errorf("floor %.2f 10 s after the last refusal", d.s.priorityFloor)
+		t.Errorf("floor %.2f 10 s after the last rejection", d.s.priorityFloor)
 	}
 }
 
@@ -63,20 +63,20 @@
 }
 
 func TestSlowServerOffersLessConcurrency(t *testing.T) {
-	said := func(run Micros) float64 {
+	sent := func(run Micros) float64 {
 		d := drive(t, testSettings())
 		for id := RequestID(1); id <= 3; id++ {
 			d.learn(id, int(id)-1, run)
 		}
 		return d.s.loadSignal()
 	}
-	if fast, slow := said(50*ms), said(600*ms); slow >= fast {
-		t.Errorf("allowance %v on a slow server, %v on a fast one", slow, fast)
+	if fast, slow := sent(50*ms), sent(600*ms); slow >= fast {
+		t.Errorf("limit %v on a slow server, %v on a fast one", slow, fast)
 	}
 }
 
 func TestUnevenCallersShareLimitByTraffic(t *testing.T) {
-	said := func(sources []int) float64 {
+	sent := func(sources []int) float64 {
 		d := drive(t, testSettings())
 		for id := RequestID(1); id <= 3; id++ {
 			d.learn(id, int(id)-1, 100*ms)
@@ -93,7 +93,7 @@
 		even = append(even, i%10)
 		uneven = append(uneven, max(0, i%20-10)*(i%2)) // caller 0 sends most
 	}
-	if a, b := said(even), said(uneven); b <= 1.5*a {
-		t.Errorf("allowance %.2f with one heavy caller, %.2f with ten alike", b, a)
+	if a, b := sent(even), sent(uneven); b <= 1.5*a {
+		t.Errorf("limit %.2f with one heavy caller, %.2f with ten alike", b, a)
 	}
 }
