--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -20,7 +20,7 @@
 	return Parse(Flatten(object))
 }
 
-func TestNestedSettings(t *testing.T) {
+func TestParseNestedSettings(t *testing.T) {
 	s, v, err := read(t, standin.Settings)
 	if err != nil {
 		t.Fatal(err)
@@ -37,11 +37,11 @@
 	}
 }
 
-// whole is a settings object with all that is needed and nothing else.
-const whole = `{"domain":{"cores":2,"memory-kb":20000},"classes":[{"name":"a","objective":1000000,"hard-limit":3000000,"semantics":"retryable"}]}`
+// minimal is a settings object with the required keys and no others.
+const minimal = `{"domain":{"cores":2,"memory-kb":20000},"classes":[{"name":"a","objective":1000000,"hard-limit":3000000,"semantics":"retryable"}]}`
 
-func TestAbsentSettingsComeToSomethingUsable(t *testing.T) {
-	s, v, err := read(t, whole)
+func TestAbsentSettingsHaveUsableDefaults(t *testing.T) {
+	s, v, err := read(t, minimal)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,19 +54,19 @@
 	}
 }
 
-func TestFaultsNamePathValueAndBound(t *testing.T) {
+func TestErrorsNamePathValueAndRange(t *testing.T) {
 	const class = `"classes":[{"name":"a","objective":1000000,"hard-limit":3000000,"semantics":"retryable"`
-	with := func(more string) string { return strings.Replace(whole, `"domain":{`, `"domain":{`+more+`,`, 1) }
-	of := func(more string) string { return strings.Replace(whole, class, class+","+more, 1) }
+	with := func(more string) string { return strings.Replace(minimal, `"domain":{`, `"domain":{`+more+`,`, 1) }
+	of := func(more string) string { return strings.Replace(minimal, class, class+","+more, 1) }
 	for _, c := range []struct {
 		text  string
-		words []string // all of the one fault
+		words []string // all in the error
 	}{
-		{`{"classes":` + whole[strings.Index(whole, "[{"):], []string{"domain.cores is missing", "1 to 4096", "domain.memory-kb is missing"}},
-		{strings.Replace(whole, `"cores":2`, `"cores":-1`, 1), []string{`domain.cores is "-1"`, "whole number from 1 to 4096"}},
-		{strings.Replace(whole, `"cores":2`, `"cores":2.5`, 1), []string{`domain.cores is "2.5"`, "whole"}},
-		{strings.Replace(whole, `"cores":2`, `"cores":"two"`, 1), []string{`domain.cores is "two"`}},
-		{strings.Replace(whole, "20000", "0", 1), []string{`domain.memory-kb is "0"`, "above 0"}},
+		{`{"classes":` + minimal[strings.Index(minimal, "[{"):], []string{"domain.cores is missing", "1 to 4096", "domain.memory-kb is missing"}},
+		{strings.Replace(minimal, `"cores":2`, `"cores":-1`, 1), []string{`domain.cores is "-1"`, "whole number from 1 to 4096"}},
+		{strings.Replace(minimal, `"cores":2`, `"cores":2.5`, 1), []string{`domain.cores is "2.5"`, "whole"}},
+		{strings.Replace(minimal, `"cores":2`, `"cores":"two"`, 1), []string{`domain.cores is "two"`}},
+		{strings.Replace(minimal, "20000", "0", 1), []string{`domain.memory-kb is "0"`, "above 0"}},
 		{with(`"run-factor":1e300`), []string{"domain.run-factor", "1000"}},
 		{with(`"downstream":"one_for_all","calls-out":-1,"calls-over":5000000`), []string{`domain.calls-out is "-1"`, "0 to 1000000"}},
 		{with(`"downstream":"one_for_all","calls-out":1`), []string{"domain.calls-over is missing", "span over which"}},
@@ -76,21 +76,21 @@
 		{with(`"passes-deadline":"maybe"`), []string{`domain.passes-deadline is "maybe"`, "true or false"}},
 		{with(`"degraded-worth":[2]`), []string{`domain.degraded-worth is "2"`, "0 to 1"}},
 		{with(`"class-calls":["often"]`), []string{`domain.class-calls is "often"`}},
-		{strings.Replace(whole, "{", `{"rules":{"overload-factor":1e300},`, 1), []string{"rules.overload-factor", "1 to 1000"}},
-		{strings.Replace(whole, "{", `{"rules":{"fall":1e300},`, 1), []string{"rules.fall", "86400000000", "day"}},
-		{strings.Replace(whole, "{", `{"rules":{"grace-to-answer":-5},`, 1), []string{`rules.grace-to-answer is "-5"`}},
-		{strings.Replace(whole, "{", `{"rules":{"start-capacity":1.5},`, 1), []string{`rules.start-capacity is "1.5"`, "0 to 1"}},
-		{strings.Replace(whole, "{", `{"tick":"soon",`, 1), []string{`tick is "soon"`, "100 to 1000000"}},
-		{strings.Replace(whole, "{", `{"tick":1,`, 1), []string{`tick is "1"`}},
-		{strings.Replace(whole, "{", `{"counted-by":"weight",`, 1), []string{`counted-by is "weight"`, "request, work"}},
-		{strings.Replace(whole, "{", `{"projects":[{"name":"p"},{"name":"p"}],`, 1), []string{`projects[1].name is "p"`, "another"}},
-		{strings.Replace(whole, "{", `{"projects":[{"name":"p","quota-per-s":-3}],`, 1), []string{`projects[0].quota-per-s is "-3"`}},
-		{strings.Replace(whole, `"objective":1000000,`, "", 1), []string{"classes[0].objective is missing", "microseconds"}},
-		{strings.Replace(whole, `"hard-limit":3000000`, `"hard-limit":1e300`, 1), []string{"classes[0].hard-limit", "a day at most"}},
-		{strings.Replace(whole, `"name":"a",`, "", 1), []string{"classes[0].name is missing"}},
-		{strings.Replace(whole, `"retryable"`, `"sometimes"`, 1), []string{`classes[0].semantics is "sometimes"`, "dedup, fragile, retryable"}},
-		{strings.Replace(whole, `,"semantics":"retryable"`, "", 1), []string{"classes[0].semantics is missing"}},
-		{strings.Replace(whole, `"retryable"`, `"dedup"`, 1), []string{"classes[0].window is missing", "60000000"}},
+		{strings.Replace(minimal, "{", `{"rules":{"overload-factor":1e300},`, 1), []string{"rules.overload-factor", "1 to 1000"}},
+		{strings.Replace(minimal, "{", `{"rules":{"fall":1e300},`, 1), []string{"rules.fall", "86400000000", "day"}},
+		{strings.Replace(minimal, "{", `{"rules":{"grace-to-answer":-5},`, 1), []string{`rules.grace-to-answer is "-5"`}},
+		{strings.Replace(minimal, "{", `{"rules":{"start-capacity":1.5},`, 1), []string{`rules.start-capacity is "1.5"`, "0 to 1"}},
+		{strings.Replace(minimal, "{", `{"tick":"soon",`, 1), []string{`tick is "soon"`, "100 to 1000000"}},
+		{strings.Replace(minimal, "{", `{"tick":1,`, 1), []string{`tick is "1"`}},
+		{strings.Replace(minimal, "{", `{"counted-by":"weight",`, 1), []string{`counted-by is "weight"`, "request, work"}},
+		{strings.Replace(minimal, "{", `{"projects":[{"name":"p"},{"name":"p"}],`, 1), []string{`projects[1].name is "p"`, "another"}},
+		{strings.Replace(minimal, "{", `{"projects":[{"name":"p","quota-per-s":-3}],`, 1), []string{`projects[0].quota-per-s is "-3"`}},
+		{strings.Replace(minimal, `"objective":1000000,`, "", 1), []string{"classes[0].objective is missing", "microseconds"}},
+		{strings.Replace(minimal, `"hard-limit":3000000`, `"hard-limit":1e300`, 1), []string{"classes[0].hard-limit", "a day at most"}},
+		{strings.Replace(minimal, `"name":"a",`, "", 1), []string{"classes[0].name is missing"}},
+		{strings.Replace(minimal, `"retryable"`, `"sometimes"`, 1), []string{`classes[0].semantics is "sometimes"`, "dedup, fragile, retryable"}},
+		{strings.Replace(minimal, `,"semantics":"retryable"`, "", 1), []string{"classes[0].semantics is missing"}},
+		{strings.Replace(minimal, `"retryable"`, `"dedup"`, 1), []string{"classes[0].window is missing", "60000000"}},
 		{of(`"late-worth":2`), []string{`classes[0].late-worth is "2"`}},
 		{of(`"credit":-1`), []string{`classes[0].credit is "-1"`}},
 		{of(`"aim-stretch":1e9`), []string{"classes[0].aim-stretch"}},
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestFaultsAreToldTogether(t *testing.T) {
+func TestErrorsAreReportedTogether(t *testing.T) {
 	_, _, err := read(t, `{"tick":0,"domain":{"cores":-1,"run-factor":"x"},"classes":[{"name":"a","semantics":"dedup"}]}`)
 	var fs FieldErrors
 	if !errors.As(err, &fs) {
@@ -124,23 +124,23 @@
 	slices.Sort(paths)
 	want := []string{"classes[0].hard-limit", "classes[0].objective", "classes[0].window", "domain.cores", "domain.memory-kb", "domain.run-factor", "tick"}
 	if !slices.Equal(paths, want) {
-		t.Errorf("faults at %v, want %v", paths, want)
+		t.Errorf("errors at %v, want %v", paths, want)
 	}
 	if f := fs.WithPrefix("settings"); !strings.HasPrefix(f[0].Path, "settings.") || strings.HasPrefix(fs[0].Path, "settings.") {
 		t.Errorf("under a key: %v", f)
 	}
 	many := make(FieldErrors, 50)
 	if text := many.Error(); !strings.HasSuffix(text, "and 30 more") {
-		t.Errorf("fifty faults: %q", text)
+		t.Errorf("fifty errors: %q", text)
 	}
 }
 
-func TestFormsOfTheSettingsObject(t *testing.T) {
+func TestFormsOfSettingsObject(t *testing.T) {
 	for name, text := range map[string]string{
-		"nested":         whole,
+		"nested":         minimal,
 		"paths":          `{"domain.cores":2,"domain.memory-kb":20000,"classes.count":1,"classes.0.name":"a","classes.0.objective":1e6,"classes.0.hard-limit":"3000000","classes.0.semantics":"retryable"}`,
 		"without counts": `{"domain.cores":2,"domain.memory-kb":20000,"classes":{"0":{"name":"a","objective":1000000,"hard-limit":3000000,"semantics":"retryable"}}}`,
-		"absent as null": strings.Replace(whole, `"cores":2`, `"cores":2,"signal":null,"degraded-worth":[null],"stop-mode":"-"`, 1),
+		"absent as null": strings.Replace(minimal, `"cores":2`, `"cores":2,"signal":null,"degraded-worth":[null],"stop-mode":"-"`, 1),
 	} {
 		s, _, err := read(t, text)
 		if err != nil || len(s.Classes) != 1 || s.Classes[0].ClientTimeout != 3000000 || s.Cores != 2 {
