--- /dev/null
+++ b/internal/platform/reconfigure/keys.go
@@ -0,0 +1,61 @@
+package reconfigure
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// MissingKeys returns the keys that the running settings have and the new ones lack, sorted. Both are settings by
+// path, as settings.Flatten returns them ("classes.0.hard-limit"). A key of list items, such as a class's
+// "hard-limit", must be on every item of the new list where every item of the running one has it.
+func MissingKeys(running, next map[string]string) []string {
+	var missing []string
+	itemKeys := map[listKey]int{} // how many running items have the key
+	for path := range running {
+		if key, ok := splitListPath(path); ok {
+			itemKeys[key]++
+			continue
+		}
+		if _, ok := next[path]; !ok && !strings.HasSuffix(path, ".count") {
+			missing = append(missing, path)
+		}
+	}
+	for key, have := range itemKeys {
+		if items, _ := strconv.Atoi(running[key.list+".count"]); have < items {
+			continue // some running items go without it: it is optional
+		}
+		missing = append(missing, key.missing(next)...)
+	}
+	slices.Sort(missing)
+	return slices.Compact(missing)
+}
+
+// listKey is a key that the items of a list have.
+type listKey struct{ list, key string }
+
+// missing returns the items of a list that lack the key; the list itself where there is none.
+func (k listKey) missing(next map[string]string) []string {
+	items, err := strconv.Atoi(next[k.list+".count"])
+	if err != nil {
+		return []string{k.list}
+	}
+	var missing []string
+	for i := range items {
+		if path := k.list + "." + strconv.Itoa(i) + "." + k.key; next[path] == "" {
+			missing = append(missing, path)
+		}
+	}
+	return missing
+}
+
+// splitListPath splits a path at its first index: "classes.0.hard-limit" into "classes" and "hard-limit".
+func splitListPath(path string) (key listKey, ok bool) {
+	parts := strings.Split(path, ".")
+	for i, part := range parts {
+		if _, err := strconv.Atoi(part); err == nil && i > 0 && i < len(parts)-1 {
+			return listKey{list: strings.Join(parts[:i], "."), key: strings.Join(parts[i+1:], ".")}, true
+		}
+	}
+	return listKey{}, false
+}
--- a/internal/platform/reconfigure/reconfigure_test.go
+++ b/internal/platform/reconfigure/reconfigure_test.go
@@ -23,15 +23,15 @@
 	return settings.Flatten(object)
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckFile(t *testing.T) {
 	for _, c := range []struct{ name, next, err string }{
 		{"same", running, ""},
 		{"a class added", strings.Replace(running, `"window": 1},`, `"window": 1}, {"name": "new", "objective": 1, "hard-limit": 2, "semantics": "retryable"},`, 1), ""},
-		{"a class dropped", `{"rules": {"grace-to-answer": 1}, "domain": {"cores": 4, "memory-kb": 1},
+		{"a class removed", `{"rules": {"grace-to-answer": 1}, "domain": {"cores": 4, "memory-kb": 1},
 		  "classes": [{"name": "book", "objective": 1, "hard-limit": 2, "semantics": "dedup"}]}`, ""},
-		{"a key that only some classes had may go", strings.Replace(running, `, "window": 1`, ``, 1), ""},
+		{"a key that only some classes had is optional", strings.Replace(running, `, "window": 1`, ``, 1), ""},
 		{"empty", "  \n", "the file is empty"},
-		{"a class lacks its deadline", strings.Replace(running, `"hard-limit": 17000000, "semantics": "dedup"`, `"semantics": "dedup"`, 1), "classes.1.hard-limit"},
+		{"a class lacks its client timeout", strings.Replace(running, `"hard-limit": 17000000, "semantics": "dedup"`, `"semantics": "dedup"`, 1), "classes.1.hard-limit"},
 		{"a new class lacks a key", strings.Replace(running, `"window": 1},`, `"window": 1}, {"name": "new", "hard-limit": 2, "semantics": "retryable"},`, 1), "classes.1.objective"},
 		{"a setting lacks", strings.Replace(running, `"grace-to-answer": 80000`, ``, 1), "rules.grace-to-answer"},
 		{"no classes", `{"rules": {"grace-to-answer": 1}, "domain": {"cores": 4, "memory-kb": 1}}`, "keys missing: classes"},
@@ -57,7 +57,7 @@
 	return s
 }
 
-func TestLay(t *testing.T) {
+func TestMerge(t *testing.T) {
 	next := settingsOf("c", "b", "d")
 	next.Classes[1].ClientTimeout = 9000
 	p, err := Merge(settingsOf("a", "b", "c"), next)
@@ -69,10 +69,10 @@
 		names = append(names, c.Name)
 	}
 	if !slices.Equal(names, []string{"a", "b", "c", "d"}) || !slices.Equal(p.Added, []string{"d"}) || !slices.Equal(p.Removed, []string{"a"}) {
-		t.Errorf("classes %v, added %v, dropped %v", names, p.Added, p.Removed)
+		t.Errorf("classes %v, added %v, removed %v", names, p.Added, p.Removed)
 	}
 	if p.Settings.Classes[1].ClientTimeout != 9000 || p.Settings.Classes[0].ClientTimeout != 5000 {
-		t.Errorf("b takes the new deadline, a keeps its own: %+v", p.Settings.Classes)
+		t.Errorf("b takes the new client timeout, a keeps its own: %+v", p.Settings.Classes)
 	}
 	if p.ClassIndex["d"] != 3 || p.ClassIndex["a"] != 0 || len(p.ClassIndex) != 4 {
 		t.Errorf("names %v", p.ClassIndex)
@@ -80,7 +80,7 @@
 	bad := settingsOf("b")
 	bad.Classes[0].ClientTimeout = 0
 	if _, err := Merge(settingsOf("a", "b"), bad); err == nil {
-		t.Error("a deadline of 0 was laid")
+		t.Error("a client timeout of 0 was accepted")
 	}
 	tenants := settingsOf("a")
 	tenants.Tenants = []logic.Tenant{{Name: "t"}}
