--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost hosts instances of the decision module on the simulator's wire.
+// Command wirehost runs servers of the admission controller under the simulator, which speaks its line protocol on
+// standard input and output (package simadapter).
 package main
 
 import (
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -1,3 +1,8 @@
+// Package simadapter runs servers of package logic under the simulator: it reads batches of messages, one message a
+// line, and writes the actions of each batch. It takes no decision.
+//
+// A batch carries a time. Every instance that it mentions takes one step at that time, in the order of the first
+// mention.
 package simadapter
 
 import (
@@ -5,49 +10,57 @@
 	"errors"
 	"fmt"
 	"io"
+	"strings"
 
 	"sloehitch/internal/platform/settings"
 	"sloehitch/logic"
 )
 
-// instance is one instance with the events of the batch in hand.
+// inputBufferSize is the size of the read buffer, in bytes.
+const inputBufferSize = 1 << 20
+
+// Errors of the order of messages.
+var (
+	errEmptyLine   = errors.New("empty line inside a batch")
+	errNestedBatch = errors.New(messageBatchBegin + " inside a batch")
+)
+
+// instance is one server with its events of the current batch.
 type instance struct {
 	id      string
-	server  *logic.Server
+	server  *logic.Server // nil after its end
+	names   *settings.NameIndex
 	events  []logic.Event
-	touched bool
+	touched bool // mentioned by the current batch
 }
 
 // session is the state of one connection to the simulator.
 type session struct {
 	instances map[string]*instance
-	touched   []*instance // hosts touched by the batch in hand, in order of first mention
-	names     map[string]*settings.NameIndex
+	touched   []*instance // mentioned by the current batch, in order of first mention
 	now       logic.Micros
 	batch     string
 	inBatch   bool
+	output    []byte // of the current batch; the next one reuses the memory
 }
 
-// Serve answers batches from r on w until r ends.
+// Serve answers batches from r on w until r ends. It returns an error that names the line of an invalid message; a
+// clean end of r is none.
 func Serve(r io.Reader, w io.Writer) error {
-	in := bufio.NewReaderSize(r, 1<<20)
-	out := bufio.NewWriterSize(w, 1<<16)
-	s := &session{instances: map[string]*instance{}, names: map[string]*settings.NameIndex{}}
+	in := bufio.NewReaderSize(r, inputBufferSize)
+	s := &session{instances: map[string]*instance{}}
 	for number := 1; ; number++ {
 		line, err := in.ReadString('\n')
-		if err != nil && !(errors.Is(err, io.EOF) && line != "") {
+		if err != nil && (!errors.Is(err, io.EOF) || line == "") {
 			return s.endOfInput(err, number)
 		}
-		if line[len(line)-1] == '\n' {
-			line = line[:len(line)-1]
-		}
-		if err := s.handleLine(line, out); err != nil {
+		if err := s.handleLine(strings.TrimSuffix(line, "\n"), w); err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 	}
 }
 
-// endOfInput tells a clean end of input from one inside a batch.
+// endOfInput returns nil for a clean end of the input.
 func (s *session) endOfInput(err error, number int) error {
 	if !errors.Is(err, io.EOF) {
 		return err
@@ -58,29 +71,29 @@
 	return nil
 }
 
-func (s *session) handleLine(line string, out *bufio.Writer) error {
+func (s *session) handleLine(line string, w io.Writer) error {
 	if line == "" {
 		if s.inBatch {
-			return errors.New("empty line inside a batch")
+			return errEmptyLine
 		}
 		return nil
 	}
 	f := lineFields{rest: line}
-	switch name := f.next(); {
-	case name == "MARK":
+	switch message := f.next(); {
+	case message == messageBatchBegin:
 		return s.beginBatch(&f)
 	case !s.inBatch:
-		return fmt.Errorf("%q outside a batch", name)
-	case name == "FLUSH":
-		return s.endBatch(&f, out)
+		return fmt.Errorf("%q outside a batch", message)
+	case message == messageBatchEnd:
+		return s.endBatch(&f, w)
 	default:
-		return s.handleMessage(name, &f)
+		return s.handleMessage(message, &f)
 	}
 }
 
 func (s *session) beginBatch(f *lineFields) error {
 	if s.inBatch {
-		return errors.New("MARK inside a batch")
+		return errNestedBatch
 	}
 	s.now = f.micros("clock")
 	s.batch = f.required("batch number")
@@ -88,37 +101,36 @@
 	return f.done()
 }
 
-func (s *session) handleMessage(name string, f *lineFields) error {
-	number := f.required("instance")
+func (s *session) handleMessage(message string, f *lineFields) error {
+	id := f.required("instance")
 	if f.err != nil {
 		return f.err
 	}
-	h := s.instances[number]
-	if name == "BEGIN" {
-		return s.startInstance(number, f)
-	}
-	if name == "SHUTDOWN" {
-		if h != nil {
-			h.server, h.events = nil, nil
-			delete(s.names, number)
+	i := s.instances[id]
+	switch {
+	case message == messageInstanceBegin:
+		return s.startInstance(id, f)
+	case message == messageInstanceEnd:
+		if i != nil {
+			i.server, i.names, i.events = nil, nil, nil
 		}
 		return f.done()
+	case i == nil || i.server == nil:
+		return fmt.Errorf("%s for instance %s, which has not begun", message, id)
 	}
-	if h == nil || h.server == nil {
-		return fmt.Errorf("%s for instance %s, which has not begun", name, number)
-	}
-	ev, err := parseEvent(name, f, s.names[number])
+	ev, err := parseEvent(message, f, i.names)
 	if err != nil {
 		return err
 	}
-	s.touch(h)
-	h.events = append(h.events, ev)
+	s.touch(i)
+	i.events = append(i.events, ev)
 	return nil
 }
 
-func (s *session) startInstance(number string, f *lineFields) error {
+// startInstance starts a server, in place of one that ran under the same id.
+func (s *session) startInstance(id string, f *lineFields) error {
 	seed := f.unsigned("seed")
-	cfg, vocab, err := parseSettings(f)
+	cfg, names, err := parseSettings(f)
 	if err != nil {
 		return err
 	}
@@ -126,40 +138,42 @@
 	if err != nil {
 		return err
 	}
-	h := s.instances[number]
-	if h == nil {
-		h = &instance{id: number}
-		s.instances[number] = h
+	i := s.instances[id]
+	if i == nil {
+		i = &instance{id: id}
+		s.instances[id] = i
 	}
-	h.server, h.events = server, nil
-	s.names[number] = vocab
-	s.touch(h)
+	i.server, i.names, i.events = server, names, nil
+	s.touch(i)
 	return nil
 }
 
-func (s *session) touch(h *instance) {
-	if !h.touched {
-		h.touched = true
-		s.touched = append(s.touched, h)
+func (s *session) touch(i *instance) {
+	if !i.touched {
+		i.touched = true
+		s.touched = append(s.touched, i)
 	}
 }
 
-func (s *session) endBatch(f *lineFields, out *bufio.Writer) error {
+// endBatch steps the instances that the batch mentioned and writes their actions.
+func (s *session) endBatch(f *lineFields, w io.Writer) error {
 	if err := f.done(); err != nil {
 		return err
 	}
-	for _, h := range s.touched {
-		h.touched = false
-		if h.server == nil {
+	s.output = s.output[:0]
+	for _, i := range s.touched {
+		i.touched = false
+		if i.server == nil {
 			continue
 		}
-		for _, a := range h.server.Step(s.now, h.events) {
-			writeAction(out, h.id, a)
+		for _, a := range i.server.Step(s.now, i.events) {
+			s.output = appendAction(s.output, i.id, a)
 		}
-		h.events = h.events[:0]
+		i.events = i.events[:0]
 	}
 	s.touched = s.touched[:0]
 	s.inBatch = false
-	fmt.Fprintf(out, "NEXT %s\n", s.batch)
-	return out.Flush()
+	s.output = fmt.Appendf(s.output, "%s %s\n", batchAnswered, s.batch)
+	_, err := w.Write(s.output)
+	return err
 }
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -30,13 +30,13 @@
 	}{
 		"empty":            {[]string{"MARK 5 1", "FLUSH"}, []string{"NEXT 1"}},
 		"starts and runs":  {[]string{"MARK 5 1", begin, order, "FLUSH"}, []string{"HEALTH 3 1 1", "RUN 3 42", "NEXT 1"}},
-		"keeps before run": {[]string{"MARK 5 1", begin, strings.Replace(order, "read", "write", 1), "FLUSH"}, []string{"STORE_KEY 3 42", "RUN 3 42"}},
-		"late news":        {[]string{"MARK 5 1", begin, "WORK_DONE 3 7 1 20", "GONE 3 8", "CALL_RESULT 3 9 3 80", "FLUSH"}, []string{"NEXT 1"}},
+		"stores key before run": {[]string{"MARK 5 1", begin, strings.Replace(order, "read", "write", 1), "FLUSH"}, []string{"STORE_KEY 3 42", "RUN 3 42"}},
+		"events of requests that are over":        {[]string{"MARK 5 1", begin, "WORK_DONE 3 7 1 20", "GONE 3 8", "CALL_RESULT 3 9 3 80", "FLUSH"}, []string{"NEXT 1"}},
 		"shutdown and begin in a batch": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", begin, order, "FLUSH"},
 			[]string{"NEXT 1", "RUN 3 42", "NEXT 2"}},
-		"shutdown ends quietly": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", "FLUSH"}, []string{"NEXT 1", "NEXT 2"}},
+		"shutdown has no answer": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", "FLUSH"}, []string{"NEXT 1", "NEXT 2"}},
 		"gauges":                {[]string{"MARK 5 1", begin, "FIRED 3 77 core_use:0.6,new_one:3,links:12", "FIRED 3 78 -", "FLUSH"}, []string{"NEXT 1"}},
-		"drain turns away":      {[]string{"MARK 5 1", begin, "QUIESCE 3 10", order, "FLUSH"}, []string{"SHED 3 42", "NEXT 1"}},
+		"drain rejects":      {[]string{"MARK 5 1", begin, "QUIESCE 3 10", order, "FLUSH"}, []string{"SHED 3 42", "NEXT 1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, err := serve(t, c.lines...)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestMalformedInputNamesLineAndReason(t *testing.T) {
+func TestInvalidInputNamesLineAndReason(t *testing.T) {
 	for name, c := range map[string]struct {
 		line string
 		want string
@@ -71,13 +71,13 @@
 		"trailing text":   {"GONE 3 42 why", "why"},
 		"not begun":       {"GONE 4 42", "instance 4"},
 		"bad setting":     {strings.Replace(begin, "domain.cores=2", "domain.cores=two", 1), "domain.cores"},
-		"bad effect":      {strings.Replace(begin, "dedup", "maybe", 1), "semantics"},
-		"unusable":        {strings.Replace(begin, "domain.cores=2", "domain.cores=0", 1), "cores"},
+		"bad semantics":      {strings.Replace(begin, "dedup", "maybe", 1), "semantics"},
+		"invalid settings":        {strings.Replace(begin, "domain.cores=2", "domain.cores=0", 1), "cores"},
 		"negative time":   {strings.Replace(begin, "rules.grace-to-answer=60000", "rules.grace-to-answer=-1", 1), "grace-to-answer"},
 		"infinite":        {begin + " rules.overload-factor=Inf", "overload-factor"},
-		"negative share":  {begin + " domain.downstream=one_for_all domain.calls-out=-0.5", "calls-out"},
-		"share, no span":  {begin + " domain.downstream=one_for_all domain.calls-out=0.5 domain.calls-over=0", "share of calls"},
-		"infinite worth":  {begin + " domain.degraded-worth=1e999,0", "degraded-worth"},
+		"negative call limit":  {begin + " domain.downstream=one_for_all domain.calls-out=-0.5", "calls-out"},
+		"call limit without window":  {begin + " domain.downstream=one_for_all domain.calls-out=0.5 domain.calls-over=0", "share of calls"},
+		"infinite weight":  {begin + " domain.degraded-worth=1e999,0", "degraded-worth"},
 		"batch in batch":  {"MARK 6 2", "MARK"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -118,11 +118,11 @@
 		return kept
 	}
 	if a, b := strings.Join(only(alone), "\n"), strings.Join(only(both), "\n"); a != b {
-		t.Errorf("instance 3 acts otherwise beside instance 4:\n%s\nand\n%s", a, b)
+		t.Errorf("instance 3 acts differently beside instance 4:\n%s\nand\n%s", a, b)
 	}
 }
 
-func TestShareOfCallsFromSettings(t *testing.T) {
+func TestCallConcurrencyLimitFromSettings(t *testing.T) {
 	for name, c := range map[string]struct {
 		more string
 		want float64
@@ -141,7 +141,7 @@
 				t.Fatal(err)
 			}
 			if s.CallConcurrencyLimit != c.want {
-				t.Errorf("share %v, want %v", s.CallConcurrencyLimit, c.want)
+				t.Errorf("limit %v, want %v", s.CallConcurrencyLimit, c.want)
 			}
 		})
 	}
--- a/internal/simadapter/settings.go
+++ b/internal/simadapter/settings.go
@@ -7,12 +7,12 @@
 	"sloehitch/logic"
 )
 
-// parseSettings reads the path=value settings of BEGIN.
+// parseSettings reads the path=value pairs of an instance's settings.
 func parseSettings(f *lineFields) (logic.Settings, *settings.NameIndex, error) {
 	values := map[string]string{}
 	for _, pair := range strings.Fields(f.rest) {
-		path, value, ok := strings.Cut(pair, "=")
-		if !ok {
+		path, value, found := strings.Cut(pair, "=")
+		if !found {
 			f.invalid("setting", pair)
 		}
 		values[path] = value
