--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -1,25 +1,32 @@
 package node
 
-// Counts are totals since the start, for the log.
+// Counts are totals since the start, for the log and the metrics.
 type Counts struct {
-	Read, Served, Rejected, Failed, Canceled, DeadlineExpired, Coalesced, Started int
-	Restored, RecordFailures                                                      int // bookings of an earlier process; starts that could not be recorded
-	WaitedElsewhere, ServedFromElsewhere                                          int // tries that waited for another process's run; answered with what came of one
+	Read                     int
+	Served, Rejected, Failed int // final responses
+	Canceled                 int // by their callers, before a response
+	DeadlineExpired          int // answered by the deadline guard
+	Coalesced, Started       int // attempts that waited for their key's run; runs handed to the runner
+	Restored, RecordFailures int // runs of earlier processes; starts that could not be recorded
+	WaitedElsewhere          int // attempts that waited for a run in another process
+	ServedFromElsewhere      int // attempts served with the result of a run in another process
 }
 
-// ClassCounts are what one class of requests came to since the start: the figures that operators read.
+// ClassCounts are totals of one class since the start.
 type ClassCounts struct {
-	Served, Rejected, Failed int // final answers of each kind
+	Served, Rejected, Failed int // final responses
 	Started                  int // runs handed to the runner
 }
 
-// countsOf is the counts of r's class, made where there are none yet.
+// maxCountedClasses bounds the names of classes that are counted, among them those that callers made up.
+const maxCountedClasses = 512
+
+// countsOf returns the counts of r's class.
 func (n *Node) countsOf(r *request) *ClassCounts {
 	return n.countsByName(n.opts.Settings.Classes[r.Class].Name, true)
 }
 
-// countsByName is the counts of a class by name, made where there are none yet and it is a class of the settings (known)
-// or there is room for more names; nil otherwise.
+// countsByName returns the counts of a class, or nil if it is no class of the settings (known) and there is no room for more.
 func (n *Node) countsByName(name string, known bool) *ClassCounts {
 	c := n.classCounts[name]
 	if c == nil && (known || len(n.classCounts) < maxCountedClasses) {
@@ -29,11 +36,8 @@
 	return c
 }
 
-// maxCountedClasses bounds the names of classes counted, those that callers made up included.
-const maxCountedClasses = 512
-
-// CountUnknownClass counts a request that a front refused for a class that the settings do not name, under that name, as
-// long as there is room for more names; balancers learn of a retuning late.
+// CountUnknownClass counts a request that a front end rejected for a class that the settings do not name, as long as there is
+// room for more names. (Balancers learn of a reconfiguration late.)
 func (n *Node) CountUnknownClass(class string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -42,7 +46,7 @@
 	}
 }
 
-// CountsByClass returns the counts of each class named in the settings, and of any other that has counts, by name.
+// CountsByClass returns the counts of each class of the settings, and of any other that has counts, by name.
 func (n *Node) CountsByClass() map[string]ClassCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,8 +60,8 @@
 	return out
 }
 
-// InFlight is how many requests run, and how many wait here to be run.
-func (n *Node) InFlight() (running, held int) {
+// InFlight returns how many requests run, and how many wait here to be run.
+func (n *Node) InFlight() (running, queued int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range n.byNumber {
@@ -65,14 +69,14 @@
 		case r.stage == stageRunning:
 			running++
 		case r.stage != stageCoalesced && r.stage != stageEnded:
-			held++
+			queued++
 		}
 	}
-	return running, held
+	return running, queued
 }
 
-// Totals are the counts so far, and the requests in hand.
-func (n *Node) Totals() (c Counts, hand, keys int) {
+// Totals returns the counts so far, the number of requests that admission knows and the number of keys in the table.
+func (n *Node) Totals() (c Counts, inFlight, keys int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts, len(n.byNumber), len(n.keys.entries)
--- /dev/null
+++ b/internal/node/dependency.go
@@ -0,0 +1,69 @@
+package node
+
+import (
+	"time"
+
+	"sloehitch/internal/admission"
+	"sloehitch/logic"
+)
+
+// CallRequested reports that a run waits for a call to the dependency. pos is the number of the notice that asked for it, body
+// what to send.
+func (n *Node) CallRequested(id string, pos uint64, body []byte) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	r := n.byID[id]
+	if r == nil || r.stage != stageRunning {
+		return
+	}
+	r.callNotice, r.callBody, r.unconfirmed = pos, body, false
+	n.trace("waits for a call", r, "notice", pos)
+	n.opts.Admission.Report(admission.CallRequested(r.number))
+}
+
+// startCall makes the call that a run waits for, with the given timeout; 0: until the request's deadline.
+func (n *Node) startCall(r *request, timeout time.Duration) {
+	if r.stage != stageRunning || r.callNotice == 0 || r.callInFlight {
+		return
+	}
+	if n.opts.Dependency == nil {
+		n.opts.Admission.Report(admission.CallEnded(r.number, logic.OutcomeUnreachable, 0))
+		return
+	}
+	if timeout <= 0 {
+		timeout = max(r.deadline.Sub(n.opts.Clock.Now()), time.Millisecond)
+	}
+	r.callInFlight = true
+	number := r.number
+	once := n.opts.Settings.Classes[r.Class].Idempotency != logic.Idempotent
+	n.opts.Dependency.Call(r.ID, timeout, r.callBody, once, func(o admission.Outcome, took time.Duration, reply []byte) {
+		n.callEnded(number, o, took, reply)
+	})
+}
+
+// callEnded delivers a call's reply to its run, and reports to admission how the call ended.
+func (n *Node) callEnded(number uint64, o admission.Outcome, took time.Duration, reply []byte) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	r := n.byNumber[number]
+	if r == nil || !r.callInFlight {
+		return
+	}
+	r.callInFlight = false
+	n.trace("call ended", r, "outcome", o, "took", took)
+	if o == logic.OutcomeOK && r.callNotice != 0 {
+		r.callNotice, r.callBody = 0, nil
+		r.Runner.DeliverReply(r.ID, reply)
+	}
+	n.opts.Admission.Report(admission.CallEnded(number, o, took))
+}
+
+// skipCall has a run continue without the call that it waits for.
+func (n *Node) skipCall(r *request) {
+	if r.callNotice == 0 {
+		return
+	}
+	pos := r.callNotice
+	r.callNotice, r.callBody = 0, nil
+	r.Runner.SkipCall(r.ID, pos)
+}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,9 +6,19 @@
 	"sloehitch/internal/admission"
 )
 
-// Drain is the notice that the process is to be stopped so long after it came. The grace and the kill count from the
-// notice, however late the core hears of it. The module does not hear of it where it is quiet: another process of this
-// node goes on, so callers are not to be kept away.
+// Draining, from the notice of shutdown on:
+//
+//	read until notice + settings.DrainGrace             as ever
+//	read later                                          rejected, with RetryAfter; answered from its key's run if that ran
+//	at notice + stop - limits.KillMargin                 all that is unanswered is answered
+//	read later                                          rejected
+//
+// The times count from the notice, however late the Node hears of it. A request counts as read when its last byte has come: its
+// caller's stamp says when the first one did.
+
+// Drain starts the graceful shutdown: the process was told at notice that it will be killed after stop. If quiet is set
+// admission is not told, as another process of this node goes on and callers are not to be sent elsewhere. Only the first call
+// counts.
 func (n *Node) Drain(notice time.Time, stop time.Duration, quiet bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -23,14 +33,7 @@
 	n.opts.Clock.AfterFunc(left-n.opts.Limits.KillMargin, n.answerAllForKill)
 }
 
-// Unanswered is the number of requests that are owed an answer.
-func (n *Node) Unanswered() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.unanswered
-}
-
-// answerAllForKill guards the end of a drain: all that was read is answered before the stop.
+// answerAllForKill answers all that is unanswered shortly before the kill.
 func (n *Node) answerAllForKill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,13 +44,12 @@
 	}
 }
 
-// pastDrainGrace says whether a request came too late after the notice to leave to be run. A caller tells when its first byte
-// came; it has come when the last one has, and one that writes slowly may take long over it.
+// pastDrainGrace says whether a request was read too late to be started.
 func (n *Node) pastDrainGrace(r *request) bool {
 	return !n.drainStartedAt.IsZero() && r.readAt.After(n.drainStartedAt.Add(duration(n.opts.Settings.DrainGrace)))
 }
 
-// answeredForKill says whether what is read now comes after answerAll: nobody would answer it before the kill.
+// answeredForKill says whether answerAllForKill is over: nobody would answer what is read now.
 func (n *Node) answeredForKill(now time.Time) bool {
 	return !n.drainStartedAt.IsZero() && !now.Before(n.killAt.Add(-n.opts.Limits.KillMargin))
 }
--- a/internal/node/elsewhere.go
+++ b/internal/node/elsewhere.go
@@ -2,27 +2,33 @@
 
 import (
 	"errors"
-
-	"sloehitch/internal/admission"
-	"sloehitch/logic"
 )
 
-// SharedJournal is a Journal that other processes of this node write too, while one replaces another. Its Began tells ErrTaken
-// where one of them holds the key.
+// While one process of a node replaces another, both serve requests and share their keys by a SharedJournal. An attempt whose
+// key another process holds is not run here and admission is not told of it: it is answered as that process's run is, now or
+// when it ends.
+//
+//	the run has ended, its result is stored   served with the result
+//	the run has ended otherwise               failed; so it does if the process died
+//	the run is in flight                      wait for its end, until the request's deadline
+//	the start was withdrawn                   as any new request
+
+// SharedJournal is a Journal that other processes of this node write too, while one replaces another. Its RecordStart reports
+// ErrKeyHeld if one of them holds the key.
 type SharedJournal interface {
 	Journal
-	// Lookup returns what another process told of b's key: its content's digest, whether the run is over and what came of it.
-	// It must not block for long.
+	// Lookup returns what another process has recorded of b's key, b.Key and b.Class being all that it needs. It must not block
+	// for long.
 	Lookup(b RunRecord) (RunRecord, bool)
-	// NotifyOnChange calls done once, from another goroutine, when Find may have more to say than that the key's run is not over.
+	// NotifyOnChange calls done once, from another goroutine, when Lookup may say more than that the key's run has not ended.
 	NotifyOnChange(b RunRecord, done func())
 }
 
-// ErrKeyHeld is what a Journal tells of a start whose key another process holds: it may have run there, so a try of it
-// here is neither run nor refused.
+// ErrKeyHeld is reported by a Journal for a start whose key another process holds: it may have run there, so an attempt of it
+// here is neither run nor rejected.
 var ErrKeyHeld = errors.New("the key is held by another process")
 
-// keyHeldElsewhere tells whether another process is known to hold r's key.
+// keyHeldElsewhere says whether another process is known to hold r's key.
 func (n *Node) keyHeldElsewhere(r *request) bool {
 	s, ok := n.opts.Journal.(SharedJournal)
 	if !ok {
@@ -32,8 +38,8 @@
 	return held
 }
 
-// answerFromElsewhere answers a try whose key another process holds as that process's run was answered, now or when it is over. It
-// returns false where none holds it. The module is not asked: nothing of the try will run here.
+// answerFromElsewhere answers an attempt from its key's run in another process, now or when that ends. It returns false if no
+// other process holds the key.
 func (n *Node) answerFromElsewhere(r *request) bool {
 	s, ok := n.opts.Journal.(SharedJournal)
 	if !ok {
@@ -53,14 +59,14 @@
 	case b.Succeeded && b.ResultStored && b.Protocol == r.Protocol:
 		n.counts.ServedFromElsewhere++
 		n.respond(r, Response{Status: StatusServed, Result: b.Result})
-	default: // it ended badly, or its process died before it could tell
+	default:
 		n.respond(r, Response{Status: StatusFailed})
 	}
 	n.removeUnreported(r)
 	return true
 }
 
-// removeUnreported forgets a try that the module does not know, once it is answered.
+// removeUnreported forgets an answered attempt that admission does not know.
 func (n *Node) removeUnreported(r *request) {
 	r.stage = stageEnded
 	if n.byID[r.ID] == r {
@@ -68,50 +74,42 @@
 	}
 }
 
-// elsewhereChanged goes on with a try that waits for what comes of its key's run in another process.
+// elsewhereChanged continues with an attempt that waits for its key's run in another process.
 func (n *Node) elsewhereChanged(r *request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r.settled || r.stage != stageElsewhere || n.answerFromElsewhere(r) {
 		return
 	}
-	n.reportArrival(r, n.opts.Clock.Now()) // nothing ran there after all
+	n.reportArrival(r, n.opts.Clock.Now()) // the start was withdrawn
 }
 
-// moveElsewhere has a held try that the module turned away wait for the process that has begun its key meanwhile: refused, it
-// would be sent to run elsewhere. It returns false where none has.
+// moveElsewhere has a queued attempt that admission rejects wait for the process that has started its key meanwhile: rejected,
+// it would be sent to run on another node. It returns false if no process has.
 func (n *Node) moveElsewhere(r *request) bool {
 	if r.settled || r.IdempotencyKey == "" || n.keys.started(r) || !n.keyHeldElsewhere(r) {
 		return false
 	}
-	delete(n.byNumber, r.number) // the module has done with it
-	for _, waiting := range n.keys.release(r) {
-		n.resubmit(waiting)
-	}
-	if !n.answerFromElsewhere(r) { // withdrawn in this moment
+	delete(n.byNumber, r.number) // admission has forgotten it
+	n.releaseKey(r)
+	if !n.answerFromElsewhere(r) { // withdrawn just now
 		n.reportArrival(r, n.opts.Clock.Now())
 	}
 	return true
 }
 
-// keyTakenElsewhere has a try, and all that wait for it, wait for the process that holds their key.
+// keyTakenElsewhere has an attempt whose start could not be recorded, and all that wait for it, wait for the process that holds
+// their key.
 func (n *Node) keyTakenElsewhere(r *request) {
-	if r.recordTimer != nil {
-		r.recordTimer.Stop()
-	}
-	r.stage = stageQueued
-	if e := n.keys.entries[r.IdempotencyKey]; e != nil && e.owner == r {
-		e.started = false
-	}
-	for _, try := range append([]*request{r}, n.keys.release(r)...) {
-		n.opts.Admission.Report(admission.RunEnded(try.number, logic.OutcomeNotStarted, 0))
-		delete(n.byNumber, try.number)
-		try.stage = stageQueued
+	n.unclaimStart(r)
+	for _, attempt := range append([]*request{r}, n.keys.release(r)...) {
+		n.unreport(attempt)
+		attempt.stage = stageQueued
 		switch {
-		case try.settled:
-			n.removeUnreported(try)
-		case !n.answerFromElsewhere(try): // withdrawn in the meantime
-			n.reportArrival(try, n.opts.Clock.Now())
+		case attempt.settled:
+			n.removeUnreported(attempt)
+		case !n.answerFromElsewhere(attempt): // withdrawn just now
+			n.reportArrival(attempt, n.opts.Clock.Now())
 		}
 	}
 }
--- a/internal/node/elsewhere_test.go
+++ b/internal/node/elsewhere_test.go
@@ -9,141 +9,150 @@
 	"sloehitch/logic"
 )
 
-// shared is a journal that another process writes too: what it holds, a test says.
-type shared struct {
-	*journal
-	held  map[string]RunRecord
-	waits []func()
+// sharedJournal is a journal that another process writes too; the test says what that process holds.
+type sharedJournal struct {
+	*fakeJournal
+	held     map[string]RunRecord
+	watchers []func()
 }
 
-func (s *shared) Lookup(b RunRecord) (RunRecord, bool) {
+func (s *sharedJournal) Lookup(b RunRecord) (RunRecord, bool) {
 	h, ok := s.held[b.Key]
 	return h, ok
 }
-func (s *shared) NotifyOnChange(b RunRecord, done func()) { s.waits = append(s.waits, done) }
+func (s *sharedJournal) NotifyOnChange(b RunRecord, done func()) {
+	s.watchers = append(s.watchers, done)
+}
 
-// resolve says what became of a key that the other process held, and wakes who waits.
-func (s *shared) resolve(key string, b *RunRecord) {
-	if delete(s.held, key); b != nil {
-		s.held[key] = *b
+// resolve sets what the other process has recorded of the key "k" (nil: nothing any more), and notifies the watchers.
+func (s *sharedJournal) resolve(b *RunRecord) {
+	if delete(s.held, "k"); b != nil {
+		s.held["k"] = *b
 	}
-	waits := s.waits
-	s.waits = nil
-	for _, done := range waits {
+	watchers := s.watchers
+	s.watchers = nil
+	for _, done := range watchers {
 		done()
 	}
 }
 
-// TestAbroad: a try of a key that another process holds is not run here; it hears what came of that run, at once or when
-// it ends, and fails where that can't be known by its due time. Where nothing ran there it is as new.
-func TestAbroad(t *testing.T) {
-	const book = 1
-	same := fingerprintOf("book", &Request{})
-	running := RunRecord{Fingerprint: same}
-	ended := RunRecord{Fingerprint: same, Ended: true, Succeeded: true, ResultStored: true, Result: []byte("r")}
-	lost := RunRecord{Fingerprint: same, Ended: true, Succeeded: true}
-	for _, c := range []struct {
-		name string
-		play func(b *bench, s *shared)
-		work string
-		want string
-	}{
-		{"it ran there", func(b *bench, s *shared) {
-			s.held["k"] = ended
-			b.submit("a", book, "k", 0)
-		}, "", "[served r] [] []"},
-		{"it ran there and left no result", func(b *bench, s *shared) {
-			s.held["k"] = lost
-			b.submit("a", book, "k", 0)
-		}, "", "[failed ] [] []"},
-		{"another body under its key", func(b *bench, s *shared) {
-			s.held["k"] = RunRecord{Ended: true, Succeeded: true, ResultStored: true, Result: []byte("r")}
-			b.submit("a", book, "k", 0)
-		}, "", "[failed ] [] []"},
-		{"it runs there: two wait", func(b *bench, s *shared) {
-			s.held["k"] = running
-			b.submit("a", book, "k", 0)
-			b.submit("b", book, "k", 0)
-			s.resolve("k", &running) // nothing new
-			s.resolve("k", &ended)
-		}, "", "[served r] [served r] []"},
-		{"it is withdrawn there, and runs here", func(b *bench, s *shared) {
-			s.held["k"] = running
-			b.submit("a", book, "k", 0)
-			s.resolve("k", nil)
-			b.decide("a", admission.Run)
-			s.done["a"](nil)
-			b.RunEnded("a", logic.OutcomeOK, 0, []byte("own"))
-		}, "began a, start a, ended(true own) a", "[served own] [] []"},
-		{"its caller leaves, then it ends there", func(b *bench, s *shared) {
-			s.held["k"] = running
-			b.submit("a", book, "k", 0)
-			b.Cancel("a")
-			s.resolve("k", &ended)
-		}, "", "[] [] []"},
-		{"given up, then it ends there", func(b *bench, s *shared) {
-			s.held["k"] = running
-			b.submit("a", book, "k", 0)
-			b.Abort("a")
-			s.resolve("k", &ended)
-		}, "", "[failed ] [] []"},
-		{"the other process was first by a moment, for both tries here", func(b *bench, s *shared) {
-			b.submit("a", book, "k", 0)
-			b.decide("a", admission.Run)
-			b.submit("b", book, "k", 0)
-			b.decide("b", admission.Coalesce)
-			s.held["k"] = running
-			s.done["a"](ErrKeyHeld)
-			s.resolve("k", &ended)
-		}, "began a", "[served r] [served r] []"},
-		{"the other was first and has ended", func(b *bench, s *shared) {
-			b.submit("a", book, "k", 0)
-			b.decide("a", admission.Run)
-			s.held["k"] = ended
-			s.done["a"](ErrKeyHeld)
-		}, "began a", "[served r] [] []"},
-		{"the other was first, its caller here is gone", func(b *bench, s *shared) {
-			b.submit("a", book, "k", 0)
-			b.decide("a", admission.Run)
-			b.Cancel("a")
-			s.held["k"] = running
-			s.done["a"](ErrKeyHeld)
-			s.resolve("k", &ended)
-		}, "began a", "[] [] []"},
-		{"the other was first and lets go at once", func(b *bench, s *shared) {
-			b.submit("a", book, "k", 0)
-			b.decide("a", admission.Run)
-			s.done["a"](ErrKeyHeld)
-			b.decide("a", admission.Run)
-			s.done["a"](nil)
-			b.RunEnded("a", logic.OutcomeOK, 0, []byte("own"))
-		}, "began a, began a, start a, ended(true own) a", "[served own] [] []"},
-		{"refused by the module as the other begins", func(b *bench, s *shared) {
-			b.submit("a", book, "k", 0)
-			s.held["k"] = running
-			b.decide("a", admission.Reject)
-			s.resolve("k", &ended)
-		}, "", "[served r] [] []"},
-		{"all that waits is answered before the kill", func(b *bench, s *shared) {
-			s.held["k"] = running
-			b.submit("a", book, "k", 0)
-			b.Drain(b.clock.now, time.Hour, true)
-			b.answerAllForKill()
-		}, "", "[failed ] [] []"},
-	} {
+// What the other process has recorded of the key "k".
+var (
+	keyFingerprint  = fingerprintOf("book", &Request{})
+	runningThere    = RunRecord{Fingerprint: keyFingerprint}
+	servedThere     = RunRecord{Fingerprint: keyFingerprint, Ended: true, Succeeded: true, ResultStored: true, Result: []byte("r")}
+	resultLostThere = RunRecord{Fingerprint: keyFingerprint, Ended: true, Succeeded: true}
+)
+
+type elsewhereCase struct {
+	name string
+	play func(h *harness, s *sharedJournal)
+	work string // what the journal and the runner were asked for
+	want string // the responses of a, b and c
+}
+
+var elsewhereCases = []elsewhereCase{
+	{"served elsewhere", func(h *harness, s *sharedJournal) {
+		s.held["k"] = servedThere
+		h.submit("a", classBook, "k", 0)
+	}, "", "[served r] [] []"},
+	{"ran elsewhere, no result stored", func(h *harness, s *sharedJournal) {
+		s.held["k"] = resultLostThere
+		h.submit("a", classBook, "k", 0)
+	}, "", "[failed ] [] []"},
+	{"another fingerprint under its key", func(h *harness, s *sharedJournal) {
+		s.held["k"] = RunRecord{Ended: true, Succeeded: true, ResultStored: true, Result: []byte("r")}
+		h.submit("a", classBook, "k", 0)
+	}, "", "[failed ] [] []"},
+	{"runs elsewhere: two wait", func(h *harness, s *sharedJournal) {
+		s.held["k"] = runningThere
+		h.submit("a", classBook, "k", 0)
+		h.submit("b", classBook, "k", 0)
+		s.resolve(&runningThere) // nothing new
+		s.resolve(&servedThere)
+	}, "", "[served r] [served r] []"},
+	{"withdrawn elsewhere: runs here", func(h *harness, s *sharedJournal) {
+		s.held["k"] = runningThere
+		h.submit("a", classBook, "k", 0)
+		s.resolve(nil)
+		h.decide("a", admission.Run)
+		s.done["a"](nil)
+		h.RunEnded("a", logic.OutcomeOK, 0, []byte("own"))
+	}, "record start a, start a, record end(true own) a", "[served own] [] []"},
+	{"canceled, then ended elsewhere", func(h *harness, s *sharedJournal) {
+		s.held["k"] = runningThere
+		h.submit("a", classBook, "k", 0)
+		h.Cancel("a")
+		s.resolve(&servedThere)
+	}, "", "[] [] []"},
+	{"aborted, then ended elsewhere", func(h *harness, s *sharedJournal) {
+		s.held["k"] = runningThere
+		h.submit("a", classBook, "k", 0)
+		h.Abort("a")
+		s.resolve(&servedThere)
+	}, "", "[failed ] [] []"},
+	{"the other process was first by a moment: both attempts wait", func(h *harness, s *sharedJournal) {
+		h.submit("a", classBook, "k", 0)
+		h.decide("a", admission.Run)
+		h.submit("b", classBook, "k", 0)
+		h.decide("b", admission.Coalesce)
+		s.held["k"] = runningThere
+		s.done["a"](ErrKeyHeld)
+		s.resolve(&servedThere)
+	}, "record start a", "[served r] [served r] []"},
+	{"the other process was first and has ended", func(h *harness, s *sharedJournal) {
+		h.submit("a", classBook, "k", 0)
+		h.decide("a", admission.Run)
+		s.held["k"] = servedThere
+		s.done["a"](ErrKeyHeld)
+	}, "record start a", "[served r] [] []"},
+	{"the other process was first: canceled here", func(h *harness, s *sharedJournal) {
+		h.submit("a", classBook, "k", 0)
+		h.decide("a", admission.Run)
+		h.Cancel("a")
+		s.held["k"] = runningThere
+		s.done["a"](ErrKeyHeld)
+		s.resolve(&servedThere)
+	}, "record start a", "[] [] []"},
+	{"the other process was first and withdraws at once", func(h *harness, s *sharedJournal) {
+		h.submit("a", classBook, "k", 0)
+		h.decide("a", admission.Run)
+		s.done["a"](ErrKeyHeld)
+		h.decide("a", admission.Run)
+		s.done["a"](nil)
+		h.RunEnded("a", logic.OutcomeOK, 0, []byte("own"))
+	}, "record start a, record start a, start a, record end(true own) a", "[served own] [] []"},
+	{"rejected as the other process starts", func(h *harness, s *sharedJournal) {
+		h.submit("a", classBook, "k", 0)
+		s.held["k"] = runningThere
+		h.decide("a", admission.Reject)
+		s.resolve(&servedThere)
+	}, "", "[served r] [] []"},
+	{"answered before the kill", func(h *harness, s *sharedJournal) {
+		s.held["k"] = runningThere
+		h.submit("a", classBook, "k", 0)
+		h.Drain(h.clock.now, time.Hour, true)
+		h.answerAllForKill()
+	}, "", "[failed ] [] []"},
+}
+
+// TestKeyHeldElsewhere: an attempt whose key another process holds is not run here. It is answered as that run is, at once or when
+// it ends, and fails if that is not known by its deadline. If nothing ran there it is submitted as new.
+func TestKeyHeldElsewhere(t *testing.T) {
+	for _, c := range elsewhereCases {
 		t.Run(c.name, func(t *testing.T) {
-			b, j := journalBench(t)
-			s := &shared{journal: j, held: map[string]RunRecord{}}
-			b.opts.Journal = s
-			c.play(b, s)
-			if got := b.work.String(); got != c.work {
+			h, j := newJournalHarness(t)
+			s := &sharedJournal{fakeJournal: j, held: map[string]RunRecord{}}
+			h.opts.Journal = s
+			c.play(h, s)
+			if got := h.runner.String(); got != c.work {
 				t.Errorf("asked for %q, want %q", got, c.work)
 			}
-			if got := fmt.Sprint(b.answers["a"], " ", b.answers["b"], " ", b.answers["c"]); got != c.want {
-				t.Errorf("answers %s, want %s", got, c.want)
+			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.want {
+				t.Errorf("responses %s, want %s", got, c.want)
 			}
-			if b.Unanswered() != 0 || len(b.byID) != 0 {
-				t.Errorf("%d owed, %d in hand at the end", b.Unanswered(), len(b.byID))
+			if h.Unanswered() != 0 || len(h.byID) != 0 {
+				t.Errorf("%d owed, %d in flight at the end", h.Unanswered(), len(h.byID))
 			}
 		})
 	}
--- /dev/null
+++ b/internal/node/harness_test.go
@@ -0,0 +1,85 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"sloehitch/internal/admission"
+	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+	"sloehitch/logic"
+)
+
+// fixedClock stands until it is moved. Its timers are the system's.
+type fixedClock struct {
+	clock.System
+	now time.Time
+}
+
+func (c *fixedClock) Now() time.Time { return c.now }
+
+// recorder is a runner and a client of the dependency that notes what it was asked for.
+type recorder struct{ asked []string }
+
+func (r *recorder) note(what, id string)                 { r.asked = append(r.asked, what+" "+id) }
+func (r *recorder) Start(id, _ string, _ []byte, _ bool) { r.note("start", id) }
+func (r *recorder) Stop(id string)                       { r.note("stop", id) }
+func (r *recorder) Resume(id string)                     { r.note("resume", id) }
+func (r *recorder) DeliverReply(id string, _ []byte)     { r.note("deliver", id) }
+func (r *recorder) SkipCall(id string, _ uint64)         { r.note("skip", id) }
+func (r *recorder) String() string                       { return strings.Join(r.asked, ", ") }
+func (r *recorder) Cancel(id string)                     { r.note("cancel", id) }
+func (r *recorder) Call(id string, _ time.Duration, _ []byte, _ bool, done func(admission.Outcome, time.Duration, []byte)) {
+	r.note("call", id)
+}
+
+// harness is a Node whose decisions a test makes itself: Run does not run, and admission's decisions are ignored.
+type harness struct {
+	*Node
+	clock     *fixedClock
+	runner    *recorder
+	responses map[string][]string // by request id
+}
+
+// Classes of a harness.
+const (
+	classRead = iota // idempotent, may skip its calls
+	classBook        // idempotent by key
+	classMove        // not idempotent
+)
+
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	cfg := logic.Settings{Cores: 2, MemoryKB: 1e6, MaxConcurrencyPerCore: 5, ResponseGrace: 80000, DrainGrace: 2000000, Classes: []logic.Class{
+		{Name: "read", LatencyObjective: 1e6, ClientTimeout: 60e6, PriorityWeight: 1, CallsDependency: true, DegradedWeightShare: 0.5},
+		{Name: "book", LatencyObjective: 1e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.IdempotentByKey, IdempotencyWindow: 10e6},
+		{Name: "move", LatencyObjective: 1e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.NonIdempotent}}}
+	clock := &fixedClock{now: time.UnixMilli(1764576000000)}
+	controller, err := admission.New(cfg, admission.Options{Clock: clock})
+	if err != nil {
+		t.Fatal(err)
+	}
+	controller.Close()
+	r := &recorder{}
+	return &harness{New(Options{Settings: cfg, Admission: controller, Dependency: r, Clock: clock, Limits: limits.For(64, 256), Log: standin.Quiet}), clock, r, map[string][]string{}}
+}
+
+// submit submits a request that arrives at the given time from now.
+func (h *harness) submit(id string, class int, key string, at time.Duration) {
+	h.Submit(Request{ID: id, Class: class, IdempotencyKey: key, ArrivedAt: h.clock.now.Add(at), Runner: h.runner},
+		func(a Response) {
+			h.responses[id] = append(h.responses[id], fmt.Sprint(a.Status, " ", string(a.Result)))
+		})
+}
+
+// decide carries out a decision as if admission had made it.
+func (h *harness) decide(id string, kind admission.DecisionKind) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if r := h.byID[id]; r != nil {
+		h.apply(r, admission.Decision{Kind: kind, ID: r.number})
+	}
+}
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -8,49 +8,40 @@
 	"sloehitch/logic"
 )
 
-// RunRecord is what outlives the process of a keyed request that began to run.
+// RunRecord is what is recorded of a keyed request that was started.
 type RunRecord struct {
 	Key          string
 	Class        string // its name
 	Fingerprint  [sha256.Size]byte
-	ArrivedAt    time.Time // when the try that ran reached the machine; the window counts from there
-	Window       time.Duration
-	RequestID    string // the id of that try
-	Ended        bool   // its run is over
-	Succeeded    bool   // and went well
-	ResultStored bool   // and this is its result, as the front of that name gave it
+	ArrivedAt    time.Time     // when the attempt that ran reached the machine; the window counts from there
+	Window       time.Duration // within which its key must not run again
+	RequestID    string        // of that attempt
+	Ended        bool          // its run has ended
+	Succeeded    bool          // and went well
+	ResultStored bool          // and Result is what came of it
 	Result       []byte
-	Protocol     string
+	Protocol     string // that can read Result
 }
 
-// Journal keeps bookings beyond the life of the process. Its methods must not block.
+// Journal records which keyed requests were started, beyond the life of the process. Its methods must not block.
 type Journal interface {
-	// RecordStart makes a booking durable and calls done from another goroutine once it is, or can't be (ErrTaken: see Sharer). Where
-	// it returns an error nothing was written and done is not called.
+	// RecordStart makes the start of a run durable. It calls done once, from another goroutine, when it is durable or failed
+	// (with ErrKeyHeld, see SharedJournal). If RecordStart returns an error, nothing was written and done is not called.
 	RecordStart(b RunRecord, done func(error)) error
-	// RecordEnd notes that the run is over.
+	// RecordEnd records the end of a run.
 	RecordEnd(b RunRecord)
-	// Withdraw takes back a Began, durable or not, of which nothing was started.
+	// Withdraw takes back a RecordStart, durable or not, of which nothing was started.
 	Withdraw(b RunRecord)
 }
 
-// runRecord is what the journal is to keep of a request.
+// runRecord is the record of a request's start.
 func (n *Node) runRecord(r *request) RunRecord {
 	return RunRecord{Key: r.IdempotencyKey, Class: n.opts.Settings.Classes[r.Class].Name, Fingerprint: r.fingerprint, ArrivedAt: r.stampedAt,
 		Window: n.keys.window(r.Class), RequestID: r.ID, Protocol: r.Protocol}
 }
 
-// answerFromEarlierProcess answers a repeat of what ran in an earlier process. There is nothing to wait for, so the module is not asked.
-func (n *Node) answerFromEarlierProcess(r *request, e *keyEntry) {
-	if e.succeeded && e.owner.Protocol == r.Protocol {
-		n.respond(r, Response{Status: StatusServed, Result: e.result})
-		return
-	}
-	n.respond(r, Response{Status: StatusFailed})
-}
-
-// Restore fills the table of keys with what the journal has of an earlier process. It is to be called before the first Submit.
-// A booking that began and of which no end is known counts as run: nobody can tell.
+// Restore fills the key table with the record of a run in an earlier process. It is to be called before the first Submit. A run
+// that was started and of which no end is on record counts as run: nobody can tell.
 func (n *Node) Restore(b RunRecord) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,35 +51,38 @@
 			class = i
 		}
 	}
-	// The owner is of no use but for its key: nothing of it is in hand, and no runner will hear of it.
-	e := &keyEntry{owner: &request{Request: Request{ID: b.RequestID, IdempotencyKey: b.Key, Class: class, ArrivedAt: b.ArrivedAt, Protocol: b.Protocol}},
-		fingerprint: b.Fingerprint, started: true, finished: true, restored: true, arrivedAt: b.ArrivedAt, window: b.Window}
-	// Without room for its result repeats fail, as those of an unknown end do.
+	// The owner stands for its key and protocol only: it is not in flight, and has no runner.
+	owner := &request{Request: Request{ID: b.RequestID, IdempotencyKey: b.Key, Class: class, ArrivedAt: b.ArrivedAt, Protocol: b.Protocol}}
+	e := &keyEntry{owner: owner, fingerprint: b.Fingerprint, started: true, finished: true, restored: true, arrivedAt: b.ArrivedAt, window: b.Window}
+	// Without room for its result retries fail, as those of a run without a known end do.
 	e.succeeded = b.Succeeded && b.ResultStored && n.keys.storeResult(e, b.Result, n.opts.Limits.StoredResultBytes)
 	n.keys.entries[b.Key] = e
 	n.counts.Restored++
 }
 
-// recordStart asks for a booking's start to be made durable; the run is started when that is done. A start that has to
-// wait too long is taken back.
+// errRecordTimeout says that a start was not durable by the time it had to be.
+var errRecordTimeout = errors.New("the disk is too slow")
+
+// recordStart has the journal make a start durable; the run is started when that is done. A start that is not durable within
+// limits.RecordTimeout, or by the request's deadline, is withdrawn.
 func (n *Node) recordStart(r *request) {
 	r.stage = stageRecording
-	num := r.number
-	if err := n.opts.Journal.RecordStart(n.runRecord(r), func(err error) { n.startRecorded(num, err) }); err != nil {
+	number := r.number
+	if err := n.opts.Journal.RecordStart(n.runRecord(r), func(err error) { n.startRecorded(number, err) }); err != nil {
 		n.recordFailed(r, err)
 		return
 	}
 	wait := min(n.opts.Limits.RecordTimeout, r.deadline.Sub(n.opts.Clock.Now()))
-	r.recordTimer = n.opts.Clock.AfterFunc(wait, func() { n.startRecorded(num, errRecordTimeout) })
+	r.recordTimer = n.opts.Clock.AfterFunc(wait, func() { n.startRecorded(number, errRecordTimeout) })
 }
 
-// startRecorded goes on with a request whose start is durable, or can't be made so.
-func (n *Node) startRecorded(num uint64, err error) {
+// startRecorded continues with a request whose start is durable, or could not be made so.
+func (n *Node) startRecorded(number uint64, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := n.byNumber[num]
+	r := n.byNumber[number]
 	if r == nil || r.stage != stageRecording {
-		return // taken back, and withdrawn
+		return // withdrawn
 	}
 	switch {
 	case errors.Is(err, ErrKeyHeld):
@@ -100,15 +94,23 @@
 	}
 }
 
-// recordFailed refuses a booking that could not be made durable in time.
+// recordFailed rejects a request whose start could not be made durable in time.
 func (n *Node) recordFailed(r *request, err error) {
 	n.counts.RecordFailures++
-	n.log.Warn("a booking was refused, as its start could not be recorded", err)
+	n.log.Warn("keyed request rejected: its start could not be recorded", err)
 	n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RecordRetryAfter})
 }
 
-// withdrawStart answers a request whose start is being recorded, and lets go of its key: nothing of it has run, and nothing will.
+// withdrawStart answers a request whose start is being recorded, and releases its key: nothing of it has run, and nothing will.
 func (n *Node) withdrawStart(r *request, a Response) {
+	n.unclaimStart(r)
+	n.opts.Journal.Withdraw(n.runRecord(r))
+	n.respond(r, a)
+	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
+}
+
+// unclaimStart takes a request whose start is being recorded back to the queue.
+func (n *Node) unclaimStart(r *request) {
 	if r.recordTimer != nil {
 		r.recordTimer.Stop()
 	}
@@ -116,7 +118,4 @@
 	if e := n.keys.entries[r.IdempotencyKey]; e != nil && e.owner == r {
 		e.started = false
 	}
-	n.opts.Journal.Withdraw(n.runRecord(r))
-	n.respond(r, a)
-	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 }
--- a/internal/node/keytable.go
+++ b/internal/node/keytable.go
@@ -3,45 +3,50 @@
 import (
 	"crypto/sha256"
 	"time"
+
+	"sloehitch/internal/platform/limits"
 )
 
-// keyEntry is what is known of one key: the try that has it, and once that ran, its result.
+// keyEntry is what this process knows of one key: the attempt that owns it and, once that was started, its run.
 type keyEntry struct {
 	owner       *request
 	fingerprint [sha256.Size]byte
 	started     bool
-	arrivedAt   time.Time     // when the try that ran reached the machine
-	window      time.Duration // once it ran: for how long it must not run again
-	finished    bool          // its run has ended
-	restored    bool          // it ran in an earlier process, which did not leave its result
-	succeeded   bool          // and went well
+	arrivedAt   time.Time     // of the attempt that was started, as its caller told it
+	window      time.Duration // of its class, from arrivedAt
+	finished    bool          // the run has ended
+	succeeded   bool          // and its result may be given to retries
+	restored    bool          // it ran in an earlier process
 	result      []byte
-	coalesced   []*request
+	coalesced   []*request // attempts that wait for the run's end
 }
 
-// retentionSlacks is for how many times the slack an entry is kept beyond its window.
+// retentionSlacks is how many times limits.KeyWindowSlack an entry is retained beyond its window: attempts are told apart by when
+// they reached the machine, and may be read seconds after that.
 const retentionSlacks = 20
 
-// keyTable connects the tries of keyed requests. It is bounded; a try that finds no room never runs, as a repeat
-// of it could not be told.
+// KeyRetentionMargin is for how long beyond its window a key is retained, here and in the journals.
+func KeyRetentionMargin(l limits.Limits) time.Duration { return retentionSlacks * l.KeyWindowSlack }
+
+// keyTable maps idempotency keys to their runs. It is bounded in entries and in bytes of results. The Node's lock guards it.
 type keyTable struct {
 	entries         map[string]*keyEntry
 	maxEntries      int
-	freeResultBytes int // bytes left for results
-	slack           time.Duration
+	freeResultBytes int
+	slack           time.Duration // added to each window
 	window          func(class int) time.Duration
 }
 
-func newKeyTable(most, room int, slack time.Duration, window func(class int) time.Duration) *keyTable {
-	return &keyTable{entries: map[string]*keyEntry{}, maxEntries: most, freeResultBytes: room, slack: slack, window: window}
+func newKeyTable(maxEntries, maxResultBytes int, slack time.Duration, window func(class int) time.Duration) *keyTable {
+	return &keyTable{entries: map[string]*keyEntry{}, maxEntries: maxEntries, freeResultBytes: maxResultBytes, slack: slack, window: window}
 }
 
-// inWindow says whether a try that arrived at the given time falls into the window of the one that ran.
-func (e *keyEntry) inWindow(at time.Time, slack time.Duration) bool {
-	return !e.started || at.Before(e.arrivedAt.Add(e.window+slack))
+// inWindow says whether an attempt that arrived at the given time belongs to the entry: always, while nothing was started.
+func (e *keyEntry) inWindow(arrivedAt time.Time, slack time.Duration) bool {
+	return !e.started || arrivedAt.Before(e.arrivedAt.Add(e.window+slack))
 }
 
-// lookup finds the entry that a try repeats or owns.
+// lookup returns the entry that an attempt belongs to, or nil.
 func (t *keyTable) lookup(r *request) *keyEntry {
 	e := t.entries[r.IdempotencyKey]
 	if e == nil || !e.inWindow(r.ArrivedAt, t.slack) {
@@ -50,7 +55,7 @@
 	return e
 }
 
-// original returns the try that the given one repeats, or makes it the owner of its key.
+// original returns the attempt that the given one repeats. Where there is none it claims the key and returns nil.
 func (t *keyTable) original(r *request) *request {
 	if e := t.lookup(r); e != nil {
 		if e.owner == r {
@@ -62,7 +67,8 @@
 	return nil
 }
 
-// claim makes a try the owner of its key, unless there is no room or another try of it ran.
+// claim makes an attempt the owner of its key unless another one was started. It returns the key's entry, or nil if the table
+// has no room for one.
 func (t *keyTable) claim(r *request) *keyEntry {
 	e := t.lookup(r)
 	switch {
@@ -70,7 +76,7 @@
 		return nil
 	case e == nil:
 		e = &keyEntry{owner: r, fingerprint: r.fingerprint}
-		t.remove(r.IdempotencyKey) // one whose window is over
+		t.remove(r.IdempotencyKey) // one whose window has passed
 		t.entries[r.IdempotencyKey] = e
 	case !e.started:
 		e.owner = r
@@ -78,13 +84,14 @@
 	return e
 }
 
-// started says whether some try of the same request was run here in its window.
+// started says whether some attempt under r's key was started within its window.
 func (t *keyTable) started(r *request) bool {
 	e := t.lookup(r)
 	return e != nil && e.started
 }
 
-// release takes a try off the table that is over without a run, and returns the tries that waited for it.
+// release takes an attempt of which nothing ran off the table. If it owned its key, the key is free and the attempts that
+// waited for it are returned.
 func (t *keyTable) release(r *request) []*request {
 	e := t.entries[r.IdempotencyKey]
 	if r.IdempotencyKey == "" || e == nil {
@@ -103,19 +110,18 @@
 	return e.coalesced
 }
 
-// expire drops entries whose window is over for anything that can still be read.
+// expire drops finished entries that no attempt still to be read can belong to.
 func (t *keyTable) expire(now time.Time) {
 	for key, e := range t.entries {
-		// Tries are told apart by when they reached the machine, and may be read seconds after that.
 		if e.started && e.finished && now.After(e.arrivedAt.Add(e.window+retentionSlacks*t.slack)) {
 			t.remove(key)
 		}
 	}
 }
 
-// storeResult holds a result for repeats if there is room for it.
-func (t *keyTable) storeResult(e *keyEntry, result []byte, most int) bool {
-	if len(result) > min(most, t.freeResultBytes) {
+// storeResult keeps a result for retries. It returns false if the result is longer than maxBytes or there is no room for it.
+func (t *keyTable) storeResult(e *keyEntry, result []byte, maxBytes int) bool {
+	if len(result) > min(maxBytes, t.freeResultBytes) {
 		return false
 	}
 	t.freeResultBytes -= len(result)
--- /dev/null
+++ b/internal/node/submit.go
@@ -0,0 +1,100 @@
+package node
+
+import (
+	"time"
+
+	"sloehitch/internal/admission"
+	"sloehitch/logic"
+)
+
+// Submit takes a request that was read. reply gets its one final response, unless Cancel comes first; it is called with the
+// Node's lock held, possibly before Submit returns, and must not block.
+func (n *Node) Submit(q Request, reply func(Response)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.opts.Clock.Now()
+	n.counts.Read++
+	n.unanswered++
+	r := n.newRequest(q, reply, now)
+	if n.rejectUntrackable(r) {
+		return
+	}
+	n.trace("read", r, "age", now.Sub(r.stampedAt))
+	if r.IdempotencyKey != "" && n.answerFromKeyTable(r) {
+		return
+	}
+	if n.answeredForKill(now) || n.pastDrainGrace(r) && !n.keyMayHaveRun(r) {
+		n.respond(r, Response{Status: StatusRejected, RetryAfter: duration(n.opts.Settings.MaxRetryAfter)})
+		return
+	}
+	n.byID[r.ID] = r
+	r.deadlineTimer = n.opts.Clock.AfterFunc(r.deadline.Sub(now)+n.guardDelay(), func() { n.deadlineExpired(r) })
+	if r.IdempotencyKey != "" && !n.keys.started(r) && n.answerFromElsewhere(r) {
+		return
+	}
+	n.reportArrival(r, now)
+}
+
+// rejectUntrackable answers a request that can't be registered: one whose id is in flight already, one beyond the limit on
+// requests, and a keyed one without a key, whose retries could not be told.
+func (n *Node) rejectUntrackable(r *request) bool {
+	idempotency := n.opts.Settings.Classes[r.Class].Idempotency
+	duplicate := n.byID[r.ID] != nil
+	switch {
+	case duplicate && idempotency != logic.Idempotent:
+		// The first request of that id may run: a rejection would promise that it did not.
+		n.trace("request id already in flight", r)
+		n.respond(r, Response{Status: StatusFailed})
+	case duplicate, len(n.byNumber) >= n.opts.Limits.MaxInFlight, idempotency == logic.IdempotentByKey && r.IdempotencyKey == "":
+		n.respond(r, Response{Status: StatusRejected})
+	default:
+		return false
+	}
+	return true
+}
+
+// reportArrival tells admission of a request, as of one that was read just now.
+func (n *Node) reportArrival(r *request, now time.Time) {
+	n.lastNumber++
+	r.number, r.stage, r.reportedAt = n.lastNumber, stageQueued, now
+	n.byNumber[r.number] = r
+	a := admission.Arrival{Class: r.Class, Tenant: r.Tenant, MemoryKB: r.MemoryKB, WorkHint: logic.Micros(r.WorkHint / time.Microsecond),
+		Age: logic.Micros(now.Sub(r.ArrivedAt) / time.Microsecond), AttemptTimeout: r.remainingTimeout(now), Retry: r.Retry,
+		PriorityRank: r.PriorityRank, CallerID: r.CallerID}
+	if r.IdempotencyKey != "" {
+		if original := n.keys.original(r); original != nil {
+			a.OriginalID = logic.RequestID(original.number)
+		}
+	}
+	n.opts.Admission.Report(admission.Arrived(r.number, a))
+}
+
+// unreport has admission forget a request of which nothing ran.
+func (n *Node) unreport(r *request) {
+	n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeNotStarted, 0))
+	delete(n.byNumber, r.number)
+}
+
+// resubmit reports a request that waited for another attempt, of which nothing ran, as a new one.
+func (n *Node) resubmit(r *request) {
+	n.unreport(r)
+	n.reportArrival(r, n.opts.Clock.Now())
+}
+
+// remove forgets a request of which nothing runs and to which no response is owed.
+func (n *Node) remove(r *request) {
+	if n.byNumber[r.number] != r {
+		return
+	}
+	delete(n.byNumber, r.number)
+	if n.byID[r.ID] == r {
+		delete(n.byID, r.ID)
+	}
+	if r.callInFlight {
+		r.callInFlight = false
+		n.opts.Dependency.Cancel(r.ID)
+	}
+	n.releaseKey(r)
+	// The key table holds on to its owners: drop what only a request in flight needs.
+	r.Body, r.Content, r.callBody, r.reply, r.deadlineTimer, r.recordTimer = nil, nil, nil, nil, nil, nil
+}
--- a/internal/testing/soak/checker.go
+++ b/internal/testing/soak/checker.go
@@ -64,7 +64,7 @@
 		text := l.log.String()
 		r.Logs = append(r.Logs, text)
 		r.Unconfirmed += strings.Count(text, "known_read=false action=await")
-		r.WrittenOff += strings.Count(text, `msg="its run is written off"`)
+		r.WrittenOff += strings.Count(text, `msg="run abandoned"`)
 		for line := range strings.SplitSeq(text, "\n") {
 			if _, after, found := strings.Cut(line, "msg=read node=n1 request="); found {
 				id, _, _ := strings.Cut(after, " ")
