--- /dev/null
+++ b/internal/idempotency/keystore/bounds_test.go
@@ -0,0 +1,121 @@
+package keystore
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+)
+
+// TestDamagedSegment: the segment of an exited process, cut at any byte or with any byte changed, stops nobody. No key has a result
+// that is not its own, and records after the damage still count.
+func TestDamagedSegment(t *testing.T) {
+	dir, now := t.TempDir(), &clock{now: start}
+	old := open(t, dir, now.Now, nil)
+	keys := []string{"a", "b", "c"}
+	for _, k := range keys {
+		if err := begin(t, old, runRecord(k)); err != nil {
+			t.Fatal(err)
+		}
+		end(t, old, runRecord(k), "visit "+k)
+	}
+	path := old.ownSegments[0].path
+	if err := old.Close(); err != nil {
+		t.Fatal(err)
+	}
+	intact, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	check := func(what string, text []byte, least int) {
+		if err := os.WriteFile(path, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now.Now, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
+		if err != nil {
+			if len(text) >= 16 && string(text[:8]) == string(intact[:8]) {
+				t.Fatalf("%s: %v", what, err)
+			}
+			_ = os.Remove(filepath.Join(dir, lockName)) // of another version, to the reader
+			return
+		}
+		found := 0
+		for _, k := range keys {
+			got, ok := c.Lookup(runRecord(k))
+			if got.Succeeded && string(got.Result) != "visit "+k {
+				t.Fatalf("%s: key %s has result %q", what, k, got.Result)
+			}
+			if ok && got.Succeeded {
+				found++
+			}
+		}
+		if found < least {
+			t.Fatalf("%s: %d results, at least %d are intact", what, found, least)
+		}
+		if err := c.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i := range intact {
+		check(fmt.Sprintf("cut to %d", i), intact[:i], 0)
+		if i >= 16 {
+			b := append([]byte(nil), intact...)
+			b[i] ^= 0x41
+			check(fmt.Sprintf("byte %d changed", i), b, 2)
+		}
+	}
+	check("intact", intact, 3)
+}
+
+// TestFolderIsBounded: beyond 75 % of the bytes results are left out; beyond all of them no key can be claimed. What expires makes
+// room. A folder that can't be written is an error of its own, not a key that is held.
+func TestFolderIsBounded(t *testing.T) {
+	dir, now := t.TempDir(), &clock{now: start}
+	small := func(l *limits.KeyStore) { l.TotalBytes, l.SegmentBytes = 4000, 1000 }
+	c, next := open(t, dir, now.Now, small), open(t, dir, now.Now, small)
+	var full error
+	n := 0
+	for ; full == nil && n < 100; n++ {
+		b := runRecord(fmt.Sprint(n))
+		if full = begin(t, c, b); full == nil {
+			end(t, c, b, strings.Repeat("x", 200))
+		}
+	}
+	if s := c.Stats(); !errors.Is(full, ErrFull) || s.Bytes > 4000+400 || s.OwnSegments < 3 {
+		t.Fatalf("after %d keys: %v, %+v", n, full, s)
+	}
+	first, _ := next.Lookup(runRecord("0"))
+	last, ok := next.Lookup(runRecord(fmt.Sprint(n - 2)))
+	if !first.ResultStored || !ok || !last.Ended || last.ResultStored {
+		t.Errorf("the first result %v, the last %v %v", first.ResultStored, last.Ended, last.ResultStored)
+	}
+	now.move(11*time.Second + 1)
+	settle(t, c)
+	b := runRecord("later")
+	if b.ArrivedAt = now.Now(); begin(t, c, b) != nil {
+		t.Error("no room once all has expired")
+	}
+	long := runRecord("long")
+	long.ArrivedAt = now.Now()
+	if err := begin(t, c, long); err != nil {
+		t.Fatal(err)
+	}
+	end(t, c, long, strings.Repeat("x", 20<<10)) // beyond what is kept of one result
+	if got, ok := next.Lookup(long); !ok || !got.Ended || got.ResultStored {
+		t.Errorf("a result too long: %+v, %v", got.ResultStored, ok)
+	}
+	if err := os.RemoveAll(dir); err != nil {
+		t.Fatal(err)
+	}
+	now.move(time.Hour)
+	if err := begin(t, c, runRecord("z")); err == nil || errors.Is(err, node.ErrKeyHeld) {
+		t.Errorf("without a folder: %v", err)
+	}
+}
--- a/internal/idempotency/keystore/format/format.go
+++ b/internal/idempotency/keystore/format/format.go
@@ -1,5 +1,5 @@
-// Package format holds the bytes of the claims of keys that the processes of one node share: what a segment begins
-// with, and the records in it (docs/format-claims.md). It does no I/O.
+// Package format is the binary form of the key records that the processes of one node share: the header of a segment and the
+// records in it (docs/format-claims.md). It does no I/O.
 package format
 
 import (
@@ -8,64 +8,66 @@
 	"hash/crc32"
 )
 
-// Version is of the bytes of a segment. A process can't share keys with one that writes another.
+// Version is the version of a segment's form. A process can't share keys with one that writes another.
 const Version = 1
 
-// HeaderSize is the bytes of a segment's head.
+// HeaderSize is the size of a segment's header in bytes.
 const HeaderSize = 16
 
-// frameHeaderSize is the bytes before a record: its length and its checksum.
+// frameHeaderSize is the bytes before a record: its length and its checksum, 4 bytes each, little-endian.
 const frameHeaderSize = 8
 
-// MaxRecord is the bytes of a record at most: the largest result that is kept, and what stands before it.
+// MaxRecord is the most bytes of a record: of the largest result that is stored and what stands before it.
 const MaxRecord = 64 << 10
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
 	// ErrIncomplete says that the bytes end within a record: more may come.
-	ErrIncomplete = errors.New("claims: the record is not whole")
+	ErrIncomplete = errors.New("keystore: the record is incomplete")
 	// ErrCorrupt says that the bytes are no record, whatever comes after them.
-	ErrCorrupt = errors.New("claims: the record is damaged")
+	ErrCorrupt = errors.New("keystore: the record is corrupt")
 	// ErrVersion says that a segment is of another version, or of another program.
-	ErrVersion = errors.New("claims: a segment of another version")
+	ErrVersion = errors.New("keystore: a segment of another version")
 )
 
-// Kind says what a record tells of a key.
+// Kind says what a record reports of a key.
 type Kind byte
 
+// The kinds of records, as they are written.
 const (
-	KindStarted   Kind = 1 + iota // its writer holds it, and is about to start its run
-	KindEnded                     // the run is over
+	KindStarted   Kind = 1 + iota // its writer holds the key, and is about to start its run
+	KindEnded                     // the run has ended
 	KindWithdrawn                 // nothing ran: the key is free
 )
 
 // ID stands for a key and its class: the first half of their SHA-256.
 type ID [16]byte
 
-// Record is one thing told of a key.
+// Record reports one event of a key.
 type Record struct {
 	Kind         Kind
 	Seq          uint64 // the order of records over all processes
 	ID           ID
 	ExpiresAt    int64    // Unix nanoseconds after which the record counts no more
-	Fingerprint  [32]byte // Began and Ended: of the request's class and content
-	Succeeded    bool     // Ended: the run went well
+	Fingerprint  [32]byte // KindStarted and KindEnded: of the request's class and content
+	Succeeded    bool     // KindEnded: the run went well
 	ResultStored bool     // and Result is what came of it
-	Protocol     string   // the protocol that understands it; 255 bytes at most
+	Protocol     string   // that can read Result; 255 bytes at most
 	Result       []byte
 }
 
-// Salt is a segment's own number, drawn at random, that goes into its checksums: a result made to look like records is
-// not taken for them where a reader has to look for the next whole one.
+// Salt is a segment's own number, drawn at random, that goes into its checksums: a result that is made to look like records is
+// not taken for them where a reader has to search for the next whole one.
 type Salt uint64
 
-// Header is what a segment begins with.
+// Header returns the header of a segment.
 func Header(s Salt) []byte {
 	return binary.LittleEndian.AppendUint64(append([]byte("SLCL"), Version, 0, 0, 0), uint64(s))
 }
 
-// ParseHeader errs with ErrShort or ErrVersion where b does not begin as a segment of this version does.
+// ParseHeader returns the salt of a segment that begins with b. It returns ErrIncomplete or ErrVersion if b does not begin as a
+// segment of this version does.
 func ParseHeader(b []byte) (Salt, error) {
 	if len(b) < HeaderSize {
 		return 0, ErrIncomplete
@@ -77,10 +79,11 @@
 	return s, nil
 }
 
+// Sizes of records in bytes, without their frames' headers.
 const (
-	fixedSize      = 1 + 8 + 16 + 8 // kind, seq, id, ends
-	startedSize    = fixedSize + 32
-	endedFixedSize = startedSize + 2 // flags and the length of the front's name
+	fixedSize      = 1 + 8 + 16 + 8  // kind, seq, id, expiry: all of a withdrawal
+	startedSize    = fixedSize + 32  // and the fingerprint
+	endedFixedSize = startedSize + 2 // and flags and the length of the protocol's name; the name and the result follow
 )
 
 const (
@@ -107,9 +110,9 @@
 		if r.ResultStored {
 			flags |= flagResultStored
 		}
-		front := r.Protocol[:min(len(r.Protocol), 255)]
-		b = append(b, flags, byte(len(front)))
-		b = append(b, front...)
+		protocol := r.Protocol[:min(len(r.Protocol), 255)]
+		b = append(b, flags, byte(len(protocol)))
+		b = append(b, protocol...)
 		b = append(b, r.Result...)
 	}
 	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-frameHeaderSize))
@@ -117,7 +120,7 @@
 	return b
 }
 
-// checksum is the checksum of a frame: over the salt, its length and its record.
+// checksum is the CRC-32C of a frame: over the salt, the record's length and the record.
 func (s Salt) checksum(frame []byte) uint32 {
 	var salt [8]byte
 	binary.LittleEndian.PutUint64(salt[:], uint64(s))
@@ -125,8 +128,8 @@
 	return crc32.Update(c, castagnoli, frame[frameHeaderSize:])
 }
 
-// DecodeRecord reads the record at the beginning of b and says how many bytes it takes. Result shares b's memory. It errs with
-// ErrShort where the record may go on beyond b, and with ErrDamaged where nothing that follows could make it whole.
+// DecodeRecord reads the record at the beginning of b and returns how many bytes its frame takes. Result shares b's memory. It
+// returns ErrIncomplete if the record may go on beyond b, and ErrCorrupt if nothing that follows could make it whole.
 func (s Salt) DecodeRecord(b []byte) (r Record, n int, err error) {
 	if len(b) < frameHeaderSize {
 		return r, 0, ErrIncomplete
--- a/internal/idempotency/keystore/format/format_test.go
+++ b/internal/idempotency/keystore/format/format_test.go
@@ -14,7 +14,7 @@
 	{Kind: KindWithdrawn, Seq: 1 << 63, ID: ID{255}, ExpiresAt: 1 << 62},
 }
 
-// TestCutAndFlipped: a record reads back as it was; cut at any byte it is not whole; with any bit flipped it is never
+// TestCutAndFlipped: a record reads back as it was; cut at any byte it is incomplete; with any bit flipped it is never
 // taken for a record, nor is it under another segment's salt.
 func TestCutAndFlipped(t *testing.T) {
 	const salt = Salt(99)
@@ -45,16 +45,17 @@
 	}
 }
 
-func TestHead(t *testing.T) {
-	head := Header(12)
-	if s, err := ParseHeader(head); s != 12 || err != nil {
+// TestHeader: a header reads back as it was; a cut one and one of another version are told apart.
+func TestHeader(t *testing.T) {
+	header := Header(12)
+	if s, err := ParseHeader(header); s != 12 || err != nil {
 		t.Errorf("%d, %v", s, err)
 	}
-	if _, err := ParseHeader(head[:HeaderSize-1]); !errors.Is(err, ErrIncomplete) {
+	if _, err := ParseHeader(header[:HeaderSize-1]); !errors.Is(err, ErrIncomplete) {
 		t.Errorf("cut: %v", err)
 	}
-	head[4]++
-	if _, err := ParseHeader(head); !errors.Is(err, ErrVersion) {
+	header[4]++
+	if _, err := ParseHeader(header); !errors.Is(err, ErrVersion) {
 		t.Errorf("of the next version: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/idempotency/keystore/inspect.go
@@ -0,0 +1,67 @@
+package keystore
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"sloehitch/internal/idempotency/keystore/format"
+	"sloehitch/internal/idempotency/keystore/keystate"
+)
+
+// Inspect returns a line of text on each process that has records in dir, as of now: whether it lives, its segments and bytes,
+// the keys that it holds and how many of them run. It waits for the folder's lock and changes nothing. It is for operators, not
+// for the processes themselves.
+func Inspect(dir string, now time.Time) ([]string, error) {
+	f := &folder{dir: dir}
+	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	var err error
+	if f.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR, 0); err == nil {
+		err = f.acquireLock()
+	}
+	if err != nil {
+		return nil, fmt.Errorf("keystore: %w", err)
+	}
+	defer f.close()
+	found, owners, err := f.list()
+	if err != nil {
+		return nil, fmt.Errorf("keystore: %w", err)
+	}
+	for _, seg := range found {
+		owners = append(owners, seg.owner)
+	}
+	slices.Sort(owners)
+	owners = slices.Compact(owners)
+	table := keystate.New()
+	numbers := map[string]int{}
+	segments, bytes := map[string]int{}, map[string]int64{}
+	buffer := make([]byte, readBufferSize)
+	for n, name := range owners {
+		numbers[name] = n
+	}
+	for n, seg := range found {
+		err = errors.Join(err, seg.read(buffer, true, func(r format.Record, _, _ int64) {
+			table.Apply(numbers[seg.owner], r, keystate.Location{Segment: n})
+		}))
+		seg.closeFile()
+		segments[seg.owner]++
+		bytes[seg.owner] += seg.size
+	}
+	counts := table.CountByOwner(now.UnixNano())
+	var lines []string
+	for n, name := range owners {
+		state := "lives"
+		if f.hasExited(name) {
+			state = "has ended"
+		}
+		lines = append(lines, fmt.Sprintf("%s: process %s %s: %d segments, %d bytes, %d keys, %d of them run or have no known end",
+			dir, name, state, segments[name], bytes[name], counts[n].Keys, counts[n].Running))
+	}
+	return lines, err
+}
--- a/internal/idempotency/keystore/keystate/holding.go
+++ b/internal/idempotency/keystore/keystate/table.go
@@ -1,40 +1,40 @@
-// Package keystate keeps who holds which key, as told by the records of several processes, read in any mix of their
-// orders. It decides what counts and does no I/O; the time is told to it.
+// Package keystate keeps who holds which key, from the records of several processes, which may be read in any mix of their
+// orders. It does no I/O and reads no clock.
 package keystate
 
 import "sloehitch/internal/idempotency/keystore/format"
 
-// Location is where a record lies: in which segment (by the reader's number), from which byte, for how many.
+// Location is where a record stands: the segment (by the reader's number), and the offset and size of its frame in bytes.
 type Location struct {
 	Segment      int
 	Offset, Size int64
 }
 
-// Claim is the newest that is known of a key.
+// Claim is the newest record of a key.
 type Claim struct {
 	Kind        format.Kind
-	Owner       int // the process that told it, by the reader's number
+	Owner       int // the process that wrote it, by the reader's number
 	Seq         uint64
-	ExpiresAt   int64
+	ExpiresAt   int64 // Unix nanoseconds
 	Fingerprint [32]byte
 	Location    Location
 }
 
-// Table is what is known of all keys. Its zero value is not for use; New makes one.
+// Table holds the newest record of each key. New makes one. It is not safe for concurrent use.
 type Table struct {
 	claims   map[format.ID]Claim
-	segments map[int][]format.ID // what was told in a segment, so that forgetting one costs what it holds
+	segments map[int][]format.ID // the keys of a segment's records, so that forgetting it costs what it holds
 	seq      uint64
 }
 
-// New returns a table that knows of no key.
+// New returns an empty table.
 func New() *Table {
 	return &Table{claims: map[format.ID]Claim{}, segments: map[int][]format.ID{}}
 }
 
-// Apply takes in a record. Of two on one key the one with the higher number counts, in whatever order they are read:
-// numbers are given out one after another under the lock that all processes share. It says whether the record is now
-// the one that counts.
+// Apply takes in a record that owner wrote, and says whether it is now the newest of its key. Of two records of one key the one
+// with the higher number counts, in whatever order they are read: numbers are given out in sequence under the lock that all
+// processes share.
 func (t *Table) Apply(owner int, r format.Record, at Location) bool {
 	t.seq = max(t.seq, r.Seq)
 	if old, ok := t.claims[r.ID]; ok && old.Seq >= r.Seq {
@@ -45,8 +45,7 @@
 	return true
 }
 
-// Lookup returns the claim that stands on a key at the given time, in Unix nanoseconds: one that was not withdrawn, and
-// whose end has not come.
+// Lookup returns the claim on a key at the given time, in Unix nanoseconds: one that was not withdrawn and has not expired.
 func (t *Table) Lookup(id format.ID, now int64) (Claim, bool) {
 	c, ok := t.claims[id]
 	if !ok || c.Kind == format.KindWithdrawn || c.ExpiresAt < now {
@@ -55,8 +54,8 @@
 	return c, true
 }
 
-// ForgetSegment drops what was told in a segment, but for keys of which another one told more since. Its cost is that of
-// what the segment holds, however many keys there are.
+// ForgetSegment drops the records of a segment. Keys of which another segment has a newer record keep that. It costs by the
+// records of the segment, however many keys there are.
 func (t *Table) ForgetSegment(segment int) {
 	for _, id := range t.segments[segment] {
 		if t.claims[id].Location.Segment == segment {
@@ -66,21 +65,22 @@
 	delete(t.segments, segment)
 }
 
-// ObserveSeq notes the number of a record that the reader told itself.
+// ObserveSeq notes the number of a record that the reader has written itself.
 func (t *Table) ObserveSeq(seq uint64) { t.seq = max(t.seq, seq) }
 
-// LastSeq is the highest number of any record taken in or told.
+// LastSeq is the highest number of any record taken in or observed.
 func (t *Table) LastSeq() uint64 { return t.seq }
 
-// Len is how many keys are known, withdrawn ones included until they are forgotten.
+// Len is the number of known keys, withdrawn and expired ones included until their segments are forgotten.
 func (t *Table) Len() int { return len(t.claims) }
 
 // KeyCount is how many keys a process holds.
 type KeyCount struct {
-	Keys, Running int // that count; of which no end was told
+	Keys    int
+	Running int // of Keys, those without a known end of their run
 }
 
-// CountByOwner returns them by process, at the given time in Unix nanoseconds.
+// CountByOwner returns the keys that each process holds at the given time, in Unix nanoseconds.
 func (t *Table) CountByOwner(now int64) map[int]KeyCount {
 	counts := map[int]KeyCount{}
 	for id := range t.claims {
--- /dev/null
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -0,0 +1,225 @@
+package keystore
+
+import (
+	"errors"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+)
+
+// clock is a clock that tests move.
+type clock struct {
+	mu  sync.Mutex
+	now time.Time
+}
+
+func (c *clock) Now() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.now
+}
+
+func (c *clock) move(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.now = c.now.Add(d)
+}
+
+var start = time.UnixMilli(1764576000000)
+
+func open(t testing.TB, dir string, now func() time.Time, change func(*limits.KeyStore)) *Store {
+	t.Helper()
+	lim := limits.ForKeyStore(64)
+	if change != nil {
+		change(&lim)
+	}
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: lim, Log: standin.Quiet})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	return c
+}
+
+func runRecord(key string) node.RunRecord {
+	return node.RunRecord{Key: key, Class: "book", ArrivedAt: start, Window: 10 * time.Second, Fingerprint: [32]byte{1}, Protocol: "resp"}
+}
+
+// begin records a start and waits for the result.
+func begin(t testing.TB, c *Store, b node.RunRecord) error {
+	t.Helper()
+	done := make(chan error, 1)
+	if err := c.RecordStart(b, func(err error) { done <- err }); err != nil {
+		return err
+	}
+	return wait(t, done)
+}
+
+func wait[T any](t testing.TB, c <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(standin.Patience):
+		t.Fatal("nothing came")
+		panic("unreached")
+	}
+}
+
+// end records a result and waits until it is written: records are written in order.
+func end(t testing.TB, c *Store, b node.RunRecord, result string) {
+	t.Helper()
+	b.Ended, b.Succeeded, b.ResultStored, b.Result = true, true, true, []byte(result)
+	c.RecordEnd(b)
+	settle(t, c)
+}
+
+func settle(t testing.TB, c *Store) {
+	t.Helper()
+	swept := make(chan struct{})
+	c.sweeps <- swept
+	wait(t, swept)
+}
+
+// TestOneProcessHoldsAKey: of two processes only the first to record a start holds the key. The other gets the result of its run, and
+// may have the key once it was withdrawn or has expired.
+func TestOneProcessHoldsAKey(t *testing.T) {
+	dir, now := t.TempDir(), &clock{now: start}
+	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
+	a, b, w := runRecord("a"), runRecord("b"), runRecord("w")
+	for _, k := range []node.RunRecord{a, b, w} {
+		if err := begin(t, old, k); err != nil {
+			t.Fatal(err)
+		}
+		if err := begin(t, next, k); !errors.Is(err, node.ErrKeyHeld) {
+			t.Fatalf("two hold %s: %v", k.Key, err)
+		}
+	}
+	other := a
+	if other.Class = "search"; begin(t, next, other) != nil {
+		t.Error("the same key of another class is not free")
+	}
+	end(t, old, a, "visit 1")
+	if got, ok := next.Lookup(a); !ok || !got.Ended || !got.Succeeded || string(got.Result) != "visit 1" || got.Protocol != "resp" || got.Fingerprint != a.Fingerprint {
+		t.Errorf("the result of the other process: %+v, %v", got, ok)
+	}
+	old.Withdraw(w)
+	settle(t, old)
+	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
+		t.Error("a withdrawn key is not free")
+	}
+	now.move(11*time.Second + 1)
+	if _, ok := next.Lookup(a); ok || begin(t, next, a) != nil {
+		t.Error("a key that has expired is not free")
+	}
+}
+
+// TestNotifyOnChange: a process that waits for a key of another process is notified when its run ends or is withdrawn.
+func TestNotifyOnChange(t *testing.T) {
+	dir, now := t.TempDir(), &clock{now: start}
+	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
+	b, w := runRecord("b"), runRecord("w")
+	notified := make(chan string, 2)
+	for _, k := range []node.RunRecord{b, w} {
+		if err := begin(t, old, k); err != nil {
+			t.Fatal(err)
+		}
+		if got, ok := next.Lookup(k); !ok || got.Ended {
+			t.Fatalf("%s runs elsewhere: %+v, %v", k.Key, got, ok)
+		}
+		next.NotifyOnChange(k, func() { notified <- k.Key })
+	}
+	end(t, old, b, "visit 2")
+	if k := wait(t, notified); k != "b" {
+		t.Errorf("notified of %s", k)
+	}
+	old.Withdraw(w)
+	if k := wait(t, notified); k != "w" {
+		t.Errorf("notified of %s", k)
+	}
+	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
+		t.Error("a withdrawn key is not free")
+	}
+}
+
+// TestExchangeNotes: processes see each other, and the notes that each has left.
+func TestExchangeNotes(t *testing.T) {
+	dir, now := t.TempDir(), &clock{now: start}
+	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
+	if n := old.LiveProcesses(standin.Patience); n != 1 {
+		t.Errorf("the old process sees %d others", n)
+	}
+	if notes := old.ExchangeNotes([]byte("from old")); len(notes) != 1 || len(notes[0]) != 0 {
+		t.Errorf("notes to the old process: %q", notes)
+	}
+	if notes := next.ExchangeNotes([]byte("from next")); len(notes) != 1 || string(notes[0]) != "from old" {
+		t.Errorf("notes to the next process: %q", notes)
+	}
+}
+
+// TestProcessExits: a run that had not ended when its process exited counts as ended without success, and who waits for it is
+// notified. What the process recorded counts until it expires; then its files are gone.
+func TestProcessExits(t *testing.T) {
+	dir, now := t.TempDir(), &clock{now: start}
+	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
+	if err := errors.Join(begin(t, old, runRecord("a")), begin(t, old, runRecord("b"))); err != nil {
+		t.Fatal(err)
+	}
+	end(t, old, runRecord("b"), "visit")
+	notified := make(chan struct{})
+	if _, ok := next.Lookup(runRecord("a")); !ok {
+		t.Fatal("not held")
+	}
+	next.NotifyOnChange(runRecord("a"), func() { close(notified) })
+	if err := old.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if notes := next.ExchangeNotes(nil); len(notes) != 0 {
+		t.Errorf("notes of a process that has exited: %q", notes)
+	}
+	settle(t, next)
+	wait(t, notified)
+	third := open(t, dir, now.Now, nil)
+	for _, c := range []*Store{next, third} {
+		if got, ok := c.Lookup(runRecord("a")); !ok || !got.Ended || got.Succeeded {
+			t.Errorf("unknown end: %+v, %v", got, ok)
+		}
+		if got, ok := c.Lookup(runRecord("b")); !ok || string(got.Result) != "visit" {
+			t.Errorf("a result of an exited process: %+v, %v", got, ok)
+		}
+		if err := begin(t, c, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
+			t.Errorf("a key that may have run: %v", err)
+		}
+	}
+	now.move(11*time.Second + 1)
+	settle(t, third)
+	settle(t, next)
+	left, _ := filepath.Glob(filepath.Join(dir, "*"+logSuffix))
+	alive, _ := filepath.Glob(filepath.Join(dir, "*"+aliveSuffix))
+	if s := next.Stats(); len(left) != 0 || len(alive) != 2 || s.PeerKeys != 0 || s.Bytes != 0 {
+		t.Errorf("left: %v %v %+v", left, alive, s)
+	}
+}
+
+// TestClockSetBack: a clock that is set back frees no key and stops no claim.
+func TestClockSetBack(t *testing.T) {
+	dir, now := t.TempDir(), &clock{now: start}
+	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
+	if err := begin(t, old, runRecord("a")); err != nil {
+		t.Fatal(err)
+	}
+	now.move(-time.Hour)
+	settle(t, old)
+	settle(t, next)
+	if err := begin(t, next, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
+		t.Errorf("a key that is held: %v", err)
+	}
+	if err := begin(t, old, runRecord("b")); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/idempotency/keystore/lookup.go
@@ -0,0 +1,149 @@
+package keystore
+
+import (
+	"errors"
+	"fmt"
+
+	"sloehitch/internal/idempotency/keystore/format"
+	"sloehitch/internal/idempotency/keystore/keystate"
+	"sloehitch/internal/node"
+)
+
+// Lookup returns what another process has recorded of b's key, as of now: whether its run has ended and what came of it. A run
+// whose process exited without recording the end has ended and did not succeed. Lookup reads what the others have written since
+// the last time, as a rule from memory, and waits for no lock but the Store's own.
+func (s *Store) Lookup(b node.RunRecord) (node.RunRecord, bool) {
+	key := keyID(b)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refresh()
+	claim, ok := s.table.Lookup(key, s.opts.Now().UnixNano())
+	if !ok {
+		return node.RunRecord{}, false
+	}
+	found := node.RunRecord{Key: b.Key, Class: b.Class, Fingerprint: claim.Fingerprint, Ended: claim.Kind == format.KindEnded || s.dead[claim.Owner]}
+	if claim.Kind != format.KindEnded {
+		return found, true
+	}
+	seg := s.peerSegments[claim.Location.Segment]
+	r, err := seg.readRecord(claim.Location.Offset, claim.Location.Size)
+	if err != nil || r.ID != key {
+		s.log.Warn("result recorded by another process can't be read", fmt.Errorf("%s: %w", seg.path, err))
+		return found, true
+	}
+	found.Succeeded, found.ResultStored, found.Protocol, found.Result = r.Succeeded, r.ResultStored, r.Protocol, r.Result
+	return found, true
+}
+
+// NotifyOnChange calls done once, from another goroutine, when Lookup may say more of b's key than that it runs elsewhere.
+func (s *Store) NotifyOnChange(b node.RunRecord, done func()) {
+	key := keyID(b)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	claim, ok := s.table.Lookup(key, s.opts.Now().UnixNano())
+	if s.closed {
+		return // this process is about to end
+	}
+	if !ok || claim.Kind == format.KindEnded || s.dead[claim.Owner] {
+		go done()
+		return
+	}
+	s.watchers[key] = append(s.watchers[key], done)
+	s.wakeWriter()
+}
+
+// notifyWatchers calls those who wait for a key.
+func (s *Store) notifyWatchers(key format.ID) {
+	for _, done := range s.watchers[key] {
+		go done()
+	}
+	delete(s.watchers, key)
+}
+
+// refresh reads what others have written since the last time, without the folder's lock: a record that stands whole counts.
+func (s *Store) refresh() {
+	if err := s.readPeers(s.folder.generationChanged()); err != nil {
+		s.log.Warn("key records of another process can't be read", err)
+	}
+}
+
+// readPeers reads on in the others' segments; discover says that there may be new ones. The caller holds mu, or is alone.
+func (s *Store) readPeers(discover bool) error {
+	var errs []error
+	if discover {
+		if err := s.discoverPeers(); err != nil {
+			return err
+		}
+	}
+	for _, seg := range s.peerSegments {
+		if seg.file == nil && seg.size > 0 {
+			continue // read to its end
+		}
+		errs = append(errs, s.readSegment(seg))
+	}
+	return errors.Join(errs...)
+}
+
+// discoverPeers finds new processes and segments.
+func (s *Store) discoverPeers() error {
+	found, owners, err := s.folder.list()
+	if err != nil {
+		return err
+	}
+	for _, name := range owners {
+		s.registerProcess(name)
+	}
+	paths := map[string]bool{}
+	for _, seg := range found {
+		paths[seg.path] = true
+		if !s.knownPaths[seg.path] {
+			s.lastNumber++
+			seg.number = s.lastNumber
+			s.peerSegments[seg.number] = seg
+			s.registerProcess(seg.owner)
+		}
+	}
+	s.knownPaths = paths
+	return nil
+}
+
+// registerProcess gives another process a number.
+func (s *Store) registerProcess(name string) {
+	if _, known := s.processes[name]; !known {
+		s.lastNumber++
+		s.processes[name] = s.lastNumber
+	}
+}
+
+// readSegment takes in what a segment has more than when it was last read.
+func (s *Store) readSegment(seg *segment) error {
+	if s.readBuffer == nil {
+		s.readBuffer = make([]byte, readBufferSize)
+	}
+	owner := s.processes[seg.owner]
+	last := s.superseded(seg) || s.dead[owner] // as of before it is read: nothing is added to it any more
+	skippedBefore := seg.skippedBytes
+	err := seg.read(s.readBuffer, last, func(r format.Record, at, size int64) {
+		seg.expiresAt = max(seg.expiresAt, r.ExpiresAt)
+		if s.table.Apply(owner, r, keystate.Location{Segment: seg.number, Offset: at, Size: size}) && r.Kind != format.KindStarted {
+			s.notifyWatchers(r.ID)
+		}
+	})
+	if last {
+		seg.closeFile()
+	}
+	if seg.skippedBytes > skippedBefore {
+		s.log.Warn("key records of another process are cut or damaged", fmt.Errorf("%s: %d bytes are no records", seg.path, seg.skippedBytes))
+	}
+	return err
+}
+
+// superseded says whether the owner of a segment has begun a later one.
+func (s *Store) superseded(seg *segment) bool {
+	for _, other := range s.peerSegments {
+		if other.owner == seg.owner && other.order > seg.order {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/idempotency/keystore/processes_test.go
@@ -0,0 +1,228 @@
+package keystore
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"os/signal"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+)
+
+// killedKeys is how many keys the processes of TestKilledProcesses claim.
+const killedKeys = 400
+
+// What the test binary is told when it is started as another process.
+const (
+	envFullDisk = "CLAIMS_FULL"  // the folder for claimOnFullDisk
+	envChild    = "CLAIMS_CHILD" // the folder for claimUntilKilled
+	envLog      = "CLAIMS_LOG"
+	envSeed     = "CLAIMS_SEED"
+)
+
+func TestMain(m *testing.M) {
+	if dir := os.Getenv(envFullDisk); dir != "" {
+		claimOnFullDisk(dir)
+	}
+	if dir := os.Getenv(envChild); dir != "" {
+		var seed uint64
+		if _, err := fmt.Sscan(os.Getenv(envSeed), &seed); err != nil {
+			panic(err)
+		}
+		claimUntilKilled(dir, os.Getenv(envLog), seed)
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// claimUntilKilled is one process of TestKilledProcesses: it claims keys in a random order, writes a line for each that it "runs", and
+// the result of each that another process ran, until it is killed.
+func claimUntilKilled(dir, log string, seed uint64) {
+	now := func() time.Time { return start }
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
+	if err != nil {
+		panic(err)
+	}
+	out, err := os.OpenFile(log, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	if err != nil {
+		panic(err)
+	}
+	fmt.Println("ready")
+	for _, k := range rand.New(rand.NewPCG(seed, 0)).Perm(killedKeys) {
+		b := runRecord(fmt.Sprint(k))
+		done := make(chan error, 1)
+		if err := c.RecordStart(b, func(err error) { done <- err }); err != nil {
+			panic(err)
+		}
+		switch err := <-done; {
+		case err == nil:
+			_, _ = fmt.Fprintf(out, "ran %d\n", k)
+			b.Ended, b.Succeeded, b.ResultStored, b.Result = true, true, true, []byte("visit "+b.Key)
+			c.RecordEnd(b)
+		case errors.Is(err, node.ErrKeyHeld):
+			if got, ok := c.Lookup(b); ok && got.Succeeded {
+				_, _ = fmt.Fprintf(out, "answered %d %s\n", k, got.Result)
+			}
+		default:
+			panic(err)
+		}
+	}
+	if err := c.Close(); err != nil {
+		panic(err)
+	}
+	fmt.Println("done")
+}
+
+// claimOnFullDisk is the process of TestFullDisk: its files can't grow beyond a size that cuts a record midway. It writes a line for each
+// key, on whether it holds it.
+func claimOnFullDisk(dir string) {
+	signal.Ignore(syscall.SIGXFSZ) // the write fails then
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 1000, Max: 1000}); err != nil {
+		panic(err)
+	}
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: func() time.Time { return start }, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
+	if err != nil {
+		panic(err)
+	}
+	var group sync.WaitGroup
+	for i := range 40 { // many in one write
+		group.Add(1)
+		if err := c.RecordStart(runRecord(fmt.Sprint(i)), func(err error) {
+			defer group.Done()
+			fmt.Println(map[bool]string{true: "held", false: "not"}[err == nil], i)
+		}); err != nil {
+			panic(err)
+		}
+	}
+	group.Wait()
+	fmt.Println("done")
+	select {} // it lives until it is killed
+}
+
+// TestFullDisk: where the disk is full, a key that a process was told to hold is held, to the others too; one whose record was cut is
+// not, and the error reaches the caller.
+func TestFullDisk(t *testing.T) {
+	dir := t.TempDir()
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), envFullDisk+"="+dir)
+	out, err := cmd.StdoutPipe()
+	if err == nil {
+		err = cmd.Start()
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := cmd.Process.Kill(); err != nil {
+			t.Error(err)
+		}
+		_ = cmd.Wait() // it was killed
+	}()
+	c := open(t, dir, func() time.Time { return start }, nil)
+	counts := map[string]int{}
+	for said := bufio.NewScanner(out); said.Scan() && said.Text() != "done"; {
+		word, key, _ := strings.Cut(said.Text(), " ")
+		counts[word]++
+		if _, held := c.Lookup(runRecord(key)); held != (word == "held") {
+			t.Errorf("key %s: %s, to the other process %v", key, word, held)
+		}
+	}
+	if counts["held"] < 5 || counts["not"] < 5 {
+		t.Errorf("%v: the test shows nothing", counts)
+	}
+}
+
+// claimant is a process that runs claimUntilKilled.
+type claimant struct {
+	*exec.Cmd
+	out *bufio.Scanner
+	log string
+}
+
+func startClaimant(t *testing.T, dir string, n int, seed uint64) claimant {
+	t.Helper()
+	c := claimant{Cmd: exec.Command(os.Args[0]), log: filepath.Join(dir, fmt.Sprint("log", n))}
+	c.Env = append(os.Environ(), envChild+"="+filepath.Join(dir, "keys"), envLog+"="+c.log, fmt.Sprint(envSeed, "=", seed))
+	out, err := c.StdoutPipe()
+	if err == nil {
+		err = c.Start()
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.out = bufio.NewScanner(out)
+	return c
+}
+
+// killAfter kills a claimant as soon as it has written so many lines.
+func (c claimant) killAfter(t *testing.T, lines int) {
+	t.Helper()
+	c.out.Scan() // it is ready
+	for written := 0; written < lines && written < killedKeys; {
+		text, _ := os.ReadFile(c.log)
+		written = strings.Count(string(text), "\n")
+	}
+	if err := c.Process.Kill(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// readLog counts the runs of each key that a claimant has logged, and checks the results that it was given.
+func (c claimant) readLog(t *testing.T, seed uint64, runs map[string]int) {
+	t.Helper()
+	text, _ := os.ReadFile(c.log)
+	for _, line := range strings.Split(string(text), "\n") {
+		words := strings.SplitN(line, " ", 3)
+		switch {
+		case words[0] == "ran" && len(words) == 2:
+			runs[words[1]]++
+		case words[0] == "answered" && words[2] != "visit "+words[1]:
+			t.Errorf("seed %d: key %s was answered %q", seed, words[1], words[2])
+		}
+	}
+}
+
+// TestKilledProcesses: three real processes claim the same keys at once, and two of them are killed at seeded points. No key runs
+// twice, and whoever is answered from a run in another process gets its own result.
+func TestKilledProcesses(t *testing.T) {
+	for seed := range uint64(4) {
+		dir := t.TempDir()
+		random := rand.New(rand.NewPCG(seed, 1))
+		var claimants []claimant
+		for i := range 3 {
+			claimants = append(claimants, startClaimant(t, dir, i, seed*3+uint64(i)))
+		}
+		for _, c := range claimants[:2] {
+			c.killAfter(t, random.IntN(120))
+		}
+		for claimants[2].out.Scan() { // until it ends
+		}
+		runs := map[string]int{}
+		for i, c := range claimants {
+			if err := c.Wait(); i == 2 && err != nil {
+				t.Fatalf("seed %d: the process that was not killed: %v", seed, err)
+			}
+			c.readLog(t, seed, runs)
+		}
+		for k, n := range runs {
+			if n != 1 {
+				t.Errorf("seed %d: key %s ran %d times", seed, k, n)
+			}
+		}
+		// At most one claim of each killed process was not followed by its run.
+		if len(runs) < killedKeys-2 {
+			t.Errorf("seed %d: %d of %d keys ran", seed, len(runs), killedKeys)
+		}
+	}
+}
--- /dev/null
+++ b/internal/idempotency/keystore/sweep.go
@@ -0,0 +1,78 @@
+package keystore
+
+import (
+	"os"
+	"slices"
+)
+
+// Sweep asks for segments whose records have all expired to be dropped, and for a look at which processes have exited. It costs
+// by the number of segments and of the records that are dropped. It does not wait.
+func (s *Store) Sweep() {
+	select {
+	case s.sweeps <- make(chan struct{}):
+	default: // the one before has not begun
+	}
+}
+
+// sweep does what Sweep asks for. The caller holds both locks.
+func (s *Store) sweep() {
+	now := s.opts.Now().UnixNano()
+	for name, number := range s.processes {
+		if !s.dead[number] && s.folder.hasExited(name) {
+			s.dead[number] = true
+		}
+	}
+	s.ownSegments = slices.DeleteFunc(s.ownSegments, func(seg *segment) bool {
+		if seg.expiresAt >= now {
+			return false
+		}
+		seg.closeFile()
+		_ = os.Remove(seg.path)
+		return true
+	})
+	s.forgetProcesses(s.dropPeerSegments(now))
+	for key := range s.watchers {
+		if claim, ok := s.table.Lookup(key, now); !ok || s.dead[claim.Owner] {
+			s.notifyWatchers(key)
+		}
+	}
+	if len(s.peerSegments) == 0 {
+		s.readBuffer = nil
+	}
+}
+
+// dropPeerSegments drops the others' segments that have expired and that nothing is added to, and removes the files of those
+// whose process has exited. It returns the names of the processes that have segments left.
+func (s *Store) dropPeerSegments(now int64) (remaining map[string]bool) {
+	remaining = map[string]bool{}
+	for number, seg := range s.peerSegments {
+		dead := s.dead[s.processes[seg.owner]]
+		if dead && seg.file != nil { // a record that was cut by the process's end stays cut
+			if err := s.readSegment(seg); err != nil {
+				s.log.Warn("key records of another process can't be read", err)
+			}
+		}
+		if seg.expiresAt >= now || seg.foreignVersion || !dead && !s.superseded(seg) && seg.exists() {
+			remaining[seg.owner] = true
+			continue
+		}
+		seg.closeFile()
+		s.table.ForgetSegment(number)
+		delete(s.peerSegments, number)
+		if dead {
+			_ = os.Remove(seg.path)
+		}
+	}
+	return remaining
+}
+
+// forgetProcesses forgets the exited processes that have no segments left.
+func (s *Store) forgetProcesses(remaining map[string]bool) {
+	for name, number := range s.processes {
+		if s.dead[number] && !remaining[name] {
+			s.folder.removeAliveFile(name)
+			delete(s.processes, name)
+			delete(s.dead, number)
+		}
+	}
+}
