--- /dev/null
+++ b/internal/idempotency/compositejournal/compositejournal_test.go
@@ -0,0 +1,137 @@
+package compositejournal
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"sloehitch/internal/node"
+	"sloehitch/internal/testing/standin"
+)
+
+// fakeJournal notes what one of the two was told.
+type fakeJournal struct {
+	name      string
+	told      *[]string                 // by both, in order
+	returned  error                     // by RecordStart
+	result    error                     // that RecordStart passes to done
+	held      map[string]node.RunRecord // by other processes
+	callbacks []func()                  // of starts
+}
+
+func (f *fakeJournal) note(what string, b node.RunRecord) {
+	*f.told = append(*f.told, f.name+" "+what+" "+b.Key)
+}
+
+func (f *fakeJournal) RecordStart(b node.RunRecord, done func(error)) error {
+	if f.returned != nil {
+		return f.returned
+	}
+	f.note("start", b)
+	err := f.result
+	f.callbacks = append(f.callbacks, func() { done(err) })
+	return nil
+}
+func (f *fakeJournal) RecordEnd(b node.RunRecord)                   { f.note("end", b) }
+func (f *fakeJournal) Withdraw(b node.RunRecord)                    { f.note("withdraw", b) }
+func (f *fakeJournal) NotifyOnChange(_ node.RunRecord, done func()) { go done() }
+func (f *fakeJournal) Lookup(b node.RunRecord) (node.RunRecord, bool) {
+	held, ok := f.held[b.Key]
+	return held, ok
+}
+
+// runCallbacks calls done of all starts so far.
+func (f *fakeJournal) runCallbacks() {
+	for len(f.callbacks) > 0 {
+		next := f.callbacks[0]
+		f.callbacks = f.callbacks[1:]
+		next()
+	}
+}
+
+var (
+	errBroken = errors.New("broken")
+	started   = node.RunRecord{Key: "k"}
+	ended     = node.RunRecord{Key: "k", Ended: true}
+)
+
+// journalCase is a sequence of calls; start records the start of the run and calls all callbacks.
+type journalCase struct {
+	name    string
+	play    func(j *Journal, shared, log *fakeJournal, start func())
+	told    string // to the shared journal s and the run log r, in order
+	result  string // of the start
+	backlog int
+}
+
+var journalCases = []journalCase{
+	{"both at once", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); start(); j.RecordEnd(ended) },
+		"s start k, r start k, s end k, r end k", "<nil>", 0},
+	{"the other process holds the key", func(j *Journal, s, r *fakeJournal, start func()) { j.AttachLog(r); s.result = node.ErrKeyHeld; start() },
+		"s start k", node.ErrKeyHeld.Error(), 0},
+	{"the log refuses the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.returned = errBroken; start() }, "s start k", "broken", 0},
+	{"the log fails to write the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.result = errBroken; start() },
+		"s start k, r start k", "broken", 0},
+	{"started, then the log is attached", func(j *Journal, _, r *fakeJournal, start func()) { start(); j.AttachLog(r); r.runCallbacks() },
+		"s start k, r start k", "<nil>", 0},
+	{"started and ended, then the log is attached", func(j *Journal, _, r *fakeJournal, start func()) { start(); j.RecordEnd(ended); j.AttachLog(r) },
+		"s start k, s end k, r end k", "<nil>", 0},
+	{"started and withdrawn, then the log is attached", func(j *Journal, _, r *fakeJournal, start func()) { start(); j.Withdraw(started); j.AttachLog(r) },
+		"s start k, s withdraw k", "<nil>", 0},
+	{"the log is attached and refuses the backlog", func(j *Journal, _, r *fakeJournal, start func()) {
+		start()
+		r.returned = errBroken
+		j.AttachLog(r)
+		r.returned = nil
+		j.RetryBacklog()
+		r.runCallbacks()
+	}, "s start k, r start k", "<nil>", 0},
+	{"the log is attached and fails to write the backlog", func(j *Journal, _, r *fakeJournal, start func()) {
+		start()
+		r.result = errBroken
+		j.AttachLog(r)
+		r.runCallbacks()
+	}, "s start k, r start k", "<nil>", 1},
+	{"the same, but the run has ended meanwhile", func(j *Journal, _, r *fakeJournal, start func()) {
+		start()
+		r.result = errBroken
+		j.AttachLog(r)
+		j.RecordEnd(ended)
+		r.runCallbacks()
+		j.RetryBacklog()
+	}, "s start k, r start k, s end k, r end k", "<nil>", 0},
+}
+
+// TestBothJournals: a start is made once both journals have it. What the run log missed while another process had it, it is told in the
+// end, and nothing that was withdrawn or has ended meanwhile is told wrongly.
+func TestBothJournals(t *testing.T) {
+	for _, c := range journalCases {
+		var told []string
+		shared, log := &fakeJournal{name: "s", told: &told}, &fakeJournal{name: "r", told: &told}
+		j := New(shared, time.Second, standin.Quiet)
+		result := ""
+		c.play(j, shared, log, func() {
+			if err := j.RecordStart(started, func(err error) { result = fmt.Sprint(err) }); err != nil {
+				t.Fatal(err)
+			}
+			shared.runCallbacks()
+			log.runCallbacks()
+		})
+		if got := strings.Join(told, ", "); got != c.told || result != c.result || j.Backlog() != c.backlog {
+			t.Errorf("%s: told %q, result %s, backlog %d; want %q, %s, %d", c.name, got, result, j.Backlog(), c.told, c.result, c.backlog)
+		}
+	}
+}
+
+// TestShouldRestore: the Node is told of what the run log has, but for what another process runs or has recorded a result of.
+func TestShouldRestore(t *testing.T) {
+	var told []string
+	j := New(&fakeJournal{told: &told, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.Quiet)
+	for key, want := range map[string]bool{"runs": false, "served": false, "lost": true, "unknown": true} {
+		if got := j.ShouldRestore(node.RunRecord{Key: key}); got != want {
+			t.Errorf("%s: %v", key, got)
+		}
+	}
+}
