--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -23,18 +23,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Close() })
+	t.Cleanup(func() {
+		if err := s.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	return s, New(s, time.Second, 0, standin.Quiet)
 }
 
-func booking(key string) node.RunRecord {
+func runRecord(key string) node.RunRecord {
 	return node.RunRecord{Key: key, Class: "book", Fingerprint: [32]byte{1, 31: 2}, ArrivedAt: at, Window: time.Minute, RequestID: "\xff" + key, Protocol: "resp"}
 }
 
-func began(t *testing.T, r *Log, key string) {
+// recordStart records a start and waits until it is durable.
+func recordStart(t *testing.T, l *Log, key string) {
 	t.Helper()
 	done := make(chan error, 1)
-	if err := r.RecordStart(booking(key), func(err error) { done <- err }); err != nil {
+	if err := l.RecordStart(runRecord(key), func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-done; err != nil {
@@ -42,10 +47,11 @@
 	}
 }
 
-func all(t *testing.T, r *Log) (list string) {
+// readAll returns the records as text, and checks the fields that every record has in common.
+func readAll(t *testing.T, l *Log) (list string) {
 	t.Helper()
-	if err := r.ForEach(func(b node.RunRecord) {
-		want := booking(b.Key)
+	if err := l.ForEach(func(b node.RunRecord) {
+		want := runRecord(b.Key)
 		want.Ended, want.Succeeded, want.ResultStored, want.Result = b.Ended, b.Succeeded, b.ResultStored, b.Result
 		if !reflect.DeepEqual(b, want) {
 			t.Errorf("%+v, want %+v", b, want)
@@ -57,98 +63,98 @@
 	return list
 }
 
-// TestRecord: what was on record is there after a cut and no more.
-func TestRecord(t *testing.T) {
+// TestRecovery: what was recorded is there after a power cut, and no more.
+func TestRecovery(t *testing.T) {
 	fs := simdisk.New(1)
-	s, r := open(t, fs)
+	s, l := open(t, fs)
 	for _, key := range []string{"a", "b\x00\xff", "c", "d"} {
-		began(t, r, key)
+		recordStart(t, l, key)
 	}
-	ended := booking("a")
+	ended := runRecord("a")
 	ended.Ended, ended.Succeeded, ended.ResultStored, ended.Result = true, true, true, []byte("\x00r\xff")
-	r.RecordEnd(ended)
-	ended = booking("d")
+	l.RecordEnd(ended)
+	ended = runRecord("d")
 	ended.Ended = true
-	r.RecordEnd(ended)
-	r.Withdraw(booking("c"))
+	l.RecordEnd(ended)
+	l.Withdraw(runRecord("c"))
 	if err := s.Put([]byte("other/x"), []byte("not ours"), time.Time{}); err != nil { // in order, so all before is durable
 		t.Fatal(err)
 	}
-	_, r = open(t, fs.Cut(1))
+	_, l = open(t, fs.Cut(1))
 	const want = `"a" true true true "\x00r\xff", "b\x00\xff" false false false "", "d" true false false "", `
-	if got := all(t, r); got != want {
+	if got := readAll(t, l); got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 }
 
-// TestNoRoom: an end or a withdrawal that finds no room is written later, but never behind a newer start of its key.
-func TestNoRoom(t *testing.T) {
+// TestFullDisk: an end or a withdrawal that finds no room is written later, but never behind a newer start of its key.
+func TestFullDisk(t *testing.T) {
 	fs := simdisk.New(1)
-	s, r := open(t, fs)
+	s, l := open(t, fs)
 	for _, key := range []string{"a", "b"} {
-		began(t, r, key)
+		recordStart(t, l, key)
 	}
 	fs.Room = 1
 	done := make(chan error, 1)
-	if err := r.RecordStart(booking("c"), func(err error) { done <- err }); err != nil {
+	if err := l.RecordStart(runRecord("c"), func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-done; !errors.Is(err, ledger.ErrFull) {
 		t.Errorf("a start on a full disk: %v", err)
 	}
-	r.Withdraw(booking("a"))
-	r.Withdraw(booking("b"))
-	standin.WaitFor(t, "both have failed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.failedWrites) == 2 })
+	l.Withdraw(runRecord("a"))
+	l.Withdraw(runRecord("b"))
+	standin.WaitFor(t, "both have failed", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(l.failedWrites) == 2 })
 	fs.Room = 0
-	began(t, r, "b")
-	r.RetryFailed()
+	recordStart(t, l, "b")
+	l.RetryFailed()
 	if err := s.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	if got := all(t, r); got != `"b" false false false "", ` {
+	if got := readAll(t, l); got != `"b" false false false "", ` {
 		t.Errorf("%s", got)
 	}
 }
 
-// TestLateFailure: a withdrawal that turns out to have failed while a newer start of its key is on its way is not tried again: it would have
-// that start forgotten.
+// TestLateFailure: a withdrawal that turns out to have failed while a newer start of its key is being written is not repeated: it would
+// have that start forgotten.
 func TestLateFailure(t *testing.T) {
-	_, r := open(t, simdisk.New(1))
+	_, l := open(t, simdisk.New(1))
 	withdrawal := &ledger.Batch{}
 	withdrawal.Delete([]byte(keyPrefix + "a"))
-	r.newestWrite["a"] = withdrawal // on its way
+	l.newestWrite["a"] = withdrawal // being written
 	hold, entered := make(chan struct{}), make(chan struct{})
-	if err := r.RecordStart(booking("first"), func(error) { close(entered); <-hold }); err != nil { // keeps later answers back
+	if err := l.RecordStart(runRecord("first"), func(error) { close(entered); <-hold }); err != nil { // keeps later callbacks back
 		t.Fatal(err)
 	}
 	<-entered
 	done := make(chan error, 1)
-	if err := r.RecordStart(booking("a"), func(err error) { done <- err }); err != nil {
+	if err := l.RecordStart(runRecord("a"), func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
-	r.writeReturned("a", withdrawal, ledger.ErrNotWritten)
-	r.RetryFailed()
+	l.writeReturned("a", withdrawal, ledger.ErrNotWritten)
+	l.RetryFailed()
 	close(hold)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	r.RetryFailed()
-	if err := r.store.Sync(); err != nil {
+	l.RetryFailed()
+	if err := l.store.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	if got := all(t, r); !strings.Contains(got, `"a" false`) || len(r.newestWrite)+len(r.failedWrites) != 0 {
-		t.Errorf("%s; %d on their way, %d to be tried again", got, len(r.newestWrite), len(r.failedWrites))
+	if got := readAll(t, l); !strings.Contains(got, `"a" false`) || len(l.newestWrite)+len(l.failedWrites) != 0 {
+		t.Errorf("%s; %d being written, %d to be written again", got, len(l.newestWrite), len(l.failedWrites))
 	}
 }
 
-// TestBadRecord: a record that can't be read is an error, not a booking less.
-func TestBadRecord(t *testing.T) {
-	s, r := open(t, simdisk.New(1))
+// TestCorruptRecord: a record that can't be read is an error, not a record less.
+func TestCorruptRecord(t *testing.T) {
+	s, l := open(t, simdisk.New(1))
 	for _, value := range []string{"\xff\xff", "", "\x08\x01"} {
 		if err := s.Put([]byte(keyPrefix+"k"), []byte(value), time.Time{}); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.ForEach(func(node.RunRecord) {}); err == nil || !strings.Contains(err.Error(), `"k"`) {
+		if err := l.ForEach(func(node.RunRecord) {}); err == nil || !strings.Contains(err.Error(), `"k"`) {
 			t.Errorf("%q: %v", value, err)
 		}
 	}
