--- a/internal/idempotency/keystore/format/format_test.go
+++ b/internal/idempotency/keystore/format/format_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/hex"
 	"errors"
 	"reflect"
 	"testing"
@@ -59,3 +60,21 @@
 		t.Errorf("of the next version: %v", err)
 	}
 }
+
+// TestStoredForm: the bytes that processes of other versions of this program read.
+func TestStoredForm(t *testing.T) {
+	const salt = Salt(99)
+	if got, want := hex.EncodeToString(Header(salt)), "534c434c010000006300000000000000"; got != want {
+		t.Errorf("header %s, want %s", got, want)
+	}
+	for i, want := range []string{
+		"41000000b00733a90101000000000000000100000000000000000000000000000005000000000000000700000000000000000000000000000000000000000000000000000000000000",
+		"4f00000031c7c95202020000000000000001000000000000000000000000000000050000000000000007000000000000000000000000000000000000000000000000000000000000000304726573707669736974203132",
+		"430000003300eb0802030000000000000002000000000000000000000000000000ffffffffffffffff00000000000000000000000000000000000000000000000000000000000000000000",
+		"210000005faee905030000000000000080ff0000000000000000000000000000000000000000000040",
+	} {
+		if got := hex.EncodeToString(salt.AppendRecord(nil, records[i])); got != want {
+			t.Errorf("record %d: %s, want %s", i, got, want)
+		}
+	}
+}
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -159,3 +159,29 @@
 		}
 	}
 }
+
+// TestStoredForm: the bytes on the ledger that other versions of this program read.
+func TestStoredForm(t *testing.T) {
+	s, l := open(t, simdisk.New(1))
+	recordStart(t, l, "a")
+	ended := runRecord("b")
+	ended.Ended, ended.Succeeded, ended.ResultStored, ended.Result = true, true, true, []byte("r")
+	l.RecordEnd(ended)
+	if err := s.Sync(); err != nil {
+		t.Fatal(err)
+	}
+	var got []string
+	if err := s.Scan([]byte("booking/"), func(p ledger.Pair) error {
+		got = append(got, fmt.Sprintf("%s %x", p.Key, p.Value))
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	want := []string{
+		"booking/a 08011204626f6f6b1a20010000000000000000000000000000000000000000000000000000000000000220c0c4aaedf59b91032a02ff6138808ece1c520472657370",
+		"booking/b 08021204626f6f6b1a20010000000000000000000000000000000000000000000000000000000000000220c0c4aaedf59b91032a02ff62300138808ece1c40014a0172520472657370",
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%s, want %s", got, want)
+	}
+}
