--- a/internal/handover/discount.go
+++ b/internal/handover/discount.go
@@ -2,21 +2,27 @@
 
 import "sloehitch/logic"
 
-// maxSamples is how many samples what was learned counts for in a new server: enough to begin with, few enough that what it
-// sees itself outweighs them within as many again.
+// maxSamples is how many samples a learned average counts for in a new server: enough to begin with, and outweighed by what the
+// server measures itself within as many samples again.
 const maxSamples = 4
 
-// maxObjectiveShare is the part of its class's aim that a run time may be at a start. What was learned in a storm says that
-// nothing can be answered in time; a server that believed it would turn away what shows that the storm is over.
+// maxObjectiveShare is the most that a learned run time may be at a start, as a share of its class's latency objective. What was
+// learned under overload says that no request meets its objective; a server that took it over would shed the very requests that
+// show that the overload is over.
 const maxObjectiveShare = 0.5
 
-// Discount is what of the learned a new server is to begin with: the means as they are, but none that would keep it from
-// starting anything, and each for a few samples only.
+// Discount returns what a new server with these settings begins with of what an earlier one has learned:
+//
+//	samples of an average         = min(samples, maxSamples)
+//	mean run time of a class      = min(mean, maxObjectiveShare * latency objective)
+//	its covariance with the hint  scaled as the mean run time of hinted runs was
+//
+// All else is taken over as it is. Classes that the settings do not name are left out.
 func Discount(l logic.LearnedState, s logic.Settings) logic.LearnedState {
-	brief := func(a logic.Average) logic.Average {
+	limitSamples := func(a logic.Average) logic.Average {
 		return logic.Average{Mean: a.Mean, Samples: min(a.Samples, maxSamples)}
 	}
-	l.CompletionGap, l.CallTime, l.RejectedShare = brief(l.CompletionGap), brief(l.CallTime), brief(l.RejectedShare)
+	l.CompletionGap, l.CallTime, l.RejectedShare = limitSamples(l.CompletionGap), limitSamples(l.CallTime), limitSamples(l.RejectedShare)
 	classes := map[string]logic.Estimate{}
 	for _, c := range s.Classes {
 		e, ok := l.Classes[c.Name]
@@ -24,13 +30,12 @@
 			continue
 		}
 		most := maxObjectiveShare * float64(c.LatencyObjective)
-		// The line through hints and run times is drawn lower as a whole: its slope says how work differs, not how
-		// slow it is.
+		// The line through hints and run times is lowered as a whole: its slope says how requests differ, not how slow they are.
 		if e.HintedRunTime.Mean > most && e.HintedRunTime.Mean > 0 {
 			e.Covariance *= most / e.HintedRunTime.Mean
 		}
 		e.RunTime.Mean, e.HintedRunTime.Mean = min(e.RunTime.Mean, most), min(e.HintedRunTime.Mean, most)
-		e.RunTime, e.HintedRunTime, e.Hint = brief(e.RunTime), brief(e.HintedRunTime), brief(e.Hint)
+		e.RunTime, e.HintedRunTime, e.Hint = limitSamples(e.RunTime), limitSamples(e.HintedRunTime), limitSamples(e.Hint)
 		classes[c.Name] = e
 	}
 	l.Classes = classes
--- a/internal/handover/discount_test.go
+++ b/internal/handover/discount_test.go
@@ -8,8 +8,8 @@
 
 const ms = logic.Micros(1000)
 
-// calm offers a server short work that its cores have room for, and returns how much it served of it.
-func calm(t *testing.T, cfg logic.Settings, learned *logic.LearnedState) (served int) {
+// serveLightLoad offers a server short requests that its cores have capacity for, and returns how many it served.
+func serveLightLoad(t *testing.T, cfg logic.Settings, learned *logic.LearnedState) (served int) {
 	t.Helper()
 	s, err := logic.New(cfg, 1)
 	if err != nil {
@@ -43,26 +43,26 @@
 	return served
 }
 
-// TestStormIntoCalm: what was learned in a storm, when no run came near its aim, does not keep a new server from
-// serving a calm; untempered it does. What was learned in a calm changes nothing.
-func TestStormIntoCalm(t *testing.T) {
+// TestDiscount: what was learned under overload, when no run came near its latency objective, does not keep a new server from serving a
+// light load; without the discount it does. What was learned under a light load changes nothing.
+func TestDiscount(t *testing.T) {
 	cfg := logic.Settings{Cores: 2, MemoryKB: 1e6, MaxConcurrencyPerCore: 5, StepInterval: 5 * ms, Classes: []logic.Class{
 		{Name: "book", LatencyObjective: 1000 * ms, ClientTimeout: 4000 * ms, PriorityWeight: 1}}}
-	storm := logic.LearnedState{RunLimit: 9, RejectedShare: logic.Average{Mean: 0.95, Samples: 5000}, Classes: map[string]logic.Estimate{"book": {
+	overload := logic.LearnedState{RunLimit: 9, RejectedShare: logic.Average{Mean: 0.95, Samples: 5000}, Classes: map[string]logic.Estimate{"book": {
 		RunTime: logic.Average{Mean: 3e6, Samples: 5000}, HintedRunTime: logic.Average{Mean: 3e6, Samples: 5000}, Hint: logic.Average{Mean: 4e5, Samples: 5000}, Covariance: 8e11, HintVariance: 1e11}}}
-	mild := logic.LearnedState{RunLimit: 3, Classes: map[string]logic.Estimate{"book": {RunTime: logic.Average{Mean: 2e4, Samples: 50}}}}
-	fresh := calm(t, cfg, nil)
-	tempered, told := Discount(storm, cfg), Discount(mild, cfg)
-	if got := calm(t, cfg, &tempered); got < fresh-2 {
-		t.Errorf("after a storm %d served, a server that knows nothing %d", got, fresh)
+	light := logic.LearnedState{RunLimit: 3, Classes: map[string]logic.Estimate{"book": {RunTime: logic.Average{Mean: 2e4, Samples: 50}}}}
+	fresh := serveLightLoad(t, cfg, nil)
+	afterOverload, afterLight := Discount(overload, cfg), Discount(light, cfg)
+	if got := serveLightLoad(t, cfg, &afterOverload); got < fresh-2 {
+		t.Errorf("after an overload %d served, a server that knows nothing %d", got, fresh)
 	}
-	if got := calm(t, cfg, &storm); got > fresh-2 {
-		t.Errorf("untempered %d of %d served: this test shows nothing", got, fresh)
+	if got := serveLightLoad(t, cfg, &overload); got > fresh-2 {
+		t.Errorf("without the discount %d of %d served: this test shows nothing", got, fresh)
 	}
-	if got := calm(t, cfg, &told); got < fresh {
-		t.Errorf("after a calm %d served, a server that knows nothing %d", got, fresh)
+	if got := serveLightLoad(t, cfg, &afterLight); got < fresh {
+		t.Errorf("after a light load %d served, a server that knows nothing %d", got, fresh)
 	}
-	if e := told.Classes["book"]; e.RunTime.Mean != 2e4 || e.RunTime.Samples != maxSamples {
-		t.Errorf("a mild mean is changed: %+v", e)
+	if e := afterLight.Classes["book"]; e.RunTime.Mean != 2e4 || e.RunTime.Samples != maxSamples {
+		t.Errorf("a mean below the objective is changed: %+v", e)
 	}
 }
--- a/internal/handover/quota.go
+++ b/internal/handover/quota.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// Load is what a process has in hand, as it tells the other processes of its node.
+// Load is what a process has in flight, as it tells the other processes of its node.
 type Load struct {
 	Running, Queued int // requests
 	Connections     int // of callers
 }
 
-// EncodedLoadSize is the bytes of a Load, the same for all.
+// EncodedLoadSize is the bytes of an encoded Load.
 const EncodedLoadSize = 12
 
-// Encode are what another process reads with ParseLoad.
+// Encode returns the bytes that ParseLoad reads: the three numbers, 4 bytes each, little-endian.
 func (l Load) Encode() []byte {
 	b := make([]byte, 0, EncodedLoadSize)
 	for _, v := range []int{l.Running, l.Queued, l.Connections} {
@@ -23,7 +23,7 @@
 	return b
 }
 
-// ParseLoad reads a Load. false: there is none (a process that has told nothing yet).
+// ParseLoad reads an encoded Load. It returns false if there is none: the process has told nothing yet.
 func ParseLoad(b []byte) (l Load, ok bool) {
 	if len(b) != EncodedLoadSize {
 		return l, false
@@ -34,25 +34,34 @@
 	return l, true
 }
 
-// Quota are what one of a node's processes may take.
+// Quota is what one of a node's processes may use.
 type Quota struct {
-	CPUFraction    float64 // part of what the cores survive at once, and of the memory for requests: above 0, at most 1
-	MemoryFraction float64 // part of the process's own memory
+	CPUFraction    float64 // of the concurrency that the node's cores survive, and of the memory for requests: above 0, at most 1
+	MemoryFraction float64 // of the process's own memory
 	Connections    int     // of callers
 }
 
-// minCPUFraction is the part of the cores that a process has however little it has in hand: what comes next must be able to
-// start before the parts are found anew.
-const minCPUFraction = 0.125
+const (
+	// minCPUFraction is the CPU fraction of a process that has nothing in flight: its next requests must be able to start before
+	// the quotas are computed anew.
+	minCPUFraction = 0.125
+	// maxReservedProcesses bounds the other processes for which minCPUFraction is reserved.
+	maxReservedProcesses = 4
+	// minConnectionsDivisor is the part of the connections that each process may keep: new callers must find a way in.
+	minConnectionsDivisor = 8
+)
 
-// ComputeQuota says what a process may take of a node's means while others of the node live. connections is what the node may
-// have.
+// ComputeQuota returns what a process may use of the node while others of the node live. connections is the limit of the node.
+//
+//	demand         = running + queued + 1
+//	CPUFraction    = own demand / demand of all, from minCPUFraction to 1 - minCPUFraction * others (at most 4 of them)
+//	MemoryFraction = 1 / processes
+//	Connections    = connections - those of the others, at least connections/8
 //
-// Cores go by what each has in hand: work that waits is worth the same wherever it came in, and the process that
-// leaves needs less and less by itself. (Not taken: all to the new one, which would let what the old one holds run out
-// of time; halves, which would leave cores idle at both ends of the hand-over.) Their own memory is halved: each needs
-// about the same, whatever it has in hand. Connections are what the others leave: those that are open can't be taken
-// from them, and every process can keep an eighth, so that new callers find a way in.
+// CPU goes by what each process has in flight: work that waits has the same weight wherever it came in, and the process that
+// shuts down needs less and less by itself. (All for the new one would let the old one's requests time out; halves would leave
+// cores idle at both ends of the hand-over.) Each needs about the same memory, whatever it has in flight. Open connections can't
+// be taken from the others.
 func ComputeQuota(own Load, others []Load, connections int) Quota {
 	demand := func(l Load) float64 { return float64(l.Running+l.Queued) + 1 }
 	sum, open := demand(own), 0
@@ -63,7 +72,7 @@
 	if len(others) == 0 {
 		return Quota{CPUFraction: 1, MemoryFraction: 1, Connections: connections}
 	}
-	most := 1 - minCPUFraction*float64(min(len(others), 4))
-	return Quota{CPUFraction: min(most, max(minCPUFraction, demand(own)/sum)), MemoryFraction: 1 / float64(len(others)+1),
-		Connections: max(connections/8, connections-open)}
+	maxCPUFraction := 1 - minCPUFraction*float64(min(len(others), maxReservedProcesses))
+	return Quota{CPUFraction: min(maxCPUFraction, max(minCPUFraction, demand(own)/sum)), MemoryFraction: 1 / float64(len(others)+1),
+		Connections: max(connections/minConnectionsDivisor, connections-open)}
 }
--- a/internal/handover/quota_test.go
+++ b/internal/handover/quota_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-func TestShare(t *testing.T) {
+// TestComputeQuota: the quota of a process by what it and the others have in flight.
+func TestComputeQuota(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		own    Load
@@ -17,7 +18,7 @@
 		{"alone", Load{Running: 30, Connections: 90}, nil, Quota{1, 1, 100}},
 		{"new beside a busy one", Load{}, []Load{{Running: 26, Queued: 13, Connections: 80}}, Quota{minCPUFraction, 0.5, 20}},
 		{"busy beside a new one", Load{Running: 26, Queued: 13, Connections: 80}, []Load{{}}, Quota{1 - minCPUFraction, 0.5, 100}},
-		{"as much in hand", Load{Running: 5, Queued: 4}, []Load{{Running: 9}}, Quota{0.5, 0.5, 100}},
+		{"as much in flight", Load{Running: 5, Queued: 4}, []Load{{Running: 9}}, Quota{0.5, 0.5, 100}},
 		{"the other holds all connections", Load{}, []Load{{Connections: 100}}, Quota{0.5, 0.5, 12}},
 		{"one of three", Load{Running: 1}, []Load{{Running: 2}, {}}, Quota{2.0 / 6, 1.0 / 3, 100}},
 	} {
@@ -27,11 +28,11 @@
 	}
 }
 
-// TestShares: whatever two processes have in hand, their parts of the cores are together what there is, none is left
-// with nothing, and who has more in hand has no less.
-func TestShares(t *testing.T) {
+// TestQuotasAddUp: whatever two processes have in flight, their CPU fractions add up to 1, none is below the minimum, and the one with
+// more in flight has no less.
+func TestQuotasAddUp(t *testing.T) {
 	load := rapid.Custom(func(t *rapid.T) Load {
-		return Load{Running: rapid.IntRange(0, 500).Draw(t, "running"), Queued: rapid.IntRange(0, 500).Draw(t, "held")}
+		return Load{Running: rapid.IntRange(0, 500).Draw(t, "running"), Queued: rapid.IntRange(0, 500).Draw(t, "queued")}
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := load.Draw(t, "a"), load.Draw(t, "b")
--- a/internal/handover/shutdown.go
+++ b/internal/handover/shutdown.go
@@ -1,36 +1,41 @@
-// Package handover decides how a process hands its work to the one that replaces it. It does no I/O and reads no
-// clock: what a process sees goes in, what it is to do comes out.
+// Package handover decides how a process hands its work over to the one that replaces it: how it shuts down (PlanShutdown), how
+// both share the node's resources (ComputeQuota), and what the new one takes over of what the old one has learned (Snapshot,
+// Validate, Discount). It does no I/O and reads no clock.
 package handover
 
 import "time"
 
-// ShutdownConditions is what a process sees when it is told to leave.
+// ShutdownConditions are what a process sees when it is told to shut down.
 type ShutdownConditions struct {
-	InheritedListener bool          // clients come from a listener that the platform holds
-	OtherProcesses    int           // other processes of this node that live
-	DrainGrace        time.Duration // after the notice, within which what arrives may still run
-	SafetyMargin      time.Duration // kept before the grace's end and before the kill
-	StopTimeout       time.Duration // until the kill
+	InheritedListener bool          // the platform holds the clients' listener and passes it on
+	OtherProcesses    int           // of this node, that live
+	DrainGrace        time.Duration // after the notice, within which a request that arrives may still be started
+	SafetyMargin      time.Duration // kept before the end of DrainGrace
+	StopTimeout       time.Duration // from the notice until the kill
 }
 
-// ShutdownPlan is how a process leaves.
+// ShutdownPlan is how a process shuts down.
 type ShutdownPlan struct {
-	// KeepAdvertised: callers are not told to stay away from the node, nor its registry that it closes, as another process
+	// KeepAdvertised: callers are not told to stay away from the node, nor the directory that it closes, as another process
 	// serves it. Only their connections move.
-	KeepAdvertised     bool
-	CloseListenerAfter time.Duration // from the notice until the process takes no more connections and asks callers to close theirs
+	KeepAdvertised bool
+	// CloseListenerAfter is the time from the notice until the process accepts no more connections and asks callers to close
+	// theirs.
+	CloseListenerAfter time.Duration
 }
 
-// PlanShutdown says how to leave. A node that ends is to be known as ending before it shuts: callers learn of it late, and
-// what they send until then is served. A process that is replaced shuts at once: its clients' next connections wait in
-// the listener's queue for the other process. To tell callers to stay away would empty the node, not the process; the
-// cores would stand idle until callers trust it again.
+// PlanShutdown says how a process shuts down:
 //
-// Where the listener is inherited and nobody else lives, no connection would be taken any more: then it is as where
-// the node ends.
-func PlanShutdown(s ShutdownConditions) ShutdownPlan {
-	if s.InheritedListener && s.OtherProcesses > 0 {
+//	replaced: listener inherited, another process lives   keep advertised, close the listener at once
+//	otherwise                                             close it after min(DrainGrace - SafetyMargin, StopTimeout/2), at least 0
+//
+// A node that ends is to be known as ending before it closes: callers hear of it late, and what they send until then is served.
+// A process that is replaced closes at once: its clients' next connections wait in the listener's queue for the other process. If
+// callers were told to stay away, the node would be empty, not the process: its cores would idle until callers trust it again.
+// Where the listener is inherited and no other process lives, nobody would accept connections any more: then the node ends.
+func PlanShutdown(c ShutdownConditions) ShutdownPlan {
+	if c.InheritedListener && c.OtherProcesses > 0 {
 		return ShutdownPlan{KeepAdvertised: true}
 	}
-	return ShutdownPlan{CloseListenerAfter: max(0, min(s.DrainGrace-s.SafetyMargin, s.StopTimeout/2))}
+	return ShutdownPlan{CloseListenerAfter: max(0, min(c.DrainGrace-c.SafetyMargin, c.StopTimeout/2))}
 }
--- a/internal/handover/snapshotfile/snapshotfile.go
+++ b/internal/handover/snapshotfile/snapshotfile.go
@@ -1,4 +1,4 @@
-// Package snapshotfile holds the file in which a process leaves a snapshot for the one that replaces it.
+// Package snapshotfile reads and writes the file in which a process leaves a snapshot for the one that replaces it.
 package snapshotfile
 
 import (
@@ -11,17 +11,17 @@
 	"sloehitch/internal/handover"
 )
 
-// Path is the file of a node in dir, which its processes share.
+// Path returns the path of a node's file in dir, which its processes share.
 func Path(dir, name string) string { return filepath.Join(dir, "sloehitch-"+name+"-learned") }
 
-// Write puts a snapshot in the file's place. Whoever reads at the same time, or after a kill midway, finds the one
-// before or the new one, whole. Nothing is flushed to a disk: the file is to outlive a process, not a machine.
+// Write replaces the file. Whoever reads at the same time, or after a kill midway, finds the snapshot before or the new one,
+// never a part. Nothing is flushed to disk: the file is to outlive a process, not a machine.
 func Write(path string, s handover.Snapshot) error {
 	text, err := handover.Marshal(s)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	// Each writer has a file of its own: several may write at once, in one process, or in two that don't see each other's numbers.
+	// Each writer has a file of its own: several may write at once, in one process or in two.
 	next, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -30,7 +30,7 @@
 	if err = errors.Join(err, next.Close()); err == nil {
 		err = os.Rename(next.Name(), path)
 	}
-	if err != nil { // a full folder: leave no part of it
+	if err != nil { // leave no part of it in a full folder
 		return errors.Join(fmt.Errorf("snapshot: %w", err), os.Remove(next.Name()))
 	}
 	return nil
@@ -42,7 +42,7 @@
 	if err != nil {
 		return handover.Snapshot{}, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	text, err := io.ReadAll(io.LimitReader(f, handover.MaxSnapshotBytes+1))
 	if err != nil {
 		return handover.Snapshot{}, fmt.Errorf("snapshot: %w", err)
