--- /dev/null
+++ b/internal/node/keytable.go
@@ -0,0 +1,137 @@
+package node
+
+import (
+	"crypto/sha256"
+	"time"
+
+	"sloehitch/internal/platform/limits"
+)
+
+// keyEntry is what this process knows of one key: the attempt that owns it and, once that was started, its run.
+type keyEntry struct {
+	owner       *request
+	fingerprint [sha256.Size]byte
+	started     bool
+	arrivedAt   time.Time     // of the attempt that was started, as its caller told it
+	window      time.Duration // of its class, from arrivedAt
+	finished    bool          // the run has ended
+	succeeded   bool          // and its result may be given to retries
+	restored    bool          // it ran in an earlier process
+	result      []byte
+	coalesced   []*request // attempts that wait for the run's end
+}
+
+// retentionSlacks is how many times limits.KeyWindowSlack an entry is retained beyond its window: attempts are told apart by when
+// they reached the machine, and may be read seconds after that.
+const retentionSlacks = 20
+
+// KeyRetentionMargin is for how long beyond its window a key is retained, here and in the journals.
+func KeyRetentionMargin(l limits.Limits) time.Duration { return retentionSlacks * l.KeyWindowSlack }
+
+// keyTable maps idempotency keys to their runs. It is bounded in entries and in bytes of results. The Node's lock guards it.
+type keyTable struct {
+	entries         map[string]*keyEntry
+	maxEntries      int
+	freeResultBytes int
+	slack           time.Duration // added to each window
+	window          func(class int) time.Duration
+}
+
+func newKeyTable(maxEntries, maxResultBytes int, slack time.Duration, window func(class int) time.Duration) *keyTable {
+	return &keyTable{entries: map[string]*keyEntry{}, maxEntries: maxEntries, freeResultBytes: maxResultBytes, slack: slack, window: window}
+}
+
+// inWindow says whether an attempt that arrived at the given time belongs to the entry: always, while nothing was started.
+func (e *keyEntry) inWindow(arrivedAt time.Time, slack time.Duration) bool {
+	return !e.started || arrivedAt.Before(e.arrivedAt.Add(e.window+slack))
+}
+
+// lookup returns the entry that an attempt belongs to, or nil.
+func (t *keyTable) lookup(r *request) *keyEntry {
+	e := t.entries[r.IdempotencyKey]
+	if e == nil || !e.inWindow(r.ArrivedAt, t.slack) {
+		return nil
+	}
+	return e
+}
+
+// original returns the attempt that the given one repeats. Where there is none it claims the key and returns nil.
+func (t *keyTable) original(r *request) *request {
+	if e := t.lookup(r); e != nil {
+		if e.owner == r {
+			return nil
+		}
+		return e.owner
+	}
+	t.claim(r)
+	return nil
+}
+
+// claim makes an attempt the owner of its key unless another one was started. It returns the key's entry, or nil if the table
+// has no room for one.
+func (t *keyTable) claim(r *request) *keyEntry {
+	e := t.lookup(r)
+	switch {
+	case e == nil && t.entries[r.IdempotencyKey] == nil && len(t.entries) >= t.maxEntries:
+		return nil
+	case e == nil:
+		e = &keyEntry{owner: r, fingerprint: r.fingerprint}
+		t.remove(r.IdempotencyKey) // one whose window has passed
+		t.entries[r.IdempotencyKey] = e
+	case !e.started:
+		e.owner = r
+	}
+	return e
+}
+
+// started says whether some attempt under r's key was started within its window.
+func (t *keyTable) started(r *request) bool {
+	e := t.lookup(r)
+	return e != nil && e.started
+}
+
+// release takes an attempt of which nothing ran off the table. If it owned its key, the key is free and the attempts that
+// waited for it are returned.
+func (t *keyTable) release(r *request) []*request {
+	e := t.entries[r.IdempotencyKey]
+	if r.IdempotencyKey == "" || e == nil {
+		return nil
+	}
+	for i, w := range e.coalesced {
+		if w == r {
+			e.coalesced = append(e.coalesced[:i], e.coalesced[i+1:]...)
+			break
+		}
+	}
+	if e.owner != r || e.started {
+		return nil
+	}
+	t.remove(r.IdempotencyKey)
+	return e.coalesced
+}
+
+// expire drops finished entries that no attempt still to be read can belong to.
+func (t *keyTable) expire(now time.Time) {
+	for key, e := range t.entries {
+		if e.started && e.finished && now.After(e.arrivedAt.Add(e.window+retentionSlacks*t.slack)) {
+			t.remove(key)
+		}
+	}
+}
+
+// storeResult keeps a result for retries. It returns false if the result is longer than maxBytes or there is no room for it.
+func (t *keyTable) storeResult(e *keyEntry, result []byte, maxBytes int) bool {
+	if len(result) > min(maxBytes, t.freeResultBytes) {
+		return false
+	}
+	t.freeResultBytes -= len(result)
+	e.result = result
+	return true
+}
+
+func (t *keyTable) remove(key string) {
+	if e := t.entries[key]; e != nil {
+		t.freeResultBytes += len(e.result)
+		delete(t.entries, key)
+	}
+}
--- /dev/null
+++ b/internal/node/run.go
@@ -0,0 +1,136 @@
+package node
+
+import (
+	"time"
+
+	"sloehitch/internal/admission"
+	"sloehitch/logic"
+)
+
+// apply carries out a decision on a request in flight.
+func (n *Node) apply(r *request, d admission.Decision) {
+	switch d.Kind {
+	case admission.Run:
+		n.startOrResume(r)
+	case admission.Reject:
+		n.answerDecided(r, Response{Status: StatusRejected, RetryAfter: d.Duration, NoFailover: d.NoFailover})
+	case admission.Fail:
+		n.answerDecided(r, Response{Status: StatusFailed})
+	case admission.Stop:
+		n.stopRun(r)
+	case admission.Coalesce:
+		n.coalesce(r)
+	case admission.StoreKey:
+		if r.IdempotencyKey != "" {
+			n.keys.claim(r)
+		}
+	case admission.DeleteKey:
+		n.releaseKey(r)
+	case admission.MakeCall:
+		n.startCall(r, d.Duration)
+	case admission.SkipCall:
+		n.skipCall(r)
+	}
+}
+
+// answerDecided answers a request as admission decided, and removes it if nothing of it runs.
+func (n *Node) answerDecided(r *request, a Response) {
+	if r.stage == stageRecording {
+		n.withdrawStart(r, a)
+		return
+	}
+	if a.Status == StatusRejected && r.stage == stageQueued && n.moveElsewhere(r) {
+		return
+	}
+	n.respond(r, a)
+	if r.stage == stageQueued || r.stage == stageCoalesced {
+		n.remove(r)
+	}
+	n.abandonRun(r)
+}
+
+// startOrResume starts a request, or resumes a paused run.
+func (n *Node) startOrResume(r *request) {
+	switch {
+	case r.stage == stageRunning && r.paused:
+		r.paused = false
+		r.Runner.Resume(r.ID)
+	case r.stage == stageRecording:
+		r.paused = false
+	case r.stage != stageQueued:
+	case n.pastDrainGrace(r):
+		n.rejectUnrun(r)
+	case r.IdempotencyKey != "":
+		n.startKeyed(r)
+	default:
+		n.startRun(r)
+	}
+}
+
+// rejectUnrun rejects a request that was to be started and may not be.
+func (n *Node) rejectUnrun(r *request) {
+	n.respond(r, Response{Status: StatusRejected})
+	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
+}
+
+// startRun hands a request to its runner.
+func (n *Node) startRun(r *request) {
+	if r.recordTimer != nil {
+		r.recordTimer.Stop()
+	}
+	r.stage = stageRunning
+	n.trace("started", r)
+	n.counts.Started++
+	n.countsOf(r).Started++
+	class := &n.opts.Settings.Classes[r.Class]
+	r.Runner.Start(r.ID, class.Name, r.Body, class.Idempotency != logic.Idempotent)
+	if r.paused { // while its start was being recorded
+		r.Runner.Stop(r.ID)
+	}
+}
+
+// stopRun stops or pauses a run, or has it paused as soon as it starts.
+func (n *Node) stopRun(r *request) {
+	switch r.stage {
+	case stageRecording:
+		r.paused = true
+	case stageRunning:
+		r.paused = true
+		r.Runner.Stop(r.ID)
+	}
+}
+
+// RunEnded reports the end of a run: how it ended, how long it took and its result. The end of a run that is not in flight is
+// ignored.
+func (n *Node) RunEnded(id string, o admission.Outcome, took time.Duration, result []byte) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	r := n.byID[id]
+	if r == nil || r.stage != stageRunning {
+		n.traceUnknown("end of a run that is not in flight", id, o)
+		return
+	}
+	n.trace("run ended", r, "outcome", o, "took", took)
+	n.finishRun(r, o, took, result)
+}
+
+// finishRun reports the end of a request's run to admission, and answers the request and all that were coalesced with it.
+func (n *Node) finishRun(r *request, o admission.Outcome, took time.Duration, result []byte) {
+	n.opts.Admission.Report(admission.RunEnded(r.number, o, took))
+	n.completeRun(r, o, result)
+}
+
+// completeRun is finishRun but for the report to admission.
+func (n *Node) completeRun(r *request, o admission.Outcome, result []byte) {
+	started := r.stage == stageRunning
+	r.stage = stageEnded
+	if o == logic.OutcomeOK {
+		n.respond(r, Response{Status: StatusServed, Result: result})
+	} else {
+		n.respond(r, Response{Status: StatusFailed})
+	}
+	if e := n.keys.entries[r.IdempotencyKey]; r.IdempotencyKey != "" && e != nil && e.owner == r && started {
+		n.completeKey(r, e, o, result)
+	}
+	n.remove(r)
+}
