--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -169,8 +169,8 @@
 	return got
 }
 
-// TestASpoiltReplyCostsOneCall: other calls in hand go on, copies and replies that nobody asked for are passed over.
-func TestASpoiltReplyCostsOneCall(t *testing.T) {
+// TestMalformedReplyCostsOneCall: other calls in hand go on, copies and replies that nobody asked for are passed over.
+func TestMalformedReplyCostsOneCall(t *testing.T) {
 	hold := make(chan struct{})
 	address := proxy(t, func(id, body string) string {
 		fine := id + " DATA 2\r\nok\r\n"
@@ -255,9 +255,9 @@
 	}
 }
 
-// TestMoveWithAReplyHalfRead: it ends where it was made, also where that ends for good after it; one whose rest never comes because its
+// TestSetAddressWithPartialReply: it ends where it was made, also where that ends for good after it; one whose rest never comes because its
 // end is gone is not known to have run or not.
-func TestMoveWithAReplyHalfRead(t *testing.T) {
+func TestSetAddressWithPartialReply(t *testing.T) {
 	old, next := standin.Listen(t), standin.Listen(t)
 	client := New(old.Addr().String(), limits.For(64, 256), standin.Quiet)
 	defer client.Close()
@@ -315,8 +315,8 @@
 	}
 }
 
-// TestACallIsGivenUpBesideItsReply: whichever comes first, a reply never reaches the request's next call.
-func TestACallIsGivenUpBesideItsReply(t *testing.T) {
+// TestCancelRacesReply: whichever comes first, a reply never reaches the request's next call.
+func TestCancelRacesReply(t *testing.T) {
 	ln := standin.Listen(t)
 	client := New(ln.Addr().String(), limits.For(64, 256), standin.Quiet)
 	defer client.Close()
--- a/internal/backend/directory/pulse_test.go
+++ b/internal/backend/directory/pulse_test.go
@@ -16,9 +16,9 @@
 	return New("n3", address, lim, standin.Quiet)
 }
 
-// TestReportsOutliveLosses: a node is taken off the list 3 s after its last report, and a quarter of them are lost.
+// TestReportIntervalToleratesLoss: a node is taken off the list 3 s after its last report, and a quarter of them are lost.
 // Once in ten million gaps may all be.
-func TestReportsOutliveLosses(t *testing.T) {
+func TestReportIntervalToleratesLoss(t *testing.T) {
 	if lost := math.Pow(0.25, math.Floor(3/limits.For(64, 256).ReportInterval.Seconds())); lost > 1e-7 {
 		t.Errorf("%.2g of the gaps between reports last 3 s", lost)
 	}
--- /dev/null
+++ b/internal/backend/runtime/commands.go
@@ -0,0 +1,85 @@
+package runtime
+
+import (
+	"strconv"
+
+	"sloehitch/internal/backend/runtime/redelivery"
+)
+
+// queuedCommand is a command that no connection has taken yet.
+type queuedCommand struct {
+	line []byte
+	run  *runState // the run that it starts, or lets go on from a call; nil for any other command
+}
+
+// enqueue queues a command; the caller holds mu.
+func (l *Link) enqueue(line []byte) { l.enqueueForRun(nil, line) }
+
+// enqueueForRun queues a command that a run waits for; the caller holds mu.
+func (l *Link) enqueueForRun(r *runState, line []byte) {
+	if r != nil {
+		r.line, r.writtenOn, r.ackTag = line, 0, l.gaugesRequested+1
+	}
+	l.queue = append(l.queue, queuedCommand{line, r})
+	l.cond.Broadcast()
+}
+
+// sendCommand queues a command that no run waits for.
+func (l *Link) sendCommand(line []byte) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.enqueue(line)
+}
+
+// sendForCall queues the command that answers the call that a run waits for.
+func (l *Link) sendForCall(id string, kind redelivery.Kind, line []byte) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r := l.runs[id]
+	if r != nil {
+		r.kind = kind
+	}
+	l.enqueueForRun(r, line)
+}
+
+// Start asks for a run. once says that it must not be started twice.
+func (l *Link) Start(id, class string, body []byte, once bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r := &runState{idempotent: !once, kind: redelivery.Start, heardOn: l.generation}
+	l.enqueueForRun(r, encodeStart(id, class, body))
+	l.runs[id] = r
+}
+
+// Stop pauses a run, or ends one whose request is over. Without a link the command is dropped: the module asks again, and a queue of such commands
+// would grow for as long as the runtime is away.
+func (l *Link) Stop(id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.synced {
+		l.enqueue(encodeStop(id))
+	}
+}
+
+// Resume goes on with a paused run.
+func (l *Link) Resume(id string) { l.sendCommand(encodeResume(id)) }
+
+// DeliverReply sends the reply to the call that a run waits for.
+func (l *Link) DeliverReply(id string, reply []byte) {
+	l.sendForCall(id, redelivery.Reply, encodeReply(id, reply))
+}
+
+// SkipCall has a run go on without the call that the notice of the given number asked for.
+func (l *Link) SkipCall(id string, notice uint64) {
+	l.sendForCall(id, redelivery.Omission, encodeSkipCall(id, notice))
+}
+
+// RequestGauges asks for the gauges, which Options.OnGauges gets. Without a link nothing is asked, as nothing could answer.
+func (l *Link) RequestGauges() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.synced {
+		l.gaugesRequested++
+		l.enqueue(encodeGaugesRequest(strconv.FormatUint(l.gaugesRequested, 10)))
+	}
+}
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -42,8 +42,8 @@
 	e.unconfirmed = append(e.unconfirmed, unconfirmedCommand{id, call})
 }
 
-// told is what was told to be unconfirmed so far.
-func (e *events) told() []unconfirmedCommand {
+// reported returns the commands that were reported as unconfirmed so far.
+func (e *events) reported() []unconfirmedCommand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.unconfirmed)
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestResume breaks the link while runs are on: no notice is lost or taken twice, nothing runs twice.
+// TestResume breaks the connection while runs are on: no notice is lost or handled twice, and nothing runs twice.
 func TestResume(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-hold; return "OK", j.UID })
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestABreakSwallowsCommands: what was written and not carried out is repeated only where a second delivery does no harm. The start of a
-// request that may run once, and a reply, are told to be unconfirmed instead; leaving the call out then takes the run on, once.
-func TestABreakSwallowsCommands(t *testing.T) {
+// TestLostCommands: what was written and not carried out is sent again only if a second delivery does no harm. The start of a request that is not
+// idempotent, and a reply, are reported as unconfirmed instead; skipping the call then takes the run on, once.
+func TestLostCommands(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) {
 		return "OK", string(j.Call("one")) + string(j.Call("two"))
 	})
@@ -135,8 +135,8 @@
 	}
 	unconfirmed := func(want ...unconfirmedCommand) {
 		t.Helper()
-		until(t, l, func() bool { return len(e.told()) >= len(want) })
-		if got := e.told(); !slices.Equal(got, want) {
+		until(t, l, func() bool { return len(e.reported()) >= len(want) })
+		if got := e.reported(); !slices.Equal(got, want) {
 			t.Errorf("unconfirmed %v, want %v", got, want)
 		}
 	}
@@ -150,7 +150,7 @@
 	<-e.wants
 	l.DeliverReply("a", []byte("2"))
 	if got := <-e.ends; got.result != "2" || rt.Runs("a") != 1 {
-		t.Errorf("result %q after %d runs, want the first call left out and the second answered, once", got.result, rt.Runs("a"))
+		t.Errorf("result %q after %d runs, want the first call skipped and the second answered, once", got.result, rt.Runs("a"))
 	}
 	if rt.Runs("k") != 0 {
 		t.Error("the start of a request that may run once was sent again")
@@ -160,24 +160,24 @@
 func unconfirmedStart(id string) unconfirmedCommand              { return unconfirmedCommand{id, 0} }
 func unconfirmedReply(id string, call uint64) unconfirmedCommand { return unconfirmedCommand{id, call} }
 
-// TestWhatIsRepeated: what may arrive twice without harm is sent again on the next link, what may not is told to be unconfirmed, as long as
-// nothing shows that it was read.
-func TestWhatIsRepeated(t *testing.T) {
+// TestRedeliveredCommands: what may arrive twice is sent again on the next connection; what may not is reported as unconfirmed, unless an answer
+// shows that it was read.
+func TestRedeliveredCommands(t *testing.T) {
 	ask := func(l *Link) { l.synced = true; l.RequestGauges(); l.synced = false }
-	echo := func(l *Link) { l.recordGaugesReceived(strconv.FormatUint(l.gaugesRequested, 10)) }
+	echo := func(l *Link) { l.recordGaugesReceived(gaugesNotice{echo: strconv.FormatUint(l.gaugesRequested, 10)}) }
 	for _, c := range []struct {
 		name        string
 		play        func(l *Link)
 		want        string
 		unconfirmed []unconfirmedCommand
 	}{
-		{"a start that may be repeated", func(l *Link) { l.Start("a", "book", nil, false) }, "start", nil},
-		{"a start that may be repeated, read before", func(l *Link) { l.Start("a", "book", nil, false); ask(l); echo(l) }, "start", nil},
-		{"a start that may not", func(l *Link) { l.Start("a", "book", nil, true) }, "", []unconfirmedCommand{{"a", 0}}},
-		{"a start that may not, asked after", func(l *Link) { l.Start("a", "book", nil, true); ask(l) }, "", []unconfirmedCommand{{"a", 0}}},
-		{"a start that may not, read before", func(l *Link) { l.Start("a", "book", nil, true); ask(l); echo(l) }, "", nil},
-		{"a start after gauges that came", func(l *Link) { ask(l); l.Start("a", "book", nil, true); echo(l) }, "", []unconfirmedCommand{{"a", 0}}},
-		{"a start that was heard of", func(l *Link) { l.Start("a", "book", nil, true); l.recordCall("a", 3) }, "", nil},
+		{"an idempotent start", func(l *Link) { l.Start("a", "book", nil, false) }, "start", nil},
+		{"an idempotent start that was read", func(l *Link) { l.Start("a", "book", nil, false); ask(l); echo(l) }, "start", nil},
+		{"another start", func(l *Link) { l.Start("a", "book", nil, true) }, "", []unconfirmedCommand{{"a", 0}}},
+		{"another start, with gauges requested after it", func(l *Link) { l.Start("a", "book", nil, true); ask(l) }, "", []unconfirmedCommand{{"a", 0}}},
+		{"another start that was read", func(l *Link) { l.Start("a", "book", nil, true); ask(l); echo(l) }, "", nil},
+		{"a start behind gauges that came", func(l *Link) { ask(l); l.Start("a", "book", nil, true); echo(l) }, "", []unconfirmedCommand{{"a", 0}}},
+		{"a start with a later notice", func(l *Link) { l.Start("a", "book", nil, true); l.recordCall("a", 3) }, "", nil},
 		{"a run that is over", func(l *Link) { l.Start("a", "book", nil, true); l.removeRun("a") }, "", nil},
 		{"a reply", func(l *Link) {
 			l.Start("a", "book", nil, false)
@@ -193,7 +193,7 @@
 			ask(l)
 			echo(l)
 		}, "", nil},
-		{"a call left out", func(l *Link) {
+		{"a skipped call", func(l *Link) {
 			l.Start("a", "book", nil, true)
 			l.recordCall("a", 3)
 			l.SkipCall("a", 3)
@@ -214,7 +214,7 @@
 			}
 		}
 		if m.Action != c.want || len(l.queue) > 1 {
-			t.Errorf("%s: %v is repeated, want %q", c.name, l.queue, c.want)
+			t.Errorf("%s: %v is sent again, want %q", c.name, l.queue, c.want)
 		}
 		if !slices.Equal(r.unconfirmed, c.unconfirmed) || len(r.abandoned) > 0 {
 			t.Errorf("%s: unconfirmed %v, abandoned %v, want %v and none", c.name, r.unconfirmed, r.abandoned, c.unconfirmed)
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestMove: commands on their way when the address changes are carried out once, and notices go on where they were.
-func TestMove(t *testing.T) {
+// TestSetAddress: commands in flight when the address changes are carried out once, and notices resume where they were.
+func TestSetAddress(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-hold; return "OK", j.UID })
 	l, e := open(t, rt)
@@ -248,21 +248,21 @@
 	}
 }
 
-func TestTakeRefusesGarbage(t *testing.T) {
+func TestMalformedNotices(t *testing.T) {
 	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
 	if err := l.handleNotice([]byte(`{"action":"info","pos":1,"code":{"a":[1]},"uid":7}`)); err != nil || l.lastNotice != 1 {
-		t.Errorf("a remark costs the link: %v", err)
+		t.Errorf("a remark ends the connection: %v", err)
 	}
 	for _, line := range []string{"", "{", "[]", `{"action":"wants","pos":1,"content":"%"}`, `{"pos":-1}`} {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
 		l.events = &events{}
 		if l.handleNotice([]byte(line)) == nil {
-			t.Errorf("%q was taken", line)
+			t.Errorf("%q was accepted", line)
 		}
 	}
 }
 
-// TestMessagesFollowTheDescription: each command that is sent is a described one, each described notice is taken.
+// TestMessagesFollowTheDescription: each command is valid by the AsyncAPI document, and each notice of that document is handled.
 func TestMessagesFollowTheDescription(t *testing.T) {
 	messages, err := apispec.Messages(apispec.Platform)
 	if err != nil {
@@ -271,8 +271,7 @@
 	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
 	l.events, l.synced = e, true
-	pos := uint64(7)
-	l.queue = append(l.queue, queuedCommand{line: encodeCommand(command{Action: "sync", Pos: &pos})})
+	l.queue = append(l.queue, queuedCommand{line: encodeSync(7)})
 	l.Start("a", "book", nil, true)
 	l.Stop("a")
 	l.Resume("a")
@@ -298,16 +297,16 @@
 		}
 	}
 	if len(e.ends) != 1 || len(e.wants) != 1 || l.lastNotice != 3 {
-		t.Errorf("%d ends and %d calls were told, up to %d", len(e.ends), len(e.wants), l.lastNotice)
+		t.Errorf("%d ends and %d calls were reported, up to notice %d", len(e.ends), len(e.wants), l.lastNotice)
 	}
 }
 
-func TestPutBack(t *testing.T) {
+func TestRequeueUnwritten(t *testing.T) {
 	lines := []queuedCommand{{line: []byte("abc\n")}, {line: []byte("de\n")}, {line: []byte("f\n")}}
 	for _, c := range []struct {
 		written int
 		want    string
-	}{ // a line that lacks only its newline is whole to a reader that meets the end
+	}{ // a line that lacks only its newline is complete to a reader that meets the end
 		{0, "abc\nde\nf\nlater\n"}, {2, "abc\nde\nf\nlater\n"}, {3, "de\nf\nlater\n"}, {4, "de\nf\nlater\n"}, {5, "de\nf\nlater\n"},
 		{6, "f\nlater\n"}, {7, "f\nlater\n"}, {8, "later\n"}, {9, "later\n"},
 	} {
@@ -324,9 +323,9 @@
 	}
 }
 
-// TestNoticesThatAreLost: where the runtime no longer has all notices, a run that was asked for before the break and not
-// heard of since has failed, since its end may be among them; it is not started again.
-func TestNoticesThatAreLost(t *testing.T) {
+// TestLostNotices: where the runtime no longer has all notices, a run that was asked for before the break and has no later notice counts as failed, since its
+// end may be among them; it is not started again.
+func TestLostNotices(t *testing.T) {
 	resume := func(first uint64, once bool) (ended []end, queued int) {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 		e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
--- /dev/null
+++ b/internal/backend/runtime/notices.go
@@ -0,0 +1,115 @@
+package runtime
+
+import (
+	"fmt"
+
+	"sloehitch/logic"
+)
+
+// handleNotice handles one line. An error ends the connection, and the next one resumes before the notice.
+func (l *Link) handleNotice(line []byte) error {
+	n, err := decodeNotice(line)
+	if err != nil {
+		return err
+	}
+	if n.number > 0 && !l.advance(n.number) {
+		return nil // read already, on an earlier connection
+	}
+	switch n.kind {
+	case noticeReady:
+		l.handleReady(n.ready())
+	case noticeRunEnded:
+		l.handleEnd(&n)
+	case noticeCallRequested:
+		m := n.callRequested()
+		l.recordCall(m.id, n.number)
+		l.events.CallRequested(m.id, n.number, m.body)
+	case noticeGauges:
+		return l.handleGauges(n.gauges())
+	case noticeCommandRejected:
+		l.handleRejected(n.commandRejected())
+	}
+	return nil
+}
+
+// advance notes that a notice was read; it returns false for one that was read before.
+func (l *Link) advance(number uint64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if number <= l.lastNotice {
+		return false
+	}
+	if l.lastNotice > 0 && number > l.lastNotice+1 && !l.noticesLost {
+		l.noticesLost = true
+		l.log.Warn("notices from the runtime are missing; runs without a later notice count as failed",
+			fmt.Errorf("notice %d follows %d", number, l.lastNotice))
+	}
+	l.lastNotice, l.unreadableNotice = number, false
+	return true
+}
+
+// handleReady opens the link for commands. On a resumed link a request for gauges goes first: once its echo is back, all notices from before have
+// been read.
+func (l *Link) handleReady(m readyNotice) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.opts.Log.Info("runtime ready", "state", m.state, "up_ms", m.upMS, "link", l.generation, "last_notice", l.lastNotice)
+	l.synced, l.redeliveryDecided = true, false
+	if len(l.runs) > 0 && !l.cleanSwitch {
+		l.queue = append([]queuedCommand{{line: encodeGaugesRequest(echoResumed)}}, l.queue...)
+	}
+	l.cond.Broadcast()
+}
+
+// handleEnd forgets a run and passes its end on.
+func (l *Link) handleEnd(n *notice) {
+	m, err := n.runEnded(l.opts.Limits.ResultBytes)
+	l.removeRun(m.id)
+	if err != nil {
+		l.log.Warn("end of a run can't be decoded; the run counts as failed", err)
+	}
+	l.events.RunEnded(m.id, m.outcome, m.took, m.result)
+}
+
+// handleGauges takes an echo of the link's own, or passes gauges on.
+func (l *Link) handleGauges(m gaugesNotice) error {
+	switch m.echo {
+	case echoResumed:
+		l.reportResume(l.decideRedelivery())
+	case echoHandover:
+		return errAddressChanged
+	case echoKeepalive:
+	default:
+		l.recordGaugesReceived(m)
+		l.opts.OnGauges(m.decode(l.opts.GaugeNames))
+	}
+	return nil
+}
+
+// handleRejected ends the run of a start that was not carried out.
+func (l *Link) handleRejected(m commandRejectedNotice) {
+	l.log.Warn("runtime rejected a command", fmt.Errorf("command %s, run %s", m.command, m.id))
+	if m.start {
+		l.removeRun(m.id)
+		l.events.RunEnded(m.id, logic.OutcomeNotStarted, 0, nil)
+	}
+}
+
+// reportResume passes on what follows from a break of the link.
+func (l *Link) reportResume(r resumeOutcome) {
+	for _, id := range r.abandoned {
+		l.events.RunEnded(id, logic.OutcomeFailed, 0, nil)
+	}
+	for _, u := range r.unconfirmed {
+		l.events.DeliveryUnconfirmed(u.id, u.callNotice)
+	}
+}
+
+// recordGaugesReceived notes that all commands before a request for gauges were read.
+func (l *Link) recordGaugesReceived(m gaugesNotice) {
+	if number, ok := m.requestNumber(); ok {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.gaugesReceived = max(l.gaugesReceived, number)
+	}
+}
--- a/internal/backend/runtime/crossings_test.go
+++ b/internal/backend/runtime/reconnect_test.go
@@ -16,14 +16,24 @@
 	"sloehitch/logic"
 )
 
-// peer is the runtime's end of one link, played by a script.
+// command is a command as the runtime reads it.
+type command struct {
+	Action  string  `json:"action"`
+	UID     string  `json:"uid"`
+	Lane    string  `json:"lane"`
+	Content string  `json:"content"`
+	Pos     *uint64 `json:"pos"`
+	Echo    string  `json:"echo"`
+}
+
+// peer is the runtime's end of one connection, driven by the test.
 type peer struct {
 	net.Conn
 	t  *testing.T
 	in *bufio.Reader
 }
 
-// next waits for the next link and its sync, which it returns.
+// next waits for the next connection and its sync, which it returns.
 func next(t *testing.T, ln net.Listener) (*peer, command) {
 	t.Helper()
 	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience)); err != nil {
@@ -33,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { _ = conn.Close() })
 	p := &peer{conn, t, bufio.NewReader(conn)}
 	return p, p.read()
 }
@@ -53,7 +63,7 @@
 	return c
 }
 
-func (p *peer) say(format string, args ...any) {
+func (p *peer) send(format string, args ...any) {
 	p.t.Helper()
 	if _, err := fmt.Fprintf(p, format+"\n", args...); err != nil {
 		p.t.Fatal(err)
@@ -75,7 +85,7 @@
 	return l, e, ln
 }
 
-// until waits for what is told under the link's lock.
+// until waits for a condition that holds under the link's lock.
 func until(t *testing.T, l *Link, what func() bool) {
 	t.Helper()
 	for end := time.Now().Add(standin.Patience); ; time.Sleep(time.Millisecond) {
@@ -86,26 +96,26 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it did not come to that")
+			t.Fatal("the condition was not met in time")
 		}
 	}
 }
 
-// TestAReplyThatComesWhileTheLinkIsDownIsGivenOnce: it goes out with the next link. Repeated there, it would meet the run's next
-// call; of what the broken link had taken, what may run twice is repeated, and nothing else.
-func TestAReplyThatComesWhileTheLinkIsDownIsGivenOnce(t *testing.T) {
+// TestReplyWhileDisconnectedIsSentOnce: a reply that comes between two connections goes out with the next. Sent twice, it would meet the run's next
+// call. Of what the broken connection had taken, only the start of an idempotent request is sent again.
+func TestReplyWhileDisconnectedIsSentOnce(t *testing.T) {
 	l, e, ln := scripted(t, nil)
 	p, _ := next(t, ln)
-	p.say(ready)
+	p.send(ready)
 	l.Start("a", "book", nil, true)
 	l.Start("b", "slot-search", nil, false)
 	l.Start("d", "book", nil, true)
 	for range 3 {
 		p.read()
 	}
-	p.say(`{"action":"wants","pos":1,"uid":"a","content":""}`)
+	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
 	<-e.wants
-	p.Close()
+	_ = p.Close()
 	until(t, l, func() bool { return l.generation == 2 && !l.synced }) // dialled, and not served yet
 	l.DeliverReply("a", []byte("one"))
 	l.Start("c", "book", nil, true)
@@ -113,12 +123,12 @@
 	if *sync.Pos != 1 {
 		t.Errorf("resumed from %d, want 1", *sync.Pos)
 	}
-	p.say(ready)
+	p.send(ready)
 	seen := map[string]int{}
 	for c := p.read(); c.UID != "marker"; c = p.read() {
 		seen[c.Action+" "+c.UID]++
 		if c.Echo == echoResumed {
-			p.say(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
+			p.send(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
 			until(t, l, func() bool { return l.redeliveryDecided })
 			l.Stop("marker")
 		}
@@ -128,18 +138,18 @@
 	}
 }
 
-// TestAWriterThatIsStuckAsTheLinkBreaks: what was not written goes first on the next link, and each start comes there once. Where starts must
-// not be repeated, each comes there or is told to be unconfirmed, and none is both.
-func TestAWriterThatIsStuckAsTheLinkBreaks(t *testing.T) {
+// TestBlockedWriterAsLinkBreaks: what was not written goes first on the next connection, and each start comes there once. Starts of requests that
+// are not idempotent come there or are reported as unconfirmed, and none is both.
+func TestBlockedWriterAsLinkBreaks(t *testing.T) {
 	for _, once := range []bool{false, true} {
-		t.Run(fmt.Sprint("once=", once), func(t *testing.T) { aWriterThatIsStuck(t, once) })
+		t.Run(fmt.Sprint("once=", once), func(t *testing.T) { testBlockedWriter(t, once) })
 	}
 }
 
-func aWriterThatIsStuck(t *testing.T, once bool) {
+func testBlockedWriter(t *testing.T, once bool) {
 	l, e, ln := scripted(t, func(lim *limits.Limits) { lim.WriteTimeout, lim.RuntimeSilence = time.Hour, time.Hour })
 	p, _ := next(t, ln)
-	p.say(ready)
+	p.send(ready)
 	until(t, l, func() bool { return l.synced })
 	body := []byte(strings.Repeat("x", 8<<10))
 	const starts = 2000
@@ -150,25 +160,25 @@
 	if err := p.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
-	p.Close()
+	_ = p.Close()
 	p, _ = next(t, ln)
-	p.say(ready)
+	p.send(ready)
 	seen := map[string]int{}
 	for c := p.read(); c.UID != "marker"; c = p.read() {
 		if c.Action == "start" {
 			seen[c.UID]++
 		}
 		if c.Echo == echoResumed {
-			p.say(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
+			p.send(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
 			until(t, l, func() bool { return l.redeliveryDecided })
 			l.Stop("marker")
 		}
 	}
-	until(t, l, func() bool { return len(seen)+len(e.told()) >= starts })
-	if told := e.told(); len(told) > 0 != once {
-		t.Errorf("%d starts are unconfirmed", len(told))
+	until(t, l, func() bool { return len(seen)+len(e.reported()) >= starts })
+	if reported := e.reported(); len(reported) > 0 != once {
+		t.Errorf("%d starts are unconfirmed", len(reported))
 	}
-	for _, u := range e.told() {
+	for _, u := range e.reported() {
 		seen[u.id]++
 	}
 	for i := range starts {
@@ -178,47 +188,47 @@
 	}
 }
 
-// TestALinkGoneSilentIsDialledAnew: one that is up and answers nothing, and one that never says that it is up. One on which only the
-// question after its life is answered stays.
-func TestALinkGoneSilentIsDialledAnew(t *testing.T) {
+// TestSilentLinkIsReconnected: a ready runtime that answers nothing is reconnected to, and one that never gets ready. A connection on which only keepalive requests
+// are answered stays.
+func TestSilentLinkIsReconnected(t *testing.T) {
 	l, _, ln := scripted(t, func(lim *limits.Limits) {
 		lim.RuntimeSilence, lim.RuntimeReadyTimeout = 20*time.Millisecond, 30*time.Millisecond
 	})
-	p, _ := next(t, ln) // this one never says that it is up
-	defer p.Close()
+	p, _ := next(t, ln) // this one never gets ready
+	defer func() { _ = p.Close() }()
 	p, _ = next(t, ln)
-	p.say(ready)
+	p.send(ready)
 	until(t, l, func() bool { return l.synced })
 	for range 5 {
 		if c := p.read(); c.Action != "gauges" || c.Echo != echoKeepalive {
-			t.Fatalf("%+v, want a question after its life", c)
+			t.Fatalf("%+v, want a keepalive request", c)
 		}
-		p.say(`{"action":"load","echo":%q,"meters":[]}`, echoKeepalive)
+		p.send(`{"action":"load","echo":%q,"meters":[]}`, echoKeepalive)
 	}
 	until(t, l, func() bool { return l.generation == 2 })
-	p.read() // and from here on it says nothing
+	p.read() // and from here on it is silent
 	p, _ = next(t, ln)
-	p.say(ready)
+	p.send(ready)
 	until(t, l, func() bool { return l.generation == 3 && l.synced })
 }
 
-// TestANoticeInPieces comes whole, however it is cut, also where the link breaks in the midst of it; then it is read once.
-func TestANoticeInPieces(t *testing.T) {
+// TestFragmentedNotice: a notice is read however it is cut, and once if the connection breaks within it.
+func TestFragmentedNotice(t *testing.T) {
 	l, e, ln := scripted(t, func(lim *limits.Limits) { lim.RuntimeSilence = time.Hour })
 	p, _ := next(t, ln)
-	p.say(ready)
+	p.send(ready)
 	l.Start("a", "book", nil, true)
 	l.Start("b", "book", nil, true)
 	first, second := `{"action":"end","pos":1,"uid":"a","code":"OK","content":"YQ=="}`+"\n", `{"action":"end","pos":2,"uid":"b","code":"OK","content":"Yg=="}`
 	if _, err := io.WriteString(p, first[:len(first)/2]); err != nil {
 		t.Fatal(err)
 	}
-	p.Close()
+	_ = p.Close()
 	p, sync := next(t, ln)
 	if *sync.Pos != 0 {
 		t.Errorf("resumed from %d, want 0", *sync.Pos)
 	}
-	p.say(ready)
+	p.send(ready)
 	for i := range first {
 		if _, err := io.WriteString(p, first[i:i+1]); err != nil {
 			t.Fatal(err)
@@ -230,73 +240,73 @@
 	if _, err := io.WriteString(p, second[:len(second)/2]); err != nil {
 		t.Fatal(err)
 	}
-	p.Close()
+	_ = p.Close()
 	p, sync = next(t, ln)
 	if *sync.Pos != 1 {
 		t.Errorf("resumed from %d, want 1", *sync.Pos)
 	}
-	p.say(ready)
-	p.say("%s", second)
+	p.send(ready)
+	p.send("%s", second)
 	if got := <-e.ends; got != (end{"b", logic.OutcomeOK, "b"}) || len(e.ends) > 0 {
 		t.Errorf("%+v, and %d more", got, len(e.ends))
 	}
 }
 
-// TestANoticeThatIsSpoiltForGood costs itself, not all that follows: it is asked for again once, then left out.
-func TestANoticeThatIsSpoiltForGood(t *testing.T) {
-	for _, spoilt := range []string{`{"action":"end","pos":2,`, `{"action":"wants","pos":2,"uid":"a","content":"%"}`, strings.Repeat("x", 200<<10)} {
+// TestUnreadableNoticeIsSkipped: a notice that can't be decoded is asked for again once, then skipped; those behind it are read.
+func TestUnreadableNoticeIsSkipped(t *testing.T) {
+	for _, malformed := range []string{`{"action":"end","pos":2,`, `{"action":"wants","pos":2,"uid":"a","content":"%"}`, strings.Repeat("x", 200<<10)} {
 		l, e, ln := scripted(t, nil)
 		for links := range 2 {
 			p, sync := next(t, ln)
 			if *sync.Pos != uint64(links) {
 				t.Errorf("resumed from %d, want %d", *sync.Pos, links)
 			}
-			p.say(ready)
+			p.send(ready)
 			if links == 0 {
 				l.Start("a", "book", nil, true)
-				p.say(`{"action":"info","pos":1,"code":"x"}`)
+				p.send(`{"action":"info","pos":1,"code":"x"}`)
 			}
-			p.say("%s", spoilt)
+			p.send("%s", malformed)
 			if links == 1 {
-				p.say(`{"action":"end","pos":3,"uid":"a","code":"OK","content":"YQ=="}`)
+				p.send(`{"action":"end","pos":3,"uid":"a","code":"OK","content":"YQ=="}`)
 			}
 		}
 		select {
 		case got := <-e.ends:
 			if got != (end{"a", logic.OutcomeOK, "a"}) {
-				t.Errorf("%.30q: %+v", spoilt, got)
+				t.Errorf("%.30q: %+v", malformed, got)
 			}
 		case <-time.After(standin.Patience):
-			t.Fatalf("%.30q: nothing is read after it", spoilt)
+			t.Fatalf("%.30q: nothing behind it is read", malformed)
 		}
 		l.Close()
 	}
 }
 
-// TestAReplyThatMayHaveBeenTakenIsNotGivenAgain: the run may be past the call that it answers, and would take it for the answer to its next
-// one. That the notice of the next call has not been read yet says nothing: it may be on its way.
-func TestAReplyThatMayHaveBeenTakenIsNotGivenAgain(t *testing.T) {
+// TestReplyIsNotRedelivered: the run may be past the call that a reply answers, and would take it for the reply to its next one. That the notice of
+// the next call has not been read yet proves nothing: it may be on its way.
+func TestReplyIsNotRedelivered(t *testing.T) {
 	l, e, ln := scripted(t, nil)
 	p, _ := next(t, ln)
-	p.say(ready)
+	p.send(ready)
 	until(t, l, func() bool { return l.synced })
 	l.Start("a", "slot-search", nil, false)
 	p.read()
-	p.say(`{"action":"wants","pos":1,"uid":"a","content":""}`)
+	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
 	<-e.wants
 	l.DeliverReply("a", []byte("the first call's"))
 	if c := p.read(); c.Action != "give" {
 		t.Fatalf("%+v, want the reply", c)
 	}
-	p.Close()
+	_ = p.Close()
 	p, _ = next(t, ln)
-	p.say(ready)
+	p.send(ready)
 	for c := p.read(); c.UID != "marker"; c = p.read() {
 		if c.Action == "give" {
-			t.Error("given again")
+			t.Error("the reply was sent again")
 		}
 		if c.Action == "gauges" {
-			p.say(`{"action":"load","echo":%q,"meters":[]}`, c.Echo)
+			p.send(`{"action":"load","echo":%q,"meters":[]}`, c.Echo)
 			until(t, l, func() bool { return l.redeliveryDecided })
 			l.Resume("marker") // behind whatever is sent again
 		}
--- a/internal/backend/runtime/redelivery/redelivery.go
+++ b/internal/backend/runtime/redelivery/redelivery.go
@@ -1,9 +1,14 @@
-// Package redelivery decides what becomes of a command to the runtime that was written to a link which has broken since, if nothing was
-// heard of its run. It has no I/O and no clock.
+// Package redelivery decides what becomes of a command to the runtime that was written to a link which has broken since, if no notice of its run has come. It
+// has no I/O and no clock.
 //
-// The link has no acknowledgements: that no notice of a run has been read proves nothing. The command may be lost, its run may be on, or
-// the notice that it is over may be on its way, however the link was resumed. A command is therefore delivered again only where a second
-// delivery does no harm; what else may have arrived stays as it is, and its request is answered by its due time at the latest.
+// The link has no acknowledgements: that no notice of a run has been read proves nothing. The command may be lost, its run may be on, or the notice of its
+// end may be on its way, however the link was resumed. A command is therefore delivered again only if a second delivery does no harm; what else may
+// have arrived is left as it is, and its request is answered by its deadline.
+//
+//	notices lost since                        abandon
+//	omission                                  redeliver
+//	start of an idempotent request            redeliver
+//	start of any other request, reply         await
 package redelivery
 
 // Kind is what a command asks for.
@@ -13,7 +18,7 @@
 const (
 	// Start asks for a run. The runtime ignores it while the run is on, and runs it again once that is over: it remembers nothing.
 	Start Kind = iota
-	// Reply answers a call. It does not name the call: given again, it may meet the run's next one.
+	// Reply answers a call. It does not name the call: delivered again, it may meet the run's next one.
 	Reply
 	// Omission has a run go on without a call, which it names.
 	Omission
@@ -34,11 +39,11 @@
 // The actions.
 const (
 	Redeliver Action = iota // send it again: a second delivery does no harm
-	Await                   // it may have arrived: wait for a sign of life of its run
-	Abandon                 // no sign of life may ever come: its run has failed, and must not start again
+	Await                   // it may have arrived: wait for a notice of its run
+	Abandon                 // no notice may ever come: its run has failed, and must not start again
 )
 
-// Decide says what becomes of a command once all notices that the runtime had when the link was resumed have been read.
+// Decide returns what becomes of a command once all notices that the runtime had when the link was resumed have been read.
 func Decide(c Command) Action {
 	switch {
 	case c.NoticesLost:
@@ -50,8 +55,8 @@
 	}
 }
 
-// String is the kind's name in the log.
+// String returns the kind's name in the log.
 func (k Kind) String() string { return [...]string{"start", "reply", "omission"}[k] }
 
-// String is the action's name in the log.
+// String returns the action's name in the log.
 func (a Action) String() string { return [...]string{"redeliver", "await", "abandon"}[a] }
--- /dev/null
+++ b/internal/backend/runtime/writer.go
@@ -0,0 +1,84 @@
+package runtime
+
+import (
+	"net"
+	"slices"
+	"time"
+)
+
+func (l *Link) writeWithDeadline(conn net.Conn, b []byte) (int, error) {
+	if err := conn.SetWriteDeadline(time.Now().Add(l.opts.Limits.WriteTimeout)); err != nil {
+		return 0, err
+	}
+	return conn.Write(b)
+}
+
+// writeCommands writes the queue once the runtime is ready, until the connection is over.
+func (l *Link) writeCommands(conn net.Conn) {
+	var batch []byte
+	for {
+		commands := l.waitForCommands(conn)
+		if commands == nil {
+			return
+		}
+		batch = batch[:0]
+		for _, q := range commands {
+			batch = append(batch, q.line...)
+		}
+		if n, err := l.writeWithDeadline(conn, batch); err != nil {
+			l.requeueUnwritten(commands, n)
+			_ = conn.Close() // the reader notices
+			return
+		}
+	}
+}
+
+// waitForCommands blocks until there are commands for the connection, and takes them off the queue; it returns nil if the connection is over.
+func (l *Link) waitForCommands(conn net.Conn) []queuedCommand {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for l.conn == conn && (!l.synced || len(l.queue) == 0) {
+		l.cond.Wait()
+	}
+	if l.conn != conn {
+		return nil
+	}
+	commands := l.takeQueue()
+	if l.switching {
+		l.synced = false // these commands are the last on this connection
+	}
+	return commands
+}
+
+// takeQueue takes all that is queued for the current connection; the caller holds mu, and writes it or puts it back.
+func (l *Link) takeQueue() []queuedCommand {
+	commands := l.queue
+	l.queue = nil
+	for _, q := range commands {
+		if q.run != nil {
+			q.run.writtenOn = l.generation
+		}
+	}
+	return commands
+}
+
+// requeueUnwritten queues again what a connection that broke after n bytes can't have taken: the lines of which some of the object was not written.
+// The others may have been carried out, also one that lacks only its newline: the end of a stream ends a line too.
+func (l *Link) requeueUnwritten(commands []queuedCommand, n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for i, q := range commands {
+		if n -= len(q.line); n >= -len("\n") {
+			continue
+		}
+		unwritten := commands[i:]
+		for _, q := range unwritten {
+			if q.run != nil {
+				q.run.writtenOn = 0
+			}
+		}
+		l.queue = append(slices.Clone(unwritten), l.queue...)
+		l.opts.Log.Info("commands not written completely are sent on the next link", "link", l.generation, "commands", len(unwritten), "first_missing_bytes", -n)
+		return
+	}
+}
