--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -45,8 +45,19 @@
 	}
 }
 
-// proxy is a stand-in for the catalogue: it writes what reply returns for a call, and hangs up on "break".
-func proxy(t *testing.T, reply func(id, body string) string) string {
+// TestEncode: the bytes of each message.
+func TestEncode(t *testing.T) {
+	call := string(encodeCall("9b1f", 250*time.Millisecond, []byte("a\nb"))) + string(encodeCall("9b1f", time.Microsecond, nil))
+	if want := "FETCH 9b1f 250 3\r\na\nb\r\nFETCH 9b1f 1 0\r\n\r\n"; call != want {
+		t.Errorf("%q, want %q", call, want)
+	}
+	if got := string(appendCancel([]byte("x"), "9b1f")); got != "xQUIT 9b1f\r\n" {
+		t.Errorf("%q", got)
+	}
+}
+
+// catalogueServer stands in for the catalogue: it writes what reply returns for a call, and closes the connection on "break".
+func catalogueServer(t *testing.T, reply func(id, body string) string) string {
 	ln := standin.Listen(t)
 	go func() {
 		for {
@@ -54,14 +65,14 @@
 			if err != nil {
 				return
 			}
-			go serveProxy(conn, reply)
+			go serveCatalogue(conn, reply)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-func serveProxy(conn net.Conn, reply func(id, body string) string) {
-	defer conn.Close()
+func serveCatalogue(conn net.Conn, reply func(id, body string) string) {
+	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
 		var id string
@@ -81,12 +92,14 @@
 		if answer == "break" {
 			return
 		}
-		io.WriteString(conn, answer)
+		if _, err := io.WriteString(conn, answer); err != nil {
+			return
+		}
 	}
 }
 
 func TestCallOutcomes(t *testing.T) {
-	address := proxy(t, func(id, body string) string {
+	address := catalogueServer(t, func(id, body string) string {
 		switch body {
 		case "data":
 			return id + " DATA 3\r\na\nb\r\n"
@@ -130,7 +143,7 @@
 	}
 }
 
-// TestIdleConnectionIsClosed: a call sent into a connection that the proxy is closing would prove nothing.
+// TestIdleConnectionIsClosed: a call sent on a connection that the catalogue is closing would prove nothing.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	ln := standin.Listen(t)
 	lim := limits.For(64, 256)
@@ -145,7 +158,9 @@
 	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(conn, "ab LATER\r\n")
+	if _, err := io.WriteString(conn, "ab LATER\r\n"); err != nil {
+		t.Fatal(err)
+	}
 	if o := <-done; o != logic.OutcomeRejected {
 		t.Errorf("outcome %v", o)
 	}
@@ -162,17 +177,17 @@
 	reply string
 }
 
-// begin makes a call and returns where its outcome will be told.
+// begin makes a call and returns a channel that gets its outcome.
 func begin(c *Client, id, body string) <-chan ended {
 	got := make(chan ended, 2)
 	c.Call(id, time.Minute, []byte(body), false, func(o admission.Outcome, _ time.Duration, reply []byte) { got <- ended{o, string(reply)} })
 	return got
 }
 
-// TestMalformedReplyCostsOneCall: other calls in hand go on, copies and replies that nobody asked for are passed over.
+// TestMalformedReplyCostsOneCall: other calls in flight go on, and copies and replies to no call are ignored.
 func TestMalformedReplyCostsOneCall(t *testing.T) {
 	hold := make(chan struct{})
-	address := proxy(t, func(id, body string) string {
+	address := catalogueServer(t, func(id, body string) string {
 		fine := id + " DATA 2\r\nok\r\n"
 		switch body {
 		case "held":
@@ -219,16 +234,16 @@
 	}
 	close(hold)
 	if got := <-held; got != (ended{logic.OutcomeOK, "ok"}) {
-		t.Errorf("a call in hand all the while: %v", got)
+		t.Errorf("a call in flight all the while: %v", got)
 	}
 }
 
-// TestMove: calls in hand end where they were made, new ones go to the new address, however many there are.
-func TestMove(t *testing.T) {
+// TestSetAddress: calls in flight end where they were made, and new ones go to the new address, however many there are.
+func TestSetAddress(t *testing.T) {
 	hold := make(chan struct{})
 	var addresses [2]string
 	for i := range addresses {
-		addresses[i] = proxy(t, func(id, body string) string {
+		addresses[i] = catalogueServer(t, func(id, body string) string {
 			<-hold
 			return fmt.Sprintf("%s DATA 1\r\n%d\r\n", id, i)
 		})
@@ -255,19 +270,19 @@
 	}
 }
 
-// TestSetAddressWithPartialReply: it ends where it was made, also where that ends for good after it; one whose rest never comes because its
-// end is gone is not known to have run or not.
+// TestSetAddressWithPartialReply: a reply that was half read as the address changed is read to its end; of a call whose connection breaks then it is not known
+// whether it ran.
 func TestSetAddressWithPartialReply(t *testing.T) {
 	old, next := standin.Listen(t), standin.Listen(t)
 	client := New(old.Addr().String(), limits.For(64, 256), standin.Quiet)
 	defer client.Close()
-	take := func(ln net.Listener, id string) (net.Conn, *bufio.Reader) {
+	acceptCall := func(ln net.Listener, id string) net.Conn {
 		t.Helper()
 		conn, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { conn.Close() })
+		t.Cleanup(func() { _ = conn.Close() })
 		in := bufio.NewReader(conn)
 		for range 2 { // the line and the body
 			line, err := in.ReadString('\n')
@@ -275,12 +290,12 @@
 				t.Fatalf("%q, %v", line, err)
 			}
 		}
-		return conn, in
+		return conn
 	}
 	whole := begin(client, "a", "body")
-	first, _ := take(old, "a")
+	first := acceptCall(old, "a")
 	broken := begin(client, "b", "body")
-	second, _ := take(old, "b")
+	second := acceptCall(old, "b")
 	for conn, id := range map[net.Conn]string{first: "a", second: "b"} {
 		if _, err := io.WriteString(conn, id+" DATA 5\r\nre"); err != nil {
 			t.Fatal(err)
@@ -288,8 +303,8 @@
 	}
 	client.SetAddress(next.Addr().String())
 	after := begin(client, "c", "body")
-	third, _ := take(next, "c")
-	second.Close()
+	third := acceptCall(next, "c")
+	_ = second.Close()
 	if got := <-broken; got.o != logic.OutcomeReset {
 		t.Errorf("broken off: %+v", got)
 	}
@@ -315,7 +330,7 @@
 	}
 }
 
-// TestCancelRacesReply: whichever comes first, a reply never reaches the request's next call.
+// TestCancelRacesReply: a call is canceled as its reply comes. Whichever is first, a reply never reaches the request's next call.
 func TestCancelRacesReply(t *testing.T) {
 	ln := standin.Listen(t)
 	client := New(ln.Addr().String(), limits.For(64, 256), standin.Quiet)
@@ -326,7 +341,7 @@
 			if err != nil {
 				return
 			}
-			go serveProxy(conn, func(id, body string) string { return fmt.Sprintf("%s DATA %d\r\n%s\r\n", id, len(body), body) })
+			go serveCatalogue(conn, func(id, body string) string { return fmt.Sprintf("%s DATA %d\r\n%s\r\n", id, len(body), body) })
 		}
 	}()
 	for i := range 200 {
@@ -334,11 +349,11 @@
 		client.Cancel("a")
 		second := begin(client, "a", "second")
 		if got := <-second; got != (ended{logic.OutcomeOK, "second"}) {
-			t.Fatalf("play %d: %+v", i, got)
+			t.Fatalf("attempt %d: %+v", i, got)
 		}
-		if len(first) > 0 { // its reply was first, and told as the call was given up
+		if len(first) > 0 { // its reply was first
 			if got := <-first; got != (ended{logic.OutcomeOK, "first"}) {
-				t.Fatalf("play %d: given up, and ended with %+v", i, got)
+				t.Fatalf("attempt %d: canceled, and ended with %+v", i, got)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/backend/catalogue/pool.go
@@ -0,0 +1,97 @@
+package catalogue
+
+import (
+	"slices"
+	"time"
+)
+
+// The connection rule: a call goes on a connection of its own, the idle one opened last or a new one, while fewer than limits.CatalogueConnections are open, so that
+// a stuck or malformed reply costs one call; beyond that it shares the connection with the fewest calls in flight.
+//
+//   - A call that must not be made twice never goes on an idle connection: that may be dead, and its reset would not tell whether the call ran.
+//   - A connection whose last call was for the same request is left out, as it may still bring a second copy of that call's reply.
+//   - Idle connections are closed after limits.CatalogueIdleTimeout, before the catalogue does it.
+
+// pickConn returns the connection for a request's call; the caller holds mu.
+func (c *Client) pickConn(id string, once bool) *proxyConn {
+	var least *proxyConn
+	for _, p := range slices.Backward(c.conns) {
+		if p.address != c.address || p.lastRequest == id {
+			continue
+		}
+		if len(p.calls) == 0 && !once && time.Since(p.lastUsed) < c.limits.CatalogueIdleTimeout {
+			return p
+		}
+		if least == nil || len(p.calls) < len(least.calls) {
+			least = p
+		}
+	}
+	if len(c.conns) >= c.limits.CatalogueConnections {
+		if least != nil && len(least.calls) > 0 {
+			return least
+		}
+		c.closeOneIdle()
+	}
+	return c.openConn()
+}
+
+// openConn adds a connection that is being opened; the caller holds mu.
+func (c *Client) openConn() *proxyConn {
+	p := &proxyConn{client: c, address: c.address, calls: map[string]*call{}, lastUsed: time.Now()}
+	c.conns = append(c.conns, p)
+	go p.run()
+	return p
+}
+
+// closeOneIdle closes the first idle connection, if any, to make room for a new one; the caller holds mu.
+func (c *Client) closeOneIdle() {
+	for _, p := range c.conns {
+		if len(p.calls) == 0 {
+			c.closeConn(p)
+			return
+		}
+	}
+}
+
+// closeIdle closes connections that have been idle for limits.CatalogueIdleTimeout, and idle ones to a former address. It looks again as long as there are
+// idle ones; the caller holds mu.
+func (c *Client) closeIdle() {
+	idle := false
+	for i := 0; i < len(c.conns); i++ {
+		switch p := c.conns[i]; {
+		case len(p.calls) > 0:
+		case p.address != c.address || time.Since(p.lastUsed) >= c.limits.CatalogueIdleTimeout:
+			c.closeConn(p)
+			i--
+		default:
+			idle = true
+		}
+	}
+	if !idle || c.idleTimer != nil {
+		return
+	}
+	c.idleTimer = time.AfterFunc(c.limits.CatalogueIdleTimeout, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.idleTimer = nil
+		c.closeIdle()
+	})
+}
+
+// closeConn closes a connection and returns the calls that were in flight on it; the caller holds mu, and ends them without it.
+func (c *Client) closeConn(p *proxyConn) (lost []*call) {
+	if i := slices.Index(c.conns, p); i >= 0 {
+		c.conns = slices.Delete(c.conns, i, i+1)
+	}
+	p.closed = true
+	if p.socket != nil {
+		_ = p.socket.Close()
+	}
+	for _, k := range p.calls {
+		k.timer.Stop()
+		delete(c.calls, k.id)
+		lost = append(lost, k)
+	}
+	clear(p.calls)
+	return lost
+}
--- a/internal/backend/directory/pulse_test.go
+++ b/internal/backend/directory/reporter_test.go
@@ -10,30 +10,32 @@
 	"sloehitch/internal/testing/standin"
 )
 
-func fast(address string) *Reporter {
+// newTestReporter returns a reporter with a short interval.
+func newTestReporter(address string) *Reporter {
 	lim := limits.For(64, 256)
 	lim.ReportInterval = time.Millisecond
 	return New("n3", address, lim, standin.Quiet)
 }
 
-// TestReportIntervalToleratesLoss: a node is taken off the list 3 s after its last report, and a quarter of them are lost.
-// Once in ten million gaps may all be.
+// TestReportIntervalToleratesLoss: a node is removed from the endpoint list 3 s after its last report, and a quarter of the reports are lost. Less than one
+// gap in ten million may last that long.
 func TestReportIntervalToleratesLoss(t *testing.T) {
 	if lost := math.Pow(0.25, math.Floor(3/limits.For(64, 256).ReportInterval.Seconds())); lost > 1e-7 {
 		t.Errorf("%.2g of the gaps between reports last 3 s", lost)
 	}
 }
 
-func TestPulse(t *testing.T) {
+// TestReporter: reports go on by themselves, and follow the state and the address.
+func TestReporter(t *testing.T) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	if err := conn.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
 		t.Fatal(err)
 	}
-	p := fast(conn.LocalAddr().String())
+	p := newTestReporter(conn.LocalAddr().String())
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() { p.Run(stop); close(stopped) }()
 	read := func() string {
@@ -59,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer next.Close()
+	defer func() { _ = next.Close() }()
 	p.SetAddress(next.LocalAddr().String())
 	if err := next.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
 		t.Fatal(err)
@@ -71,15 +73,15 @@
 	<-stopped
 }
 
-// TestDirectoryDown: nobody listens, and reports go on until somebody does.
+// TestDirectoryDown: reports go on while the directory is down.
 func TestDirectoryDown(t *testing.T) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := conn.LocalAddr().String()
-	conn.Close()
-	p := fast(address)
+	_ = conn.Close()
+	p := newTestReporter(address)
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() { p.Run(stop); close(stopped) }()
 	time.Sleep(20 * time.Millisecond)
@@ -87,7 +89,7 @@
 	if err != nil {
 		t.Skip("the port was taken meanwhile")
 	}
-	defer again.Close()
+	defer func() { _ = again.Close() }()
 	if err := again.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
 		t.Fatal(err)
 	}
