--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -3,319 +3,259 @@
 import (
 	"errors"
 	"fmt"
-	"strconv"
 	"sync"
 	"time"
 
 	"github.com/tidwall/redcon"
+
 	"sloehitch/internal/frontend/connlimit"
 	"sloehitch/internal/node"
 )
 
 // conn is one balancer's connection.
 type conn struct {
-	front        *Front
-	socket       *framedConn
-	slot         *connlimit.Slot
-	served       bool // its read loop was entered
-	badMessages  int  // messages that could not be taken
-	messagesRead int  // messages so far
+	front       *Front
+	socket      *framedConn
+	slot        *connlimit.Slot
+	served      bool // its read loop was entered
+	badMessages int  // malformed ones so far; of the read loop
 
 	mu               sync.Mutex
-	openRequests     map[string]string // tags of open requests to their ids
+	openRequests     map[string]string // the ids of open requests by their tags
+	messagesRead     int
 	lastUsed         time.Time
-	closeRequestedAt time.Time // when it was asked to close
-	output           []byte
-	flushing         bool
-	readEnded        bool // nothing more is read from it
-	peerGone         bool // its reading ended by its peer, or the connection is cut: nothing can follow
-	writeEnded       bool // nothing more is written to it
-	closing          bool // its socket is closed, or soon will be
+	closeRequestedAt time.Time // when the peer was asked to close it; zero: it was not
+	output           []byte    // answers that wait to be written
+	flushing         bool      // a goroutine writes answers
+	readEnded        bool      // nothing more is read from it
+	peerGone         bool      // its peer ended it, or it was aborted: nothing can follow
+	writeEnded       bool      // nothing more is written to it
+	closing          bool      // its socket is closed, or soon will be
 }
 
+// Errors of messages after which a connection takes nothing more.
+var (
+	errDuplicateTag       = errors.New("the tag of an open request, or too many open requests")
+	errTooManyBadMessages = errors.New("too many malformed messages")
+	errAborted            = errors.New("the message came as the connection was aborted")
+)
+
+// errSlotLost is the error of a message that came without a slot: it was rejected, and the connection ends once all that has arrived is answered.
+var errSlotLost = errors.New("the connection has no slot")
+
 // serve reads messages until the connection ends.
-func (k *conn) serve(dc redcon.DetachedConn, cmd redcon.Command) {
-	k.served = true
+func (c *conn) serve(dc redcon.DetachedConn, cmd redcon.Command) {
+	c.served = true
 	var err error
 	for err == nil {
-		if err = k.handleMessage(cmd.Args); errors.Is(err, errSlotLost) {
-			k.socket.stopReading() // what arrived behind it is owed an answer as well
+		if err = c.handleMessage(cmd.Args); errors.Is(err, errSlotLost) {
+			c.socket.stopReading() // what arrived behind it is owed an answer as well
 			err = nil
 		}
 		if err == nil {
 			cmd, err = dc.ReadCommand()
 		}
 	}
-	k.endReading(err)
+	c.endReading(err)
 }
 
-// Errors of messages after which a connection takes nothing more.
-var (
-	errDuplicateTag       = errors.New("the tag of an open request, or too many open requests")
-	errTooManyBadMessages = errors.New("too many messages that can't be taken")
-	errSlotLost           = errors.New("its place was given away")
-	errAborted            = errors.New("it came as the connection was cut")
-)
-
-// Causes of the end of reading.
-type endCause int
-
-const (
-	endedByPeer     endCause = iota // it left, or the connection is lost: nobody waits for what is open
-	endedLocally                    // the connection is being closed from this side: what was read is still answered
-	endedByBadInput                 // what can't be taken came
-)
-
-func endCauseOf(err error) endCause {
-	for _, bad := range []error{errFraming, errMessageTimeout, errNoTag, errDuplicateTag, errTooManyBadMessages} {
-		if errors.Is(err, bad) {
-			return endedByBadInput
-		}
-	}
-	if errors.Is(err, errReadingStopped) || errors.Is(err, errSlotLost) {
-		return endedLocally
+// handleMessage handles one array. An error ends the reading.
+func (c *conn) handleMessage(args [][]byte) error {
+	lim := &c.front.opts.Limits
+	m, err := decodeMessage(args, lim.BodyBytes, lim.FieldListBytes)
+	switch m := m.(type) {
+	case *submitMessage:
+		return c.handleSubmit(m, err)
+	case *cancelMessage:
+		c.cancelRequest(m.messageTag())
+		return nil
+	case *pingMessage:
+		return c.handlePing(m)
+	case *unknownMessage:
+		return c.handleUnknown(m, err)
 	}
-	return endedByPeer
+	return err
 }
 
-// endReading takes the end of reading. If the peer left, nobody waits for what is open. If it sent what can't be taken, what
-// it sent before is answered at once, without waiting for runs, and the connection closes.
-func (k *conn) endReading(err error) {
-	why := endCauseOf(err)
-	k.mu.Lock()
-	k.readEnded = true
-	var ids []string
-	for _, id := range k.openRequests {
-		ids = append(ids, id)
+// begin notes that a message has come, and opens the request that it asks for; submit is nil for any other message. It reports whether the connection
+// holds a slot, for which it may wait.
+func (c *conn) begin(tag string, submit *submitMessage) (hasSlot bool, err error) {
+	c.mu.Lock()
+	if c.writeEnded {
+		c.mu.Unlock()
+		return false, errAborted // no answer could follow: it must not run, and its caller learns by the close that it did not
 	}
-	if why == endedByPeer {
-		k.peerGone, k.writeEnded = true, true
-		clear(k.openRequests)
+	// Whatever is said under the tag of an open request would be taken for that one's answer.
+	if _, duplicate := c.openRequests[tag]; duplicate || submit != nil && len(c.openRequests) >= c.front.opts.Limits.RequestsPerConnection {
+		c.mu.Unlock()
+		return false, errDuplicateTag
 	}
-	k.closeIfDone()
-	k.mu.Unlock()
-	if why == endedByBadInput {
-		k.front.log.Warn("bad message: the connection is closed", err)
-	} else {
-		k.front.opts.Log.Debug("nothing more is read from a connection", "peer", k.socket.RemoteAddr(), "error", err, "open", ids)
+	c.lastUsed = time.Now()
+	c.messagesRead++
+	var timeout time.Duration
+	if submit != nil {
+		c.openRequests[tag] = submit.requestID
+		timeout = submit.timeout
 	}
-	for _, id := range ids {
-		switch why {
-		case endedByPeer:
-			k.front.opts.Core.Cancel(id)
-		case endedByBadInput:
-			k.front.opts.Core.Abort(id)
-		}
+	hasSlot = c.slot.SetState(c.slotState())
+	wait := !hasSlot && c.socket.unadmitted && !c.socket.isStopping()
+	c.mu.Unlock()
+	if wait {
+		hasSlot = c.waitForSlot(timeout)
 	}
+	return hasSlot, nil
 }
 
-// handleMessage handles one array. An error ends the reading.
-func (k *conn) handleMessage(args [][]byte) error {
-	lim := k.front.opts.Limits
-	m, err := parse(args, lim.BodyBytes, lim.FieldListBytes)
-	if errors.Is(err, errNoTag) {
-		return err
+// handleSubmit hands a request to the core, or rejects it; err is that of its decoding.
+func (c *conn) handleSubmit(m *submitMessage, err error) error {
+	tag := m.messageTag()
+	hasSlot, beginErr := c.begin(tag, m)
+	if beginErr != nil {
+		return beginErr
 	}
-	if err == nil && m.verb == "UNDO" {
-		k.cancelRequest(m.tag)
-		return nil
-	}
-	k.mu.Lock()
-	if k.writeEnded {
-		k.mu.Unlock()
-		return errAborted // no answer could follow: it must not run, and its caller learns by the close that it did not
-	}
-	// Whatever is said under the tag of an open request would be taken for that one's answer.
-	if _, twice := k.openRequests[m.tag]; twice || m.verb == "DO" && len(k.openRequests) >= lim.RequestsPerConnection {
-		k.mu.Unlock()
-		return errDuplicateTag
+	if !hasSlot {
+		c.reject(m)
+		return errSlotLost
 	}
-	k.lastUsed = time.Now()
-	k.messagesRead++
-	if m.verb == "DO" {
-		k.openRequests[m.tag] = m.do.req
+	var q node.Request
+	if err == nil {
+		q, err = c.nodeRequest(m)
 	}
-	seated := k.slot.SetState(k.slotState())
-	waits := !seated && k.socket.unadmitted && !k.socket.isStopping()
-	k.mu.Unlock()
-	if waits {
-		seated = k.waitForSlot(&m.do)
+	if err == nil {
+		c.front.opts.Core.Submit(q, func(r node.Response) { c.sendAnswer(tag, r) })
+		return nil
 	}
-	var q node.Request
-	switch {
-	case m.verb == "DO" && !seated:
-		// It was read, so it is owed an answer, but there is no place for its connection: the core never hears of it.
-		k.sendAnswer(m.tag, node.Response{Status: k.front.opts.Core.RejectionStatus(m.do.class, m.do.opkey)})
-		return errSlotLost
-	case m.verb == "DO":
-		if err == nil {
-			q, err = k.nodeRequest(&m.do)
-		}
-		if err != nil { // it was read, so it is owed an answer; this try never ran
-			k.sendAnswer(m.tag, node.Response{Status: k.front.opts.Core.RejectionStatus(m.do.class, m.do.opkey)})
-		}
-		if errors.Is(err, errUnknownClass) {
-			// Well formed, of a class that the settings do not name (yet, or any more): balancers learn of a retuning
-			// late, and the connection carries others' requests, so it is no fault of the connection's.
-			k.front.log.Warn("unknown class: refused", err)
-			if k.front.opts.OnUnknownClass != nil {
-				k.front.opts.OnUnknownClass(m.do.class)
-			}
-			return nil
-		}
-	case err != nil:
-		k.enqueueAnswer(m.tag, answerWords[node.StatusFailed], k.loadSignal(), nil, "")
-	default:
-		word := "GREEN"
-		if !k.front.opts.Status.Healthy() {
-			word = "RED"
-		}
-		k.enqueueAnswer(m.tag, word, k.loadSignal(), nil, "")
-		if !seated {
-			return errSlotLost
+	c.reject(m)
+	if errors.Is(err, errUnknownClass) {
+		// Well formed, of a class that the settings do not name (yet, or any more): balancers learn of new settings late, and the connection
+		// carries others' requests, so it does not count against the connection.
+		c.front.log.Warn("request of an unknown class rejected", err)
+		if c.front.opts.OnUnknownClass != nil {
+			c.front.opts.OnUnknownClass(m.class)
 		}
 		return nil
 	}
+	return c.countBadMessage(err)
+}
+
+// reject answers a request that can't be submitted. It was read, so it is owed an answer; the core knows whether an attempt with its key ran.
+func (c *conn) reject(m *submitMessage) {
+	c.sendAnswer(m.messageTag(), node.Response{Status: c.front.opts.Core.RejectionStatus(m.class, m.idempotencyKey)})
+}
+
+// handlePing answers a health check.
+func (c *conn) handlePing(m *pingMessage) error {
+	tag := m.messageTag()
+	hasSlot, err := c.begin(tag, nil)
 	if err != nil {
-		k.front.log.Warn("bad message: turned away", err)
-		if k.badMessages++; k.badMessages >= lim.BadMessagesPerConnection {
-			return errTooManyBadMessages
-		}
-		return nil
+		return err
+	}
+	word := wordHealthy
+	if !c.front.opts.Status.Healthy() {
+		word = wordUnhealthy
+	}
+	c.enqueueAnswer(tag, word, c.loadSignal(), nil, false)
+	if !hasSlot {
+		return errSlotLost
 	}
-	k.front.opts.Core.Submit(q, func(a node.Response) { k.sendAnswer(m.tag, a) })
 	return nil
 }
 
-// slotWaitDivisor is the part of its caller's time that a newcomer's request may spend waiting for a place.
-const slotWaitDivisor = 8
-
-// waitForSlot has a newcomer wait for a place, for as long as a connection that spoke just now keeps its own, but not for long by its caller's measure.
-func (k *conn) waitForSlot(d *do) bool {
-	patience := k.front.opts.Limits.IdleConnectionGrace
-	if d.wait > 0 {
-		patience = min(patience, d.wait/slotWaitDivisor)
+// handleUnknown answers a message that is none of the protocol's; err says why.
+func (c *conn) handleUnknown(m *unknownMessage, err error) error {
+	tag := m.messageTag()
+	if _, err := c.begin(tag, nil); err != nil {
+		return err
 	}
-	if !k.slot.AcquireWithin(patience) {
-		return false
+	c.enqueueAnswer(tag, answerWords[node.StatusFailed], c.loadSignal(), nil, false)
+	return c.countBadMessage(err)
+}
+
+// countBadMessage counts a malformed message; it returns an error if there were too many.
+func (c *conn) countBadMessage(err error) error {
+	c.front.log.Warn("malformed message rejected", err)
+	if c.badMessages++; c.badMessages >= c.front.opts.Limits.BadMessagesPerConnection {
+		return errTooManyBadMessages
 	}
-	k.mu.Lock()
-	k.socket.unadmitted = false
-	k.slot.SetState(k.slotState())
-	k.mu.Unlock()
-	k.socket.messageTimeout = k.front.opts.Limits.MessageTimeout
-	<-k.front.unadmitted
-	return true
+	return nil
 }
 
 var errUnknownClass = errors.New("unknown class")
 
-// nodeRequest is what DO asks for in the core's terms, if there can be such a request at all.
-func (k *conn) nodeRequest(d *do) (node.Request, error) {
-	o := &k.front.opts
-	class, known := (*k.front.classes.Load())[d.class]
+// nodeRequest returns a message's request in the core's terms, if its class and tenant are known and its time stamp is plausible.
+func (c *conn) nodeRequest(m *submitMessage) (node.Request, error) {
+	o := &c.front.opts
+	class, known := (*c.front.classes.Load())[m.class]
 	if !known {
-		return node.Request{}, fmt.Errorf("%w %.40q", errUnknownClass, d.class)
+		return node.Request{}, fmt.Errorf("%w %.40q", errUnknownClass, m.class)
 	}
-	tenant, known := o.Tenants[d.owner]
+	tenant, known := o.Tenants[m.tenant]
 	if !known {
-		if tenant = -1; d.owner != "" && len(o.Tenants) > 0 {
-			return node.Request{}, fmt.Errorf("unknown tenant %.40q", d.owner)
+		if tenant = -1; m.tenant != "" && len(o.Tenants) > 0 {
+			return node.Request{}, fmt.Errorf("unknown tenant %.40q", m.tenant)
 		}
 	}
-	arrived, err := o.Timestamps.Instant(d.stamp)
+	arrivedAt, err := o.Timestamps.Instant(m.arrivedAt)
 	if err != nil {
 		return node.Request{}, err
 	}
-	return node.Request{ID: d.req, Class: class, Tenant: tenant, MemoryKB: d.need, WorkHint: d.work, PriorityRank: d.level, Retry: d.resent,
-		CallerID: d.via, ArrivedAt: arrived, AttemptTimeout: d.wait, IdempotencyKey: d.opkey, Body: d.body, Content: d.body, Runner: o.Runner, Protocol: "resp"}, nil
+	return node.Request{
+		ID:             m.requestID,
+		Class:          class,
+		Tenant:         tenant,
+		MemoryKB:       m.memoryKB,
+		WorkHint:       m.workHint,
+		PriorityRank:   m.priorityRank,
+		Retry:          m.retry,
+		CallerID:       m.balancer,
+		ArrivedAt:      arrivedAt,
+		AttemptTimeout: m.timeout,
+		IdempotencyKey: m.idempotencyKey,
+		Body:           m.body,
+		Content:        m.body,
+		Runner:         o.Runner,
+		Protocol:       "resp",
+	}, nil
 }
 
 // slotState is what the connection is doing; the caller holds mu.
-func (k *conn) slotState() connlimit.State {
-	if len(k.openRequests) > 0 || len(k.output) > 0 || k.flushing {
+func (c *conn) slotState() connlimit.State {
+	switch {
+	case c.hasWork():
 		return connlimit.StateActive
-	}
-	if k.messagesRead == 1 {
+	case c.messagesRead == 1:
 		return connlimit.StateIdleAfterOne
 	}
 	return connlimit.StateIdle
 }
 
-// answersOwed says whether an answer is owed on the connection or still to be written. Where none is, the connection is about to end, and its peer is
-// not asked to close it any more.
-func (k *conn) answersOwed() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.openRequests) > 0 || len(k.output) > 0 || k.flushing {
-		return true
-	}
-	if k.closeRequestedAt.IsZero() {
-		k.closeRequestedAt = time.Now()
-	}
-	return false
-}
+// hasWork reports whether a request is open, or an answer still to be written; the caller holds mu.
+func (c *conn) hasWork() bool { return len(c.openRequests) > 0 || len(c.output) > 0 || c.flushing }
 
-func (k *conn) cancelRequest(tag string) {
-	k.mu.Lock()
-	id, known := k.openRequests[tag]
-	delete(k.openRequests, tag)
-	k.lastUsed = time.Now()
-	k.slot.SetState(k.slotState())
-	k.closeIfDone()
-	k.mu.Unlock()
+// cancelRequest takes a balancer's word that it waits no longer for a request.
+func (c *conn) cancelRequest(tag string) {
+	c.mu.Lock()
+	id, known := c.openRequests[tag]
+	delete(c.openRequests, tag)
+	c.lastUsed = time.Now()
+	c.slot.SetState(c.slotState())
+	c.closeIfDone()
+	c.mu.Unlock()
 	if known {
-		k.front.opts.Core.Cancel(id)
+		c.front.opts.Core.Cancel(id)
 	}
 }
 
-var answerWords = map[node.Status]string{node.StatusServed: "ACK", node.StatusRejected: "NAK", node.StatusFailed: "FAIL"}
-
-func (k *conn) sendAnswer(tag string, a node.Response) {
-	fields := k.loadSignal()
-	if a.Status == node.StatusRejected && a.RetryAfter > 0 {
-		fields = appendField(fields, "holdoff")
-		fields = strconv.AppendInt(fields, (a.RetryAfter + time.Millisecond - 1).Milliseconds(), 10)
-	}
-	if a.Status == node.StatusRejected && a.NoFailover {
-		fields = append(appendField(fields, "nomore"), '1')
-	}
-	k.enqueueAnswer(tag, answerWords[a.Status], fields, a.Result, tag)
+// sendAnswer queues a request's final answer.
+func (c *conn) sendAnswer(tag string, r node.Response) {
+	c.enqueueAnswer(tag, answerWords[r.Status], appendRejection(c.loadSignal(), r), r.Result, true)
 }
 
-func appendField(fields []byte, name string) []byte {
-	if len(fields) > 0 {
-		fields = append(fields, ',')
-	}
-	return append(append(fields, name...), '=')
-}
-
-// loadSignal is the field that goes with every answer once there is something to tell.
-func (k *conn) loadSignal() []byte {
-	v, set := k.front.opts.Status.LoadSignal()
+// loadSignal returns the field that goes with every answer; nil until the node has a load signal.
+func (c *conn) loadSignal() []byte {
+	signal, set := c.front.opts.Status.LoadSignal()
 	if !set {
 		return nil
 	}
-	return strconv.AppendFloat(appendField(nil, "signal"), v, 'f', 4, 64)
-}
-
-func (k *conn) closeIfIdle(now time.Time, idle time.Duration, leaving bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	switch {
-	case k.readEnded:
-	case !k.closeRequestedAt.IsZero():
-		if len(k.openRequests) == 0 && len(k.output) == 0 && !k.flushing && now.Sub(k.closeRequestedAt) > k.front.opts.Limits.PeerCloseTimeout {
-			k.socket.stopReading()
-		}
-	case leaving, len(k.openRequests) == 0 && idle > 0 && now.Sub(k.lastUsed) > idle:
-		k.requestClose(now)
-	}
-}
-
-// requestClose asks the balancer to close the connection; k.mu is held.
-func (k *conn) requestClose(now time.Time) {
-	k.closeRequestedAt = now
-	k.front.opts.Log.Debug("a peer is asked to close", "peer", k.socket.RemoteAddr())
-	k.enqueue("0", "FIN", nil, nil)
+	return appendLoadSignal(nil, signal)
 }
--- a/internal/frontend/resp/crossings_test.go
+++ b/internal/frontend/resp/crossings_test.go
@@ -219,7 +219,7 @@
 	}
 	defer c.Close()
 	lim := limits.For(64, 256)
-	g := &framedConn{Conn: c, frames: frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}, messageTimeout: time.Hour, timeoutFrom: time.Now(), finalBytes: lim.FrameBytes}
+	g := &framedConn{Conn: c, validator: newFrameValidator(&lim), messageTimeout: time.Hour, timeoutFrom: time.Now(), finalBytes: lim.FrameBytes}
 	b.Do(7, "book", req, time.Now(), "body", "")
 	control, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -246,7 +246,7 @@
 	if n, err := g.Read(buf); n != 0 || !errors.Is(err, errReadingStopped) {
 		t.Errorf("%d bytes, %v, want the end of reading", n, err)
 	}
-	late := &framedConn{Conn: c, frames: frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}, messageTimeout: time.Hour, timeoutFrom: time.Now().Add(-2 * time.Hour), finalBytes: lim.FrameBytes}
+	late := &framedConn{Conn: c, validator: newFrameValidator(&lim), messageTimeout: time.Hour, timeoutFrom: time.Now().Add(-2 * time.Hour), finalBytes: lim.FrameBytes}
 	if n, err := late.Read(buf); n != 0 || !errors.Is(err, errMessageTimeout) {
 		t.Errorf("%d bytes, %v where nothing has come by the deadline", n, err)
 	}
@@ -622,7 +622,7 @@
 	lim := limits.For(64, 256)
 	text := standin.Array("PING", "1")
 	s := &short{in: []byte(text)}
-	g := &framedConn{Conn: s, frames: frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}, messageTimeout: time.Hour, timeoutFrom: time.Now()}
+	g := &framedConn{Conn: s, validator: newFrameValidator(&lim), messageTimeout: time.Hour, timeoutFrom: time.Now()}
 	if got, err := io.ReadAll(g); err != nil || string(got) != text {
 		t.Errorf("read %q, %v", got, err)
 	}
@@ -662,7 +662,7 @@
 	peak, body := int64(0), make([]byte, 4096)
 	for range lim.UnreadAnswerBytes/len(body) + 2 {
 		for _, k := range conns {
-			k.enqueueAnswer("1", "ACK", nil, body, "")
+			k.enqueueAnswer("1", "ACK", nil, body, false)
 			if peak = max(peak, f.unreadBytes.Load()); peak > most {
 				t.Fatalf("%d bytes wait for peers, %d at most", peak, most)
 			}
--- a/internal/frontend/resp/describe_test.go
+++ b/internal/frontend/resp/describe_test.go
@@ -54,7 +54,7 @@
 		m := described(t)[name]
 		for _, example := range m.Examples {
 			read := func(what string, payload map[string]any) {
-				_, err := parse(array(payload), lim.BodyBytes, lim.FieldListBytes)
+				_, err := decodeMessage(array(payload), lim.BodyBytes, lim.FieldListBytes)
 				if valid := m.Valid(payload); (err == nil) != (valid == nil) {
 					t.Errorf("%s, %s: the parser says %v, the description %v", name, what, err, valid)
 				}
--- a/internal/frontend/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -1,5 +1,9 @@
-// Package resp is the front for the platform's balancers: it parses their messages, asks the core and writes its
-// answers, in whatever order they come.
+// Package resp is the front for the platform's balancers: it decodes their messages, hands requests to the core and writes its answers, in whatever order
+// they come.
+//
+// A listener (listener.go) accepts connections that are within the slots of the front, and a few beyond them (unadmitted.go). framedConn checks the
+// framing of what redcon reads from them, and its timing; conn handles the messages, which wire.go decodes. closing.go says when a connection may be
+// closed, eviction.go what becomes of those that give their slot to another, output.go what of peers that do not read.
 package resp
 
 import (
@@ -21,18 +25,25 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Core is what the front asks of the node.
+// Core is what the front asks of the node. Its methods must not block.
 type Core interface {
+	// Submit takes a request; reply gets its one final answer, unless Cancel comes first.
 	Submit(q node.Request, reply func(node.Response))
+	// Cancel says that nobody waits for a request any more.
 	Cancel(id string)
+	// Abort has a request answered at once, whatever runs.
 	Abort(id string)
+	// RejectionStatus is how to answer a request that can't be submitted, by its class and idempotency key (empty: none).
 	RejectionStatus(class, key string) node.Status
 }
 
-// NodeStatus is what goes with every answer.
+// NodeStatus is what balancers are told of the node. Its methods must not block.
 type NodeStatus interface {
-	LoadSignal() (float64, bool)
+	// LoadSignal is the value that goes with every answer, if there is one yet.
+	LoadSignal() (signal float64, set bool)
+	// Healthy is the answer to health checks.
 	Healthy() bool
+	// IdleTimeout is how long a connection may be idle before its peer is asked to close it; 0: for ever.
 	IdleTimeout() time.Duration
 }
 
@@ -41,30 +52,27 @@
 	Core           Core
 	Status         NodeStatus
 	Runner         node.Runner
-	Classes        map[string]int
-	Tenants        map[string]int
-	OnUnknownClass func(class string) // told of each request refused for a class not in the settings; may be nil
+	Classes        map[string]int     // by name
+	Tenants        map[string]int     // by name
+	OnUnknownClass func(class string) // gets each request rejected for a class not in the settings; may be nil
 	Limits         limits.Limits
 	Log            *slog.Logger
 	Timestamps     *clock.Timestamps // reads requests' time stamps; nil: one with the bounds of Limits
 }
 
-// Front serves balancers.
+// Front serves balancers. Its methods may be called from any goroutine.
 type Front struct {
 	opts Options
 	log  *lograte.Logger
 
 	slots            *connlimit.Limiter
-	classes          atomic.Pointer[map[string]int] // as of the latest Retune
+	classes          atomic.Pointer[map[string]int] // as of the latest SetClasses
 	pending          atomic.Int64                   // connections accepted and not yet among conns
 	closingListeners atomic.Int64                   // listeners that are to close and may still hand out connections
-	unreadBytes      atomic.Int64                   // bytes of answers that wait for their peers to read
-
-	unadmitted chan struct{} // as many as there are connections without a place
-
-	closed chan struct{}
-
-	evictions evictionList
+	unreadBytes      atomic.Int64                   // of answers that wait for their peers to read
+	unadmitted       chan struct{}                  // holds one element for each connection without a slot
+	evictions        evictionList
+	closed           chan struct{}
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
@@ -73,51 +81,49 @@
 
 // New returns a front that serves nothing yet.
 func New(o Options) *Front {
+	lim := &o.Limits
 	if o.Timestamps == nil {
-		o.Timestamps = clock.NewTimestamps(o.Limits.MaxClockAhead, o.Limits.MaxClockBehind, nil)
+		o.Timestamps = clock.NewTimestamps(lim.MaxClockAhead, lim.MaxClockBehind, nil)
+	}
+	f := &Front{
+		opts:       o,
+		log:        lograte.New(o.Log, lim.LogInterval),
+		slots:      connlimit.New(lim.MaxConnections, lim.NewConnectionGrace, lim.IdleConnectionGrace),
+		unadmitted: make(chan struct{}, lim.UnadmittedConnections),
+		evictions:  evictionList{maxAwaitingPeer: lim.EvictedConnections, maxUnflushed: lim.UnadmittedConnections},
+		closed:     make(chan struct{}),
+		conns:      map[*conn]struct{}{},
 	}
-	f := &Front{opts: o, log: lograte.New(o.Log, o.Limits.LogInterval), conns: map[*conn]struct{}{}, closed: make(chan struct{}), unadmitted: make(chan struct{}, o.Limits.UnadmittedConnections),
-		evictions: evictionList{maxAwaitingPeer: o.Limits.EvictedConnections, maxUnflushed: o.Limits.UnadmittedConnections}, slots: connlimit.New(o.Limits.MaxConnections, o.Limits.NewConnectionGrace, o.Limits.IdleConnectionGrace)}
 	f.classes.Store(&o.Classes)
 	return f
 }
 
-// SetClasses takes the names of classes of new settings, for requests read from now on. The core must know them first.
+// SetClasses sets the classes by name for requests read from now on. The core must know them first.
 func (f *Front) SetClasses(classes map[string]int) { f.classes.Store(&classes) }
 
-// SetMaxConnections takes so many connections at once from now on; none is cut for it.
-func (f *Front) SetMaxConnections(most int) { f.slots.Resize(most) }
-
-// acceptUnadmitted takes a connection for which there is no place now: what it has to say within limits.Newcomer is read, and then it waits
-// for a place, or is refused. Closed at once it would take along a request that has arrived; read only once it has a place, the request would
-// be late. A few may be there at once; it waits for its turn.
-func (f *Front) acceptUnadmitted(g *framedConn) {
-	f.opts.Log.Debug("there is no place for a new connection", "peer", g.RemoteAddr())
-	f.unadmitted <- struct{}{}
-	g.unadmitted = true
-	g.messageTimeout, g.timeoutFrom = f.opts.Limits.NewConnectionGrace, time.Now()
-}
+// SetMaxConnections sets how many connections may hold slots from now on; none is closed for it at once.
+func (f *Front) SetMaxConnections(n int) { f.slots.Resize(n) }
 
-// Serve serves what comes in on ln until the front is closed.
+// Serve serves what comes in on ln, and blocks until the front is closed.
 func (f *Front) Serve(ln *Listener) error {
-	accept := func(c redcon.Conn) bool {
-		g := c.NetConn().(*framedConn)
-		k := &conn{front: f, socket: g, slot: g.slot, openRequests: map[string]string{}, lastUsed: time.Now()}
-		g.answersOwed = k.answersOwed
-		c.SetContext(k)
+	accept := func(rc redcon.Conn) bool {
+		socket := rc.NetConn().(*framedConn)
+		c := &conn{front: f, socket: socket, slot: socket.slot, openRequests: map[string]string{}, lastUsed: time.Now()}
+		socket.answersOwed = c.answersOwed
+		rc.SetContext(c)
 		f.mu.Lock()
-		f.conns[k] = struct{}{}
+		f.conns[c] = struct{}{}
 		f.mu.Unlock()
 		f.pending.Add(-1)
 		return true
 	}
-	handle := func(c redcon.Conn, cmd redcon.Command) {
-		k := c.Context().(*conn)
-		k.serve(c.Detach(), cmd) // answers come out of order, from other goroutines: redcon only reads
+	handle := func(rc redcon.Conn, cmd redcon.Command) {
+		c := rc.Context().(*conn)
+		c.serve(rc.Detach(), cmd) // answers come out of order, from other goroutines: redcon only reads
 	}
-	closed := func(c redcon.Conn, err error) {
-		if k := c.Context().(*conn); !k.served {
-			k.endReading(err) // it ended before its first whole command
+	closed := func(rc redcon.Conn, err error) {
+		if c := rc.Context().(*conn); !c.served {
+			c.endReading(err) // it ended before its first complete message
 		}
 	}
 	err := redcon.Serve(ln, handle, accept, closed)
@@ -127,36 +133,35 @@
 	return err
 }
 
-// connections is the connections that are open now, for a look at each without the front's lock.
+// connections returns the connections that are open now, for a look at each without the front's lock.
 func (f *Front) connections() []*conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.conns))
 }
 
-// CloseIdle closes connections that have been idle for longer than the core wishes, or all idle ones when leaving.
-// It asks first, so that no request crosses the close; a peer that doesn't close in time is cut off.
+// CloseIdle applies the closing rule (closing.go) to connections that are idle, or to all while draining. It is to be called periodically.
 func (f *Front) CloseIdle() {
-	idle := f.opts.Status.IdleTimeout()
+	idleTimeout := f.opts.Status.IdleTimeout()
 	now := time.Now()
 	f.mu.Lock()
-	leaving := f.draining
+	draining := f.draining
 	f.mu.Unlock()
-	for _, k := range f.connections() {
-		k.closeIfIdle(now, idle, leaving)
+	for _, c := range f.connections() {
+		c.closeIfIdle(now, idleTimeout, draining)
 	}
 }
 
-// RequestClose asks each connection that has not been asked yet to close, and cuts none: while leaving, balancers learn
-// late and may still send on a connection that was asked, and what they send is served until the kill.
+// RequestClose asks the peer of each connection that was not asked yet to close it, and closes none: while the node drains, balancers learn of it late and may
+// still send on a connection that was asked, and what they send is served until the end.
 func (f *Front) RequestClose() {
 	now := time.Now()
-	for _, k := range f.connections() {
-		k.mu.Lock()
-		if k.closeRequestedAt.IsZero() {
-			k.requestClose(now)
+	for _, c := range f.connections() {
+		c.mu.Lock()
+		if c.closeRequestedAt.IsZero() {
+			c.requestClose(now)
 		}
-		k.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
 
@@ -168,26 +173,25 @@
 	f.CloseIdle()
 }
 
-// Shutdown ends all connections from this side, each as soon as all that came on it is answered and written. It waits until the peers have ended
-// them too, at the longest for the given time. A process that ended without it would reset connections on which something unread stands, and
-// answers that are on their way with them.
-func (f *Front) Shutdown(within time.Duration) {
-	by := time.Now().Add(within)
+// Shutdown ends all connections from this side, each as soon as all that came on it is answered and written. It blocks until the peers have ended them too,
+// for the timeout at most. A process that ended without it would reset connections with unread data, and lose answers that are on their way.
+func (f *Front) Shutdown(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
 	for {
-		for _, k := range f.connections() {
-			k.socket.stopReading()
+		for _, c := range f.connections() {
+			c.socket.stopReading()
 		}
-		if f.OpenConnections() == 0 || !time.Now().Before(by) {
+		if f.OpenConnections() == 0 || !time.Now().Before(deadline) {
 			return
 		}
-		time.Sleep(min(by.Sub(time.Now()), f.opts.Limits.MinBackoff/4))
+		time.Sleep(min(time.Until(deadline), f.opts.Limits.MinBackoff/4))
 	}
 }
 
 // Close ends Serve and closes all connections, once the listener is closed. It is to be called once.
 func (f *Front) Close() { close(f.closed) }
 
-// OpenConnections is the number of open connections; a listener that is to close and may still hand out some counts as one.
+// OpenConnections returns the number of open connections; a listener that is to close and may still hand out some counts as one.
 func (f *Front) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/frontend/resp/resp_test.go
+++ b/internal/frontend/resp/resp_test.go
@@ -64,22 +64,27 @@
 			for _, a := range c.args {
 				args = append(args, []byte(a))
 			}
-			m, err := parse(args, 2048, 1024)
-			if (err == nil) != c.ok || m.tag != c.tag {
-				t.Errorf("parse = tag %q, %v; want tag %q, ok %v", m.tag, err, c.tag, c.ok)
+			m, err := decodeMessage(args, 2048, 1024)
+			tag := ""
+			if m != nil {
+				tag = m.messageTag()
+			}
+			if (err == nil) != c.ok || tag != c.tag {
+				t.Errorf("tag %q, %v; want tag %q, ok %v", tag, err, c.tag, c.ok)
 			}
 		})
 	}
 }
 
 func TestParseFields(t *testing.T) {
-	m, err := parse([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(fine + ",subject=7f3a"), []byte("a\r\nb")}, 2048, 1024)
+	decoded, err := decodeMessage([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(fine + ",subject=7f3a"), []byte("a\r\nb")}, 2048, 1024)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := do{class: "book", req: "9b1f03aa5c7e2d41", owner: "acme", opkey: "5c0f", subject: "7f3a",
-		stamp: time.UnixMilli(1764576000123), wait: 480500 * time.Microsecond, via: 4, resent: true, work: 12500 * time.Microsecond, need: 24.5, level: 0.625}
-	got := m.do
+	want := submitMessage{tag: "7", class: "book", requestID: "9b1f03aa5c7e2d41", tenant: "acme", idempotencyKey: "5c0f", subject: "7f3a",
+		arrivedAt: time.UnixMilli(1764576000123), timeout: 480500 * time.Microsecond, balancer: 4, retry: true,
+		workHint: 12500 * time.Microsecond, memoryKB: 24.5, priorityRank: 0.625}
+	got := *decoded.(*submitMessage)
 	if string(got.body) != "a\r\nb" {
 		t.Errorf("body %q", got.body)
 	}
@@ -115,7 +120,7 @@
 func TestFrames(t *testing.T) {
 	for _, c := range framing {
 		for _, size := range []int{1, 7, 1 << 20} { // in fragments and whole
-			g := &framedConn{Conn: chunked{strings.NewReader(c.in), size}, frames: frameValidator{maxParts: 8, maxBulkBytes: 8 << 10, maxFrameBytes: 8 << 10}}
+			g := &framedConn{Conn: chunked{strings.NewReader(c.in), size}, validator: frameValidator{maxParts: 8, maxBulkBytes: 8 << 10, maxFrameBytes: 8 << 10}}
 			got, err := io.ReadAll(g)
 			if !strings.HasPrefix(c.in, string(got)) || len(got) != len(c.pass) || errors.Is(err, errFraming) != c.bad {
 				t.Errorf("%s in pieces of %d: passed %.40q, %v; want %.40q, bad %v", c.name, size, got, err, c.pass, c.bad)
@@ -159,7 +164,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		lim := limits.For(64, 256)
 		read := func(r io.Reader) (commands int, framed bool) {
-			g := &framedConn{Conn: chunked{r, 1 << 20}, frames: frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}}
+			g := &framedConn{Conn: chunked{r, 1 << 20}, validator: newFrameValidator(&lim)}
 			in := redcon.NewReader(g)
 			for {
 				cmd, err := in.ReadCommand()
