--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -135,7 +135,7 @@
 	}
 	unconfirmed := func(want ...unconfirmedCommand) {
 		t.Helper()
-		until(t, l, func() bool { return len(e.reported()) >= len(want) })
+		waitFor(t, l, func() bool { return len(e.reported()) >= len(want) })
 		if got := e.reported(); !slices.Equal(got, want) {
 			t.Errorf("unconfirmed %v, want %v", got, want)
 		}
--- a/internal/backend/runtime/reconnect_test.go
+++ b/internal/backend/runtime/reconnect_test.go
@@ -33,8 +33,8 @@
 	in *bufio.Reader
 }
 
-// next waits for the next connection and its sync, which it returns.
-func next(t *testing.T, ln net.Listener) (*peer, command) {
+// nextPeer waits for the next connection and its sync, which it returns.
+func nextPeer(t *testing.T, ln net.Listener) (*peer, command) {
 	t.Helper()
 	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience)); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 
 const ready = `{"action":"ready","code":"WARM","wall_ms":1}`
 
-func scripted(t *testing.T, change func(*limits.Limits)) (*Link, *events, net.Listener) {
+func serveScripted(t *testing.T, change func(*limits.Limits)) (*Link, *events, net.Listener) {
 	ln := standin.Listen(t)
 	lim := limits.For(64, 256)
 	if change != nil {
@@ -85,8 +85,8 @@
 	return l, e, ln
 }
 
-// until waits for a condition that holds under the link's lock.
-func until(t *testing.T, l *Link, what func() bool) {
+// waitFor waits for a condition that holds under the link's lock.
+func waitFor(t *testing.T, l *Link, what func() bool) {
 	t.Helper()
 	for end := time.Now().Add(standin.Patience); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
@@ -104,8 +104,8 @@
 // TestReplyWhileDisconnectedIsSentOnce: a reply that comes between two connections goes out with the next. Sent twice, it would meet the run's next
 // call. Of what the broken connection had taken, only the start of an idempotent request is sent again.
 func TestReplyWhileDisconnectedIsSentOnce(t *testing.T) {
-	l, e, ln := scripted(t, nil)
-	p, _ := next(t, ln)
+	l, e, ln := serveScripted(t, nil)
+	p, _ := nextPeer(t, ln)
 	p.send(ready)
 	l.Start("a", "book", nil, true)
 	l.Start("b", "slot-search", nil, false)
@@ -116,10 +116,10 @@
 	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
 	<-e.wants
 	_ = p.Close()
-	until(t, l, func() bool { return l.generation == 2 && !l.synced }) // dialled, and not served yet
+	waitFor(t, l, func() bool { return l.generation == 2 && !l.synced }) // dialled, and not served yet
 	l.DeliverReply("a", []byte("one"))
 	l.Start("c", "book", nil, true)
-	p, sync := next(t, ln)
+	p, sync := nextPeer(t, ln)
 	if *sync.Pos != 1 {
 		t.Errorf("resumed from %d, want 1", *sync.Pos)
 	}
@@ -129,7 +129,7 @@
 		seen[c.Action+" "+c.UID]++
 		if c.Echo == echoResumed {
 			p.send(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
-			until(t, l, func() bool { return l.redeliveryDecided })
+			waitFor(t, l, func() bool { return l.redeliveryDecided })
 			l.Stop("marker")
 		}
 	}
@@ -147,21 +147,21 @@
 }
 
 func testBlockedWriter(t *testing.T, once bool) {
-	l, e, ln := scripted(t, func(lim *limits.Limits) { lim.WriteTimeout, lim.RuntimeSilence = time.Hour, time.Hour })
-	p, _ := next(t, ln)
+	l, e, ln := serveScripted(t, func(lim *limits.Limits) { lim.WriteTimeout, lim.RuntimeSilence = time.Hour, time.Hour })
+	p, _ := nextPeer(t, ln)
 	p.send(ready)
-	until(t, l, func() bool { return l.synced })
+	waitFor(t, l, func() bool { return l.synced })
 	body := []byte(strings.Repeat("x", 8<<10))
 	const starts = 2000
 	for i := range starts { // far more than the sockets hold
 		l.Start(fmt.Sprint(i), "book", body, once)
 	}
-	until(t, l, func() bool { return len(l.queue) == 0 || l.runs["0"].writtenOn == 1 })
+	waitFor(t, l, func() bool { return len(l.queue) == 0 || l.runs["0"].writtenOn == 1 })
 	if err := p.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
 	_ = p.Close()
-	p, _ = next(t, ln)
+	p, _ = nextPeer(t, ln)
 	p.send(ready)
 	seen := map[string]int{}
 	for c := p.read(); c.UID != "marker"; c = p.read() {
@@ -170,11 +170,11 @@
 		}
 		if c.Echo == echoResumed {
 			p.send(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
-			until(t, l, func() bool { return l.redeliveryDecided })
+			waitFor(t, l, func() bool { return l.redeliveryDecided })
 			l.Stop("marker")
 		}
 	}
-	until(t, l, func() bool { return len(seen)+len(e.reported()) >= starts })
+	waitFor(t, l, func() bool { return len(seen)+len(e.reported()) >= starts })
 	if reported := e.reported(); len(reported) > 0 != once {
 		t.Errorf("%d starts are unconfirmed", len(reported))
 	}
@@ -191,31 +191,31 @@
 // TestSilentLinkIsReconnected: a ready runtime that answers nothing is reconnected to, and one that never gets ready. A connection on which only keepalive requests
 // are answered stays.
 func TestSilentLinkIsReconnected(t *testing.T) {
-	l, _, ln := scripted(t, func(lim *limits.Limits) {
+	l, _, ln := serveScripted(t, func(lim *limits.Limits) {
 		lim.RuntimeSilence, lim.RuntimeReadyTimeout = 20*time.Millisecond, 30*time.Millisecond
 	})
-	p, _ := next(t, ln) // this one never gets ready
+	p, _ := nextPeer(t, ln) // this one never gets ready
 	defer func() { _ = p.Close() }()
-	p, _ = next(t, ln)
+	p, _ = nextPeer(t, ln)
 	p.send(ready)
-	until(t, l, func() bool { return l.synced })
+	waitFor(t, l, func() bool { return l.synced })
 	for range 5 {
 		if c := p.read(); c.Action != "gauges" || c.Echo != echoKeepalive {
 			t.Fatalf("%+v, want a keepalive request", c)
 		}
 		p.send(`{"action":"load","echo":%q,"meters":[]}`, echoKeepalive)
 	}
-	until(t, l, func() bool { return l.generation == 2 })
+	waitFor(t, l, func() bool { return l.generation == 2 })
 	p.read() // and from here on it is silent
-	p, _ = next(t, ln)
+	p, _ = nextPeer(t, ln)
 	p.send(ready)
-	until(t, l, func() bool { return l.generation == 3 && l.synced })
+	waitFor(t, l, func() bool { return l.generation == 3 && l.synced })
 }
 
 // TestFragmentedNotice: a notice is read however it is cut, and once if the connection breaks within it.
 func TestFragmentedNotice(t *testing.T) {
-	l, e, ln := scripted(t, func(lim *limits.Limits) { lim.RuntimeSilence = time.Hour })
-	p, _ := next(t, ln)
+	l, e, ln := serveScripted(t, func(lim *limits.Limits) { lim.RuntimeSilence = time.Hour })
+	p, _ := nextPeer(t, ln)
 	p.send(ready)
 	l.Start("a", "book", nil, true)
 	l.Start("b", "book", nil, true)
@@ -224,7 +224,7 @@
 		t.Fatal(err)
 	}
 	_ = p.Close()
-	p, sync := next(t, ln)
+	p, sync := nextPeer(t, ln)
 	if *sync.Pos != 0 {
 		t.Errorf("resumed from %d, want 0", *sync.Pos)
 	}
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	_ = p.Close()
-	p, sync = next(t, ln)
+	p, sync = nextPeer(t, ln)
 	if *sync.Pos != 1 {
 		t.Errorf("resumed from %d, want 1", *sync.Pos)
 	}
@@ -255,9 +255,9 @@
 // TestUnreadableNoticeIsSkipped: a notice that can't be decoded is asked for again once, then skipped; those behind it are read.
 func TestUnreadableNoticeIsSkipped(t *testing.T) {
 	for _, malformed := range []string{`{"action":"end","pos":2,`, `{"action":"wants","pos":2,"uid":"a","content":"%"}`, strings.Repeat("x", 200<<10)} {
-		l, e, ln := scripted(t, nil)
+		l, e, ln := serveScripted(t, nil)
 		for links := range 2 {
-			p, sync := next(t, ln)
+			p, sync := nextPeer(t, ln)
 			if *sync.Pos != uint64(links) {
 				t.Errorf("resumed from %d, want %d", *sync.Pos, links)
 			}
@@ -286,10 +286,10 @@
 // TestReplyIsNotRedelivered: the run may be past the call that a reply answers, and would take it for the reply to its next one. That the notice of
 // the next call has not been read yet proves nothing: it may be on its way.
 func TestReplyIsNotRedelivered(t *testing.T) {
-	l, e, ln := scripted(t, nil)
-	p, _ := next(t, ln)
+	l, e, ln := serveScripted(t, nil)
+	p, _ := nextPeer(t, ln)
 	p.send(ready)
-	until(t, l, func() bool { return l.synced })
+	waitFor(t, l, func() bool { return l.synced })
 	l.Start("a", "slot-search", nil, false)
 	p.read()
 	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
@@ -299,7 +299,7 @@
 		t.Fatalf("%+v, want the reply", c)
 	}
 	_ = p.Close()
-	p, _ = next(t, ln)
+	p, _ = nextPeer(t, ln)
 	p.send(ready)
 	for c := p.read(); c.UID != "marker"; c = p.read() {
 		if c.Action == "give" {
@@ -307,7 +307,7 @@
 		}
 		if c.Action == "gauges" {
 			p.send(`{"action":"load","echo":%q,"meters":[]}`, c.Echo)
-			until(t, l, func() bool { return l.redeliveryDecided })
+			waitFor(t, l, func() bool { return l.redeliveryDecided })
 			l.Resume("marker") // behind whatever is sent again
 		}
 	}
--- /dev/null
+++ b/internal/frontend/resp/conn_test.go
@@ -0,0 +1,62 @@
+package resp
+
+import (
+	"errors"
+	"net"
+	"testing"
+
+	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+)
+
+// TestMessageOnAbortedConnection: a message is handled just after its connection was aborted. No answer can follow, so it must not run.
+func TestMessageOnAbortedConnection(t *testing.T) {
+	f, d, ln := startFront(t, fakeStatus{}, nil)
+	b := standin.Dial(t, ln.Addr().String())
+	b.Send(standin.Array("PING", "1"))
+	b.Read()
+	waitFor(t, "idle", func() bool { return f.onlyConn().isIdle() })
+	k := f.onlyConn()
+	k.mu.Lock()
+	k.abort()
+	k.mu.Unlock()
+	if err := k.handleMessage([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(validFields), nil}); !errors.Is(err, errAborted) || len(d.submitted) > 0 {
+		t.Errorf("%v, %d requests submitted", err, len(d.submitted))
+	}
+}
+
+// recordingCore is a Core that records which requests are canceled or aborted.
+type recordingCore struct{ canceled []string }
+
+func (*recordingCore) RejectionStatus(string, string) node.Status { return node.StatusRejected }
+
+func (*recordingCore) Submit(node.Request, func(node.Response)) {}
+
+func (c *recordingCore) Cancel(id string) { c.canceled = append(c.canceled, id) }
+
+func (c *recordingCore) Abort(id string) { c.canceled = append(c.canceled, id) }
+
+// TestMessageAfterEviction: a request that is read after its connection was evicted is rejected and not submitted, and the connection's end cancels no request: the
+// id may be another caller's.
+func TestMessageAfterEviction(t *testing.T) {
+	c := &recordingCore{}
+	f := New(Options{Core: c, Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	ours, theirs := net.Pipe()
+	defer func() { _ = theirs.Close() }()
+	k := &conn{front: f, socket: &framedConn{Conn: ours}, slot: f.slots.Acquire(func() {}), openRequests: map[string]string{}}
+	k.slot.Release()
+	answer := make(chan string, 1)
+	go func() {
+		b := make([]byte, 64)
+		n, _ := theirs.Read(b)
+		answer <- string(b[:n])
+	}()
+	err := k.handleMessage([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(validFields), nil})
+	if got := <-answer; got != "*2\r\n$1\r\n7\r\n$3\r\nNAK\r\n" {
+		t.Errorf("%q, want a rejection", got)
+	}
+	if k.endReading(err); !errors.Is(err, errSlotLost) || len(c.canceled) > 0 {
+		t.Errorf("%v, %v are canceled", err, c.canceled)
+	}
+}
--- a/internal/frontend/resp/describe_test.go
+++ b/internal/frontend/resp/description_test.go
@@ -15,7 +15,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-func described(t *testing.T) map[string]*apispec.Message {
+func describedMessages(t *testing.T) map[string]*apispec.Message {
 	t.Helper()
 	messages, err := apispec.Messages(apispec.Platform)
 	if err != nil {
@@ -24,8 +24,8 @@
 	return messages
 }
 
-// array turns a described message into the parts of its array.
-func array(m map[string]any) (parts [][]byte) {
+// messageParts turns a described message into the parts of its array.
+func messageParts(m map[string]any) (parts [][]byte) {
 	add := func(v any) { parts = append(parts, []byte(v.(string))) }
 	add(m["verb"])
 	if tag, found := m["tag"]; found {
@@ -47,14 +47,14 @@
 	return parts
 }
 
-// TestParserFollowsTheDescription: what the AsyncAPI document allows is read, and what it forbids is not.
-func TestParserFollowsTheDescription(t *testing.T) {
+// TestDecoderFollowsTheDescription: what the AsyncAPI document allows is read, and what it forbids is not.
+func TestDecoderFollowsTheDescription(t *testing.T) {
 	lim := limits.For(64, 256)
 	for _, name := range []string{"do", "undo", "ping"} {
-		m := described(t)[name]
+		m := describedMessages(t)[name]
 		for _, example := range m.Examples {
 			read := func(what string, payload map[string]any) {
-				_, err := decodeMessage(array(payload), lim.BodyBytes, lim.FieldListBytes)
+				_, err := decodeMessage(messageParts(payload), lim.BodyBytes, lim.FieldListBytes)
 				if valid := m.Valid(payload); (err == nil) != (valid == nil) {
 					t.Errorf("%s, %s: the parser says %v, the description %v", name, what, err, valid)
 				}
@@ -92,29 +92,19 @@
 	}
 }
 
-// mood is what a test's node tells callers.
-type mood struct {
-	signal float64
-	set    bool
-}
-
-func (m mood) LoadSignal() (float64, bool) { return m.signal, m.set }
-func (mood) Healthy() bool                 { return true }
-func (mood) IdleTimeout() time.Duration    { return 0 }
-
 // TestAnswersFollowTheDescription: every answer that the front can write is a described one.
 func TestAnswersFollowTheDescription(t *testing.T) {
-	messages := described(t)
+	messages := describedMessages(t)
 	for _, c := range []struct {
 		a    node.Response
-		m    mood
+		m    fakeStatus
 		want string
 	}{
-		{node.Response{Status: node.StatusServed, Result: []byte("r")}, mood{0.25, true}, "7 ACK signal=0.2500 r"},
-		{node.Response{Status: node.StatusServed}, mood{}, "7 ACK"},
-		{node.Response{Status: node.StatusRejected, RetryAfter: 1500 * time.Microsecond, NoFailover: true}, mood{0, true}, "7 NAK signal=0.0000,holdoff=2,nomore=1 "},
-		{node.Response{Status: node.StatusRejected}, mood{}, "7 NAK"},
-		{node.Response{Status: node.StatusFailed, RetryAfter: time.Second, NoFailover: true}, mood{}, "7 FAIL"},
+		{node.Response{Status: node.StatusServed, Result: []byte("r")}, fakeStatus{0.25, true}, "7 ACK signal=0.2500 r"},
+		{node.Response{Status: node.StatusServed}, fakeStatus{}, "7 ACK"},
+		{node.Response{Status: node.StatusRejected, RetryAfter: 1500 * time.Microsecond, NoFailover: true}, fakeStatus{0, true}, "7 NAK signal=0.0000,holdoff=2,nomore=1 "},
+		{node.Response{Status: node.StatusRejected}, fakeStatus{}, "7 NAK"},
+		{node.Response{Status: node.StatusFailed, RetryAfter: time.Second, NoFailover: true}, fakeStatus{}, "7 FAIL"},
 	} {
 		f := New(Options{Status: c.m, Limits: limits.For(64, 256), Log: standin.Quiet})
 		k := &conn{front: f, slot: f.slots.Acquire(nil), openRequests: map[string]string{"7": "id"}, flushing: true} // nothing is flushed
--- a/internal/frontend/resp/eviction_test.go
+++ b/internal/frontend/resp/eviction_test.go
@@ -1,73 +1,100 @@
 package resp
 
 import (
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
-	"sloehitch/internal/node"
 	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/testing/standin"
 )
 
-// idleConnections has so many balancers connect to a front, each idle after two health checks, in the order in which they came.
-func idleConnections(t *testing.T, f *Front, address string, count int) (peers []*standin.Balancer, conns []*conn) {
-	t.Helper()
-	for range count {
-		b := standin.Dial(t, address)
-		b.Send(standin.Array("PING", "1") + standin.Array("PING", "2"))
-		b.Read()
-		b.Read()
-		peers = append(peers, b)
-		until(t, "it is idle", func() bool {
-			for _, k := range f.connections() {
-				if k.socket.RemoteAddr().String() == b.LocalAddr().String() && k.isIdle() {
-					conns = append(conns, k)
-					return true
+// TestEvictionLosesNoAnswer: an evicted connection ends from this side; its answer arrives, and what it sends then is not read. At most EvictedConnections of them wait
+// for their peers: the longest waiting is closed.
+func TestEvictionLosesNoAnswer(t *testing.T) {
+	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
+		l.MaxConnections, l.IdleConnectionGrace, l.NewConnectionGrace, l.EvictedConnections, l.CloseTimeout = 1, 0, 0, 2, time.Hour
+	})
+	var peers []*standin.Balancer
+	for range 4 {
+		b := standin.Dial(t, ln.Addr().String())
+		b.Send(standin.Array("PING", "1"))
+		waitFor(t, "slot held and answered", func() bool {
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			for k := range f.conns {
+				if k.socket.RemoteAddr().String() == b.LocalAddr().String() {
+					return k.isIdle()
 				}
 			}
 			return false
 		})
+		peers = append(peers, b)
+	}
+	waitFor(t, "three evicted", func() bool { return f.evictions.len() == 2 })
+	b := peers[1]
+	b.Do(7, "book", testRequestID, time.Now(), "body", "")
+	if got := readToEnd(t, b); got != greenAnswer {
+		t.Errorf("%q, want the answer and the end", got)
 	}
-	return peers, conns
+	b.Send(standin.Array("PING", "8")) // a reset would have come by now
+	if len(d.submitted) > 0 {
+		t.Error("a request of an evicted connection was submitted")
+	}
+	waitFor(t, "the first is closed", func() bool { _, err := peers[0].Write([]byte("x")); return err != nil })
 }
 
-// wantRefusals reads answers from a balancer until its connection ends: one refusal for each tag.
-func wantRefusals(t *testing.T, b *standin.Balancer, tags ...string) {
-	t.Helper()
-	open := map[string]bool{}
-	for _, tag := range tags {
-		open[tag] = true
-	}
-	for got := b.Read(); got != nil; got = b.Read() {
-		if len(got) < 2 || !open[got[0]] || got[1] != "NAK" {
-			t.Errorf("%q, want one refusal for each of %v", got, tags)
-			return
+// TestManyEvictionsAtOnce: more connections are evicted at once than may wait for their peers, and on each a request has just come. Each request is rejected on its
+// connection, and none is closed before.
+func TestManyEvictionsAtOnce(t *testing.T) {
+	const conns = 6
+	for attempt := range 30 {
+		f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.EvictedConnections, l.UnadmittedConnections = 1, conns })
+		var peers []*standin.Balancer
+		for range conns {
+			b := standin.Dial(t, ln.Addr().String())
+			b.Send(standin.Array("PING", "1"))
+			b.Read()
+			peers = append(peers, b)
 		}
-		delete(open, got[0])
-	}
-	if len(open) > 0 {
-		t.Errorf("the connection ended and %d of %d requests have no answer", len(open), len(tags))
+		waitFor(t, "all idle", func() bool { return !slices.ContainsFunc(f.connections(), func(k *conn) bool { return !k.isIdle() }) })
+		all := f.connections()
+		for _, k := range all {
+			k.slot.Release() // as by an eviction
+		}
+		for _, b := range peers {
+			b.Do(7, "book", testRequestID, time.Now(), "body", "")
+		}
+		for _, k := range all {
+			f.evict(k.socket)
+		}
+		for i, b := range peers {
+			if got := b.Read(); len(got) < 2 || got[1] != "NAK" {
+				t.Fatalf("attempt %d: %q on connection %d, want a rejection", attempt, got, i)
+			}
+			_ = b.Close()
+		}
+		waitFor(t, "no more connections wait than may", func() bool { return f.evictions.len() <= 1 })
 	}
 }
 
-// TestAllRequestsOfAConnectionThatMakesRoomAreAnswered: while the process stands still a client writes several requests on one connection,
-// and newcomers wait for a place. As the process goes on the connection makes room. Its first request was refused and the reading ended, with
-// the others read into the buffer behind it; their connection closed without an answer to them.
-func TestAllRequestsOfAConnectionThatMakesRoomAreAnswered(t *testing.T) {
+// TestPipelinedRequestsOfEvictedConnection: several requests have arrived on a connection that is evicted, the later ones perhaps in the reader's buffer. Each is rejected before
+// the connection ends.
+func TestPipelinedRequestsOfEvictedConnection(t *testing.T) {
 	for range 20 {
-		f, d, ln := opened(t, mood{}, nil)
+		f, d, ln := startFront(t, fakeStatus{}, nil)
 		peers, conns := idleConnections(t, f, ln.Addr().String(), 1)
-		conns[0].slot.Release() // whichever is read first, the requests or the end: the place is gone
+		conns[0].slot.Release() // as by an eviction
 		var burst strings.Builder
 		for _, tag := range []string{"7", "8", "9"} {
-			burst.WriteString(standin.Array("DO", tag, "book", fine, "body"))
+			burst.WriteString(standin.Array("DO", tag, "book", validFields, "body"))
 		}
 		peers[0].Send(burst.String())
 		f.evict(conns[0].socket)
-		wantRefusals(t, peers[0], "7", "8", "9")
-		if len(d.came) > 0 {
-			t.Fatal("a request without a place was taken")
+		wantRejections(t, peers[0], "7", "8", "9")
+		if len(d.submitted) > 0 {
+			t.Fatal("a request without a slot was submitted")
 		}
 		if t.Failed() {
 			return
@@ -75,40 +102,20 @@
 	}
 }
 
-// TestAllRequestsOfANewcomerWithoutAPlaceAreAnswered: the same where there is no place from the start. What was written on the connection by the
-// time that the first request is refused is answered as well.
-func TestAllRequestsOfANewcomerWithoutAPlaceAreAnswered(t *testing.T) {
-	f, d, ln := opened(t, mood{}, func(l *limits.Limits) { l.MaxConnections = 1 })
-	busy := standin.Dial(t, ln.Addr().String())
-	busy.Do(7, "book", req, time.Now(), "body", "")
-	<-d.came
-	newcomer := standin.Dial(t, ln.Addr().String())
-	newcomer.Send(standin.Array("DO", "7", "book", fine, "body") + standin.Array("PING", "8") + standin.Array("DO", "9", "book", fine, "body"))
-	words := map[string]string{}
-	for got := newcomer.Read(); got != nil; got = newcomer.Read() {
-		words[got[0]] = got[1]
-	}
-	if words["7"] != "NAK" || words["8"] != "GREEN" || words["9"] != "NAK" {
-		t.Errorf("%v, want both requests refused and the health check answered", words)
-	}
-	until(t, "nobody is without a place", func() bool { return len(f.unadmitted) == 0 })
-}
-
-// TestACrowdMakesRoomBeforeItsRequestsAreRead: as the process goes on after a pause, newcomers take the places of many connections faster than
-// those are read. More were without a place than limits.Evicted and limits.Unseated allow, and the oldest was cut with a request unread
-// on it. The newcomers have to wait instead.
-func TestACrowdMakesRoomBeforeItsRequestsAreRead(t *testing.T) {
+// TestEvictionsWaitForUnreadRequests: after a pause of the process, new connections evict others faster than those are read, with a request unread on each. The new
+// connections wait instead of having one closed over its request.
+func TestEvictionsWaitForUnreadRequests(t *testing.T) {
 	const conns = 8
-	f, _, ln := opened(t, mood{}, func(l *limits.Limits) {
+	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
 		l.EvictedConnections, l.UnadmittedConnections, l.CloseTimeout = 1, 1, time.Hour
 	})
 	peers, all := idleConnections(t, f, ln.Addr().String(), conns)
 	for _, k := range all {
-		k.mu.Lock()      // its reader gets no turn yet
-		k.slot.Release() // and its place is given away by then
+		k.mu.Lock()      // its reader is held up
+		k.slot.Release() // as by an eviction
 	}
 	for _, b := range peers {
-		b.Send(standin.Array("DO", "7", "book", fine, "body"))
+		b.Send(standin.Array("DO", "7", "book", validFields, "body"))
 	}
 	evicted := make(chan struct{})
 	go func() {
@@ -117,59 +124,31 @@
 			f.evict(k.socket)
 		}
 	}()
-	time.Sleep(50 * time.Millisecond) // they make room meanwhile, as many as may
+	time.Sleep(50 * time.Millisecond) // as many are evicted meanwhile as may be
 	for _, k := range all {
 		k.mu.Unlock()
 	}
 	for _, b := range peers {
-		wantRefusals(t, b, "7")
-		b.Close()
+		wantRejections(t, b, "7")
+		_ = b.Close()
 	}
 	select {
 	case <-evicted:
 	case <-time.After(standin.Patience):
-		t.Error("the newcomers wait for ever")
+		t.Error("evict does not return")
 	}
 }
 
-// TestAPauseOutlastsTheEndOfAConnectionThatMakesRoom: the process stands still for longer than limits.Linger just after a connection made
-// room. The connection was closed by the timer before the request on it was read.
-func TestAPauseOutlastsTheEndOfAConnectionThatMakesRoom(t *testing.T) {
-	f, _, ln := opened(t, mood{}, func(l *limits.Limits) { l.CloseTimeout = time.Millisecond })
+// TestPauseLongerThanCloseTimeout: the process stands still for longer than CloseTimeout just after an eviction. The request on the evicted connection is still read and
+// rejected.
+func TestPauseLongerThanCloseTimeout(t *testing.T) {
+	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.CloseTimeout = time.Millisecond })
 	peers, all := idleConnections(t, f, ln.Addr().String(), 1)
-	all[0].mu.Lock() // its reader gets no turn yet
-	peers[0].Send(standin.Array("DO", "7", "book", fine, "body"))
+	all[0].mu.Lock() // its reader is held up
+	peers[0].Send(standin.Array("DO", "7", "book", validFields, "body"))
 	all[0].slot.Release()
 	f.evict(all[0].socket)
 	time.Sleep(50 * time.Millisecond)
 	all[0].mu.Unlock()
-	wantRefusals(t, peers[0], "7")
-}
-
-// TestRequestsAreReadUntilTheirConnectionEnds: a connection that is to end waits for the answer to one request, and another arrives meanwhile. It
-// was left unread, and the end came long after it without an answer.
-func TestRequestsAreReadUntilTheirConnectionEnds(t *testing.T) {
-	f, d, ln := opened(t, mood{}, nil)
-	b := standin.Dial(t, ln.Addr().String())
-	b.Do(7, "book", "9b1f03aa5c7e2d41", time.Now(), "body", "")
-	<-d.came
-	go f.Shutdown(standin.Patience)
-	time.Sleep(50 * time.Millisecond)
-	b.Do(8, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "")
-	select {
-	case <-d.came:
-	case <-time.After(standin.Patience):
-		t.Fatal("the second request is not read")
-	}
-	for _, id := range []string{"9b1f03aa5c7e2d42", "9b1f03aa5c7e2d41"} {
-		d.answer(id, node.Response{Status: node.StatusRejected})
-	}
-	for _, tag := range []string{"8", "7"} {
-		if got := b.Read(); len(got) < 2 || got[0] != tag || got[1] != "NAK" {
-			t.Errorf("%q, want the refusal of %s", got, tag)
-		}
-	}
-	if got := b.Read(); got != nil {
-		t.Errorf("%q, want the end", got)
-	}
+	wantRejections(t, peers[0], "7")
 }
--- /dev/null
+++ b/internal/frontend/resp/unadmitted_test.go
@@ -0,0 +1,119 @@
+package resp
+
+import (
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"sloehitch/internal/node"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+)
+
+// TestNewConnectionsWithoutSlot: all slots are held by active connections, and more connections come with a request than may be there without a slot. Each request is
+// answered: rejected, or failed if its key has run. A connection that sends nothing is closed, and those with slots are served.
+func TestNewConnectionsWithoutSlot(t *testing.T) {
+	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections, l.UnadmittedConnections = 2, 2 })
+	var busy []*standin.Balancer
+	for i := range 2 {
+		b := standin.Dial(t, ln.Addr().String())
+		b.Do(7, "book", fmt.Sprintf("%016x", i), time.Now(), "body", ",opkey=k")
+		busy = append(busy, b)
+		<-d.submitted
+	}
+	silent := standin.Dial(t, ln.Addr().String())
+	var answers sync.WaitGroup
+	for i := range 20 {
+		b := standin.Dial(t, ln.Addr().String())
+		key, want := "new", "NAK"
+		if i%2 == 0 {
+			key, want = "ran", "FAIL"
+		}
+		b.Do(7, "book", fmt.Sprintf("%016x", 100+i), time.Now(), "body", ",opkey="+key)
+		answers.Add(1)
+		go func() {
+			defer answers.Done()
+			if got := b.Read(); len(got) < 2 || got[0] != "7" || got[1] != want {
+				t.Errorf("connection %d: %q, want %s", i, got, want)
+			}
+			if got := b.Read(); got != nil {
+				t.Errorf("connection %d: %q behind its answer, want the end", i, got)
+			}
+			_ = b.Close()
+		}()
+	}
+	if got := silent.Read(); got != nil {
+		t.Errorf("%q to a silent connection", got)
+	}
+	answers.Wait()
+	if len(d.submitted) > 0 {
+		t.Errorf("%d requests without a slot were submitted", len(d.submitted))
+	}
+	for i, b := range busy {
+		d.answer(fmt.Sprintf("%016x", i), node.Response{Status: node.StatusServed})
+		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
+			t.Errorf("with a slot: %q", got)
+		}
+	}
+	waitFor(t, "no connection is without a slot", func() bool { return len(f.unadmitted) == 0 })
+}
+
+// TestWaitForSlotIsBoundedByCallerTimeout: all slots are held by connections that were just used and keep them for long. New ones are read at once, and rejected in time for
+// callers with a short timeout; one whose caller gives none gets the first free slot.
+func TestWaitForSlotIsBoundedByCallerTimeout(t *testing.T) {
+	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
+		l.MaxConnections, l.UnadmittedConnections, l.IdleConnectionGrace = 2, 2, time.Hour
+	})
+	var idle []*standin.Balancer
+	for range 2 {
+		b := standin.Dial(t, ln.Addr().String())
+		b.Send(standin.Array("PING", "1") + standin.Array("PING", "2"))
+		b.Read()
+		b.Read()
+		idle = append(idle, b)
+	}
+	patient := standin.Dial(t, ln.Addr().String())
+	patient.Do(7, "book", testRequestID, time.Now(), "body", "")
+	for range 3 {
+		b := standin.Dial(t, ln.Addr().String())
+		b.Do(7, "book", testRequestID, time.Now(), "body", ",timeout=160")
+		if got := b.Read(); len(got) < 2 || got[1] != "NAK" {
+			t.Errorf("%q, want a rejection", got)
+		}
+		_ = b.Close()
+	}
+	if len(d.submitted) > 0 {
+		t.Fatal("submitted without a slot")
+	}
+	waitFor(t, "only the patient connection waits", func() bool { return len(f.unadmitted) == 1 })
+	_ = idle[0].Close()
+	select {
+	case <-d.submitted:
+	case <-time.After(standin.Patience):
+		t.Fatal("not submitted though a slot is free")
+	}
+	d.answer(testRequestID, node.Response{Status: node.StatusServed})
+	if got := patient.Read(); len(got) < 2 || got[1] != "ACK" {
+		t.Errorf("%q, want the answer", got)
+	}
+	waitFor(t, "no connection is without a slot", func() bool { return len(f.unadmitted) == 0 })
+}
+
+// TestPipelinedRequestsWithoutSlot: all that was written on a connection without a slot by the time that its first request is rejected is answered as well.
+func TestPipelinedRequestsWithoutSlot(t *testing.T) {
+	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections = 1 })
+	busy := standin.Dial(t, ln.Addr().String())
+	busy.Do(7, "book", testRequestID, time.Now(), "body", "")
+	<-d.submitted
+	newcomer := standin.Dial(t, ln.Addr().String())
+	newcomer.Send(standin.Array("DO", "7", "book", validFields, "body") + standin.Array("PING", "8") + standin.Array("DO", "9", "book", validFields, "body"))
+	words := map[string]string{}
+	for got := newcomer.Read(); got != nil; got = newcomer.Read() {
+		words[got[0]] = got[1]
+	}
+	if words["7"] != "NAK" || words["8"] != "GREEN" || words["9"] != "NAK" {
+		t.Errorf("%v, want both requests rejected and the health check answered", words)
+	}
+	waitFor(t, "no connection is without a slot", func() bool { return len(f.unadmitted) == 0 })
+}
