--- /dev/null
+++ b/internal/backend/runtime/reconnect_test.go
@@ -0,0 +1,314 @@
+package runtime
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"sloehitch/internal/admission"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+	"sloehitch/logic"
+)
+
+// command is a command as the runtime reads it.
+type command struct {
+	Action  string  `json:"action"`
+	UID     string  `json:"uid"`
+	Lane    string  `json:"lane"`
+	Content string  `json:"content"`
+	Pos     *uint64 `json:"pos"`
+	Echo    string  `json:"echo"`
+}
+
+// peer is the runtime's end of one connection, driven by the test.
+type peer struct {
+	net.Conn
+	t  *testing.T
+	in *bufio.Reader
+}
+
+// nextPeer waits for the next connection and its sync, which it returns.
+func nextPeer(t *testing.T, ln net.Listener) (*peer, command) {
+	t.Helper()
+	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience)); err != nil {
+		t.Fatal(err)
+	}
+	conn, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	p := &peer{conn, t, bufio.NewReader(conn)}
+	return p, p.read()
+}
+
+func (p *peer) read() (c command) {
+	p.t.Helper()
+	if err := p.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+		p.t.Fatal(err)
+	}
+	line, err := p.in.ReadBytes('\n')
+	if err == nil {
+		err = json.Unmarshal(line, &c)
+	}
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return c
+}
+
+func (p *peer) send(format string, args ...any) {
+	p.t.Helper()
+	if _, err := fmt.Fprintf(p, format+"\n", args...); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+const ready = `{"action":"ready","code":"WARM","wall_ms":1}`
+
+func serveScripted(t *testing.T, change func(*limits.Limits)) (*Link, *events, net.Listener) {
+	ln := standin.Listen(t)
+	lim := limits.For(64, 256)
+	if change != nil {
+		change(&lim)
+	}
+	l := New(Options{Address: ln.Addr().String(), Limits: lim, Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
+	e := &events{ends: make(chan end, 4096), wants: make(chan uint64, 16)}
+	go l.Serve(e)
+	t.Cleanup(l.Close)
+	return l, e, ln
+}
+
+// waitFor waits for a condition that holds under the link's lock.
+func waitFor(t *testing.T, l *Link, what func() bool) {
+	t.Helper()
+	for end := time.Now().Add(standin.Patience); ; time.Sleep(time.Millisecond) {
+		l.mu.Lock()
+		done := what()
+		l.mu.Unlock()
+		if done {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatal("the condition was not met in time")
+		}
+	}
+}
+
+// TestReplyWhileDisconnectedIsSentOnce: a reply that comes between two connections goes out with the next. Sent twice, it would meet the run's next
+// call. Of what the broken connection had taken, only the start of an idempotent request is sent again.
+func TestReplyWhileDisconnectedIsSentOnce(t *testing.T) {
+	l, e, ln := serveScripted(t, nil)
+	p, _ := nextPeer(t, ln)
+	p.send(ready)
+	l.Start("a", "book", nil, true)
+	l.Start("b", "slot-search", nil, false)
+	l.Start("d", "book", nil, true)
+	for range 3 {
+		p.read()
+	}
+	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
+	<-e.wants
+	_ = p.Close()
+	waitFor(t, l, func() bool { return l.generation == 2 && !l.synced }) // dialled, and not served yet
+	l.DeliverReply("a", []byte("one"))
+	l.Start("c", "book", nil, true)
+	p, sync := nextPeer(t, ln)
+	if *sync.Pos != 1 {
+		t.Errorf("resumed from %d, want 1", *sync.Pos)
+	}
+	p.send(ready)
+	seen := map[string]int{}
+	for c := p.read(); c.UID != "marker"; c = p.read() {
+		seen[c.Action+" "+c.UID]++
+		if c.Echo == echoResumed {
+			p.send(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
+			waitFor(t, l, func() bool { return l.redeliveryDecided })
+			l.Stop("marker")
+		}
+	}
+	if seen["give a"] != 1 || seen["start b"] != 1 || seen["start c"] != 1 || seen["start a"] != 0 || seen["start d"] != 0 {
+		t.Errorf("sent on the second link: %v", seen)
+	}
+}
+
+// TestBlockedWriterAsLinkBreaks: what was not written goes first on the next connection, and each start comes there once. Starts of requests that
+// are not idempotent come there or are reported as unconfirmed, and none is both.
+func TestBlockedWriterAsLinkBreaks(t *testing.T) {
+	for _, once := range []bool{false, true} {
+		t.Run(fmt.Sprint("once=", once), func(t *testing.T) { testBlockedWriter(t, once) })
+	}
+}
+
+func testBlockedWriter(t *testing.T, once bool) {
+	l, e, ln := serveScripted(t, func(lim *limits.Limits) { lim.WriteTimeout, lim.RuntimeSilence = time.Hour, time.Hour })
+	p, _ := nextPeer(t, ln)
+	p.send(ready)
+	waitFor(t, l, func() bool { return l.synced })
+	body := []byte(strings.Repeat("x", 8<<10))
+	const starts = 2000
+	for i := range starts { // far more than the sockets hold
+		l.Start(fmt.Sprint(i), "book", body, once)
+	}
+	waitFor(t, l, func() bool { return len(l.queue) == 0 || l.runs["0"].writtenOn == 1 })
+	if err := p.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+		t.Fatal(err)
+	}
+	_ = p.Close()
+	p, _ = nextPeer(t, ln)
+	p.send(ready)
+	seen := map[string]int{}
+	for c := p.read(); c.UID != "marker"; c = p.read() {
+		if c.Action == "start" {
+			seen[c.UID]++
+		}
+		if c.Echo == echoResumed {
+			p.send(`{"action":"load","echo":%q,"meters":[]}`, echoResumed)
+			waitFor(t, l, func() bool { return l.redeliveryDecided })
+			l.Stop("marker")
+		}
+	}
+	waitFor(t, l, func() bool { return len(seen)+len(e.reported()) >= starts })
+	if reported := e.reported(); len(reported) > 0 != once {
+		t.Errorf("%d starts are unconfirmed", len(reported))
+	}
+	for _, u := range e.reported() {
+		seen[u.id]++
+	}
+	for i := range starts {
+		if n := seen[fmt.Sprint(i)]; n != 1 {
+			t.Fatalf("start %d came %d times on the second link, or is unconfirmed as well; %d starts did", i, n, len(seen))
+		}
+	}
+}
+
+// TestSilentLinkIsReconnected: a ready runtime that answers nothing is reconnected to, and one that never gets ready. A connection on which only keepalive requests
+// are answered stays.
+func TestSilentLinkIsReconnected(t *testing.T) {
+	l, _, ln := serveScripted(t, func(lim *limits.Limits) {
+		lim.RuntimeSilence, lim.RuntimeReadyTimeout = 20*time.Millisecond, 30*time.Millisecond
+	})
+	p, _ := nextPeer(t, ln) // this one never gets ready
+	defer func() { _ = p.Close() }()
+	p, _ = nextPeer(t, ln)
+	p.send(ready)
+	waitFor(t, l, func() bool { return l.synced })
+	for range 5 {
+		if c := p.read(); c.Action != "gauges" || c.Echo != echoKeepalive {
+			t.Fatalf("%+v, want a keepalive request", c)
+		}
+		p.send(`{"action":"load","echo":%q,"meters":[]}`, echoKeepalive)
+	}
+	waitFor(t, l, func() bool { return l.generation == 2 })
+	p.read() // and from here on it is silent
+	p, _ = nextPeer(t, ln)
+	p.send(ready)
+	waitFor(t, l, func() bool { return l.generation == 3 && l.synced })
+}
+
+// TestFragmentedNotice: a notice is read however it is cut, and once if the connection breaks within it.
+func TestFragmentedNotice(t *testing.T) {
+	l, e, ln := serveScripted(t, func(lim *limits.Limits) { lim.RuntimeSilence = time.Hour })
+	p, _ := nextPeer(t, ln)
+	p.send(ready)
+	l.Start("a", "book", nil, true)
+	l.Start("b", "book", nil, true)
+	first, second := `{"action":"end","pos":1,"uid":"a","code":"OK","content":"YQ=="}`+"\n", `{"action":"end","pos":2,"uid":"b","code":"OK","content":"Yg=="}`
+	if _, err := io.WriteString(p, first[:len(first)/2]); err != nil {
+		t.Fatal(err)
+	}
+	_ = p.Close()
+	p, sync := nextPeer(t, ln)
+	if *sync.Pos != 0 {
+		t.Errorf("resumed from %d, want 0", *sync.Pos)
+	}
+	p.send(ready)
+	for i := range first {
+		if _, err := io.WriteString(p, first[i:i+1]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if got := <-e.ends; got != (end{"a", logic.OutcomeOK, "a"}) {
+		t.Errorf("%+v", got)
+	}
+	if _, err := io.WriteString(p, second[:len(second)/2]); err != nil {
+		t.Fatal(err)
+	}
+	_ = p.Close()
+	p, sync = nextPeer(t, ln)
+	if *sync.Pos != 1 {
+		t.Errorf("resumed from %d, want 1", *sync.Pos)
+	}
+	p.send(ready)
+	p.send("%s", second)
+	if got := <-e.ends; got != (end{"b", logic.OutcomeOK, "b"}) || len(e.ends) > 0 {
+		t.Errorf("%+v, and %d more", got, len(e.ends))
+	}
+}
+
+// TestUnreadableNoticeIsSkipped: a notice that can't be decoded is asked for again once, then skipped; those behind it are read.
+func TestUnreadableNoticeIsSkipped(t *testing.T) {
+	for _, malformed := range []string{`{"action":"end","pos":2,`, `{"action":"wants","pos":2,"uid":"a","content":"%"}`, strings.Repeat("x", 200<<10)} {
+		l, e, ln := serveScripted(t, nil)
+		for links := range 2 {
+			p, sync := nextPeer(t, ln)
+			if *sync.Pos != uint64(links) {
+				t.Errorf("resumed from %d, want %d", *sync.Pos, links)
+			}
+			p.send(ready)
+			if links == 0 {
+				l.Start("a", "book", nil, true)
+				p.send(`{"action":"info","pos":1,"code":"x"}`)
+			}
+			p.send("%s", malformed)
+			if links == 1 {
+				p.send(`{"action":"end","pos":3,"uid":"a","code":"OK","content":"YQ=="}`)
+			}
+		}
+		select {
+		case got := <-e.ends:
+			if got != (end{"a", logic.OutcomeOK, "a"}) {
+				t.Errorf("%.30q: %+v", malformed, got)
+			}
+		case <-time.After(standin.Patience):
+			t.Fatalf("%.30q: nothing behind it is read", malformed)
+		}
+		l.Close()
+	}
+}
+
+// TestReplyIsNotRedelivered: the run may be past the call that a reply answers, and would take it for the reply to its next one. That the notice of
+// the next call has not been read yet proves nothing: it may be on its way.
+func TestReplyIsNotRedelivered(t *testing.T) {
+	l, e, ln := serveScripted(t, nil)
+	p, _ := nextPeer(t, ln)
+	p.send(ready)
+	waitFor(t, l, func() bool { return l.synced })
+	l.Start("a", "slot-search", nil, false)
+	p.read()
+	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
+	<-e.wants
+	l.DeliverReply("a", []byte("the first call's"))
+	if c := p.read(); c.Action != "give" {
+		t.Fatalf("%+v, want the reply", c)
+	}
+	_ = p.Close()
+	p, _ = nextPeer(t, ln)
+	p.send(ready)
+	for c := p.read(); c.UID != "marker"; c = p.read() {
+		if c.Action == "give" {
+			t.Error("the reply was sent again")
+		}
+		if c.Action == "gauges" {
+			p.send(`{"action":"load","echo":%q,"meters":[]}`, c.Echo)
+			waitFor(t, l, func() bool { return l.redeliveryDecided })
+			l.Resume("marker") // behind whatever is sent again
+		}
+	}
+}
--- /dev/null
+++ b/internal/frontend/resp/eviction_test.go
@@ -0,0 +1,154 @@
+package resp
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/testing/standin"
+)
+
+// TestEvictionLosesNoAnswer: an evicted connection ends from this side; its answer arrives, and what it sends then is not read. At most EvictedConnections of them wait
+// for their peers: the longest waiting is closed.
+func TestEvictionLosesNoAnswer(t *testing.T) {
+	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
+		l.MaxConnections, l.IdleConnectionGrace, l.NewConnectionGrace, l.EvictedConnections, l.CloseTimeout = 1, 0, 0, 2, time.Hour
+	})
+	var peers []*standin.Balancer
+	for range 4 {
+		b := standin.Dial(t, ln.Addr().String())
+		b.Send(standin.Array("PING", "1"))
+		waitFor(t, "slot held and answered", func() bool {
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			for k := range f.conns {
+				if k.socket.RemoteAddr().String() == b.LocalAddr().String() {
+					return k.isIdle()
+				}
+			}
+			return false
+		})
+		peers = append(peers, b)
+	}
+	waitFor(t, "three evicted", func() bool { return f.evictions.len() == 2 })
+	b := peers[1]
+	b.Do(7, "book", testRequestID, time.Now(), "body", "")
+	if got := readToEnd(t, b); got != greenAnswer {
+		t.Errorf("%q, want the answer and the end", got)
+	}
+	b.Send(standin.Array("PING", "8")) // a reset would have come by now
+	if len(d.submitted) > 0 {
+		t.Error("a request of an evicted connection was submitted")
+	}
+	waitFor(t, "the first is closed", func() bool { _, err := peers[0].Write([]byte("x")); return err != nil })
+}
+
+// TestManyEvictionsAtOnce: more connections are evicted at once than may wait for their peers, and on each a request has just come. Each request is rejected on its
+// connection, and none is closed before.
+func TestManyEvictionsAtOnce(t *testing.T) {
+	const conns = 6
+	for attempt := range 30 {
+		f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.EvictedConnections, l.UnadmittedConnections = 1, conns })
+		var peers []*standin.Balancer
+		for range conns {
+			b := standin.Dial(t, ln.Addr().String())
+			b.Send(standin.Array("PING", "1"))
+			b.Read()
+			peers = append(peers, b)
+		}
+		waitFor(t, "all idle", func() bool { return !slices.ContainsFunc(f.connections(), func(k *conn) bool { return !k.isIdle() }) })
+		all := f.connections()
+		for _, k := range all {
+			k.slot.Release() // as by an eviction
+		}
+		for _, b := range peers {
+			b.Do(7, "book", testRequestID, time.Now(), "body", "")
+		}
+		for _, k := range all {
+			f.evict(k.socket)
+		}
+		for i, b := range peers {
+			if got := b.Read(); len(got) < 2 || got[1] != "NAK" {
+				t.Fatalf("attempt %d: %q on connection %d, want a rejection", attempt, got, i)
+			}
+			_ = b.Close()
+		}
+		waitFor(t, "no more connections wait than may", func() bool { return f.evictions.len() <= 1 })
+	}
+}
+
+// TestPipelinedRequestsOfEvictedConnection: several requests have arrived on a connection that is evicted, the later ones perhaps in the reader's buffer. Each is rejected before
+// the connection ends.
+func TestPipelinedRequestsOfEvictedConnection(t *testing.T) {
+	for range 20 {
+		f, d, ln := startFront(t, fakeStatus{}, nil)
+		peers, conns := idleConnections(t, f, ln.Addr().String(), 1)
+		conns[0].slot.Release() // as by an eviction
+		var burst strings.Builder
+		for _, tag := range []string{"7", "8", "9"} {
+			burst.WriteString(standin.Array("DO", tag, "book", validFields, "body"))
+		}
+		peers[0].Send(burst.String())
+		f.evict(conns[0].socket)
+		wantRejections(t, peers[0], "7", "8", "9")
+		if len(d.submitted) > 0 {
+			t.Fatal("a request without a slot was submitted")
+		}
+		if t.Failed() {
+			return
+		}
+	}
+}
+
+// TestEvictionsWaitForUnreadRequests: after a pause of the process, new connections evict others faster than those are read, with a request unread on each. The new
+// connections wait instead of having one closed over its request.
+func TestEvictionsWaitForUnreadRequests(t *testing.T) {
+	const conns = 8
+	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
+		l.EvictedConnections, l.UnadmittedConnections, l.CloseTimeout = 1, 1, time.Hour
+	})
+	peers, all := idleConnections(t, f, ln.Addr().String(), conns)
+	for _, k := range all {
+		k.mu.Lock()      // its reader is held up
+		k.slot.Release() // as by an eviction
+	}
+	for _, b := range peers {
+		b.Send(standin.Array("DO", "7", "book", validFields, "body"))
+	}
+	evicted := make(chan struct{})
+	go func() {
+		defer close(evicted)
+		for _, k := range all {
+			f.evict(k.socket)
+		}
+	}()
+	time.Sleep(50 * time.Millisecond) // as many are evicted meanwhile as may be
+	for _, k := range all {
+		k.mu.Unlock()
+	}
+	for _, b := range peers {
+		wantRejections(t, b, "7")
+		_ = b.Close()
+	}
+	select {
+	case <-evicted:
+	case <-time.After(standin.Patience):
+		t.Error("evict does not return")
+	}
+}
+
+// TestPauseLongerThanCloseTimeout: the process stands still for longer than CloseTimeout just after an eviction. The request on the evicted connection is still read and
+// rejected.
+func TestPauseLongerThanCloseTimeout(t *testing.T) {
+	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.CloseTimeout = time.Millisecond })
+	peers, all := idleConnections(t, f, ln.Addr().String(), 1)
+	all[0].mu.Lock() // its reader is held up
+	peers[0].Send(standin.Array("DO", "7", "book", validFields, "body"))
+	all[0].slot.Release()
+	f.evict(all[0].socket)
+	time.Sleep(50 * time.Millisecond)
+	all[0].mu.Unlock()
+	wantRejections(t, peers[0], "7")
+}
