--- a/internal/control/drainpermit/agent.go
+++ b/internal/control/drainpermit/agent.go
@@ -1,177 +1,114 @@
 package drainpermit
 
 import (
-	"fmt"
 	"time"
 
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/lease"
 )
 
-// Observation is what a node sees: of the store, which may be old, and of itself.
+// Observation is what a node knows when it decides what to do next: what it read from the store, which may be old, and its own condition.
 type Observation struct {
-	Request        *Request // nil: nobody wants it out
+	Request        *fleetstate.DrainRequest // nil: there is none
 	RequestVersion uint64
-	Permit         *Permit // nil: it has none
+	Permit         *fleetstate.Permit // nil: there is none
 	PermitVersion  uint64
-	Revision       uint64 // as of which this is seen
-	InFlight       int    // requests running and held
-	Healthy        bool   // it is ready and well, when in service
+	Revision       uint64 // of the store, as of which the documents were read
+	InFlight       int    // requests running and queued
+	Healthy        bool   // ready and healthy, if it is in service
 }
 
 // ActionKind is what a node is to do.
 type ActionKind int
 
-// What Next asks for. All but Leave, Enter and Replace are transactions, to be made only if the permit and the ask still have the
-// versions seen.
+// The kinds of action. ActionStart, ActionUpdatePermit, ActionReplaceProcess, ActionReturnPermit and ActionFailRequest are transactions,
+// which must be committed only if the request and the permit have the observed versions (StartTransaction, ActionTransaction).
 const (
 	ActionNone           ActionKind = iota
-	ActionStart                     // have the beginning agreed on, if nothing was halted; tell Began
-	ActionLeaveService              // go out of service, now
-	ActionEnterService              // go into service, now
-	ActionUpdatePermit              // write the permit's new state; tell Noted
-	ActionReplaceProcess            // run what replaces this process; tell Replaced if that fails. Else the process ends
-	ActionReturnPermit              // delete the permit, and the ask with Done; tell Noted
-	ActionFailRequest               // write the ask as failed; tell Noted
+	ActionStart                     // commit the permit as started; report HandleStartResult
+	ActionLeaveService              // go out of service now; report LeftService
+	ActionEnterService              // go into service now; report EnteredService
+	ActionUpdatePermit              // write the permit's new state; report HandleWriteResult
+	ActionReplaceProcess            // write the permit, then replace the process; report HandleReplaceFailure if that fails
+	ActionReturnPermit              // delete the permit, and the request with RequestDone; report HandleWriteResult
+	ActionFailRequest               // write the request as failed; report HandleWriteResult
 )
 
-// Action is what is to be done.
+// Action is what a node is to do.
 type Action struct {
 	Kind        ActionKind
-	Permit      Permit // as it is to be written
-	Request     Request
-	RequestDone bool // of GiveBack: the ask is done with too
-	NeverUsed   bool // of GiveBack: nobody ever went out by it
+	Permit      fleetstate.Permit       // as it is to be written
+	Request     fleetstate.DrainRequest // of ActionFailRequest: as it is to be written
+	RequestDone bool                    // of ActionReturnPermit: the request is done and is to be deleted
+	NeverUsed   bool                    // of ActionReturnPermit: the node has not gone out of service by the permit
 }
 
-// AgentOptions is a node's own part: what it is, and what it keeps to.
+// AgentOptions describe the node of an Agent.
 type AgentOptions struct {
-	DeployedVersion    string        // what is deployed on it
-	Terms              lease.Terms   // of the window between the agreed beginning and going out
-	MinReady           time.Duration // in service and well, before a permit is given back
-	MaxReplaceAttempts int           // to be replaced, after which an ask has failed
+	DeployedVersion    string
+	Terms              lease.Terms   // of the start window
+	MinReady           time.Duration // in service and healthy, before the permit is returned
+	MaxReplaceAttempts int           // after which a request fails
 }
 
-// Agent is one process's side of its permits. It is not safe for concurrent use.
+// Agent decides what one process of a node does with the node's permits. Whoever drives it carries out what NextAction returns and reports the
+// result. It is not safe for concurrent use.
 type Agent struct {
 	options      AgentOptions
-	outOfService bool // out of service, by a permit
-
-	startRequestedAt lease.Instant // before the beginning was asked for
-	writePending     bool
-	minRevision      uint64        // the revision of the last that it wrote: what is older says nothing
-	permitID         string        // the permit whose beginning this process had agreed on, or took over
-	mustStay         bool          // the process before may have gone out by it; this one does not
-	startedLate      bool          // the answer to it came too late to go out by
-	healthySince     lease.Instant // since when it has been in and well
-	healthy          bool
-	replaceFailure   string // what replaced it did not
-	leftAt           lease.Instant
-}
+	outOfService bool // by a permit
+	leftAt       lease.Instant
 
-// NewAgent returns the part of a process that has just begun, in service.
-func NewAgent(n AgentOptions) *Agent { return &Agent{options: n} }
+	writePending bool
+	minRevision  uint64 // of the agent's last write: an older observation does not count
 
-// OutOfService says whether a permit has this process out of service.
-func (a *Agent) OutOfService() bool { return a.outOfService }
+	startRequestedAt lease.Instant
+	permitID         string // of the permit that this process started, or adopted from the process before it
+	mustStay         bool   // the process before this one may have gone out by the permit; this one may not
+	startedLate      bool   // the permit was started, and this process may not go out by it because the answer came too late
 
-// DrainOverdue says whether it has been out for longer than its ask gave it to be empty.
-func (a *Agent) DrainOverdue(s Observation, now lease.Instant) bool {
-	return a.outOfService && s.Request != nil && s.Request.DrainTimeoutMS > 0 && s.InFlight > 0 && time.Duration(now-a.leftAt) > time.Duration(s.Request.DrainTimeoutMS)*time.Millisecond
+	healthy        bool // in service and healthy
+	healthySince   lease.Instant
+	replaceFailure string // why the last replacement failed
 }
 
-// NextAction returns what is to be done, by what is seen now.
-func (a *Agent) NextAction(s Observation, now lease.Instant) Action {
-	if in := !a.outOfService && s.Healthy; !in {
-		a.healthy = false
-	} else if !a.healthy {
-		a.healthySince, a.healthy = now, true
-	}
-	if a.writePending || s.Revision < a.minRevision {
-		return Action{}
-	}
-	p := s.Permit
-	if p == nil {
-		a.startedLate, a.permitID = false, ""
-		if a.outOfService { // it was freed by an operator's word, or the store was put back to before it
-			return Action{Kind: ActionEnterService}
-		}
-		return Action{}
-	}
-	wanted := s.Request != nil && s.Request.ID == p.RequestID && s.Request.FailureReason == ""
-	if p.State == Granted {
-		if !wanted {
-			return a.awaitWrite(Action{Kind: ActionReturnPermit, NeverUsed: true})
-		}
-		next := *p
-		next.State, next.StartWindowMS = Started, a.options.Terms.Duration.Milliseconds()
-		a.startRequestedAt, a.startedLate, a.mustStay, a.permitID = now, false, false, p.ID
-		return a.awaitWrite(Action{Kind: ActionStart, Permit: next})
-	}
-	if a.permitID != p.ID { // the process before this one began it, and has ended
-		a.permitID, a.startedLate, a.mustStay = p.ID, false, p.State == Started // it may have gone out, and this process may not do so now: its window is over
-	}
-	changed := wanted && s.Request.ReleaseName != "" && s.Request.TargetVersion == a.options.DeployedVersion // by a release, to what it wants
-	switch {
-	case a.outOfService && (!wanted || changed):
-		return Action{Kind: ActionEnterService}
-	case !a.outOfService && wanted && !changed && !a.mustStay && p.State != Returning:
-		if s.Request.ReleaseName != "" && p.ReplaceAttempts >= a.options.MaxReplaceAttempts {
-			failed := *s.Request
-			failed.FailureReason = fmt.Sprintf("replaced %d times and still %q, not %q", p.ReplaceAttempts, a.options.DeployedVersion, s.Request.TargetVersion)
-			if a.replaceFailure != "" {
-				failed.FailureReason += ": " + a.replaceFailure
-			}
-			return a.awaitWrite(Action{Kind: ActionFailRequest, Request: failed})
-		}
-		return Action{Kind: ActionLeaveService}
-	case a.outOfService && p.State != OutOfService:
-		next := *p
-		next.State = OutOfService
-		return a.awaitWrite(Action{Kind: ActionUpdatePermit, Permit: next})
-	case a.outOfService && s.Request.ReleaseName != "" && s.InFlight == 0:
-		if a.replaceFailure != "" && p.ReplaceAttempts >= a.options.MaxReplaceAttempts {
-			return Action{Kind: ActionEnterService}
-		}
-		next := *p
-		next.ReplaceAttempts++
-		return a.awaitWrite(Action{Kind: ActionReplaceProcess, Permit: next})
-	case a.outOfService:
-		return Action{}
-	case p.State != Returning:
-		next := *p
-		next.State = Returning
-		return a.awaitWrite(Action{Kind: ActionUpdatePermit, Permit: next})
-	case a.healthy && time.Duration(now-a.healthySince) >= a.options.MinReady:
-		return a.awaitWrite(Action{Kind: ActionReturnPermit, RequestDone: wanted && s.Request.ReleaseName != "" && !a.startedLate})
-	}
-	return Action{}
-}
+// NewAgent returns the agent of a process that has just started, and is in service.
+func NewAgent(options AgentOptions) *Agent { return &Agent{options: options} }
+
+// OutOfService says whether the process is out of service by a permit.
+func (a *Agent) OutOfService() bool { return a.outOfService }
 
-func (a *Agent) awaitWrite(x Action) Action {
-	a.writePending = true
-	return x
+// DrainOverdue says whether the node still has requests after the drain timeout of its request.
+func (a *Agent) DrainOverdue(o Observation, now lease.Instant) bool {
+	if !a.outOfService || o.Request == nil || o.Request.DrainTimeoutMS <= 0 || o.InFlight <= 0 {
+		return false
+	}
+	return time.Duration(now-a.leftAt) > time.Duration(o.Request.DrainTimeoutMS)*time.Millisecond
 }
 
-// HandleStartResult tells how the question about the beginning ended, and returns whether to go out now: it was made, and the answer came within the
-// window. Where it turns out to have begun all the same, this process may have done so without knowing in time, or the one before it did, and
-// went out: this one had seen an older state of the store. It stays, and gives the permit back as one that comes back does.
-func (a *Agent) HandleStartResult(made bool, revision uint64, now lease.Instant) (leave bool) {
-	a.HandleWriteResult(made, revision)
-	a.startedLate = !made || now >= a.startRequestedAt.Add(a.options.Terms.HolderDuration())
+// HandleStartResult reports how an ActionStart ended: committed, and as which revision, or not, as far as is known. It returns whether
+// the node is to go out of service now: the permit was started and the answer came within the window. If not, and the permit turns out to
+// have been started all the same, this process or the one before it may not have known in time. The process then stays in service and returns
+// the permit as one that came back does.
+func (a *Agent) HandleStartResult(committed bool, revision uint64, now lease.Instant) (leave bool) {
+	a.HandleWriteResult(committed, revision)
+	a.startedLate = !committed || now >= a.startRequestedAt.Add(a.options.Terms.HolderDuration())
 	a.mustStay = a.startedLate
 	return !a.startedLate
 }
 
-// HandleWriteResult tells that a transaction ended: made, and as which revision, or not, as far as is known.
-func (a *Agent) HandleWriteResult(made bool, revision uint64) {
-	if a.writePending = false; made {
+// HandleWriteResult reports how another transaction ended: committed, and as which revision, or not, as far as is known.
+func (a *Agent) HandleWriteResult(committed bool, revision uint64) {
+	a.writePending = false
+	if committed {
 		a.minRevision = max(a.minRevision, revision)
 	}
 }
 
-// LeftService tells that the process went out of service; Entered that it is in again.
-func (a *Agent) LeftService(now lease.Instant)    { a.outOfService, a.leftAt = true, now }
-func (a *Agent) EnteredService(now lease.Instant) { a.outOfService, a.healthy = false, false }
+// LeftService reports that the process went out of service.
+func (a *Agent) LeftService(now lease.Instant) { a.outOfService, a.leftAt = true, now }
+
+// EnteredService reports that the process is in service again.
+func (a *Agent) EnteredService(_ lease.Instant) { a.outOfService, a.healthy = false, false }
 
-// HandleReplaceFailure tells that what was to replace the process did not.
-func (a *Agent) HandleReplaceFailure(why string) { a.writePending, a.replaceFailure = false, why }
+// HandleReplaceFailure reports that the process could not be replaced.
+func (a *Agent) HandleReplaceFailure(reason string) { a.writePending, a.replaceFailure = false, reason }
--- a/internal/control/drainpermit/modelcheck/release.go
+++ b/internal/control/drainpermit/modelcheck/release.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloehitch/internal/control/canary"
-	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/release"
 	"sloehitch/internal/store/document"
 )
@@ -109,7 +109,7 @@
 		v, _ := w.view(&candidate{firstSeen: map[string]time.Duration{}})
 		r := release.Release{Name: "r", TargetVersion: w.release.targetVersion, RequestedBy: "op", State: release.Running, SoakMS: soak.Milliseconds(), ReturnTimeoutMS: returnTimeout.Milliseconds()}
 		r.Waves, r.PreviousVersions = release.PlanWaves(v.Members, r.TargetVersion, 2)
-		w.put(release.KeyPrefix+"r", drainpermit.Encode(r))
+		w.put(release.KeyPrefix+"r", fleetstate.Encode(r))
 	case w.faultsOver && w.now%(5*time.Second) == 0:
 		w.settleRelease(r)
 	case !w.faultsOver && version > 0:
@@ -125,14 +125,14 @@
 // runReleaseOperator is people while there are faults.
 func (w *world) runReleaseOperator(r release.Release) {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
-	key := drainpermit.RequestKey(n.name)
+	key := fleetstate.RequestKey(n.name)
 	switch x := w.random.IntN(1500); {
 	case x < 3:
 		w.halt("r")
 	case x < 5:
-		w.halt(drainpermit.HaltAll)
+		w.halt(fleetstate.HaltAll)
 	case x < 25:
-		for _, halt := range []string{drainpermit.HaltAll, "r"} {
+		for _, halt := range []string{fleetstate.HaltAll, "r"} {
 			w.resume(halt)
 		}
 	case x == 25:
@@ -141,22 +141,22 @@
 		}
 	case x < 34: // somebody drains a node meanwhile
 		if w.store.Get(key).Version == 0 {
-			w.put(key, drainpermit.Encode(drainpermit.Request{ID: w.newID(), RequestedBy: "op", ExpiresAtMS: (w.now + 10*time.Second).Milliseconds()}))
+			w.put(key, fleetstate.Encode(fleetstate.DrainRequest{ID: w.newID(), RequestedBy: "op", ExpiresAtMS: (w.now + 10*time.Second).Milliseconds()}))
 		}
 	}
 }
 
 func (w *world) resume(halt string) {
 	delete(w.haltedAt, halt)
-	if w.store.Get(drainpermit.HaltKeyPrefix+halt).Version > 0 {
-		w.put(drainpermit.HaltKeyPrefix+halt, "")
+	if w.store.Get(fleetstate.HaltKeyPrefix+halt).Version > 0 {
+		w.put(fleetstate.HaltKeyPrefix+halt, "")
 	}
 }
 
 func (w *world) rollBack(r release.Release) {
 	w.counts["back"]++
 	r.State = release.RollingBack
-	w.put(release.KeyPrefix+"r", drainpermit.Encode(r))
+	w.put(release.KeyPrefix+"r", fleetstate.Encode(r))
 	w.resume("r")
 }
 
@@ -168,7 +168,7 @@
 			w.put(d.Key, "")
 		}
 	}
-	if w.store.Get(drainpermit.HaltKeyPrefix+"r").Version == 0 {
+	if w.store.Get(fleetstate.HaltKeyPrefix+"r").Version == 0 {
 		return
 	}
 	if r.State == release.Running {
@@ -241,9 +241,9 @@
 	case w.mutant == "step of an overtaken owner" && asks:
 		t.Conditions = t.Conditions[2:]
 	case w.mutant == "way back ignores the budget" && asks:
-		if a, err := drainpermit.Decode[drainpermit.Request](t.Operations[0].Value); err == nil && a.TargetVersion != w.release.targetVersion {
-			node := t.Operations[0].Key[len(drainpermit.KeyPrefix) : len(t.Operations[0].Key)-len("/ask")]
-			t.Operations = append(t.Operations, document.Operation{Key: drainpermit.PermitKey(node), Value: drainpermit.Encode(drainpermit.Permit{ID: w.newID(), RequestID: a.ID, State: drainpermit.Granted})})
+		if a, err := fleetstate.Decode[fleetstate.DrainRequest](t.Operations[0].Value); err == nil && a.TargetVersion != w.release.targetVersion {
+			node := t.Operations[0].Key[len(fleetstate.DrainKeyPrefix) : len(t.Operations[0].Key)-len("/ask")]
+			t.Operations = append(t.Operations, document.Operation{Key: fleetstate.PermitKey(node), Value: fleetstate.Encode(fleetstate.Permit{ID: w.newID(), RequestID: a.ID, State: fleetstate.PermitGranted})})
 		}
 	}
 }
@@ -254,10 +254,10 @@
 		return
 	}
 	for _, do := range t.Operations {
-		if do.Delete || do.Lease != nil || len(do.Key) <= len(drainpermit.KeyPrefix)+len("/ask") || do.Key[:len(drainpermit.KeyPrefix)] != drainpermit.KeyPrefix || do.Key[len(do.Key)-len("/ask"):] != "/ask" {
+		if do.Delete || do.Lease != nil || len(do.Key) <= len(fleetstate.DrainKeyPrefix)+len("/ask") || do.Key[:len(fleetstate.DrainKeyPrefix)] != fleetstate.DrainKeyPrefix || do.Key[len(do.Key)-len("/ask"):] != "/ask" {
 			continue
 		}
-		a, err := drainpermit.Decode[drainpermit.Request](do.Value)
+		a, err := fleetstate.Decode[fleetstate.DrainRequest](do.Value)
 		if err != nil || a.ReleaseName == "" || a.FailureReason != "" || t.Reason == "a permit ends" {
 			continue
 		}
--- a/internal/control/drainpermit/modelcheck/walk.go
+++ b/internal/control/drainpermit/modelcheck/walk.go
@@ -14,6 +14,7 @@
 
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/store/document"
 )
@@ -53,7 +54,7 @@
 	processStart   time.Duration // when that was
 	random         *rand.Rand    // of what it serves
 
-	reported     drainpermit.Report
+	reported     fleetstate.NodeReport
 	reportedAt   time.Duration // when the store had its last report
 	outOfService bool          // out of service by a permit, to be seen from outside
 	voluntary    bool          // it went out by choice, and is not in and well for long enough yet
@@ -89,8 +90,8 @@
 	faultsOver bool
 	lastID     int
 	haltedAt   map[string]time.Duration // acknowledged
-	requests   map[string]cached[drainpermit.Request]
-	permits    map[string]cached[drainpermit.Permit]
+	requests   map[string]cached[fleetstate.DrainRequest]
+	permits    map[string]cached[fleetstate.Permit]
 	counts     map[string]int
 	violation  string
 }
@@ -170,11 +171,11 @@
 }
 
 // decodeCached reads a document, once for each of its versions.
-func decodeCached[T drainpermit.Request | drainpermit.Permit | disruption.Budgets](w *world, was map[string]cached[T], d document.Document) T {
+func decodeCached[T fleetstate.DrainRequest | fleetstate.Permit | disruption.Budgets](w *world, was map[string]cached[T], d document.Document) T {
 	if p, known := was[d.Key]; known && p.version == d.Version {
 		return p.value
 	}
-	v, err := drainpermit.Decode[T](d.Value)
+	v, err := fleetstate.Decode[T](d.Value)
 	if err != nil {
 		w.fail("%v", err)
 	}
@@ -185,11 +186,11 @@
 // observe is what a node sees of the store, as one of its members has it: perhaps an old state.
 func (w *world) observe(n *node) {
 	s := drainpermit.Observation{Revision: w.store.Revision()}
-	if d := w.store.Get(drainpermit.RequestKey(n.name)); d.Version > 0 {
+	if d := w.store.Get(fleetstate.RequestKey(n.name)); d.Version > 0 {
 		a := decodeCached(w, w.requests, d)
 		s.Request, s.RequestVersion = &a, d.Version
 	}
-	if d := w.store.Get(drainpermit.PermitKey(n.name)); d.Version > 0 {
+	if d := w.store.Get(fleetstate.PermitKey(n.name)); d.Version > 0 {
 		p := decodeCached(w, w.permits, d)
 		s.Permit, s.PermitVersion = &p, d.Version
 	}
@@ -250,14 +251,14 @@
 }
 
 // leaveService has a node go out of service, first: as the beginning of its being out.
-func (w *world) leaveService(n *node, a *drainpermit.Request, first bool) {
+func (w *world) leaveService(n *node, a *fleetstate.DrainRequest, first bool) {
 	n.agent.LeftService(w.clock(n.clockRate))
 	n.outOfService, n.voluntary = true, true
 	w.counts["out"]++
 	if !first {
 		return
 	}
-	for _, halt := range []string{drainpermit.HaltAll, a.ReleaseName} {
+	for _, halt := range []string{fleetstate.HaltAll, a.ReleaseName} {
 		if at, halted := w.haltedAt[halt]; halted && halt != "" {
 			w.fail("%s began to go out, %v after a halt of %q was acknowledged", n.name, w.now-at, halt)
 		}
@@ -289,7 +290,7 @@
 
 // report has a node tell the store of itself.
 func (w *world) report(n *node) {
-	r := drainpermit.Report{State: "ready", Healthy: w.healthy(n), InServiceMS: (w.now - n.healthySince).Milliseconds(), Zone: n.zone, DeployedVersion: n.version, ProcessStartMS: (n.processStart + time.Second).Milliseconds(), Served: n.served, Failed: n.failed}
+	r := fleetstate.NodeReport{State: "ready", Healthy: w.healthy(n), InServiceMS: (w.now - n.healthySince).Milliseconds(), Zone: n.zone, DeployedVersion: n.version, ProcessStartMS: (n.processStart + time.Second).Milliseconds(), Served: n.served, Failed: n.failed}
 	if n.outOfService {
 		r.State, r.InServiceMS = "out of service", 0
 	}
@@ -302,17 +303,17 @@
 }
 
 // view is what a candidate reads, confirmed.
-func (w *world) view(k *candidate) (drainpermit.View, drainpermit.Versions) {
-	by := drainpermit.Decoder{
-		Request: func(d document.Document) (drainpermit.Request, error) { return decodeCached(w, w.requests, d), nil },
-		Permit:  func(d document.Document) (drainpermit.Permit, error) { return decodeCached(w, w.permits, d), nil },
+func (w *world) view(k *candidate) (fleetstate.View, fleetstate.Versions) {
+	by := fleetstate.Decoder{
+		Request: func(d document.Document) (fleetstate.DrainRequest, error) { return decodeCached(w, w.requests, d), nil },
+		Permit:  func(d document.Document) (fleetstate.Permit, error) { return decodeCached(w, w.permits, d), nil },
 	}
-	v, at, err := drainpermit.DecodeView(w.store.List(""), by, w.now.Milliseconds())
+	v, at, err := fleetstate.DecodeView(w.store.List(""), by, w.now.Milliseconds())
 	if err != nil {
 		w.fail("%v", err)
 	}
 	for _, n := range w.nodes {
-		s := drainpermit.ObservedMember{Name: n.name, Report: n.reported}
+		s := fleetstate.ObservedMember{Name: n.name, Report: n.reported}
 		if first, known := k.firstSeen[n.name]; !known {
 			k.firstSeen[n.name] = w.now
 			s.Liveness = disruption.Unknown
@@ -390,7 +391,7 @@
 	}
 	for _, t := range list {
 		if w.mutant == "counted before others were granted" && len(t.Conditions) > 3 {
-			t.Conditions = slices.DeleteFunc(t.Conditions, func(c document.Condition) bool { return c.Key == drainpermit.LastGrantKey || c.Task != "" })
+			t.Conditions = slices.DeleteFunc(t.Conditions, func(c document.Condition) bool { return c.Key == fleetstate.LastGrantKey || c.Task != "" })
 		}
 		if w.mutant == "lapse frees a begun permit" && t.Reason == "a permit ends" {
 			t.Conditions = nil
@@ -407,10 +408,10 @@
 
 // halt has an operator halt, which is acknowledged once no window is open.
 func (w *world) halt(what string) {
-	w.put(drainpermit.HaltKeyPrefix+what, "op")
-	at, mine := w.now, w.store.Get(drainpermit.HaltKeyPrefix+what).Version
+	w.put(fleetstate.HaltKeyPrefix+what, "op")
+	at, mine := w.now, w.store.Get(fleetstate.HaltKeyPrefix+what).Version
 	w.after(LeaseTerms.Duration, func() {
-		if w.store.Get(drainpermit.HaltKeyPrefix+what).Version == mine && w.haltedAt[what] == 0 {
+		if w.store.Get(fleetstate.HaltKeyPrefix+what).Version == mine && w.haltedAt[what] == 0 {
 			w.counts["halted"]++
 			w.haltedAt[what] = at + LeaseTerms.Duration
 		}
@@ -420,27 +421,27 @@
 // runOperator is people and releases: they ask, take back, halt and resume.
 func (w *world) runOperator() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
-	key := drainpermit.RequestKey(n.name)
+	key := fleetstate.RequestKey(n.name)
 	put := w.put
 	switch x := w.random.IntN(20); {
 	case x < 8 && w.store.Get(key).Version == 0:
-		a := drainpermit.Request{ID: w.newID(), RequestedBy: "op", Urgent: w.random.IntN(4) == 0}
+		a := fleetstate.DrainRequest{ID: w.newID(), RequestedBy: "op", Urgent: w.random.IntN(4) == 0}
 		if w.random.IntN(2) == 0 {
 			a.ReleaseName, a.TargetVersion = "r", fmt.Sprint("v", w.random.IntN(3))
 		} else if w.random.IntN(3) == 0 {
 			a.ExpiresAtMS = (w.now + time.Duration(w.random.IntN(20))*time.Second).Milliseconds()
 		}
-		put(key, drainpermit.Encode(a))
+		put(key, fleetstate.Encode(a))
 	case x < 10 && w.store.Get(key).Version > 0:
 		put(key, "")
 	case x == 12:
-		w.halt([]string{drainpermit.HaltAll, "r"}[w.random.IntN(2)])
+		w.halt([]string{fleetstate.HaltAll, "r"}[w.random.IntN(2)])
 	case x < 18:
-		for _, halt := range []string{drainpermit.HaltAll, "r"} {
+		for _, halt := range []string{fleetstate.HaltAll, "r"} {
 			if w.random.IntN(2) == 0 {
 				delete(w.haltedAt, halt)
-				if w.store.Get(drainpermit.HaltKeyPrefix+halt).Version > 0 {
-					put(drainpermit.HaltKeyPrefix+halt, "")
+				if w.store.Get(fleetstate.HaltKeyPrefix+halt).Version > 0 {
+					put(fleetstate.HaltKeyPrefix+halt, "")
 				}
 			}
 		}
@@ -491,7 +492,7 @@
 
 func run(seed uint64, mutant string, nodes int, releases bool) (wrong string, met map[string]int) {
 	w := &world{random: rand.New(rand.NewPCG(seed, 26)), mutant: mutant, counts: map[string]int{}, haltedAt: map[string]time.Duration{},
-		requests: map[string]cached[drainpermit.Request]{}, permits: map[string]cached[drainpermit.Permit]{}}
+		requests: map[string]cached[fleetstate.DrainRequest]{}, permits: map[string]cached[fleetstate.Permit]{}}
 	var err error
 	if w.store, err = document.New(document.DefaultLimits, LeaseTerms); err != nil {
 		return err.Error(), nil
@@ -517,7 +518,7 @@
 	if one := 1; zones > 1 {
 		w.budgets = append(w.budgets, disruption.Budget{Scope: "zone", MaxUnavailable: &one})
 	}
-	w.store.Apply(document.Transaction{ID: w.newID(), Operations: []document.Operation{{Key: drainpermit.BudgetsKey, Value: drainpermit.Encode(w.budgets)}}}, 0)
+	w.store.Apply(document.Transaction{ID: w.newID(), Operations: []document.Operation{{Key: fleetstate.BudgetsKey, Value: fleetstate.Encode(w.budgets)}}}, 0)
 	calmAt, end := 60*time.Second, 60*time.Second+time.Duration(size)*20*time.Second+30*time.Second
 	if releases {
 		w.planRelease()
@@ -526,7 +527,7 @@
 	for ; w.now < end; w.now += tick {
 		if !w.faultsOver && w.now >= calmAt {
 			w.faultsOver = true
-			for _, d := range w.store.List(drainpermit.HaltKeyPrefix) {
+			for _, d := range w.store.List(fleetstate.HaltKeyPrefix) {
 				w.store.Apply(document.Transaction{ID: w.newID(), Operations: []document.Operation{{Key: d.Key, Delete: true}}}, lease.Instant(w.now))
 			}
 			clear(w.haltedAt)
@@ -593,7 +594,7 @@
 	}
 	if !w.idle() {
 		left := maps.Collect(func(yield func(string, string) bool) {
-			for _, d := range w.store.List(drainpermit.KeyPrefix) {
+			for _, d := range w.store.List(fleetstate.DrainKeyPrefix) {
 				if !yield(d.Key, d.Value) {
 					return
 				}
@@ -606,7 +607,7 @@
 
 // listDocuments is the documents of nodes that end so.
 func (w *world) listDocuments(end string) []document.Document {
-	return slices.DeleteFunc(w.store.List(drainpermit.KeyPrefix), func(d document.Document) bool { return !strings.HasSuffix(d.Key, end) })
+	return slices.DeleteFunc(w.store.List(fleetstate.DrainKeyPrefix), func(d document.Document) bool { return !strings.HasSuffix(d.Key, end) })
 }
 
 // idle says whether nothing is wanted any more, and nobody is out.
--- a/internal/control/fleet/figures.go
+++ b/internal/control/fleet/figures.go
@@ -4,7 +4,7 @@
 	"maps"
 
 	"sloehitch/internal/control/disruption"
-	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/release"
 )
 
@@ -21,7 +21,7 @@
 // GrantStats is what the keeper of permits sees.
 type GrantStats struct {
 	Waiting     int                             // asks without a permit
-	Permits     map[drainpermit.State]int       // by how far they are
+	Permits     map[fleetstate.PermitState]int  // by how far they are
 	Unavailable map[disruption.Availability]int // nodes and servers that count as out, by why
 }
 
@@ -47,8 +47,8 @@
 }
 
 // grantStatsOf is what a view comes to, and what a step counted in it.
-func grantStatsOf(v drainpermit.View, counted []disruption.Member) *GrantStats {
-	kept := &GrantStats{Permits: map[drainpermit.State]int{}, Unavailable: map[disruption.Availability]int{}}
+func grantStatsOf(v fleetstate.View, counted []disruption.Member) *GrantStats {
+	kept := &GrantStats{Permits: map[fleetstate.PermitState]int{}, Unavailable: map[disruption.Availability]int{}}
 	for name := range v.Requests {
 		if _, permitted := v.Permits[name]; !permitted {
 			kept.Waiting++
--- a/internal/control/fleet/outs.go
+++ b/internal/control/fleet/outs.go
@@ -11,6 +11,7 @@
 
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/store"
 	"sloehitch/internal/store/document"
@@ -28,7 +29,7 @@
 	LeaveService       func()        // has the node go out of service; must not block
 	EnterService       func()        // and into it
 	// Upstreams are the servers below as this node sees them, by address; nil: it has none. LeaveAlone has it send no more to these; must not block.
-	Upstreams        func() map[string]drainpermit.UpstreamStatus
+	Upstreams        func() map[string]fleetstate.UpstreamStatus
 	ExcludeUpstreams func(addresses []string)
 	// ReplaceProcess has this process replaced by what is to be deployed, and the process end. It errs where it could not; nil: nothing is set up
 	// that could. It may block.
@@ -41,7 +42,7 @@
 // followExcludedUpstreams has this node send no more to servers that are permitted to be out, until the context ends. With the store away it goes on with
 // what it knew.
 func (f *Participant) followExcludedUpstreams(ctx context.Context) {
-	key := drainpermit.KeyPrefix + drainpermit.UpstreamName("")
+	key := fleetstate.DrainKeyPrefix + fleetstate.UpstreamName("")
 	changed := f.watchChanges(ctx, key)
 	var read uint64
 	for {
@@ -71,9 +72,9 @@
 // the harmless side.
 func excludedUpstreams(docs []document.Document) (addresses []string) {
 	for _, d := range docs {
-		name, is := strings.CutSuffix(strings.TrimPrefix(d.Key, drainpermit.KeyPrefix), "/permit")
-		if p, err := drainpermit.Decode[drainpermit.Permit](d.Value); is && (err != nil || p.State != drainpermit.Returning) {
-			addresses = append(addresses, drainpermit.UpstreamAddress(name))
+		name, is := strings.CutSuffix(strings.TrimPrefix(d.Key, fleetstate.DrainKeyPrefix), "/permit")
+		if p, err := fleetstate.Decode[fleetstate.Permit](d.Value); is && (err != nil || p.State != fleetstate.PermitReturning) {
+			addresses = append(addresses, fleetstate.UpstreamAddress(name))
 		}
 	}
 	return addresses
@@ -116,7 +117,7 @@
 func (f *Participant) runDrainAgent(ctx context.Context) {
 	o := f.options.Drain
 	agent := drainpermit.NewAgent(drainpermit.AgentOptions{DeployedVersion: o.DeployedVersion, Terms: f.options.LeaseTerms, MinReady: o.MinReady, MaxReplaceAttempts: max(1, o.MaxReplaceAttempts)})
-	changed := f.watchChanges(ctx, drainpermit.KeyPrefix+f.options.Name+"/")
+	changed := f.watchChanges(ctx, fleetstate.DrainKeyPrefix+f.options.Name+"/")
 	var s drainpermit.Observation
 	known := false
 	again := time.NewTicker(f.options.RetryDelay)
@@ -186,7 +187,7 @@
 // observeDrain reads what the store has of this node, as the member that is asked first has it.
 func (f *Participant) observeDrain() (s drainpermit.Observation, err error) {
 	c, turn := f.preferredClient()
-	docs, seen, err := c.Documents(drainpermit.KeyPrefix+f.options.Name+"/", true)
+	docs, seen, err := c.Documents(fleetstate.DrainKeyPrefix+f.options.Name+"/", true)
 	if err == nil && seen.AgeMS < 0 {
 		err = errors.New("the member asked has heard of no leader")
 	}
@@ -197,14 +198,14 @@
 	s.Revision = seen.Revision
 	for _, d := range docs {
 		switch d.Key {
-		case drainpermit.RequestKey(f.options.Name):
-			a, err := drainpermit.Decode[drainpermit.Request](d.Value)
+		case fleetstate.RequestKey(f.options.Name):
+			a, err := fleetstate.Decode[fleetstate.DrainRequest](d.Value)
 			if err != nil {
 				return s, err
 			}
 			s.Request, s.RequestVersion = &a, d.Version
-		case drainpermit.PermitKey(f.options.Name):
-			p, err := drainpermit.Decode[drainpermit.Permit](d.Value)
+		case fleetstate.PermitKey(f.options.Name):
+			p, err := fleetstate.Decode[fleetstate.Permit](d.Value)
 			if err != nil {
 				return s, err
 			}
@@ -417,7 +418,7 @@
 // runGrantTask takes this node's turn at granting permits, while there is anything to decide, until the context ends.
 func (f *Participant) runGrantTask(ctx context.Context) {
 	k := &grantTask{}
-	k.leasedLoop = &leasedLoop{Participant: f, task: grantTaskName, keyPrefix: drainpermit.KeyPrefix, runTurn: k.decide, reset: func() {
+	k.leasedLoop = &leasedLoop{Participant: f, task: grantTaskName, keyPrefix: fleetstate.DrainKeyPrefix, runTurn: k.decide, reset: func() {
 		k.detector = NewFailureDetector(f.options.SilentAfter) // nodes are unknown until they are heard of anew
 		k.controller = drainpermit.Controller{Terms: f.options.LeaseTerms, MinReady: f.options.Drain.MinReady}
 		f.updateStats(func(x *Stats) { x.Grants = nil })
@@ -426,11 +427,11 @@
 }
 
 // readView reads all that counts for permits, confirmed, with the nodes as this process has heard of them.
-func (f *Participant) readView(sight *FailureDetector) (v drainpermit.View, at drainpermit.Versions, docs []document.Document, err error) {
+func (f *Participant) readView(sight *FailureDetector) (v fleetstate.View, at fleetstate.Versions, docs []document.Document, err error) {
 	if docs, err = f.documents(""); err != nil {
 		return v, at, docs, err
 	}
-	v, at, err = drainpermit.DecodeView(docs, drainpermit.DefaultDecoder, f.options.Now().UnixMilli())
+	v, at, err = fleetstate.DecodeView(docs, fleetstate.DefaultDecoder, f.options.Now().UnixMilli())
 	if err != nil {
 		f.log.Warn("a document can't be read", err)
 	}
@@ -447,7 +448,7 @@
 		quiet[q.Node] = q.Silence
 	}
 	for _, d := range reports {
-		s := drainpermit.ObservedMember{Name: strings.TrimPrefix(d.Key, nodeKeyPrefix)}
+		s := fleetstate.ObservedMember{Name: strings.TrimPrefix(d.Key, nodeKeyPrefix)}
 		s.Unreadable = json.Unmarshal([]byte(d.Value), &s.Report) != nil
 		s.SinceMS = s.Report.ProcessStartMS
 		if long, silent := quiet[s.Name]; silent {
--- a/internal/control/fleet/releases.go
+++ b/internal/control/fleet/releases.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sloehitch/internal/control/canary"
-	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/release"
 	"sloehitch/internal/platform/latency"
@@ -91,7 +91,7 @@
 }
 
 // applyDecision makes what a step of a release is, and says so.
-func (k *releaseTask) applyDecision(r release.Release, step release.Decision, v drainpermit.View, at drainpermit.Versions, token uint64) error {
+func (k *releaseTask) applyDecision(r release.Release, step release.Decision, v fleetstate.View, at fleetstate.Versions, token uint64) error {
 	for _, t := range step.Transactions(r, v, at, token, k.options.Name, rand.Text) {
 		if err := k.transactWhileHeld(t); err != nil {
 			return err
@@ -124,8 +124,8 @@
 			return fmt.Errorf("%w: there is a release %s that is not over", store.ErrConflict, r.Name)
 		}
 	}
-	_, err = ask.Commit(document.Transaction{ID: rand.Text(), Author: r.RequestedBy, Reason: "release " + r.Name + " to " + r.TargetVersion + ": " + r.Reason, Conditions: []document.Condition{{Key: was.Key, Version: was.Version}, {Key: drainpermit.HaltKeyPrefix + r.Name}},
-		Operations: []document.Operation{{Key: was.Key, Value: drainpermit.Encode(r)}}})
+	_, err = ask.Commit(document.Transaction{ID: rand.Text(), Author: r.RequestedBy, Reason: "release " + r.Name + " to " + r.TargetVersion + ": " + r.Reason, Conditions: []document.Condition{{Key: was.Key, Version: was.Version}, {Key: fleetstate.HaltKeyPrefix + r.Name}},
+		Operations: []document.Operation{{Key: was.Key, Value: fleetstate.Encode(r)}}})
 	return err
 }
 
@@ -142,7 +142,7 @@
 		if err != nil {
 			return err
 		}
-		halted, _, err := ask.Document(drainpermit.HaltKeyPrefix+name, false)
+		halted, _, err := ask.Document(fleetstate.HaltKeyPrefix+name, false)
 		if err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 		}
 		r.State, r.Note = release.RollingBack, "back, by "+by+": "+why
 		t := document.Transaction{ID: rand.Text(), Author: by, Reason: "release " + name + " goes back: " + why, Conditions: []document.Condition{{Key: key, Version: was.Version}, {Key: halted.Key, Version: halted.Version}},
-			Operations: []document.Operation{{Key: key, Value: drainpermit.Encode(r)}}}
+			Operations: []document.Operation{{Key: key, Value: fleetstate.Encode(r)}}}
 		if halted.Version > 0 {
 			t.Operations = append(t.Operations, document.Operation{Key: halted.Key, Delete: true})
 		}
