--- a/internal/control/desiredstate/desired_test.go
+++ b/internal/control/desiredstate/follower_test.go
@@ -2,49 +2,30 @@
 
 import (
 	"math/rand/v2"
-	"strings"
 	"testing"
 )
 
-func TestParse(t *testing.T) {
-	for _, c := range []struct{ text, err string }{
-		{`{"out":true,"by":"ann","why":"disk"}`, ""},
-		{`{"out":true,"duty":"drain","token":7}`, ""},
-		{`{}`, ""},
-		{``, "can't be read"},
-		{`{"out":true`, "can't be read"},
-		{`{"out":true}{"out":false}`, "more than one"},
-		{`{"out":true,"until":"noon"}`, "until"},
-		{`{"out":true,"duty":"drain"}`, "without a token"},
-		{`{"out":true,"token":7}`, "without a duty"},
-	} {
-		if _, err := Parse(c.text); (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%s: %v, want %q", c.text, err, c.err)
-		}
-	}
-}
-
-// TestFollower: whatever order things are seen in, how often, and by way of which stale member, what is applied never goes back
-// and ends at the newest.
+// TestFollower: in whatever order documents are observed, how often, and from however stale a member, what is applied never goes back and ends at
+// the newest.
 func TestFollower(t *testing.T) {
-	type seen struct {
+	type observation struct {
 		text              string
 		version, revision uint64
 	}
 	for seed := range uint64(2000) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		var all []seen
+		var all []observation
 		newest := Applied{}
 		for v := uint64(1 + r.IntN(5)); len(all) < 12; v += uint64(1 + r.IntN(5)) {
 			switch r.IntN(4) {
 			case 0:
-				all = append(all, seen{"", 0, v})
+				all = append(all, observation{"", 0, v})
 				newest = Applied{v, State{}}
 			case 1:
-				all = append(all, seen{"{", v, v})
+				all = append(all, observation{"{", v, v})
 			default:
 				out := r.IntN(2) == 0
-				all = append(all, seen{map[bool]string{true: `{"out":true}`, false: `{"out":false}`}[out], v, v})
+				all = append(all, observation{map[bool]string{true: `{"out":true}`, false: `{"out":false}`}[out], v, v})
 				newest = Applied{v, State{OutOfService: out}}
 			}
 		}
