--- /dev/null
+++ b/internal/control/fleetstate/documents_test.go
@@ -0,0 +1,61 @@
+package fleetstate
+
+import (
+	"strings"
+	"testing"
+
+	"sloehitch/internal/store/document"
+)
+
+func TestDecode(t *testing.T) {
+	for _, c := range []struct{ text, err string }{
+		{`{"id":"a","by":"ann","why":"disk","at":5}`, ""},
+		{`{"id":"a","until":7,"within_ms":3,"release":"r","to":"v2","failed":"no"}`, ""},
+		{`{"id":"a"`, "can't be read"},
+		{`{"id":"a","noon":1}`, "noon"},
+		{`{"id":"a"}{"id":"b"}`, "more than one"},
+	} {
+		request, err := Decode[DrainRequest](c.text)
+		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
+			t.Errorf("%s: %v, want %q", c.text, err, c.err)
+		}
+		if err == nil && request.ID != "a" {
+			t.Errorf("%s: %+v", c.text, request)
+		}
+	}
+}
+
+func TestKeys(t *testing.T) {
+	if member, found := RequestMember(RequestKey("n1")); !found || member != "n1" {
+		t.Errorf("request of %q, %v", member, found)
+	}
+	if member, found := PermitMember(PermitKey(UpstreamName("a:1"))); !found || !IsUpstream(member) || UpstreamAddress(member) != "a:1" {
+		t.Errorf("permit of %q, %v", member, found)
+	}
+	for _, key := range []string{PermitKey("n1"), "node/n1/ask", "out/n1"} {
+		if member, found := RequestMember(key); found {
+			t.Errorf("%s: a request of %q", key, member)
+		}
+	}
+}
+
+// TestDecodeView: a permit that cannot be decoded counts as out of service, and what else cannot be decoded is left out and named.
+func TestDecodeView(t *testing.T) {
+	view, versions, err := DecodeView([]document.Document{
+		{Key: RequestKey("n1"), Value: `{"id":"a"}`, Version: 3},
+		{Key: RequestKey("n2"), Value: `{`, Version: 4},
+		{Key: PermitKey("n2"), Value: `{`, Version: 5},
+		{Key: HaltKeyPrefix + "r", Value: "ann: disk", Version: 6},
+		{Key: BudgetsKey, Value: `[{"group":"fleet","most_out":1}]`, Version: 7},
+		{Key: "node/n1", Value: `{}`, Version: 8},
+	}, DefaultDecoder, 9)
+	if err == nil || !strings.Contains(err.Error(), "out/n2/ask") || !strings.Contains(err.Error(), "out/n2/permit") {
+		t.Errorf("error: %v", err)
+	}
+	if len(view.Requests) != 1 || view.Requests["n1"].ID != "a" || view.RequestOrder["n1"] != 3 || view.Permits["n2"].State != PermitOutOfService {
+		t.Errorf("requests %v, permits %v", view.Requests, view.Permits)
+	}
+	if !view.IsHalted(DrainRequest{ReleaseName: "r"}) || view.IsHalted(DrainRequest{}) || len(view.Budgets) != 1 || versions["node/n1"] != 8 {
+		t.Errorf("halted %v, budgets %v, versions %v", view.Halted, view.Budgets, versions)
+	}
+}
