--- a/internal/control/fencing/guard_test.go
+++ b/internal/control/fencing/guard_test.go
@@ -18,8 +18,8 @@
 	return s
 }
 
-// TestNoTokenBelowOneSeen: also after a power cut at the worst moment, when the effect had begun and nothing more was kept.
-func TestNoTokenBelowOneSeen(t *testing.T) {
+// TestRejectsTokensBelowOneSeen: also after a power cut at the worst moment, when the effect had begun and nothing more was stored.
+func TestRejectsTokensBelowOneSeen(t *testing.T) {
 	disk := simdisk.New(1)
 	s := open(t, disk)
 	g, err := New(LedgerTokenStore{s})
@@ -41,14 +41,18 @@
 		}
 	}
 	if g.RejectedCount() != 3 || len(done) != 3 {
-		t.Errorf("%d turned away, %v done", g.RejectedCount(), done)
+		t.Errorf("%d rejected, %v done", g.RejectedCount(), done)
 	}
 	if err := g.Do("another", 1, func() error { return nil }); err != nil {
-		t.Errorf("another duty's first token: %v", err)
+		t.Errorf("another task's first token: %v", err)
 	}
 	_ = g.Do("release", 9, func() error { disk = disk.Cut(1); return errors.New("the power is gone") })
 	s = open(t, disk)
-	defer s.Close()
+	t.Cleanup(func() {
+		if err := s.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	if g, err = New(LedgerTokenStore{s}); err != nil {
 		t.Fatal(err)
 	}
@@ -60,40 +64,41 @@
 	}
 }
 
-// forgetful says that it keeps tokens and does not.
-type forgetful struct{}
+// forgetfulStore reports that it stores tokens and does not.
+type forgetfulStore struct{}
 
-func (forgetful) Load() (map[string]uint64, error) { return map[string]uint64{}, nil }
-func (forgetful) Save(string, uint64) error        { return nil }
+func (forgetfulStore) Load() (map[string]uint64, error) { return map[string]uint64{}, nil }
+func (forgetfulStore) Save(string, uint64) error        { return nil }
 
-// TestATokenThatIsNotKeptIsSeen: the mutant that keeps no token lets an overtaken owner through after a restart, which
-// TestNoTokenBelowOneSeen does not.
-func TestATokenThatIsNotKeptIsSeen(t *testing.T) {
-	let := func(token uint64) bool {
-		g, err := New(forgetful{})
+// TestDetectsTokensThatAreNotStored: the mutant that stores no token admits an overtaken owner after a restart, which
+// TestRejectsTokensBelowOneSeen does not.
+func TestDetectsTokensThatAreNotStored(t *testing.T) {
+	admitted := func(token uint64) bool {
+		g, err := New(forgetfulStore{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return g.Do("release", token, func() error { return nil }) == nil
 	}
-	if !let(9) || !let(8) { // two lives of the receiver
-		t.Error("a gate without memory is not what it is said to be")
+	if !admitted(9) || !admitted(8) { // by two incarnations of the receiver
+		t.Error("a guard without a store rejected a token")
 	}
 }
 
-type full struct{}
+// fullStore can store nothing.
+type fullStore struct{}
 
-func (full) Load() (map[string]uint64, error) { return map[string]uint64{"d": 4}, nil }
-func (full) Save(string, uint64) error        { return errors.New("no space left") }
+func (fullStore) Load() (map[string]uint64, error) { return map[string]uint64{"d": 4}, nil }
+func (fullStore) Save(string, uint64) error        { return errors.New("no space left") }
 
-func TestNothingIsDoneThatCantBeRemembered(t *testing.T) {
-	g, err := New(full{})
+func TestRunsNoEffectWhoseTokenIsNotStored(t *testing.T) {
+	g, err := New(fullStore{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	did := false
 	if err := g.Do("d", 5, func() error { did = true; return nil }); err == nil || did {
-		t.Errorf("a token that was not kept: %v, done %v", err, did)
+		t.Errorf("a token that was not stored: %v, done %v", err, did)
 	}
 	if err := g.Do("d", 4, func() error { did = true; return nil }); err != nil || !did {
 		t.Errorf("the token that is known: %v, done %v", err, did)
