--- a/internal/control/leasedtask/modelcheck/modelcheck_test.go
+++ b/internal/control/leasedtask/modelcheck/modelcheck_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-var seeds = flag.Uint64("duty.seeds", 1000, "how many seeds the walk is played with")
+var seeds = flag.Uint64("duty.seeds", 1000, "how many seeds are simulated")
 
 func TestStepsHappenOnceInTokenOrder(t *testing.T) {
 	for seed := range *seeds {
-		if wrong := Run(seed, ""); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+		if violation := Run(seed, ""); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
@@ -22,9 +22,9 @@
 		for ; seed < within && Run(seed, mutant) == ""; seed++ {
 		}
 		if seed == within {
-			t.Errorf("%s: not caught within %d seeds", mutant, within)
+			t.Errorf("%s: not found within %d seeds", mutant, within)
 			continue
 		}
-		t.Logf("%s: caught by seed %d: %s", mutant, seed, Run(seed, mutant))
+		t.Logf("%s: found by seed %d: %s", mutant, seed, Run(seed, mutant))
 	}
 }
