--- /dev/null
+++ b/internal/store/quorum/modelcheck/modelcheck_test.go
@@ -0,0 +1,45 @@
+package modelcheck
+
+import (
+	"flag"
+	"testing"
+)
+
+var seeds = flag.Int("walk.seeds", 100, "how many seeds are simulated")
+
+// TestMembers: whatever happens to members, nothing that was acknowledged is lost, no change leaves the store without a majority, and
+// tokens and revisions go on; each kind of event has happened often enough to show it.
+func TestMembers(t *testing.T) {
+	seedsWith := map[string]int{}
+	for seed := range uint64(*seeds) {
+		violation, events := Run(seed, "")
+		if violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
+		}
+		for event := range events {
+			seedsWith[event]++
+		}
+	}
+	t.Logf("of %d seeds: %v", *seeds, seedsWith)
+	for _, event := range []string{eventExcluded, eventAllKilled, actionAdd, actionPromote, actionRemove, eventRejected, eventRestored, eventRecovered, eventWrites} {
+		if seedsWith[event]*100 < *seeds {
+			t.Errorf("%s: in %d of %d seeds only", event, seedsWith[event], *seeds)
+		}
+	}
+}
+
+// TestMutants begins close to the seed at which each is found first, of those from 0 (docs/design/fleet.md).
+func TestMutants(t *testing.T) {
+	for mutant, first := range map[string]uint64{mutantOlderCopies: 0, mutantProgressInRAM: 130, mutantMajorityIgnored: 0, mutantVoteAtOnce: 0, mutantNoTokenFloor: 0} {
+		found := false
+		for seed := first; seed < first+20 && !found; seed++ {
+			if violation, _ := Run(seed, mutant); violation != "" {
+				t.Logf("%s: seed %d: %s", mutant, seed, violation)
+				found = true
+			}
+		}
+		if !found {
+			t.Errorf("%s: not found in 20 seeds from %d", mutant, first)
+		}
+	}
+}
--- /dev/null
+++ b/internal/store/quorum/modelcheck/operators.go
@@ -0,0 +1,157 @@
+package modelcheck
+
+import (
+	"fmt"
+	"slices"
+
+	"sloehitch/internal/store/document"
+	"sloehitch/internal/store/quorum"
+)
+
+const (
+	maxMembers = 6       // up to which operators add new ones
+	minMembers = 3       // down to which they remove some
+	lostWrites = 1 << 20 // by which revisions and tokens go on after a recovery
+)
+
+// operate does what the operators' pages say: processes are started, members that are excluded are removed and added anew, and
+// now and then a member is added or removed.
+func (w *world) operate() {
+	w.startProcesses()
+	i := slices.IndexFunc(w.members, func(m *member) bool { return m.leading && m.running })
+	if i < 0 {
+		return
+	}
+	leader := w.members[i]
+	servers, _ := leader.servers()
+	if w.removeOrPromote(leader, servers) || w.addAnew(leader, servers) {
+		return
+	}
+	if !w.calm && w.rng.IntN(40) == 0 {
+		w.addOrRemove(leader, servers)
+	}
+}
+
+func (w *world) startProcesses() {
+	for _, m := range w.members {
+		if !m.running && (w.calm || w.rng.IntN(15) == 0) {
+			m.running = true
+		}
+		if m.running && !m.participating && m.exclusionReason == "" {
+			w.start(m)
+		}
+	}
+}
+
+// removeOrPromote removes a member that is excluded or can't have its vote, or promotes a learner, and reports whether it did.
+func (w *world) removeOrPromote(leader *member, servers []server) bool {
+	for _, s := range servers {
+		m := w.find(s.name)
+		emptyVoter := s.voter && m.joining && len(m.log) == 0
+		switch {
+		case (m.exclusionReason != "" || emptyVoter) && (w.calm || w.rng.IntN(10) == 0):
+			if w.change(leader, actionRemove, m.name) {
+				return true
+			}
+		case !s.voter && m.exclusionReason == "":
+			if w.change(leader, actionPromote, m.name) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// addAnew adds a process that is no member, with an empty data directory, and reports whether it did.
+func (w *world) addAnew(leader *member, servers []server) bool {
+	for _, m := range w.members {
+		isMember := slices.ContainsFunc(servers, func(s server) bool { return s.name == m.name })
+		if isMember || m.exclusionReason == "" && !m.joining {
+			continue
+		}
+		if m.exclusionReason != "" {
+			w.kill(m)
+			m.directory, m.joining, m.running, m.olderCopy = newDirectory(), true, true, nil
+		}
+		if w.change(leader, actionAdd, m.name) {
+			return true
+		}
+	}
+	return false
+}
+
+// addOrRemove starts a new member, or removes a healthy one.
+func (w *world) addOrRemove(leader *member, servers []server) {
+	if len(w.members) < maxMembers && w.rng.IntN(2) == 0 {
+		name := fmt.Sprint("m", len(w.members))
+		w.members = append(w.members, &member{name: name, directory: newDirectory(), running: true, joining: true})
+		return
+	}
+	name := servers[w.rng.IntN(len(servers))].name
+	if len(servers) > minMembers && name != leader.name && w.change(leader, actionRemove, name) {
+		w.find(name).exclusionReason = "was removed"
+	}
+}
+
+// recover gives a lost majority up: all but a few of the members lose their data directories, and the furthest of those left
+// goes on alone.
+func (w *world) recover() {
+	survivor := w.furthestSurvivor()
+	if survivor == nil {
+		return
+	}
+	for _, m := range w.members {
+		w.kill(m)
+		m.running, m.olderCopy = true, nil
+		if m != survivor {
+			m.directory, m.joining, m.exclusionReason = newDirectory(), true, "its folder is lost"
+		}
+	}
+	survivor.permanentExclusion = ""
+	survivor.storeID += "'" // another store from now on, with terms of its own
+	clear(w.leaders)
+	survivor.peers, survivor.participating, survivor.joining = newDirectory().peers, true, false
+	survivor.append(entry{term: survivor.term + 1, servers: []server{{survivor.name, true}}})
+	survivor.adoptTerm(survivor.term + 1)
+	w.recoverState(survivor)
+	w.events[eventRecovered]++
+}
+
+// furthestSurvivor draws how many members keep their data directories, and returns the one of the latest progress; nil: none
+// keeps one.
+func (w *world) furthestSurvivor() *member {
+	unusable := func(m *member) bool {
+		return m.exclusionReason != "" || m.permanentExclusion != "" || len(m.log) == 0
+	}
+	left := slices.DeleteFunc(slices.Clone(w.members), unusable)
+	if len(left) == 0 {
+		return nil
+	}
+	left = left[:min(len(left), 1+w.rng.IntN(2))]
+	furthest := left[0]
+	for _, m := range left[1:] {
+		if p := furthest.progress(); p.Max(m.progress()) != p.Max(quorum.Progress{Term: m.term}) {
+			furthest = m
+		}
+	}
+	return furthest
+}
+
+// recoverState applies what the survivor has, committed or not, and moves revisions and tokens above all that may have been.
+func (w *world) recoverState(survivor *member) {
+	var err error
+	if w.state, err = document.New(document.DefaultLimits, leaseTerms); err != nil {
+		w.fail("%v", err)
+	}
+	highestToken, revision := w.highestToken, w.revision
+	w.highestToken, w.revision = 0, 0
+	for _, e := range survivor.log {
+		w.apply(e)
+	}
+	w.state.Recover(w.state.Revision()+lostWrites, w.state.Leases().HighestToken()+lostWrites, nil, w.instant())
+	w.highestToken, w.revision = max(w.highestToken, highestToken), w.state.Revision()
+	if w.revision <= revision {
+		w.fail("revision %d after %d, as the majority was lost", w.revision, revision)
+	}
+	w.committed = slices.Clone(survivor.log)
+}
--- /dev/null
+++ b/internal/store/quorum/progress.go
@@ -0,0 +1,31 @@
+package quorum
+
+import "fmt"
+
+// Progress is how far a member has answered for: the highest term that it acted in, and the last log entry that it
+// acknowledged. Neither goes back in an intact data directory: entries that a later leader replaces are replaced by entries of
+// a later term.
+type Progress struct {
+	Term      uint64 `json:"term"`
+	EntryTerm uint64 `json:"entry_term"`
+	Index     uint64 `json:"index"`
+}
+
+// logAfter reports whether the entry of p is later than that of o, as raft compares logs (Ongaro and Ousterhout, "In search of
+// an understandable consensus algorithm", 2014, 5.4.1).
+func (p Progress) logAfter(o Progress) bool {
+	return p.EntryTerm > o.EntryTerm || p.EntryTerm == o.EntryTerm && p.Index > o.Index
+}
+
+// Max returns the later entry and the higher term of the two.
+func (p Progress) Max(o Progress) Progress {
+	if o.logAfter(p) {
+		p.EntryTerm, p.Index = o.EntryTerm, o.Index
+	}
+	p.Term = max(p.Term, o.Term)
+	return p
+}
+
+func (p Progress) String() string {
+	return fmt.Sprintf("entry %d of term %d, in term %d", p.Index, p.EntryTerm, p.Term)
+}
