--- a/internal/frontend/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -184,7 +184,7 @@
 		if f.OpenConnections() == 0 || !time.Now().Before(deadline) {
 			return
 		}
-		time.Sleep(min(time.Until(deadline), f.opts.Limits.MinBackoff/4))
+		time.Sleep(min(deadline.Sub(time.Now()), f.opts.Limits.MinBackoff/4))
 	}
 }
 
--- a/internal/platform/limits/limits.go
+++ b/internal/platform/limits/limits.go
@@ -106,7 +106,7 @@
 // For derives the limits from the platform's caps on memory, in MB, and on descriptors.
 func For(memoryMB, sockets int) Limits {
 	memory := int64(max(memoryMB, 32)) << 20
-	return Limits{
+	l := Limits{
 		MemoryBytes:    memory * 6 / 10,
 		MinMemoryBytes: 12 << 20,
 
@@ -143,34 +143,6 @@
 		KillMargin:         150 * time.Millisecond,
 		OrphanTimeout:      30 * time.Second,
 
-		NoticeBytes:         64 << 10,
-		MinBackoff:          20 * time.Millisecond,
-		MaxBackoff:          time.Second,
-		RuntimeSilence:      1500 * time.Millisecond,
-		RuntimeReadyTimeout: 5 * time.Second,
-		LinkSwitchTimeout:   300 * time.Millisecond,
-		GaugesTimeout:       700 * time.Millisecond,
-		ReportInterval:      250 * time.Millisecond,
-
-		CatalogueConnections: max(4, sockets/6),
-		CatalogueIdleTimeout: time.Second,
-		ReplyTimeout:         time.Second,
-		CallTimeoutSlack:     100 * time.Millisecond,
-
-		UwsgiConnections:      max(8, min(sockets/10, int(memory/(2<<20)))),
-		UwsgiVarBytes:         32 << 10,
-		UwsgiVars:             256,
-		BufferedBodyBytes:     64 << 10,
-		BodyWindowBytes:       32 << 10,
-		TotalBodyWindowBytes:  int(memory / 8),
-		BufferedResponseBytes: 256 << 10,
-		ResponseHeadBytes:     16 << 10,
-		UpstreamTimeout:       time.Minute,
-		BodyIdleTimeout:       10 * time.Second,
-		PoolInterval:          50 * time.Millisecond,
-		TLSKeyPollInterval:    2 * time.Second,
-		QueuedSpans:           2048,
-
 		WriteTimeout: 3 * time.Second,
 		DialTimeout:  time.Second,
 
@@ -191,6 +163,43 @@
 		OperatorConnections: min(32, max(4, sockets/12)),
 		OperatorCallBytes:   256,
 	}
+	l.setLinkLimits(sockets)
+	l.setUwsgiLimits(memory, sockets)
+	return l
+}
+
+// setLinkLimits sets the limits of the links to runtime, directory and catalogue.
+func (l *Limits) setLinkLimits(sockets int) {
+	l.NoticeBytes = 64 << 10
+	l.MinBackoff = 20 * time.Millisecond
+	l.MaxBackoff = time.Second
+	l.RuntimeSilence = 1500 * time.Millisecond
+	l.RuntimeReadyTimeout = 5 * time.Second
+	l.LinkSwitchTimeout = 300 * time.Millisecond
+	l.GaugesTimeout = 700 * time.Millisecond
+	l.ReportInterval = 250 * time.Millisecond
+
+	l.CatalogueConnections = max(4, sockets/6)
+	l.CatalogueIdleTimeout = time.Second
+	l.ReplyTimeout = time.Second
+	l.CallTimeoutSlack = 100 * time.Millisecond
+}
+
+// setUwsgiLimits sets the limits of the uwsgi front and its pool. memory is in bytes.
+func (l *Limits) setUwsgiLimits(memory int64, sockets int) {
+	l.UwsgiConnections = max(8, min(sockets/10, int(memory/(2<<20))))
+	l.UwsgiVarBytes = 32 << 10
+	l.UwsgiVars = 256
+	l.BufferedBodyBytes = 64 << 10
+	l.BodyWindowBytes = 32 << 10
+	l.TotalBodyWindowBytes = int(memory / 8)
+	l.BufferedResponseBytes = 256 << 10
+	l.ResponseHeadBytes = 16 << 10
+	l.UpstreamTimeout = time.Minute
+	l.BodyIdleTimeout = 10 * time.Second
+	l.PoolInterval = 50 * time.Millisecond
+	l.TLSKeyPollInterval = 2 * time.Second
+	l.QueuedSpans = 2048
 }
 
 // ReplaceTimeout bounds the command that installs another release.
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -36,6 +36,10 @@
 func TestDocumentsAreMadeOnceOnWhicheverMember(t *testing.T) {
 	g := newGroup(t, 3)
 	leader := g.leader(t)
+	waitFor(t, "the store's id, which a new leader writes", func() bool {
+		docs, _, err := g.client(0).Documents("store/", false)
+		return err == nil && len(docs) == 1
+	})
 	var first document.Result
 	waitFor(t, "a first transaction", func() (ok bool) {
 		var err error
