--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -28,15 +28,15 @@
 		lines []string
 		want  []string
 	}{
-		"empty":            {[]string{"MARK 5 1", "FLUSH"}, []string{"NEXT 1"}},
-		"starts and runs":  {[]string{"MARK 5 1", begin, order, "FLUSH"}, []string{"HEALTH 3 1 1", "RUN 3 42", "NEXT 1"}},
-		"stores key before run": {[]string{"MARK 5 1", begin, strings.Replace(order, "read", "write", 1), "FLUSH"}, []string{"STORE_KEY 3 42", "RUN 3 42"}},
-		"events of requests that are over":        {[]string{"MARK 5 1", begin, "WORK_DONE 3 7 1 20", "GONE 3 8", "CALL_RESULT 3 9 3 80", "FLUSH"}, []string{"NEXT 1"}},
+		"empty":                            {[]string{"MARK 5 1", "FLUSH"}, []string{"NEXT 1"}},
+		"starts and runs":                  {[]string{"MARK 5 1", begin, order, "FLUSH"}, []string{"HEALTH 3 1 1", "RUN 3 42", "NEXT 1"}},
+		"stores key before run":            {[]string{"MARK 5 1", begin, strings.Replace(order, "read", "write", 1), "FLUSH"}, []string{"STORE_KEY 3 42", "RUN 3 42"}},
+		"events of requests that are over": {[]string{"MARK 5 1", begin, "WORK_DONE 3 7 1 20", "GONE 3 8", "CALL_RESULT 3 9 3 80", "FLUSH"}, []string{"NEXT 1"}},
 		"shutdown and begin in a batch": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", begin, order, "FLUSH"},
 			[]string{"NEXT 1", "RUN 3 42", "NEXT 2"}},
 		"shutdown has no answer": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", "FLUSH"}, []string{"NEXT 1", "NEXT 2"}},
-		"gauges":                {[]string{"MARK 5 1", begin, "FIRED 3 77 core_use:0.6,new_one:3,links:12", "FIRED 3 78 -", "FLUSH"}, []string{"NEXT 1"}},
-		"drain rejects":      {[]string{"MARK 5 1", begin, "QUIESCE 3 10", order, "FLUSH"}, []string{"SHED 3 42", "NEXT 1"}},
+		"gauges":                 {[]string{"MARK 5 1", begin, "FIRED 3 77 core_use:0.6,new_one:3,links:12", "FIRED 3 78 -", "FLUSH"}, []string{"NEXT 1"}},
+		"drain rejects":          {[]string{"MARK 5 1", begin, "QUIESCE 3 10", order, "FLUSH"}, []string{"SHED 3 42", "NEXT 1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, err := serve(t, c.lines...)
@@ -60,25 +60,25 @@
 		line string
 		want string
 	}{
-		"unknown message": {"HELLO 3 1", "HELLO"},
-		"unknown class":   {"ORDER 3 42 gold 24.5 - 77 2000000 north 0 0.25 - 1 50", "gold"},
-		"unknown tenant":  {"ORDER 3 42 read 24.5 - 77 2000000 south 0 0.25 - 1 50", "south"},
-		"bad number":      {"ORDER 3 42 read abc - 77 2000000 north 0 0.25 - 1 50", "abc"},
-		"not finite":      {"ORDER 3 42 read NaN - 77 2000000 north 0 0.25 - 1 50", "NaN"},
-		"negative span":   {"ORDER 3 42 read 1 - 77 -5 north 0 0.25 - 1 50", "-5"},
-		"unknown outcome": {"WORK_DONE 3 42 9 20", "9"},
-		"missing part":    {"WORK_DONE 3", "request id"},
-		"trailing text":   {"GONE 3 42 why", "why"},
-		"not begun":       {"GONE 4 42", "instance 4"},
-		"bad setting":     {strings.Replace(begin, "domain.cores=2", "domain.cores=two", 1), "domain.cores"},
-		"bad semantics":      {strings.Replace(begin, "dedup", "maybe", 1), "semantics"},
-		"invalid settings":        {strings.Replace(begin, "domain.cores=2", "domain.cores=0", 1), "cores"},
-		"negative time":   {strings.Replace(begin, "rules.grace-to-answer=60000", "rules.grace-to-answer=-1", 1), "grace-to-answer"},
-		"infinite":        {begin + " rules.overload-factor=Inf", "overload-factor"},
-		"negative call limit":  {begin + " domain.downstream=one_for_all domain.calls-out=-0.5", "calls-out"},
-		"call limit without window":  {begin + " domain.downstream=one_for_all domain.calls-out=0.5 domain.calls-over=0", "share of calls"},
-		"infinite weight":  {begin + " domain.degraded-worth=1e999,0", "degraded-worth"},
-		"batch in batch":  {"MARK 6 2", "MARK"},
+		"unknown message":           {"HELLO 3 1", "HELLO"},
+		"unknown class":             {"ORDER 3 42 gold 24.5 - 77 2000000 north 0 0.25 - 1 50", "gold"},
+		"unknown tenant":            {"ORDER 3 42 read 24.5 - 77 2000000 south 0 0.25 - 1 50", "south"},
+		"bad number":                {"ORDER 3 42 read abc - 77 2000000 north 0 0.25 - 1 50", "abc"},
+		"not finite":                {"ORDER 3 42 read NaN - 77 2000000 north 0 0.25 - 1 50", "NaN"},
+		"negative span":             {"ORDER 3 42 read 1 - 77 -5 north 0 0.25 - 1 50", "-5"},
+		"unknown outcome":           {"WORK_DONE 3 42 9 20", "9"},
+		"missing part":              {"WORK_DONE 3", "request id"},
+		"trailing text":             {"GONE 3 42 why", "why"},
+		"not begun":                 {"GONE 4 42", "instance 4"},
+		"bad setting":               {strings.Replace(begin, "domain.cores=2", "domain.cores=two", 1), "domain.cores"},
+		"bad semantics":             {strings.Replace(begin, "dedup", "maybe", 1), "semantics"},
+		"invalid settings":          {strings.Replace(begin, "domain.cores=2", "domain.cores=0", 1), "cores"},
+		"negative time":             {strings.Replace(begin, "rules.grace-to-answer=60000", "rules.grace-to-answer=-1", 1), "grace-to-answer"},
+		"infinite":                  {begin + " rules.overload-factor=Inf", "overload-factor"},
+		"negative call limit":       {begin + " domain.downstream=one_for_all domain.calls-out=-0.5", "calls-out"},
+		"call limit without window": {begin + " domain.downstream=one_for_all domain.calls-out=0.5 domain.calls-over=0", "share of calls"},
+		"infinite weight":           {begin + " domain.degraded-worth=1e999,0", "degraded-worth"},
+		"batch in batch":            {"MARK 6 2", "MARK"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := serve(t, "MARK 5 1", begin, c.line, "FLUSH")
--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -1,7 +1,7 @@
 package logic
 
 // Time spent in earlier attempts. Callers give each attempt the same share of the client timeout, except the
-// last, which gets what is left. So the shares told lately are counted in 100 buckets. A first attempt is
+// last, which gets what is left. So the shares seen lately are counted in 100 buckets. A first attempt is
 // taken to have the lowest common share that is at least the request's own; the difference was spent.
 const (
 	timeoutBuckets           = 100  // shares of the client timeout that are told apart
--- a/logic/deadline.go
+++ b/logic/deadline.go
@@ -2,11 +2,13 @@
 
 import "slices"
 
-// Deadlines. A request is answered one step before its deadline, and all are before the process is killed,
-// running or not, so that none is lost. The margin covers a late timer. Idempotent runs whose request is
-// answered are stopped while others wait; that harms where such a run is nearly done and its result would
-// answer repeats.
-
+// Deadlines. A request is answered one step before its deadline, running or not. All are answered before the
+// process is killed, so that none is lost; a late timer is allowed for:
+//
+//	answered at kill - 2·max(2 steps, ResponseGrace)
+//
+// Idempotent runs whose request is answered are stopped while others wait. That harms where such a run is
+// nearly done and its result would answer repeats.
 // answerExpired answers what reaches its deadline, and everything just before the kill.
 func (s *Server) answerExpired() {
 	margin := max(2*s.cfg.StepInterval, s.cfg.ResponseGrace)
--- a/logic/drain.go
+++ b/logic/drain.go
@@ -1,9 +1,9 @@
 package logic
 
-// Drain before a shutdown. What arrives within DrainGrace of EventDrain is served as ever, what arrives later
-// must not run. Callers are told after half of the grace, since they act on an old signal for a while.
-
-// drainState is the state of a drain; both times are 0 without one.
+// Drain before a shutdown. What arrives within DrainGrace of EventDrain is served as usual, and what arrives
+// later must not run. Health and load signal announce the drain after half of the grace, since callers act on
+// an old signal for a while. What is left is answered before the kill (deadline.go). drainState is the state
+// of a drain; both times are 0 without one.
 type drainState struct {
 	drainStartedAt Micros
 	killAt         Micros
@@ -19,7 +19,7 @@
 	return s.killAt > 0 && r.arrivedAt > s.drainStartedAt+s.cfg.DrainGrace-s.cfg.StepInterval
 }
 
-// turnsCallersAway reports whether callers are told to send nothing.
-func (s *Server) turnsCallersAway() bool {
+// drainAnnounced reports whether health and load signal announce the drain.
+func (s *Server) drainAnnounced() bool {
 	return s.killAt > 0 && s.now >= s.drainStartedAt+s.cfg.DrainGrace/2
 }
--- a/logic/estimate.go
+++ b/logic/estimate.go
@@ -41,8 +41,8 @@
 	}
 	hint := float64(r.WorkHint)
 	if c.HintedRunTime.Samples == 0 {
-		// One sample has no spread of its own. The run time is taken to be in proportion to the hint, but to
-		// no more than maxRunTimePerHint: the rest is waits.
+		// One sample has no spread: a deviation of half the hint is assumed, and a run time in proportion to
+		// the hint, but of no more than maxRunTimePerHint: the rest is waits.
 		c.Covariance = min(hint*elapsed, maxRunTimePerHint*hint*hint) / 4
 		c.HintVariance = hint * hint / 4
 		c.Hint.Mean, c.HintedRunTime.Mean = hint, elapsed
--- a/logic/limit.go
+++ b/logic/limit.go
@@ -1,14 +1,21 @@
 package logic
 
-// Limit N on concurrent runs (FEFM, section II.A). It starts at the number of cores and grows by 1 while
-// requests wait, all of it is used and fewer threads want a core than there are, since runs wait for
-// something else. It shrinks to 0.75 of itself, not below the cores, when runs take 1.3·T_m while more want a
-// core than there are.
+// Limit N on concurrent runs (FEFM, section II.A). It starts at the number of cores. It grows by 1 while
+// requests are queued, all N run and fewer threads want a core than there are cores: runs wait for something
+// else. It shrinks to 0.75·N, not below the cores, when runs take 1.3·T_m while more threads want a core than
+// there are cores.
 //
-// It is bounded by 0.75 of the concurrency that the server survives, which grows evenly during slow start.
-// That concurrency does not count waits for disks: it harms where runs mostly wait for these. Runs at a call
-// may all come back at once. Reading beyond half of the cores takes the place of runs, since unread requests
-// stand in line as they came.
+// N is bounded by the concurrency C that the server survives on its cores:
+//
+//	C     = cores·(1 + (MaxConcurrencyPerCore - 1)·speed)
+//	slots = min(max(1, N - reading), max(1, 0.75·C - waiting at calls/2), C - waiting at calls)
+//
+// with N and C times the share of the machine that this process has. The speed rises evenly from
+// SlowStartCapacity to 1 during slow start.
+//
+// Runs that wait at calls may all come back at once. Requests that are being read take the place of runs
+// beyond half of the cores, since unread requests are not ordered by weight. C does not count waits for
+// disks: as a bound it harms where runs mostly wait for them.
 const (
 	runLimitDecrease    = 0.75 // factor on the limit when runs slow each other
 	slowdownThreshold   = 1.3  // mean of run time over T_m that counts as slowed
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -5,12 +5,14 @@
 	"slices"
 )
 
-// Order of the queue (FEFM, section II.C). Requests that can no longer meet D1 move to the old-request queue
-// for good. New requests come first, then those with more priority weight for each microsecond of their
-// expected run time T_m, then those that arrived earlier:
+// Order of the queue (FEFM, section II.C). Requests that can no longer meet D1 (admission.go) move to the
+// old-request queue for good. New requests come first, then those with more priority weight for each
+// microsecond of their expected run time T_m, then those that arrived earlier:
 //
-//	density = PriorityWeight · (over quota: OverQuotaWeightShare) · (retry: 0.3) / T_m (WeightPerWork: 1)
-
+//	density = PriorityWeight / T_m
+//
+// A request over its tenant's quota has only OverQuotaWeightShare of its weight, and a retry 0.3 of it. With
+// WeightPerWork the weight is not divided. Both queues stand in one slice, the new-request queue first.
 // retryWeightShare is the share of its weight that a retry or hedged request has: part of its latency
 // objective is spent, and how much is not told.
 const retryWeightShare = 0.3
--- a/logic/shedding.go
+++ b/logic/shedding.go
@@ -5,10 +5,13 @@
 //
 //	now + call delay + Σ T_m ahead / run limit + T_m >= D2
 //
-// so that its caller has time to try another server; a short burst rejects nobody. Retry-After is a third of
-// the time that it takes to start what is queued and to read what is unread, and the longest that callers
-// honor while the server is faulty, draining or slow. NoFailover is set while most requests are rejected
-// here, or many are and frequent retries show that other servers reject too.
+// so that its caller has time to try another server. A short burst rejects nobody. Where a run may have had
+// an effect that must not be repeated, the answer is an error in place of a rejection.
+//
+//	Retry-After = (time to start what is queued + time to read what is unread) / 3
+//
+// While the server is faulty, draining or slow it is the longest that callers honor. NoFailover is set while
+// most requests are rejected here, or many are and frequent retries show that other servers reject too.
 const (
 	minQueueTimeShare = 0.02    // of the latency objective
 	retryAfterShare   = 1.0 / 3 // of the time that the backlog takes
--- a/logic/signal.go
+++ b/logic/signal.go
@@ -49,7 +49,7 @@
 
 // updateSignals sends health and load signal where they have changed.
 func (s *Server) updateSignals() {
-	healthy := !s.stalledOrFailing() && s.readStaleness.Mean < unhealthyShare && !s.turnsCallersAway()
+	healthy := !s.stalledOrFailing() && s.readStaleness.Mean < unhealthyShare && !s.drainAnnounced()
 	if healthy != s.sentHealthy {
 		s.sentHealthy = healthy
 		s.emit(Action{Kind: ActionSetHealth, Healthy: healthy})
@@ -67,7 +67,7 @@
 // loadSignal returns the value of the load signal, by what callers do with it.
 func (s *Server) loadSignal() float64 {
 	diverted := 0.0
-	if s.stalledOrFailing() || s.turnsCallersAway() {
+	if s.stalledOrFailing() || s.drainAnnounced() {
 		diverted = faultyDivertedShare
 	}
 	switch s.cfg.SignalMode {
