--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -57,141 +57,141 @@
 		keyOf: map[RequestID]uint64{}}
 }
 
-func (l *eventGenerator) arrive() {
-	class := l.rng.IntN(len(l.cfg.Classes))
-	c := l.cfg.Classes[class]
-	age := Micros(l.rng.IntN(40000))
-	wait := c.ClientTimeout/4 + Micros(l.rng.Int64N(int64(c.ClientTimeout)))
-	r := &trackedRequest{class: class, memoryKB: 5 + 40*l.rng.Float64(), arrived: l.now - age, deadline: l.now + wait}
-	a := Arrival{Class: class, Tenant: -1, MemoryKB: r.memoryKB, AttemptTimeout: wait, Age: age, PriorityRank: l.rng.Float64(),
-		CallerID: l.rng.IntN(3)}
-	if !l.cfg.DeadlinePropagated {
+func (gen *eventGenerator) arrive() {
+	class := gen.rng.IntN(len(gen.cfg.Classes))
+	c := gen.cfg.Classes[class]
+	age := Micros(gen.rng.IntN(40000))
+	wait := c.ClientTimeout/4 + Micros(gen.rng.Int64N(int64(c.ClientTimeout)))
+	r := &trackedRequest{class: class, memoryKB: 5 + 40*gen.rng.Float64(), arrived: gen.now - age, deadline: gen.now + wait}
+	a := Arrival{Class: class, Tenant: -1, MemoryKB: r.memoryKB, AttemptTimeout: wait, Age: age, PriorityRank: gen.rng.Float64(),
+		CallerID: gen.rng.IntN(3)}
+	if !gen.cfg.DeadlinePropagated {
 		a.AttemptTimeout, r.deadline = 0, r.arrived+c.ClientTimeout
 	}
-	if len(l.cfg.Tenants) > 0 {
-		a.Tenant = l.rng.IntN(len(l.cfg.Tenants))
+	if len(gen.cfg.Tenants) > 0 {
+		a.Tenant = gen.rng.IntN(len(gen.cfg.Tenants))
 	}
-	if l.rng.IntN(2) == 0 {
-		a.WorkHint = Micros(l.rng.IntN(300000))
+	if gen.rng.IntN(2) == 0 {
+		a.WorkHint = Micros(gen.rng.IntN(300000))
 	}
 	if c.Idempotency == IdempotentByKey {
-		r.key = uint64(l.rng.IntN(40))
-		if e, ok := l.entries[r.key]; ok && e.expires > r.arrived {
-			f := l.live[e.id]
-			if f == nil && len(l.ranKey[r.key]) > 0 || f != nil && !f.answered || f != nil && f.started {
+		r.key = uint64(gen.rng.IntN(40))
+		if e, ok := gen.entries[r.key]; ok && e.expires > r.arrived {
+			f := gen.live[e.id]
+			if f == nil && len(gen.ranKey[r.key]) > 0 || f != nil && !f.answered || f != nil && f.started {
 				a.OriginalID = e.id
 			}
 		}
 	}
-	l.live[l.next] = r
-	l.order = append(l.order, l.next)
-	l.keyOf[l.next] = r.key
-	l.pending = append(l.pending, Event{Kind: EventArrival, ID: l.next, Arrival: a})
-	l.next++
+	gen.live[gen.next] = r
+	gen.order = append(gen.order, gen.next)
+	gen.keyOf[gen.next] = r.key
+	gen.pending = append(gen.pending, Event{Kind: EventArrival, ID: gen.next, Arrival: a})
+	gen.next++
 }
 
 // progress ends or advances a random share of the requests in flight.
-func (l *eventGenerator) progress() {
-	kept := l.order[:0]
-	for _, id := range l.order {
-		if r := l.live[id]; r != nil {
+func (gen *eventGenerator) progress() {
+	kept := gen.order[:0]
+	for _, id := range gen.order {
+		if r := gen.live[id]; r != nil {
 			kept = append(kept, id)
-			l.progressRequest(id, r)
+			gen.progressRequest(id, r)
 		}
 	}
-	l.order = kept
+	gen.order = kept
 }
 
-func (l *eventGenerator) progressRequest(id RequestID, r *trackedRequest) {
-	draw := l.rng.Float64()
+func (gen *eventGenerator) progressRequest(id RequestID, r *trackedRequest) {
+	draw := gen.rng.Float64()
 	onCore := r.running && !r.atCall
 	switch {
 	case r.callInFlight && draw < 0.2:
-		l.endCall(id, r)
+		gen.endCall(id, r)
 	case r.atCall && r.answered:
-		l.done(id, OutcomeCanceled)
+		gen.done(id, OutcomeCanceled)
 	case (onCore || r.coalesced && !r.atCall) && draw < 0.05:
 		out := OutcomeOK
-		if l.rng.IntN(10) == 0 {
+		if gen.rng.IntN(10) == 0 {
 			out = OutcomeFailed
 		}
-		l.done(id, out)
-	case onCore && !r.callInFlight && draw < 0.08 && l.cfg.Classes[r.class].CallsDependency:
+		gen.done(id, out)
+	case onCore && !r.callInFlight && draw < 0.08 && gen.cfg.Classes[r.class].CallsDependency:
 		r.atCall = true
-		l.pending = append(l.pending, Event{Kind: EventCallNeeded, ID: id})
+		gen.pending = append(gen.pending, Event{Kind: EventCallNeeded, ID: id})
 	case draw > 0.998 && !r.answered:
 		r.answered = true
-		l.pending = append(l.pending, Event{Kind: EventCanceled, ID: id})
+		gen.pending = append(gen.pending, Event{Kind: EventCanceled, ID: id})
 		if !r.running {
-			delete(l.live, id)
+			delete(gen.live, id)
 		}
 	}
 }
 
-func (l *eventGenerator) endCall(id RequestID, r *trackedRequest) {
+func (gen *eventGenerator) endCall(id RequestID, r *trackedRequest) {
 	r.callInFlight = false
 	outcomes := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut,
 		OutcomeUnreachable, OutcomeReset}
-	out := outcomes[l.rng.IntN(len(outcomes))]
+	out := outcomes[gen.rng.IntN(len(outcomes))]
 	r.atCall = out != OutcomeOK
-	if out != OutcomeOK && !out.NeverRan() && l.cfg.Classes[r.class].Idempotency != Idempotent {
+	if out != OutcomeOK && !out.NeverRan() && gen.cfg.Classes[r.class].Idempotency != Idempotent {
 		r.callForbidden = true
 	}
-	l.pending = append(l.pending, Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 90000})
+	gen.pending = append(gen.pending, Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 90000})
 }
 
-func (l *eventGenerator) done(id RequestID, out Outcome) {
+func (gen *eventGenerator) done(id RequestID, out Outcome) {
 	if out == OutcomeOK || out == OutcomeFailed {
-		l.answered++
+		gen.answered++
 	}
-	l.pending = append(l.pending, Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: 200000})
-	delete(l.live, id)
+	gen.pending = append(gen.pending, Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: 200000})
+	delete(gen.live, id)
 }
 
-func (l *eventGenerator) step() {
-	waiting := l.timers[:0]
-	for _, t := range l.timers {
-		if t.at <= l.now {
-			g := Gauges{CPUUtilization: l.rng.Float64(), RunQueueLength: 20 * l.rng.Float64(), MemoryUtilization: 0.5, Connections: 9}
-			l.pending = append(l.pending, Event{Kind: EventTimer, TimerID: t.tag, Gauges: g})
+func (gen *eventGenerator) step() {
+	waiting := gen.timers[:0]
+	for _, t := range gen.timers {
+		if t.at <= gen.now {
+			g := Gauges{CPUUtilization: gen.rng.Float64(), RunQueueLength: 20 * gen.rng.Float64(), MemoryUtilization: 0.5, Connections: 9}
+			gen.pending = append(gen.pending, Event{Kind: EventTimer, TimerID: t.tag, Gauges: g})
 			continue
 		}
 		waiting = append(waiting, t)
 	}
-	l.timers = waiting
-	if len(l.pending) > 0 {
-		for _, a := range l.s.Step(l.now, l.pending) {
-			l.action(a)
+	gen.timers = waiting
+	if len(gen.pending) > 0 {
+		for _, a := range gen.s.Step(gen.now, gen.pending) {
+			gen.action(a)
 		}
-		l.pending = l.pending[:0]
+		gen.pending = gen.pending[:0]
 	}
-	l.check()
+	gen.check()
 }
 
-func (l *eventGenerator) action(a Action) {
-	r := l.live[a.ID]
+func (gen *eventGenerator) action(a Action) {
+	r := gen.live[a.ID]
 	switch a.Kind {
 	case ActionSetTimer:
-		l.timers = append(l.timers, timer{l.now + a.Duration, a.TimerID})
+		gen.timers = append(gen.timers, timer{gen.now + a.Duration, a.TimerID})
 	case ActionStoreKey:
-		l.entries[l.keyOf[a.ID]] = keyEntry{a.ID, l.now + a.Duration}
+		gen.entries[gen.keyOf[a.ID]] = keyEntry{a.ID, gen.now + a.Duration}
 	case ActionDeleteKey:
-		delete(l.entries, l.keyOf[a.ID])
+		delete(gen.entries, gen.keyOf[a.ID])
 	case ActionStop:
-		if l.cfg.StopMode == StopOff {
-			l.t.Fatal("stop where it is not allowed")
+		if gen.cfg.StopMode == StopOff {
+			gen.t.Fatal("stop where it is not allowed")
 		}
 		if r != nil && r.running && r.answered && !r.atCall {
-			l.done(a.ID, OutcomeCanceled)
+			gen.done(a.ID, OutcomeCanceled)
 		}
 	case ActionSkipCall:
-		if l.cfg.Classes[r.class].DegradedWeightShare == 0 {
-			l.t.Fatal("skipped a call where that is not allowed")
+		if gen.cfg.Classes[r.class].DegradedWeightShare == 0 {
+			gen.t.Fatal("skipped a call where that is not allowed")
 		}
 		r.atCall = false
 	case ActionSetLoadSignal:
-		if l.cfg.SignalMode == SignalOff {
-			l.t.Fatal("set a load signal where none is used")
+		if gen.cfg.SignalMode == SignalOff {
+			gen.t.Fatal("set a load signal where none is used")
 		}
 	}
 	if r == nil {
@@ -199,88 +199,88 @@
 	}
 	switch a.Kind {
 	case ActionRun:
-		l.run(a.ID, r)
+		gen.run(a.ID, r)
 	case ActionCoalesce:
 		r.coalesced = true
 	case ActionCall:
 		if r.callForbidden {
-			l.t.Fatalf("call of %d was retried and is not idempotent", a.ID)
+			gen.t.Fatalf("call of %d was retried and is not idempotent", a.ID)
 		}
 		r.callInFlight = true
 	case ActionReject, ActionFail:
-		l.answer(a, r)
+		gen.answer(a, r)
 	}
 }
 
-func (l *eventGenerator) run(id RequestID, r *trackedRequest) {
+func (gen *eventGenerator) run(id RequestID, r *trackedRequest) {
 	if r.running {
 		return
 	}
-	c := l.cfg.Classes[r.class]
+	c := gen.cfg.Classes[r.class]
 	if r.answered {
-		l.t.Fatalf("run of %d after its answer", id)
+		gen.t.Fatalf("run of %d after its answer", id)
 	}
-	if l.kill > 0 && r.arrived > l.drainAt+l.cfg.DrainGrace {
-		l.t.Fatalf("run of %d, which arrived past the drain's grace", id)
+	if gen.kill > 0 && r.arrived > gen.drainAt+gen.cfg.DrainGrace {
+		gen.t.Fatalf("run of %d, which arrived past the drain's grace", id)
 	}
 	if c.Idempotency == IdempotentByKey {
-		for _, at := range l.ranKey[r.key] {
+		for _, at := range gen.ranKey[r.key] {
 			if r.arrived-at < c.IdempotencyWindow && r.arrived > at-c.IdempotencyWindow {
-				l.t.Fatalf("key %d ran twice within its window", r.key)
+				gen.t.Fatalf("key %d ran twice within its window", r.key)
 			}
 		}
-		l.ranKey[r.key] = append(l.ranKey[r.key], r.arrived)
+		gen.ranKey[r.key] = append(gen.ranKey[r.key], r.arrived)
 	}
 	r.running, r.started = true, true
 }
 
-func (l *eventGenerator) answer(a Action, r *trackedRequest) {
+func (gen *eventGenerator) answer(a Action, r *trackedRequest) {
 	if r.answered {
-		l.t.Fatalf("second answer for %d", a.ID)
+		gen.t.Fatalf("second answer for %d", a.ID)
 	}
-	if a.Kind == ActionReject && r.started && l.cfg.Classes[r.class].Idempotency != Idempotent {
-		l.t.Fatalf("request %d is not idempotent and was rejected after a run", a.ID)
+	if a.Kind == ActionReject && r.started && gen.cfg.Classes[r.class].Idempotency != Idempotent {
+		gen.t.Fatalf("request %d is not idempotent and was rejected after a run", a.ID)
 	}
 	r.answered = true
-	l.answered++
+	gen.answered++
 	if !r.running {
-		delete(l.live, a.ID)
+		delete(gen.live, a.ID)
 	}
 }
 
 // check looks at what must hold after every step.
-func (l *eventGenerator) check() {
+func (gen *eventGenerator) check() {
 	memory, onCores := 0.0, 0
-	for id, r := range l.live {
+	for id, r := range gen.live {
 		if r.running && !r.atCall && !r.callInFlight {
 			onCores++
 		}
 		memoryKB := r.memoryKB
 		if r.running {
-			memoryKB *= l.cfg.RunMemoryFactor
+			memoryKB *= gen.cfg.RunMemoryFactor
 		}
 		memory += memoryKB
-		if !r.answered && l.now > r.deadline+l.cfg.ResponseGrace {
-			l.t.Fatalf("request %d unanswered past its deadline", id)
+		if !r.answered && gen.now > r.deadline+gen.cfg.ResponseGrace {
+			gen.t.Fatalf("request %d unanswered past its deadline", id)
 		}
-		if l.kill > 0 && l.now >= l.kill && !r.answered {
-			l.t.Fatalf("request %d unanswered at the kill", id)
+		if gen.kill > 0 && gen.now >= gen.kill && !r.answered {
+			gen.t.Fatalf("request %d unanswered at the kill", id)
 		}
 	}
 	speed := 1.0
-	if l.cfg.SlowStart {
-		speed = min(1, l.cfg.SlowStartCapacity+(1-l.cfg.SlowStartCapacity)*float64(l.now-1<<40)/float64(l.cfg.SlowStartDuration))
+	if gen.cfg.SlowStart {
+		speed = min(1, gen.cfg.SlowStartCapacity+(1-gen.cfg.SlowStartCapacity)*float64(gen.now-1<<40)/float64(gen.cfg.SlowStartDuration))
 	}
-	if most := float64(l.cfg.Cores) * (1 + (l.cfg.MaxConcurrencyPerCore-1)*speed); float64(onCores) > most {
-		l.t.Fatalf("%d runs on cores that survive %.1f", onCores, most)
+	if most := float64(gen.cfg.Cores) * (1 + (gen.cfg.MaxConcurrencyPerCore-1)*speed); float64(onCores) > most {
+		gen.t.Fatalf("%d runs on cores that survive %.1f", onCores, most)
 	}
-	for _, e := range l.entries {
-		if e.expires > l.now {
-			memory += l.cfg.KeyEntryKB
+	for _, e := range gen.entries {
+		if e.expires > gen.now {
+			memory += gen.cfg.KeyEntryKB
 		}
 	}
-	if memory > l.cfg.MemoryKB {
-		l.t.Fatalf("memory %.0f of %.0f", memory, l.cfg.MemoryKB)
+	if memory > gen.cfg.MemoryKB {
+		gen.t.Fatalf("memory %.0f of %.0f", memory, gen.cfg.MemoryKB)
 	}
 }
 
@@ -312,30 +312,30 @@
 }
 
 func playGenerated(t *testing.T, cfg Settings, seed uint64) {
-	l := newEventGenerator(t, cfg, seed)
+	gen := newEventGenerator(t, cfg, seed)
 	const steps = 4000
 	for i := range steps {
-		l.now += cfg.StepInterval * Micros(1+l.rng.IntN(2))
-		if l.kill > 0 && l.now >= l.kill-cfg.StepInterval {
+		gen.now += cfg.StepInterval * Micros(1+gen.rng.IntN(2))
+		if gen.kill > 0 && gen.now >= gen.kill-cfg.StepInterval {
 			break
 		}
 		busy := i/500%2 == 1
-		for range l.rng.IntN(2) {
-			if busy || l.rng.IntN(8) == 0 {
-				l.arrive()
+		for range gen.rng.IntN(2) {
+			if busy || gen.rng.IntN(8) == 0 {
+				gen.arrive()
 			}
 		}
 		if i/300%3 != 1 { // the work hangs for a third of the time
-			l.progress()
+			gen.progress()
 		}
 		if i == steps*3/4 {
-			l.drainAt, l.kill = l.now, l.now+4*cfg.DrainGrace
-			l.pending = append(l.pending, Event{Kind: EventDrain, TimeToKill: 4 * cfg.DrainGrace})
+			gen.drainAt, gen.kill = gen.now, gen.now+4*cfg.DrainGrace
+			gen.pending = append(gen.pending, Event{Kind: EventDrain, TimeToKill: 4 * cfg.DrainGrace})
 		}
-		l.step()
+		gen.step()
 	}
-	l.check()
-	if l.answered < 100 {
-		t.Fatalf("only %d requests answered: the sequence tests nothing", l.answered)
+	gen.check()
+	if gen.answered < 100 {
+		t.Fatalf("only %d requests answered: the sequence tests nothing", gen.answered)
 	}
 }
