--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,6 +1,7 @@
-// Package admission serializes access to the decision module (package logic), which is a state machine without I/O or locks. A
-// Controller collects events (Report), steps the module on a goroutine of its own, and hands out its decisions (Next). It also
-// keeps the module's clock: a timer that the module has set is delivered together with the server's gauges.
+// Package admission serializes access to the decision module (package logic), which is a state machine without I/O or
+// locks. A Controller collects events (Report), steps the module on a goroutine of its own, and hands out its
+// decisions (Next). It also keeps the module's clock: a timer that the module has set is delivered together with the
+// server's gauges.
 package admission
 
 import (
@@ -17,19 +18,21 @@
 type Options struct {
 	Seed  uint64
 	Clock clock.Clock
-	// OnDecision, if not nil, is given each decision from a callback of Clock. The Controller then has no goroutine of its own,
-	// all calls to it must come from the clock's callbacks, and Next is not to be used. It is for virtual clocks.
+	// OnDecision, if not nil, is given each decision from a callback of Clock. The Controller then has no goroutine
+	// of its own, all calls to it must come from the clock's callbacks, and Next is not to be used. It is for virtual
+	// clocks.
 	OnDecision func(Decision)
-	// RequestGauges asks for the server's gauges; they are to be passed to ReportGauges. It must not block. Nil: there are none.
+	// RequestGauges asks for the server's gauges; they are to be passed to ReportGauges. It must not block. Nil:
+	// there are none.
 	RequestGauges func()
-	// GaugesTimeout is how long a due timer waits for the gauges. While the machine stands still none come, and a module that
-	// was stepped then would take its runs for stalled.
+	// GaugesTimeout is how long a due timer waits for the gauges. While the machine stands still none come, and a
+	// module that was stepped then would take its runs for stalled.
 	GaugesTimeout time.Duration
 	LearnedState  *logic.LearnedState // of an earlier process of this node, to begin with; nil: none
 }
 
-// Controller owns one decision module. New makes one and Close ends it. Its methods may be called from any goroutine and, but
-// for Next and LearnedState, never block. The module and the timer belong to the goroutine that runs loop.
+// Controller owns one decision module. New makes one and Close ends it. Its methods may be called from any goroutine
+// and, but for Next and LearnedState, never block. The module and the timer belong to the goroutine that runs loop.
 type Controller struct {
 	server *logic.Server
 	opts   Options
@@ -69,8 +72,20 @@
 	if opts.LearnedState != nil {
 		server.RestoreLearned(*opts.LearnedState)
 	}
-	c := &Controller{server: server, opts: opts, wake: make(chan struct{}, 1), gauges: make(chan Gauges, 1),
-		timerDue: make(chan uint64), done: make(chan struct{}), lastGauges: Gauges{CPUUtilization: -1, RunQueueLength: -1, MemoryUtilization: -1, Connections: -1}}
+	c := &Controller{
+		server:   server,
+		opts:     opts,
+		wake:     make(chan struct{}, 1),
+		gauges:   make(chan Gauges, 1),
+		timerDue: make(chan uint64),
+		done:     make(chan struct{}),
+		lastGauges: Gauges{
+			CPUUtilization:    -1,
+			RunQueueLength:    -1,
+			MemoryUtilization: -1,
+			Connections:       -1,
+		},
+	}
 	c.ready = sync.NewCond(&c.mu)
 	c.loadSignal.Store(math.Float64bits(math.NaN()))
 	if opts.OnDecision == nil {
@@ -79,7 +94,7 @@
 	return c, nil
 }
 
-// Report tells the module what happened.
+// Report passes events on to the module.
 func (c *Controller) Report(events ...Event) {
 	c.mu.Lock()
 	for _, e := range events {
@@ -101,8 +116,8 @@
 	}
 }
 
-// Reconfigure has the module use new settings before any event reported after this call. cfg must have passed logic.New's
-// checks and keep the classes and tenants in their places (logic.Server.Reconfigure).
+// Reconfigure has the module use new settings before any event reported after this call. cfg must have passed
+// logic.New's checks and keep the classes and tenants in their places (logic.Server.Reconfigure).
 func (c *Controller) Reconfigure(cfg logic.Settings) {
 	c.mu.Lock()
 	c.newSettings = &cfg
@@ -110,8 +125,8 @@
 	c.scheduleStep()
 }
 
-// SetResourceShare has the module use a fraction of the cores and the memory, above 0 and at most 1: another process of this
-// node has the rest.
+// SetResourceShare has the module use a fraction of the cores and the memory, above 0 and at most 1: another process
+// of this node has the rest.
 func (c *Controller) SetResourceShare(fraction float64) {
 	c.mu.Lock()
 	c.newResourceShare = fraction
@@ -119,8 +134,8 @@
 	c.scheduleStep()
 }
 
-// LearnedState returns what the module has learned so far. It waits for the module's next step, which is short. It returns
-// false if the controller is closed.
+// LearnedState returns what the module has learned so far. It waits for the module's next step, which is short. It
+// returns false if the controller is closed.
 func (c *Controller) LearnedState() (logic.LearnedState, bool) {
 	if c.opts.OnDecision != nil {
 		return c.server.LearnedState(), true
@@ -138,7 +153,8 @@
 	}
 }
 
-// Next waits for the next decision and returns it. It returns false once the controller is closed and no decision is left.
+// Next waits for the next decision and returns it. It returns false once the controller is closed and no decision is
+// left.
 func (c *Controller) Next() (Decision, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +188,7 @@
 	return v, !math.IsNaN(v)
 }
 
-// Healthy says what health checks are to be told.
+// Healthy is the module's answer to health checks.
 func (c *Controller) Healthy() bool { return !c.unhealthy.Load() }
 
 // IdleTimeout is how long an unused connection may stay open; 0: as long as its caller likes.
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -31,12 +31,20 @@
 	NoFailover bool          // Reject: no other node would accept it either
 }
 
-var decisionKinds = map[logic.ActionKind]DecisionKind{logic.ActionRun: Run, logic.ActionReject: Reject, logic.ActionFail: Fail,
-	logic.ActionStop: Stop, logic.ActionCoalesce: Coalesce, logic.ActionStoreKey: StoreKey, logic.ActionDeleteKey: DeleteKey,
-	logic.ActionCall: MakeCall, logic.ActionSkipCall: SkipCall}
+var decisionKinds = map[logic.ActionKind]DecisionKind{
+	logic.ActionRun:       Run,
+	logic.ActionReject:    Reject,
+	logic.ActionFail:      Fail,
+	logic.ActionStop:      Stop,
+	logic.ActionCoalesce:  Coalesce,
+	logic.ActionStoreKey:  StoreKey,
+	logic.ActionDeleteKey: DeleteKey,
+	logic.ActionCall:      MakeCall,
+	logic.ActionSkipCall:  SkipCall,
+}
 
-// decisionOf returns the decision that an action stands for. An action that concerns the server instead is carried out, and
-// the result is false.
+// decisionOf returns the decision that an action stands for. An action that concerns the server instead is carried
+// out, and the result is false.
 func (c *Controller) decisionOf(a logic.Action) (Decision, bool) {
 	switch a.Kind {
 	case logic.ActionSetTimer:
@@ -49,7 +57,12 @@
 	case logic.ActionSetIdleTimeout:
 		c.idleTimeout.Store(int64(a.Duration) * int64(time.Microsecond))
 	default:
-		return Decision{Kind: decisionKinds[a.Kind], ID: uint64(a.ID), Duration: time.Duration(a.Duration) * time.Microsecond, NoFailover: a.NoFailover}, true
+		return Decision{
+			Kind:       decisionKinds[a.Kind],
+			ID:         uint64(a.ID),
+			Duration:   time.Duration(a.Duration) * time.Microsecond,
+			NoFailover: a.NoFailover,
+		}, true
 	}
 	return Decision{}, false
 }
--- a/internal/admission/loop.go
+++ b/internal/admission/loop.go
@@ -61,7 +61,8 @@
 	})
 }
 
-// timerFired asks for the gauges that a due timer is delivered with, or delivers it without those that did not come in time.
+// timerFired asks for the gauges that a due timer is delivered with, or delivers it without those that did not come
+// in time.
 func (c *Controller) timerFired() {
 	if !c.gaugesRequested && c.opts.RequestGauges != nil {
 		c.gaugesRequested = true
@@ -78,8 +79,8 @@
 	c.step(c.gaugesRequested)
 }
 
-// step applies what was asked of the module since the last step, steps it on the events since then and, if timerDue is set, on
-// its timer, and hands out its decisions.
+// step applies what was asked of the module since the last step, steps it on the events since then and, if timerDue
+// is set, on its timer, and hands out its decisions.
 func (c *Controller) step(timerDue bool) {
 	c.mu.Lock()
 	events, closed, settings, learned, share := c.events, c.closed, c.newSettings, c.learnedRequests, c.newResourceShare
--- a/internal/handover/discount_test.go
+++ b/internal/handover/discount_test.go
@@ -43,8 +43,9 @@
 	return served
 }
 
-// TestDiscount: what was learned under overload, when no run came near its latency objective, does not keep a new server from serving a
-// light load; without the discount it does. What was learned under a light load changes nothing.
+// TestDiscount: what was learned under overload, when no run came near its latency objective, does not keep a new
+// server from serving a light load; without the discount it does. What was learned under a light load changes
+// nothing.
 func TestDiscount(t *testing.T) {
 	cfg := logic.Settings{Cores: 2, MemoryKB: 1e6, MaxConcurrencyPerCore: 5, StepInterval: 5 * ms, Classes: []logic.Class{
 		{Name: "book", LatencyObjective: 1000 * ms, ClientTimeout: 4000 * ms, PriorityWeight: 1}}}
--- a/internal/handover/quota.go
+++ b/internal/handover/quota.go
@@ -36,14 +36,14 @@
 
 // Quota is what one of a node's processes may use.
 type Quota struct {
-	CPUFraction    float64 // of the concurrency that the node's cores survive, and of the memory for requests: above 0, at most 1
+	CPUFraction    float64 // of the node's concurrency and memory for requests: above 0, at most 1
 	MemoryFraction float64 // of the process's own memory
 	Connections    int     // of callers
 }
 
 const (
-	// minCPUFraction is the CPU fraction of a process that has nothing in flight: its next requests must be able to start before
-	// the quotas are computed anew.
+	// minCPUFraction is the CPU fraction of a process that has nothing in flight: its next requests must be able to
+	// start before the quotas are computed anew.
 	minCPUFraction = 0.125
 	// maxReservedProcesses bounds the other processes for which minCPUFraction is reserved.
 	maxReservedProcesses = 4
@@ -51,17 +51,18 @@
 	minConnectionsDivisor = 8
 )
 
-// ComputeQuota returns what a process may use of the node while others of the node live. connections is the limit of the node.
+// ComputeQuota returns what a process may use of the node while others of the node live. connections is the limit of
+// the node.
 //
 //	demand         = running + queued + 1
-//	CPUFraction    = own demand / demand of all, from minCPUFraction to 1 - minCPUFraction * others (at most 4 of them)
+//	CPUFraction    = own demand / demand of all, from minCPUFraction to 1 - minCPUFraction * min(others, 4)
 //	MemoryFraction = 1 / processes
 //	Connections    = connections - those of the others, at least connections/8
 //
-// CPU goes by what each process has in flight: work that waits has the same weight wherever it came in, and the process that
-// shuts down needs less and less by itself. (All for the new one would let the old one's requests time out; halves would leave
-// cores idle at both ends of the hand-over.) Each needs about the same memory, whatever it has in flight. Open connections can't
-// be taken from the others.
+// CPU goes by what each process has in flight: work that waits has the same weight wherever it came in, and the
+// process that shuts down needs less and less by itself. (All for the new one would let the old one's requests time
+// out; halves would leave cores idle at both ends of the hand-over.) Each needs about the same memory, whatever it
+// has in flight. Open connections can't be taken from the others.
 func ComputeQuota(own Load, others []Load, connections int) Quota {
 	demand := func(l Load) float64 { return float64(l.Running+l.Queued) + 1 }
 	sum, open := demand(own), 0
@@ -73,6 +74,9 @@
 		return Quota{CPUFraction: 1, MemoryFraction: 1, Connections: connections}
 	}
 	maxCPUFraction := 1 - minCPUFraction*float64(min(len(others), maxReservedProcesses))
-	return Quota{CPUFraction: min(maxCPUFraction, max(minCPUFraction, demand(own)/sum)), MemoryFraction: 1 / float64(len(others)+1),
-		Connections: max(connections/minConnectionsDivisor, connections-open)}
+	return Quota{
+		CPUFraction:    min(maxCPUFraction, max(minCPUFraction, demand(own)/sum)),
+		MemoryFraction: 1 / float64(len(others)+1),
+		Connections:    max(connections/minConnectionsDivisor, connections-open),
+	}
 }
--- a/internal/handover/quota_test.go
+++ b/internal/handover/quota_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestQuotasAddUp: whatever two processes have in flight, their CPU fractions add up to 1, none is below the minimum, and the one with
-// more in flight has no less.
+// TestQuotasAddUp: whatever two processes have in flight, their CPU fractions add up to 1, none is below the minimum,
+// and the one with more in flight has no less.
 func TestQuotasAddUp(t *testing.T) {
 	load := rapid.Custom(func(t *rapid.T) Load {
 		return Load{Running: rapid.IntRange(0, 500).Draw(t, "running"), Queued: rapid.IntRange(0, 500).Draw(t, "queued")}
--- a/internal/handover/shutdown.go
+++ b/internal/handover/shutdown.go
@@ -1,6 +1,6 @@
-// Package handover decides how a process hands its work over to the one that replaces it: how it shuts down (PlanShutdown), how
-// both share the node's resources (ComputeQuota), and what the new one takes over of what the old one has learned (Snapshot,
-// Validate, Discount). It does no I/O and reads no clock.
+// Package handover decides how a process hands its work over to the one that replaces it: how it shuts down
+// (PlanShutdown), how both share the node's resources (ComputeQuota), and what the new one takes over of what the old
+// one has learned (Snapshot, Validate, Discount). It does no I/O and reads no clock.
 package handover
 
 import "time"
@@ -16,23 +16,24 @@
 
 // ShutdownPlan is how a process shuts down.
 type ShutdownPlan struct {
-	// KeepAdvertised: callers are not told to stay away from the node, nor the directory that it closes, as another process
-	// serves it. Only their connections move.
+	// KeepAdvertised: callers are not told to stay away from the node, nor the directory that it closes, as another
+	// process serves it. Only their connections move.
 	KeepAdvertised bool
-	// CloseListenerAfter is the time from the notice until the process accepts no more connections and asks callers to close
-	// theirs.
+	// CloseListenerAfter is the time from the notice until the process accepts no more connections and asks callers
+	// to close theirs.
 	CloseListenerAfter time.Duration
 }
 
 // PlanShutdown says how a process shuts down:
 //
-//	replaced: listener inherited, another process lives   keep advertised, close the listener at once
-//	otherwise                                             close it after min(DrainGrace - SafetyMargin, StopTimeout/2), at least 0
+//	listener inherited, another process lives   keep advertised, close the listener at once
+//	otherwise                                   close it after max(0, min(DrainGrace - SafetyMargin, StopTimeout/2))
 //
-// A node that ends is to be known as ending before it closes: callers hear of it late, and what they send until then is served.
-// A process that is replaced closes at once: its clients' next connections wait in the listener's queue for the other process. If
-// callers were told to stay away, the node would be empty, not the process: its cores would idle until callers trust it again.
-// Where the listener is inherited and no other process lives, nobody would accept connections any more: then the node ends.
+// A node that ends is to be known as ending before it closes: callers hear of it late, and what they send until then
+// is served. A process that is replaced closes at once: its clients' next connections wait in the listener's queue
+// for the other process. If callers were told to stay away, the node would be empty, not the process: its cores would
+// idle until callers trust it again. Where the listener is inherited and no other process lives, nobody would accept
+// connections any more: then the node ends.
 func PlanShutdown(c ShutdownConditions) ShutdownPlan {
 	if c.InheritedListener && c.OtherProcesses > 0 {
 		return ShutdownPlan{KeepAdvertised: true}
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -12,8 +12,8 @@
 	"sloehitch/logic"
 )
 
-// SnapshotVersion is the version of a snapshot's form: a header of 16 bytes ("SLHO", the version in 2 bytes, 2 of 0, the length
-// of what follows and a CRC-32C of all else, 4 bytes each, little-endian), then JSON.
+// SnapshotVersion is the version of a snapshot's form: a header of 16 bytes ("SLHO", the version in 2 bytes, 2 of 0,
+// the length of what follows and a CRC-32C of all else, 4 bytes each, little-endian), then JSON.
 const SnapshotVersion = 1
 
 const (
@@ -33,7 +33,8 @@
 	LearnedState logic.LearnedState `json:"learned"`
 }
 
-// HasSamples says whether anything was learned yet: a process that has just begun must not replace what the one before it left.
+// HasSamples reports whether anything was learned yet: a process that has just begun must not replace what the one
+// before it left.
 func HasSamples(l logic.LearnedState) bool {
 	for _, e := range l.Classes {
 		if e.RunTime.Samples > 0 {
@@ -45,7 +46,8 @@
 
 // HashSettings identifies settings as far as what is learned under them depends on them, in 64 hex digits.
 func HashSettings(s logic.Settings) string {
-	text := fmt.Sprintf("%v %v %v %v %v %v %v", s.Classes, s.Tenants, s.Cores, s.MemoryKB, s.RunMemoryFactor, s.MaxConcurrencyPerCore, s.WeightPerWork)
+	text := fmt.Sprintf("%v %v %v %v %v %v %v", s.Classes, s.Tenants, s.Cores, s.MemoryKB,
+		s.RunMemoryFactor, s.MaxConcurrencyPerCore, s.WeightPerWork)
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(text)))
 }
 
@@ -75,7 +77,8 @@
 
 // Unmarshal reads a snapshot. It returns ErrCorrupt or, where the bytes are intact, ErrVersion.
 func Unmarshal(b []byte) (s Snapshot, err error) {
-	if len(b) < snapshotHeaderSize || string(b[:4]) != snapshotMagic || int(binary.LittleEndian.Uint32(b[8:])) != len(b)-snapshotHeaderSize ||
+	if len(b) < snapshotHeaderSize || string(b[:4]) != snapshotMagic ||
+		int(binary.LittleEndian.Uint32(b[8:])) != len(b)-snapshotHeaderSize ||
 		binary.LittleEndian.Uint32(b[12:]) != checksum(b) {
 		return s, ErrCorrupt
 	}
--- a/internal/handover/snapshotfile/snapshotfile.go
+++ b/internal/handover/snapshotfile/snapshotfile.go
@@ -14,8 +14,8 @@
 // Path returns the path of a node's file in dir, which its processes share.
 func Path(dir, name string) string { return filepath.Join(dir, "sloehitch-"+name+"-learned") }
 
-// Write replaces the file. Whoever reads at the same time, or after a kill midway, finds the snapshot before or the new one,
-// never a part. Nothing is flushed to disk: the file is to outlive a process, not a machine.
+// Write replaces the file. Whoever reads at the same time, or after a kill midway, finds the snapshot before or the
+// new one, never a part. Nothing is flushed to disk: the file is to outlive a process, not a machine.
 func Write(path string, s handover.Snapshot) error {
 	text, err := handover.Marshal(s)
 	if err != nil {
--- a/internal/handover/snapshotfile/snapshotfile_test.go
+++ b/internal/handover/snapshotfile/snapshotfile_test.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/handover"
 )
 
-// TestWrite: whoever reads while three write, two of them under one process id, finds one complete snapshot; one that can't be put in
-// its place leaves no part of itself.
+// TestWrite: whoever reads while three write, two of them under one process id, finds one complete snapshot; one that
+// can't be put in its place leaves no part of itself.
 func TestWrite(t *testing.T) {
 	dir := t.TempDir()
 	path := Path(dir, "n1")
--- a/internal/handover/validate.go
+++ b/internal/handover/validate.go
@@ -18,9 +18,10 @@
 	MaxClockSkew time.Duration // by which a snapshot may be ahead of Now
 }
 
-// Validate says whether a snapshot may be taken over; the error says why not. It may if it is of this node and these settings,
-// its age is from -MaxClockSkew to MaxAge, and each value is one that a server can learn. One that was made under overload is
-// taken over like any other: averages follow what the new server measures, and Discount limits what they count for.
+// Validate reports whether a snapshot may be taken over; the error says why not. It may if it is of this node and
+// these settings, its age is from -MaxClockSkew to MaxAge, and each value is one that a server can learn. One that
+// was made under overload is taken over like any other: averages follow what the new server measures, and Discount
+// limits what they count for.
 func Validate(s Snapshot, r Requirements) error {
 	switch age := r.Now.Sub(s.CreatedAt); {
 	case s.Node != r.Node:
@@ -44,14 +45,23 @@
 	for _, c := range s.Classes {
 		maxTime = max(maxTime, maxTimeFactor*float64(c.ClientTimeout))
 	}
-	errs := []error{checkRange("limit", l.RunLimit, max(1, s.MaxConcurrencyPerCore)*float64(s.Cores)), checkAverage("gap", l.CompletionGap, maxTime),
-		checkAverage("call time", l.CallTime, maxTime), checkRange("least call time", l.MinCallTime, maxTime), checkAverage("refusing", l.RejectedShare, 1)}
+	errs := []error{
+		checkRange("limit", l.RunLimit, max(1, s.MaxConcurrencyPerCore)*float64(s.Cores)),
+		checkAverage("gap", l.CompletionGap, maxTime),
+		checkAverage("call time", l.CallTime, maxTime),
+		checkRange("least call time", l.MinCallTime, maxTime),
+		checkAverage("refusing", l.RejectedShare, 1),
+	}
 	for _, v := range l.TimeoutHistogram {
 		errs = append(errs, checkRange("told share", v, math.MaxInt32))
 	}
 	for name, e := range l.Classes {
-		errs = append(errs, checkAverage(name, e.RunTime, maxTime), checkAverage(name, e.HintedRunTime, maxTime), checkAverage(name, e.Hint, math.MaxInt64),
-			checkRange(name+" spread", e.HintVariance, math.MaxFloat64), checkRange(name+" covariance", math.Abs(e.Covariance), math.MaxFloat64))
+		errs = append(errs,
+			checkAverage(name, e.RunTime, maxTime),
+			checkAverage(name, e.HintedRunTime, maxTime),
+			checkAverage(name, e.Hint, math.MaxInt64),
+			checkRange(name+" spread", e.HintVariance, math.MaxFloat64),
+			checkRange(name+" covariance", math.Abs(e.Covariance), math.MaxFloat64))
 	}
 	for name, v := range l.TenantTokens {
 		errs = append(errs, checkRange(name+" quota", v, math.MaxInt32))
--- a/internal/idempotency/compositejournal/compositejournal_test.go
+++ b/internal/idempotency/compositejournal/compositejournal_test.go
@@ -104,8 +104,8 @@
 	}, "s start k, r start k, s end k, r end k", "<nil>", 0},
 }
 
-// TestBothJournals: a start is made once both journals have it. What the run log missed while another process had it, it is told in the
-// end, and nothing that was withdrawn or has ended meanwhile is told wrongly.
+// TestBothJournals: a start is made once both journals have it. What the run log missed while another process had it,
+// it is told in the end, and nothing that was withdrawn or has ended meanwhile is told wrongly.
 func TestBothJournals(t *testing.T) {
 	for _, c := range journalCases {
 		var told []string
@@ -125,7 +125,8 @@
 	}
 }
 
-// TestShouldRestore: the Node is told of what the run log has, but for what another process runs or has recorded a result of.
+// TestShouldRestore: the Node is told of what the run log has, but for what another process runs or has recorded a
+// result of.
 func TestShouldRestore(t *testing.T) {
 	var told []string
 	j := New(&fakeJournal{told: &told, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.Quiet)
--- a/internal/idempotency/keystore/bounds_test.go
+++ b/internal/idempotency/keystore/bounds_test.go
@@ -14,8 +14,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestDamagedSegment: the segment of an exited process, cut at any byte or with any byte changed, stops nobody. No key has a result
-// that is not its own, and records after the damage still count.
+// TestDamagedSegment: the segment of an exited process, cut at any byte or with any byte changed, stops nobody. No
+// key has a result that is not its own, and records after the damage still count.
 func TestDamagedSegment(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old := open(t, dir, now.Now, nil)
@@ -74,8 +74,8 @@
 	check("intact", intact, 3)
 }
 
-// TestFolderIsBounded: beyond 75 % of the bytes results are left out; beyond all of them no key can be claimed. What expires makes
-// room. A folder that can't be written is an error of its own, not a key that is held.
+// TestFolderIsBounded: beyond 75 % of the bytes results are left out; beyond all of them no key can be claimed. What
+// expires makes room. A folder that can't be written is an error of its own, not a key that is held.
 func TestFolderIsBounded(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	small := func(l *limits.KeyStore) { l.TotalBytes, l.SegmentBytes = 4000, 1000 }
--- a/internal/idempotency/keystore/claim.go
+++ b/internal/idempotency/keystore/claim.go
@@ -9,10 +9,11 @@
 	"sloehitch/internal/node"
 )
 
-// Claiming a key. Records are written under the folder's lock, after all that other processes wrote before was read, and are
-// numbered in that order. Of each queued record, with B the bytes of all segments and Bmax = limits.KeyStore.TotalBytes:
+// Claiming a key. Records are written under the folder's lock, after all that other processes wrote before was read,
+// and are numbered in that order. Of each queued record, with B the bytes of all segments and Bmax =
+// limits.KeyStore.TotalBytes:
 //
-//	start, another process holds the key   node.ErrKeyHeld; a key is held until arrival + window + RetentionMargin, unless withdrawn
+//	start, another process holds the key   node.ErrKeyHeld, until arrival + window + RetentionMargin or withdrawal
 //	start, B >= Bmax                       ErrFull: the node rejects the request
 //	start otherwise                        written: this process holds the key
 //	end or withdrawal of a key held here   written, whatever B is
@@ -41,26 +42,42 @@
 	done   func(error) // of a start; nil otherwise
 }
 
-// RecordStart claims b's key. It calls done from another goroutine: with nil once this process holds the key, with
-// node.ErrKeyHeld if another one does, and with another error if that can't be told. It returns ErrQueueFull, and does not call
-// done, if too many records are queued.
-func (s *Store) RecordStart(b node.RunRecord, done func(error)) error {
-	return s.enqueue(pendingWrite{format.Record{Kind: format.KindStarted, ID: keyID(b), ExpiresAt: s.expiresAt(b), Fingerprint: b.Fingerprint}, done})
+// RecordStart claims record's key. It calls done from another goroutine: with nil once this process holds the key,
+// with node.ErrKeyHeld if another one does, and with another error if that can't be told. It returns ErrQueueFull,
+// and does not call done, if too many records are queued.
+func (s *Store) RecordStart(record node.RunRecord, done func(error)) error {
+	return s.enqueue(pendingWrite{format.Record{
+		Kind:        format.KindStarted,
+		ID:          keyID(record),
+		ExpiresAt:   s.expiresAt(record),
+		Fingerprint: record.Fingerprint,
+	}, done})
 }
 
 // RecordEnd records how the run of a key held by this process ended, with its result if that is no longer than
 // limits.KeyStore.ResultBytes. Without the result an attempt that comes to another process fails.
-func (s *Store) RecordEnd(b node.RunRecord) {
-	r := format.Record{Kind: format.KindEnded, ID: keyID(b), ExpiresAt: s.expiresAt(b), Fingerprint: b.Fingerprint, Succeeded: b.Succeeded, Protocol: b.Protocol}
-	if r.ResultStored = b.ResultStored && len(b.Result) <= s.opts.Limits.ResultBytes; r.ResultStored {
-		r.Result = b.Result
+func (s *Store) RecordEnd(record node.RunRecord) {
+	r := format.Record{
+		Kind:        format.KindEnded,
+		ID:          keyID(record),
+		ExpiresAt:   s.expiresAt(record),
+		Fingerprint: record.Fingerprint,
+		Succeeded:   record.Succeeded,
+		Protocol:    record.Protocol,
+	}
+	if r.ResultStored = record.ResultStored && len(record.Result) <= s.opts.Limits.ResultBytes; r.ResultStored {
+		r.Result = record.Result
 	}
 	_ = s.enqueue(pendingWrite{record: r}) // closed: nobody waits
 }
 
 // Withdraw releases a key held by this process under which nothing ran.
-func (s *Store) Withdraw(b node.RunRecord) {
-	_ = s.enqueue(pendingWrite{record: format.Record{Kind: format.KindWithdrawn, ID: keyID(b), ExpiresAt: s.expiresAt(b)}})
+func (s *Store) Withdraw(record node.RunRecord) {
+	_ = s.enqueue(pendingWrite{record: format.Record{
+		Kind:      format.KindWithdrawn,
+		ID:        keyID(record),
+		ExpiresAt: s.expiresAt(record),
+	}})
 }
 
 // enqueue hands a record to writeLoop. Ends and withdrawals are not bounded: there are no more of them than starts.
@@ -82,8 +99,8 @@
 	}
 }
 
-// writeLoop writes queued records, sweeps when asked to, and reads the others' segments while somebody waits for them, until
-// Close.
+// writeLoop writes queued records, sweeps when asked to, and reads the others' segments while somebody waits for
+// them, until Close.
 func (s *Store) writeLoop() {
 	defer close(s.writerDone)
 	poll := time.NewTimer(time.Hour)
@@ -145,8 +162,8 @@
 	}
 }
 
-// appendWrites writes the records that may be written, and returns the result of each. The caller holds both locks and has read
-// all that others wrote.
+// appendWrites writes the records that may be written, and returns the result of each. The caller holds both locks
+// and has read all that others wrote.
 func (s *Store) appendWrites(writes []pendingWrite) []error {
 	results := make([]error, len(writes))
 	now := s.opts.Now()
@@ -178,7 +195,8 @@
 	return results
 }
 
-// admitWrites decides which records are written: it numbers those, returns their indexes, and sets the results of the others.
+// admitWrites decides which records are written: it numbers those, returns their indexes, and sets the results of the
+// others.
 func (s *Store) admitWrites(writes []pendingWrite, results []error, now time.Time) (admitted []int) {
 	seq, bytes := s.table.LastSeq(), s.totalBytes()
 	for i := range writes {
@@ -236,7 +254,8 @@
 		last = s.ownSegments[len(s.ownSegments)-1]
 	}
 	maxAge := max(s.opts.Limits.MaxSegmentAge, s.longestRetention/segmentAgeDivisor)
-	if last != nil && last.file != nil && last.size < s.opts.Limits.SegmentBytes && now.Sub(s.newestCreatedAt) <= maxAge && !now.Before(s.newestCreatedAt) {
+	age := now.Sub(s.newestCreatedAt) // negative if the clock was set back
+	if last != nil && last.file != nil && last.size < s.opts.Limits.SegmentBytes && age >= 0 && age <= maxAge {
 		return last, nil
 	}
 	created, err := s.folder.createSegment(s.lastOrder + 1)
--- a/internal/idempotency/keystore/folder.go
+++ b/internal/idempotency/keystore/folder.go
@@ -15,12 +15,12 @@
 	"sloehitch/internal/idempotency/keystore/format"
 )
 
-// folder is what the processes of one node share: a lock file whose lock orders all records, a file that each process holds
-// locked for as long as it lives, and the segments of each.
+// folder is what the processes of one node share: a lock file whose lock orders all records, a file that each process
+// holds locked for as long as it lives, and the segments of each.
 type folder struct {
 	dir        string
 	owner      string   // the name of this process
-	lock       *os.File // its first 8 bytes are the generation: it grows with each process that joins and each new segment
+	lock       *os.File // its first 8 bytes are the generation, which counts processes and segments
 	alive      *os.File
 	generation uint64 // as last seen
 }
@@ -47,7 +47,8 @@
 	}
 	defer f.releaseLock()
 	// Made and locked while no other process can look for those that have exited.
-	if f.alive, err = os.OpenFile(filepath.Join(dir, owner+aliveSuffix), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err == nil {
+	alive := filepath.Join(dir, owner+aliveSuffix)
+	if f.alive, err = os.OpenFile(alive, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err == nil {
 		err = flock(f.alive, syscall.LOCK_EX|syscall.LOCK_NB)
 	}
 	if err == nil {
@@ -69,7 +70,8 @@
 	}
 }
 
-// acquireLock waits until no other process holds the folder's lock. The kernel releases the lock of a process that dies.
+// acquireLock waits until no other process holds the folder's lock. The kernel releases the lock of a process that
+// dies.
 func (f *folder) acquireLock() error { return flock(f.lock, syscall.LOCK_EX) }
 
 func (f *folder) releaseLock() { _ = flock(f.lock, syscall.LOCK_UN) }
@@ -82,7 +84,7 @@
 	return err
 }
 
-// generationChanged says whether processes joined or segments were made since it was last called.
+// generationChanged reports whether processes joined or segments were made since it was last called.
 func (f *folder) generationChanged() bool {
 	now := f.readGeneration()
 	before := f.generation
@@ -98,8 +100,8 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// createSegment makes a segment of this process's own. The caller holds the folder's lock: the others can know of the segment
-// before the first record in it.
+// createSegment makes a segment of this process's own. The caller holds the folder's lock: the others can know of the
+// segment before the first record in it.
 func (f *folder) createSegment(order int) (*segment, error) {
 	path := filepath.Join(f.dir, fmt.Sprintf("%s.%08d%s", f.owner, order, logSuffix))
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
@@ -137,7 +139,8 @@
 	return found, owners, nil
 }
 
-// hasExited says whether a process has ended: its alive file is not locked, or gone. The caller holds the folder's lock.
+// hasExited reports whether a process has ended: its alive file is not locked, or gone. The caller holds the folder's
+// lock.
 func (f *folder) hasExited(owner string) bool {
 	file, err := os.OpenFile(filepath.Join(f.dir, owner+aliveSuffix), os.O_RDWR, 0)
 	if err != nil {
--- a/internal/idempotency/keystore/format/format.go
+++ b/internal/idempotency/keystore/format/format.go
@@ -1,5 +1,5 @@
-// Package format is the binary form of the key records that the processes of one node share: the header of a segment and the
-// records in it (docs/format-claims.md). It does no I/O.
+// Package format is the binary form of the key records that the processes of one node share: the header of a segment
+// and the records in it (docs/format-claims.md). It does no I/O.
 package format
 
 import (
@@ -57,8 +57,8 @@
 	Result       []byte
 }
 
-// Salt is a segment's own number, drawn at random, that goes into its checksums: a result that is made to look like records is
-// not taken for them where a reader has to search for the next whole one.
+// Salt is a segment's own number, drawn at random, that goes into its checksums: a result that is made to look like
+// records is not taken for them where a reader has to search for the next whole one.
 type Salt uint64
 
 // Header returns the header of a segment.
@@ -66,8 +66,8 @@
 	return binary.LittleEndian.AppendUint64(append([]byte("SLCL"), Version, 0, 0, 0), uint64(s))
 }
 
-// ParseHeader returns the salt of a segment that begins with b. It returns ErrIncomplete or ErrVersion if b does not begin as a
-// segment of this version does.
+// ParseHeader returns the salt of a segment that begins with b. It returns ErrIncomplete or ErrVersion if b does not
+// begin as a segment of this version does.
 func ParseHeader(b []byte) (Salt, error) {
 	if len(b) < HeaderSize {
 		return 0, ErrIncomplete
@@ -128,8 +128,9 @@
 	return crc32.Update(c, castagnoli, frame[frameHeaderSize:])
 }
 
-// DecodeRecord reads the record at the beginning of b and returns how many bytes its frame takes. Result shares b's memory. It
-// returns ErrIncomplete if the record may go on beyond b, and ErrCorrupt if nothing that follows could make it whole.
+// DecodeRecord reads the record at the beginning of b and returns how many bytes its frame takes. Result shares b's
+// memory. It returns ErrIncomplete if the record may go on beyond b, and ErrCorrupt if nothing that follows could
+// make it whole.
 func (s Salt) DecodeRecord(b []byte) (r Record, n int, err error) {
 	if len(b) < frameHeaderSize {
 		return r, 0, ErrIncomplete
@@ -145,8 +146,10 @@
 		return r, 0, ErrCorrupt
 	}
 	p := b[frameHeaderSize:n]
-	r.Kind, r.Seq, r.ExpiresAt = Kind(p[0]), binary.LittleEndian.Uint64(p[1:]), int64(binary.LittleEndian.Uint64(p[25:]))
+	r.Kind = Kind(p[0])
+	r.Seq = binary.LittleEndian.Uint64(p[1:])
 	copy(r.ID[:], p[9:25])
+	r.ExpiresAt = int64(binary.LittleEndian.Uint64(p[25:]))
 	switch {
 	case r.Kind == KindWithdrawn && size == fixedSize:
 		return r, n, nil
--- a/internal/idempotency/keystore/inspect.go
+++ b/internal/idempotency/keystore/inspect.go
@@ -13,9 +13,9 @@
 	"sloehitch/internal/idempotency/keystore/keystate"
 )
 
-// Inspect returns a line of text on each process that has records in dir, as of now: whether it lives, its segments and bytes,
-// the keys that it holds and how many of them run. It waits for the folder's lock and changes nothing. It is for operators, not
-// for the processes themselves.
+// Inspect returns a line of text on each process that has records in dir, as of now: whether it lives, its segments
+// and bytes, the keys that it holds and how many of them run. It waits for the folder's lock and changes nothing. It
+// is for operators, not for the processes themselves.
 func Inspect(dir string, now time.Time) ([]string, error) {
 	f := &folder{dir: dir}
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
@@ -60,7 +60,8 @@
 		if f.hasExited(name) {
 			state = "has ended"
 		}
-		lines = append(lines, fmt.Sprintf("%s: process %s %s: %d segments, %d bytes, %d keys, %d of them run or have no known end",
+		const line = "%s: process %s %s: %d segments, %d bytes, %d keys, %d of them run or have no known end"
+		lines = append(lines, fmt.Sprintf(line,
 			dir, name, state, segments[name], bytes[name], counts[n].Keys, counts[n].Running))
 	}
 	return lines, err
--- a/internal/idempotency/keystore/keystate/table.go
+++ b/internal/idempotency/keystore/keystate/table.go
@@ -1,10 +1,11 @@
-// Package keystate keeps who holds which key, from the records of several processes, which may be read in any mix of their
-// orders. It does no I/O and reads no clock.
+// Package keystate keeps who holds which key, from the records of several processes, which may be read in any mix of
+// their orders. It does no I/O and reads no clock.
 package keystate
 
 import "sloehitch/internal/idempotency/keystore/format"
 
-// Location is where a record stands: the segment (by the reader's number), and the offset and size of its frame in bytes.
+// Location is where a record stands: the segment (by the reader's number), and the offset and size of its frame in
+// bytes.
 type Location struct {
 	Segment      int
 	Offset, Size int64
@@ -32,20 +33,28 @@
 	return &Table{claims: map[format.ID]Claim{}, segments: map[int][]format.ID{}}
 }
 
-// Apply takes in a record that owner wrote, and says whether it is now the newest of its key. Of two records of one key the one
-// with the higher number counts, in whatever order they are read: numbers are given out in sequence under the lock that all
-// processes share.
+// Apply takes in a record that owner wrote, and reports whether it is now the newest of its key. Of two records of
+// one key the one with the higher number counts, in whatever order they are read: numbers are given out in sequence
+// under the lock that all processes share.
 func (t *Table) Apply(owner int, r format.Record, at Location) bool {
 	t.seq = max(t.seq, r.Seq)
 	if old, ok := t.claims[r.ID]; ok && old.Seq >= r.Seq {
 		return false
 	}
-	t.claims[r.ID] = Claim{Kind: r.Kind, Owner: owner, Seq: r.Seq, ExpiresAt: r.ExpiresAt, Fingerprint: r.Fingerprint, Location: at}
+	t.claims[r.ID] = Claim{
+		Kind:        r.Kind,
+		Owner:       owner,
+		Seq:         r.Seq,
+		ExpiresAt:   r.ExpiresAt,
+		Fingerprint: r.Fingerprint,
+		Location:    at,
+	}
 	t.segments[at.Segment] = append(t.segments[at.Segment], r.ID)
 	return true
 }
 
-// Lookup returns the claim on a key at the given time, in Unix nanoseconds: one that was not withdrawn and has not expired.
+// Lookup returns the claim on a key at the given time, in Unix nanoseconds: one that was not withdrawn and has not
+// expired.
 func (t *Table) Lookup(id format.ID, now int64) (Claim, bool) {
 	c, ok := t.claims[id]
 	if !ok || c.Kind == format.KindWithdrawn || c.ExpiresAt < now {
@@ -54,8 +63,8 @@
 	return c, true
 }
 
-// ForgetSegment drops the records of a segment. Keys of which another segment has a newer record keep that. It costs by the
-// records of the segment, however many keys there are.
+// ForgetSegment drops the records of a segment. Keys of which another segment has a newer record keep that. It costs
+// by the records of the segment, however many keys there are.
 func (t *Table) ForgetSegment(segment int) {
 	for _, id := range t.segments[segment] {
 		if t.claims[id].Location.Segment == segment {
--- a/internal/idempotency/keystore/keystate/table_test.go
+++ b/internal/idempotency/keystore/keystate/table_test.go
@@ -8,8 +8,8 @@
 	"sloehitch/internal/idempotency/keystore/format"
 )
 
-// TestAnyOrder: in whatever mix of the processes' orders records are read, the table comes to what they say in the order in which
-// they were written.
+// TestAnyOrder: in whatever mix of the processes' orders records are read, the table comes to what they say in the
+// order in which they were written.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes, keys = 3, 3
--- a/internal/idempotency/keystore/keystore.go
+++ b/internal/idempotency/keystore/keystore.go
@@ -1,11 +1,13 @@
-// Package keystore keeps the idempotency keys whose runs were started, and the results of those runs, in a folder that the
-// processes of one node share. While one process replaces another (both accept clients from the listener that the platform
-// holds) no key runs in both, and an attempt whose key the other process holds is answered from that process's run.
+// Package keystore keeps the idempotency keys whose runs were started, and the results of those runs, in a folder
+// that the processes of one node share. While one process replaces another (both accept clients from the listener
+// that the platform holds) no key runs in both, and an attempt whose key the other process holds is answered from
+// that process's run.
 //
-// Each process appends records to segment files of its own (package format) and reads those of the others. A file lock orders
-// the records of all processes, so the first to record a start holds the key (package keystate; claim.go has the rule). A Store
-// is a node.SharedJournal for the time of a hand-over, not a record that outlives the machine: the folder is meant for $TMPDIR,
-// which the platform shares between the processes and does not empty. Nothing is flushed to disk.
+// Each process appends records to segment files of its own (package format) and reads those of the others. A file
+// lock orders the records of all processes, so the first to record a start holds the key (package keystate; claim.go
+// has the rule). A Store is a node.SharedJournal for the time of a hand-over, not a record that outlives the machine:
+// the folder is meant for $TMPDIR, which the platform shares between the processes and does not empty. Nothing is
+// flushed to disk.
 package keystore
 
 import (
@@ -34,8 +36,8 @@
 	Log             *slog.Logger
 }
 
-// Store knows the keys held by this process and by the others of its node. It is the Node's node.SharedJournal. Its methods may
-// be called from any goroutine. Records are written by a goroutine of its own, many at once.
+// Store knows the keys held by this process and by the others of its node. It is the Node's node.SharedJournal. Its
+// methods may be called from any goroutine. Records are written by a goroutine of its own, many at once.
 type Store struct {
 	opts       Options
 	log        *lograte.Logger
@@ -63,14 +65,25 @@
 	readBuffer       []byte
 }
 
-// Open joins the processes that share the folder, and reads what they have recorded. It waits for the folder's lock. Records
-// that can't be read are an error: a key could run twice.
+// Open joins the processes that share the folder, and reads what they have recorded. It waits for the folder's lock.
+// Records that can't be read are an error: a key could run twice.
 func Open(o Options) (*Store, error) {
 	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatUint(rand.Uint64(), 36)
-	s := &Store{opts: o, log: lograte.New(o.Log, o.Limits.LogInterval), wake: make(chan struct{}, 1), stop: make(chan struct{}),
-		writerDone: make(chan struct{}), sweeps: make(chan chan struct{}, 1), table: keystate.New(), processes: map[string]int{},
-		dead: map[int]bool{}, peerSegments: map[int]*segment{}, knownPaths: map[string]bool{}, runningKeys: map[format.ID]bool{},
-		watchers: map[format.ID][]func(){}}
+	s := &Store{
+		opts:         o,
+		log:          lograte.New(o.Log, o.Limits.LogInterval),
+		wake:         make(chan struct{}, 1),
+		stop:         make(chan struct{}),
+		writerDone:   make(chan struct{}),
+		sweeps:       make(chan chan struct{}, 1),
+		table:        keystate.New(),
+		processes:    map[string]int{},
+		dead:         map[int]bool{},
+		peerSegments: map[int]*segment{},
+		knownPaths:   map[string]bool{},
+		runningKeys:  map[format.ID]bool{},
+		watchers:     map[format.ID][]func(){},
+	}
 	var err error
 	if s.folder, err = openFolder(o.Dir, name); err != nil {
 		return nil, fmt.Errorf("keystore: %w", err)
@@ -90,7 +103,8 @@
 	return s, nil
 }
 
-// Close writes what is queued and leaves the folder: the other processes take this one for exited. What it recorded stays.
+// Close writes what is queued and leaves the folder: the other processes take this one for exited. What it recorded
+// stays.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -130,8 +144,14 @@
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Stats{OwnSegments: len(s.ownSegments), PeerSegments: len(s.peerSegments), PeerKeys: s.table.Len(),
-		RunningKeys: len(s.runningKeys), Bytes: s.totalBytes(), WatchedKeys: len(s.watchers)}
+	return Stats{
+		OwnSegments:  len(s.ownSegments),
+		PeerSegments: len(s.peerSegments),
+		PeerKeys:     s.table.Len(),
+		RunningKeys:  len(s.runningKeys),
+		Bytes:        s.totalBytes(),
+		WatchedKeys:  len(s.watchers),
+	}
 }
 
 // totalBytes is the size of all segments together.
@@ -146,16 +166,16 @@
 }
 
 // keyID stands for a record's key and class.
-func keyID(b node.RunRecord) (out format.ID) {
+func keyID(record node.RunRecord) (out format.ID) {
 	h := sha256.New()
-	h.Write([]byte(b.Class))
+	h.Write([]byte(record.Class))
 	h.Write([]byte{0})
-	h.Write([]byte(b.Key))
+	h.Write([]byte(record.Key))
 	copy(out[:], h.Sum(nil))
 	return out
 }
 
 // expiresAt is when a record's key is free again, in Unix nanoseconds.
-func (s *Store) expiresAt(b node.RunRecord) int64 {
-	return b.ArrivedAt.Add(b.Window).Add(s.opts.RetentionMargin).UnixNano()
+func (s *Store) expiresAt(record node.RunRecord) int64 {
+	return record.ArrivedAt.Add(record.Window).Add(s.opts.RetentionMargin).UnixNano()
 }
--- a/internal/idempotency/keystore/keystore_test.go
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -86,8 +86,8 @@
 	wait(t, swept)
 }
 
-// TestOneProcessHoldsAKey: of two processes only the first to record a start holds the key. The other gets the result of its run, and
-// may have the key once it was withdrawn or has expired.
+// TestOneProcessHoldsAKey: of two processes only the first to record a start holds the key. The other gets the result
+// of its run, and may have the key once it was withdrawn or has expired.
 func TestOneProcessHoldsAKey(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestProcessExits: a run that had not ended when its process exited counts as ended without success, and who waits for it is
-// notified. What the process recorded counts until it expires; then its files are gone.
+// TestProcessExits: a run that had not ended when its process exited counts as ended without success, and who waits
+// for it is notified. What the process recorded counts until it expires; then its files are gone.
 func TestProcessExits(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
--- a/internal/idempotency/keystore/lookup.go
+++ b/internal/idempotency/keystore/lookup.go
@@ -9,11 +9,11 @@
 	"sloehitch/internal/node"
 )
 
-// Lookup returns what another process has recorded of b's key, as of now: whether its run has ended and what came of it. A run
-// whose process exited without recording the end has ended and did not succeed. Lookup reads what the others have written since
-// the last time, as a rule from memory, and waits for no lock but the Store's own.
-func (s *Store) Lookup(b node.RunRecord) (node.RunRecord, bool) {
-	key := keyID(b)
+// Lookup returns what another process has recorded of record's key, as of now: whether its run has ended and what
+// came of it. A run whose process exited without recording the end has ended and did not succeed. Lookup reads what
+// the others have written since the last time, as a rule from memory, and waits for no lock but the Store's own.
+func (s *Store) Lookup(record node.RunRecord) (node.RunRecord, bool) {
+	key := keyID(record)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh()
@@ -21,7 +21,12 @@
 	if !ok {
 		return node.RunRecord{}, false
 	}
-	found := node.RunRecord{Key: b.Key, Class: b.Class, Fingerprint: claim.Fingerprint, Ended: claim.Kind == format.KindEnded || s.dead[claim.Owner]}
+	found := node.RunRecord{
+		Key:         record.Key,
+		Class:       record.Class,
+		Fingerprint: claim.Fingerprint,
+		Ended:       claim.Kind == format.KindEnded || s.dead[claim.Owner],
+	}
 	if claim.Kind != format.KindEnded {
 		return found, true
 	}
@@ -31,13 +36,15 @@
 		s.log.Warn("result recorded by another process can't be read", fmt.Errorf("%s: %w", seg.path, err))
 		return found, true
 	}
-	found.Succeeded, found.ResultStored, found.Protocol, found.Result = r.Succeeded, r.ResultStored, r.Protocol, r.Result
+	found.Succeeded, found.ResultStored = r.Succeeded, r.ResultStored
+	found.Protocol, found.Result = r.Protocol, r.Result
 	return found, true
 }
 
-// NotifyOnChange calls done once, from another goroutine, when Lookup may say more of b's key than that it runs elsewhere.
-func (s *Store) NotifyOnChange(b node.RunRecord, done func()) {
-	key := keyID(b)
+// NotifyOnChange calls done once, from another goroutine, when Lookup may say more of record's key than that it runs
+// elsewhere.
+func (s *Store) NotifyOnChange(record node.RunRecord, done func()) {
+	key := keyID(record)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	claim, ok := s.table.Lookup(key, s.opts.Now().UnixNano())
@@ -60,14 +67,16 @@
 	delete(s.watchers, key)
 }
 
-// refresh reads what others have written since the last time, without the folder's lock: a record that stands whole counts.
+// refresh reads what others have written since the last time, without the folder's lock: a record that stands whole
+// counts.
 func (s *Store) refresh() {
 	if err := s.readPeers(s.folder.generationChanged()); err != nil {
 		s.log.Warn("key records of another process can't be read", err)
 	}
 }
 
-// readPeers reads on in the others' segments; discover says that there may be new ones. The caller holds mu, or is alone.
+// readPeers reads on in the others' segments; discover says that there may be new ones. The caller holds mu, or is
+// alone.
 func (s *Store) readPeers(discover bool) error {
 	var errs []error
 	if discover {
@@ -125,7 +134,11 @@
 	skippedBefore := seg.skippedBytes
 	err := seg.read(s.readBuffer, last, func(r format.Record, at, size int64) {
 		seg.expiresAt = max(seg.expiresAt, r.ExpiresAt)
-		if s.table.Apply(owner, r, keystate.Location{Segment: seg.number, Offset: at, Size: size}) && r.Kind != format.KindStarted {
+		if s.table.Apply(owner, r, keystate.Location{
+			Segment: seg.number,
+			Offset:  at,
+			Size:    size,
+		}) && r.Kind != format.KindStarted {
 			s.notifyWatchers(r.ID)
 		}
 	})
@@ -133,12 +146,13 @@
 		seg.closeFile()
 	}
 	if seg.skippedBytes > skippedBefore {
-		s.log.Warn("key records of another process are cut or damaged", fmt.Errorf("%s: %d bytes are no records", seg.path, seg.skippedBytes))
+		detail := fmt.Errorf("%s: %d bytes are no records", seg.path, seg.skippedBytes)
+		s.log.Warn("key records of another process are cut or damaged", detail)
 	}
 	return err
 }
 
-// superseded says whether the owner of a segment has begun a later one.
+// superseded reports whether the owner of a segment has begun a later one.
 func (s *Store) superseded(seg *segment) bool {
 	for _, other := range s.peerSegments {
 		if other.owner == seg.owner && other.order > seg.order {
--- a/internal/idempotency/keystore/processes.go
+++ b/internal/idempotency/keystore/processes.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// ExchangeNotes leaves a note of at most limits.KeyStore.NoteBytes bytes where the other processes find it, and returns the notes of
-// those that live; a process that has left none yet has an empty one. It costs one write, and one read for each other process.
+// ExchangeNotes leaves a note of at most limits.KeyStore.NoteBytes bytes where the other processes find it, and
+// returns the notes of those that live; a process that has left none yet has an empty one. It costs one write, and
+// one read for each other process.
 func (s *Store) ExchangeNotes(note []byte) (others [][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,8 +32,8 @@
 	return others
 }
 
-// LiveProcesses returns the number of the node's other processes that live. It sweeps to find out, and waits for that at most
-// the given time; then the number is that of the last sweep.
+// LiveProcesses returns the number of the node's other processes that live. It sweeps to find out, and waits for that
+// at most the given time; then the number is that of the last sweep.
 func (s *Store) LiveProcesses(wait time.Duration) (n int) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
--- a/internal/idempotency/keystore/processes_test.go
+++ b/internal/idempotency/keystore/processes_test.go
@@ -46,8 +46,8 @@
 	os.Exit(m.Run())
 }
 
-// claimUntilKilled is one process of TestKilledProcesses: it claims keys in a random order, writes a line for each that it "runs", and
-// the result of each that another process ran, until it is killed.
+// claimUntilKilled is one process of TestKilledProcesses: it claims keys in a random order, writes a line for each
+// that it "runs", and the result of each that another process ran, until it is killed.
 func claimUntilKilled(dir, log string, seed uint64) {
 	now := func() time.Time { return start }
 	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
@@ -84,8 +84,8 @@
 	fmt.Println("done")
 }
 
-// claimOnFullDisk is the process of TestFullDisk: its files can't grow beyond a size that cuts a record midway. It writes a line for each
-// key, on whether it holds it.
+// claimOnFullDisk is the process of TestFullDisk: its files can't grow beyond a size that cuts a record midway. It
+// writes a line for each key, on whether it holds it.
 func claimOnFullDisk(dir string) {
 	signal.Ignore(syscall.SIGXFSZ) // the write fails then
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 1000, Max: 1000}); err != nil {
@@ -110,8 +110,8 @@
 	select {} // it lives until it is killed
 }
 
-// TestFullDisk: where the disk is full, a key that a process was told to hold is held, to the others too; one whose record was cut is
-// not, and the error reaches the caller.
+// TestFullDisk: where the disk is full, a key that a process was told to hold is held, to the others too; one whose
+// record was cut is not, and the error reaches the caller.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	cmd := exec.Command(os.Args[0])
@@ -193,8 +193,8 @@
 	}
 }
 
-// TestKilledProcesses: three real processes claim the same keys at once, and two of them are killed at seeded points. No key runs
-// twice, and whoever is answered from a run in another process gets its own result.
+// TestKilledProcesses: three real processes claim the same keys at once, and two of them are killed at seeded points.
+// No key runs twice, and whoever is answered from a run in another process gets its own result.
 func TestKilledProcesses(t *testing.T) {
 	for seed := range uint64(4) {
 		dir := t.TempDir()
--- a/internal/idempotency/keystore/segment.go
+++ b/internal/idempotency/keystore/segment.go
@@ -27,8 +27,9 @@
 // readBufferSize is enough for the longest record and then some, in bytes.
 const readBufferSize = format.MaxRecord + 4<<10
 
-// read reads on in another process's segment, and calls take with each whole record. A partial record is left for the next
-// time, unless last says that nothing will be added to it. Bytes that are no record are skipped: whole records follow them.
+// read reads on in another process's segment, and calls take with each whole record. A partial record is left for the
+// next time, unless last says that nothing will be added to it. Bytes that are no record are skipped: whole records
+// follow them.
 func (s *segment) read(buffer []byte, last bool, take func(r format.Record, at, size int64)) error {
 	if s.foreignVersion {
 		return nil
@@ -59,8 +60,8 @@
 	}
 }
 
-// decode takes whole records from b, which begins at s.size, and returns the bytes that they and what was skipped take. last
-// says that nothing comes after b.
+// decode takes whole records from b, which begins at s.size, and returns the bytes that they and what was skipped
+// take. last says that nothing comes after b.
 func (s *segment) decode(b []byte, last bool, take func(r format.Record, at, size int64)) (used int64, err error) {
 	if s.size == 0 {
 		if s.salt, err = format.ParseHeader(b); errors.Is(err, format.ErrIncomplete) {
@@ -86,8 +87,8 @@
 	return used, nil
 }
 
-// append writes text at the end of an own segment. It returns how many of its bytes stand: whole records among them count,
-// whatever the error.
+// append writes text at the end of an own segment. It returns how many of its bytes stand: whole records among them
+// count, whatever the error.
 func (s *segment) append(text []byte) (int, error) {
 	n, err := s.file.Write(text) // not WriteAt, which does not say how much stands where it fails midway
 	s.size += int64(n)
@@ -116,7 +117,7 @@
 	return r, err
 }
 
-// exists says whether a segment's file is still there.
+// exists reports whether a segment's file is still there.
 func (s *segment) exists() bool {
 	_, err := os.Stat(s.path)
 	return err == nil
--- a/internal/idempotency/keystore/sweep.go
+++ b/internal/idempotency/keystore/sweep.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Sweep asks for segments whose records have all expired to be dropped, and for a look at which processes have exited. It costs
-// by the number of segments and of the records that are dropped. It does not wait.
+// Sweep asks for segments whose records have all expired to be dropped, and for a look at which processes have
+// exited. It costs by the number of segments and of the records that are dropped. It does not wait.
 func (s *Store) Sweep() {
 	select {
 	case s.sweeps <- make(chan struct{}):
@@ -41,8 +41,8 @@
 	}
 }
 
-// dropPeerSegments drops the others' segments that have expired and that nothing is added to, and removes the files of those
-// whose process has exited. It returns the names of the processes that have segments left.
+// dropPeerSegments drops the others' segments that have expired and that nothing is added to, and removes the files
+// of those whose process has exited. It returns the names of the processes that have segments left.
 func (s *Store) dropPeerSegments(now int64) (remaining map[string]bool) {
 	remaining = map[string]bool{}
 	for number, seg := range s.peerSegments {
--- a/internal/idempotency/runlog/record.go
+++ b/internal/idempotency/runlog/record.go
@@ -11,18 +11,29 @@
 	"sloehitch/internal/node"
 )
 
-// keyPrefix keeps run records apart from what else is on the ledger. It is stored, as are the names in package bookingpb.
+// keyPrefix keeps run records apart from what else is on the ledger. It is stored, as are the names in package
+// bookingpb.
 const keyPrefix = "booking/"
 
 // encode returns a batch that writes the record of a run.
-func (l *Log) encode(b node.RunRecord, stage bookingpb.Booking_Stage) (*ledger.Batch, error) {
-	value, err := proto.Marshal(&bookingpb.Booking{Stage: stage, Class: b.Class, Digest: b.Fingerprint[:], ArrivedUs: b.ArrivedAt.UnixMicro(),
-		Request: []byte(b.RequestID), WindowUs: b.Window.Microseconds(), Served: b.Succeeded, Kept: b.ResultStored, Result: b.Result, Front: b.Protocol})
+func (l *Log) encode(record node.RunRecord, stage bookingpb.Booking_Stage) (*ledger.Batch, error) {
+	value, err := proto.Marshal(&bookingpb.Booking{
+		Stage:     stage,
+		Class:     record.Class,
+		Digest:    record.Fingerprint[:],
+		ArrivedUs: record.ArrivedAt.UnixMicro(),
+		Request:   []byte(record.RequestID),
+		WindowUs:  record.Window.Microseconds(),
+		Served:    record.Succeeded,
+		Kept:      record.ResultStored,
+		Result:    record.Result,
+		Front:     record.Protocol,
+	})
 	if err != nil {
-		return nil, fmt.Errorf("run record %q: %w", b.Key, err)
+		return nil, fmt.Errorf("run record %q: %w", record.Key, err)
 	}
 	batch := &ledger.Batch{}
-	batch.Put([]byte(keyPrefix+b.Key), value, b.ArrivedAt.Add(b.Window+l.retentionMargin))
+	batch.Put([]byte(keyPrefix+record.Key), value, record.ArrivedAt.Add(record.Window+l.retentionMargin))
 	return batch, nil
 }
 
@@ -32,24 +43,34 @@
 	if err := proto.Unmarshal(value, &v); err != nil {
 		return node.RunRecord{}, fmt.Errorf("run record %q: %w", key, err)
 	}
-	b := node.RunRecord{Key: key, Class: v.Class, ArrivedAt: time.UnixMicro(v.ArrivedUs), RequestID: string(v.Request),
-		Window: time.Duration(v.WindowUs) * time.Microsecond,
-		Ended:  v.Stage == bookingpb.Booking_STAGE_ENDED, Succeeded: v.Served, ResultStored: v.Kept, Result: v.Result, Protocol: v.Front}
-	if copy(b.Fingerprint[:], v.Digest) != len(b.Fingerprint) || v.Stage == bookingpb.Booking_STAGE_UNSPECIFIED {
+	record := node.RunRecord{
+		Key:          key,
+		Class:        v.Class,
+		ArrivedAt:    time.UnixMicro(v.ArrivedUs),
+		RequestID:    string(v.Request),
+		Window:       time.Duration(v.WindowUs) * time.Microsecond,
+		Ended:        v.Stage == bookingpb.Booking_STAGE_ENDED,
+		Succeeded:    v.Served,
+		ResultStored: v.Kept,
+		Result:       v.Result,
+		Protocol:     v.Front,
+	}
+	copied := copy(record.Fingerprint[:], v.Digest)
+	if copied != len(record.Fingerprint) || v.Stage == bookingpb.Booking_STAGE_UNSPECIFIED {
 		return node.RunRecord{}, fmt.Errorf("run record %q: no stage or no fingerprint", key)
 	}
-	return b, nil
+	return record, nil
 }
 
-// ForEach calls fn with each record that has not expired, in the order of their keys. It reads the disk. A record that can't be
-// read is an error: without it a request could run twice.
+// ForEach calls fn with each record that has not expired, in the order of their keys. It reads the disk. A record
+// that can't be read is an error: without it a request could run twice.
 func (l *Log) ForEach(fn func(node.RunRecord)) error {
 	return l.store.Scan([]byte(keyPrefix), func(p ledger.Pair) error {
-		b, err := decode(string(p.Key[len(keyPrefix):]), p.Value)
+		record, err := decode(string(p.Key[len(keyPrefix):]), p.Value)
 		if err != nil {
 			return err
 		}
-		fn(b)
+		fn(record)
 		return nil
 	})
 }
--- a/internal/idempotency/runlog/runlog.go
+++ b/internal/idempotency/runlog/runlog.go
@@ -1,5 +1,6 @@
-// Package runlog is the log of the keyed requests that were started and of their results, on a ledger, so that it outlives the
-// process and the machine's power. The Node writes it as its journal, and is restored from it at the start.
+// Package runlog is the log of the keyed requests that were started and of their results, on a ledger, so that it
+// outlives the process and the machine's power. The Node writes it as its journal, and is restored from it at the
+// start.
 package runlog
 
 import (
@@ -15,11 +16,11 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Log records runs on a ledger. It is a node.Journal. Its methods may be called from any goroutine and, but for ForEach, wait
-// for no disk.
+// Log records runs on a ledger. It is a node.Journal. Its methods may be called from any goroutine and, but for
+// ForEach, wait for no disk.
 //
-// Of the writes under one key only the newest is ever repeated: an older one, say a withdrawal, that was written again behind a
-// newer start would have that start forgotten, and its key run twice.
+// Of the writes under one key only the newest is ever repeated: an older one, say a withdrawal, that was written
+// again behind a newer start would have that start forgotten, and its key run twice.
 type Log struct {
 	store           *ledger.Store
 	retentionMargin time.Duration
@@ -30,46 +31,52 @@
 	failedWrites map[string]*ledger.Batch // by key, for RetryFailed
 }
 
-// New returns a Log on an open ledger. A record is kept for its window and retentionMargin, by the ledger's clock. logEvery is
-// the time between two lines of the log on one kind of fault.
+// New returns a Log on an open ledger. A record is kept for its window and retentionMargin, by the ledger's clock.
+// logEvery is the time between two lines of the log on one kind of fault.
 func New(store *ledger.Store, retentionMargin, logEvery time.Duration, log *slog.Logger) *Log {
-	return &Log{store: store, retentionMargin: retentionMargin, log: lograte.New(log, logEvery), newestWrite: map[string]*ledger.Batch{}, failedWrites: map[string]*ledger.Batch{}}
+	return &Log{
+		store:           store,
+		retentionMargin: retentionMargin,
+		log:             lograte.New(log, logEvery),
+		newestWrite:     map[string]*ledger.Batch{},
+		failedWrites:    map[string]*ledger.Batch{},
+	}
 }
 
-// RecordStart makes the start of a run durable and calls done when it is, or has failed. If RecordStart returns an error, done is
-// not called and nothing was written.
-func (l *Log) RecordStart(b node.RunRecord, done func(error)) error {
-	batch, err := l.encode(b, bookingpb.Booking_STAGE_BEGAN)
+// RecordStart makes the start of a run durable and calls done when it is, or has failed. If RecordStart returns an
+// error, done is not called and nothing was written.
+func (l *Log) RecordStart(record node.RunRecord, done func(error)) error {
+	batch, err := l.encode(record, bookingpb.Booking_STAGE_BEGAN)
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.submit(b.Key, batch, func(err error) {
+	return l.submit(record.Key, batch, func(err error) {
 		l.mu.Lock()
-		l.writeCompleted(b.Key, batch)
+		l.writeCompleted(record.Key, batch)
 		l.mu.Unlock()
 		done(err)
 	})
 }
 
-// RecordEnd records the end of a run. Nobody waits for it: without it the log says that the run was started, which keeps it from
-// running again as well.
-func (l *Log) RecordEnd(b node.RunRecord) {
-	batch, err := l.encode(b, bookingpb.Booking_STAGE_ENDED)
+// RecordEnd records the end of a run. Nobody waits for it: without it the log says that the run was started, which
+// keeps it from running again as well.
+func (l *Log) RecordEnd(record node.RunRecord) {
+	batch, err := l.encode(record, bookingpb.Booking_STAGE_ENDED)
 	if err != nil {
 		l.log.Warn("end of a run was not recorded", err)
 		return
 	}
-	l.write(b.Key, batch)
+	l.write(record.Key, batch)
 }
 
-// Withdraw removes the record of a run of which nothing was started. It comes after what was written of its key before, whether
-// or not that is durable yet.
-func (l *Log) Withdraw(b node.RunRecord) {
+// Withdraw removes the record of a run of which nothing was started. It comes after what was written of its key
+// before, whether or not that is durable yet.
+func (l *Log) Withdraw(record node.RunRecord) {
 	batch := &ledger.Batch{}
-	batch.Delete([]byte(keyPrefix + b.Key))
-	l.write(b.Key, batch)
+	batch.Delete([]byte(keyPrefix + record.Key))
+	l.write(record.Key, batch)
 }
 
 // RetryFailed writes once more what could not be written. The host calls it now and then.
@@ -115,7 +122,8 @@
 	}
 }
 
-// writeCompleted notes that a write is durable or has failed, and says whether it was the newest of its key. The caller holds mu.
+// writeCompleted notes that a write is durable or has failed, and reports whether it was the newest of its key. The
+// caller holds mu.
 func (l *Log) writeCompleted(key string, batch *ledger.Batch) (newest bool) {
 	if newest = l.newestWrite[key] == batch; newest {
 		delete(l.newestWrite, key)
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestLateFailure: a withdrawal that turns out to have failed while a newer start of its key is being written is not repeated: it would
-// have that start forgotten.
+// TestLateFailure: a withdrawal that turns out to have failed while a newer start of its key is being written is not
+// repeated: it would have that start forgotten.
 func TestLateFailure(t *testing.T) {
 	_, l := open(t, simdisk.New(1))
 	withdrawal := &ledger.Batch{}
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -26,7 +26,8 @@
 	return n.countsByName(n.opts.Settings.Classes[r.Class].Name, true)
 }
 
-// countsByName returns the counts of a class, or nil if it is no class of the settings (known) and there is no room for more.
+// countsByName returns the counts of a class, or nil if it is no class of the settings (known) and there is no space
+// for more.
 func (n *Node) countsByName(name string, known bool) *ClassCounts {
 	c := n.classCounts[name]
 	if c == nil && (known || len(n.classCounts) < maxCountedClasses) {
@@ -36,8 +37,8 @@
 	return c
 }
 
-// CountUnknownClass counts a request that a front end rejected for a class that the settings do not name, as long as there is
-// room for more names. (Balancers learn of a reconfiguration late.)
+// CountUnknownClass counts a request that a front end rejected for a class that the settings do not name, as long as
+// there is space for more names. (Balancers learn of a reconfiguration late.)
 func (n *Node) CountUnknownClass(class string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/deadline.go
+++ b/internal/node/deadline.go
@@ -11,10 +11,10 @@
 //
 //	guard = deadline + limits.DeadlineGuardShare * settings.ResponseGrace
 //
-// deadline is the sooner of the class's timeout and the caller's, counted from the arrival; ResponseGrace is how long after the
-// deadline a response still counts. Admission answers first where it can: the guard leaves it DeadlineGuardShare (0 to 1) of the grace.
-// What the guard answers is rejected if nothing of it ran and failed otherwise. Its run goes on unless admission, which is told, stops
-// it; the result of a keyed run is stored for retries.
+// deadline is the sooner of the class's timeout and the caller's, counted from the arrival; ResponseGrace is how long
+// after the deadline a response still counts. Admission answers first where it can: the guard leaves it
+// DeadlineGuardShare (0 to 1) of the grace. What the guard answers is rejected if nothing of it ran and failed
+// otherwise. Its run goes on unless admission stops it; the result of a keyed run is stored for retries.
 
 // guardDelay is how long after the deadline the guard answers.
 func (n *Node) guardDelay() time.Duration {
@@ -57,7 +57,8 @@
 	n.abandonRun(r)
 }
 
-// Cancel says that nobody waits for a request any more. It gets no response; a run of it goes on unless admission stops it.
+// Cancel says that nobody waits for a request any more. It gets no response; a run of it goes on unless admission
+// stops it.
 func (n *Node) Cancel(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +73,7 @@
 	n.reportCanceled(r)
 }
 
-// reportCanceled tells admission that nobody waits for a request any more, and removes it if nothing of it runs.
+// reportCanceled reports to admission that nobody waits for a request any more, and removes it if nothing of it runs.
 func (n *Node) reportCanceled(r *request) {
 	if r.stage == stageElsewhere {
 		n.removeUnreported(r)
--- a/internal/node/dependency.go
+++ b/internal/node/dependency.go
@@ -7,8 +7,8 @@
 	"sloehitch/logic"
 )
 
-// CallRequested reports that a run waits for a call to the dependency. pos is the number of the notice that asked for it, body
-// what to send.
+// CallRequested reports that a run waits for a call to the dependency. pos is the number of the notice that asked for
+// it, body what to send.
 func (n *Node) CallRequested(id string, pos uint64, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,9 +36,8 @@
 	r.callInFlight = true
 	number := r.number
 	once := n.opts.Settings.Classes[r.Class].Idempotency != logic.Idempotent
-	n.opts.Dependency.Call(r.ID, timeout, r.callBody, once, func(o admission.Outcome, took time.Duration, reply []byte) {
-		n.callEnded(number, o, took, reply)
-	})
+	done := func(o admission.Outcome, took time.Duration, reply []byte) { n.callEnded(number, o, took, reply) }
+	n.opts.Dependency.Call(r.ID, timeout, r.callBody, once, done)
 }
 
 // callEnded delivers a call's reply to its run, and reports to admission how the call ended.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,17 +9,17 @@
 // Draining, from the notice of shutdown on:
 //
 //	read until notice + settings.DrainGrace             as ever
-//	read later                                          rejected, with RetryAfter; answered from its key's run if that ran
+//	read later                                          rejected; answered as its key's run if there was one
 //	at notice + stop - limits.KillMargin                 all that is unanswered is answered
 //	read later                                          rejected
 //
-// The times count from the notice, however late the Node hears of it. A request counts as read when its last byte has come: its
-// caller's stamp says when the first one did.
+// The times count from the notice, however late the Node hears of it. A request counts as read when its last byte has
+// come: its caller's stamp says when the first one did.
 
-// Drain starts the graceful shutdown: the process was told at notice that it will be killed after stop. If quiet is set
-// admission is not told, as another process of this node goes on and callers are not to be sent elsewhere. Only the first call
-// counts.
-func (n *Node) Drain(notice time.Time, stop time.Duration, quiet bool) {
+// Drain starts the graceful shutdown: the notice came at the given time, and the process is killed after stop from
+// then. If keepAdvertised is set nothing is reported to admission, as another process of this node goes on and
+// callers are not to be sent elsewhere. Only the first call counts.
+func (n *Node) Drain(notice time.Time, stop time.Duration, keepAdvertised bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.drainStartedAt.IsZero() {
@@ -27,7 +27,7 @@
 	}
 	n.drainStartedAt, n.killAt = notice, notice.Add(stop)
 	left := max(0, n.killAt.Sub(n.opts.Clock.Now()))
-	if !quiet {
+	if !keepAdvertised {
 		n.opts.Admission.Report(admission.Draining(left))
 	}
 	n.opts.Clock.AfterFunc(left-n.opts.Limits.KillMargin, n.answerAllForKill)
@@ -44,12 +44,12 @@
 	}
 }
 
-// pastDrainGrace says whether a request was read too late to be started.
+// pastDrainGrace reports whether a request was read too late to be started.
 func (n *Node) pastDrainGrace(r *request) bool {
 	return !n.drainStartedAt.IsZero() && r.readAt.After(n.drainStartedAt.Add(duration(n.opts.Settings.DrainGrace)))
 }
 
-// answeredForKill says whether answerAllForKill is over: nobody would answer what is read now.
+// answeredForKill reports whether answerAllForKill is over: nobody would answer what is read now.
 func (n *Node) answeredForKill(now time.Time) bool {
 	return !n.drainStartedAt.IsZero() && !now.Before(n.killAt.Add(-n.opts.Limits.KillMargin))
 }
--- a/internal/node/elsewhere.go
+++ b/internal/node/elsewhere.go
@@ -4,31 +4,32 @@
 	"errors"
 )
 
-// While one process of a node replaces another, both serve requests and share their keys by a SharedJournal. An attempt whose
-// key another process holds is not run here and admission is not told of it: it is answered as that process's run is, now or
-// when it ends.
+// While one process of a node replaces another, both serve requests and share their keys by a SharedJournal. An
+// attempt whose key another process holds is not run here and not reported to admission: it is answered as that
+// process's run is, now or when it ends.
 //
 //	the run has ended, its result is stored   served with the result
 //	the run has ended otherwise               failed; so it does if the process died
 //	the run is in flight                      wait for its end, until the request's deadline
 //	the start was withdrawn                   as any new request
 
-// SharedJournal is a Journal that other processes of this node write too, while one replaces another. Its RecordStart reports
-// ErrKeyHeld if one of them holds the key.
+// SharedJournal is a Journal that other processes of this node write too, while one replaces another. Its RecordStart
+// reports ErrKeyHeld if one of them holds the key.
 type SharedJournal interface {
 	Journal
-	// Lookup returns what another process has recorded of b's key, b.Key and b.Class being all that it needs. It must not block
-	// for long.
-	Lookup(b RunRecord) (RunRecord, bool)
-	// NotifyOnChange calls done once, from another goroutine, when Lookup may say more than that the key's run has not ended.
-	NotifyOnChange(b RunRecord, done func())
+	// Lookup returns what another process has recorded of record's key, record.Key and record.Class being all that it
+	// needs. It must not block for long.
+	Lookup(record RunRecord) (RunRecord, bool)
+	// NotifyOnChange calls done once, from another goroutine, when Lookup may say more than that the key's run has
+	// not ended.
+	NotifyOnChange(record RunRecord, done func())
 }
 
-// ErrKeyHeld is reported by a Journal for a start whose key another process holds: it may have run there, so an attempt of it
-// here is neither run nor rejected.
+// ErrKeyHeld is reported by a Journal for a start whose key another process holds: it may have run there, so an
+// attempt of it here is neither run nor rejected.
 var ErrKeyHeld = errors.New("the key is held by another process")
 
-// keyHeldElsewhere says whether another process is known to hold r's key.
+// keyHeldElsewhere reports whether another process is known to hold r's key.
 func (n *Node) keyHeldElsewhere(r *request) bool {
 	s, ok := n.opts.Journal.(SharedJournal)
 	if !ok {
@@ -38,27 +39,27 @@
 	return held
 }
 
-// answerFromElsewhere answers an attempt from its key's run in another process, now or when that ends. It returns false if no
-// other process holds the key.
+// answerFromElsewhere answers an attempt from its key's run in another process, now or when that ends. It returns
+// false if no other process holds the key.
 func (n *Node) answerFromElsewhere(r *request) bool {
 	s, ok := n.opts.Journal.(SharedJournal)
 	if !ok {
 		return false
 	}
-	b, held := s.Lookup(n.runRecord(r))
+	record, held := s.Lookup(n.runRecord(r))
 	switch {
 	case !held:
 		return false
-	case b.Fingerprint != r.fingerprint:
+	case record.Fingerprint != r.fingerprint:
 		n.respond(r, Response{Status: StatusFailed, KeyReused: true})
-	case !b.Ended:
+	case !record.Ended:
 		r.stage = stageElsewhere
 		n.counts.WaitedElsewhere++
 		s.NotifyOnChange(n.runRecord(r), func() { n.elsewhereChanged(r) })
 		return true
-	case b.Succeeded && b.ResultStored && b.Protocol == r.Protocol:
+	case record.Succeeded && record.ResultStored && record.Protocol == r.Protocol:
 		n.counts.ServedFromElsewhere++
-		n.respond(r, Response{Status: StatusServed, Result: b.Result})
+		n.respond(r, Response{Status: StatusServed, Result: record.Result})
 	default:
 		n.respond(r, Response{Status: StatusFailed})
 	}
@@ -84,8 +85,8 @@
 	n.reportArrival(r, n.opts.Clock.Now()) // the start was withdrawn
 }
 
-// moveElsewhere has a queued attempt that admission rejects wait for the process that has started its key meanwhile: rejected,
-// it would be sent to run on another node. It returns false if no process has.
+// moveElsewhere has a queued attempt that admission rejects wait for the process that has started its key meanwhile:
+// rejected, it would be sent to run on another node. It returns false if no process has.
 func (n *Node) moveElsewhere(r *request) bool {
 	if r.settled || r.IdempotencyKey == "" || n.keys.started(r) || !n.keyHeldElsewhere(r) {
 		return false
@@ -98,8 +99,8 @@
 	return true
 }
 
-// keyTakenElsewhere has an attempt whose start could not be recorded, and all that wait for it, wait for the process that holds
-// their key.
+// keyTakenElsewhere has an attempt whose start could not be recorded, and all that wait for it, wait for the process
+// that holds their key.
 func (n *Node) keyTakenElsewhere(r *request) {
 	n.unclaimStart(r)
 	for _, attempt := range append([]*request{r}, n.keys.release(r)...) {
--- a/internal/node/elsewhere_test.go
+++ b/internal/node/elsewhere_test.go
@@ -136,8 +136,8 @@
 	}, "", "[failed ] [] []"},
 }
 
-// TestKeyHeldElsewhere: an attempt whose key another process holds is not run here. It is answered as that run is, at once or when
-// it ends, and fails if that is not known by its deadline. If nothing ran there it is submitted as new.
+// TestKeyHeldElsewhere: an attempt whose key another process holds is not run here. It is answered as that run is, at
+// once or when it ends, and fails if that is not known by its deadline. If nothing ran there it is submitted as new.
 func TestKeyHeldElsewhere(t *testing.T) {
 	for _, c := range elsewhereCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -7,12 +7,12 @@
 	"sloehitch/logic"
 )
 
-// Idempotency: of all attempts under one idempotency key at most one runs within the key's window. (Key and fingerprint are
-// those of draft-ietf-httpapi-idempotency-key-header.)
+// Idempotency: of all attempts under one idempotency key at most one runs within the key's window. (Key and
+// fingerprint are those of draft-ietf-httpapi-idempotency-key-header.)
 //
 //	window of a key = [arrival of the attempt that ran, arrival + class.IdempotencyWindow + limits.KeyWindowSlack)
 //
-// The arrival is the one that its caller told. KeyWindowSlack covers clocks and sockets that are not exact.
+// The arrival is that of the caller's time stamp. KeyWindowSlack covers clocks and sockets that are not exact.
 //
 // What becomes of an attempt, by the first line that holds:
 //
@@ -24,10 +24,11 @@
 //	nothing ran under its key                        it claims the key and runs once that is on record (journal.go)
 //
 // A result of another protocol counts as none. A run of which nothing was started releases its key, and the attempts
-// coalesced with it are submitted anew. An attempt for whose key the table has no room is rejected: its retries could not be told.
+// coalesced with it are submitted anew. An attempt for whose key the table has no room is rejected: its retries could
+// not be recognized.
 
-// answerFromKeyTable answers an attempt whose key belongs to another request, or ran in an earlier process. It returns false
-// if neither is so.
+// answerFromKeyTable answers an attempt whose key belongs to another request, or ran in an earlier process. It
+// returns false if neither is so.
 func (n *Node) answerFromKeyTable(r *request) bool {
 	r.fingerprint = fingerprintOf(n.opts.Settings.Classes[r.Class].Name, &r.Request)
 	e := n.keys.lookup(r)
@@ -97,10 +98,12 @@
 	n.remove(r)
 }
 
-// completeKey takes in how the run of a key's owner ended: it answers the coalesced attempts, and stores and records the result.
+// completeKey takes in how the run of a key's owner ended: it answers the coalesced attempts, and stores and records
+// the result.
 func (n *Node) completeKey(r *request, e *keyEntry, o admission.Outcome, result []byte) {
 	if o == logic.OutcomeNotStarted {
-		n.log.Warn("keyed run was not started; its key is released", fmt.Errorf("request %s, key %s", r.ID, r.IdempotencyKey))
+		detail := fmt.Errorf("request %s, key %s", r.ID, r.IdempotencyKey)
+		n.log.Warn("keyed run was not started; its key is released", detail)
 		e.started = false // remove hands the key to the attempts that wait for it
 		if n.opts.Journal != nil {
 			n.opts.Journal.Withdraw(n.runRecord(r))
@@ -120,12 +123,12 @@
 	if n.opts.Journal == nil {
 		return
 	}
-	b := n.runRecord(r)
-	b.Ended, b.Succeeded = true, o == logic.OutcomeOK
-	if b.ResultStored = b.Succeeded && len(result) <= n.opts.Limits.StoredResultBytes; b.ResultStored {
-		b.Result = result
+	record := n.runRecord(r)
+	record.Ended, record.Succeeded = true, o == logic.OutcomeOK
+	if record.ResultStored = record.Succeeded && len(result) <= n.opts.Limits.StoredResultBytes; record.ResultStored {
+		record.Result = result
 	}
-	n.opts.Journal.RecordEnd(b)
+	n.opts.Journal.RecordEnd(record)
 }
 
 // releaseKey frees the key of a request under which nothing ran, and submits anew what waited for that.
@@ -135,12 +138,12 @@
 	}
 }
 
-// keyMayHaveRun says whether some attempt under r's key ran within its window: r is to be answered from that run.
+// keyMayHaveRun reports whether some attempt under r's key ran within its window: r is to be answered from that run.
 func (n *Node) keyMayHaveRun(r *request) bool {
 	return r.IdempotencyKey != "" && (n.keys.started(r) || n.keyHeldElsewhere(r))
 }
 
-// mayHaveRun says whether a request that is not idempotent was handed to its runner.
+// mayHaveRun reports whether a request that is not idempotent was handed to its runner.
 func (n *Node) mayHaveRun(r *request) bool {
 	return r.stage == stageRunning && n.opts.Settings.Classes[r.Class].Idempotency != logic.Idempotent
 }
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -25,46 +25,70 @@
 
 // Journal records which keyed requests were started, beyond the life of the process. Its methods must not block.
 type Journal interface {
-	// RecordStart makes the start of a run durable. It calls done once, from another goroutine, when it is durable or failed
-	// (with ErrKeyHeld, see SharedJournal). If RecordStart returns an error, nothing was written and done is not called.
-	RecordStart(b RunRecord, done func(error)) error
+	// RecordStart makes the start of a run durable. It calls done once, from another goroutine, when it is durable or
+	// failed (with ErrKeyHeld, see SharedJournal). If RecordStart returns an error, nothing was written and done is
+	// not called.
+	RecordStart(record RunRecord, done func(error)) error
 	// RecordEnd records the end of a run.
-	RecordEnd(b RunRecord)
+	RecordEnd(record RunRecord)
 	// Withdraw takes back a RecordStart, durable or not, of which nothing was started.
-	Withdraw(b RunRecord)
+	Withdraw(record RunRecord)
 }
 
 // runRecord is the record of a request's start.
 func (n *Node) runRecord(r *request) RunRecord {
-	return RunRecord{Key: r.IdempotencyKey, Class: n.opts.Settings.Classes[r.Class].Name, Fingerprint: r.fingerprint, ArrivedAt: r.stampedAt,
-		Window: n.keys.window(r.Class), RequestID: r.ID, Protocol: r.Protocol}
+	return RunRecord{
+		Key:         r.IdempotencyKey,
+		Class:       n.opts.Settings.Classes[r.Class].Name,
+		Fingerprint: r.fingerprint,
+		ArrivedAt:   r.stampedAt,
+		Window:      n.keys.window(r.Class),
+		RequestID:   r.ID,
+		Protocol:    r.Protocol,
+	}
 }
 
-// Restore fills the key table with the record of a run in an earlier process. It is to be called before the first Submit. A run
-// that was started and of which no end is on record counts as run: nobody can tell.
-func (n *Node) Restore(b RunRecord) {
+// Restore fills the key table with the record of a run in an earlier process. It is to be called before the first
+// Submit. A run that was started and of which no end is on record counts as run, as it may have.
+func (n *Node) Restore(record RunRecord) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	class := -1
 	for i := range n.opts.Settings.Classes {
-		if n.opts.Settings.Classes[i].Name == b.Class {
+		if n.opts.Settings.Classes[i].Name == record.Class {
 			class = i
 		}
 	}
 	// The owner stands for its key and protocol only: it is not in flight, and has no runner.
-	owner := &request{Request: Request{ID: b.RequestID, IdempotencyKey: b.Key, Class: class, ArrivedAt: b.ArrivedAt, Protocol: b.Protocol}}
-	e := &keyEntry{owner: owner, fingerprint: b.Fingerprint, started: true, finished: true, restored: true, arrivedAt: b.ArrivedAt, window: b.Window}
-	// Without room for its result retries fail, as those of a run without a known end do.
-	e.succeeded = b.Succeeded && b.ResultStored && n.keys.storeResult(e, b.Result, n.opts.Limits.StoredResultBytes)
-	n.keys.entries[b.Key] = e
+	owner := &request{Request: Request{
+		ID:             record.RequestID,
+		IdempotencyKey: record.Key,
+		Class:          class,
+		ArrivedAt:      record.ArrivedAt,
+		Protocol:       record.Protocol,
+	}}
+	e := &keyEntry{
+		owner:       owner,
+		fingerprint: record.Fingerprint,
+		started:     true,
+		finished:    true,
+		restored:    true,
+		arrivedAt:   record.ArrivedAt,
+		window:      record.Window,
+	}
+	// Without space for its result retries fail, as those of a run without a known end do.
+	if record.Succeeded && record.ResultStored {
+		e.succeeded = n.keys.storeResult(e, record.Result, n.opts.Limits.StoredResultBytes)
+	}
+	n.keys.entries[record.Key] = e
 	n.counts.Restored++
 }
 
 // errRecordTimeout says that a start was not durable by the time it had to be.
 var errRecordTimeout = errors.New("the disk is too slow")
 
-// recordStart has the journal make a start durable; the run is started when that is done. A start that is not durable within
-// limits.RecordTimeout, or by the request's deadline, is withdrawn.
+// recordStart has the journal make a start durable; the run is started when that is done. A start that is not durable
+// within limits.RecordTimeout, or by the request's deadline, is withdrawn.
 func (n *Node) recordStart(r *request) {
 	r.stage = stageRecording
 	number := r.number
@@ -101,7 +125,8 @@
 	n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RecordRetryAfter})
 }
 
-// withdrawStart answers a request whose start is being recorded, and releases its key: nothing of it has run, and nothing will.
+// withdrawStart answers a request whose start is being recorded, and releases its key: nothing of it has run, and
+// nothing will.
 func (n *Node) withdrawStart(r *request, a Response) {
 	n.unclaimStart(r)
 	n.opts.Journal.Withdraw(n.runRecord(r))
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -10,7 +10,8 @@
 	"sloehitch/logic"
 )
 
-// fakeJournal notes what it was asked for in the same list as the runner. A start is durable, or fails, when the test calls done.
+// fakeJournal notes what it was asked for in the same list as the runner. A start is durable, or fails, when the test
+// calls done.
 type fakeJournal struct {
 	*recorder
 	done map[string]func(error)
@@ -154,8 +155,8 @@
 	}
 }
 
-// TestRestored: a request that ran in an earlier process is neither run again in its window nor rejected, whatever became of it; another
-// content under its key is told apart; when its window has passed the key is free.
+// TestRestored: a request that ran in an earlier process is neither run again in its window nor rejected, whatever
+// became of it; another content under its key is told apart; when its window has passed the key is free.
 func TestRestored(t *testing.T) {
 	h, _ := newJournalHarness(t)
 	old := RunRecord{Key: "k", Class: "book", Fingerprint: fingerprintOf("book", &Request{}), ArrivedAt: h.clock.now.Add(-4 * time.Second), Window: 10 * time.Second}
--- a/internal/node/keytable.go
+++ b/internal/node/keytable.go
@@ -12,7 +12,7 @@
 	owner       *request
 	fingerprint [sha256.Size]byte
 	started     bool
-	arrivedAt   time.Time     // of the attempt that was started, as its caller told it
+	arrivedAt   time.Time     // of the attempt that was started, by its caller's time stamp
 	window      time.Duration // of its class, from arrivedAt
 	finished    bool          // the run has ended
 	succeeded   bool          // and its result may be given to retries
@@ -21,14 +21,15 @@
 	coalesced   []*request // attempts that wait for the run's end
 }
 
-// retentionSlacks is how many times limits.KeyWindowSlack an entry is retained beyond its window: attempts are told apart by when
-// they reached the machine, and may be read seconds after that.
+// retentionSlacks is how many times limits.KeyWindowSlack an entry is retained beyond its window: attempts are
+// assigned to windows by when they reached the machine, and may be read seconds after that.
 const retentionSlacks = 20
 
 // KeyRetentionMargin is for how long beyond its window a key is retained, here and in the journals.
 func KeyRetentionMargin(l limits.Limits) time.Duration { return retentionSlacks * l.KeyWindowSlack }
 
-// keyTable maps idempotency keys to their runs. It is bounded in entries and in bytes of results. The Node's lock guards it.
+// keyTable maps idempotency keys to their runs. It is bounded in entries and in bytes of results. The Node's lock
+// guards it.
 type keyTable struct {
 	entries         map[string]*keyEntry
 	maxEntries      int
@@ -38,10 +39,17 @@
 }
 
 func newKeyTable(maxEntries, maxResultBytes int, slack time.Duration, window func(class int) time.Duration) *keyTable {
-	return &keyTable{entries: map[string]*keyEntry{}, maxEntries: maxEntries, freeResultBytes: maxResultBytes, slack: slack, window: window}
+	return &keyTable{
+		entries:         map[string]*keyEntry{},
+		maxEntries:      maxEntries,
+		freeResultBytes: maxResultBytes,
+		slack:           slack,
+		window:          window,
+	}
 }
 
-// inWindow says whether an attempt that arrived at the given time belongs to the entry: always, while nothing was started.
+// inWindow reports whether an attempt that arrived at the given time belongs to the entry: always, while nothing was
+// started.
 func (e *keyEntry) inWindow(arrivedAt time.Time, slack time.Duration) bool {
 	return !e.started || arrivedAt.Before(e.arrivedAt.Add(e.window+slack))
 }
@@ -67,8 +75,8 @@
 	return nil
 }
 
-// claim makes an attempt the owner of its key unless another one was started. It returns the key's entry, or nil if the table
-// has no room for one.
+// claim makes an attempt the owner of its key unless another one was started. It returns the key's entry, or nil if
+// the table is full.
 func (t *keyTable) claim(r *request) *keyEntry {
 	e := t.lookup(r)
 	switch {
@@ -84,14 +92,14 @@
 	return e
 }
 
-// started says whether some attempt under r's key was started within its window.
+// started reports whether some attempt under r's key was started within its window.
 func (t *keyTable) started(r *request) bool {
 	e := t.lookup(r)
 	return e != nil && e.started
 }
 
-// release takes an attempt of which nothing ran off the table. If it owned its key, the key is free and the attempts that
-// waited for it are returned.
+// release takes an attempt of which nothing ran off the table. If it owned its key, the key is free and the attempts
+// that waited for it are returned.
 func (t *keyTable) release(r *request) []*request {
 	e := t.entries[r.IdempotencyKey]
 	if r.IdempotencyKey == "" || e == nil {
@@ -119,7 +127,8 @@
 	}
 }
 
-// storeResult keeps a result for retries. It returns false if the result is longer than maxBytes or there is no room for it.
+// storeResult keeps a result for retries. It returns false if the result is longer than maxBytes or there is no space
+// for it.
 func (t *keyTable) storeResult(e *keyEntry, result []byte, maxBytes int) bool {
 	if len(result) > min(maxBytes, t.freeResultBytes) {
 		return false
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,17 +1,17 @@
-// Package node is the daemon's core between the front ends, which read requests, and the back ends, which run them. It follows
-// each attempt of a request from its reading to its one final response, and knows no wire format.
+// Package node is the daemon's core between the front ends, which read requests, and the back ends, which run them.
+// It follows each attempt of a request from its reading to its one final response, and knows no wire format.
 //
-// Package admission decides which requests run, wait and are shed; this package carries its decisions out. Three rules it
-// enforces itself, whatever was decided:
+// Package admission decides which requests run, wait and are shed; this package carries its decisions out. Three
+// rules it enforces itself, whatever was decided:
 //
 //   - Each request gets one final response, by its deadline (response.go, deadline.go).
-//   - A keyed request runs at most once within its window (idempotency.go; keytable.go, journal.go and elsewhere.go hold what
-//     this process, the processes before it and those beside it know of a key).
+//   - A keyed request runs at most once within its window (idempotency.go; keytable.go, journal.go and elsewhere.go hold
+//     what this process, the processes before it and those beside it know of a key).
 //   - Nothing that was read after the drain grace is started, and everything is answered before the kill (drain.go).
 //
-// A Node has one lock. Its exported methods may be called from any goroutine and wait for nothing but that lock. It calls
-// runners, the dependency's client, the journal and reply functions with the lock held: they must neither block nor call the
-// Node from within.
+// A Node has one lock. Its exported methods may be called from any goroutine and wait for nothing but that lock. It
+// calls runners, the dependency's client, the journal and reply functions with the lock held: they must neither block
+// nor call the Node from within.
 package node
 
 import (
@@ -28,8 +28,8 @@
 	"sloehitch/logic"
 )
 
-// Runner does the work of requests. Its methods must not block. How runs go is reported by Node.RunEnded, Node.CallRequested
-// and Node.DeliveryUnconfirmed.
+// Runner does the work of requests. Its methods must not block. How runs go is reported by Node.RunEnded,
+// Node.CallRequested and Node.DeliveryUnconfirmed.
 type Runner interface {
 	// Start starts a run. once says that it must not be started a second time, whatever becomes of the first start.
 	Start(id, class string, body []byte, once bool)
@@ -46,7 +46,8 @@
 // DependencyClient makes the calls that runs ask for. Its methods must not block.
 type DependencyClient interface {
 	// Call calls done once, unless Cancel comes first. once says that the call must not be repeated if it may have run.
-	Call(id string, patience time.Duration, body []byte, once bool, done func(o admission.Outcome, took time.Duration, reply []byte))
+	Call(id string, timeout time.Duration, body []byte, once bool,
+		done func(o admission.Outcome, took time.Duration, reply []byte))
 	// Cancel gives up the call of a run.
 	Cancel(id string)
 }
@@ -60,8 +61,8 @@
 	Clock      clock.Clock
 	Limits     limits.Limits
 	Log        *slog.Logger
-	// ObserveLatency, if not nil, is given the time of each served request from its arrival at the machine to its response. It
-	// is called with the Node's lock held: it must neither block nor call the Node.
+	// ObserveLatency, if not nil, is given the time of each served request from its arrival at the machine to its
+	// response. It is called with the Node's lock held: it must neither block nor call the Node.
 	ObserveLatency func(time.Duration)
 }
 
@@ -85,17 +86,24 @@
 
 // New returns a Node. Its decisions are carried out by Run, or by ApplyDecision where the controller has OnDecision.
 func New(o Options) *Node {
-	n := &Node{opts: o, classCounts: map[string]*ClassCounts{}, byID: map[string]*request{}, byNumber: map[uint64]*request{},
-		log: lograte.New(o.Log, o.Limits.LogInterval), tracing: tracingEnabled(o.Log)}
+	n := &Node{
+		opts:        o,
+		classCounts: map[string]*ClassCounts{},
+		byID:        map[string]*request{},
+		byNumber:    map[uint64]*request{},
+		log:         lograte.New(o.Log, o.Limits.LogInterval),
+		tracing:     tracingEnabled(o.Log),
+	}
 	// Called with n.mu held: the settings are those of the latest Reconfigure.
 	window := func(class int) time.Duration { return duration(n.opts.Settings.Classes[class].IdempotencyWindow) }
 	n.keys = newKeyTable(o.Limits.MaxKeys, o.Limits.TotalStoredResultBytes, o.Limits.KeyWindowSlack, window)
 	return n
 }
 
-// Reconfigure applies new settings to requests submitted from now on. The classes of the old settings must keep their places,
-// with new ones after them, so that each request in flight keeps its class; the tenants must stay (package reconfigure makes
-// such settings). It returns an error, and changes nothing, if the settings are not valid or break that rule.
+// Reconfigure applies new settings to requests submitted from now on. The classes of the old settings must keep their
+// places, with new ones after them, so that each request in flight keeps its class; the tenants must stay (package
+// reconfigure makes such settings). It returns an error, and changes nothing, if the settings are not valid or break
+// that rule.
 func (n *Node) Reconfigure(s logic.Settings) error {
 	if _, err := logic.New(s, 0); err != nil {
 		return err
@@ -127,15 +135,16 @@
 	}
 }
 
-// ApplyDecision carries out one decision. It is for hosts whose controller hands out decisions by admission.Options.OnDecision.
+// ApplyDecision carries out one decision. It is for hosts whose controller hands out decisions by
+// admission.Options.OnDecision.
 func (n *Node) ApplyDecision(d admission.Decision) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r := n.byNumber[d.ID]; r != nil {
 		n.apply(r, d)
 	} else if d.Kind == admission.Run || d.Kind == admission.Coalesce {
-		// The request was canceled or answered meanwhile. Admission counts it as running until it hears of an end: without
-		// this report it would run one request less from now on.
+		// The request was canceled or answered meanwhile. Admission counts it as running until it hears of an end:
+		// without this report it would run one request less from now on.
 		n.opts.Admission.Report(admission.RunEnded(d.ID, logic.OutcomeNotStarted, 0))
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// TestCanceledAsItStarts: a request that is canceled while admission decides to start it does not count as running for ever.
+// TestCanceledAsItStarts: a request that is canceled while admission decides to start it does not count as running
+// for ever.
 func TestCanceledAsItStarts(t *testing.T) {
 	h := newHarness(t)
 	g, err := admission.New(h.opts.Settings, admission.Options{Clock: h.clock})
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestBeginResponse: a request whose response has begun can't be rejected any more. Only the response of a run that is unanswered and
-// need not be stored may begin.
+// TestBeginResponse: a request whose response has begun can't be rejected any more. Only the response of a run that
+// is unanswered and need not be stored may begin.
 func TestBeginResponse(t *testing.T) {
 	h := newHarness(t)
 	var got []Response
@@ -123,7 +124,8 @@
 	}
 }
 
-// TestStoredResultsAreBounded: a result beyond the limit is not stored, so its retry fails; what expires makes room again.
+// TestStoredResultsAreBounded: a result beyond the limit is not stored, so its retry fails; what expires makes room
+// again.
 func TestStoredResultsAreBounded(t *testing.T) {
 	h := newHarness(t)
 	h.keys.freeResultBytes = 5
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -20,7 +20,7 @@
 	Retry          bool          // marked as a retry or a hedged request
 	CallerID       int
 	ArrivedAt      time.Time     // when it reached the machine, by the caller's or the front end's clock
-	AttemptTimeout time.Duration // how long its caller waits from then, at most the class's timeout; 0: not told
+	AttemptTimeout time.Duration // how long its caller waits from then, at most the class's timeout; 0: unknown
 	IdempotencyKey string        // the same for all attempts of one keyed request
 	Body           []byte
 	Content        []byte // what all attempts of one keyed request have in common besides the key
@@ -44,15 +44,15 @@
 type request struct {
 	Request
 	number          uint64    // admission's name for it
-	readAt          time.Time // when it was read whole, by this machine's clock
-	stampedAt       time.Time // ArrivedAt as it was told, though it be ahead of this machine's clock
+	readAt          time.Time // when it was completely read, by this machine's clock
+	stampedAt       time.Time // ArrivedAt as submitted, even if ahead of this machine's clock
 	stage           stage
 	settled         bool // answered or canceled: no response is owed
 	reply           func(Response)
 	deadline        time.Time
 	deadlineTimer   clock.Timer
 	recordTimer     clock.Timer // stageRecording: until the start is withdrawn
-	reportedAt      time.Time   // when admission was told of it
+	reportedAt      time.Time   // when it was reported to admission
 	paused          bool
 	unconfirmed     bool   // the runner may have missed the last command: the run's end may never be reported
 	responseStarted bool   // part of its response is with the caller
@@ -73,7 +73,13 @@
 	if class.Idempotency != logic.IdempotentByKey {
 		q.IdempotencyKey = ""
 	}
-	r := &request{Request: q, reply: reply, readAt: now, stampedAt: stampedAt, deadline: q.ArrivedAt.Add(duration(class.ClientTimeout))}
+	r := &request{
+		Request:   q,
+		reply:     reply,
+		readAt:    now,
+		stampedAt: stampedAt,
+		deadline:  q.ArrivedAt.Add(duration(class.ClientTimeout)),
+	}
 	if callerDeadline := q.ArrivedAt.Add(q.AttemptTimeout); q.AttemptTimeout > 0 && callerDeadline.Before(r.deadline) {
 		r.deadline = callerDeadline
 	}
@@ -83,7 +89,7 @@
 	return r
 }
 
-// fingerprintOf tells requests under one key apart: SHA-256 of the class's name and the content.
+// fingerprintOf distinguishes requests under one key: SHA-256 of the class's name and the content.
 func fingerprintOf(class string, q *Request) [sha256.Size]byte {
 	h := sha256.New()
 	_, _ = fmt.Fprintln(h, class)
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -20,14 +20,14 @@
 	NoFailover       bool          // StatusRejected: no other node would accept it either
 	DeadlineExceeded bool          // StatusFailed: its deadline has come
 	KeyReused        bool          // StatusFailed: its key belongs to a request of another content
-	ResponseStarted  bool          // part of the result is with the caller: only its end is left to tell
+	ResponseStarted  bool          // part of the result is with the caller: only its end is left to report
 }
 
 // respond gives a request its final response. Nothing else does. The rules:
 //
 //   - Only the first response counts.
-//   - A rejection says that the request never ran. It becomes a failure where its key may have run, where a request that is not
-//     idempotent was handed to its runner, and once part of the response is with the caller.
+//   - A rejection says that the request never ran. It becomes a failure where its key may have run, where a request that
+//     is not idempotent was handed to its runner, and once part of the response is with the caller.
 func (n *Node) respond(r *request, a Response) {
 	if r.settled {
 		return
@@ -69,10 +69,10 @@
 	n.unanswered--
 }
 
-// BeginResponse says that the front end is about to pass on the first part of a run's response before the run has ended. It
-// returns false if nothing of it may be passed on: the request is answered or does not run, or its response is to be stored
-// whole for retries of its key. After it the request's final response, which comes by its deadline as ever, says only how the
-// response ends.
+// BeginResponse says that the front end is about to pass on the first part of a run's response before the run has
+// ended. It returns false if nothing of it may be passed on: the request is answered or does not run, or its response
+// is to be stored whole for retries of its key. After it the request's final response, which comes by its deadline as
+// ever, says only how the response ends.
 func (n *Node) BeginResponse(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,8 +84,8 @@
 	return true
 }
 
-// RejectionStatus returns the status with which a front end is to answer a request of the named class and key (empty: none)
-// that it can't submit: StatusFailed if a request of that key may have run, StatusRejected otherwise.
+// RejectionStatus returns the status with which a front end is to answer a request of the named class and key (empty:
+// none) that it can't submit: StatusFailed if a request of that key may have run, StatusRejected otherwise.
 func (n *Node) RejectionStatus(class, key string) Status {
 	if key == "" {
 		return StatusRejected
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// RunEnded reports the end of a run: how it ended, how long it took and its result. The end of a run that is not in flight is
-// ignored.
+// RunEnded reports the end of a run: how it ended, how long it took and its result. The end of a run that is not in
+// flight is ignored.
 func (n *Node) RunEnded(id string, o admission.Outcome, took time.Duration, result []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,7 +114,8 @@
 	n.finishRun(r, o, took, result)
 }
 
-// finishRun reports the end of a request's run to admission, and answers the request and all that were coalesced with it.
+// finishRun reports the end of a request's run to admission, and answers the request and all that were coalesced with
+// it.
 func (n *Node) finishRun(r *request, o admission.Outcome, took time.Duration, result []byte) {
 	n.opts.Admission.Report(admission.RunEnded(r.number, o, took))
 	n.completeRun(r, o, result)
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -7,8 +7,8 @@
 	"sloehitch/logic"
 )
 
-// Submit takes a request that was read. reply gets its one final response, unless Cancel comes first; it is called with the
-// Node's lock held, possibly before Submit returns, and must not block.
+// Submit takes a request that was read. reply gets its one final response, unless Cancel comes first; it is called
+// with the Node's lock held, possibly before Submit returns, and must not block.
 func (n *Node) Submit(q Request, reply func(Response)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,17 +35,19 @@
 	n.reportArrival(r, now)
 }
 
-// rejectUntrackable answers a request that can't be registered: one whose id is in flight already, one beyond the limit on
-// requests, and a keyed one without a key, whose retries could not be told.
+// rejectUntrackable answers a request that can't be registered: one whose id is in flight already, one beyond the
+// limit on requests, and a keyed one without a key, whose retries could not be recognized.
 func (n *Node) rejectUntrackable(r *request) bool {
 	idempotency := n.opts.Settings.Classes[r.Class].Idempotency
 	duplicate := n.byID[r.ID] != nil
+	full := len(n.byNumber) >= n.opts.Limits.MaxInFlight
+	keyMissing := idempotency == logic.IdempotentByKey && r.IdempotencyKey == ""
 	switch {
 	case duplicate && idempotency != logic.Idempotent:
 		// The first request of that id may run: a rejection would promise that it did not.
 		n.trace("request id already in flight", r)
 		n.respond(r, Response{Status: StatusFailed})
-	case duplicate, len(n.byNumber) >= n.opts.Limits.MaxInFlight, idempotency == logic.IdempotentByKey && r.IdempotencyKey == "":
+	case duplicate, full, keyMissing:
 		n.respond(r, Response{Status: StatusRejected})
 	default:
 		return false
@@ -53,14 +55,22 @@
 	return true
 }
 
-// reportArrival tells admission of a request, as of one that was read just now.
+// reportArrival reports a request to admission, as of one that was read just now.
 func (n *Node) reportArrival(r *request, now time.Time) {
 	n.lastNumber++
 	r.number, r.stage, r.reportedAt = n.lastNumber, stageQueued, now
 	n.byNumber[r.number] = r
-	a := admission.Arrival{Class: r.Class, Tenant: r.Tenant, MemoryKB: r.MemoryKB, WorkHint: logic.Micros(r.WorkHint / time.Microsecond),
-		Age: logic.Micros(now.Sub(r.ArrivedAt) / time.Microsecond), AttemptTimeout: r.remainingTimeout(now), Retry: r.Retry,
-		PriorityRank: r.PriorityRank, CallerID: r.CallerID}
+	a := admission.Arrival{
+		Class:          r.Class,
+		Tenant:         r.Tenant,
+		MemoryKB:       r.MemoryKB,
+		WorkHint:       logic.Micros(r.WorkHint / time.Microsecond),
+		Age:            logic.Micros(now.Sub(r.ArrivedAt) / time.Microsecond),
+		AttemptTimeout: r.remainingTimeout(now),
+		Retry:          r.Retry,
+		PriorityRank:   r.PriorityRank,
+		CallerID:       r.CallerID,
+	}
 	if r.IdempotencyKey != "" {
 		if original := n.keys.original(r); original != nil {
 			a.OriginalID = logic.RequestID(original.number)
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -7,7 +7,7 @@
 	"sloehitch/internal/admission"
 )
 
-// tracingEnabled says whether the log takes each step of each request: it does at level debug.
+// tracingEnabled reports whether the log takes each step of each request: it does at level debug.
 func tracingEnabled(log *slog.Logger) bool {
 	return log != nil && log.Enabled(context.Background(), slog.LevelDebug)
 }
@@ -17,7 +17,8 @@
 	if !n.tracing {
 		return
 	}
-	n.opts.Log.Debug(step, append([]any{"request", r.ID, "key", r.IdempotencyKey, "number", r.number, "stage", r.stage}, more...)...)
+	attributes := []any{"request", r.ID, "key", r.IdempotencyKey, "number", r.number, "stage", r.stage}
+	n.opts.Log.Debug(step, append(attributes, more...)...)
 }
 
 // traceUnknown logs the report of a run that is not in flight.
--- a/internal/node/unconfirmed.go
+++ b/internal/node/unconfirmed.go
@@ -5,10 +5,10 @@
 	"sloehitch/logic"
 )
 
-// DeliveryUnconfirmed reports that a command to a run may not have reached its runner: the start, or, where call is not 0, the
-// reply to the call of that notice. Neither is sent again, as the run may be on, or over with the report of its end on the way.
-// A run continues without its call where the class allows that: a skip names its call and affects no other. What else comes of
-// the run is waited for until the request's deadline.
+// DeliveryUnconfirmed reports that a command to a run may not have reached its runner: the start, or, where call is
+// not 0, the reply to the call of that notice. Neither is sent again, as the run may be on, or over with the report
+// of its end on the way. A run continues without its call where the class allows that: a skip names its call and
+// affects no other. What else comes of the run is waited for until the request's deadline.
 func (n *Node) DeliveryUnconfirmed(id string, call uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -24,8 +24,8 @@
 	r.unconfirmed = true
 }
 
-// abandonRun ends an unconfirmed run once its request is answered: admission would count it as running for ever. Its key stays
-// claimed, since it may have run. Admission hears of no failure, as nothing is known of one.
+// abandonRun ends an unconfirmed run once its request is answered: admission would count it as running for ever. Its
+// key stays claimed, since it may have run. Admission hears of no failure, as nothing is known of one.
 func (n *Node) abandonRun(r *request) {
 	if !r.unconfirmed || !r.settled || r.stage != stageRunning {
 		return
