--- a/internal/admission/loop.go
+++ b/internal/admission/loop.go
@@ -109,21 +109,18 @@
 	}
 	// The module's clock never goes back, whatever is done to the system's.
 	c.lastStepAt = max(c.lastStepAt, logic.Micros(c.opts.Clock.Now().UnixMicro()))
-	c.handOut(c.decide(c.server.Step(c.lastStepAt, events)))
+	c.handOut(c.server.Step(c.lastStepAt, events))
 }
 
-// decide carries out the actions that concern the server, and returns those that concern requests as decisions.
-func (c *Controller) decide(actions []logic.Action) (decisions []Decision) {
+// handOut carries out the actions that concern the server, and passes those that concern requests on to Next or
+// OnDecision.
+func (c *Controller) handOut(actions []logic.Action) {
+	var decisions []Decision
 	for _, a := range actions {
 		if d, ok := c.decisionOf(a); ok {
 			decisions = append(decisions, d)
 		}
 	}
-	return decisions
-}
-
-// handOut passes decisions on to Next or OnDecision.
-func (c *Controller) handOut(decisions []Decision) {
 	if c.opts.OnDecision != nil {
 		for _, d := range decisions {
 			c.opts.OnDecision(d)
--- a/internal/idempotency/keystore/claim.go
+++ b/internal/idempotency/keystore/claim.go
@@ -162,27 +162,31 @@
 	}
 }
 
-// appendWrites writes the records that may be written, and returns the result of each. The caller holds both locks
-// and has read all that others wrote.
+// appendWrites writes the records that may be written, and returns the result of each. The caller holds both locks and
+// has read all that others wrote.
 func (s *Store) appendWrites(writes []pendingWrite) []error {
 	results := make([]error, len(writes))
 	now := s.opts.Now()
-	admitted := s.admitWrites(writes, results, now)
-	if len(admitted) == 0 {
+	if s.admitWrites(writes, results, now) == 0 {
 		return results
 	}
 	seg, err := s.writableSegment(now)
-	written, ends := 0, make([]int, len(admitted))
+	written, ends := 0, make([]int, len(writes))
 	if err == nil {
 		var text []byte
-		for n, i := range admitted {
-			text = seg.salt.AppendRecord(text, writes[i].record)
-			ends[n] = len(text)
+		for i := range writes {
+			if results[i] == nil {
+				text = seg.salt.AppendRecord(text, writes[i].record)
+				ends[i] = len(text)
+			}
 		}
 		written, err = seg.append(text)
 	}
-	for n, i := range admitted {
-		if r := &writes[i].record; seg != nil && ends[n] <= written {
+	for i := range writes {
+		if results[i] != nil {
+			continue
+		}
+		if r := &writes[i].record; seg != nil && ends[i] <= written {
 			seg.expiresAt = max(seg.expiresAt, r.ExpiresAt)
 		} else {
 			results[i] = err
@@ -195,9 +199,9 @@
 	return results
 }
 
-// admitWrites decides which records are written: it numbers those, returns their indexes, and sets the results of the
-// others.
-func (s *Store) admitWrites(writes []pendingWrite, results []error, now time.Time) (admitted []int) {
+// admitWrites decides which records are written. It numbers those, sets the results of the others, and returns the number
+// of those that are written.
+func (s *Store) admitWrites(writes []pendingWrite, results []error, now time.Time) (admitted int) {
 	seq, bytes := s.table.LastSeq(), s.totalBytes()
 	for i := range writes {
 		r := &writes[i].record
@@ -210,7 +214,7 @@
 		seq++
 		r.Seq = seq
 		bytes += int64(len(r.Result)) + recordOverhead
-		admitted = append(admitted, i)
+		admitted++
 		s.setRunning(r, r.Kind == format.KindStarted) // at once: the next record may be of the same key
 		s.longestRetention = max(s.longestRetention, time.Duration(r.ExpiresAt-now.UnixNano()))
 	}
