--- a/internal/backend/catalogue/call.go
+++ b/internal/backend/catalogue/call.go
@@ -7,8 +7,8 @@
 	"sloehitch/logic"
 )
 
-// ReplyFunc gets how a call ended, how long it took and the reply's body. Only OutcomeRejected, OutcomeUnreachable and OutcomeNotStarted prove
-// that it never ran.
+// ReplyFunc gets how a call ended, how long it took and the reply's body. Only OutcomeRejected,
+// OutcomeUnreachable and OutcomeNotStarted prove that it never ran.
 type ReplyFunc = func(o admission.Outcome, took time.Duration, reply []byte)
 
 // call is one call in flight. The client's mutex guards it.
@@ -24,8 +24,8 @@
 
 func (k *call) finish(o admission.Outcome, reply []byte) { k.done(o, time.Since(k.startedAt), reply) }
 
-// The rule for a call that gets no reply: one that was never handed to a socket is known not to have run. Of any other nothing is known: the
-// catalogue may have read it, and a connection that breaks does not tell.
+// The rule for a call that gets no reply: one that was never handed to a socket is known not to have run. Of
+// any other nothing is known: the catalogue may have read it, and a connection that breaks does not tell.
 
 // finishTimedOut ends a call that got no reply in its time.
 func (k *call) finishTimedOut() { k.finishUnanswered(logic.OutcomeTimedOut) }
--- a/internal/backend/catalogue/client.go
+++ b/internal/backend/catalogue/client.go
@@ -10,7 +10,8 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Client makes calls. Its methods may be called from any goroutine and do not block; a call's ReplyFunc is called once, without the client's lock.
+// Client makes calls. Its methods may be called from any goroutine and do not block; a call's ReplyFunc is
+// called once, without the client's lock.
 type Client struct {
 	limits limits.Limits
 	log    *lograte.Logger
@@ -35,8 +36,9 @@
 	c.closeIdle()
 }
 
-// Call makes a call for a request; an earlier one for it is canceled and never reported. once says that it must not be made again if it
-// may have run. It waits for the reply for the timeout and limits.CallTimeoutSlack: the catalogue answers within the timeout where it can.
+// Call makes a call for a request; an earlier one for it is canceled and never reported. once says that it
+// must not be made again if it may have run. It waits for the reply for the timeout and
+// limits.CallTimeoutSlack: the catalogue answers within the timeout where it can.
 func (c *Client) Call(id string, timeout time.Duration, body []byte, once bool, done ReplyFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// catalogueServer stands in for the catalogue: it writes what reply returns for a call, and closes the connection on "break".
+// catalogueServer stands in for the catalogue: it writes what reply returns for a call, and closes the
+// connection on "break".
 func catalogueServer(t *testing.T, reply func(id, body string) string) string {
 	ln := standin.Listen(t)
 	go func() {
@@ -238,7 +239,8 @@
 	}
 }
 
-// TestSetAddress: calls in flight end where they were made, and new ones go to the new address, however many there are.
+// TestSetAddress: calls in flight end where they were made, and new ones go to the new address, however many
+// there are.
 func TestSetAddress(t *testing.T) {
 	hold := make(chan struct{})
 	var addresses [2]string
@@ -270,8 +272,8 @@
 	}
 }
 
-// TestSetAddressWithPartialReply: a reply that was half read as the address changed is read to its end; of a call whose connection breaks then it is not known
-// whether it ran.
+// TestSetAddressWithPartialReply: a reply that was half read as the address changed is read to its end; of a
+// call whose connection breaks then it is not known whether it ran.
 func TestSetAddressWithPartialReply(t *testing.T) {
 	old, next := standin.Listen(t), standin.Listen(t)
 	client := New(old.Addr().String(), limits.For(64, 256), standin.Quiet)
@@ -330,7 +332,8 @@
 	}
 }
 
-// TestCancelRacesReply: a call is canceled as its reply comes. Whichever is first, a reply never reaches the request's next call.
+// TestCancelRacesReply: a call is canceled as its reply comes. Whichever is first, a reply never reaches the
+// request's next call.
 func TestCancelRacesReply(t *testing.T) {
 	ln := standin.Listen(t)
 	client := New(ln.Addr().String(), limits.For(64, 256), standin.Quiet)
--- a/internal/backend/catalogue/conn.go
+++ b/internal/backend/catalogue/conn.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// takeBatch returns what is queued, and marks its calls as sent; nil if nothing is, or the connection is closed.
+// takeBatch returns what is queued, and marks its calls as sent; nil if nothing is, or the connection is
+// closed.
 func (p *proxyConn) takeBatch() []byte {
 	p.client.mu.Lock()
 	defer p.client.mu.Unlock()
@@ -108,7 +109,8 @@
 	return batch
 }
 
-// readLoop takes replies until the connection ends or a malformed reply comes, after which nothing on it can be told apart.
+// readLoop takes replies until the connection ends or a malformed reply comes, after which nothing on it can
+// be told apart.
 func (p *proxyConn) readLoop(socket net.Conn) {
 	in := bufio.NewReaderSize(socket, 4<<10)
 	var err error
@@ -127,8 +129,9 @@
 	failCalls(lost)
 }
 
-// handleReply reads one reply and ends its call. Once begun, a reply must be complete within limits.ReplyTimeout. One for a call that is not in
-// flight here is dropped: it is a second copy, or its call was canceled.
+// handleReply reads one reply and ends its call. Once begun, a reply must be complete within
+// limits.ReplyTimeout. One for a call that is not in flight here is dropped: it is a second copy, or its call
+// was canceled.
 func (p *proxyConn) handleReply(socket net.Conn, in *bufio.Reader) error {
 	if err := socket.SetReadDeadline(time.Time{}); err != nil {
 		return err
--- a/internal/backend/catalogue/pool.go
+++ b/internal/backend/catalogue/pool.go
@@ -5,11 +5,14 @@
 	"time"
 )
 
-// The connection rule: a call goes on a connection of its own, the idle one opened last or a new one, while fewer than limits.CatalogueConnections are open, so that
-// a stuck or malformed reply costs one call; beyond that it shares the connection with the fewest calls in flight.
+// The connection rule: a call goes on a connection of its own, the idle one opened last or a new one, while
+// fewer than limits.CatalogueConnections are open, so that a stuck or malformed reply costs one call; beyond
+// that it shares the connection with the fewest calls in flight.
 //
-//   - A call that must not be made twice never goes on an idle connection: that may be dead, and its reset would not tell whether the call ran.
-//   - A connection whose last call was for the same request is left out, as it may still bring a second copy of that call's reply.
+//   - A call that must not be made twice never goes on an idle connection: that may be dead, and its reset
+//     would not tell whether the call ran.
+//   - A connection whose last call was for the same request is left out, as it may still bring a second copy
+//     of that call's reply.
 //   - Idle connections are closed after limits.CatalogueIdleTimeout, before the catalogue does it.
 
 // pickConn returns the connection for a request's call; the caller holds mu.
@@ -53,8 +56,8 @@
 	}
 }
 
-// closeIdle closes connections that have been idle for limits.CatalogueIdleTimeout, and idle ones to a former address. It looks again as long as there are
-// idle ones; the caller holds mu.
+// closeIdle closes connections that have been idle for limits.CatalogueIdleTimeout, and idle ones to a former
+// address. It looks again as long as there are idle ones; the caller holds mu.
 func (c *Client) closeIdle() {
 	idle := false
 	for i := 0; i < len(c.conns); i++ {
@@ -78,7 +81,8 @@
 	})
 }
 
-// closeConn closes a connection and returns the calls that were in flight on it; the caller holds mu, and ends them without it.
+// closeConn closes a connection and returns the calls that were in flight on it; the caller holds mu, and
+// ends them without it.
 func (c *Client) closeConn(p *proxyConn) (lost []*call) {
 	if i := slices.Index(c.conns, p); i >= 0 {
 		c.conns = slices.Delete(c.conns, i, i+1)
--- a/internal/backend/catalogue/wire.go
+++ b/internal/backend/catalogue/wire.go
@@ -13,7 +13,8 @@
 	"sloehitch/logic"
 )
 
-// The catalogue's protocol: lines that end in CR LF, and bodies of a length that their line names. Nothing outside this file knows its words.
+// The catalogue's protocol: lines that end in CR LF, and bodies of a length that their line names. Nothing
+// outside this file knows its words.
 
 // encodeCall encodes a call for a request: its id, how long its caller waits in milliseconds, and the body.
 func encodeCall(id string, timeout time.Duration, body []byte) []byte {
@@ -42,7 +43,8 @@
 // errBody is a reply's body that does not end where its line says.
 var errBody = errors.New("the reply's body does not end in CR LF")
 
-// readReply reads one reply with its body, which may have maxBody bytes. After an error nothing more on the connection can be told apart.
+// readReply reads one reply with its body, which may have maxBody bytes. After an error nothing more on the
+// connection can be told apart.
 func readReply(in *bufio.Reader, maxBody int) (reply, error) {
 	line, err := in.ReadSlice('\n') // a line that does not end fills the buffer, which is an error
 	if err != nil {
--- a/internal/backend/directory/reporter.go
+++ b/internal/backend/directory/reporter.go
@@ -1,4 +1,5 @@
-// Package directory sends this node's load reports to the directory, the endpoint list from which balancers learn of nodes.
+// Package directory sends this node's load reports to the directory, the endpoint list from which balancers
+// learn of nodes.
 package directory
 
 import (
@@ -10,7 +11,8 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Reporter sends a node's name and state each period. Its methods may be called from any goroutine; Run is to be called once.
+// Reporter sends a node's name and state each period. Its methods may be called from any goroutine; Run is to
+// be called once.
 type Reporter struct {
 	name    string
 	period  time.Duration
@@ -22,9 +24,11 @@
 	closed  bool
 }
 
-// New returns a reporter for the node of that name to the directory at the address. With an empty address it sends nothing until SetAddress.
+// New returns a reporter for the node of that name to the directory at the address. With an empty address it
+// sends nothing until SetAddress.
 func New(name, address string, l limits.Limits, log *slog.Logger) *Reporter {
-	return &Reporter{name: name, address: address, period: l.ReportInterval, log: lograte.New(log, l.LogInterval), changed: make(chan struct{}, 1)}
+	return &Reporter{name: name, address: address, period: l.ReportInterval, log: lograte.New(log, l.LogInterval),
+		changed: make(chan struct{}, 1)}
 }
 
 // SetClosed reports the node as closed from now on, or as open again. It does not block.
@@ -50,8 +54,9 @@
 	return r.address, encodeReport(r.name, r.closed)
 }
 
-// Run sends a report at once, one each period and one at each change until stop is closed. Reports are not acknowledged, and one that can't be
-// sent is not repeated: the directory may be down, and the next report follows within a period.
+// Run sends a report at once, one each period and one at each change until stop is closed. Reports are not
+// acknowledged, and one that can't be sent is not repeated: the directory may be down, and the next report
+// follows within a period.
 func (r *Reporter) Run(stop <-chan struct{}) {
 	s := sender{log: r.log}
 	defer s.close()
--- a/internal/backend/directory/reporter_test.go
+++ b/internal/backend/directory/reporter_test.go
@@ -17,8 +17,8 @@
 	return New("n3", address, lim, standin.Quiet)
 }
 
-// TestReportIntervalToleratesLoss: a node is removed from the endpoint list 3 s after its last report, and a quarter of the reports are lost. Less than one
-// gap in ten million may last that long.
+// TestReportIntervalToleratesLoss: a node is removed from the endpoint list 3 s after its last report, and a
+// quarter of the reports are lost. Less than one gap in ten million may last that long.
 func TestReportIntervalToleratesLoss(t *testing.T) {
 	if lost := math.Pow(0.25, math.Floor(3/limits.For(64, 256).ReportInterval.Seconds())); lost > 1e-7 {
 		t.Errorf("%.2g of the gaps between reports last 3 s", lost)
--- a/internal/backend/directory/sender.go
+++ b/internal/backend/directory/sender.go
@@ -8,7 +8,8 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// sender sends datagrams over a UDP socket that it opens, and replaces when the address changes or the socket fails.
+// sender sends datagrams over a UDP socket that it opens, and replaces when the address changes or the socket
+// fails.
 type sender struct {
 	log     *lograte.Logger
 	address string
@@ -27,8 +28,8 @@
 	if s.conn == nil || write(s.conn, datagram) {
 		return
 	}
-	// A socket that has lost its route to the directory never finds one again. It is kept until it can be replaced: under a shortage of
-	// descriptors it is the only one.
+	// A socket that has lost its route to the directory never finds one again. It is kept until it can be
+	// replaced: under a shortage of descriptors it is the only one.
 	if replacement := s.dial(); replacement != nil {
 		s.close()
 		s.conn = replacement
@@ -52,8 +53,8 @@
 	}
 }
 
-// write sends a datagram and reports whether the socket still works. The first error may be that of an earlier datagram, which the directory's host
-// refused: the second attempt's error is its own.
+// write sends a datagram and reports whether the socket still works. The first error may be that of an
+// earlier datagram, which the directory's host refused: the second attempt's error is its own.
 func write(conn net.Conn, datagram []byte) bool {
 	if _, err := conn.Write(datagram); err == nil {
 		return true
--- a/internal/backend/runtime/commands.go
+++ b/internal/backend/runtime/commands.go
@@ -51,8 +51,8 @@
 	l.runs[id] = r
 }
 
-// Stop pauses a run, or ends one whose request is over. Without a link the command is dropped: the module asks again, and a queue of such commands
-// would grow for as long as the runtime is away.
+// Stop pauses a run, or ends one whose request is over. Without a link the command is dropped: the module
+// asks again, and a queue of such commands would grow for as long as the runtime is away.
 func (l *Link) Stop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +74,8 @@
 	l.sendForCall(id, redelivery.Omission, encodeSkipCall(id, notice))
 }
 
-// RequestGauges asks for the gauges, which Options.OnGauges gets. Without a link nothing is asked, as nothing could answer.
+// RequestGauges asks for the gauges, which Options.OnGauges gets. Without a link nothing is asked, as nothing
+// could answer.
 func (l *Link) RequestGauges() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/link.go
+++ b/internal/backend/runtime/link.go
@@ -1,8 +1,9 @@
 // Package runtime holds the link to the process that does the work of requests.
 //
-// A Link is one connection at a time, made again for good (reconnect.go, keepalive.go). Commands wait in a queue until the runtime is ready; notices are
-// numbered, and a new connection resumes after the last one that was read. What becomes of a command that was written to a connection that broke
-// is decided by package redelivery. wire.go alone knows the protocol.
+// A Link is one connection at a time, made again for good (reconnect.go, keepalive.go). Commands wait in a
+// queue until the runtime is ready; notices are numbered, and a new connection resumes after the last one
+// that was read. What becomes of a command that was written to a connection that broke is decided by package
+// redelivery. wire.go alone knows the protocol.
 package runtime
 
 import (
@@ -23,21 +24,25 @@
 	RunEnded(id string, o admission.Outcome, took time.Duration, result []byte)
 	// CallRequested gets the call that a run waits for, and the number of the notice that asked for it.
 	CallRequested(id string, notice uint64, body []byte)
-	// DeliveryUnconfirmed gets a run whose link broke, and of which nobody can tell whether the runtime read its start or, if call is not 0, the
-	// reply to the call that the notice of that number asked for. Neither is sent again.
+	// DeliveryUnconfirmed gets a run whose link broke, and of which nobody can tell whether the runtime read
+	// its start or, if call is not 0, the reply to the call that the notice of that number asked for. Neither
+	// is sent again.
 	DeliveryUnconfirmed(id string, call uint64)
 }
 
 // Options are what a link needs.
 type Options struct {
 	Address    string
-	GaugeNames []string               // in the order in which the runtime sends the gauges
-	OnGauges   func(admission.Gauges) // called from the link's goroutine with the gauges that RequestGauges asked for; it must not block
-	Limits     limits.Limits
-	Log        *slog.Logger
+	GaugeNames []string // in the order in which the runtime sends the gauges
+	// OnGauges gets the gauges that RequestGauges asked for. It is called from the link's goroutine and must not
+	// block.
+	OnGauges func(admission.Gauges)
+	Limits   limits.Limits
+	Log      *slog.Logger
 }
 
-// Link is the link to the runtime. Its methods may be called from any goroutine and do not block, but for Serve.
+// Link is the link to the runtime. Its methods may be called from any goroutine and do not block, but for
+// Serve.
 type Link struct {
 	opts   Options
 	events Events
@@ -53,7 +58,7 @@
 	generation uint64               // connections made so far
 	conn       net.Conn             // nil between two connections
 	synced     bool                 // the runtime is ready, and commands may be written
-	switching  bool                 // the address has changed: this connection ends once the runtime has read all that was written
+	switching  bool                 // the address has changed: the connection ends once all that was written is read
 	closed     bool
 
 	lastNotice       uint64 // the number of the last notice that was read
@@ -131,8 +136,9 @@
 	l.cleanSwitch = errors.Is(err, errAddressChanged)
 	l.cond.Broadcast()
 	l.mu.Unlock()
-	// What this connection did not take must stand in the queue again before the next one writes: put back later, it would follow what was asked
-	// for after it, and a reply that was sent again meanwhile would be given twice.
+	// What this connection did not take must stand in the queue again before the next one writes: put back
+	// later, it would follow what was asked for after it, and a reply that was sent again meanwhile would be
+	// given twice.
 	_ = conn.Close()
 	<-written
 	return err
@@ -150,8 +156,8 @@
 	return l.lastNotice, nil
 }
 
-// SetAddress takes the link to another address. What is queued from now on goes there; the present connection ends once the runtime has read what
-// was written to it, or after limits.LinkSwitchTimeout.
+// SetAddress takes the link to another address. What is queued from now on goes there; the present connection
+// ends once the runtime has read what was written to it, or after limits.LinkSwitchTimeout.
 func (l *Link) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,7 +198,8 @@
 	return l.address
 }
 
-// endState reports whether the link was closed, and whether its address is another one than that of the connection that ended.
+// endState reports whether the link was closed, and whether its address is another one than that of the
+// connection that ended.
 func (l *Link) endState(address string) (closed, moved bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestResume breaks the connection while runs are on: no notice is lost or handled twice, and nothing runs twice.
+// TestResume breaks the connection while runs are on: no notice is lost or handled twice, and nothing runs
+// twice.
 func TestResume(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-hold; return "OK", j.UID })
@@ -116,8 +117,9 @@
 	}
 }
 
-// TestLostCommands: what was written and not carried out is sent again only if a second delivery does no harm. The start of a request that is not
-// idempotent, and a reply, are reported as unconfirmed instead; skipping the call then takes the run on, once.
+// TestLostCommands: what was written and not carried out is sent again only if a second delivery does no
+// harm. The start of a request that is not idempotent, and a reply, are reported as unconfirmed instead;
+// skipping the call then takes the run on, once.
 func TestLostCommands(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) {
 		return "OK", string(j.Call("one")) + string(j.Call("two"))
@@ -160,8 +162,8 @@
 func unconfirmedStart(id string) unconfirmedCommand              { return unconfirmedCommand{id, 0} }
 func unconfirmedReply(id string, call uint64) unconfirmedCommand { return unconfirmedCommand{id, call} }
 
-// TestRedeliveredCommands: what may arrive twice is sent again on the next connection; what may not is reported as unconfirmed, unless an answer
-// shows that it was read.
+// TestRedeliveredCommands: what may arrive twice is sent again on the next connection; what may not is
+// reported as unconfirmed, unless an answer shows that it was read.
 func TestRedeliveredCommands(t *testing.T) {
 	ask := func(l *Link) { l.synced = true; l.RequestGauges(); l.synced = false }
 	echo := func(l *Link) { l.recordGaugesReceived(gaugesNotice{echo: strconv.FormatUint(l.gaugesRequested, 10)}) }
@@ -225,7 +227,8 @@
 	}
 }
 
-// TestSetAddress: commands in flight when the address changes are carried out once, and notices resume where they were.
+// TestSetAddress: commands in flight when the address changes are carried out once, and notices resume where
+// they were.
 func TestSetAddress(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-hold; return "OK", j.UID })
@@ -262,7 +265,8 @@
 	}
 }
 
-// TestMessagesFollowTheDescription: each command is valid by the AsyncAPI document, and each notice of that document is handled.
+// TestMessagesFollowTheDescription: each command is valid by the AsyncAPI document, and each notice of that
+// document is handled.
 func TestMessagesFollowTheDescription(t *testing.T) {
 	messages, err := apispec.Messages(apispec.Platform)
 	if err != nil {
@@ -323,8 +327,8 @@
 	}
 }
 
-// TestLostNotices: where the runtime no longer has all notices, a run that was asked for before the break and has no later notice counts as failed, since its
-// end may be among them; it is not started again.
+// TestLostNotices: where the runtime no longer has all notices, a run that was asked for before the break and
+// has no later notice counts as failed, since its end may be among them; it is not started again.
 func TestLostNotices(t *testing.T) {
 	resume := func(first uint64, once bool) (ended []end, queued int) {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
--- a/internal/backend/runtime/notices.go
+++ b/internal/backend/runtime/notices.go
@@ -48,8 +48,8 @@
 	return true
 }
 
-// handleReady opens the link for commands. On a resumed link a request for gauges goes first: once its echo is back, all notices from before have
-// been read.
+// handleReady opens the link for commands. On a resumed link a request for gauges goes first: once its echo
+// is back, all notices from before have been read.
 func (l *Link) handleReady(m readyNotice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/reader.go
+++ b/internal/backend/runtime/reader.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// readNotices takes notices until the connection ends, is broken by the keepalive rule, or has brought a notice that can't be read.
+// readNotices takes notices until the connection ends, is broken by the keepalive rule, or has brought a
+// notice that can't be read.
 func (l *Link) readNotices(conn net.Conn) error {
 	r := noticeReader{link: l, conn: conn, in: bufio.NewReaderSize(conn, 8<<10),
 		keepalive: keepalive{readyTimeout: l.opts.Limits.RuntimeReadyTimeout, silenceTimeout: l.opts.Limits.RuntimeSilence}}
@@ -34,8 +35,8 @@
 	keepalive keepalive
 }
 
-// readLine returns the next line, which holds until the next call. It returns errNoticeTooLong for one longer than limits.NoticeBytes, after which
-// reading can go on.
+// readLine returns the next line, which holds until the next call. It returns errNoticeTooLong for one longer
+// than limits.NoticeBytes, after which reading can go on.
 func (r *noticeReader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	tooLong := false
@@ -75,8 +76,9 @@
 	return l.synced || l.switching
 }
 
-// skipUnreadable reports whether a notice that can't be read is left out. The first time it is not: the connection ends, and the notice is asked for
-// again on another one, since it may have been damaged on the way. If it comes so again, no connection would ever get past it.
+// skipUnreadable reports whether a notice that can't be read is left out. The first time it is not: the
+// connection ends, and the notice is asked for again on another one, since it may have been damaged on the
+// way. If it comes so again, no connection would ever get past it.
 func (l *Link) skipUnreadable(err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/reconnect.go
+++ b/internal/backend/runtime/reconnect.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// The reconnection rule: how long the next attempt to connect waits after a connection ended or could not be made.
+// The reconnection rule: how long the next attempt to connect waits after a connection ended or could not be
+// made.
 //
-//   - limits.MinBackoff after the first, then twice as long after each, up to limits.MaxBackoff: the runtime may start long after the node, and
-//     is needed at once when it is up;
+//   - limits.MinBackoff after the first, then twice as long after each, up to limits.MaxBackoff: the runtime
+//     may start long after the node, and is needed at once when it is up;
 //   - limits.MinBackoff again after an attempt that lasted longer than limits.MaxBackoff, as the link was up;
 //   - not at all after a change of the address, which also ends a wait.
 
@@ -15,8 +16,8 @@
 	next         time.Duration
 }
 
-// delay returns how long to wait after an attempt that lasted so long. After a change of the address it returns the initial delay, and nothing is to be
-// waited for.
+// delay returns how long to wait after an attempt that lasted so long. After a change of the address it
+// returns the initial delay, and nothing is to be waited for.
 func (b *backoff) delay(lasted time.Duration, addressChanged bool) time.Duration {
 	if lasted > b.max || addressChanged {
 		b.next = b.initial
--- a/internal/backend/runtime/reconnect_test.go
+++ b/internal/backend/runtime/reconnect_test.go
@@ -101,8 +101,9 @@
 	}
 }
 
-// TestReplyWhileDisconnectedIsSentOnce: a reply that comes between two connections goes out with the next. Sent twice, it would meet the run's next
-// call. Of what the broken connection had taken, only the start of an idempotent request is sent again.
+// TestReplyWhileDisconnectedIsSentOnce: a reply that comes between two connections goes out with the next.
+// Sent twice, it would meet the run's next call. Of what the broken connection had taken, only the start of
+// an idempotent request is sent again.
 func TestReplyWhileDisconnectedIsSentOnce(t *testing.T) {
 	l, e, ln := serveScripted(t, nil)
 	p, _ := nextPeer(t, ln)
@@ -138,8 +139,9 @@
 	}
 }
 
-// TestBlockedWriterAsLinkBreaks: what was not written goes first on the next connection, and each start comes there once. Starts of requests that
-// are not idempotent come there or are reported as unconfirmed, and none is both.
+// TestBlockedWriterAsLinkBreaks: what was not written goes first on the next connection, and each start comes
+// there once. Starts of requests that are not idempotent come there or are reported as unconfirmed, and none
+// is both.
 func TestBlockedWriterAsLinkBreaks(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		t.Run(fmt.Sprint("once=", once), func(t *testing.T) { testBlockedWriter(t, once) })
@@ -188,8 +190,8 @@
 	}
 }
 
-// TestSilentLinkIsReconnected: a ready runtime that answers nothing is reconnected to, and one that never gets ready. A connection on which only keepalive requests
-// are answered stays.
+// TestSilentLinkIsReconnected: a ready runtime that answers nothing is reconnected to, and one that never
+// gets ready. A connection on which only keepalive requests are answered stays.
 func TestSilentLinkIsReconnected(t *testing.T) {
 	l, _, ln := serveScripted(t, func(lim *limits.Limits) {
 		lim.RuntimeSilence, lim.RuntimeReadyTimeout = 20*time.Millisecond, 30*time.Millisecond
@@ -252,7 +254,8 @@
 	}
 }
 
-// TestUnreadableNoticeIsSkipped: a notice that can't be decoded is asked for again once, then skipped; those behind it are read.
+// TestUnreadableNoticeIsSkipped: a notice that can't be decoded is asked for again once, then skipped; those
+// behind it are read.
 func TestUnreadableNoticeIsSkipped(t *testing.T) {
 	for _, malformed := range []string{`{"action":"end","pos":2,`, `{"action":"wants","pos":2,"uid":"a","content":"%"}`, strings.Repeat("x", 200<<10)} {
 		l, e, ln := serveScripted(t, nil)
@@ -283,8 +286,9 @@
 	}
 }
 
-// TestReplyIsNotRedelivered: the run may be past the call that a reply answers, and would take it for the reply to its next one. That the notice of
-// the next call has not been read yet proves nothing: it may be on its way.
+// TestReplyIsNotRedelivered: the run may be past the call that a reply answers, and would take it for the
+// reply to its next one. That the notice of the next call has not been read yet proves nothing: it may be on
+// its way.
 func TestReplyIsNotRedelivered(t *testing.T) {
 	l, e, ln := serveScripted(t, nil)
 	p, _ := nextPeer(t, ln)
--- a/internal/backend/runtime/redelivery/redelivery.go
+++ b/internal/backend/runtime/redelivery/redelivery.go
@@ -1,9 +1,10 @@
-// Package redelivery decides what becomes of a command to the runtime that was written to a link which has broken since, if no notice of its run has come. It
-// has no I/O and no clock.
+// Package redelivery decides what becomes of a command to the runtime that was written to a link which has
+// broken since, if no notice of its run has come. It has no I/O and no clock.
 //
-// The link has no acknowledgements: that no notice of a run has been read proves nothing. The command may be lost, its run may be on, or the notice of its
-// end may be on its way, however the link was resumed. A command is therefore delivered again only if a second delivery does no harm; what else may
-// have arrived is left as it is, and its request is answered by its deadline.
+// The link has no acknowledgements: that no notice of a run has been read proves nothing. The command may be
+// lost, its run may be on, or the notice of its end may be on its way, however the link was resumed. A
+// command is therefore delivered again only if a second delivery does no harm; what else may have arrived is
+// left as it is, and its request is answered by its deadline.
 //
 //	notices lost since                        abandon
 //	omission                                  redeliver
@@ -16,7 +17,8 @@
 
 // The kinds of commands that a run waits for.
 const (
-	// Start asks for a run. The runtime ignores it while the run is on, and runs it again once that is over: it remembers nothing.
+	// Start asks for a run. The runtime ignores it while the run is on, and runs it again once that is over:
+	// it remembers nothing.
 	Start Kind = iota
 	// Reply answers a call. It does not name the call: delivered again, it may meet the run's next one.
 	Reply
@@ -29,7 +31,8 @@
 	Kind Kind
 	// Idempotent says that its request may run more than once.
 	Idempotent bool
-	// NoticesLost says that the runtime no longer had all notices since then: the end of the run may be among them.
+	// NoticesLost says that the runtime no longer had all notices since then: the end of the run may be among
+	// them.
 	NoticesLost bool
 }
 
@@ -43,7 +46,8 @@
 	Abandon                 // no notice may ever come: its run has failed, and must not start again
 )
 
-// Decide returns what becomes of a command once all notices that the runtime had when the link was resumed have been read.
+// Decide returns what becomes of a command once all notices that the runtime had when the link was resumed
+// have been read.
 func Decide(c Command) Action {
 	switch {
 	case c.NoticesLost:
--- a/internal/backend/runtime/resume.go
+++ b/internal/backend/runtime/resume.go
@@ -19,9 +19,10 @@
 	callNotice uint64 // the notice of the call that was answered; 0: the command is the start
 }
 
-// decideRedelivery decides, once for each connection, about the commands that earlier ones may have lost. It is called when all notices that the
-// runtime had as the link was resumed have been read. More may be on their way, so that no notice of a run does not mean that nothing
-// happened: only what may safely arrive twice is sent again (package redelivery).
+// decideRedelivery decides, once for each connection, about the commands that earlier ones may have lost. It
+// is called when all notices that the runtime had as the link was resumed have been read. More may be on
+// their way, so that no notice of a run does not mean that nothing happened: only what may safely arrive
+// twice is sent again (package redelivery).
 func (l *Link) decideRedelivery() (r resumeOutcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/runs.go
+++ b/internal/backend/runtime/runs.go
@@ -44,7 +44,8 @@
 // maxLoggedRuns bounds how many runs a log line names.
 const maxLoggedRuns = 8
 
-// unacknowledgedRuns names runs whose last command was handed to a connection, and of which no notice has come since.
+// unacknowledgedRuns names runs whose last command was handed to a connection, and of which no notice has
+// come since.
 func (l *Link) unacknowledgedRuns() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/wire.go
+++ b/internal/backend/runtime/wire.go
@@ -12,11 +12,12 @@
 	"sloehitch/logic"
 )
 
-// The runtime's protocol: JSON objects, one a line; commands go to the runtime, notices come from it. Nothing outside this file knows its field names and
-// words.
+// The runtime's protocol: JSON objects, one a line; commands go to the runtime, notices come from it. Nothing
+// outside this file knows its field names and words.
 
-// Echoes are the words that come back with the gauges that a command asked for: all commands before it have been read then, and all notices that
-// the runtime had by then have come. Gauges for the module have a number as their echo.
+// Echoes are the words that come back with the gauges that a command asked for: all commands before it have
+// been read then, and all notices that the runtime had by then have come. Gauges for the module have a number
+// as their echo.
 const (
 	echoResumed   = "resumed" // the link is resumed
 	echoHandover  = "moved"   // the link may end: the address has changed
@@ -163,8 +164,8 @@
 var endOutcomes = map[string]admission.Outcome{"OK": logic.OutcomeOK, "ERROR": logic.OutcomeFailed, "STOPPED": logic.OutcomeCanceled,
 	"MOOT": logic.OutcomeNotStarted}
 
-// runEnded returns the message, and an error if its end is not known or its result can't be decoded or is longer than maxResult bytes; the run
-// counts as failed then.
+// runEnded returns the message, and an error if its end is not known or its result can't be decoded or is
+// longer than maxResult bytes; the run counts as failed then.
 func (n *notice) runEnded(maxResult int) (runEndedNotice, error) {
 	f := &n.fields
 	m := runEndedNotice{id: f.UID, took: time.Duration(f.WallMS * float64(time.Millisecond))}
@@ -212,7 +213,8 @@
 	return number, err == nil
 }
 
-// decode maps the values to gauges by the names in the order of the configuration. A gauge that is missing or no number is -1.
+// decode maps the values to gauges by the names in the order of the configuration. A gauge that is missing or
+// no number is -1.
 func (m gaugesNotice) decode(names []string) admission.Gauges {
 	g := admission.Gauges{CPUUtilization: -1, RunQueueLength: -1, MemoryUtilization: -1, Connections: -1}
 	for i, name := range names[:min(len(names), len(m.values))] {
--- a/internal/backend/runtime/writer.go
+++ b/internal/backend/runtime/writer.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// waitForCommands blocks until there are commands for the connection, and takes them off the queue; it returns nil if the connection is over.
+// waitForCommands blocks until there are commands for the connection, and takes them off the queue; it
+// returns nil if the connection is over.
 func (l *Link) waitForCommands(conn net.Conn) []queuedCommand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +51,8 @@
 	return commands
 }
 
-// takeQueue takes all that is queued for the current connection; the caller holds mu, and writes it or puts it back.
+// takeQueue takes all that is queued for the current connection; the caller holds mu, and writes it or puts
+// it back.
 func (l *Link) takeQueue() []queuedCommand {
 	commands := l.queue
 	l.queue = nil
@@ -62,8 +64,9 @@
 	return commands
 }
 
-// requeueUnwritten queues again what a connection that broke after n bytes can't have taken: the lines of which some of the object was not written.
-// The others may have been carried out, also one that lacks only its newline: the end of a stream ends a line too.
+// requeueUnwritten queues again what a connection that broke after n bytes can't have taken: the lines of
+// which some of the object was not written. The others may have been carried out, also one that lacks only
+// its newline: the end of a stream ends a line too.
 func (l *Link) requeueUnwritten(commands []queuedCommand, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +81,8 @@
 			}
 		}
 		l.queue = append(slices.Clone(unwritten), l.queue...)
-		l.opts.Log.Info("commands not written completely are sent on the next link", "link", l.generation, "commands", len(unwritten), "first_missing_bytes", -n)
+		l.opts.Log.Info("commands not written completely are sent on the next link", "link", l.generation,
+			"commands", len(unwritten), "first_missing_bytes", -n)
 		return
 	}
 }
--- a/internal/frontend/connlimit/eviction.go
+++ b/internal/frontend/connlimit/eviction.go
@@ -4,17 +4,17 @@
 
 // The eviction rule: which connection gives its slot to a new one when all slots are held.
 //
-// Inputs: each connection's state, the time since it entered the state or was last used, newcomerGrace and idleGrace, and the number of slots
-// reserved for new connections. The first of these that there is:
+// Inputs: each connection's state, the time since it entered the state or was last used, newcomerGrace and
+// idleGrace, and the number of slots reserved for new connections. The first of these that there is:
 //
-//  1. an idle connection whose grace is over, if the longest silent new connection is still in its grace and fewer than reservedForNew
-//     connections are new, or if none is new: those after one message first (as a rule health checks, which are done), then the least
-//     recently used;
+//  1. an idle connection whose grace is over, if the longest silent new connection is still in its grace and
+//     fewer than reservedForNew connections are new, or if none is new: those after one message first (as a
+//     rule health checks, which are done), then the least recently used;
 //  2. the longest silent new connection, as soon as its grace is over;
 //  3. the idle connection whose grace is over first, then.
 //
-// Active connections are never evicted: an answer is owed on them. Without the bound on new connections a crowd of silent ones would keep
-// everybody else waiting for one grace after another.
+// Active connections are never evicted: an answer is owed on them. Without the bound on new connections a
+// crowd of silent ones would keep everybody else waiting for one grace after another.
 
 // newSlotsDivisor is the part of the slots that is reserved for new connections: one in so many.
 const newSlotsDivisor = 8
@@ -22,7 +22,8 @@
 // reservedSlots returns how many of the slots are reserved for new connections.
 func reservedSlots(capacity int) int { return max(1, capacity/newSlotsDivisor) }
 
-// evictionCandidate returns the connection to evict and how long to wait until it may be; nil if all are active. The caller holds mu.
+// evictionCandidate returns the connection to evict and how long to wait until it may be; nil if all are
+// active. The caller holds mu.
 func (l *Limiter) evictionCandidate() (candidate *Slot, wait time.Duration) {
 	now := time.Now()
 	c := l.candidates(now)
--- a/internal/frontend/connlimit/limiter.go
+++ b/internal/frontend/connlimit/limiter.go
@@ -1,5 +1,5 @@
-// Package connlimit bounds the connections of a front. Each connection holds a slot; where all are taken, the eviction rule (eviction.go) says
-// which connection gives its slot to a new one, and when.
+// Package connlimit bounds the connections of a front. Each connection holds a slot; where all are taken, the
+// eviction rule (eviction.go) says which connection gives its slot to a new one, and when.
 package connlimit
 
 import (
@@ -29,7 +29,8 @@
 	held           map[*Slot]struct{}
 }
 
-// Slot is one connection's claim to be open. It is held from a successful acquisition until Release or eviction.
+// Slot is one connection's claim to be open. It is held from a successful acquisition until Release or
+// eviction.
 type Slot struct {
 	limiter *Limiter
 	evict   func()
@@ -37,14 +38,15 @@
 	since   time.Time // when the connection entered its state, or was last used
 }
 
-// New returns a limiter of the given capacity in slots. newcomerGrace and idleGrace are the times for which a connection keeps its slot though it
-// has nothing open (eviction.go).
+// New returns a limiter of the given capacity in slots. newcomerGrace and idleGrace are the times for which a
+// connection keeps its slot though it has nothing open (eviction.go).
 func New(capacity int, newcomerGrace, idleGrace time.Duration) *Limiter {
 	return &Limiter{capacity: capacity, newcomerGrace: newcomerGrace, idleGrace: idleGrace, reservedForNew: reservedSlots(capacity),
 		held: map[*Slot]struct{}{}}
 }
 
-// Resize sets the capacity. Connections that hold slots beyond it keep them; new ones evict others until the capacity is met.
+// Resize sets the capacity. Connections that hold slots beyond it keep them; new ones evict others until the
+// capacity is met.
 func (l *Limiter) Resize(capacity int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,14 +60,15 @@
 	return len(l.held)
 }
 
-// NewSlot returns a slot that is not held yet; SetState returns false on it until it is acquired. evict closes its connection when the slot is
-// given to another one; it is called without the limiter's lock, from the goroutine of the connection that takes the slot.
+// NewSlot returns a slot that is not held yet; SetState returns false on it until it is acquired. evict
+// closes its connection when the slot is given to another one; it is called without the limiter's lock, from
+// the goroutine of the connection that takes the slot.
 func (l *Limiter) NewSlot(evict func()) *Slot {
 	return &Slot{limiter: l, evict: evict, since: time.Now()}
 }
 
-// Acquire returns a held slot, evicting another connection if none is free. It blocks until the eviction rule lets one go, and returns nil at once if
-// all connections are active.
+// Acquire returns a held slot, evicting another connection if none is free. It blocks until the eviction rule
+// lets one go, and returns nil at once if all connections are active.
 func (l *Limiter) Acquire(evict func()) *Slot {
 	s := l.NewSlot(evict)
 	if !s.AcquireWithin(unboundedWait) {
@@ -80,8 +83,8 @@
 // pollInterval is how often a waiting connection looks for a slot that was released early.
 const pollInterval = 5 * time.Millisecond
 
-// AcquireWithin acquires the slot as Limiter.Acquire does, and blocks for the timeout at most. It returns false if no slot can be had in that time, at once
-// if all connections are active.
+// AcquireWithin acquires the slot as Limiter.Acquire does, and blocks for the timeout at most. It returns
+// false if no slot can be had in that time, at once if all connections are active.
 func (s *Slot) AcquireWithin(timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; {
 		acquired, wait, possible := s.tryAcquire()
@@ -95,8 +98,8 @@
 	}
 }
 
-// AcquireWithinGrace acquires the slot as Limiter.Acquire does if one is free, or will be within the grace of new connections; it blocks for
-// that long at most. It returns false at once if it would take longer.
+// AcquireWithinGrace acquires the slot as Limiter.Acquire does if one is free, or will be within the grace of
+// new connections; it blocks for that long at most. It returns false at once if it would take longer.
 func (s *Slot) AcquireWithinGrace() bool {
 	for {
 		acquired, wait, possible := s.tryAcquire()
@@ -110,8 +113,8 @@
 	}
 }
 
-// tryAcquire takes a free slot, or else evicts a connection if one can be evicted now. Otherwise it returns how long it takes until the first can be,
-// if any can.
+// tryAcquire takes a free slot, or else evicts a connection if one can be evicted now. Otherwise it returns
+// how long it takes until the first can be, if any can.
 func (s *Slot) tryAcquire() (acquired bool, wait time.Duration, possible bool) {
 	l := s.limiter
 	l.mu.Lock()
@@ -133,8 +136,8 @@
 	return false, max(0, wait), candidate != nil
 }
 
-// SetState records what the connection is doing from now on. It returns false if the slot is not held, because it was evicted or never acquired: then
-// the latest message on the connection must not be served.
+// SetState records what the connection is doing from now on. It returns false if the slot is not held,
+// because it was evicted or never acquired: then the latest message on the connection must not be served.
 func (s *Slot) SetState(state State) bool {
 	s.limiter.mu.Lock()
 	defer s.limiter.mu.Unlock()
--- a/internal/frontend/connlimit/limiter_test.go
+++ b/internal/frontend/connlimit/limiter_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// TestResize: a smaller capacity evicts no active connection and grants no slot until one is free; a larger one grants it at once.
+// TestResize: a smaller capacity evicts no active connection and grants no slot until one is free; a larger
+// one grants it at once.
 func TestResize(t *testing.T) {
 	limiter := New(3, 10*time.Millisecond, time.Hour)
 	var slots []*Slot
--- a/internal/frontend/gracefulclose/close.go
+++ b/internal/frontend/gracefulclose/close.go
@@ -1,5 +1,6 @@
-// Package gracefulclose closes TCP connections and listeners without a reset. A socket that is closed over unread bytes, or a listener that is
-// closed over connections in its accept queue, resets the connection, and answers that are on their way to the peer are lost with it.
+// Package gracefulclose closes TCP connections and listeners without a reset. A socket that is closed over
+// unread bytes, or a listener that is closed over connections in its accept queue, resets the connection, and
+// answers that are on their way to the peer are lost with it.
 package gracefulclose
 
 import (
@@ -10,16 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// CloseWrite ends a connection's sending side: what was written is delivered, then the peer reads the end of the stream. It does not block, and
-// has no effect on a connection without a half-close.
+// CloseWrite ends a connection's sending side: what was written is delivered, then the peer reads the end of
+// the stream. It does not block, and has no effect on a connection without a half-close.
 func CloseWrite(c net.Conn) {
 	if c, ok := c.(interface{ CloseWrite() error }); ok {
 		_ = c.CloseWrite() // one that is closed already needs no more
 	}
 }
 
-// CloseWriteAndDiscard ends the sending side and discards what the peer still sends. It blocks until the peer has ended its side too, the
-// timeout is over or maxBytes have come. The caller still has to close the connection.
+// CloseWriteAndDiscard ends the sending side and discards what the peer still sends. It blocks until the peer
+// has ended its side too, the timeout is over or maxBytes have come. The caller still has to close the
+// connection.
 func CloseWriteAndDiscard(c net.Conn, timeout time.Duration, maxBytes int) {
 	CloseWrite(c)
 	if c.SetReadDeadline(time.Now().Add(timeout)) != nil {
@@ -36,8 +38,9 @@
 // pollInterval is how often CloseWriteAndWait looks whether the peer has ended its side.
 const pollInterval = 5 * time.Millisecond
 
-// CloseWriteAndWait ends the sending side and blocks until the peer has ended its side too, or the timeout is over. What the peer still sends
-// is left unread: a request that is read is owed an answer, and none can follow. The caller still has to close the connection.
+// CloseWriteAndWait ends the sending side and blocks until the peer has ended its side too, or the timeout is
+// over. What the peer still sends is left unread: a request that is read is owed an answer, and none can
+// follow. The caller still has to close the connection.
 func CloseWriteAndWait(c net.Conn, timeout time.Duration) {
 	CloseWrite(c)
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && !peerClosed(c); {
@@ -45,7 +48,8 @@
 	}
 }
 
-// peerClosed reports whether the peer has ended its side, which can be seen without reading what it sent before.
+// peerClosed reports whether the peer has ended its side, which can be seen without reading what it sent
+// before.
 func peerClosed(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/frontend/gracefulclose/listener.go
+++ b/internal/frontend/gracefulclose/listener.go
@@ -9,9 +9,10 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// HasPendingConnections reports whether connections wait in a listener's accept queue. If none does and shutdown is set, the very next system call
-// shuts the queue, so that no connection can come in between and be reset. It does not block, and returns false for a listener that is closed or
-// has no descriptor of its own.
+// HasPendingConnections reports whether connections wait in a listener's accept queue. If none does and
+// shutdown is set, the very next system call shuts the queue, so that no connection can come in between and
+// be reset. It does not block, and returns false for a listener that is closed or has no descriptor of its
+// own.
 func HasPendingConnections(ln net.Listener, shutdown bool) (pending bool) {
 	raw, ok := ln.(syscall.Conn)
 	if !ok {
--- a/internal/frontend/gracefulclose/read.go
+++ b/internal/frontend/gracefulclose/read.go
@@ -14,10 +14,12 @@
 // ErrNoData is returned when nothing has arrived on a connection.
 var ErrNoData = errors.New("no data has arrived")
 
-// ReadAvailable reads what has arrived on a connection, without waiting for more; net.Conn's Read would not return it after the read deadline.
-// It returns ErrNoData if nothing has arrived, io.EOF at the end of the stream. If closeWrite is set, the system call after a read that found
-// nothing ends the sending side, so that no request can arrive in between and get no answer. On a connection without a descriptor of its own, such
-// as one of TLS, nothing has arrived. Transient errors are retried (package sockerr); it blocks for that long at most.
+// ReadAvailable reads what has arrived on a connection, without waiting for more; net.Conn's Read would not
+// return it after the read deadline. It returns ErrNoData if nothing has arrived, io.EOF at the end of the
+// stream. If closeWrite is set, the system call after a read that found nothing ends the sending side, so
+// that no request can arrive in between and get no answer. On a connection without a descriptor of its own,
+// such as one of TLS, nothing has arrived. Transient errors are retried (package sockerr); it blocks for that
+// long at most.
 func ReadAvailable(c net.Conn, b []byte, closeWrite bool) (n int, err error) {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/frontend/gracefulclose/read_test.go
+++ b/internal/frontend/gracefulclose/read_test.go
@@ -28,8 +28,9 @@
 	return ours, peer
 }
 
-// TestReadAvailableRetriesTransientErrors: the system is short of buffers just as a connection that is being closed is read for the last time. An error
-// that was taken for the end of the connection would leave a request on it unread.
+// TestReadAvailableRetriesTransientErrors: the system is short of buffers just as a connection that is being
+// closed is read for the last time. An error that was taken for the end of the connection would leave a
+// request on it unread.
 func TestReadAvailableRetriesTransientErrors(t *testing.T) {
 	ours, peer := connected(t)
 	if _, err := io.WriteString(peer, "request"); err != nil {
@@ -55,7 +56,8 @@
 	}
 }
 
-// TestReadAvailableClosesWrite: if nothing has arrived the sending side ends if asked for, and only then; the end of the stream is reported.
+// TestReadAvailableClosesWrite: if nothing has arrived the sending side ends if asked for, and only then; the
+// end of the stream is reported.
 func TestReadAvailableClosesWrite(t *testing.T) {
 	ours, peer := connected(t)
 	b := make([]byte, 64)
--- a/internal/frontend/resp/closing.go
+++ b/internal/frontend/resp/closing.go
@@ -7,18 +7,23 @@
 	"sloehitch/internal/frontend/gracefulclose"
 )
 
-// The closing rule: when a connection may be closed from this side. A request that was read is owed an answer, and an answer must not be lost to a reset.
+// The closing rule: when a connection may be closed from this side. A request that was read is owed an
+// answer, and an answer must not be lost to a reset.
 //
-//  1. The peer is asked first: on a connection without open requests that was not used for the node's idle timeout, on every one while the node
-//     drains. It sends no new requests then, and closes the connection once all are answered.
-//  2. One that is asked, has nothing open and is not closed within limits.PeerCloseTimeout is no longer read (framedConn.stopReading): what has arrived by
-//     then is still answered. The same goes for one that was evicted, and for all at shutdown.
-//  3. A connection that is no longer read is closed once every request on it is answered and written; at once if its peer is gone or too much
-//     output is unread (output.go), as nobody would get the answers.
-//  4. It is closed by ending the sending side; the peer has limits.CloseTimeout to end its side, one without a slot a tenth of that.
+//  1. The peer is asked first: on a connection without open requests that was not used for the node's idle
+//     timeout, on every one while the node drains. It sends no new requests then, and closes the connection
+//     once all are answered.
+//  2. One that is asked, has nothing open and is not closed within limits.PeerCloseTimeout is no longer read
+//     (framedConn.stopReading): what has arrived by then is still answered. The same goes for one that was
+//     evicted, and for all at shutdown.
+//  3. A connection that is no longer read is closed once every request on it is answered and written; at once
+//     if its peer is gone or too much output is unread (output.go), as nobody would get the answers.
+//  4. It is closed by ending the sending side; the peer has limits.CloseTimeout to end its side, one without
+//     a slot a tenth of that.
 
-// unadmittedLingerDivisor is the part of limits.CloseTimeout that a connection without a slot has: one in so many.
-const unadmittedLingerDivisor = 10
+// unadmittedCloseDivisor is the part of limits.CloseTimeout that a connection without a slot has: one in so
+// many.
+const unadmittedCloseDivisor = 10
 
 // endCause says why the reading of a connection ended.
 type endCause int
@@ -26,7 +31,7 @@
 const (
 	endedByPeer     endCause = iota // it left, or the connection broke: nobody waits for what is open
 	endedLocally                    // the connection is being closed from this side: what was read is still answered
-	endedByBadInput                 // what can't be decoded came, in time
+	endedByBadInput                 // what can't be decoded came, or a message was not complete in time
 )
 
 func endCauseOf(err error) endCause {
@@ -41,8 +46,8 @@
 	return endedByPeer
 }
 
-// endReading takes the end of reading. If the peer left, its open requests are canceled. If it sent what can't be decoded, they are answered at once, without
-// waiting for their runs, and the connection closes.
+// endReading takes the end of reading. If the peer left, its open requests are canceled. If it sent what
+// can't be decoded, they are answered at once, without waiting for their runs, and the connection closes.
 func (c *conn) endReading(err error) {
 	why := endCauseOf(err)
 	c.mu.Lock()
@@ -72,8 +77,8 @@
 	}
 }
 
-// answersOwed reports whether an answer is owed on the connection or still to be written. If none is, the connection is about to end, and its peer is no
-// longer asked to close it.
+// answersOwed reports whether an answer is owed on the connection or still to be written. If none is, the
+// connection is about to end, and its peer is no longer asked to close it.
 func (c *conn) answersOwed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +91,8 @@
 	return false
 }
 
-// closeIfIdle asks the peer to close a connection that has been idle for longer than the timeout (0: none), or any while draining, and ends one that was asked
-// and is not closed in time.
+// closeIfIdle asks the peer to close a connection that has been idle for longer than the timeout (0: none),
+// or any while draining, and ends one that was asked and is not closed in time.
 func (c *conn) closeIfIdle(now time.Time, idleTimeout time.Duration, draining bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +114,8 @@
 	c.enqueue(closeTag, wordClose, nil, nil)
 }
 
-// closeIfDone closes the connection once nothing more is read and all answers are written; the caller holds mu.
+// closeIfDone closes the connection once nothing more is read and all answers are written; the caller holds
+// mu.
 func (c *conn) closeIfDone() {
 	if c.closing || !c.readEnded || !c.writeEnded && c.hasWork() {
 		return
@@ -127,11 +133,11 @@
 func (c *conn) closeGracefully() {
 	c.socket.flushed.Store(true)
 	c.front.evictions.trim()
-	linger := c.front.opts.Limits.CloseTimeout
+	timeout := c.front.opts.Limits.CloseTimeout
 	if c.socket.unadmitted {
-		linger /= unadmittedLingerDivisor
+		timeout /= unadmittedCloseDivisor
 	}
-	gracefulclose.CloseWriteAndWait(c.socket.Conn, linger)
+	gracefulclose.CloseWriteAndWait(c.socket.Conn, timeout)
 	c.close()
 }
 
--- a/internal/frontend/resp/closing_test.go
+++ b/internal/frontend/resp/closing_test.go
@@ -12,8 +12,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestRequestCrossesCloseOfIdleConnection: a request that crosses the close of an idle connection is left unread, and the close does not reset what was answered before,
-// though that is still unread.
+// TestRequestCrossesCloseOfIdleConnection: a request that crosses the close of an idle connection is left
+// unread, and the close does not reset what was answered before, though that is still unread.
 func TestRequestCrossesCloseOfIdleConnection(t *testing.T) {
 	f, d, ln := startFront(t, statusWithoutIdleTime{}, func(l *limits.Limits) { l.PeerCloseTimeout, l.CloseTimeout = 0, time.Hour })
 	b := standin.Dial(t, ln.Addr().String())
@@ -36,8 +36,9 @@
 	}
 }
 
-// TestEveryRequestReadIsAnswered: requests arrive just as their connection is closed from this side, a new one or an idle one. Each request that is read is
-// answered before the end; the callers of the others see the end alone.
+// TestEveryRequestReadIsAnswered: requests arrive just as their connection is closed from this side, a new
+// one or an idle one. Each request that is read is answered before the end; the callers of the others see the
+// end alone.
 func TestEveryRequestReadIsAnswered(t *testing.T) {
 	for attempt := range 200 {
 		f, d, ln := startFront(t, fakeStatus{}, nil)
@@ -76,7 +77,8 @@
 	}
 }
 
-// TestMalformedInputLosesNoAnswer: what came before it is answered, and all answers arrive, however much follows.
+// TestMalformedInputLosesNoAnswer: what came before it is answered, and all answers arrive, however much
+// follows.
 func TestMalformedInputLosesNoAnswer(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
@@ -93,8 +95,9 @@
 	waitFor(t, "closed", func() bool { return f.OpenConnections() == 0 })
 }
 
-// TestShutdown: all answers arrive, and the end after them without a reset, on an idle connection, one with half a message, one with a late answer and one
-// without any message. Shutdown returns when all have ended, or after its timeout.
+// TestShutdown: all answers arrive, and the end after them without a reset, on an idle connection, one with
+// half a message, one with a late answer and one without any message. Shutdown returns when all have ended,
+// or after its timeout.
 func TestShutdown(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
 	idleConn, half, late, silent := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
@@ -141,7 +144,8 @@
 	}
 }
 
-// TestRequestsAreReadUntilClose: a connection that is to end waits for the answer to one request, and another arrives meanwhile, which is read and answered too.
+// TestRequestsAreReadUntilClose: a connection that is to end waits for the answer to one request, and another
+// arrives meanwhile, which is read and answered too.
 func TestRequestsAreReadUntilClose(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -40,7 +40,8 @@
 	errAborted            = errors.New("the message came as the connection was aborted")
 )
 
-// errSlotLost is the error of a message that came without a slot: it was rejected, and the connection ends once all that has arrived is answered.
+// errSlotLost is the error of a message that came without a slot: it was rejected, and the connection ends
+// once all that has arrived is answered.
 var errSlotLost = errors.New("the connection has no slot")
 
 // serve reads messages until the connection ends.
@@ -77,8 +78,8 @@
 	return err
 }
 
-// begin notes that a message has come, and opens the request that it asks for; submit is nil for any other message. It reports whether the connection
-// holds a slot, for which it may wait.
+// begin notes that a message has come, and opens the request that it asks for; submit is nil for any other
+// message. It reports whether the connection holds a slot, for which it may wait.
 func (c *conn) begin(tag string, submit *submitMessage) (hasSlot bool, err error) {
 	c.mu.Lock()
 	if c.writeEnded {
@@ -127,8 +128,9 @@
 	}
 	c.reject(m)
 	if errors.Is(err, errUnknownClass) {
-		// Well formed, of a class that the settings do not name (yet, or any more): balancers learn of new settings late, and the connection
-		// carries others' requests, so it does not count against the connection.
+		// Well formed, of a class that the settings do not name (yet, or any more): balancers learn of new
+		// settings late, and the connection carries others' requests, so it does not count against the
+		// connection.
 		c.front.log.Warn("request of an unknown class rejected", err)
 		if c.front.opts.OnUnknownClass != nil {
 			c.front.opts.OnUnknownClass(m.class)
@@ -138,7 +140,8 @@
 	return c.countBadMessage(err)
 }
 
-// reject answers a request that can't be submitted. It was read, so it is owed an answer; the core knows whether an attempt with its key ran.
+// reject answers a request that can't be submitted. It was read, so it is owed an answer; the core knows
+// whether an attempt with its key ran.
 func (c *conn) reject(m *submitMessage) {
 	c.sendAnswer(m.messageTag(), node.Response{Status: c.front.opts.Core.RejectionStatus(m.class, m.idempotencyKey)})
 }
@@ -182,7 +185,8 @@
 
 var errUnknownClass = errors.New("unknown class")
 
-// nodeRequest returns a message's request in the core's terms, if its class and tenant are known and its time stamp is plausible.
+// nodeRequest returns a message's request in the core's terms, if its class and tenant are known and its time
+// stamp is plausible.
 func (c *conn) nodeRequest(m *submitMessage) (node.Request, error) {
 	o := &c.front.opts
 	class, known := (*c.front.classes.Load())[m.class]
--- a/internal/frontend/resp/conn_test.go
+++ b/internal/frontend/resp/conn_test.go
@@ -10,7 +10,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestMessageOnAbortedConnection: a message is handled just after its connection was aborted. No answer can follow, so it must not run.
+// TestMessageOnAbortedConnection: a message is handled just after its connection was aborted. No answer can
+// follow, so it must not run.
 func TestMessageOnAbortedConnection(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
@@ -37,8 +38,8 @@
 
 func (c *recordingCore) Abort(id string) { c.canceled = append(c.canceled, id) }
 
-// TestMessageAfterEviction: a request that is read after its connection was evicted is rejected and not submitted, and the connection's end cancels no request: the
-// id may be another caller's.
+// TestMessageAfterEviction: a request that is read after its connection was evicted is rejected and not
+// submitted, and the connection's end cancels no request: the id may be another caller's.
 func TestMessageAfterEviction(t *testing.T) {
 	c := &recordingCore{}
 	f := New(Options{Core: c, Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.Quiet})
--- a/internal/frontend/resp/eviction.go
+++ b/internal/frontend/resp/eviction.go
@@ -6,14 +6,17 @@
 	"time"
 )
 
-// The rule for evicted connections, which gave their slot to another one and still hold a descriptor each. Which connection is evicted, package
-// connlimit says.
+// The rule for evicted connections, which gave their slot to another one and still hold a descriptor each.
+// Which connection is evicted, package connlimit says.
 //
-//   - What has arrived on an evicted connection is read and rejected before it ends, however long that takes: the process may have been stopped, with
-//     requests unread. Then its peer has limits.CloseTimeout to end its side.
-//   - At most limits.EvictedConnections of them may wait for their peers: beyond that the longest waiting on which all is written is closed.
-//   - At most limits.UnadmittedConnections more may be there on which something is still to be answered. Beyond that the connection that evicts waits, for
-//     limits.CloseTimeout by counted polls: time in which the process is stopped counts as one poll.
+//   - What has arrived on an evicted connection is read and rejected before it ends, however long that takes:
+//     the process may have been stopped, with requests unread. Then its peer has limits.CloseTimeout to end
+//     its side.
+//   - At most limits.EvictedConnections of them may wait for their peers: beyond that the longest waiting on
+//     which all is written is closed.
+//   - At most limits.UnadmittedConnections more may be there on which something is still to be answered.
+//     Beyond that the connection that evicts waits, for limits.CloseTimeout by counted polls: time in which
+//     the process is stopped counts as one poll.
 
 // evictPollInterval is how often a connection that waits for evictions to end looks whether they have.
 const evictPollInterval = time.Millisecond
@@ -38,8 +41,8 @@
 	}
 }
 
-// trim closes connections on which nothing is left to write, the longest waiting first, until there are not more than may wait for their peers. It
-// reports whether there still are too many.
+// trim closes connections on which nothing is left to write, the longest waiting first, until there are not
+// more than may wait for their peers. It reports whether there still are too many.
 func (e *evictionList) trim() (tooMany bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/frontend/resp/eviction_test.go
+++ b/internal/frontend/resp/eviction_test.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestEvictionLosesNoAnswer: an evicted connection ends from this side; its answer arrives, and what it sends then is not read. At most EvictedConnections of them wait
-// for their peers: the longest waiting is closed.
+// TestEvictionLosesNoAnswer: an evicted connection ends from this side; its answer arrives, and what it sends
+// then is not read. At most EvictedConnections of them wait for their peers: the longest waiting is closed.
 func TestEvictionLosesNoAnswer(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
 		l.MaxConnections, l.IdleConnectionGrace, l.NewConnectionGrace, l.EvictedConnections, l.CloseTimeout = 1, 0, 0, 2, time.Hour
@@ -45,8 +45,8 @@
 	waitFor(t, "the first is closed", func() bool { _, err := peers[0].Write([]byte("x")); return err != nil })
 }
 
-// TestManyEvictionsAtOnce: more connections are evicted at once than may wait for their peers, and on each a request has just come. Each request is rejected on its
-// connection, and none is closed before.
+// TestManyEvictionsAtOnce: more connections are evicted at once than may wait for their peers, and on each a
+// request has just come. Each request is rejected on its connection, and none is closed before.
 func TestManyEvictionsAtOnce(t *testing.T) {
 	const conns = 6
 	for attempt := range 30 {
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestPipelinedRequestsOfEvictedConnection: several requests have arrived on a connection that is evicted, the later ones perhaps in the reader's buffer. Each is rejected before
-// the connection ends.
+// TestPipelinedRequestsOfEvictedConnection: several requests have arrived on a connection that is evicted,
+// the later ones perhaps in the reader's buffer. Each is rejected before the connection ends.
 func TestPipelinedRequestsOfEvictedConnection(t *testing.T) {
 	for range 20 {
 		f, d, ln := startFront(t, fakeStatus{}, nil)
@@ -102,8 +102,9 @@
 	}
 }
 
-// TestEvictionsWaitForUnreadRequests: after a pause of the process, new connections evict others faster than those are read, with a request unread on each. The new
-// connections wait instead of having one closed over its request.
+// TestEvictionsWaitForUnreadRequests: after a pause of the process, new connections evict others faster than
+// those are read, with a request unread on each. The new connections wait instead of having one closed over
+// its request.
 func TestEvictionsWaitForUnreadRequests(t *testing.T) {
 	const conns = 8
 	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
@@ -139,8 +140,8 @@
 	}
 }
 
-// TestPauseLongerThanCloseTimeout: the process stands still for longer than CloseTimeout just after an eviction. The request on the evicted connection is still read and
-// rejected.
+// TestPauseLongerThanCloseTimeout: the process stands still for longer than CloseTimeout just after an
+// eviction. The request on the evicted connection is still read and rejected.
 func TestPauseLongerThanCloseTimeout(t *testing.T) {
 	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.CloseTimeout = time.Millisecond })
 	peers, all := idleConnections(t, f, ln.Addr().String(), 1)
--- a/internal/frontend/resp/frame_validator.go
+++ b/internal/frontend/resp/frame_validator.go
@@ -9,9 +9,10 @@
 // errFraming ends the reading of a connection.
 var errFraming = errors.New("not an array of bulk strings within the limits")
 
-// frameValidator checks the framing of a byte stream as it comes. It stands before redcon's reader, which panics on a bulk length near the largest integer,
-// spins on a huge count, takes inline commands, grows its buffer with whatever a length announces, and on an error drops complete commands that came
-// before it in the same read.
+// frameValidator checks the framing of a byte stream as it comes. It stands before redcon's reader, which
+// panics on a bulk length near the largest integer, spins on a huge count, takes inline commands, grows its
+// buffer with whatever a length announces, and on an error drops complete commands that came before it in the
+// same read.
 type frameValidator struct {
 	maxParts, maxBulkBytes, maxFrameBytes int
 
--- a/internal/frontend/resp/framed_conn.go
+++ b/internal/frontend/resp/framed_conn.go
@@ -20,7 +20,8 @@
 	errReadingStopped = errors.New("the connection is being closed from this side")
 )
 
-// framedConn is a connection whose reads return well framed data that came in time; after any other they fail.
+// framedConn is a connection whose reads return well framed data that came in time; after any other they
+// fail.
 type framedConn struct {
 	net.Conn
 	validator      frameValidator
@@ -50,8 +51,8 @@
 	return c.Conn.Close()
 }
 
-// stopReading has the connection end from this side once no answer is owed on it; what arrives until then is read, up to finalBytes. It may be called from
-// any goroutine, and more than once.
+// stopReading has the connection end from this side once no answer is owed on it; what arrives until then is
+// read, up to finalBytes. It may be called from any goroutine, and more than once.
 func (c *framedConn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,11 +132,13 @@
 	return n, arrived
 }
 
-// remainingPollInterval is how often a connection that is to end looks for further bytes while answers are owed on it.
+// remainingPollInterval is how often a connection that is to end looks for further bytes while answers are
+// owed on it.
 const remainingPollInterval = 2 * time.Millisecond
 
-// readRemaining reads what arrives on a connection that is to end, up to finalBytes, as long as answers are owed on it. Once none is and nothing has
-// arrived, it ends the sending side: a request that arrives before that is read and answered, whenever the process was stopped.
+// readRemaining reads what arrives on a connection that is to end, up to finalBytes, as long as answers are
+// owed on it. Once none is and nothing has arrived, it ends the sending side: a request that arrives before
+// that is read and answered, whenever the process was stopped.
 func (c *framedConn) readRemaining(b []byte) (int, error) {
 	for c.finalBytes > 0 {
 		last := c.answersOwed == nil || !c.answersOwed()
--- a/internal/frontend/resp/framed_conn_test.go
+++ b/internal/frontend/resp/framed_conn_test.go
@@ -62,7 +62,8 @@
 	waitFor(t, "the end of the stream is read", func() bool { _, err := g.Read(buf); return errors.Is(err, io.EOF) })
 }
 
-// flakyConn is a connection whose reads and writes fail with transient errors now and then, or do a single byte.
+// flakyConn is a connection whose reads and writes fail with transient errors now and then, or do a single
+// byte.
 type flakyConn struct {
 	net.Conn
 	in, out []byte
--- a/internal/frontend/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -1,9 +1,10 @@
-// Package resp is the front for the platform's balancers: it decodes their messages, hands requests to the core and writes its answers, in whatever order
-// they come.
+// Package resp is the front for the platform's balancers: it decodes their messages, hands requests to the
+// core and writes its answers, in whatever order they come.
 //
-// A listener (listener.go) accepts connections that are within the slots of the front, and a few beyond them (unadmitted.go). framedConn checks the
-// framing of what redcon reads from them, and its timing; conn handles the messages, which wire.go decodes. closing.go says when a connection may be
-// closed, eviction.go what becomes of those that give their slot to another, output.go what of peers that do not read.
+// A listener (listener.go) accepts connections that are within the slots of the front, and a few beyond them
+// (unadmitted.go). framedConn checks the framing of what redcon reads from them, and its timing; conn handles
+// the messages, which wire.go decodes. closing.go says when a connection may be closed, eviction.go what
+// becomes of those that give their slot to another, output.go what of peers that do not read.
 package resp
 
 import (
@@ -33,7 +34,8 @@
 	Cancel(id string)
 	// Abort has a request answered at once, whatever runs.
 	Abort(id string)
-	// RejectionStatus is how to answer a request that can't be submitted, by its class and idempotency key (empty: none).
+	// RejectionStatus is how to answer a request that can't be submitted, by its class and idempotency key
+	// (empty: none).
 	RejectionStatus(class, key string) node.Status
 }
 
@@ -140,7 +142,8 @@
 	return slices.Collect(maps.Keys(f.conns))
 }
 
-// CloseIdle applies the closing rule (closing.go) to connections that are idle, or to all while draining. It is to be called periodically.
+// CloseIdle applies the closing rule (closing.go) to connections that are idle, or to all while draining. It
+// is to be called periodically.
 func (f *Front) CloseIdle() {
 	idleTimeout := f.opts.Status.IdleTimeout()
 	now := time.Now()
@@ -152,8 +155,9 @@
 	}
 }
 
-// RequestClose asks the peer of each connection that was not asked yet to close it, and closes none: while the node drains, balancers learn of it late and may
-// still send on a connection that was asked, and what they send is served until the end.
+// RequestClose asks the peer of each connection that was not asked yet to close it, and closes none: while
+// the node drains, balancers learn of it late and may still send on a connection that was asked, and what
+// they send is served until the end.
 func (f *Front) RequestClose() {
 	now := time.Now()
 	for _, c := range f.connections() {
@@ -173,8 +177,9 @@
 	f.CloseIdle()
 }
 
-// Shutdown ends all connections from this side, each as soon as all that came on it is answered and written. It blocks until the peers have ended them too,
-// for the timeout at most. A process that ended without it would reset connections with unread data, and lose answers that are on their way.
+// Shutdown ends all connections from this side, each as soon as all that came on it is answered and written.
+// It blocks until the peers have ended them too, for the timeout at most. A process that ended without it
+// would reset connections with unread data, and lose answers that are on their way.
 func (f *Front) Shutdown(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -191,7 +196,8 @@
 // Close ends Serve and closes all connections, once the listener is closed. It is to be called once.
 func (f *Front) Close() { close(f.closed) }
 
-// OpenConnections returns the number of open connections; a listener that is to close and may still hand out some counts as one.
+// OpenConnections returns the number of open connections; a listener that is to close and may still hand out
+// some counts as one.
 func (f *Front) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/frontend/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// Listener hands redcon connections that are within the limits and well framed. Accept never fails for a shortage of descriptors that may pass: redcon would
-// spin on it.
+// Listener hands redcon connections that are within the limits and well framed. Accept never fails for a
+// shortage of descriptors that may pass: redcon would spin on it.
 type Listener struct {
 	net.Listener
 	front             *Front
@@ -21,7 +21,8 @@
 	quietPeriodPassed bool // nothing came in a quiet period since the last connection; of Accept
 }
 
-// Listen returns what Serve is to serve: ln, which is shared if another process of this node accepts connections from it too.
+// Listen returns what Serve is to serve: ln, which is shared if another process of this node accepts
+// connections from it too.
 func (f *Front) Listen(ln net.Listener, shared bool) *Listener {
 	return &Listener{Listener: ln, front: f, shared: shared}
 }
@@ -29,16 +30,18 @@
 // acceptBackoff is the pause before the next attempt after a shortage of what a connection takes.
 const acceptBackoff = 5 * time.Millisecond
 
-// The closing rule of listeners. A listener that closes resets the connections in its accept queue, requests included. So it is closed once nothing waits there and
-// nothing came for one quiet period. That a period is over does not say that there was a look at the queue, as the process may have been stopped, so
-// the queue is looked at then. The queue of a shared listener is left to the other process.
+// The closing rule of listeners. A listener that closes resets the connections in its accept queue, requests
+// included. So it is closed once nothing waits there and nothing came for one quiet period. That a period is
+// over does not say that there was a look at the queue, as the process may have been stopped, so the queue is
+// looked at then. The queue of a shared listener is left to the other process.
 
 // quietPeriod is for how long nothing must come before a listener is closed.
 const quietPeriod = 10 * time.Millisecond
 
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// Close ends the taking of connections. It does not block: the listener closes when its accept queue is empty, a shared one at once.
+// Close ends the taking of connections. It does not block: the listener closes when its accept queue is
+// empty, a shared one at once.
 func (l *Listener) Close() error {
 	if l.closing.CompareAndSwap(false, true) {
 		l.front.closingListeners.Add(1)
@@ -105,9 +108,10 @@
 	if c.slot = f.slots.NewSlot(func() { f.evict(c) }); !c.slot.AcquireWithinGrace() {
 		f.acceptUnadmitted(c)
 	}
-	// Counted as open until Serve has it among its connections: a process that looked in between would think itself free to end, and close a
-	// connection that a client may have written to. Even while draining it is served and asked to close like the others: if the listener is
-	// shared with the process that comes next, the client never learns that it reached this one.
+	// Counted as open until Serve has it among its connections: a process that looked in between would think
+	// itself free to end, and close a connection that a client may have written to. Even while draining it is
+	// served and asked to close like the others: if the listener is shared with the process that comes next,
+	// the client never learns that it reached this one.
 	f.pending.Add(1)
 	return c
 }
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -21,8 +21,8 @@
 	return g.TCPListener.Accept()
 }
 
-// TestListenerServesItsQueueBeforeItCloses: connections in the accept queue as the listener is told to close are served, with whole requests and halves; then it closes. The
-// front does not count as free before that.
+// TestListenerServesItsQueueBeforeItCloses: connections in the accept queue as the listener is told to close
+// are served, with whole requests and halves; then it closes. The front does not count as free before that.
 func TestListenerServesItsQueueBeforeItCloses(t *testing.T) {
 	d := newFakeCore()
 	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.Quiet})
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestSharedListenerClosesAtOnce: the connections in a shared listener's accept queue are left to the other process.
+// TestSharedListenerClosesAtOnce: the connections in a shared listener's accept queue are left to the other
+// process.
 func TestSharedListenerClosesAtOnce(t *testing.T) {
 	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.Quiet})
 	gate := make(chan struct{})
@@ -99,8 +100,9 @@
 	return s.TCPListener.Accept()
 }
 
-// TestListenerClosesOnlyWithEmptyQueue: the process stands still twice while its listener is about to close, and connections with requests wait in the accept queue. The
-// listener must not close because a quiet period is over by the clock, without a look at the queue: that would reset them.
+// TestListenerClosesOnlyWithEmptyQueue: the process stands still twice while its listener is about to close,
+// and connections with requests wait in the accept queue. The listener must not close because a quiet period
+// is over by the clock, without a look at the queue: that would reset them.
 func TestListenerClosesOnlyWithEmptyQueue(t *testing.T) {
 	d := newFakeCore()
 	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.Quiet})
--- a/internal/frontend/resp/output.go
+++ b/internal/frontend/resp/output.go
@@ -8,8 +8,9 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// enqueueAnswer queues an answer; closesRequest says that it is the final one of the open request with its tag, and it is dropped if that was canceled meanwhile.
-// It never blocks: a peer that does not read holds up nobody else, and one that leaves too much unread is aborted.
+// enqueueAnswer queues an answer; closesRequest says that it is the final one of the open request with its
+// tag, and it is dropped if that was canceled meanwhile. It never blocks: a peer that does not read holds up
+// nobody else, and one that leaves too much unread is aborted.
 func (c *conn) enqueueAnswer(tag, word string, fields, body []byte, closesRequest bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,14 +43,19 @@
 	}
 }
 
-// sharedBacklogDivisor is the part of limits.UnreadAnswerBytes that a connection may leave unread while all of them exceed limits.TotalUnreadAnswerBytes: one in so many.
+// sharedBacklogDivisor is the part of limits.UnreadAnswerBytes that a connection may leave unread while all
+// of them exceed limits.TotalUnreadAnswerBytes: one in so many.
 const sharedBacklogDivisor = 16
 
-// backlogExceeded is the rule for peers that do not read: a connection is aborted if the answers that it leaves unread exceed limits.UnreadAnswerBytes bytes, or
-// a sixteenth of that while those of all connections together exceed limits.TotalUnreadAnswerBytes bytes.
+// backlogExceeded is the rule for peers that do not read: a connection is aborted if the answers that it
+// leaves unread exceed limits.UnreadAnswerBytes bytes, or a sixteenth of that while those of all connections
+// together exceed limits.TotalUnreadAnswerBytes bytes.
 func (f *Front) backlogExceeded(unread int) bool {
 	lim := &f.opts.Limits
-	return unread > lim.UnreadAnswerBytes || unread > lim.UnreadAnswerBytes/sharedBacklogDivisor && f.unreadBytes.Load() > int64(lim.TotalUnreadAnswerBytes)
+	if unread > lim.UnreadAnswerBytes {
+		return true
+	}
+	return unread > lim.UnreadAnswerBytes/sharedBacklogDivisor && f.unreadBytes.Load() > int64(lim.TotalUnreadAnswerBytes)
 }
 
 // flush writes what is queued.
@@ -75,7 +81,8 @@
 	}
 }
 
-// writeAll writes all of b. A peer may read as slowly as it likes, as long as it reads something within each limits.WriteTimeout.
+// writeAll writes all of b. A peer may read as slowly as it likes, as long as it reads something within each
+// limits.WriteTimeout.
 func (c *conn) writeAll(b []byte) error {
 	timeout := c.front.opts.Limits.WriteTimeout
 	progressAt := time.Now()
--- a/internal/frontend/resp/output_test.go
+++ b/internal/frontend/resp/output_test.go
@@ -92,7 +92,8 @@
 	return c, err
 }
 
-// TestFloodOfUnreadAnswers: many peers ask and do not read. What waits for them stays within the bound for all, and a peer that reads gets its answers.
+// TestFloodOfUnreadAnswers: many peers ask and do not read. What waits for them stays within the bound for
+// all, and a peer that reads gets its answers.
 func TestFloodOfUnreadAnswers(t *testing.T) {
 	lim := limits.For(64, 256)
 	lim.TotalUnreadAnswerBytes, lim.WriteTimeout = 128<<10, time.Hour
--- a/internal/frontend/resp/unadmitted_test.go
+++ b/internal/frontend/resp/unadmitted_test.go
@@ -11,8 +11,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestNewConnectionsWithoutSlot: all slots are held by active connections, and more connections come with a request than may be there without a slot. Each request is
-// answered: rejected, or failed if its key has run. A connection that sends nothing is closed, and those with slots are served.
+// TestNewConnectionsWithoutSlot: all slots are held by active connections, and more connections come with a
+// request than may be there without a slot. Each request is answered: rejected, or failed if its key has run.
+// A connection that sends nothing is closed, and those with slots are served.
 func TestNewConnectionsWithoutSlot(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections, l.UnadmittedConnections = 2, 2 })
 	var busy []*standin.Balancer
@@ -59,8 +60,9 @@
 	waitFor(t, "no connection is without a slot", func() bool { return len(f.unadmitted) == 0 })
 }
 
-// TestWaitForSlotIsBoundedByCallerTimeout: all slots are held by connections that were just used and keep them for long. New ones are read at once, and rejected in time for
-// callers with a short timeout; one whose caller gives none gets the first free slot.
+// TestWaitForSlotIsBoundedByCallerTimeout: all slots are held by connections that were just used and keep
+// them for long. New ones are read at once, and rejected in time for callers with a short timeout; one whose
+// caller gives none gets the first free slot.
 func TestWaitForSlotIsBoundedByCallerTimeout(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
 		l.MaxConnections, l.UnadmittedConnections, l.IdleConnectionGrace = 2, 2, time.Hour
@@ -100,7 +102,8 @@
 	waitFor(t, "no connection is without a slot", func() bool { return len(f.unadmitted) == 0 })
 }
 
-// TestPipelinedRequestsWithoutSlot: all that was written on a connection without a slot by the time that its first request is rejected is answered as well.
+// TestPipelinedRequestsWithoutSlot: all that was written on a connection without a slot by the time that its
+// first request is rejected is answered as well.
 func TestPipelinedRequestsWithoutSlot(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections = 1 })
 	busy := standin.Dial(t, ln.Addr().String())
--- a/internal/frontend/resp/wire.go
+++ b/internal/frontend/resp/wire.go
@@ -13,7 +13,8 @@
 	"sloehitch/internal/node"
 )
 
-// The balancers' protocol: RESP arrays of bulk strings. Nothing outside this file knows its words and field names.
+// The balancers' protocol: RESP arrays of bulk strings. Nothing outside this file knows its words and field
+// names.
 
 // message is one array from a balancer: *submitMessage, *cancelMessage, *pingMessage or *unknownMessage.
 type message interface{ messageTag() string }
@@ -26,15 +27,19 @@
 // submitMessage asks for a request to be served.
 type submitMessage struct {
 	tag
-	class, requestID, tenant, idempotencyKey, subject string
-	arrivedAt                                         time.Time // at the machine, by the sender's wall clock
-	balancer                                          int
-	timeout                                           time.Duration // for which the balancer waits from arrivedAt; 0: not told
-	retry                                             bool          // a retry or a hedged request
-	workHint                                          time.Duration // on one core
-	memoryKB                                          float64
-	priorityRank                                      float64 // from 0 to under 1
-	body                                              []byte
+	class          string
+	requestID      string
+	tenant         string        // empty: none
+	idempotencyKey string        // empty: none
+	subject        string        // what a read is about; not used
+	arrivedAt      time.Time     // at the machine, by the sender's wall clock
+	balancer       int           // its number
+	timeout        time.Duration // for which the balancer waits from arrivedAt; 0: not given
+	retry          bool          // it is a retry or a hedged request
+	workHint       time.Duration // on one core
+	memoryKB       float64       // that the request counts with while it is held
+	priorityRank   float64       // from 0 to under 1
+	body           []byte
 }
 
 // cancelMessage says that the balancer waits no longer for a request.
@@ -49,8 +54,9 @@
 // errNoTag is returned for a message that no answer can name.
 var errNoTag = errors.New("the message has no valid tag")
 
-// decodeMessage decodes an array. If it returns an error and a message, an answer can still name the message; a submitMessage has the fields then that were
-// read before the error. It returns errNoTag and nil if no answer can.
+// decodeMessage decodes an array. If it returns an error and a message, an answer can still name the message;
+// a submitMessage has the fields then that were read before the error. It returns errNoTag and nil if no
+// answer can.
 func decodeMessage(args [][]byte, maxBody, maxFields int) (message, error) {
 	if len(args) < 2 {
 		return nil, errNoTag
@@ -115,7 +121,7 @@
 	return nil
 }
 
-// Bounds of fields.
+// Bounds of fields. Those named "under" are the least values that are too large.
 const (
 	requestIDLength = 16      // hex digits
 	maxKeyLength    = 64      // bytes
@@ -123,8 +129,8 @@
 	timeoutUnder    = 1e9     // milliseconds
 	workHintUnder   = 1e7     // milliseconds
 	memoryUnder     = 2000    // KB
-	rankUnder       = 1       //
-	balancerBits    = 30      //
+	rankUnder       = 1
+	balancerBits    = 30
 	hexDigits       = "0123456789abcdefABCDEF"
 )
 
@@ -168,7 +174,7 @@
 
 func (m *submitMessage) decodeTimeout(value string) error {
 	ms, err := decodeNumber(value, timeoutUnder)
-	// A timeout of 0 is over as the message comes, but it was told: 0 would say that it was not.
+	// A timeout of 0 is over as the message comes; without the minimum it would say that none was given.
 	m.timeout = max(time.Microsecond, milliseconds(ms))
 	return err
 }
@@ -249,8 +255,9 @@
 	return strconv.AppendFloat(appendFieldName(fields, "signal"), signal, 'f', 4, 64)
 }
 
-// appendRejection appends the fields of a rejection. Retry-After goes out in whole milliseconds, rounded up: a caller that came back earlier would be
-// rejected again. Only a rejection says it, as an answer of any other kind does not have the caller come back.
+// appendRejection appends the fields of a rejection. Retry-After goes out in whole milliseconds, rounded up:
+// a caller that came back earlier would be rejected again. Only a rejection says it, as an answer of any
+// other kind does not have the caller come back.
 func appendRejection(fields []byte, r node.Response) []byte {
 	if r.Status != node.StatusRejected {
 		return fields
--- a/internal/platform/lograte/lograte.go
+++ b/internal/platform/lograte/lograte.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Logger writes one line of each message in an interval and counts those that it leaves out. Its methods may be called from any goroutine.
+// Logger writes one line of each message in an interval and counts those that it leaves out. Its methods may
+// be called from any goroutine.
 type Logger struct {
 	log      *slog.Logger
 	interval time.Duration
@@ -22,8 +23,8 @@
 	return &Logger{log: log, interval: interval, lastLogged: map[string]time.Time{}, suppressed: map[string]int{}}
 }
 
-// Warn logs a message with the error that it is about, unless the same message was logged within the interval. The message must be a constant: each
-// one is counted by itself, for good.
+// Warn logs a message with the error that it is about, unless the same message was logged within the
+// interval. The message must be a constant: each one is counted by itself, for good.
 func (l *Logger) Warn(message string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/sockerr/sockerr.go
+++ b/internal/platform/sockerr/sockerr.go
@@ -1,5 +1,5 @@
-// Package sockerr classifies errors of system calls on sockets: transient ones, after which the same operation may be retried on the same socket,
-// and all others, which end what the operation was for.
+// Package sockerr classifies errors of system calls on sockets: transient ones, after which the same
+// operation may be retried on the same socket, and all others, which end what the operation was for.
 package sockerr
 
 import (
@@ -7,7 +7,8 @@
 	"syscall"
 )
 
-// transientErrnos say nothing about the connection or the address: the system was short of a resource, or a signal interrupted the call.
+// transientErrnos say nothing about the connection or the address: the system was short of a resource, or a
+// signal interrupted the call.
 var transientErrnos = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
 
 // IsTransient reports whether a read, write or accept that failed with err may be retried on the same socket.
@@ -25,8 +26,8 @@
 	return IsTransient(err) && !errors.Is(err, syscall.EINTR) && !errors.Is(err, syscall.EAGAIN)
 }
 
-// IsTransientListen reports whether listening on an address may succeed later. Beside transient errors, another process may still hold the
-// address, and the interface that has it may not be up yet.
+// IsTransientListen reports whether listening on an address may succeed later. Beside transient errors,
+// another process may still hold the address, and the interface that has it may not be up yet.
 func IsTransientListen(err error) bool {
 	return IsTransient(err) || errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
