--- a/internal/backend/catalogue/call.go
+++ b/internal/backend/catalogue/call.go
@@ -13,13 +13,13 @@
 
 // call is one call in flight. The client's mutex guards it.
 type call struct {
-	id        string // of the request
-	startedAt time.Time
-	done      ReplyFunc
-	timer     *time.Timer
-	encoded   []byte // nil once it is sent
-	conn      *proxyConn
-	sent      bool // handed to the socket
+	id         string // of the request
+	startedAt  time.Time
+	done       ReplyFunc
+	timer      *time.Timer
+	encoded    []byte // nil once it is sent
+	connection *conn
+	sent       bool // handed to the socket
 }
 
 func (k *call) finish(o admission.Outcome, reply []byte) { k.done(o, time.Since(k.startedAt), reply) }
--- a/internal/backend/catalogue/client.go
+++ b/internal/backend/catalogue/client.go
@@ -16,11 +16,11 @@
 	limits limits.Limits
 	log    *lograte.Logger
 
-	mu        sync.Mutex
-	address   string
-	calls     map[string]*call // in flight, by their request
-	conns     []*proxyConn     // open or being opened, the most recently opened last
-	idleTimer *time.Timer
+	mu          sync.Mutex
+	address     string
+	calls       map[string]*call // in flight, by their request
+	connections []*conn          // open or being opened, the most recently opened last
+	idleTimer   *time.Timer
 }
 
 // New returns a client for the catalogue at the address.
@@ -48,8 +48,8 @@
 	k := &call{id: id, startedAt: time.Now(), done: done, encoded: encodeCall(id, timeout, body)}
 	k.timer = time.AfterFunc(timeout+c.limits.CallTimeoutSlack, func() { c.expire(k) })
 	c.calls[id] = k
-	k.conn = c.pickConn(id, once)
-	k.conn.enqueue(k)
+	k.connection = c.pickConnection(id, once)
+	k.connection.enqueue(k)
 }
 
 // Cancel gives up a request's call, which is never reported then.
@@ -64,17 +64,17 @@
 // cancel gives up a call; the caller holds mu.
 func (c *Client) cancel(k *call) {
 	c.remove(k)
-	k.conn.cancel(k)
+	k.connection.cancel(k)
 }
 
 // remove takes a call that is over off the tables; the caller holds mu.
 func (c *Client) remove(k *call) {
 	k.timer.Stop()
-	delete(k.conn.calls, k.id)
+	delete(k.connection.calls, k.id)
 	if c.calls[k.id] == k {
 		delete(c.calls, k.id)
 	}
-	k.conn.lastRequest, k.conn.lastUsed = k.id, time.Now()
+	k.connection.lastRequest, k.connection.lastUsed = k.id, time.Now()
 	c.closeIdle()
 }
 
@@ -86,7 +86,7 @@
 		return
 	}
 	c.remove(k)
-	lost := c.closeConn(k.conn)
+	lost := c.closeConnection(k.connection)
 	c.mu.Unlock()
 	k.finishTimedOut()
 	failCalls(lost)
@@ -96,8 +96,8 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	var lost []*call
-	for len(c.conns) > 0 {
-		lost = append(lost, c.closeConn(c.conns[0])...)
+	for len(c.connections) > 0 {
+		lost = append(lost, c.closeConnection(c.connections[0])...)
 	}
 	c.mu.Unlock()
 	failCalls(lost)
--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -261,7 +261,7 @@
 		}
 		calls = append(calls, begin(client, fmt.Sprint("a", i), ""))
 	}
-	if n := len(client.conns); n > 4 {
+	if n := len(client.connections); n > 4 {
 		t.Errorf("%d connections", n)
 	}
 	close(hold)
@@ -294,7 +294,7 @@
 		}
 		return conn
 	}
-	whole := begin(client, "a", "body")
+	complete := begin(client, "a", "body")
 	first := acceptCall(old, "a")
 	broken := begin(client, "b", "body")
 	second := acceptCall(old, "b")
@@ -315,7 +315,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := <-whole; got != (ended{logic.OutcomeOK, "reply"}) {
+	if got := <-complete; got != (ended{logic.OutcomeOK, "reply"}) {
 		t.Errorf("half read at the move: %+v", got)
 	}
 	if _, err := io.WriteString(third, "c DATA 3\r\nnew\r\n"); err != nil {
--- a/internal/backend/catalogue/conn.go
+++ b/internal/backend/catalogue/conn.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// proxyConn is one connection to the catalogue. The client's mutex guards it.
-type proxyConn struct {
-	client       *Client
-	address      string
-	socket       net.Conn // nil until it is open
-	calls        map[string]*call
-	queue        []*call // not handed to the socket yet
-	pendingQuits []byte  // encoded cancellations, not written yet
-	lastRequest  string  // the request whose call ended last here
-	lastUsed     time.Time
-	writing      bool
-	closed       bool
+// conn is one connection to the catalogue. The client's mutex guards it.
+type conn struct {
+	client         *Client
+	address        string
+	socket         net.Conn // nil until it is open
+	calls          map[string]*call
+	queue          []*call // not handed to the socket yet
+	pendingCancels []byte  // encoded cancellations, not written yet
+	lastRequest    string  // the request whose call ended last here
+	lastUsed       time.Time
+	writing        bool
+	closed         bool
 }
 
 // enqueue queues a call; the caller holds mu.
-func (p *proxyConn) enqueue(k *call) {
+func (p *conn) enqueue(k *call) {
 	p.calls[k.id] = k
 	p.queue = append(p.queue, k)
 	p.startWriter()
 }
 
 // cancel tells the catalogue that nobody waits for a call, if that was sent; the caller holds mu.
-func (p *proxyConn) cancel(k *call) {
+func (p *conn) cancel(k *call) {
 	if k.sent {
-		p.pendingQuits = appendCancel(p.pendingQuits, k.id)
+		p.pendingCancels = appendCancel(p.pendingCancels, k.id)
 		p.startWriter()
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // startWriter has the queue written, once the connection is open; the caller holds mu.
-func (p *proxyConn) startWriter() {
+func (p *conn) startWriter() {
 	if p.socket != nil && !p.writing && !p.closed {
 		p.writing = true
 		go p.writeLoop()
@@ -52,12 +52,12 @@
 }
 
 // run opens the connection and reads replies until it ends.
-func (p *proxyConn) run() {
+func (p *conn) run() {
 	c := p.client
 	socket, err := net.DialTimeout("tcp", p.address, c.limits.DialTimeout)
 	c.mu.Lock()
 	if err != nil {
-		lost := c.closeConn(p) // nothing was sent: each call is known not to have run
+		lost := c.closeConnection(p) // nothing was sent: each call is known not to have run
 		c.mu.Unlock()
 		c.log.Warn("connection to the catalogue failed; its calls did not run", err)
 		failCalls(lost)
@@ -72,7 +72,7 @@
 }
 
 // writeLoop writes what is queued until nothing is left.
-func (p *proxyConn) writeLoop() {
+func (p *conn) writeLoop() {
 	c := p.client
 	for {
 		batch := p.takeBatch()
@@ -91,15 +91,15 @@
 
 // takeBatch returns what is queued, and marks its calls as sent; nil if nothing is, or the connection is
 // closed.
-func (p *proxyConn) takeBatch() []byte {
+func (p *conn) takeBatch() []byte {
 	p.client.mu.Lock()
 	defer p.client.mu.Unlock()
-	if p.closed || len(p.queue) == 0 && len(p.pendingQuits) == 0 {
+	if p.closed || len(p.queue) == 0 && len(p.pendingCancels) == 0 {
 		p.writing = false
 		return nil
 	}
-	batch := p.pendingQuits
-	p.pendingQuits = nil
+	batch := p.pendingCancels
+	p.pendingCancels = nil
 	for _, k := range p.queue {
 		k.sent = true
 		batch = append(batch, k.encoded...)
@@ -111,7 +111,7 @@
 
 // readLoop takes replies until the connection ends or a malformed reply comes, after which nothing on it can
 // be told apart.
-func (p *proxyConn) readLoop(socket net.Conn) {
+func (p *conn) readLoop(socket net.Conn) {
 	in := bufio.NewReaderSize(socket, 4<<10)
 	var err error
 	for err == nil {
@@ -120,7 +120,7 @@
 	c := p.client
 	c.mu.Lock()
 	idle := time.Since(p.lastUsed)
-	lost := c.closeConn(p)
+	lost := c.closeConnection(p)
 	c.mu.Unlock()
 	if len(lost) > 0 {
 		c.log.Warn("connection to the catalogue ended with calls in flight; whether they ran is not known",
@@ -132,7 +132,7 @@
 // handleReply reads one reply and ends its call. Once begun, a reply must be complete within
 // limits.ReplyTimeout. One for a call that is not in flight here is dropped: it is a second copy, or its call
 // was canceled.
-func (p *proxyConn) handleReply(socket net.Conn, in *bufio.Reader) error {
+func (p *conn) handleReply(socket net.Conn, in *bufio.Reader) error {
 	if err := socket.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
--- a/internal/backend/catalogue/pool.go
+++ b/internal/backend/catalogue/pool.go
@@ -15,10 +15,10 @@
 //     of that call's reply.
 //   - Idle connections are closed after limits.CatalogueIdleTimeout, before the catalogue does it.
 
-// pickConn returns the connection for a request's call; the caller holds mu.
-func (c *Client) pickConn(id string, once bool) *proxyConn {
-	var least *proxyConn
-	for _, p := range slices.Backward(c.conns) {
+// pickConnection returns the connection for a request's call; the caller holds mu.
+func (c *Client) pickConnection(id string, once bool) *conn {
+	var least *conn
+	for _, p := range slices.Backward(c.connections) {
 		if p.address != c.address || p.lastRequest == id {
 			continue
 		}
@@ -29,28 +29,28 @@
 			least = p
 		}
 	}
-	if len(c.conns) >= c.limits.CatalogueConnections {
+	if len(c.connections) >= c.limits.CatalogueConnections {
 		if least != nil && len(least.calls) > 0 {
 			return least
 		}
 		c.closeOneIdle()
 	}
-	return c.openConn()
+	return c.openConnection()
 }
 
-// openConn adds a connection that is being opened; the caller holds mu.
-func (c *Client) openConn() *proxyConn {
-	p := &proxyConn{client: c, address: c.address, calls: map[string]*call{}, lastUsed: time.Now()}
-	c.conns = append(c.conns, p)
+// openConnection adds a connection that is being opened; the caller holds mu.
+func (c *Client) openConnection() *conn {
+	p := &conn{client: c, address: c.address, calls: map[string]*call{}, lastUsed: time.Now()}
+	c.connections = append(c.connections, p)
 	go p.run()
 	return p
 }
 
 // closeOneIdle closes the first idle connection, if any, to make room for a new one; the caller holds mu.
 func (c *Client) closeOneIdle() {
-	for _, p := range c.conns {
+	for _, p := range c.connections {
 		if len(p.calls) == 0 {
-			c.closeConn(p)
+			c.closeConnection(p)
 			return
 		}
 	}
@@ -60,11 +60,11 @@
 // address. It looks again as long as there are idle ones; the caller holds mu.
 func (c *Client) closeIdle() {
 	idle := false
-	for i := 0; i < len(c.conns); i++ {
-		switch p := c.conns[i]; {
+	for i := 0; i < len(c.connections); i++ {
+		switch p := c.connections[i]; {
 		case len(p.calls) > 0:
 		case p.address != c.address || time.Since(p.lastUsed) >= c.limits.CatalogueIdleTimeout:
-			c.closeConn(p)
+			c.closeConnection(p)
 			i--
 		default:
 			idle = true
@@ -81,11 +81,11 @@
 	})
 }
 
-// closeConn closes a connection and returns the calls that were in flight on it; the caller holds mu, and
+// closeConnection closes a connection and returns the calls that were in flight on it; the caller holds mu, and
 // ends them without it.
-func (c *Client) closeConn(p *proxyConn) (lost []*call) {
-	if i := slices.Index(c.conns, p); i >= 0 {
-		c.conns = slices.Delete(c.conns, i, i+1)
+func (c *Client) closeConnection(p *conn) (lost []*call) {
+	if i := slices.Index(c.connections, p); i >= 0 {
+		c.connections = slices.Delete(c.connections, i, i+1)
 	}
 	p.closed = true
 	if p.socket != nil {
--- a/internal/backend/catalogue/wire.go
+++ b/internal/backend/catalogue/wire.go
@@ -40,11 +40,11 @@
 	body    []byte // of one with OutcomeOK
 }
 
-// errBody is a reply's body that does not end where its line says.
-var errBody = errors.New("the reply's body does not end in CR LF")
+// errMalformedReply is the error of what is not a reply. Nothing more on its connection can be told apart.
+var errMalformedReply = errors.New("malformed reply")
 
-// readReply reads one reply with its body, which may have maxBody bytes. After an error nothing more on the
-// connection can be told apart.
+// readReply reads one reply with its body, which may have maxBody bytes. The error is errMalformedReply or
+// that of the connection.
 func readReply(in *bufio.Reader, maxBody int) (reply, error) {
 	line, err := in.ReadSlice('\n') // a line that does not end fills the buffer, which is an error
 	if err != nil {
@@ -59,7 +59,7 @@
 		return reply{}, err
 	}
 	if string(body[length:]) != "\r\n" {
-		return reply{}, errBody
+		return reply{}, fmt.Errorf("%w: its body does not end in CR LF", errMalformedReply)
 	}
 	return reply{id, outcome, body[:length]}, nil
 }
@@ -69,16 +69,16 @@
 	text, complete := strings.CutSuffix(line, "\r\n")
 	words := strings.Split(text, " ")
 	if !complete || len(words) < 2 || words[0] == "" {
-		return "", 0, 0, fmt.Errorf("malformed reply %.60q", line)
+		return "", 0, 0, fmt.Errorf("%w: %.60q", errMalformedReply, line)
 	}
 	outcome, known := replyOutcomes[words[1]]
 	if !known || (outcome == logic.OutcomeOK) != (len(words) == 3) {
-		return "", 0, 0, fmt.Errorf("malformed reply %.60q", line)
+		return "", 0, 0, fmt.Errorf("%w: %.60q", errMalformedReply, line)
 	}
 	if outcome == logic.OutcomeOK {
 		n, err := strconv.ParseUint(words[2], 10, 31)
 		if err != nil || int(n) > maxBody {
-			return "", 0, 0, fmt.Errorf("bad length in reply %.60q", line)
+			return "", 0, 0, fmt.Errorf("%w, its length: %.60q", errMalformedReply, line)
 		}
 		length = int(n)
 	}
--- a/internal/backend/runtime/commands.go
+++ b/internal/backend/runtime/commands.go
@@ -46,7 +46,7 @@
 func (l *Link) Start(id, class string, body []byte, once bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := &runState{idempotent: !once, kind: redelivery.Start, heardOn: l.generation}
+	r := &runState{idempotent: !once, kind: redelivery.Start, lastNoticeOn: l.generation}
 	l.enqueueForRun(r, encodeStart(id, class, body))
 	l.runs[id] = r
 }
@@ -56,7 +56,7 @@
 func (l *Link) Stop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.synced {
+	if l.writable {
 		l.enqueue(encodeStop(id))
 	}
 }
@@ -79,7 +79,7 @@
 func (l *Link) RequestGauges() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.synced {
+	if l.writable {
 		l.gaugesRequested++
 		l.enqueue(encodeGaugesRequest(strconv.FormatUint(l.gaugesRequested, 10)))
 	}
--- a/internal/backend/runtime/link.go
+++ b/internal/backend/runtime/link.go
@@ -57,7 +57,7 @@
 	runs       map[string]*runState // that were asked for and have not ended
 	generation uint64               // connections made so far
 	conn       net.Conn             // nil between two connections
-	synced     bool                 // the runtime is ready, and commands may be written
+	writable   bool                 // the runtime is ready, and commands may be written
 	switching  bool                 // the address has changed: the connection ends once all that was written is read
 	closed     bool
 
@@ -132,7 +132,7 @@
 	}()
 	err = l.readNotices(conn)
 	l.mu.Lock()
-	l.conn, l.synced = nil, false
+	l.conn, l.writable = nil, false
 	l.cleanSwitch = errors.Is(err, errAddressChanged)
 	l.cond.Broadcast()
 	l.mu.Unlock()
@@ -151,7 +151,7 @@
 	if l.closed {
 		return 0, net.ErrClosed
 	}
-	l.conn, l.synced, l.switching, l.noticesLost = conn, false, false, false
+	l.conn, l.writable, l.switching, l.noticesLost = conn, false, false, false
 	l.generation++
 	return l.lastNotice, nil
 }
@@ -172,7 +172,7 @@
 	conn := l.conn
 	switch {
 	case conn == nil: // Serve is about to connect
-	case !l.synced:
+	case !l.writable:
 		_ = conn.Close()
 	default:
 		l.switching = true
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -126,7 +126,7 @@
 	})
 	l, e := open(t, rt)
 	<-rt.Syncs
-	swallow := func(command func()) {
+	lose := func(command func()) {
 		n := rt.Swallow()
 		command()
 		for rt.Swallowed() == n {
@@ -142,13 +142,13 @@
 			t.Errorf("unconfirmed %v, want %v", got, want)
 		}
 	}
-	swallow(func() { l.Start("k", "book", []byte("k"), true) })
+	lose(func() { l.Start("k", "book", []byte("k"), true) })
 	unconfirmed(unconfirmedStart("k"))
-	swallow(func() { l.Start("a", "slot-search", []byte("a"), false) })
+	lose(func() { l.Start("a", "slot-search", []byte("a"), false) })
 	first := <-e.wants
-	swallow(func() { l.DeliverReply("a", []byte("1")) })
+	lose(func() { l.DeliverReply("a", []byte("1")) })
 	unconfirmed(unconfirmedStart("k"), unconfirmedReply("a", first))
-	swallow(func() { l.SkipCall("a", first) })
+	lose(func() { l.SkipCall("a", first) })
 	<-e.wants
 	l.DeliverReply("a", []byte("2"))
 	if got := <-e.ends; got.result != "2" || rt.Runs("a") != 1 {
@@ -165,11 +165,11 @@
 // TestRedeliveredCommands: what may arrive twice is sent again on the next connection; what may not is
 // reported as unconfirmed, unless an answer shows that it was read.
 func TestRedeliveredCommands(t *testing.T) {
-	ask := func(l *Link) { l.synced = true; l.RequestGauges(); l.synced = false }
+	ask := func(l *Link) { l.writable = true; l.RequestGauges(); l.writable = false }
 	echo := func(l *Link) { l.recordGaugesReceived(gaugesNotice{echo: strconv.FormatUint(l.gaugesRequested, 10)}) }
 	for _, c := range []struct {
 		name        string
-		play        func(l *Link)
+		prepare     func(l *Link)
 		want        string
 		unconfirmed []unconfirmedCommand
 	}{
@@ -205,7 +205,7 @@
 	} {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
 		l.generation = 1
-		c.play(l)
+		c.prepare(l)
 		l.takeQueue()
 		l.generation++
 		r := l.decideRedelivery()
@@ -274,7 +274,7 @@
 	}
 	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
-	l.events, l.synced = e, true
+	l.events, l.writable = e, true
 	l.queue = append(l.queue, queuedCommand{line: encodeSync(7)})
 	l.Start("a", "book", nil, true)
 	l.Stop("a")
@@ -333,7 +333,7 @@
 	resume := func(first uint64, once bool) (ended []end, queued int) {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 		e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
-		l.events, l.synced, l.generation = e, true, 1
+		l.events, l.writable, l.generation = e, true, 1
 		for _, id := range []string{"a", "b", "c"} {
 			l.Start(id, "book", nil, once)
 		}
--- a/internal/backend/runtime/notices.go
+++ b/internal/backend/runtime/notices.go
@@ -54,7 +54,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.opts.Log.Info("runtime ready", "state", m.state, "up_ms", m.upMS, "link", l.generation, "last_notice", l.lastNotice)
-	l.synced, l.redeliveryDecided = true, false
+	l.writable, l.redeliveryDecided = true, false
 	if len(l.runs) > 0 && !l.cleanSwitch {
 		l.queue = append([]queuedCommand{{line: encodeGaugesRequest(echoResumed)}}, l.queue...)
 	}
--- a/internal/backend/runtime/reader.go
+++ b/internal/backend/runtime/reader.go
@@ -73,7 +73,7 @@
 func (l *Link) isReady() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.synced || l.switching
+	return l.writable || l.switching
 }
 
 // skipUnreadable reports whether a notice that can't be read is left out. The first time it is not: the
--- a/internal/backend/runtime/reconnect_test.go
+++ b/internal/backend/runtime/reconnect_test.go
@@ -117,7 +117,7 @@
 	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
 	<-e.wants
 	_ = p.Close()
-	waitFor(t, l, func() bool { return l.generation == 2 && !l.synced }) // dialled, and not served yet
+	waitFor(t, l, func() bool { return l.generation == 2 && !l.writable }) // dialled, and not served yet
 	l.DeliverReply("a", []byte("one"))
 	l.Start("c", "book", nil, true)
 	p, sync := nextPeer(t, ln)
@@ -152,7 +152,7 @@
 	l, e, ln := serveScripted(t, func(lim *limits.Limits) { lim.WriteTimeout, lim.RuntimeSilence = time.Hour, time.Hour })
 	p, _ := nextPeer(t, ln)
 	p.send(ready)
-	waitFor(t, l, func() bool { return l.synced })
+	waitFor(t, l, func() bool { return l.writable })
 	body := []byte(strings.Repeat("x", 8<<10))
 	const starts = 2000
 	for i := range starts { // far more than the sockets hold
@@ -200,7 +200,7 @@
 	defer func() { _ = p.Close() }()
 	p, _ = nextPeer(t, ln)
 	p.send(ready)
-	waitFor(t, l, func() bool { return l.synced })
+	waitFor(t, l, func() bool { return l.writable })
 	for range 5 {
 		if c := p.read(); c.Action != "gauges" || c.Echo != echoKeepalive {
 			t.Fatalf("%+v, want a keepalive request", c)
@@ -211,7 +211,7 @@
 	p.read() // and from here on it is silent
 	p, _ = nextPeer(t, ln)
 	p.send(ready)
-	waitFor(t, l, func() bool { return l.generation == 3 && l.synced })
+	waitFor(t, l, func() bool { return l.generation == 3 && l.writable })
 }
 
 // TestFragmentedNotice: a notice is read however it is cut, and once if the connection breaks within it.
@@ -293,7 +293,7 @@
 	l, e, ln := serveScripted(t, nil)
 	p, _ := nextPeer(t, ln)
 	p.send(ready)
-	waitFor(t, l, func() bool { return l.synced })
+	waitFor(t, l, func() bool { return l.writable })
 	l.Start("a", "slot-search", nil, false)
 	p.read()
 	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
--- a/internal/backend/runtime/resume.go
+++ b/internal/backend/runtime/resume.go
@@ -31,7 +31,7 @@
 	}
 	l.redeliveryDecided = true
 	for id, run := range l.runs {
-		noticesLost := l.noticesLost && run.heardOn < l.generation
+		noticesLost := l.noticesLost && run.lastNoticeOn < l.generation
 		inFlight := run.line == nil || run.writtenOn == 0 || run.writtenOn == l.generation
 		if inFlight && !noticesLost {
 			continue
--- a/internal/backend/runtime/writer.go
+++ b/internal/backend/runtime/writer.go
@@ -38,7 +38,7 @@
 func (l *Link) waitForCommands(conn net.Conn) []queuedCommand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.conn == conn && (!l.synced || len(l.queue) == 0) {
+	for l.conn == conn && (!l.writable || len(l.queue) == 0) {
 		l.cond.Wait()
 	}
 	if l.conn != conn {
@@ -46,7 +46,7 @@
 	}
 	commands := l.takeQueue()
 	if l.switching {
-		l.synced = false // these commands are the last on this connection
+		l.writable = false // these commands are the last on this connection
 	}
 	return commands
 }
--- a/internal/frontend/connlimit/eviction.go
+++ b/internal/frontend/connlimit/eviction.go
@@ -29,7 +29,7 @@
 	c := l.candidates(now)
 	var newWait time.Duration
 	if c.oldestNew != nil {
-		newWait = l.newcomerGrace - now.Sub(c.oldestNew.since)
+		newWait = l.newGrace - now.Sub(c.oldestNew.since)
 	}
 	switch {
 	case c.expiredIdle != nil && (c.oldestNew == nil || newWait > 0 && c.newCount < l.reservedForNew):
@@ -84,5 +84,5 @@
 	if s.state == StateIdle {
 		return l.idleGrace
 	}
-	return l.newcomerGrace
+	return l.newGrace
 }
--- a/internal/frontend/connlimit/limiter.go
+++ b/internal/frontend/connlimit/limiter.go
@@ -20,8 +20,8 @@
 
 // Limiter hands out the slots of one front. Its methods may be called from any goroutine.
 type Limiter struct {
-	newcomerGrace time.Duration // how long a connection may stay in StateNew or StateIdleAfterOne before it can be evicted
-	idleGrace     time.Duration // the same for StateIdle
+	newGrace  time.Duration // how long a connection may stay in StateNew or StateIdleAfterOne before it can be evicted
+	idleGrace time.Duration // the same for StateIdle
 
 	mu             sync.Mutex
 	capacity       int // slots
@@ -40,8 +40,8 @@
 
 // New returns a limiter of the given capacity in slots. newcomerGrace and idleGrace are the times for which a
 // connection keeps its slot though it has nothing open (eviction.go).
-func New(capacity int, newcomerGrace, idleGrace time.Duration) *Limiter {
-	return &Limiter{capacity: capacity, newcomerGrace: newcomerGrace, idleGrace: idleGrace, reservedForNew: reservedSlots(capacity),
+func New(capacity int, newGrace, idleGrace time.Duration) *Limiter {
+	return &Limiter{capacity: capacity, newGrace: newGrace, idleGrace: idleGrace, reservedForNew: reservedSlots(capacity),
 		held: map[*Slot]struct{}{}}
 }
 
@@ -106,7 +106,7 @@
 		switch {
 		case acquired:
 			return true
-		case !possible, wait > s.limiter.newcomerGrace:
+		case !possible, wait > s.limiter.newGrace:
 			return false
 		}
 		time.Sleep(wait)
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -86,7 +86,7 @@
 		c.mu.Unlock()
 		return false, errAborted // no answer could follow: it must not run, and its caller learns by the close that it did not
 	}
-	// Whatever is said under the tag of an open request would be taken for that one's answer.
+	// An answer with the tag of an open request would be taken for the answer to that one.
 	if _, duplicate := c.openRequests[tag]; duplicate || submit != nil && len(c.openRequests) >= c.front.opts.Limits.RequestsPerConnection {
 		c.mu.Unlock()
 		return false, errDuplicateTag
@@ -236,7 +236,7 @@
 // hasWork reports whether a request is open, or an answer still to be written; the caller holds mu.
 func (c *conn) hasWork() bool { return len(c.openRequests) > 0 || len(c.output) > 0 || c.flushing }
 
-// cancelRequest takes a balancer's word that it waits no longer for a request.
+// cancelRequest cancels a request that its balancer waits no longer for.
 func (c *conn) cancelRequest(tag string) {
 	c.mu.Lock()
 	id, known := c.openRequests[tag]
--- a/internal/frontend/resp/eviction.go
+++ b/internal/frontend/resp/eviction.go
@@ -31,12 +31,12 @@
 }
 
 // add has an evicted connection end, and blocks while there are too many, for patience at most.
-func (e *evictionList) add(c *framedConn, patience time.Duration) {
+func (e *evictionList) add(c *framedConn, maxWait time.Duration) {
 	e.mu.Lock()
 	e.list = append(e.list, c)
 	e.mu.Unlock()
 	c.stopReading() // it may be over, and removed, from here on
-	for polls := int(patience / evictPollInterval); e.trim() && polls > 0; polls-- {
+	for polls := int(maxWait / evictPollInterval); e.trim() && polls > 0; polls-- {
 		time.Sleep(evictPollInterval)
 	}
 }
--- a/internal/frontend/resp/frame_validator_test.go
+++ b/internal/frontend/resp/frame_validator_test.go
@@ -105,10 +105,10 @@
 				}
 			}
 		}
-		whole, framed := read(bytes.NewReader(in))
-		pieces, _ := read(iotest.OneByteReader(bytes.NewReader(in)))
-		if whole != pieces || !framed {
-			t.Errorf("%d commands at once, %d byte by byte; framed %v", whole, pieces, framed)
+		atOnce, framed := read(bytes.NewReader(in))
+		byByte, _ := read(iotest.OneByteReader(bytes.NewReader(in)))
+		if atOnce != byByte || !framed {
+			t.Errorf("%d commands at once, %d byte by byte; framed %v", atOnce, byByte, framed)
 		}
 	})
 }
--- a/internal/frontend/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -39,7 +39,7 @@
 	RejectionStatus(class, key string) node.Status
 }
 
-// NodeStatus is what balancers are told of the node. Its methods must not block.
+// NodeStatus is the state of the node that is reported to balancers. Its methods must not block.
 type NodeStatus interface {
 	// LoadSignal is the value that goes with every answer, if there is one yet.
 	LoadSignal() (signal float64, set bool)
--- a/internal/frontend/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -58,7 +58,7 @@
 	switch {
 	case gracefulclose.HasPendingConnections(l.Listener, l.quietPeriodPassed):
 		l.quietPeriodPassed = false
-		_ = d.SetDeadline(time.Time{}) // the next Accept takes what waits, whenever it has its turn
+		_ = d.SetDeadline(time.Time{}) // the next Accept takes what waits, however late it runs
 	case !l.quietPeriodPassed && d.SetDeadline(time.Now().Add(quietPeriod)) == nil:
 		l.quietPeriodPassed = true
 	default:
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -21,7 +21,7 @@
 	return g.TCPListener.Accept()
 }
 
-// TestListenerServesItsQueueBeforeItCloses: connections in the accept queue as the listener is told to close
+// TestListenerServesItsQueueBeforeItCloses: connections in the accept queue as the listener is closed
 // are served, with whole requests and halves; then it closes. The front does not count as free before that.
 func TestListenerServesItsQueueBeforeItCloses(t *testing.T) {
 	d := newFakeCore()
--- a/internal/frontend/resp/output_test.go
+++ b/internal/frontend/resp/output_test.go
@@ -54,7 +54,7 @@
 	lim.TotalUnreadAnswerBytes = 1 << 20
 	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: lim, Log: standin.Quiet})
 	const peers = 40
-	most := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
+	limit := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
 	var conns []*conn
 	for range peers {
 		ours, theirs := net.Pipe() // it buffers nothing
@@ -65,8 +65,8 @@
 	for range lim.UnreadAnswerBytes/len(body) + 2 {
 		for _, k := range conns {
 			k.enqueueAnswer("1", "ACK", nil, body, false)
-			if peak = max(peak, f.unreadBytes.Load()); peak > most {
-				t.Fatalf("%d bytes are unread, %d at most", peak, most)
+			if peak = max(peak, f.unreadBytes.Load()); peak > limit {
+				t.Fatalf("%d bytes are unread, %d at most", peak, limit)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 	t.Cleanup(f.Close)
 	good := standin.Dial(t, ln.Addr().String())
 	const peers = 12
-	most := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
+	limit := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
 	var flooding sync.WaitGroup
 	for range peers {
 		b := standin.Dial(t, ln.Addr().String())
@@ -118,14 +118,14 @@
 				if _, err := b.Write(flood); err != nil {
 					return
 				}
-				if n := f.unreadBytes.Load(); n > most {
-					t.Errorf("%d bytes are unread, %d at most", n, most)
+				if n := f.unreadBytes.Load(); n > limit {
+					t.Errorf("%d bytes are unread, %d at most", n, limit)
 				}
 			}
 		})
 	}
 	flooding.Wait()
-	waitFor(t, "the bound of all holds", func() bool { return f.unreadBytes.Load() <= most })
+	waitFor(t, "the bound of all holds", func() bool { return f.unreadBytes.Load() <= limit })
 	good.Do(7, "book", testRequestID, time.Now(), "body", "")
 	<-d.submitted
 	d.answer(testRequestID, node.Response{Status: node.StatusServed, Result: []byte("r")})
--- a/internal/frontend/resp/unadmitted_test.go
+++ b/internal/frontend/resp/unadmitted_test.go
@@ -109,10 +109,10 @@
 	busy := standin.Dial(t, ln.Addr().String())
 	busy.Do(7, "book", testRequestID, time.Now(), "body", "")
 	<-d.submitted
-	newcomer := standin.Dial(t, ln.Addr().String())
-	newcomer.Send(standin.Array("DO", "7", "book", validFields, "body") + standin.Array("PING", "8") + standin.Array("DO", "9", "book", validFields, "body"))
+	b := standin.Dial(t, ln.Addr().String())
+	b.Send(standin.Array("DO", "7", "book", validFields, "body") + standin.Array("PING", "8") + standin.Array("DO", "9", "book", validFields, "body"))
 	words := map[string]string{}
-	for got := newcomer.Read(); got != nil; got = newcomer.Read() {
+	for got := b.Read(); got != nil; got = b.Read() {
 		words[got[0]] = got[1]
 	}
 	if words["7"] != "NAK" || words["8"] != "GREEN" || words["9"] != "NAK" {
