--- a/internal/backend/runtime/commands.go
+++ b/internal/backend/runtime/commands.go
@@ -46,17 +46,17 @@
 func (l *Link) Start(id, class string, body []byte, once bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := &runState{idempotent: !once, kind: redelivery.Start, heardOn: l.generation}
+	r := &runState{idempotent: !once, kind: redelivery.Start, lastNoticeOn: l.generation}
 	l.enqueueForRun(r, encodeStart(id, class, body))
 	l.runs[id] = r
 }
 
-// Stop pauses a run, or ends one whose request is over. Without a link the command is dropped: the module asks again, and a queue of such commands
-// would grow for as long as the runtime is away.
+// Stop pauses a run, or ends one whose request is over. Without a link the command is dropped: the module
+// asks again, and a queue of such commands would grow for as long as the runtime is away.
 func (l *Link) Stop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.synced {
+	if l.writable {
 		l.enqueue(encodeStop(id))
 	}
 }
@@ -74,11 +74,12 @@
 	l.sendForCall(id, redelivery.Omission, encodeSkipCall(id, notice))
 }
 
-// RequestGauges asks for the gauges, which Options.OnGauges gets. Without a link nothing is asked, as nothing could answer.
+// RequestGauges asks for the gauges, which Options.OnGauges gets. Without a link nothing is asked, as nothing
+// could answer.
 func (l *Link) RequestGauges() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.synced {
+	if l.writable {
 		l.gaugesRequested++
 		l.enqueue(encodeGaugesRequest(strconv.FormatUint(l.gaugesRequested, 10)))
 	}
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestResume breaks the connection while runs are on: no notice is lost or handled twice, and nothing runs twice.
+// TestResume breaks the connection while runs are on: no notice is lost or handled twice, and nothing runs
+// twice.
 func TestResume(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-hold; return "OK", j.UID })
@@ -116,15 +117,16 @@
 	}
 }
 
-// TestLostCommands: what was written and not carried out is sent again only if a second delivery does no harm. The start of a request that is not
-// idempotent, and a reply, are reported as unconfirmed instead; skipping the call then takes the run on, once.
+// TestLostCommands: what was written and not carried out is sent again only if a second delivery does no
+// harm. The start of a request that is not idempotent, and a reply, are reported as unconfirmed instead;
+// skipping the call then takes the run on, once.
 func TestLostCommands(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) {
 		return "OK", string(j.Call("one")) + string(j.Call("two"))
 	})
 	l, e := open(t, rt)
 	<-rt.Syncs
-	swallow := func(command func()) {
+	lose := func(command func()) {
 		n := rt.Swallow()
 		command()
 		for rt.Swallowed() == n {
@@ -140,13 +142,13 @@
 			t.Errorf("unconfirmed %v, want %v", got, want)
 		}
 	}
-	swallow(func() { l.Start("k", "book", []byte("k"), true) })
+	lose(func() { l.Start("k", "book", []byte("k"), true) })
 	unconfirmed(unconfirmedStart("k"))
-	swallow(func() { l.Start("a", "slot-search", []byte("a"), false) })
+	lose(func() { l.Start("a", "slot-search", []byte("a"), false) })
 	first := <-e.wants
-	swallow(func() { l.DeliverReply("a", []byte("1")) })
+	lose(func() { l.DeliverReply("a", []byte("1")) })
 	unconfirmed(unconfirmedStart("k"), unconfirmedReply("a", first))
-	swallow(func() { l.SkipCall("a", first) })
+	lose(func() { l.SkipCall("a", first) })
 	<-e.wants
 	l.DeliverReply("a", []byte("2"))
 	if got := <-e.ends; got.result != "2" || rt.Runs("a") != 1 {
@@ -160,14 +162,14 @@
 func unconfirmedStart(id string) unconfirmedCommand              { return unconfirmedCommand{id, 0} }
 func unconfirmedReply(id string, call uint64) unconfirmedCommand { return unconfirmedCommand{id, call} }
 
-// TestRedeliveredCommands: what may arrive twice is sent again on the next connection; what may not is reported as unconfirmed, unless an answer
-// shows that it was read.
+// TestRedeliveredCommands: what may arrive twice is sent again on the next connection; what may not is
+// reported as unconfirmed, unless an answer shows that it was read.
 func TestRedeliveredCommands(t *testing.T) {
-	ask := func(l *Link) { l.synced = true; l.RequestGauges(); l.synced = false }
+	ask := func(l *Link) { l.writable = true; l.RequestGauges(); l.writable = false }
 	echo := func(l *Link) { l.recordGaugesReceived(gaugesNotice{echo: strconv.FormatUint(l.gaugesRequested, 10)}) }
 	for _, c := range []struct {
 		name        string
-		play        func(l *Link)
+		prepare     func(l *Link)
 		want        string
 		unconfirmed []unconfirmedCommand
 	}{
@@ -203,7 +205,7 @@
 	} {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
 		l.generation = 1
-		c.play(l)
+		c.prepare(l)
 		l.takeQueue()
 		l.generation++
 		r := l.decideRedelivery()
@@ -225,7 +227,8 @@
 	}
 }
 
-// TestSetAddress: commands in flight when the address changes are carried out once, and notices resume where they were.
+// TestSetAddress: commands in flight when the address changes are carried out once, and notices resume where
+// they were.
 func TestSetAddress(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-hold; return "OK", j.UID })
@@ -262,7 +265,8 @@
 	}
 }
 
-// TestMessagesFollowTheDescription: each command is valid by the AsyncAPI document, and each notice of that document is handled.
+// TestMessagesFollowTheDescription: each command is valid by the AsyncAPI document, and each notice of that
+// document is handled.
 func TestMessagesFollowTheDescription(t *testing.T) {
 	messages, err := apispec.Messages(apispec.Platform)
 	if err != nil {
@@ -270,7 +274,7 @@
 	}
 	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
-	l.events, l.synced = e, true
+	l.events, l.writable = e, true
 	l.queue = append(l.queue, queuedCommand{line: encodeSync(7)})
 	l.Start("a", "book", nil, true)
 	l.Stop("a")
@@ -323,13 +327,13 @@
 	}
 }
 
-// TestLostNotices: where the runtime no longer has all notices, a run that was asked for before the break and has no later notice counts as failed, since its
-// end may be among them; it is not started again.
+// TestLostNotices: where the runtime no longer has all notices, a run that was asked for before the break and
+// has no later notice counts as failed, since its end may be among them; it is not started again.
 func TestLostNotices(t *testing.T) {
 	resume := func(first uint64, once bool) (ended []end, queued int) {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
 		e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
-		l.events, l.synced, l.generation = e, true, 1
+		l.events, l.writable, l.generation = e, true, 1
 		for _, id := range []string{"a", "b", "c"} {
 			l.Start(id, "book", nil, once)
 		}
--- a/internal/backend/runtime/notices.go
+++ b/internal/backend/runtime/notices.go
@@ -48,13 +48,13 @@
 	return true
 }
 
-// handleReady opens the link for commands. On a resumed link a request for gauges goes first: once its echo is back, all notices from before have
-// been read.
+// handleReady opens the link for commands. On a resumed link a request for gauges goes first: once its echo
+// is back, all notices from before have been read.
 func (l *Link) handleReady(m readyNotice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.opts.Log.Info("runtime ready", "state", m.state, "up_ms", m.upMS, "link", l.generation, "last_notice", l.lastNotice)
-	l.synced, l.redeliveryDecided = true, false
+	l.writable, l.redeliveryDecided = true, false
 	if len(l.runs) > 0 && !l.cleanSwitch {
 		l.queue = append([]queuedCommand{{line: encodeGaugesRequest(echoResumed)}}, l.queue...)
 	}
