--- a/internal/control/fleet/halt.go
+++ b/internal/control/fleet/halt.go
@@ -10,32 +10,52 @@
 	"sloehitch/internal/store/document"
 )
 
-// Halt has nothing of something begin to go out by choice any more: of a release, or permit.All. It returns once that holds everywhere,
-// however late a process wakes up: what had its beginning agreed on before the halt was either goes out by now or is past its window.
-// It blocks for a window at the most, and returns how many permits there are. With an error it may be halted all the same, and is to be
-// asked for again.
-func Halt(ask store.Client, what, by, why string) (permits int, err error) {
-	if _, err := ask.Commit(document.Transaction{ID: rand.Text(), Author: by, Reason: "halt " + what + ": " + why, Operations: []document.Operation{{Key: fleetstate.HaltKeyPrefix + what, Value: by + ": " + why}}}); err != nil {
+// When a halt holds everywhere.
+//
+// Inputs: the permits that the halt covers, and the time since it was committed, on this process's clock. A halt holds once each permit
+// that is started and not yet out of service was started more than its start window (StartWindowMS) ago at the latest:
+//
+//	open = state is started, and time since the halt < start window
+//
+// Why: a permit cannot be started after the halt, since its absence is a condition of that. A node counts its window from before it
+// asked, so the window of a permit that was started before the halt ends before this wait does, however late the process wakes up.
+
+// haltPollInterval is how often the permits are read while a window is open.
+const haltPollInterval = 50 * time.Millisecond
+
+// Halt keeps a release, or everything (fleetstate.HaltAll), from being started. It returns once that holds everywhere, and how many permits
+// there are. It blocks for a start window at most. With an error it may be halted all the same: ask again.
+func Halt(client store.Client, name, by, reason string) (permits int, err error) {
+	t := document.Transaction{ID: rand.Text(), Author: by, Reason: "halt " + name + ": " + reason,
+		Operations: []document.Operation{{Key: fleetstate.HaltKeyPrefix + name, Value: by + ": " + reason}}}
+	if _, err := client.Commit(t); err != nil {
 		return 0, fmt.Errorf("%w; it may have been halted: ask again until it is certain", err)
 	}
-	halted := time.Now()
+	haltedAt := time.Now()
 	for {
-		docs, _, err := ask.Documents(fleetstate.DrainKeyPrefix, false)
+		docs, _, err := client.Documents(fleetstate.DrainKeyPrefix, false)
 		if err != nil {
 			return 0, fmt.Errorf("%w; it is halted, and what was begun before may still go out: ask again until it is certain", err)
 		}
-		v, _, err := fleetstate.DecodeView(docs, fleetstate.DefaultDecoder, halted.UnixMilli())
+		view, _, err := fleetstate.DecodeView(docs, fleetstate.DefaultDecoder, haltedAt.UnixMilli())
 		if err != nil {
 			return 0, err
 		}
-		open := false
-		for name, p := range v.Permits {
-			mine := what == fleetstate.HaltAll || v.Requests[name].ReleaseName == what
-			open = open || mine && p.State == fleetstate.PermitStarted && time.Since(halted) < time.Duration(p.StartWindowMS)*time.Millisecond
+		if !startWindowOpen(view, name, haltedAt) {
+			return len(view.Permits), nil
 		}
-		if !open {
-			return len(v.Permits), nil
+		time.Sleep(haltPollInterval)
+	}
+}
+
+// startWindowOpen says whether a node may still go out of service by a permit that was started before the halt.
+func startWindowOpen(view fleetstate.View, halt string, haltedAt time.Time) bool {
+	for member, permit := range view.Permits {
+		covered := halt == fleetstate.HaltAll || view.Requests[member].ReleaseName == halt
+		window := time.Duration(permit.StartWindowMS) * time.Millisecond
+		if covered && permit.State == fleetstate.PermitStarted && time.Since(haltedAt) < window {
+			return true
 		}
-		time.Sleep(50 * time.Millisecond)
 	}
+	return false
 }
--- /dev/null
+++ b/internal/control/fleet/options_test.go
@@ -0,0 +1,31 @@
+package fleet
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/testing/standin"
+)
+
+func TestOptionsValidate(t *testing.T) {
+	valid := Options{Name: "n1", StoreMembers: []string{"127.0.0.1:1"}, ReportInterval: time.Second, SilentAfter: 5 * time.Second, LeaseTerms: lease.Terms{Duration: 10 * time.Second}, Log: standin.Quiet}
+	for _, c := range []struct {
+		change func(*Options)
+		want   string
+	}{
+		{func(*Options) {}, ""},
+		{func(o *Options) { o.Name = "a/b" }, "slashes"},
+		{func(o *Options) { o.StoreMembers = nil }, "members"},
+		{func(o *Options) { o.SilentAfter = time.Second }, "twice"},
+		{func(o *Options) { o.BackupInterval = time.Hour }, "folder"},
+		{func(o *Options) { o.LeaseTerms.MaxDrift = 2 }, "drift"},
+	} {
+		o := valid
+		c.change(&o)
+		if _, err := New(o); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%v, want %q", err, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/fleet/participant.go
@@ -0,0 +1,107 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/platform/lograte"
+)
+
+// Participant is one node's part in the fleet. Its exported methods may be called concurrently.
+type Participant struct {
+	options   Options
+	log       *lograte.Logger
+	clock     lease.Clock
+	startedAt time.Time
+
+	// preferredMember counts up: modulo the number of members it is the member of the store that is asked first.
+	preferredMember atomic.Int64
+
+	mu           sync.Mutex // guards what follows
+	detector     *FailureDetector
+	lastSweep    lease.Instant     // when this node last ran the sweep; 0: never
+	endedJobs    map[string]string // by task: the job that this node ended last
+	applier      *stateApplier
+	inService    conditionTimer // in service and healthy
+	drainOverdue bool
+	stats        Stats
+}
+
+// New returns a participant that does nothing until Serve. It returns an error for options that cannot be used, and if the state in the
+// ledger cannot be read.
+func New(o Options) (*Participant, error) {
+	if err := o.Validate(); err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	o.setDefaults()
+	applier, err := newStateApplier(o.Ledger, o.ApplyDesiredState)
+	if err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	return &Participant{
+		options:   o,
+		log:       lograte.New(o.Log, time.Second),
+		clock:     o.Clock,
+		startedAt: time.Now(),
+		detector:  NewFailureDetector(o.SilentAfter),
+		endedJobs: map[string]string{},
+		applier:   applier,
+		stats:     Stats{Reports: map[string]uint64{}, Permits: map[string]uint64{}},
+	}, nil
+}
+
+// Serve reports the node and runs the fleet's tasks until the context ends; then it hands leases over. It blocks, and is called once.
+func (p *Participant) Serve(ctx context.Context) {
+	var wg sync.WaitGroup
+	for _, run := range p.loops() {
+		wg.Go(func() { run(ctx) })
+	}
+	ticker := time.NewTicker(p.options.ReportInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil {
+		p.publishReport()
+		p.observeReportsWhileSweeping()
+		select {
+		case <-ctx.Done():
+		case <-ticker.C:
+		}
+	}
+	wg.Wait()
+}
+
+// loops returns what Serve runs beside the reports. Each runs until its context ends.
+func (p *Participant) loops() (loops []func(context.Context)) {
+	for _, task := range p.periodicTasks() {
+		loops = append(loops, func(ctx context.Context) { p.runPeriodicTask(ctx, task) })
+	}
+	loops = append(loops, p.followDesiredState)
+	if p.options.Drain == nil {
+		return loops
+	}
+	loops = append(loops, p.runDrainAgent, p.runGrantTask, p.runReleaseTask)
+	if p.options.Drain.ExcludeUpstreams != nil {
+		loops = append(loops, p.followExcludedUpstreams)
+	}
+	return loops
+}
+
+// periodicTasks returns the periodic tasks that this node takes part in.
+func (p *Participant) periodicTasks() []PeriodicTask {
+	tasks := []PeriodicTask{{Name: sweepTaskName, Interval: p.options.SilentAfter, Steps: []string{"mark"}, RunStep: p.markSilentNodes}}
+	if p.options.BackupInterval > 0 {
+		tasks = append(tasks, PeriodicTask{Name: "backup", Interval: p.options.BackupInterval, Steps: []string{backupStepWrite, backupStepPrune}, RunStep: p.backup})
+	}
+	return tasks
+}
+
+// pause waits for the retry delay, or until the context ends.
+func (p *Participant) pause(ctx context.Context) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(p.options.RetryDelay):
+	}
+}
--- /dev/null
+++ b/internal/control/fleet/stats.go
@@ -0,0 +1,81 @@
+package fleet
+
+import (
+	"maps"
+
+	"sloehitch/internal/control/disruption"
+	"sloehitch/internal/control/fleetstate"
+	"sloehitch/internal/control/release"
+)
+
+// The keys of Stats.Reports and Stats.Permits, which are values of metric labels.
+const (
+	reportsMade     = "made"
+	reportsFailed   = "failed"
+	permitsStarted  = "begun"
+	permitsLate     = "late"
+	permitsReplaced = "replaced"
+	permitsGranted  = "granted"
+	permitsRemoved  = "freed"
+)
+
+// Stats are what this node has done in the fleet since its process started, and what it knows of the tasks whose leases it holds.
+type Stats struct {
+	OutOfService bool // this node is out of service under a permit
+	DrainOverdue bool // and still has requests after its drain timeout
+	// Reports counts reports to the store: "made", "failed".
+	Reports map[string]uint64
+	// Permits counts permits. Of this node: "begun", "late", "replaced"; granted by it: "granted", "freed".
+	Permits map[string]uint64
+	// Grants is nil unless this node grants permits.
+	Grants *GrantStats
+	// Releases are those that this node takes through the fleet.
+	Releases []release.Status
+}
+
+// GrantStats are what the node that grants permits sees.
+type GrantStats struct {
+	Waiting     int // requests without a permit
+	Permits     map[fleetstate.PermitState]int
+	Unavailable map[disruption.Availability]int // nodes and upstream servers that count as out
+}
+
+// Stats returns the current statistics.
+func (p *Participant) Stats() Stats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	stats := p.stats
+	stats.DrainOverdue, stats.Reports, stats.Permits = p.drainOverdue, maps.Clone(stats.Reports), maps.Clone(stats.Permits)
+	return stats
+}
+
+// updateStats changes the statistics. change must not block.
+func (p *Participant) updateStats(change func(stats *Stats)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	change(&p.stats)
+}
+
+// addPermitCount adds to one of Stats.Permits.
+func (p *Participant) addPermitCount(key string, n int) {
+	p.updateStats(func(stats *Stats) { stats.Permits[key] += uint64(n) })
+}
+
+// grantStatsOf counts a view, and its members as the budgets count them.
+func grantStatsOf(view fleetstate.View, members []disruption.Member) *GrantStats {
+	stats := &GrantStats{Permits: map[fleetstate.PermitState]int{}, Unavailable: map[disruption.Availability]int{}}
+	for name := range view.Requests {
+		if _, permitted := view.Permits[name]; !permitted {
+			stats.Waiting++
+		}
+	}
+	for _, permit := range view.Permits {
+		stats.Permits[permit.State]++
+	}
+	for _, member := range members {
+		if member.Availability != disruption.Available {
+			stats.Unavailable[member.Availability]++
+		}
+	}
+	return stats
+}
