--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -11,17 +11,17 @@
 	"sloehitch/internal/control/lease"
 )
 
-// BenchmarkChanges is changes through the leader, on disk, by so many writers at once with so many members: a key of the
-// operators' state as it was before there were documents, and a transaction under a duty's token.
+// BenchmarkChanges is changes through the leader, on disk, by so many writers at once with so many members: an operators'
+// value, and a transaction under a task's token.
 func BenchmarkChanges(b *testing.B) {
 	for _, members := range []int{1, 3, 5} {
 		for _, writers := range []int{1, 16, 64} {
 			for _, kind := range []string{"set", "transaction"} {
 				b.Run(fmt.Sprintf("%s/%d members/%d writers", kind, members, writers), func(b *testing.B) {
-					g := newGroupOn(b, members, lease.Terms{}, b.TempDir)
-					s := g.stores[g.leader(b).Name]
+					cluster := newClusterOn(b, members, lease.Terms{}, b.TempDir)
+					s := cluster.stores[cluster.awaitLeader(b).Name]
 					waitFor(b, "a lease", func() bool {
-						_, err := s.RequestLease("d", LeaseRequest{Action: "take", Holder: "b"})
+						_, err := s.RequestLease("d", LeaseRequest{Action: LeaseAcquire, Holder: "b"})
 						return err == nil
 					})
 					token := s.documents.Leases().Get("d").Token
--- /dev/null
+++ b/internal/store/leases.go
@@ -0,0 +1,89 @@
+package store
+
+import (
+	"crypto/rand"
+	"fmt"
+
+	"sloehitch/internal/control/lease"
+	"sloehitch/internal/store/document"
+)
+
+// Actions of a LeaseRequest.
+const (
+	LeaseAcquire  = "take"
+	LeaseRenew    = "renew"
+	LeaseHandOver = "hand-over"
+)
+
+// LeaseRequest is a request about the lease of a task.
+type LeaseRequest struct {
+	Action    string `json:"ask"` // LeaseAcquire, LeaseRenew or LeaseHandOver
+	Holder    string `json:"holder"`
+	Token     uint64 `json:"token,omitempty"` // of LeaseRenew and LeaseHandOver
+	Successor string `json:"to,omitempty"`    // of LeaseHandOver; empty: whoever acquires it next
+	Reason    string `json:"why,omitempty"`
+}
+
+// LeaseStatus is the lease of one task as a member sees it.
+type LeaseStatus struct {
+	lease.Record
+	RemainingMS int64 `json:"left_ms"` // milliseconds until another may be granted it, on this member's clock; the leader's count decides
+}
+
+// Leases returns the leases of all tasks that anybody ever held. It does not wait.
+func (s *Store) Leases() ([]LeaseStatus, ReadStatus) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var leases []LeaseStatus
+	for _, record := range s.documents.LeaseRecords() {
+		remaining := s.documents.Leases().Remaining(record.Task, s.clock())
+		leases = append(leases, LeaseStatus{record, remaining.Milliseconds()})
+	}
+	return leases, s.readStatus(false)
+}
+
+// RequestLease decides on a request and has the decision committed. It blocks until a majority has it. It returns lease.ErrHeld,
+// lease.ErrLost or ErrNotLeader, and then nothing has changed; with ErrOutcomeUnknown the lease may be granted all the same. No
+// two requests are the same one: to acquire again what may have been granted brings a new token.
+func (s *Store) RequestLease(task string, q LeaseRequest) (lease.Record, error) {
+	record, err := s.decideLease(task, q)
+	if err != nil {
+		return lease.Record{}, err
+	}
+	reason := q.Action
+	if q.Reason != "" {
+		reason += ": " + q.Reason
+	}
+	result, err := s.propose(document.Transaction{
+		ID:         rand.Text(),
+		Author:     q.Holder,
+		Reason:     reason,
+		Operations: []document.Operation{{Lease: &record}},
+	})
+	switch {
+	case err != nil:
+		return lease.Record{}, err
+	case !result.Committed:
+		return lease.Record{}, fmt.Errorf("%w: %s", lease.ErrHeld, result.Reason)
+	}
+	return record, nil
+}
+
+// decideLease decides on a request by this member's table of leases, if it leads.
+func (s *Store) decideLease(task string, q LeaseRequest) (lease.Record, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.clustered && !s.leading {
+		return lease.Record{}, ErrNotLeader
+	}
+	table := s.documents.Leases()
+	switch q.Action {
+	case LeaseAcquire:
+		return table.Acquire(task, q.Holder, s.clock())
+	case LeaseRenew:
+		return table.Renew(task, q.Holder, q.Token)
+	case LeaseHandOver:
+		return table.HandOver(task, q.Holder, q.Token, q.Successor)
+	}
+	return lease.Record{}, fmt.Errorf("ask %q: take, renew or hand-over is wanted", q.Action)
+}
--- /dev/null
+++ b/internal/store/memberapi.go
@@ -0,0 +1,36 @@
+package store
+
+import "net/http"
+
+// registerMemberRoutes adds the paths of the members.
+//
+//	GET  /members?local=1     Membership, as this member sees it; without local as the leader does
+//	POST /members             a MembershipChange; answers the Membership after it
+//	GET  /identity?of=NAME    a quorum.PeerAnswer to member NAME, which is about to take part
+func (s *Store) registerMemberRoutes(mux *http.ServeMux) {
+	mux.HandleFunc("GET /members", s.serveMembers)
+	mux.HandleFunc("POST /members", s.serveMembershipChange)
+	mux.HandleFunc("GET /identity", s.serveIdentity)
+}
+
+func (s *Store) serveMembers(w http.ResponseWriter, r *http.Request) {
+	m := s.Members()
+	var err error
+	if r.URL.Query().Get("local") != "1" && m.Leader != m.ReportedBy {
+		err = ErrNotLeader
+	}
+	s.respond(w, r, m, err)
+}
+
+func (s *Store) serveMembershipChange(w http.ResponseWriter, r *http.Request) {
+	var c MembershipChange
+	if !decodeBody(w, r, &c) {
+		return
+	}
+	err := s.ChangeMembers(c)
+	s.respond(w, r, s.Members(), err)
+}
+
+func (s *Store) serveIdentity(w http.ResponseWriter, r *http.Request) {
+	s.respond(w, r, s.Identity(r.URL.Query().Get("of")), nil)
+}
--- /dev/null
+++ b/internal/store/propose.go
@@ -0,0 +1,113 @@
+package store
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/store/document"
+)
+
+// change is one entry of raft's log: an operators' value, a transaction or a part of a restore.
+type change struct {
+	Key         string                `json:"Key"`
+	Value       string                `json:"Value"`
+	Transaction *document.Transaction `json:"Make,omitempty"`
+	Restore     *restorePart          `json:"Restore,omitempty"`
+}
+
+// Errors of transactions that callers may not commit.
+var errLeaseInTransaction = errors.New("do: leases are asked for by their own call")
+
+// Commit commits a transaction on all members, once for its id. It blocks until a majority has it. It returns ErrNotLeader on
+// any member but the leader, and ErrOutcomeUnknown where the transaction may yet be committed. A transaction whose conditions do
+// not hold is no error: Result tells.
+func (s *Store) Commit(t document.Transaction) (document.Result, error) {
+	for _, o := range t.Operations {
+		if o.Lease != nil {
+			return document.Result{}, errLeaseInTransaction
+		}
+		if err := checkNotReserved(o.Key); err != nil {
+			return document.Result{}, err
+		}
+	}
+	return s.propose(t)
+}
+
+// propose is Commit for all keys, and for leases.
+func (s *Store) propose(t document.Transaction) (document.Result, error) {
+	s.mu.Lock()
+	err := s.documents.Validate(t)
+	s.mu.Unlock()
+	if err != nil {
+		return document.Result{}, err
+	}
+	t.UnixMillis = time.Now().UnixMilli()
+	if !s.clustered {
+		return s.applyTransaction(t), nil
+	}
+	response, err := s.replicate(change{Transaction: &t})
+	if err != nil {
+		return document.Result{}, err
+	}
+	result, ok := response.(document.Result)
+	if !ok {
+		return document.Result{}, fmt.Errorf("%w (%v)", ErrOutcomeUnknown, response)
+	}
+	return result, nil
+}
+
+// replicate has a change applied by all members, and returns what the state machine returned for it here. It returns
+// ErrNotLeader, and then nothing has changed, or ErrOutcomeUnknown.
+func (s *Store) replicate(c change) (any, error) {
+	r, err := s.raftNode()
+	if err != nil {
+		return nil, err
+	}
+	entry, err := json.Marshal(c)
+	if err != nil {
+		return nil, err
+	}
+	if len(entry) > limits.ForRaftLog.EntryBytes {
+		return nil, fmt.Errorf("%d bytes on record, %d at most are taken", len(entry), limits.ForRaftLog.EntryBytes)
+	}
+	future := r.Apply(entry, s.opts.CommitTimeout)
+	switch err := future.Error(); {
+	case errors.Is(err, raft.ErrNotLeader):
+		return nil, ErrNotLeader
+	case err != nil: // the leadership was lost meanwhile, or the timeout is over
+		return nil, fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
+	}
+	return future.Response(), nil
+}
+
+// applyTransaction applies a transaction here, and notifies the watchers of documents.
+func (s *Store) applyTransaction(t document.Transaction) document.Result {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	result := s.documents.Apply(t, s.clock())
+	if result.Committed && !result.Duplicate {
+		s.notifyDocumentWatchers()
+	}
+	return result
+}
+
+// Barrier blocks until this member's copy has all that was acknowledged before the call: the member leads, confirmed by a
+// majority, and has applied what was committed. It returns ErrNotLeader on any other member.
+func (s *Store) Barrier() error {
+	if !s.clustered {
+		return nil
+	}
+	r, err := s.raftNode()
+	if err != nil {
+		return err
+	}
+	if err := r.Barrier(s.opts.CommitTimeout).Error(); err != nil {
+		return fmt.Errorf("%w (%w)", ErrNotLeader, err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/store/raftstorage.go
@@ -0,0 +1,105 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+
+	"github.com/hashicorp/raft"
+
+	"sloehitch/internal/ledger"
+	"sloehitch/internal/ledger/disk"
+	"sloehitch/internal/platform/limits"
+	"sloehitch/internal/store/quorum"
+	"sloehitch/internal/store/raftlog"
+)
+
+// Names in a member's data directory.
+const (
+	logDir        = "log"     // the ledger
+	legacyLogFile = "raft.db" // the log of earlier versions
+)
+
+// Raft's key of the current term, and the text of the error where it is not stored.
+const (
+	currentTermKey = "CurrentTerm"
+	notFoundText   = "not found"
+)
+
+// errLegacyLog means that a data directory holds the log of a version that this one can't read.
+var errLegacyLog = errors.New("the log of an earlier version")
+
+// raftStorage is what a member must not forget.
+type raftStorage struct {
+	log       *raftlog.Log // nil in memory
+	logs      raft.LogStore
+	stable    raft.StableStore
+	snapshots raft.SnapshotStore
+}
+
+// openRaftStorage opens a member's data directory; without one everything is in memory.
+func openRaftStorage(dir string, wrap func(disk.FS) disk.FS, log *slog.Logger) (raftStorage, error) {
+	if dir == "" {
+		memory := raft.NewInmemStore()
+		return raftStorage{logs: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore()}, nil
+	}
+	if _, err := os.Stat(filepath.Join(dir, legacyLogFile)); err == nil {
+		return raftStorage{}, fmt.Errorf("%s has %s, %w, which this one does not read: "+
+			"keep a copy of the folder, empty it, set join = true and have this member added anew while the others serve (docs/operators/fleet.md)",
+			dir, legacyLogFile, errLegacyLog)
+	}
+	folder := filepath.Join(dir, logDir)
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return raftStorage{}, err
+	}
+	l, err := raftlog.Open(wrap(disk.Dir(folder)), limits.ForRaftLog, ledger.Options{Limits: limits.ForRaftLog.Ledger(), Log: log})
+	if err != nil {
+		return raftStorage{}, err
+	}
+	// No cache of entries: they may be large, and the system caches files.
+	return raftStorage{log: l, logs: l, stable: l, snapshots: l.Snapshots()}, nil
+}
+
+// ledger returns the ledger of the data directory; nil in memory.
+func (s raftStorage) ledger() *ledger.Store {
+	if s.log == nil {
+		return nil
+	}
+	return s.log.Ledger()
+}
+
+// progress returns how far the data directory goes, and whether it is empty.
+func (s raftStorage) progress() (p quorum.Progress, empty bool, err error) {
+	exists, err := raft.HasExistingState(s.logs, s.stable, s.snapshots)
+	if err != nil || !exists {
+		return p, true, err
+	}
+	if p.Term, err = s.stable.GetUint64([]byte(currentTermKey)); err != nil && err.Error() != notFoundText {
+		return p, false, err
+	}
+	entry, err := s.lastEntry()
+	if err != nil {
+		return p, false, err
+	}
+	p = p.Max(entry)
+	snapshots, err := s.snapshots.List()
+	if len(snapshots) > 0 {
+		p = p.Max(quorum.Progress{EntryTerm: snapshots[0].Term, Index: snapshots[0].Index})
+	}
+	return p, false, err
+}
+
+// lastEntry returns the progress of the log's last entry, zero where there is none.
+func (s raftStorage) lastEntry() (p quorum.Progress, err error) {
+	last, err := s.logs.LastIndex()
+	if err != nil || last == 0 {
+		return p, err
+	}
+	var e raft.Log
+	if err := s.logs.GetLog(last, &e); err != nil {
+		return p, err
+	}
+	return quorum.Progress{EntryTerm: e.Term, Index: e.Index}, nil
+}
--- /dev/null
+++ b/internal/store/start.go
@@ -0,0 +1,229 @@
+package store
+
+import (
+	"fmt"
+	"log/slog"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"sloehitch/internal/store/quorum"
+)
+
+// raftLogLevel is the lowest level of raft's own log lines that are logged.
+const raftLogLevel = "WARN"
+
+// openMember opens this member's data directory and its link to the others. The member takes part at once where there are no
+// others to be asked, else as soon as enough have answered.
+func (s *Store) openMember() error {
+	self, listed := s.configuredMember(s.opts.Name)
+	if !listed {
+		return fmt.Errorf("%s is not among the members", s.opts.Name)
+	}
+	var err error
+	if s.storage, err = openRaftStorage(s.opts.Dir, s.opts.WrapFS, s.opts.Logger); err != nil {
+		return err
+	}
+	if s.peers, err = openPeerTracker(s.storage.ledger(), s.opts.Name, len(s.opts.Members)); err != nil {
+		return err
+	}
+	s.transport, err = listen(transportOptions{
+		address:    self.RaftAddress,
+		timeout:    s.opts.CommitTimeout,
+		maxPool:    len(s.opts.Members),
+		logger:     s.opts.Logger,
+		addressOf:  s.raftAddress,
+		verify:     s.verifyPeer,
+		onProgress: s.peers.recordProgress,
+	})
+	if err != nil {
+		return err
+	}
+	progress, empty, err := s.storage.progress()
+	if err != nil {
+		return err
+	}
+	if len(s.opts.Members) == 1 {
+		return s.startRaft(empty && !s.opts.Join)
+	}
+	s.setExclusionReason("it has not asked the others yet")
+	s.loops.Go(s.newStartCheck(progress, empty).run)
+	return nil
+}
+
+// startCheck is a member that asks the others whether it may take part (quorum.DecideRejoin).
+type startCheck struct {
+	store   *Store
+	local   quorum.LocalState
+	answers map[string]quorum.PeerAnswer // by the name of who answered
+}
+
+// newStartCheck returns the check of a member whose data directory goes so far.
+func (s *Store) newStartCheck(progress quorum.Progress, empty bool) *startCheck {
+	local := s.peers.localIdentity()
+	c := &startCheck{store: s, answers: map[string]quorum.PeerAnswer{}}
+	c.local = quorum.LocalState{
+		Name:               local.Name,
+		StoreID:            local.StoreID,
+		Progress:           progress,
+		Empty:              empty,
+		Joining:            s.opts.Join,
+		Voters:             local.Voters,
+		PermanentExclusion: local.ExclusionReason,
+		PeerCount:          len(s.opts.Members) - 1,
+		InMemory:           s.opts.Dir == "",
+	}
+	for _, m := range s.opts.Members {
+		if m.Name != local.Name && m.AdminAddress == "" { // there is no way to ask it
+			c.answers[m.Name] = quorum.PeerAnswer{From: m.Name, Unsupported: true}
+		}
+	}
+	return c
+}
+
+// run asks until it is decided whether this member may take part, or the store is closed.
+func (c *startCheck) run() {
+	s := c.store
+	retry := time.NewTicker(s.opts.ElectionTimeout / 4)
+	defer retry.Stop()
+	for {
+		c.askPeers()
+		decision, reason := c.decide()
+		s.setExclusionReason(reason)
+		switch decision {
+		case quorum.DecisionExclude, quorum.DecisionExcludePermanently:
+			c.exclude(decision, reason)
+			return
+		case quorum.DecisionStart:
+			c.start()
+			return
+		}
+		select {
+		case <-retry.C:
+		case <-s.done:
+			return
+		}
+	}
+}
+
+func (c *startCheck) decide() (quorum.Decision, string) {
+	return quorum.DecideRejoin(c.local, slices.Collect(maps.Values(c.answers)))
+}
+
+func (c *startCheck) exclude(decision quorum.Decision, reason string) {
+	s := c.store
+	c.storeExclusion(decision, reason)
+	s.opts.Logger.Error("this member is excluded from the store; the node continues to serve", "reason", reason)
+	_ = s.transport.Close() // nothing was sent over it
+}
+
+// storeExclusion has the data directory remember a permanent exclusion.
+func (c *startCheck) storeExclusion(decision quorum.Decision, reason string) {
+	if decision != quorum.DecisionExcludePermanently {
+		return
+	}
+	if err := c.store.peers.excludePermanently(reason); err != nil {
+		c.store.opts.Logger.Warn("reason for the exclusion not stored; after a restart this member asks the others again", "error", err)
+	}
+}
+
+func (c *startCheck) start() {
+	s := c.store
+	if err := s.startRaft(c.local.Empty && !c.local.Joining); err != nil {
+		s.setExclusionReason(err.Error())
+		s.opts.Logger.Error("raft not started, this member takes no part in the store; the node continues to serve", "error", err)
+		_ = s.transport.Close() // nothing was sent over it
+	}
+}
+
+// askPeers asks all others at once, and waits up to an election timeout for each. The leader that they know of is asked too,
+// also where this member's settings do not list it.
+func (c *startCheck) askPeers() {
+	asked := map[string]bool{}
+	addresses := c.adminAddresses()
+	for len(addresses) > 0 {
+		for _, address := range addresses {
+			asked[address] = true
+		}
+		leaders := c.askAll(addresses)
+		addresses = nil
+		for _, leader := range leaders {
+			if leader != "" && !asked[leader] && !slices.Contains(addresses, leader) {
+				addresses = append(addresses, leader)
+			}
+		}
+	}
+}
+
+// adminAddresses returns where the others that the settings list are asked.
+func (c *startCheck) adminAddresses() (addresses []string) {
+	for _, m := range c.store.opts.Members {
+		if m.Name != c.store.opts.Name && m.AdminAddress != "" {
+			addresses = append(addresses, m.AdminAddress)
+		}
+	}
+	return addresses
+}
+
+// askAll asks at all addresses at once, notes the answers and returns the leaders' addresses that they name.
+func (c *startCheck) askAll(addresses []string) (leaders []string) {
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	for _, address := range addresses {
+		wg.Go(func() {
+			a, err := Client{address, c.store.opts.ElectionTimeout}.identity(c.store.opts.Name)
+			if err != nil {
+				return
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			c.answers[a.From] = a
+			leaders = append(leaders, a.LeaderAdminAddress)
+		})
+	}
+	wg.Wait()
+	return leaders
+}
+
+// startRaft has this member take part. bootstrap: all members of the settings begin with an empty data directory and the same
+// list, so that each may begin by itself.
+func (s *Store) startRaft(bootstrap bool) error {
+	cfg := raftConfig(s.opts.Name, s.opts.Logger)
+	cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = s.opts.ElectionTimeout, s.opts.ElectionTimeout, s.leaderLease()
+	if s.opts.Join {
+		s.transport.withholdVotesWhile(func() bool {
+			_, empty, err := s.storage.progress()
+			return empty || err != nil
+		})
+	}
+	r, err := raft.NewRaft(cfg, (*stateMachine)(s), s.storage.logs, s.storage.stable, s.storage.snapshots, s.transport)
+	if err != nil {
+		return err
+	}
+	s.raft.Store(r)
+	go s.watchLeadership(r)
+	s.loops.Go(func() { s.watchMembership(r) })
+	if !bootstrap {
+		return nil
+	}
+	var servers []raft.Server
+	for _, m := range s.opts.Members {
+		servers = append(servers, raft.Server{ID: raft.ServerID(m.Name), Address: raft.ServerAddress(m.RaftAddress)})
+	}
+	return r.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
+}
+
+// raftConfig returns the part of raft's configuration that does not depend on the store's timeouts.
+func raftConfig(name string, log *slog.Logger) *raft.Config {
+	cfg := raft.DefaultConfig()
+	cfg.LocalID = raft.ServerID(name)
+	cfg.LogLevel = raftLogLevel
+	cfg.LogOutput = slog.NewLogLogger(log.Handler(), slog.LevelWarn).Writer()
+	return cfg
+}
+
+// leaderLease returns after how long without answers of a majority a leader steps down.
+func (s *Store) leaderLease() time.Duration { return s.opts.ElectionTimeout / 2 }
--- /dev/null
+++ b/internal/store/start_test.go
@@ -0,0 +1,110 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"sloehitch/internal/testing/standin"
+)
+
+// TestKeptOut: an older copy of a data directory, an empty one, another member's and another store's are told from a member's own.
+func TestKeptOut(t *testing.T) {
+	cluster := newDiskCluster(t, 3)
+	cluster.write("a", "1")
+	cluster.expectDocument("n2", "a", "1")
+	cluster.stopMember("n2")
+	own := cluster.dirs["n2"]
+	older := copyDir(t, own)
+	cluster.startMember("n2", false)
+	cluster.write("a", "2")
+	cluster.expectDocument("n2", "a", "2")
+	cluster.stopMember("n2")
+
+	cluster.checkOlderCopy(older)
+	cluster.dirs["n2"] = t.TempDir()
+	cluster.startMember("n2", false)
+	cluster.expectExclusion("n2", "it is empty")
+	cluster.stopMember("n2")
+	if _, err := Open(Options{Name: "n1", Members: cluster.members, Dir: own, ElectionTimeout: time.Second, Logger: standin.Quiet}); err == nil || !strings.Contains(err.Error(), "member n2's, and this is member n1") {
+		t.Errorf("another member's directory: %v", err)
+	}
+	cluster.checkOtherStore()
+
+	cluster.startMember("n0", false)
+	cluster.dirs["n2"] = own
+	cluster.startMember("n2", false)
+	cluster.write("a", "3")
+	cluster.expectDocument("n2", "a", "3")
+	if reason := cluster.stores["n2"].Members().ExclusionReason; reason != "" {
+		t.Errorf("excluded with its own directory: %s", reason)
+	}
+}
+
+// checkOlderCopy starts n2 on an older copy of its data directory: it is excluded, also after a restart of all members.
+func (cluster *diskCluster) checkOlderCopy(older string) {
+	t := cluster.t
+	t.Helper()
+	cluster.dirs["n2"] = older
+	cluster.startMember("n2", false)
+	cluster.expectExclusion("n2", "it is an older copy")
+	if _, err := cluster.stores["n2"].Commit(tx("x", "x", "x")); !errors.Is(err, ErrNotLeader) || !strings.Contains(err.Error(), "older copy") {
+		t.Errorf("a change through an excluded member: %v", err)
+	}
+	waitFor(t, "its own report to be why nobody else can be removed", func() bool {
+		reported := false
+		for _, name := range []string{"n0", "n1"} { // one of them leads
+			_, err := operator(cluster.members[1]).ChangeMembers(MembershipChange{Action: MemberRemove, Name: name, Author: "test"})
+			reported = reported || err != nil && strings.Contains(err.Error(), "n2 is kept out (") && strings.Contains(err.Error(), "it is an older copy")
+		}
+		return reported
+	})
+	cluster.stopMember("n2")
+	cluster.stopMember("n0")
+	cluster.stopMember("n1")
+	cluster.startMember("n2", false) // none of those that remember is there
+	cluster.expectExclusion("n2", "it is an older copy")
+	cluster.startMember("n0", false)
+	cluster.startMember("n1", false)
+	cluster.stopMember("n2")
+}
+
+// checkOtherStore starts n0 on the data directory of another store's n0, and stops it again.
+func (cluster *diskCluster) checkOtherStore() {
+	t := cluster.t
+	t.Helper()
+	other := newDiskCluster(t, 1)
+	waitFor(t, "the other store's id", func() bool { return other.stores["n0"].Members().StoreID != "" })
+	other.stopMember("n0")
+	cluster.stopMember("n0")
+	own := cluster.dirs["n0"]
+	cluster.dirs["n0"] = other.dirs["n0"]
+	cluster.startMember("n0", false)
+	cluster.expectExclusion("n0", "another store's folder")
+	cluster.stopMember("n0")
+	cluster.dirs["n0"] = own
+}
+
+// TestOlderVersionsCountEach: members whose version does not know the question have answered each for itself.
+func TestOlderVersionsCountEach(t *testing.T) {
+	members := []Member{{Name: "n0", RaftAddress: standin.Free(t)}}
+	for i := range 4 {
+		m := Member{Name: fmt.Sprint("n", i+1), RaftAddress: standin.Free(t), AdminAddress: standin.Free(t)}
+		if i < 2 {
+			old := httptest.NewServer(http.NotFoundHandler())
+			defer old.Close()
+			m.AdminAddress = old.Listener.Addr().String()
+		}
+		members = append(members, m)
+	}
+	s, err := Open(Options{Name: "n0", Members: members, Dir: t.TempDir(), CommitTimeout: time.Second, ElectionTimeout: 200 * time.Millisecond, Logger: standin.Quiet})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeStore(t, s) })
+	waitFor(t, "two of four answers to be enough", func() bool { return s.raft.Load() != nil })
+}
--- a/internal/store/machine.go
+++ b/internal/store/statemachine.go
@@ -10,10 +10,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// stateMachine is the store as raft sees it.
+// stateMachine is the store as raft sees it. It implements raft.FSM and raft.ConfigurationStore.
 type stateMachine Store
 
-// Apply takes a change that a majority has.
+// Apply applies a committed entry, and returns what the proposer gets.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	s := (*Store)(m)
 	var c change
@@ -21,50 +21,41 @@
 		return err
 	}
 	switch {
-	case c.Make != nil:
-		return s.applyTransaction(*c.Make)
+	case c.Transaction != nil:
+		return s.applyTransaction(*c.Transaction)
 	case c.Restore != nil:
 		return s.applyRestorePart(*c.Restore)
 	}
-	s.applyValue(c)
+	s.applyValue(c.Key, c.Value)
 	return nil
 }
 
-// StoreConfiguration takes a change of the members that was agreed on. Nothing is remembered of one that is removed: it may be
-// added anew, with a new folder.
+// StoreConfiguration takes a committed change of the members. Nothing is remembered of a member that is removed: it may be added
+// anew, with an empty data directory.
 func (m *stateMachine) StoreConfiguration(_ uint64, c raft.Configuration) {
 	(*Store)(m).peers.setConfiguration(c)
 }
 
-// Snapshot copies all that is kept.
+// Snapshot copies the state.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	s := (*Store)(m)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	docs, err := s.encodeDocuments()
+	documents, err := s.encodeDocuments()
 	if err != nil {
 		return nil, err
 	}
-	n := snapshot{Values: maps.Clone(s.values), Documents: docs}
+	copied := snapshot{Values: maps.Clone(s.values), Documents: documents}
 	if s.stagedBackup != nil {
-		copied := *s.stagedBackup
-		n.Staged = &copied
+		staged := *s.stagedBackup
+		copied.Staged = &staged
 	}
-	return n, nil
+	return copied, nil
 }
 
-// encodeDocuments is the documents' bytes; the caller holds mu.
-func (s *Store) encodeDocuments() (json.RawMessage, error) {
-	var docs bytes.Buffer
-	if err := s.documents.Save(&docs); err != nil {
-		return nil, err
-	}
-	return docs.Bytes(), nil
-}
-
-// Restore takes the place of all that is kept.
+// Restore replaces the state by a snapshot.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
-	defer from.Close()
+	defer func() { _ = from.Close() }() // only read from
 	in, err := readSnapshot(from)
 	if err != nil {
 		return err
@@ -72,8 +63,26 @@
 	return (*Store)(m).loadSnapshot(in)
 }
 
-// readSnapshot reads a snapshot, or a backup. Those from before there were documents hold the values alone, and backups from
-// before they held the values have the documents alone.
+// snapshot is the state as bytes: for a member that lags behind, and in a backup.
+type snapshot struct {
+	Values    map[string]string `json:"values"`
+	Documents json.RawMessage   `json:"documents"`
+	Staged    *partialBackup    `json:"staged,omitempty"`
+}
+
+// Persist writes the snapshot.
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if err := json.NewEncoder(sink).Encode(s); err != nil {
+		return errors.Join(err, sink.Cancel())
+	}
+	return sink.Close()
+}
+
+// Release has nothing to release.
+func (snapshot) Release() {}
+
+// readSnapshot reads a snapshot, or a backup. Snapshots written before there were documents hold the values alone, and backups
+// written before they held the values hold the documents alone.
 func readSnapshot(from io.Reader) (in snapshot, err error) {
 	text, err := io.ReadAll(from)
 	if err != nil {
@@ -89,27 +98,41 @@
 	return in, nil
 }
 
-// loadSnapshot has all that is kept be what a snapshot has.
+// encodeDocuments returns the documents' bytes; the caller holds mu.
+func (s *Store) encodeDocuments() (json.RawMessage, error) {
+	var documents bytes.Buffer
+	if err := s.documents.Save(&documents); err != nil {
+		return nil, err
+	}
+	return documents.Bytes(), nil
+}
+
+// loadSnapshot replaces the state by a snapshot.
 func (s *Store) loadSnapshot(in snapshot) error {
 	if in.Documents != nil {
-		s.mu.Lock()
-		err := s.documents.Load(bytes.NewReader(in.Documents), s.clock())
-		if err == nil {
-			s.stagedBackup = in.Staged
-			s.notifyDocumentWatchers()
-		}
-		s.mu.Unlock()
-		if err != nil {
+		if err := s.loadDocuments(in); err != nil {
 			return err
 		}
 	}
 	for key := range validators {
-		s.applyValue(change{Key: key, Value: in.Values[key]})
+		s.applyValue(key, in.Values[key])
 	}
 	return nil
 }
 
-// notifyDocumentWatchers tells those that watch documents, and looks whether this member has learned the store's id; the caller holds mu.
+func (s *Store) loadDocuments(in snapshot) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.documents.Load(bytes.NewReader(in.Documents), s.clock()); err != nil {
+		return err
+	}
+	s.stagedBackup = in.Staged
+	s.notifyDocumentWatchers()
+	return nil
+}
+
+// notifyDocumentWatchers wakes those that wait for a change of documents, and stores the store's id once this member has learned
+// it; the caller holds mu.
 func (s *Store) notifyDocumentWatchers() {
 	close(s.documentsChanged)
 	s.documentsChanged = make(chan struct{})
@@ -117,23 +140,6 @@
 		return
 	}
 	if err := s.peers.setStoreID(s.documents.Get(storeIDKey).Value); err != nil {
-		s.opts.Logger.Warn("the store's id is not kept", "error", err)
+		s.opts.Logger.Warn("store id not stored", "error", err)
 	}
 }
-
-type snapshot struct {
-	Values    map[string]string `json:"values"`
-	Documents json.RawMessage   `json:"documents"`
-	Staged    *partialBackup    `json:"staged,omitempty"`
-}
-
-// Persist writes all that is kept.
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(s); err != nil {
-		return errors.Join(err, sink.Cancel())
-	}
-	return sink.Close()
-}
-
-// Release has nothing to release.
-func (snapshot) Release() {}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,15 +1,25 @@
-// Package store keeps the daemon's changeable configuration and the operators' state, the same on all members that
-// a deployment names. With no members it is a map in memory. Reads are local and never wait; nothing that a request
-// needs is written here.
+// Package store keeps the daemon's changeable configuration and the operators' state, equal on all members that a deployment
+// names. Without members it is a map in memory. Reads are local and never wait; nothing that a request needs is written here.
+//
+// The parts:
+//
+//   - Store (this file): one member's copy. values.go, documents.go, leases.go and backup.go are what it keeps.
+//   - propose.go, statemachine.go: how a change is replicated by raft, and applied on each member.
+//   - leadership.go: what a member does as it becomes the leader, and hands the leadership over.
+//   - raftstorage.go, peertracker.go: what a member must not forget; transport.go, streamlayer.go: its links to the others.
+//   - start.go, excluded.go: how a member asks the others whether it may take part, and what it does where it may not.
+//   - members.go, memberchange.go: the members, and changes of them while the store runs.
+//   - recover.go: how one member goes on alone after the majority was lost for good.
+//   - api.go, documentapi.go, memberapi.go: HTTP for operators and for the other members; client.go: its client.
+//
+// The rules by which members are changed, and may take part again, are in package quorum; those of leases in package lease; those
+// of transactions in package document.
 package store
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
-	"maps"
-	"net"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -22,101 +32,86 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// Keys of the store. There are no others, so its size is bounded.
-const (
-	KeyClosedNodes  = "closed"        // names of the nodes that are out of service, with commas between them
-	KeyUwsgiServers = "uwsgi-servers" // addresses in place of the deployment file's, with commas between them
+// Errors of requests to the store.
+var (
+	// ErrNotLeader means that another member must be asked; nothing has changed.
+	ErrNotLeader = errors.New("this member is not the leader")
+	// ErrOutcomeUnknown means that the change may or may not be made. Requested again under its id, it is made once.
+	ErrOutcomeUnknown = errors.New("not known whether the change was made: ask again under the same id")
+	// ErrChangeRejected means that a change of the members, or a restore, was rejected; nothing has changed.
+	ErrChangeRejected = errors.New("not done")
 )
 
-// validators say whether a value is valid for its key; "" always is, and clears the key.
-var validators = map[string]func(value string) error{
-	KeyClosedNodes: func(value string) error {
-		if len(SplitList(value)) == 0 {
-			return errors.New("names no node")
-		}
-		return nil
-	},
-	KeyUwsgiServers: func(value string) error {
-		for _, address := range SplitList(value) {
-			if _, _, err := net.SplitHostPort(address); err != nil {
-				return err
-			}
-		}
-		return nil
-	},
-}
+// defaultMaxLag is the default of Options.MaxLag: what a member catches up with while a few changes are made.
+const defaultMaxLag = 128 // log entries
+
+// DefaultLeaseTerms are the default of Options.LeaseTerms.
+var DefaultLeaseTerms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.02, SafetyMargin: time.Second}
 
-// Member is one daemon that holds a copy.
+// Member is one daemon that holds a copy. Its JSON is the form of the documents of members that were added in service.
 type Member struct {
 	Name         string `toml:"name" json:"Name"`
-	RaftAddress  string `toml:"raft" json:"Raft"`   // address for the other members
-	AdminAddress string `toml:"admin" json:"Admin"` // address for operators
+	RaftAddress  string `toml:"raft" json:"Raft"`   // for the other members
+	AdminAddress string `toml:"admin" json:"Admin"` // for operators
 }
 
-// Options say who holds the store. Without members it is this daemon alone.
+// Options configure a member of the store.
 type Options struct {
 	Name            string
-	Members         []Member
-	Dir             string        // where it outlives a restart; empty: in memory
-	CommitTimeout   time.Duration // for one change to be agreed on
-	ElectionTimeout time.Duration // of silence after which members elect a new leader
+	Members         []Member // all of them, this one included; none: the store is this process's alone
+	Dir             string   // the data directory; empty: everything is kept in memory
+	Join            bool     // with an empty data directory: wait to be added to an existing store, do not bootstrap one
 	Logger          *slog.Logger
-	LeaseTerms      lease.Terms            // of the leases of duties; zero: Terms of this package
-	Join            bool                   // with an empty folder: wait to be added to a store that is there, do not begin one
-	Clock           lease.Clock            // nil: lease.Now
-	WrapFS          func(disk.FS) disk.FS  // what the folder is looked at through; nil: nothing
-	OnEvent         func(faulthooks.Event) // is told when this member begins and ends to lead; nil: nobody
-	MaxLag          uint64                 // entries that a member may be behind to be given a vote or the lead; 0: near
-}
-
-// DefaultLeaseTerms are the ordinary terms of leases.
-var DefaultLeaseTerms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.02, SafetyMargin: time.Second}
+	CommitTimeout   time.Duration // for one change to be committed
+	ElectionTimeout time.Duration // of silence after which members elect a new leader
+	LeaseTerms      lease.Terms   // zero: DefaultLeaseTerms
+	MaxLag          uint64        // log entries that a member may lag behind to be given a vote or the leadership; 0: defaultMaxLag
 
-// ErrNotLeader says that a change must be asked of another member.
-var ErrNotLeader = errors.New("this member is not the leader")
+	Clock   lease.Clock            // nil: lease.Now
+	WrapFS  func(disk.FS) disk.FS  // wraps the data directory's file system; nil: it is used as it is
+	OnEvent func(faulthooks.Event) // is called when this member begins and ends to lead; must not block; nil: nothing is called
+}
 
-// Store is this member's copy.
+// Store is this member's copy. It is safe for concurrent use.
 type Store struct {
 	opts      Options
-	clustered bool // there are members: without, this one agrees with itself
+	clustered bool // there are members; without any, this process agrees with itself
+	clock     lease.Clock
+
 	storage   raftStorage
 	transport *transport
-	raft      atomic.Pointer[raft.Raft] // nil until this member takes part
-	peers     *peerTracker              // what is known of the others
+	raft      atomic.Pointer[raft.Raft] // nil while this member takes no part
+	peers     *peerTracker
 
-	clock lease.Clock
-	done  chan struct{}
-	loops sync.WaitGroup
+	done      chan struct{} // closed by Close
+	closeOnce sync.Once
+	loops     sync.WaitGroup
 
-	closing sync.Once
+	membershipMu sync.Mutex // one change of the members at a time
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards what follows
 	values           map[string]string
 	watchers         []func(key, value string)
 	documents        *document.State
 	documentsChanged chan struct{}  // closed at the next change of documents
-	leading          bool           // and has counted leases anew
-	stagedBackup     *partialBackup // a backup that is being restored, as far as it has come
-	exclusionReason  string         // why this member does not take part, or not yet
-
-	membershipMu sync.Mutex // one change of the members at a time
+	leading          bool           // this member leads and has restarted the count of leases
+	stagedBackup     *partialBackup // a backup that is being restored; nil: none
+	exclusionReason  string         // why this member takes no part, or not yet
 }
 
-// Open returns this member's copy, in touch with the others.
+// Open returns this member's copy. It returns before the member takes part; Members tells whether it does. It returns an error
+// where the options, the data directory or the address for the other members can't be used.
 func Open(o Options) (*Store, error) {
-	s := &Store{opts: o, values: map[string]string{}, clock: o.Clock, done: make(chan struct{}), documentsChanged: make(chan struct{})}
+	s := &Store{
+		opts:             o.withDefaults(),
+		values:           map[string]string{},
+		clock:            o.Clock,
+		done:             make(chan struct{}),
+		documentsChanged: make(chan struct{}),
+	}
 	if o.Clock == nil {
 		s.clock = lease.Now
 	}
-	if o.WrapFS == nil {
-		s.opts.WrapFS = unwrappedFS
-	}
-	if o.OnEvent == nil {
-		s.opts.OnEvent = func(faulthooks.Event) {}
-	}
-	if o.LeaseTerms == (lease.Terms{}) {
-		s.opts.LeaseTerms = DefaultLeaseTerms
-	}
 	var err error
 	if s.documents, err = document.New(document.DefaultLimits, s.opts.LeaseTerms); err != nil {
 		return nil, err
@@ -131,10 +126,23 @@
 	return s, nil
 }
 
-// defaultMaxLag is the ordinary Near: what a member catches up with while a few changes are made.
-const defaultMaxLag = 128
+func (o Options) withDefaults() Options {
+	if o.WrapFS == nil {
+		o.WrapFS = unwrappedFS
+	}
+	if o.OnEvent == nil {
+		o.OnEvent = func(faulthooks.Event) {}
+	}
+	if o.LeaseTerms == (lease.Terms{}) {
+		o.LeaseTerms = DefaultLeaseTerms
+	}
+	return o
+}
+
+// unwrappedFS returns a file system as it is.
+func unwrappedFS(fs disk.FS) disk.FS { return fs }
 
-// raftNode is this member's part in raft; an error of kind ErrNotLeader where it takes none, or none yet.
+// raftNode returns this member's raft, or an error of kind ErrNotLeader where the member takes no part, or not yet.
 func (s *Store) raftNode() (*raft.Raft, error) {
 	if r := s.raft.Load(); r != nil {
 		return r, nil
@@ -144,113 +152,17 @@
 	return nil, fmt.Errorf("%w, and takes no part in the store: %s", ErrNotLeader, s.exclusionReason)
 }
 
-// Get is the value of a key on this member, "" if it has none.
-func (s *Store) Get(key string) string {
+func (s *Store) setExclusionReason(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.values[key]
-}
-
-// All is a copy of all that is set on this member.
-func (s *Store) All() map[string]string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return maps.Clone(s.values)
-}
-
-// Watch calls changed for what is set now and for each change to come. It must not block.
-func (s *Store) Watch(changed func(key, value string)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.watchers = append(s.watchers, changed)
-	for key, value := range s.values {
-		changed(key, value)
-	}
-}
-
-// change is one entry of the log: a key of the operators' state, or a transaction on documents.
-type change struct {
-	Key, Value string
-	Make       *document.Transaction `json:",omitempty"`
-	Restore    *restorePart          `json:",omitempty"`
-}
-
-// Set changes a key on all members; an empty value clears it. It returns once a majority has it.
-func (s *Store) Set(key, value string) error {
-	check, known := validators[key]
-	if !known {
-		return fmt.Errorf("unknown key %q", key)
-	}
-	if value != "" {
-		if err := check(value); err != nil {
-			return fmt.Errorf("%s: %w", key, err)
-		}
-	}
-	if !s.clustered {
-		s.applyValue(change{Key: key, Value: value})
-		return nil
-	}
-	r, err := s.raftNode()
-	if err != nil {
-		return err
-	}
-	entry, err := json.Marshal(change{Key: key, Value: value})
-	if err != nil {
-		return err
-	}
-	err = r.Apply(entry, s.opts.CommitTimeout).Error()
-	if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) {
-		return ErrNotLeader
-	}
-	return err
-}
-
-// Leader is the member that takes changes, if one is known.
-func (s *Store) Leader() (Member, bool) {
-	if !s.clustered {
-		return Member{Name: s.opts.Name}, true
-	}
-	r := s.raft.Load()
-	if r == nil {
-		return Member{}, false
-	}
-	_, id := r.LeaderWithID()
-	if id == "" {
-		return Member{}, false
-	}
-	return s.member(string(id))
-}
-
-func (s *Store) applyValue(c change) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.values[c.Key] == c.Value {
-		return
-	}
-	if s.values[c.Key] = c.Value; c.Value == "" {
-		delete(s.values, c.Key)
-	}
-	for _, changed := range s.watchers {
-		changed(c.Key, c.Value)
-	}
-}
-
-// transferLeadership has another member lead before this one ends, for a beat at the most: without it nothing could be changed until an
-// election, a beat or two later.
-func (s *Store) transferLeadership(r *raft.Raft) {
-	done := make(chan error, 1)
-	go func() { done <- r.LeadershipTransfer().Error() }()
-	select {
-	case err := <-done:
-		s.opts.Logger.Info("the lead was given to another member", "error", err)
-	case <-time.After(s.opts.ElectionTimeout):
-	}
+	s.exclusionReason = reason
 }
 
-// Close leaves the other members alone with the store.
+// Close stops this member; the other members go on. A leader first transfers its leadership, which takes up to an election
+// timeout.
 func (s *Store) Close() error {
 	var errs []error
-	s.closing.Do(func() { close(s.done) })
+	s.closeOnce.Do(func() { close(s.done) })
 	s.loops.Wait()
 	if r := s.raft.Load(); r != nil && r.State() == raft.Leader && s.peers.localIdentity().Voters > 1 {
 		s.transferLeadership(r)
@@ -268,8 +180,8 @@
 		errs = append(errs, s.transport.Close())
 	}
 	if s.peers != nil {
-		if err := s.peers.save(); err != nil { // a beat's worth of it, at the most: no reason to have ended badly
-			s.opts.Logger.Warn("what is known of the other members is not kept", "error", err)
+		if err := s.peers.save(); err != nil { // loses an election timeout's worth at most: no reason to fail
+			s.opts.Logger.Warn("progress of the other members not stored", "error", err)
 		}
 	}
 	if s.storage.log != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -2,125 +2,38 @@
 
 import (
 	"fmt"
-	"net/http/httptest"
 	"strings"
-	"sync"
 	"testing"
-	"time"
 
-	"sloehitch/internal/control/lease"
 	"sloehitch/internal/testing/standin"
 )
 
-func waitFor(t testing.TB, what string, done func() bool) {
-	t.Helper()
-	for end := time.Now().Add(standin.Patience); !done(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("waited in vain for " + what)
-		}
-	}
-}
-
-// group is some members on loopback, each with its operators' address.
-type group struct {
-	members []Member
-	stores  map[string]*Store
-	terms   lease.Terms // zero: the ordinary ones
-	mu      sync.Mutex  // over stores, where other goroutines look into them
-}
-
-func (g *group) open(t testing.TB, name, dir string) *Store {
-	t.Helper()
-	s, err := Open(Options{Name: name, Members: g.members, Dir: dir, CommitTimeout: standin.Patience, ElectionTimeout: 200 * time.Millisecond, Logger: standin.Quiet, LeaseTerms: g.terms})
-	if err != nil {
-		t.Fatal(err)
-	}
-	g.stores[name] = s
-	return s
-}
-
-func newGroup(t testing.TB, size int) *group {
-	return newGroupOn(t, size, lease.Terms{}, func() string { return "" })
-}
-
-// newGroupOn has its members' folders made by dir; "": in memory.
-func newGroupOn(t testing.TB, size int, terms lease.Terms, dir func() string) *group {
-	t.Helper()
-	g := &group{stores: map[string]*Store{}, terms: terms}
-	var admins []*httptest.Server
-	for i := range size {
-		admin := httptest.NewUnstartedServer(nil)
-		admins = append(admins, admin)
-		g.members = append(g.members, Member{fmt.Sprint("n", i), standin.Free(t), admin.Listener.Addr().String()})
-	}
-	for i, m := range g.members {
-		admins[i].Config.Handler = g.open(t, m.Name, dir()).Handler()
-		admins[i].Start()
-	}
-	t.Cleanup(func() {
-		for _, a := range admins {
-			a.Close()
-		}
-		for _, s := range g.stores {
-			s.Close()
-		}
-	})
-	return g
-}
-
-func (g *group) leader(t testing.TB) (leader Member) {
-	t.Helper()
-	waitFor(t, "one leader", func() bool {
-		names := map[string]int{}
-		for _, s := range g.stores {
-			if m, known := s.Leader(); known && g.stores[m.Name] != nil {
-				leader = m
-				names[m.Name]++
-			}
-		}
-		return len(names) == 1 && names[leader.Name] == len(g.stores)
-	})
-	return leader
-}
-
-func (g *group) all(t testing.TB, key, value string) {
-	t.Helper()
-	waitFor(t, key+"="+value+" on all members", func() bool {
-		for _, s := range g.stores {
-			if s.Get(key) != value {
-				return false
-			}
-		}
-		return true
-	})
-}
-
 func TestMembersAgree(t *testing.T) {
-	g := newGroup(t, 3)
-	g.leader(t)
-	for i, m := range g.members { // asked of any member, a change reaches the leader
+	cluster := newCluster(t, 3)
+	cluster.awaitLeader(t)
+	for i, m := range cluster.members { // asked of any member, a change reaches the leader
 		value := fmt.Sprintf("127.0.0.1:%d", 3000+i)
 		waitFor(t, "a change through "+m.Name, func() bool { return Client{m.AdminAddress, standin.Patience}.Set(KeyUwsgiServers, value) == nil })
-		g.all(t, KeyUwsgiServers, value)
+		cluster.expectValue(t, KeyUwsgiServers, value)
 	}
-	old := g.leader(t)
-	if err := g.stores[old.Name].Close(); err != nil {
+	old := cluster.awaitLeader(t)
+	if err := cluster.stores[old.Name].Close(); err != nil {
 		t.Error(err)
 	}
-	delete(g.stores, old.Name)
-	next := g.leader(t)
-	waitFor(t, "a change after the leader died", func() bool { return g.stores[next.Name].Set(KeyClosedNodes, "n1") == nil })
-	g.all(t, KeyClosedNodes, "n1")
+	delete(cluster.stores, old.Name)
+	next := cluster.awaitLeader(t)
+	waitFor(t, "a change after the leader died", func() bool { return cluster.stores[next.Name].Set(KeyClosedNodes, "n1") == nil })
+	cluster.expectValue(t, KeyClosedNodes, "n1")
 	if got, err := (Client{next.AdminAddress, standin.Patience}).All(); err != nil || got[KeyClosedNodes] != "n1" || len(got) != 2 {
 		t.Errorf("state %v, %v", got, err)
 	}
 }
 
 func TestStateOutlivesARestart(t *testing.T) {
-	g := &group{members: []Member{{Name: "n0", RaftAddress: standin.Free(t)}}, stores: map[string]*Store{}}
+	cluster := &testCluster{members: []Member{{Name: "n0", RaftAddress: standin.Free(t)}}, stores: map[string]*Store{}}
 	dir := t.TempDir()
-	s := g.open(t, "n0", dir)
-	g.leader(t)
+	s := cluster.open(t, "n0", dir)
+	cluster.awaitLeader(t)
 	if err := s.Set(KeyClosedNodes, "n1"); err != nil {
 		t.Fatal(err)
 	}
@@ -130,8 +43,8 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s = g.open(t, "n0", dir)
-	g.all(t, KeyClosedNodes, "n1")
+	s = cluster.open(t, "n0", dir)
+	cluster.expectValue(t, KeyClosedNodes, "n1")
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -1,8 +1,6 @@
 package store
 
 import (
-	"errors"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -15,64 +13,81 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// transport is raft's link to the other members. It notes how far each has answered for, and connects to none that is of another
-// store or goes by another name.
+// transport is raft's link to the other members. It reports how far each has answered for, and connects only to peers that were
+// verified. It implements raft.Transport.
 type transport struct {
 	*raft.NetworkTransport
-	onProgress  func(name string, m quorum.Progress)
-	emptyFolder func() bool // this member has joined and has nothing yet; nil: it did not join
-	incoming    chan raft.RPC
-	done        chan struct{}
-	voteMu      sync.Mutex // guards blank
-	stopOnce    sync.Once
-	closeOnce   sync.Once
-}
-
-// StopWaiting ends all waiting for members that can't be reached; it is to be called before raft is ended.
-func (t *transport) StopWaiting() { t.stopOnce.Do(func() { close(t.done) }) }
-
-// listen opens the link at an address. admit is asked before each connection; find tells where a member is, by its name.
-func listen(address string, timeout time.Duration, most int, log *slog.Logger, find func(raft.ServerID) (raft.ServerAddress, error),
-	admit func(raft.ServerAddress, time.Duration) error, noted func(string, quorum.Progress)) (*transport, error) {
-	ln, err := net.Listen("tcp", address)
+	onProgress func(name string, p quorum.Progress)
+	incoming   chan raft.RPC
+	done       chan struct{}
+	stopOnce   sync.Once
+	closeOnce  sync.Once
+
+	voteMu      sync.Mutex
+	emptyFolder func() bool // this member has joined and its data directory is empty; nil: votes are not withheld
+}
+
+// transportOptions configure a transport.
+type transportOptions struct {
+	address    string                                          // to listen at
+	timeout    time.Duration                                   // of one request to another member
+	maxPool    int                                             // idle connections to one member
+	logger     *slog.Logger                                    // of raft's own lines
+	addressOf  func(raft.ServerID) (raft.ServerAddress, error) // where a member is reached
+	verify     func(raft.ServerAddress, time.Duration) error   // is called before each connection
+	onProgress func(name string, p quorum.Progress)            // must not block
+}
+
+// listen opens a transport.
+func listen(o transportOptions) (*transport, error) {
+	listener, err := net.Listen("tcp", o.address)
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{onProgress: noted, incoming: make(chan raft.RPC), done: make(chan struct{})}
+	t := &transport{onProgress: o.onProgress, incoming: make(chan raft.RPC), done: make(chan struct{})}
 	t.NetworkTransport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: &streamLayer{ln, admit, t.done}, ServerAddressProvider: addressProvider(find), MaxPool: most, Timeout: timeout,
-		Logger: hclog.New(&hclog.LoggerOptions{Level: hclog.Warn, Output: slog.NewLogLogger(log.Handler(), slog.LevelWarn).Writer()}),
+		Stream:                &streamLayer{listener, o.verify, t.done},
+		ServerAddressProvider: addressProvider(o.addressOf),
+		MaxPool:               o.maxPool,
+		Timeout:               o.timeout,
+		Logger: hclog.New(&hclog.LoggerOptions{
+			Level:  hclog.Warn,
+			Output: slog.NewLogLogger(o.logger.Handler(), slog.LevelWarn).Writer(),
+		}),
 	})
 	go t.forwardRequests()
 	return t, nil
 }
 
-// forwardRequests hands on what other members ask, and notes how far they are by it: a leader has on its disk what it sends, and a candidate its
-// term.
+// addressProvider implements raft.ServerAddressProvider.
+type addressProvider func(raft.ServerID) (raft.ServerAddress, error)
+
+// ServerAddr implements raft.ServerAddressProvider.
+func (p addressProvider) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) { return p(id) }
+
+// StopWaiting ends all attempts to reach other members. It must be called before raft is shut down, and may be called twice.
+func (t *transport) StopWaiting() { t.stopOnce.Do(func() { close(t.done) }) }
+
+// Close closes the transport. It may be called twice.
+func (t *transport) Close() (err error) {
+	t.StopWaiting()
+	t.closeOnce.Do(func() { err = t.NetworkTransport.Close() })
+	return err
+}
+
+// Consumer implements raft.Transport.
+func (t *transport) Consumer() <-chan raft.RPC { return t.incoming }
+
+// forwardRequests forwards the other members' requests to raft, and reports the progress of those that sent them. Requests for
+// votes are answered here while votes are withheld.
 func (t *transport) forwardRequests() {
 	for {
 		select {
 		case rpc := <-t.NetworkTransport.Consumer():
-			switch c := rpc.Command.(type) {
-			case *raft.AppendEntriesRequest:
-				m := quorum.Progress{Term: c.Term}
-				if n := len(c.Entries); n > 0 {
-					m.EntryTerm, m.Index = c.Entries[n-1].Term, c.Entries[n-1].Index
-				}
-				t.noteProgress(c.ID, m)
-			case *raft.InstallSnapshotRequest:
-				t.noteProgress(c.ID, quorum.Progress{Term: c.Term, EntryTerm: c.LastLogTerm, Index: c.LastLogIndex})
-			case *raft.RequestVoteRequest:
-				t.noteProgress(c.ID, quorum.Progress{Term: c.Term})
-				if t.withholdsVotes() {
-					rpc.Respond(&raft.RequestVoteResponse{}, nil)
-					continue
-				}
-			case *raft.RequestPreVoteRequest:
-				if t.withholdsVotes() {
-					rpc.Respond(&raft.RequestPreVoteResponse{}, nil)
-					continue
-				}
+			t.noteProgress(rpc.Command)
+			if refusal := t.refusal(rpc.Command); refusal != nil {
+				rpc.Respond(refusal, nil)
+				continue
 			}
 			select {
 			case t.incoming <- rpc:
@@ -85,91 +100,71 @@
 	}
 }
 
-// withholdsVotes says whether this member grants no vote. One that has joined with a new folder may have had a vote under its name, and those that
-// have not heard of its removal count it still; until it has what came after that, it can't tell who is behind.
-func (t *transport) withholdsVotes() bool {
-	t.voteMu.Lock()
-	defer t.voteMu.Unlock()
-	if t.emptyFolder != nil && !t.emptyFolder() {
-		t.emptyFolder = nil
+// noteProgress reports how far the sender of a request is: a leader has on its disk what it sends, and a candidate its term.
+func (t *transport) noteProgress(command any) {
+	var sender []byte
+	var progress quorum.Progress
+	switch c := command.(type) {
+	case *raft.AppendEntriesRequest:
+		sender, progress.Term = c.ID, c.Term
+		if n := len(c.Entries); n > 0 {
+			progress.EntryTerm, progress.Index = c.Entries[n-1].Term, c.Entries[n-1].Index
+		}
+	case *raft.InstallSnapshotRequest:
+		sender, progress = c.ID, quorum.Progress{Term: c.Term, EntryTerm: c.LastLogTerm, Index: c.LastLogIndex}
+	case *raft.RequestVoteRequest:
+		sender, progress.Term = c.ID, c.Term
 	}
-	return t.emptyFolder != nil
-}
-
-// withholdVotesWhile has the member grant no vote while it is blank.
-func (t *transport) withholdVotesWhile(blank func() bool) {
-	t.voteMu.Lock()
-	defer t.voteMu.Unlock()
-	t.emptyFolder = blank
-}
-
-func (t *transport) noteProgress(id []byte, m quorum.Progress) {
-	if len(id) > 0 {
-		t.onProgress(string(id), m)
+	if len(sender) > 0 {
+		t.onProgress(string(sender), progress)
 	}
 }
 
-// Consumer implements raft.Transport.
-func (t *transport) Consumer() <-chan raft.RPC { return t.incoming }
-
-// Close ends the link; it may be called twice.
-func (t *transport) Close() (err error) {
-	t.StopWaiting()
-	t.closeOnce.Do(func() {
-		err = t.NetworkTransport.Close()
-	})
-	return err
-}
-
-// streamLayer is the connections below.
-type streamLayer struct {
-	net.Listener
-	verify func(raft.ServerAddress, time.Duration) error
-	done   <-chan struct{}
-}
-
-// dialRetryDelay is the pause between two tries to reach a member.
-const dialRetryDelay = 50 * time.Millisecond
-
-// Dial connects to a member that is who it should be. It tries for as long as it may: raft doubles its pause, up to 10 s, with each
-// connection that fails, so that a member which was away for seconds would be left waiting for as long again once it is back.
-func (l *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	for end := time.Now().Add(timeout); ; {
-		left := time.Until(end)
-		err := l.verify(address, left)
-		if err == nil {
-			var conn net.Conn
-			if conn, err = net.DialTimeout("tcp", string(address), left); err == nil {
-				return conn, nil
-			}
-		}
-		if time.Until(end) < dialRetryDelay {
-			return nil, err
+// refusal returns the response to a request for a vote while votes are withheld, else nil.
+func (t *transport) refusal(command any) any {
+	switch command.(type) {
+	case *raft.RequestVoteRequest:
+		if t.withholdsVotes() {
+			return &raft.RequestVoteResponse{}
 		}
-		select {
-		case <-time.After(dialRetryDelay):
-		case <-l.done:
-			return nil, err
+	case *raft.RequestPreVoteRequest:
+		if t.withholdsVotes() {
+			return &raft.RequestPreVoteResponse{}
 		}
 	}
+	return nil
 }
 
-type addressProvider func(raft.ServerID) (raft.ServerAddress, error)
+// withholdVotesWhile has the member grant no vote while its data directory is empty.
+func (t *transport) withholdVotesWhile(emptyFolder func() bool) {
+	t.voteMu.Lock()
+	defer t.voteMu.Unlock()
+	t.emptyFolder = emptyFolder
+}
 
-// ServerAddr implements raft.ServerAddressProvider.
-func (f addressProvider) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) { return f(id) }
+// withholdsVotes reports whether this member grants no vote. A member that has joined with an empty data directory may have had
+// a vote under its name, and those that have not learned of its removal still count it; until it has what was committed after
+// the removal, it can't tell which candidate lags behind.
+func (t *transport) withholdsVotes() bool {
+	t.voteMu.Lock()
+	defer t.voteMu.Unlock()
+	if t.emptyFolder != nil && !t.emptyFolder() {
+		t.emptyFolder = nil
+	}
+	return t.emptyFolder != nil
+}
 
-// acknowledged is what an answer to entries stands for.
-func acknowledged(args *raft.AppendEntriesRequest, resp *raft.AppendEntriesResponse) quorum.Progress {
-	m := quorum.Progress{Term: resp.Term}
-	if !resp.Success {
-		return m
+// acknowledged returns the progress that an answer to entries stands for.
+func acknowledged(request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse) quorum.Progress {
+	p := quorum.Progress{Term: response.Term}
+	if !response.Success {
+		return p
 	}
-	m.EntryTerm, m.Index = args.PrevLogTerm, args.PrevLogEntry
-	if n := len(args.Entries); n > 0 {
-		m.EntryTerm, m.Index = args.Entries[n-1].Term, args.Entries[n-1].Index
+	p.EntryTerm, p.Index = request.PrevLogTerm, request.PrevLogEntry
+	if n := len(request.Entries); n > 0 {
+		p.EntryTerm, p.Index = request.Entries[n-1].Term, request.Entries[n-1].Index
 	}
-	return m
+	return p
 }
 
 // AppendEntries implements raft.Transport.
@@ -194,11 +189,11 @@
 func (t *transport) InstallSnapshot(id raft.ServerID, target raft.ServerAddress, args *raft.InstallSnapshotRequest, resp *raft.InstallSnapshotResponse, data io.Reader) error {
 	err := t.NetworkTransport.InstallSnapshot(id, target, args, resp, data)
 	if err == nil {
-		m := quorum.Progress{Term: resp.Term}
+		p := quorum.Progress{Term: resp.Term}
 		if resp.Success {
-			m.EntryTerm, m.Index = args.LastLogTerm, args.LastLogIndex
+			p.EntryTerm, p.Index = args.LastLogTerm, args.LastLogIndex
 		}
-		t.onProgress(string(id), m)
+		t.onProgress(string(id), p)
 	}
 	return err
 }
@@ -210,11 +205,11 @@
 		return nil, err
 	}
 	p := &pipeline{AppendPipeline: below, out: make(chan raft.AppendFuture), done: make(chan struct{})}
-	go p.forwardResponses(func(m quorum.Progress) { t.onProgress(string(id), m) })
+	go p.forwardResponses(func(progress quorum.Progress) { t.onProgress(string(id), progress) })
 	return p, nil
 }
 
-// pipeline passes answers on and notes them.
+// pipeline forwards the answers to entries and reports the progress that they stand for.
 type pipeline struct {
 	raft.AppendPipeline
 	out       chan raft.AppendFuture
@@ -222,12 +217,12 @@
 	closeOnce sync.Once
 }
 
-func (p *pipeline) forwardResponses(noted func(quorum.Progress)) {
+func (p *pipeline) forwardResponses(onProgress func(quorum.Progress)) {
 	for {
 		select {
 		case f := <-p.AppendPipeline.Consumer():
 			if f.Error() == nil {
-				noted(acknowledged(f.Request(), f.Response()))
+				onProgress(acknowledged(f.Request(), f.Response()))
 			}
 			select {
 			case p.out <- f:
@@ -248,10 +243,3 @@
 	p.closeOnce.Do(func() { close(p.done) })
 	return p.AppendPipeline.Close()
 }
-
-// errWrongPeer says that what answers at a member's address is not that member.
-var errWrongPeer = errors.New("no connection to a stranger")
-
-func wrongPeerError(address raft.ServerAddress, format string, args ...any) error {
-	return fmt.Errorf("%w at %s: %s", errWrongPeer, address, fmt.Sprintf(format, args...))
-}
--- /dev/null
+++ b/internal/store/transport_test.go
@@ -0,0 +1,53 @@
+package store
+
+import (
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"sloehitch/internal/store/quorum"
+	"sloehitch/internal/testing/standin"
+)
+
+// TestNewFoldersDoNotVote: a member that has joined grants no vote until it has anything; then it is raft's to answer.
+func TestNewFoldersDoNotVote(t *testing.T) {
+	at := func() (*transport, raft.ServerAddress) {
+		address := standin.Free(t)
+		l, err := listen(transportOptions{
+			address:    address,
+			timeout:    time.Second,
+			maxPool:    3,
+			logger:     standin.Quiet,
+			addressOf:  func(id raft.ServerID) (raft.ServerAddress, error) { return raft.ServerAddress(id), nil },
+			verify:     func(raft.ServerAddress, time.Duration) error { return nil },
+			onProgress: func(string, quorum.Progress) {},
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() {
+			if err := l.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+		return l, raft.ServerAddress(address)
+	}
+	asks, _ := at()
+	joined, to := at()
+	var blank atomic.Bool
+	blank.Store(true)
+	joined.withholdVotesWhile(blank.Load)
+	go func() {
+		rpc := <-joined.Consumer()
+		rpc.Respond(&raft.RequestVoteResponse{Granted: true}, nil)
+	}()
+	for _, want := range []bool{false, true} {
+		var got raft.RequestVoteResponse
+		if err := asks.RequestVote(raft.ServerID(to), to, &raft.RequestVoteRequest{Term: 3}, &got); err != nil || got.Granted != want {
+			t.Errorf("granted: %v, %v, want %v", got.Granted, err, want)
+		}
+		blank.Store(false)
+	}
+}
