--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -19,8 +19,8 @@
 	cluster := newCluster(t, 3)
 	leader := cluster.awaitLeader(t)
 	waitFor(t, "the store's id, which a new leader writes", func() bool {
-		docs, _, err := g.client(0).Documents("store/", false)
-		return err == nil && len(docs) == 1
+		documents, _, err := cluster.client(0).Documents("store/", false)
+		return err == nil && len(documents) == 1
 	})
 	var first document.Result
 	waitFor(t, "a first transaction", func() (ok bool) {
