--- a/internal/platform/clock/shared.go
+++ b/internal/platform/clock/shared.go
@@ -13,17 +13,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile names the present boot of the machine (random(4)): monotonic readings of two boots have nothing in common.
+// bootIDFile identifies the present boot of the machine (random(4)): monotonic readings of different boots cannot be compared.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// sharedReference is how steady time stands to the machine's monotonic clock, as processes share it.
+// sharedReference relates steady time to the machine's monotonic clock, for several processes.
 type sharedReference struct {
 	boot  string
-	ahead time.Duration // of the monotonic clock's reading, since the Unix epoch
+	ahead time.Duration // steady time, since the Unix epoch, less the monotonic clock's reading
 }
 
-// ShareReference has steady time be the same in all processes that share the file: the first of them writes how its own stands to the machine's
-// monotonic clock, the others go by that, whatever the wall clock was when they started. It is to be called before any instant is read.
+// ShareReference makes steady time the same in all processes that share the file at path: the first of them writes its reference to the machine's monotonic
+// clock, and the others adopt it, whatever the wall clock was when they started. It has to be called before any instant is read.
 func ShareReference(path string) error {
 	boot, err := os.ReadFile(bootIDFile)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// readBoth reads the system's clocks and the machine's monotonic clock in one moment.
+// readBoth reads the system's clocks and the machine's monotonic clock together.
 func readBoth() (time.Time, time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
@@ -51,7 +51,7 @@
 	return time.Now(), time.Duration(t.Nano()), nil
 }
 
-// agreeOn returns the line in the file, which it writes where there is none of this boot.
+// agreeOn returns the reference in the file, which it writes where there is none of this boot.
 func agreeOn(path string, own sharedReference) (sharedReference, error) {
 	line, err := readReference(path)
 	if err == nil && line.boot == own.boot {
@@ -85,7 +85,7 @@
 
 func (l sharedReference) bytes() []byte { return fmt.Appendf(nil, "%s %d\n", l.boot, l.ahead) }
 
-// readReference reads the file. A line that is not whole errs.
+// readReference reads the file. It errs on a line that is incomplete.
 func readReference(path string) (sharedReference, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/platform/clock/virtual.go
+++ b/internal/platform/clock/virtual.go
@@ -10,14 +10,14 @@
 // they were asked for, so the same calls in the same order give the same course every time. It is for one goroutine: the one
 // that moves it, from which all calls come and which alone may ask for more.
 type Virtual struct {
-	begun time.Time
-	now   int64                   // nanoseconds since then
-	calls heap.Heap[int64, *call] // by nanoseconds since the clock's beginning
-	dead  int                     // of calls: taken back
+	startedAt time.Time
+	now       int64                   // nanoseconds since then
+	calls     heap.Heap[int64, *call] // by nanoseconds since the clock's beginning
+	stopped   int                     // of calls: taken back
 }
 
 // NewVirtual returns a clock that stands at the given time.
-func NewVirtual(now time.Time) *Virtual { return &Virtual{begun: now.Round(0)} }
+func NewVirtual(now time.Time) *Virtual { return &Virtual{startedAt: now.Round(0)} }
 
 // call is one call that is to come.
 type call struct {
@@ -28,7 +28,7 @@
 }
 
 // Now is the time at which the clock stands.
-func (v *Virtual) Now() time.Time { return v.begun.Add(time.Duration(v.now)) }
+func (v *Virtual) Now() time.Time { return v.startedAt.Add(time.Duration(v.now)) }
 
 // AfterFunc has f called when the clock has been moved d further: not before the caller returns, even for a d of 0.
 func (v *Virtual) AfterFunc(d time.Duration, f func()) Timer {
@@ -48,8 +48,8 @@
 		return false
 	}
 	c.off = true
-	c.clock.dead++
-	c.clock.sweep()
+	c.clock.stopped++
+	c.clock.dropStopped()
 	return true
 }
 
@@ -58,19 +58,19 @@
 	active := c.Stop()
 	if c.index != heap.Out { // marked, and still in the queue
 		c.clock.calls.Remove(c.index)
-		c.clock.dead--
+		c.clock.stopped--
 	}
 	c.ask(d)
 	return active
 }
 
-// sweep drops calls that were taken back once they are more than those that stand.
-func (v *Virtual) sweep() {
-	if v.dead < 64 || v.dead*2 < v.calls.Len() {
+// dropStopped drops calls that were taken back once they are more than those that stand.
+func (v *Virtual) dropStopped() {
+	if v.stopped < 64 || v.stopped*2 < v.calls.Len() {
 		return
 	}
 	v.calls.Keep(func(c *call) bool { return !c.off })
-	v.dead = 0
+	v.stopped = 0
 }
 
 // Step moves the clock to the next call and makes it. It returns false where none is to come.
@@ -78,7 +78,7 @@
 	for v.calls.Len() > 0 {
 		at, c := v.calls.Pop()
 		if c.off {
-			v.dead--
+			v.stopped--
 			continue
 		}
 		v.now = at
@@ -93,10 +93,10 @@
 	for v.calls.Len() > 0 {
 		at, c := v.calls.First()
 		if !c.off {
-			return v.begun.Add(time.Duration(at)), true
+			return v.startedAt.Add(time.Duration(at)), true
 		}
 		v.calls.Pop()
-		v.dead--
+		v.stopped--
 	}
 	return time.Time{}, false
 }
@@ -110,11 +110,11 @@
 		}
 		v.Step()
 	}
-	v.now = max(v.now, int64(until.Sub(v.begun)))
+	v.now = max(v.now, int64(until.Sub(v.startedAt)))
 }
 
 // Pending is the number of calls that are to come.
-func (v *Virtual) Pending() int { return v.calls.Len() - v.dead }
+func (v *Virtual) Pending() int { return v.calls.Len() - v.stopped }
 
 // Placed is told where in the queue the call is.
 func (c *call) Placed(at int) { c.index = at }
