--- a/cmd/sloehitch/drain.go
+++ b/cmd/sloehitch/drain.go
@@ -22,22 +22,22 @@
 	"sloehitch/internal/store"
 )
 
-// outView is what is known of who is out, as a keeper sees it but for how long it has looked itself.
-type outView struct {
+// drainView is the fleet as the node that grants drain permits sees it, with the versions of the documents that it was read from.
+type drainView struct {
 	drainpermit.View
-	at   drainpermit.Versions
-	seen store.ReadStatus
+	versions drainpermit.Versions
+	status   store.ReadStatus
 }
 
-// look reads it, confirmed by a majority.
-func look(c store.Client) (v outView, err error) {
-	docs, seen, err := c.Documents("", false)
+// readDrainView reads the view, confirmed by a majority.
+func readDrainView(c store.Client) (v drainView, err error) {
+	docs, status, err := c.Documents("", false)
 	if err != nil {
 		return v, fmt.Errorf("%w; without a majority nothing can be permitted, and nothing begins", err)
 	}
-	v.seen = seen
-	var wrong error
-	v.View, v.at, wrong = drainpermit.DecodeView(docs, drainpermit.DefaultDecoder, time.Now().UnixMilli())
+	v.status = status
+	var decodeErr error
+	v.View, v.versions, decodeErr = drainpermit.DecodeView(docs, drainpermit.DefaultDecoder, time.Now().UnixMilli())
 	silent := map[string]bool{}
 	for _, d := range docs {
 		if name, marked := strings.CutPrefix(d.Key, "silent/"); marked {
@@ -58,7 +58,7 @@
 		v.Members = append(v.Members, s)
 	}
 	v.View = v.WithUpstreams(fleet.UpstreamService)
-	return v, wrong
+	return v, decodeErr
 }
 
 type fleetBudgetCmd struct {
@@ -68,13 +68,13 @@
 }
 
 func (c *fleetBudgetCmd) Run(_ *slog.Logger) error {
-	ask := cli.Fleet.client()
-	v, err := look(ask)
+	ask := grammar.Fleet.client()
+	v, err := readDrainView(ask)
 	if err != nil {
 		return err
 	}
 	if c.File == "" {
-		fmt.Println(since(v.seen))
+		fmt.Println(describeStatus(v.status))
 		for _, r := range v.Budgets {
 			fmt.Println(drainpermit.Encode(r))
 		}
@@ -98,7 +98,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	r, err := setIf(ask, reason{c.By, c.Why}, drainpermit.BudgetsKey, v.at[drainpermit.BudgetsKey], drainpermit.Encode(rules))
+	r, err := setIfUnchanged(ask, author{c.By, c.Why}, drainpermit.BudgetsKey, v.versions[drainpermit.BudgetsKey], drainpermit.Encode(rules))
 	if err != nil {
 		return err
 	}
@@ -128,11 +128,11 @@
 	Until  time.Duration `help:"From now, after which they come back by themselves; 0: until undrain."`
 	Within time.Duration `help:"In which each should be empty; one that is not says so."`
 	Urgent bool          `help:"Before what is planned."`
-	reason
+	author
 }
 
-// named are the nodes that are meant.
-func named(v outView, words []string) (list []string, err error) {
+// resolveNames are the nodes that are meant.
+func resolveNames(v drainView, words []string) (list []string, err error) {
 	for _, w := range words {
 		zone, all := strings.CutPrefix(w, "zone=")
 		if address, server := strings.CutPrefix(w, "server="); server {
@@ -155,12 +155,12 @@
 }
 
 func (c *fleetDrainCmd) Run(_ *slog.Logger) error {
-	ask := cli.Fleet.client()
-	v, err := look(ask)
+	ask := grammar.Fleet.client()
+	v, err := readDrainView(ask)
 	if err != nil {
 		return err
 	}
-	nodes, err := named(v, c.Nodes)
+	nodes, err := resolveNames(v, c.Nodes)
 	if err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 		}
 		a.ID = rand.Text()
 		key := drainpermit.RequestKey(node)
-		if _, err := setIf(ask, c.reason, key, v.at[key], drainpermit.Encode(a)); err != nil {
+		if _, err := setIfUnchanged(ask, c.author, key, v.versions[key], drainpermit.Encode(a)); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
 		fmt.Printf("%s: asked for; \"fleet outs\" says when it is out, and what it waits for\n", node)
@@ -185,16 +185,16 @@
 
 type fleetUndrainCmd struct {
 	Nodes []string `arg:"" help:"The nodes' names, zone=Z for all nodes of a zone, or server=ADDRESS for a server below."`
-	reason
+	author
 }
 
 func (c *fleetUndrainCmd) Run(_ *slog.Logger) error {
-	ask := cli.Fleet.client()
-	v, err := look(ask)
+	ask := grammar.Fleet.client()
+	v, err := readDrainView(ask)
 	if err != nil {
 		return err
 	}
-	nodes, err := named(v, c.Nodes)
+	nodes, err := resolveNames(v, c.Nodes)
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 			fmt.Printf("%s: nobody asked for it\n", node)
 			continue
 		}
-		if _, err := setIf(ask, c.reason, key, v.at[key], ""); err != nil {
+		if _, err := setIfUnchanged(ask, c.author, key, v.versions[key], ""); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
 		fmt.Printf("%s: taken back\n", node)
@@ -214,15 +214,15 @@
 
 type fleetHaltCmd struct {
 	Release string `help:"Halt only what this release does; without it, everything voluntary."`
-	reason
+	author
 }
 
 // Run halts, and returns once nothing can begin any more, however late a process wakes up.
 func (c *fleetHaltCmd) Run(_ *slog.Logger) error {
-	return halt(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.reason)
+	return halt(grammar.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.author)
 }
 
-func halt(ask store.Client, what string, r reason) error {
+func halt(ask store.Client, what string, r author) error {
 	if strings.Contains(what, "/") {
 		return fmt.Errorf("release %q: a name without slashes is wanted", what)
 	}
@@ -236,14 +236,14 @@
 
 type fleetResumeCmd struct {
 	Release string `help:"Let this release go on; without it, everything."`
-	reason
+	author
 }
 
 func (c *fleetResumeCmd) Run(_ *slog.Logger) error {
-	return resume(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.reason)
+	return resume(grammar.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.author)
 }
 
-func resume(ask store.Client, what string, r reason) error {
+func resume(ask store.Client, what string, r author) error {
 	was, _, err := ask.Document(drainpermit.HaltKeyPrefix+what, false)
 	if err != nil {
 		return err
@@ -253,7 +253,7 @@
 		return nil
 	}
 	r.Why = "resume " + what + ": " + r.Why
-	made, err := setIf(ask, r, was.Key, was.Version, "")
+	made, err := setIfUnchanged(ask, r, was.Key, was.Version, "")
 	if err != nil {
 		return err
 	}
@@ -265,11 +265,11 @@
 
 // Run shows who is out, who waits, and for what.
 func (fleetOutsCmd) Run(_ *slog.Logger) error {
-	v, err := look(cli.Fleet.client())
+	v, err := readDrainView(grammar.Fleet.client())
 	if err != nil {
 		return err
 	}
-	fmt.Println(since(v.seen))
+	fmt.Println(describeStatus(v.status))
 	for _, what := range slices.Sorted(maps.Keys(v.Halted)) {
 		fmt.Printf("HALTED: %s\n", what)
 	}
@@ -294,7 +294,7 @@
 				held += ", longer than it was to take"
 			}
 			if m := v.Members[i]; m.Service != "" {
-				held = agreed(m)
+				held = confirmations(m)
 			}
 		}
 		if r, no := refused[m.Name]; no {
@@ -308,8 +308,8 @@
 	return w.Flush()
 }
 
-// agreed says whether a server below is out on every node's word.
-func agreed(m drainpermit.ObservedMember) string {
+// confirmations says whether a server below is out on every node's word.
+func confirmations(m drainpermit.ObservedMember) string {
 	ok, open, silent := m.DrainConfirmed()
 	if ok {
 		return "out, on every node's word"
--- a/cmd/sloehitch/fleet.go
+++ b/cmd/sloehitch/fleet.go
@@ -44,8 +44,8 @@
 	return state.client()
 }
 
-// since says how far what was read can be trusted.
-func since(s store.ReadStatus) string {
+// describeStatus says how current a read is.
+func describeStatus(s store.ReadStatus) string {
 	switch {
 	case s.Confirmed:
 		return fmt.Sprintf("revision %d, confirmed by a majority", s.Revision)
@@ -68,21 +68,21 @@
 }
 
 func (fleetStatusCmd) Run(_ *slog.Logger) error {
-	c := cli.Fleet.client()
+	c := grammar.Fleet.client()
 	docs, seen, err := c.Documents("", false)
-	var wrong []string
+	var problems []string
 	if err != nil {
 		if docs, seen, err = c.Documents("", true); err != nil {
 			return fmt.Errorf("%w; ask another member of the store", err)
 		}
-		wrong = append(wrong, "no majority of the store's members confirms what is read: nothing can be changed. Start the members that are down, or mend the links between them")
+		problems = append(problems, "no majority of the store's members confirms what is read: nothing can be changed. Start the members that are down, or mend the links between them")
 	}
 	owners, _, err := c.Leases()
 	if err != nil {
 		return err
 	}
-	wrong = append(wrong, wrongMembers(c)...)
-	fmt.Println(since(seen))
+	problems = append(problems, memberProblems(c)...)
+	fmt.Println(describeStatus(seen))
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tSTATE\tVERSION\tSINCE\tRUNNING\tHELD")
 	for _, d := range docs {
@@ -90,12 +90,12 @@
 		case "node":
 			var r nodeReport
 			if err := json.Unmarshal([]byte(d.Value), &r); err != nil {
-				wrong = append(wrong, fmt.Sprintf("node %s: its report can't be read: %v", name, err))
+				problems = append(problems, fmt.Sprintf("node %s: its report can't be read: %v", name, err))
 				continue
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", name, r.State, r.Version, time.UnixMilli(r.Since).UTC().Format(time.RFC3339), r.Running, r.Held)
 			if !r.Well && r.State == "ready" {
-				wrong = append(wrong, fmt.Sprintf("node %s serves but is not well: its callers are sent away; see \"Which limit binds?\" in docs/operators/deployment.md", name))
+				problems = append(problems, fmt.Sprintf("node %s serves but is not well: its callers are sent away; see \"Which limit binds?\" in docs/operators/deployment.md", name))
 			}
 		case "silent":
 			var m struct {
@@ -103,12 +103,12 @@
 				Since int64  `json:"since"`
 			}
 			if err := json.Unmarshal([]byte(d.Value), &m); err == nil {
-				wrong = append(wrong, fmt.Sprintf("node %s is silent since %s (marked by %s): see whether its process runs and reaches the store. It may serve all the same", name, time.UnixMilli(m.Since).UTC().Format(time.RFC3339), m.By))
+				problems = append(problems, fmt.Sprintf("node %s is silent since %s (marked by %s): see whether its process runs and reaches the store. It may serve all the same", name, time.UnixMilli(m.Since).UTC().Format(time.RFC3339), m.By))
 			}
 		case "duty":
 			var r leasedtask.Record
 			if err := json.Unmarshal([]byte(d.Value), &r); err == nil && r.State == leasedtask.StateFailed {
-				wrong = append(wrong, fmt.Sprintf("duty %s: job %s failed at step %d, %d times: %s. The next span of time begins a new job", name, r.JobID, r.Step, r.FailedAttempts, r.FailureReason))
+				problems = append(problems, fmt.Sprintf("duty %s: job %s failed at step %d, %d times: %s. The next span of time begins a new job", name, r.JobID, r.Step, r.FailedAttempts, r.FailureReason))
 			}
 		}
 	}
@@ -117,60 +117,60 @@
 	}
 	for _, o := range owners {
 		if o.Holder != "" && o.RemainingMS == 0 {
-			wrong = append(wrong, fmt.Sprintf("duty %s: %s let its lease lapse, and nobody has asked since: see whether any node with [fleet] reaches the store", o.Task, o.Holder))
+			problems = append(problems, fmt.Sprintf("duty %s: %s let its lease lapse, and nobody has asked since: see whether any node with [fleet] reaches the store", o.Task, o.Holder))
 		}
 	}
-	if len(wrong) == 0 {
+	if len(problems) == 0 {
 		fmt.Println("nothing is wrong")
 		return nil
 	}
-	for _, x := range wrong {
+	for _, x := range problems {
 		fmt.Println("WRONG:", x)
 	}
 	return daemon.ExitCode(1)
 }
 
-// quiet is for how long a member may go unheard before it counts as wrong: several beats.
-const quiet = 5 * time.Second
+// memberSilence is for how long a member may go unheard before it counts as wrong: several beats.
+const memberSilence = 5 * time.Second
 
-// wrongMembers is what is wrong with who keeps the store, and what to do next.
-func wrongMembers(c store.Client) (wrong []string) {
+// memberProblems is what is wrong with who keeps the store, and what to do next.
+func memberProblems(c store.Client) (problems []string) {
 	if m, err := c.Members(true); err == nil && m.ExclusionReason != "" {
-		wrong = append(wrong, fmt.Sprintf("member %s takes no part in the store: %s", m.ReportedBy, m.ExclusionReason))
+		problems = append(problems, fmt.Sprintf("member %s takes no part in the store: %s", m.ReportedBy, m.ExclusionReason))
 	}
 	m, err := c.Members(false)
 	if err != nil {
-		return wrong // that there is no leader is told already
+		return problems // that there is no leader is told already
 	}
 	voters, there := 0, 0
 	for _, x := range m.Members {
 		if !x.Voter {
-			wrong = append(wrong, fmt.Sprintf("member %s learns and has no vote: \"fleet members promote %s\" once it has caught up (%d entries behind)", x.Name, x.Name, x.Lag))
+			problems = append(problems, fmt.Sprintf("member %s learns and has no vote: \"fleet members promote %s\" once it has caught up (%d entries behind)", x.Name, x.Name, x.Lag))
 			continue
 		}
-		if voters++; x.Leader || x.SinceContact >= 0 && x.SinceContact < quiet {
+		if voters++; x.Leader || x.SinceContact >= 0 && x.SinceContact < memberSilence {
 			there++
 			continue
 		}
-		wrong = append(wrong, fmt.Sprintf("member %s has not answered the leader lately: start it or mend its links; \"fleet --admin ITS-ADDRESS members --local\" says whether it is kept out, and why", x.Name))
+		problems = append(problems, fmt.Sprintf("member %s has not answered the leader lately: start it or mend its links; \"fleet --admin ITS-ADDRESS members --local\" says whether it is kept out, and why", x.Name))
 	}
 	if voters > 1 && there == quorum.Majority(voters) {
-		wrong = append(wrong, fmt.Sprintf("%d of %d voters are there: if one more is lost nothing can be changed", there, voters))
+		problems = append(problems, fmt.Sprintf("%d of %d voters are there: if one more is lost nothing can be changed", there, voters))
 	}
 	if voters%2 == 0 && voters > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d voters bear no more losses than %d: promote one more or remove one", voters, voters-1))
+		problems = append(problems, fmt.Sprintf("%d voters bear no more losses than %d: promote one more or remove one", voters, voters-1))
 	}
-	return wrong
+	return problems
 }
 
 type fleetOwnersCmd struct{}
 
 func (fleetOwnersCmd) Run(_ *slog.Logger) error {
-	owners, seen, err := cli.Fleet.client().Leases()
+	owners, seen, err := grammar.Fleet.client().Leases()
 	if err != nil {
 		return err
 	}
-	fmt.Println(since(seen))
+	fmt.Println(describeStatus(seen))
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tHOLDER\tTOKEN\tSTATE")
 	for _, o := range owners {
@@ -193,13 +193,13 @@
 }
 
 func (c *fleetHistoryCmd) Run(_ *slog.Logger) error {
-	changes, seen, forgotten, err := cli.Fleet.client().Changes("", c.After, 0)
+	changes, seen, forgotten, err := grammar.Fleet.client().Changes("", c.After, 0)
 	if err != nil {
 		return err
 	}
 	if forgotten && c.After == 0 {
 		fmt.Printf("changes up to revision %d are no longer remembered\n", seen.HistoryStart)
-		if changes, seen, forgotten, err = cli.Fleet.client().Changes("", seen.HistoryStart, 0); err != nil {
+		if changes, seen, forgotten, err = grammar.Fleet.client().Changes("", seen.HistoryStart, 0); err != nil {
 			return err
 		}
 	}
@@ -227,11 +227,11 @@
 }
 
 func (c *fleetShowCmd) Run(_ *slog.Logger) error {
-	docs, seen, err := cli.Fleet.client().Documents(c.Prefix, c.Local)
+	docs, seen, err := grammar.Fleet.client().Documents(c.Prefix, c.Local)
 	if err != nil {
 		return fmt.Errorf("%w; --local shows what this member has", err)
 	}
-	fmt.Println(since(seen))
+	fmt.Println(describeStatus(seen))
 	for _, d := range docs {
 		fmt.Printf("%s\t%d\t%s\n", d.Key, d.Version, d.Value)
 	}
@@ -255,7 +255,7 @@
 	if c.ID == "" {
 		c.ID = rand.Text()
 	}
-	r, err := cli.Fleet.client().Commit(document.Transaction{ID: c.ID, Author: c.By, Reason: c.Why,
+	r, err := grammar.Fleet.client().Commit(document.Transaction{ID: c.ID, Author: c.By, Reason: c.Why,
 		Conditions: []document.Condition{{Key: c.Key, Version: c.Version}}, Operations: []document.Operation{{Key: c.Key, Value: c.Value, Delete: c.Delete}}})
 	switch {
 	case errors.Is(err, store.ErrConflict):
@@ -267,8 +267,8 @@
 	return nil
 }
 
-// setIf sets a document that still has a version, or deletes it where the value is empty.
-func setIf(ask store.Client, r reason, key string, version uint64, value string) (document.Result, error) {
+// setIfUnchanged sets a document that still has a version, or deletes it where the value is empty.
+func setIfUnchanged(ask store.Client, r author, key string, version uint64, value string) (document.Result, error) {
 	return ask.Commit(document.Transaction{ID: rand.Text(), Author: r.By, Reason: r.Why, Conditions: []document.Condition{{Key: key, Version: version}},
 		Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}})
 }
@@ -276,14 +276,14 @@
 type fleetWantCmd struct {
 	Node  string `arg:"" help:"The node's name."`
 	State string `arg:"" enum:"in,out" help:"in or out (of service)."`
-	reason
+	author
 }
 
 func (c *fleetWantCmd) Run(_ *slog.Logger) error {
 	if c.Node == "" || strings.Contains(c.Node, "/") {
 		return fmt.Errorf("node %q: a name without slashes is wanted", c.Node)
 	}
-	ask := cli.Fleet.client()
+	ask := grammar.Fleet.client()
 	key := desiredstate.KeyPrefix + c.Node
 	was, _, err := ask.Document(key, false)
 	if err != nil {
@@ -293,7 +293,7 @@
 	if err != nil { // strings always marshal
 		panic(err)
 	}
-	r, err := setIf(ask, c.reason, key, was.Version, string(text))
+	r, err := setIfUnchanged(ask, c.author, key, was.Version, string(text))
 	if err != nil {
 		return err
 	}
--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -38,11 +38,11 @@
 	JSON     bool   `help:"Speak JSON, one object a line; bytes that are no text as key64 and value64."`
 	MemoryMB int    `help:"Memory for the keys, in MB." default:"1024"`
 
-	tended bool // compacts by itself while it is open
+	compacts bool // compacts by itself while it is open
 }
 
 func (f *ledgerFlags) options(readOnly bool, log *slog.Logger) ledger.Options {
-	return ledger.Options{Limits: limits.ForLedger(int64(f.MemoryMB) << 20), ReadOnly: readOnly, Manual: !f.tended, Log: log, Step: progress()}
+	return ledger.Options{Limits: limits.ForLedger(int64(f.MemoryMB) << 20), ReadOnly: readOnly, Manual: !f.compacts, Log: log, Step: progress()}
 }
 
 func (f *ledgerFlags) open(readOnly bool, log *slog.Logger) (*ledger.Store, error) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// line is a pair as JSON.
-type line struct {
+// jsonPair is a pair as JSON.
+type jsonPair struct {
 	Key     string     `json:"key,omitempty"`
 	Key64   []byte     `json:"key64,omitempty"`
 	Value   *string    `json:"value,omitempty"`
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	c.tended = true // or overwriting would leave behind all that it replaced
+	c.compacts = true // or overwriting would leave behind all that it replaced
 	s, err := c.open(false, log)
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 		}
 		return bytes.Clone(k), bytes.Clone(v), expiry, nil
 	}
-	var l line
+	var l jsonPair
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&l); err != nil {
@@ -235,7 +235,7 @@
 	enc := json.NewEncoder(w)
 	err = s.Scan([]byte(c.Prefix), func(p ledger.Pair) error {
 		if c.JSON {
-			return enc.Encode(toLine(p))
+			return enc.Encode(toJSONPair(p))
 		}
 		if bytes.ContainsAny(p.Key, "\t\n") || bytes.ContainsRune(p.Value, '\n') {
 			return fmt.Errorf("key %q: it or its value has a tab or a line break; use --json", p.Key)
@@ -246,7 +246,7 @@
 	return errors.Join(err, w.Flush())
 }
 
-func toLine(p ledger.Pair) (l line) {
+func toJSONPair(p ledger.Pair) (l jsonPair) {
 	if utf8.Valid(p.Key) {
 		l.Key = string(p.Key)
 	} else {
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -24,10 +24,11 @@
 	"sloehitch/internal/store"
 )
 
-// version is the product's; the changelog says what each one brought.
+// version is the version of the program; CHANGELOG.md has what each one brought.
 const version = "0.2.0"
 
-var cli struct {
+// grammar is the command line.
+var grammar struct {
 	Serve    serveCmd    `cmd:"" help:"Serve until told to stop."`
 	Check    checkCmd    `cmd:"" help:"Check a configuration and say what it would do."`
 	Describe describeCmd `cmd:"" help:"Print the AsyncAPI description of the platform's messages."`
@@ -41,8 +42,8 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
-// serving is the grammar of the one command that runs for long: that of all of them would stay in memory beside it.
-var serving struct {
+// serveGrammar is the grammar of the one command that keeps running: the grammar of all commands would stay in its memory.
+var serveGrammar struct {
 	Serve serveCmd `cmd:"" help:"Serve until told to stop."`
 }
 
@@ -75,7 +76,7 @@
 	}
 	p := l.Platform
 	fmt.Printf("%s: node %s on %s, %d classes, %d tenants, %d MB, %d descriptors\n", c.Config, p.Name, p.Listen,
-		len(p.Logic.Classes), len(p.Logic.Tenants), p.Caps.MemoryMB, p.Caps.Sockets)
+		len(p.Logic.Classes), len(p.Logic.Tenants), p.Limits.MemoryMB, p.Limits.Sockets)
 	if u := l.Deploy.Uwsgi; u.Listen != "" {
 		fmt.Printf("%s: uwsgi on %s, servers %v\n", c.Deploy, u.Listen, u.Servers)
 	}
@@ -129,7 +130,7 @@
 type stateShowCmd struct{}
 
 func (stateShowCmd) Run(_ *slog.Logger) error {
-	values, err := cli.State.client().All()
+	values, err := grammar.State.client().All()
 	if err != nil {
 		return err
 	}
@@ -144,7 +145,7 @@
 	Value string `arg:"" optional:""`
 }
 
-func (c *stateSetCmd) Run(_ *slog.Logger) error { return cli.State.client().Set(c.Key, c.Value) }
+func (c *stateSetCmd) Run(_ *slog.Logger) error { return grammar.State.client().Set(c.Key, c.Value) }
 
 type versionCmd struct{}
 
@@ -160,11 +161,11 @@
 func main() {
 	level := new(slog.LevelVar)
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	grammar := any(&cli)
+	commands := any(&grammar)
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
-		grammar = &serving
+		commands = &serveGrammar
 	}
-	ctx := kong.Parse(grammar, kong.Name("sloehitch"), kong.Bind(log, level),
+	ctx := kong.Parse(commands, kong.Name("sloehitch"), kong.Bind(log, level),
 		kong.Description("Decides on a server which requests run, wait or are refused."))
 	err := ctx.Run(log)
 	var code daemon.ExitCode
--- a/cmd/sloehitch/members.go
+++ b/cmd/sloehitch/members.go
@@ -26,7 +26,7 @@
 }
 
 func (c *membersListCmd) Run(_ *slog.Logger) error {
-	m, err := cli.Fleet.client().Members(c.Local)
+	m, err := grammar.Fleet.client().Members(c.Local)
 	if err != nil {
 		return fmt.Errorf("%w; --local shows what this member knows", err)
 	}
@@ -46,12 +46,12 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tPART\tHEARD\tBEHIND\tRAFT\tADMIN")
 	for _, x := range m.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", x.Name, partOf(x), heardOf(x, m), behindOf(x, m), x.RaftAddress, x.AdminAddress)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", x.Name, roleOf(x), contactOf(x, m), lagOf(x, m), x.RaftAddress, x.AdminAddress)
 	}
 	return w.Flush()
 }
 
-func partOf(m quorum.Member) string {
+func roleOf(m quorum.Member) string {
 	switch {
 	case m.Leader:
 		return "leads"
@@ -61,7 +61,7 @@
 	return "learns"
 }
 
-func heardOf(x quorum.Member, m store.Membership) string {
+func contactOf(x quorum.Member, m store.Membership) string {
 	switch {
 	case m.ReportedBy != m.Leader:
 		return "?"
@@ -73,15 +73,15 @@
 	return x.SinceContact.Round(time.Millisecond).String() + " ago"
 }
 
-func behindOf(x quorum.Member, m store.Membership) string {
+func lagOf(x quorum.Member, m store.Membership) string {
 	if m.ReportedBy != m.Leader {
 		return "?"
 	}
 	return fmt.Sprint(x.Lag)
 }
 
-// reason is who asks for something, and why; it is kept in the history.
-type reason struct {
+// author is who asks for something, and why; it is kept in the history.
+type author struct {
 	By  string `help:"Who asks." env:"USER" required:""`
 	Why string `help:"Why; kept in the history." required:""`
 }
@@ -90,7 +90,7 @@
 	Name        string `arg:"" help:"The member's name, as its own configuration has it."`
 	Raft        string `help:"Where the other members reach it." required:""`
 	MemberAdmin string `help:"Where operators reach it." required:""`
-	reason
+	author
 }
 
 func (c *membersAddCmd) Run(_ *slog.Logger) error {
@@ -99,7 +99,7 @@
 
 type membersChangeCmd struct {
 	Name string `arg:"" help:"The member's name."`
-	reason
+	author
 }
 
 func (c *membersChangeCmd) run(do string) error {
@@ -108,7 +108,7 @@
 
 // Run is told by which command it came.
 func (c *membersChangeCmd) Run(_ *slog.Logger) error {
-	m := &cli.Fleet.Members
+	m := &grammar.Fleet.Members
 	switch c {
 	case &m.Promote:
 		return c.run("promote")
@@ -119,7 +119,7 @@
 }
 
 func changeMembers(a store.MembershipChange) error {
-	m, err := cli.Fleet.client().ChangeMembers(a)
+	m, err := grammar.Fleet.client().ChangeMembers(a)
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		return fmt.Errorf("%w; asked again it is made once", err)
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	if err = errors.Join(cli.Fleet.client().Backup(f), f.Sync(), f.Close()); err != nil {
+	if err = errors.Join(grammar.Fleet.client().Backup(f), f.Sync(), f.Close()); err != nil {
 		return errors.Join(err, os.Remove(c.File)) // part of a backup is none
 	}
 	return nil
@@ -146,7 +146,7 @@
 
 type fleetRestoreCmd struct {
 	File string `arg:"" help:"A backup." type:"existingfile"`
-	reason
+	author
 }
 
 func (c *fleetRestoreCmd) Run(_ *slog.Logger) error {
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	seen, err := cli.Fleet.client().Restore(text, c.By, c.Why)
+	seen, err := grammar.Fleet.client().Restore(text, c.By, c.Why)
 	if err != nil {
 		return err
 	}
--- a/cmd/sloehitch/release.go
+++ b/cmd/sloehitch/release.go
@@ -31,8 +31,8 @@
 	return state.client()
 }
 
-// laid is a release as it would go.
-type laid struct {
+// plannedRelease is a release as it would go.
+type plannedRelease struct {
 	Name   string        `arg:"" help:"The release's name."`
 	To     string        `help:"What nodes are to report as deployed." required:""`
 	Growth float64       `default:"2" help:"By which waves grow."`
@@ -41,8 +41,8 @@
 	Within time.Duration `default:"1m" help:"In which a node should be empty, once out."`
 }
 
-func (c *laid) lay(ask store.Client) (r release.Release, v outView, err error) {
-	if v, err = look(ask); err != nil {
+func (c *plannedRelease) plan(ask store.Client) (r release.Release, v drainView, err error) {
+	if v, err = readDrainView(ask); err != nil {
 		return r, v, err
 	}
 	if c.Growth < 1 {
@@ -53,10 +53,10 @@
 	return r, v, r.Validate()
 }
 
-type releasePlanCmd struct{ laid }
+type releasePlanCmd struct{ plannedRelease }
 
 func (c *releasePlanCmd) Run(_ *slog.Logger) error {
-	r, v, err := c.lay(cli.Release.client())
+	r, v, err := c.plan(grammar.Release.client())
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 }
 
 // showPlan prints waves, budgets, how long it takes at the least, and which steps have no way back.
-func showPlan(r release.Release, v outView) {
+func showPlan(r release.Release, v drainView) {
 	for i, w := range r.Waves {
 		fmt.Printf("wave %d: %s\n", i+1, strings.Join(w, " "))
 	}
@@ -86,13 +86,13 @@
 }
 
 type releaseStartCmd struct {
-	laid
-	reason
+	plannedRelease
+	author
 }
 
 func (c *releaseStartCmd) Run(_ *slog.Logger) error {
-	ask := cli.Release.client()
-	r, v, err := c.lay(ask)
+	ask := grammar.Release.client()
+	r, v, err := c.plan(ask)
 	if err != nil {
 		return err
 	}
@@ -110,10 +110,10 @@
 }
 
 func (c *releaseWatchCmd) Run(_ *slog.Logger) error {
-	ask := cli.Release.client()
+	ask := grammar.Release.client()
 	last := ""
 	for {
-		v, err := look(ask)
+		v, err := readDrainView(ask)
 		if err != nil {
 			return err
 		}
@@ -152,29 +152,29 @@
 
 type releaseHaltCmd struct {
 	Name string `arg:"" help:"The release's name."`
-	reason
+	author
 }
 
 func (c *releaseHaltCmd) Run(_ *slog.Logger) error {
-	return halt(cli.Release.client(), c.Name, c.reason)
+	return halt(grammar.Release.client(), c.Name, c.author)
 }
 
 type releaseResumeCmd struct {
 	Name string `arg:"" help:"The release's name."`
-	reason
+	author
 }
 
 func (c *releaseResumeCmd) Run(_ *slog.Logger) error {
-	return resume(cli.Release.client(), c.Name, c.reason)
+	return resume(grammar.Release.client(), c.Name, c.author)
 }
 
 type releaseBackCmd struct {
 	Name string `arg:"" help:"The release's name."`
-	reason
+	author
 }
 
 func (c *releaseBackCmd) Run(_ *slog.Logger) error {
-	if err := fleet.RollBackRelease(cli.Release.client(), c.Name, c.By, c.Why); err != nil {
+	if err := fleet.RollBackRelease(grammar.Release.client(), c.Name, c.By, c.Why); err != nil {
 		return err
 	}
 	fmt.Println("it goes back; \"release watch\" tells how far it is")
--- a/cmd/sloehitch/serve.go
+++ b/cmd/sloehitch/serve.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	lim := limits.For(l.Platform.Caps.MemoryMB, l.Platform.Caps.Sockets)
+	lim := limits.For(l.Platform.Limits.MemoryMB, l.Platform.Limits.Sockets)
 	debug.SetMemoryLimit(lim.MemoryBytes)
 	d, err := daemon.Start(l, daemon.Options{Version: version, Limits: lim, Log: log.With("node", l.Platform.Name), Reload: reload, Load: c.load})
 	if err != nil {
--- a/internal/daemon/deployments_test.go
+++ b/internal/daemon/deployments_test.go
@@ -69,7 +69,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(p.Caps.MemoryMB, p.Caps.Sockets), Log: standin.Quiet})
+			d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(p.Limits.MemoryMB, p.Limits.Sockets), Log: standin.Quiet})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -57,7 +57,7 @@
 func (d *Daemon) openKeystore(system clock.System) (err error) {
 	dir := KeystoreDir(os.TempDir(), d.name)
 	d.journals.keys, err = keystore.Open(keystore.Options{Dir: dir, RetentionMargin: node.KeyRetentionMargin(d.limits), Now: system.Now,
-		Limits: limits.ForKeyStore(d.platform.Caps.MemoryMB), Log: d.log})
+		Limits: limits.ForKeyStore(d.platform.Limits.MemoryMB), Log: d.log})
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -11,11 +11,11 @@
 
 // startOperatorCalls answers the operators' calls where the configuration names an address for them.
 func (d *Daemon) startOperatorCalls() error {
-	if d.platform.Ops == "" {
+	if d.platform.OperatorAddress == "" {
 		return nil
 	}
 	server := operatorapi.New(operatorCalls{d}, d.limits, d.log)
-	listen := func() (net.Listener, error) { return net.Listen("tcp", d.platform.Ops) }
+	listen := func() (net.Listener, error) { return net.Listen("tcp", d.platform.OperatorAddress) }
 	if err := d.serveOn("ops", listen, server.Serve); err != nil {
 		return fmt.Errorf("ops: %w", err)
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -32,23 +32,23 @@
 	if d.runtime != nil && p.Runtime != "" {
 		d.runtime.SetAddress(p.Runtime)
 	}
-	if d.catalogue != nil && p.Catalog != "" {
-		d.catalogue.SetAddress(p.Catalog)
+	if d.catalogue != nil && p.Catalogue != "" {
+		d.catalogue.SetAddress(p.Catalogue)
 	}
-	d.directory.SetAddress(p.Lookup)
+	d.directory.SetAddress(p.Directory)
 	d.platform = p
 	d.deploy.Store(l.Deploy)
 	if d.upstreams.pool != nil {
 		d.applyStoredValue(store.KeyUwsgiServers, d.store.Get(store.KeyUwsgiServers))
 	}
-	d.log.Info("configuration applied", "runtime", p.Runtime, "catalogue", p.Catalog, "directory", p.Lookup)
+	d.log.Info("configuration applied", "runtime", p.Runtime, "catalogue", p.Catalogue, "directory", p.Directory)
 }
 
 // warnWhatNeedsRestart logs what of a new configuration takes a restart.
 func (d *Daemon) warnWhatNeedsRestart(l *Config) {
 	p, old := l.Platform, d.platform
-	if p.Name != old.Name || p.Listen != old.Listen || p.Ops != old.Ops || p.Caps != old.Caps ||
-		l.Deploy.Uwsgi.Listen != d.deploy.Load().Uwsgi.Listen || (p.Runtime == "") != (old.Runtime == "") || (p.Catalog == "") != (old.Catalog == "") {
+	if p.Name != old.Name || p.Listen != old.Listen || p.OperatorAddress != old.OperatorAddress || p.Limits != old.Limits ||
+		l.Deploy.Uwsgi.Listen != d.deploy.Load().Uwsgi.Listen || (p.Runtime == "") != (old.Runtime == "") || (p.Catalogue == "") != (old.Catalogue == "") {
 		d.log.Warn("name, addresses to listen on, limits, settings and which links there are take a restart")
 	}
 	if was, is := d.deploy.Load().Uwsgi, l.Deploy.Uwsgi; was.TLS != is.TLS || was.ServersTLS != is.ServersTLS {
@@ -63,12 +63,12 @@
 // (package reconfigure). It errs, and changes nothing, where the whole file is rejected.
 func (d *Daemon) reconfigure(p *config.Platform) error {
 	old := d.platform
-	if bytes.Equal(p.Raw, old.Raw) {
+	if bytes.Equal(p.RawSettings, old.RawSettings) {
 		p.Logic, p.Names = old.Logic, old.Names
 		return nil
 	}
-	running, next, err := flatten(old.Raw), flatten(p.Raw), error(nil)
-	if err = reconfigure.CheckFile(p.Raw, running, next); err != nil {
+	running, next, err := flatten(old.RawSettings), flatten(p.RawSettings), error(nil)
+	if err = reconfigure.CheckFile(p.RawSettings, running, next); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	plan, err := reconfigure.Merge(old.Logic, p.Logic)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -65,10 +65,10 @@
 	c := handover.ShutdownConditions{
 		DrainGrace:   time.Duration(d.platform.Logic.DrainGrace) * time.Microsecond,
 		SafetyMargin: d.limits.DrainGraceMargin,
-		StopTimeout:  d.platform.Stop(),
+		StopTimeout:  d.platform.KillAfter(),
 	}
 	if listenerInherited() { // the platform holds the listener: another process replaces this one
-		c.StopTimeout, c.InheritedListener = d.platform.StopReplaced(), true
+		c.StopTimeout, c.InheritedListener = d.platform.KillAfterReplaced(), true
 	}
 	if d.journals.keys != nil {
 		c.OtherProcesses = d.journals.keys.LiveProcesses(d.limits.ProcessListTimeout)
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -88,7 +88,7 @@
 		fmt.Fprintf(w, "%s: left aside: %v\n", path, err)
 	default:
 		verdict := "would be taken"
-		if err := handover.Validate(s, snapshotRequirements(p, limits.For(p.Caps.MemoryMB, p.Caps.Sockets), now)); err != nil {
+		if err := handover.Validate(s, snapshotRequirements(p, limits.For(p.Limits.MemoryMB, p.Limits.Sockets), now)); err != nil {
 			verdict = "would be left aside: " + err.Error()
 		}
 		fmt.Fprintf(w, "%s: by process %d of %s, %v ago, %s\n%s", path, s.Process, s.Node, now.Sub(s.CreatedAt).Round(time.Millisecond), verdict, handover.FormatSnapshot(s))
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -53,7 +53,7 @@
 	go d.directory.Run(nil)
 	d.service.ready.Store(true)
 	d.log.Info("serving", "listen", c.Platform.Listen, "uwsgi", c.Deploy.Uwsgi.Listen, "runtime", c.Platform.Runtime,
-		"catalogue", c.Platform.Catalog, "version", d.version)
+		"catalogue", c.Platform.Catalogue, "version", d.version)
 	return d, nil
 }
 
@@ -67,7 +67,7 @@
 		platform:   c.Platform,
 		reloads:    o.Reload,
 		load:       o.Load,
-		directory:  directory.New(c.Platform.Name, c.Platform.Lookup, o.Limits, o.Log),
+		directory:  directory.New(c.Platform.Name, c.Platform.Directory, o.Limits, o.Log),
 		quota:      handover.ComputeQuota(handover.Load{}, nil, o.Limits.MaxConnections),
 		failed:     make(chan error, maxFailedParts),
 		replaced:   make(chan int, 1),
@@ -89,8 +89,8 @@
 		return err
 	}
 	options := node.Options{Settings: d.platform.Logic, Admission: d.admission, Clock: system, Limits: d.limits, Log: d.log}
-	if d.platform.Catalog != "" {
-		d.catalogue = catalogue.New(d.platform.Catalog, d.limits, d.log)
+	if d.platform.Catalogue != "" {
+		d.catalogue = catalogue.New(d.platform.Catalogue, d.limits, d.log)
 		options.Dependency = d.catalogue
 	}
 	var err error
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -14,8 +14,8 @@
 	"sloehitch/logic"
 )
 
-// Caps are the platform's limits on the program.
-type Caps struct {
+// Limits are the platform's limits on the program.
+type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
@@ -23,16 +23,16 @@
 
 // Platform is the configuration of one node.
 type Platform struct {
-	Name    string          `json:"name"`
-	Listen  string          `json:"listen"`
-	Ops     string          `json:"ops"` // the operators' calls; empty: none. $GW_OPS takes its place where set
-	Runtime string          `json:"runtime"`
-	Lookup  string          `json:"lookup"`
-	Catalog string          `json:"catalog"` // empty in the last tier
-	Seed    string          `json:"seed"`
-	StopMS  int64           `json:"stop_ms"`
-	Caps    Caps            `json:"limits"`
-	Raw     json.RawMessage `json:"settings"`
+	Name            string          `json:"name"`
+	Listen          string          `json:"listen"`
+	OperatorAddress string          `json:"ops"` // the operators' calls; empty: none. $GW_OPS takes its place where set
+	Runtime         string          `json:"runtime"`
+	Directory       string          `json:"lookup"`
+	Catalogue       string          `json:"catalog"` // empty in the last tier
+	Seed            string          `json:"seed"`
+	StopMS          int64           `json:"stop_ms"`
+	Limits          Limits          `json:"limits"`
+	RawSettings     json.RawMessage `json:"settings"`
 
 	Logic logic.Settings      `json:"-"`
 	Names *settings.NameIndex `json:"-"`
@@ -53,7 +53,7 @@
 
 // Parse reads and checks a configuration.
 func Parse(text []byte) (*Platform, error) {
-	p := &Platform{StopMS: 3000, Caps: Caps{Cores: 1, MemoryMB: 192, Sockets: 1024}}
+	p := &Platform{StopMS: 3000, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
 	if err := json.Unmarshal(text, p); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) && wrong.Field != "" {
@@ -62,11 +62,11 @@
 		return nil, err
 	}
 	if ops := os.Getenv("GW_OPS"); ops != "" {
-		p.Ops = ops
+		p.OperatorAddress = ops
 	}
 	faults := p.check()
 	var object map[string]any
-	if err := json.Unmarshal(p.Raw, &object); err != nil || object == nil {
+	if err := json.Unmarshal(p.RawSettings, &object); err != nil || object == nil {
 		faults = append(faults, settings.FieldError{Path: "settings", Expected: "an object as the platform gives it is needed"})
 		return nil, faults
 	}
@@ -93,7 +93,7 @@
 	for _, a := range []struct {
 		field, address string
 		needed         bool
-	}{{"listen", p.Listen, true}, {"runtime", p.Runtime, false}, {"lookup", p.Lookup, false}, {"catalog", p.Catalog, false}, {"ops", p.Ops, false}} {
+	}{{"listen", p.Listen, true}, {"runtime", p.Runtime, false}, {"lookup", p.Directory, false}, {"catalog", p.Catalogue, false}, {"ops", p.OperatorAddress, false}} {
 		if a.address == "" && !a.needed {
 			continue
 		}
@@ -107,9 +107,9 @@
 		why               string
 	}{
 		{"stop_ms", float64(p.StopMS), 1, 3600000, "milliseconds from the notice to leave to the kill"},
-		{"limits.cores", p.Caps.Cores, 0.01, 4096, "the program's share of cores"},
-		{"limits.memory_mb", float64(p.Caps.MemoryMB), 1, 1 << 20, "megabytes over which the program is killed"},
-		{"limits.sockets", float64(p.Caps.Sockets), 16, 1 << 20, "descriptors: fewer leave no room for links and callers"},
+		{"limits.cores", p.Limits.Cores, 0.01, 4096, "the program's share of cores"},
+		{"limits.memory_mb", float64(p.Limits.MemoryMB), 1, 1 << 20, "megabytes over which the program is killed"},
+		{"limits.sockets", float64(p.Limits.Sockets), 16, 1 << 20, "descriptors: fewer leave no room for links and callers"},
 	} {
 		if !(n.value >= n.from && n.value <= n.most) {
 			faults = append(faults, settings.FieldError{Path: n.field, Value: fmt.Sprint(n.value),
@@ -119,16 +119,16 @@
 	return faults
 }
 
-// Stop is the time from the notice to leave to the kill.
-func (p *Platform) Stop() time.Duration { return time.Duration(p.StopMS) * time.Millisecond }
+// KillAfter is the time from the notice to leave to the kill.
+func (p *Platform) KillAfter() time.Duration { return time.Duration(p.StopMS) * time.Millisecond }
 
-// StopReplaced is that time where a new process replaces this one (the operators' page of days, "Replacing the
+// KillAfterReplaced is that time where a new process replaces this one (the operators' page of days, "Replacing the
 // process"): the kill comes after the longest deadline of the classes, taken as 3 s where it is longer, and 0.7 s,
 // or after Stop if that is sooner.
-func (p *Platform) StopReplaced() time.Duration {
+func (p *Platform) KillAfterReplaced() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range p.Logic.Classes {
 		longest = max(longest, time.Duration(c.ClientTimeout)*time.Microsecond)
 	}
-	return min(p.Stop(), min(longest, 3*time.Second)+700*time.Millisecond)
+	return min(p.KillAfter(), min(longest, 3*time.Second)+700*time.Millisecond)
 }
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -36,7 +36,7 @@
 		if (err == nil) != (c.wrong == "") || err != nil && !strings.Contains(err.Error(), c.wrong) {
 			t.Errorf("%s: %v, want an error on %q", c.name, err, c.wrong)
 		}
-		if err == nil && (p.Stop() != 3*time.Second || p.Caps.Sockets != 256 || len(p.Logic.Classes) != 2) {
+		if err == nil && (p.KillAfter() != 3*time.Second || p.Limits.Sockets != 256 || len(p.Logic.Classes) != 2) {
 			t.Errorf("%s: %+v", c.name, p)
 		}
 	}
@@ -118,7 +118,7 @@
 		for _, d := range c.deadlines {
 			p.Logic.Classes = append(p.Logic.Classes, logic.Class{ClientTimeout: d})
 		}
-		if got := p.StopReplaced(); got != c.want {
+		if got := p.KillAfterReplaced(); got != c.want {
 			t.Errorf("stop_ms %d, deadlines %v: %v, want %v", c.stopMS, c.deadlines, got, c.want)
 		}
 	}
