--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -105,13 +105,13 @@
 }
 
 // ReportGauges passes on the gauges that RequestGauges asked for. Gauges that nothing waits for are dropped.
-func (c *Controller) ReportGauges(m Gauges) {
+func (c *Controller) ReportGauges(gauges Gauges) {
 	if c.opts.OnDecision != nil {
-		c.opts.Clock.AfterFunc(0, func() { c.gaugesReceived(m) })
+		c.opts.Clock.AfterFunc(0, func() { c.gaugesReceived(gauges) })
 		return
 	}
 	select {
-	case c.gauges <- m:
+	case c.gauges <- gauges:
 	default:
 	}
 }
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -45,23 +45,23 @@
 
 // decisionOf returns the decision that an action stands for. An action that concerns the server instead is carried
 // out, and the result is false.
-func (c *Controller) decisionOf(a logic.Action) (Decision, bool) {
-	switch a.Kind {
+func (c *Controller) decisionOf(action logic.Action) (Decision, bool) {
+	switch action.Kind {
 	case logic.ActionSetTimer:
-		c.timerID = a.TimerID
-		c.setTimer(time.Duration(a.Duration) * time.Microsecond)
+		c.timerID = action.TimerID
+		c.setTimer(time.Duration(action.Duration) * time.Microsecond)
 	case logic.ActionSetLoadSignal:
-		c.loadSignal.Store(math.Float64bits(a.LoadSignal))
+		c.loadSignal.Store(math.Float64bits(action.LoadSignal))
 	case logic.ActionSetHealth:
-		c.unhealthy.Store(!a.Healthy)
+		c.unhealthy.Store(!action.Healthy)
 	case logic.ActionSetIdleTimeout:
-		c.idleTimeout.Store(int64(a.Duration) * int64(time.Microsecond))
+		c.idleTimeout.Store(int64(action.Duration) * int64(time.Microsecond))
 	default:
 		return Decision{
-			Kind:       decisionKinds[a.Kind],
-			ID:         uint64(a.ID),
-			Duration:   time.Duration(a.Duration) * time.Microsecond,
-			NoFailover: a.NoFailover,
+			Kind:       decisionKinds[action.Kind],
+			ID:         uint64(action.ID),
+			Duration:   time.Duration(action.Duration) * time.Microsecond,
+			NoFailover: action.NoFailover,
 		}, true
 	}
 	return Decision{}, false
--- a/internal/admission/event.go
+++ b/internal/admission/event.go
@@ -19,13 +19,13 @@
 type Event struct{ event logic.Event }
 
 // Arrived reports a request that was read. id is new with every request.
-func Arrived(id uint64, a Arrival) Event {
-	return Event{logic.Event{Kind: logic.EventArrival, ID: logic.RequestID(id), Arrival: a}}
+func Arrived(id uint64, arrival Arrival) Event {
+	return Event{logic.Event{Kind: logic.EventArrival, ID: logic.RequestID(id), Arrival: arrival}}
 }
 
 // RunEnded reports that a request's run, or its wait for the run of another request, has ended, and how long that took.
-func RunEnded(id uint64, o Outcome, took time.Duration) Event {
-	return Event{logic.Event{Kind: logic.EventRunEnded, ID: logic.RequestID(id), Outcome: o, Elapsed: micros(took)}}
+func RunEnded(id uint64, outcome Outcome, elapsed time.Duration) Event {
+	return ended(logic.EventRunEnded, id, outcome, elapsed)
 }
 
 // CallRequested reports that a run waits for a call to the dependency.
@@ -34,11 +34,11 @@
 }
 
 // CallEnded reports how a call ended, and how long it took.
-func CallEnded(id uint64, o Outcome, took time.Duration) Event {
-	return Event{logic.Event{Kind: logic.EventCallEnded, ID: logic.RequestID(id), Outcome: o, Elapsed: micros(took)}}
+func CallEnded(id uint64, outcome Outcome, elapsed time.Duration) Event {
+	return ended(logic.EventCallEnded, id, outcome, elapsed)
 }
 
-// Canceled reports that nobody waits for a request any more.
+// Canceled reports that the caller of a request no longer waits for it.
 func Canceled(id uint64) Event {
 	return Event{logic.Event{Kind: logic.EventCanceled, ID: logic.RequestID(id)}}
 }
@@ -49,3 +49,7 @@
 }
 
 func micros(d time.Duration) logic.Micros { return logic.Micros(d / time.Microsecond) }
+
+func ended(kind logic.EventKind, id uint64, outcome Outcome, elapsed time.Duration) Event {
+	return Event{logic.Event{Kind: kind, ID: logic.RequestID(id), Outcome: outcome, Elapsed: micros(elapsed)}}
+}
--- a/internal/admission/loop.go
+++ b/internal/admission/loop.go
@@ -32,10 +32,10 @@
 			return
 		case <-c.wake:
 			c.step(false)
-		case m := <-c.gauges:
-			c.gaugesReceived(m)
-		case n := <-c.timerDue:
-			if n == c.timerNumber {
+		case gauges := <-c.gauges:
+			c.gaugesReceived(gauges)
+		case number := <-c.timerDue:
+			if number == c.timerNumber {
 				c.timerFired()
 			}
 		}
@@ -48,14 +48,14 @@
 		c.timer.Stop()
 	}
 	c.timerNumber++
-	n := c.timerNumber
+	number := c.timerNumber
 	c.timer = c.opts.Clock.AfterFunc(d, func() {
 		if c.opts.OnDecision != nil {
 			c.timerFired()
 			return
 		}
 		select {
-		case c.timerDue <- n:
+		case c.timerDue <- number:
 		case <-c.done:
 		}
 	})
@@ -74,8 +74,8 @@
 }
 
 // gaugesReceived takes in gauges, and delivers the timer if it waited for them.
-func (c *Controller) gaugesReceived(m Gauges) {
-	c.lastGauges = m
+func (c *Controller) gaugesReceived(gauges Gauges) {
+	c.lastGauges = gauges
 	c.step(c.gaugesRequested)
 }
 
@@ -116,8 +116,8 @@
 // OnDecision.
 func (c *Controller) handOut(actions []logic.Action) {
 	var decisions []Decision
-	for _, a := range actions {
-		if d, ok := c.decisionOf(a); ok {
+	for _, action := range actions {
+		if d, ok := c.decisionOf(action); ok {
 			decisions = append(decisions, d)
 		}
 	}
--- a/internal/handover/discount.go
+++ b/internal/handover/discount.go
@@ -32,8 +32,8 @@
 			continue
 		}
 		most := maxObjectiveShare * float64(c.LatencyObjective)
-		// The line through hints and run times is lowered as a whole: its slope says how requests differ, not how
-		// slow they are.
+		// The line through hints and run times is lowered without turning it: its slope says how requests differ, not
+		// how slow they are.
 		if e.HintedRunTime.Mean > most && e.HintedRunTime.Mean > 0 {
 			e.Covariance *= most / e.HintedRunTime.Mean
 		}
--- a/internal/handover/quota.go
+++ b/internal/handover/quota.go
@@ -23,7 +23,7 @@
 	return b
 }
 
-// ParseLoad reads an encoded Load. It returns false if there is none: the process has told nothing yet.
+// ParseLoad reads an encoded Load. It returns false if there is none: the process has left no note yet.
 func ParseLoad(b []byte) (l Load, ok bool) {
 	if len(b) != EncodedLoadSize {
 		return l, false
--- a/internal/handover/shutdown.go
+++ b/internal/handover/shutdown.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// ShutdownConditions are what a process sees when it is told to shut down.
+// ShutdownConditions are what a process sees at the notice of shutdown.
 type ShutdownConditions struct {
 	InheritedListener bool          // the platform holds the clients' listener and passes it on
 	OtherProcesses    int           // of this node, that live
@@ -16,7 +16,7 @@
 
 // ShutdownPlan is how a process shuts down.
 type ShutdownPlan struct {
-	// KeepAdvertised: callers are not told to stay away from the node, nor the directory that it closes, as another
+	// KeepAdvertised: neither callers nor the directory are notified that the node closes, as another
 	// process serves it. Only their connections move.
 	KeepAdvertised bool
 	// CloseListenerAfter is the time from the notice until the process accepts no more connections and asks callers
@@ -29,9 +29,9 @@
 //	listener inherited, another process lives   keep advertised, close the listener at once
 //	otherwise                                   close it after max(0, min(DrainGrace - SafetyMargin, StopTimeout/2))
 //
-// A node that ends is to be known as ending before it closes: callers hear of it late, and what they send until then
+// A node that ends is to be known as ending before it closes: callers learn of it late, and what they send until then
 // is served. A process that is replaced closes at once: its clients' next connections wait in the listener's queue
-// for the other process. If callers were told to stay away, the node would be empty, not the process: its cores would
+// for the other process. If callers were sent elsewhere, the node would be empty, not the process: its cores would
 // idle until callers trust it again. Where the listener is inherited and no other process lives, nobody would accept
 // connections any more: then the node ends.
 func PlanShutdown(c ShutdownConditions) ShutdownPlan {
--- a/internal/idempotency/compositejournal/compositejournal.go
+++ b/internal/idempotency/compositejournal/compositejournal.go
@@ -23,7 +23,7 @@
 
 	mu             sync.Mutex
 	log            node.Journal              // nil until AttachLog
-	backlog        map[string]node.RunRecord // what the log has yet to be told, by key
+	backlog        map[string]node.RunRecord // records not yet written to log, by key
 	startsInFlight map[string]bool           // keys of starts being written from the backlog, unless superseded
 }
 
@@ -52,7 +52,7 @@
 	j.writeBacklog()
 }
 
-// Backlog is the number of records that the run log has yet to be told.
+// Backlog is the number of records not yet written to the run log.
 func (j *Journal) Backlog() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// forget drops what the run log has yet to be told of a key. The caller holds mu.
+// forget drops what is not yet written to the run log of a key. The caller holds mu.
 func (j *Journal) forget(key string) {
 	delete(j.backlog, key)
 	delete(j.startsInFlight, key)
@@ -154,7 +154,7 @@
 	j.shared.NotifyOnChange(record, done)
 }
 
-// ShouldRestore reports whether the Node is to be told of a record of the run log: not if another process runs its
+// ShouldRestore reports whether the Node is to restore a record of the run log: not if another process runs its
 // key, or has recorded a result of it.
 func (j *Journal) ShouldRestore(record node.RunRecord) bool {
 	held, found := j.shared.Lookup(record)
--- a/internal/idempotency/keystore/claim.go
+++ b/internal/idempotency/keystore/claim.go
@@ -19,7 +19,7 @@
 //	end or withdrawal of a key held here   written, whatever B is
 //	result, B >= 0.75 * Bmax               left out: room for claims goes first, as without one a request can't run
 //
-// A start counts once its record stands whole in the file; one that was cut by a full disk does not.
+// A start counts once its record is complete in the file; one that was cut by a full disk does not.
 
 // ErrFull is reported for a start while the folder holds as many bytes as it may.
 var ErrFull = errors.New("keystore: the folder is full")
@@ -43,7 +43,7 @@
 }
 
 // RecordStart claims record's key. It calls done from another goroutine: with nil once this process holds the key,
-// with node.ErrKeyHeld if another one does, and with another error if that can't be told. It returns ErrQueueFull,
+// with node.ErrKeyHeld if another one does, and with another error if that is unknown. It returns ErrQueueFull,
 // and does not call done, if too many records are queued.
 func (s *Store) RecordStart(record node.RunRecord, done func(error)) error {
 	return s.enqueue(pendingWrite{format.Record{
@@ -99,7 +99,7 @@
 	}
 }
 
-// writeLoop writes queued records, sweeps when asked to, and reads the others' segments while somebody waits for
+// writeLoop writes queued records, sweeps when asked to, and reads the others' segments while there are watchers for
 // them, until Close.
 func (s *Store) writeLoop() {
 	defer close(s.writerDone)
@@ -199,8 +199,8 @@
 	return results
 }
 
-// admitWrites decides which records are written. It numbers those, sets the results of the others, and returns the number
-// of those that are written.
+// admitWrites decides which records are written. It numbers those, sets the results of the others, and returns the
+// number of those that are written.
 func (s *Store) admitWrites(writes []pendingWrite, results []error, now time.Time) (admitted int) {
 	seq, bytes := s.table.LastSeq(), s.totalBytes()
 	for i := range writes {
--- a/internal/idempotency/keystore/format/format.go
+++ b/internal/idempotency/keystore/format/format.go
@@ -58,7 +58,7 @@
 }
 
 // Salt is a segment's own number, drawn at random, that goes into its checksums: a result that is made to look like
-// records is not taken for them where a reader has to search for the next whole one.
+// records is not taken for them where a reader has to search for the next intact one.
 type Salt uint64
 
 // Header returns the header of a segment.
@@ -130,7 +130,7 @@
 
 // DecodeRecord reads the record at the beginning of b and returns how many bytes its frame takes. Result shares b's
 // memory. It returns ErrIncomplete if the record may go on beyond b, and ErrCorrupt if nothing that follows could
-// make it whole.
+// complete it.
 func (s Salt) DecodeRecord(b []byte) (r Record, n int, err error) {
 	if len(b) < frameHeaderSize {
 		return r, 0, ErrIncomplete
--- a/internal/idempotency/keystore/lookup.go
+++ b/internal/idempotency/keystore/lookup.go
@@ -67,7 +67,7 @@
 	delete(s.watchers, key)
 }
 
-// refresh reads what others have written since the last time, without the folder's lock: a record that stands whole
+// refresh reads what others have written since the last time, without the folder's lock: a complete record
 // counts.
 func (s *Store) refresh() {
 	if err := s.readPeers(s.folder.generationChanged()); err != nil {
--- a/internal/idempotency/keystore/segment.go
+++ b/internal/idempotency/keystore/segment.go
@@ -27,9 +27,9 @@
 // readBufferSize is enough for the longest record and then some, in bytes.
 const readBufferSize = format.MaxRecord + 4<<10
 
-// read reads on in another process's segment, and calls take with each whole record. A partial record is left for the
-// next time, unless last says that nothing will be added to it. Bytes that are no record are skipped: whole records
-// follow them.
+// read reads on in another process's segment, and calls take with each complete record. A partial record is left for
+// the next time, unless last says that nothing will be added to it. Bytes that are no record are skipped: complete
+// records follow them.
 func (s *segment) read(buffer []byte, last bool, take func(r format.Record, at, size int64)) error {
 	if s.foreignVersion {
 		return nil
@@ -60,7 +60,7 @@
 	}
 }
 
-// decode takes whole records from b, which begins at s.size, and returns the bytes that they and what was skipped
+// decode takes complete records from b, which begins at s.size, and returns the bytes that they and what was skipped
 // take. last says that nothing comes after b.
 func (s *segment) decode(b []byte, last bool, take func(r format.Record, at, size int64)) (used int64, err error) {
 	if s.size == 0 {
@@ -87,8 +87,8 @@
 	return used, nil
 }
 
-// append writes text at the end of an own segment. It returns how many of its bytes stand: whole records among them
-// count, whatever the error.
+// append writes text at the end of an own segment. It returns how many of its bytes were written: complete records
+// among them count, whatever the error.
 func (s *segment) append(text []byte) (int, error) {
 	n, err := s.file.Write(text) // not WriteAt, which does not say how much stands where it fails midway
 	s.size += int64(n)
--- a/internal/node/deadline.go
+++ b/internal/node/deadline.go
@@ -57,8 +57,8 @@
 	n.abandonRun(r)
 }
 
-// Cancel says that nobody waits for a request any more. It gets no response; a run of it goes on unless admission
-// stops it.
+// Cancel reports that the caller of a request no longer waits for it. It gets no response; a run of it goes on unless
+// admission stops it.
 func (n *Node) Cancel(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,7 +73,7 @@
 	n.reportCanceled(r)
 }
 
-// reportCanceled reports to admission that nobody waits for a request any more, and removes it if nothing of it runs.
+// reportCanceled reports to admission that a request's caller no longer waits, and removes it if nothing of it runs.
 func (n *Node) reportCanceled(r *request) {
 	if r.stage == stageElsewhere {
 		n.removeUnreported(r)
--- a/internal/node/dependency.go
+++ b/internal/node/dependency.go
@@ -7,17 +7,17 @@
 	"sloehitch/logic"
 )
 
-// CallRequested reports that a run waits for a call to the dependency. pos is the number of the notice that asked for
-// it, body what to send.
-func (n *Node) CallRequested(id string, pos uint64, body []byte) {
+// CallRequested reports that a run waits for a call to the dependency. notice is the number of the notice that asked
+// for it, body what to send.
+func (n *Node) CallRequested(id string, notice uint64, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.byID[id]
 	if r == nil || r.stage != stageRunning {
 		return
 	}
-	r.callNotice, r.callBody, r.unconfirmed = pos, body, false
-	n.trace("waits for a call", r, "notice", pos)
+	r.callNotice, r.callBody, r.unconfirmed = notice, body, false
+	n.trace("waits for a call", r, "notice", notice)
 	n.opts.Admission.Report(admission.CallRequested(r.number))
 }
 
@@ -36,12 +36,14 @@
 	r.callInFlight = true
 	number := r.number
 	once := n.opts.Settings.Classes[r.Class].Idempotency != logic.Idempotent
-	done := func(o admission.Outcome, took time.Duration, reply []byte) { n.callEnded(number, o, took, reply) }
+	done := func(outcome admission.Outcome, elapsed time.Duration, reply []byte) {
+		n.callEnded(number, outcome, elapsed, reply)
+	}
 	n.opts.Dependency.Call(r.ID, timeout, r.callBody, once, done)
 }
 
 // callEnded delivers a call's reply to its run, and reports to admission how the call ended.
-func (n *Node) callEnded(number uint64, o admission.Outcome, took time.Duration, reply []byte) {
+func (n *Node) callEnded(number uint64, outcome admission.Outcome, elapsed time.Duration, reply []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.byNumber[number]
@@ -49,12 +51,12 @@
 		return
 	}
 	r.callInFlight = false
-	n.trace("call ended", r, "outcome", o, "took", took)
-	if o == logic.OutcomeOK && r.callNotice != 0 {
+	n.trace("call ended", r, "outcome", outcome, "took", elapsed)
+	if outcome == logic.OutcomeOK && r.callNotice != 0 {
 		r.callNotice, r.callBody = 0, nil
 		r.Runner.DeliverReply(r.ID, reply)
 	}
-	n.opts.Admission.Report(admission.CallEnded(number, o, took))
+	n.opts.Admission.Report(admission.CallEnded(number, outcome, elapsed))
 }
 
 // skipCall has a run continue without the call that it waits for.
@@ -62,7 +64,7 @@
 	if r.callNotice == 0 {
 		return
 	}
-	pos := r.callNotice
+	notice := r.callNotice
 	r.callNotice, r.callBody = 0, nil
-	r.Runner.SkipCall(r.ID, pos)
+	r.Runner.SkipCall(r.ID, notice)
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -8,12 +8,12 @@
 
 // Draining, from the notice of shutdown on:
 //
-//	read until notice + settings.DrainGrace             as ever
+//	read until notice + settings.DrainGrace             as without a shutdown
 //	read later                                          rejected; answered as its key's run if there was one
-//	at notice + stop - limits.KillMargin                 all that is unanswered is answered
+//	at notice + stop - limits.KillMargin                all that is unanswered is answered
 //	read later                                          rejected
 //
-// The times count from the notice, however late the Node hears of it. A request counts as read when its last byte has
+// The times count from the notice, however late Drain is called. A request counts as read when its last byte has
 // come: its caller's stamp says when the first one did.
 
 // Drain starts the graceful shutdown: the notice came at the given time, and the process is killed after stop from
@@ -49,7 +49,7 @@
 	return !n.drainStartedAt.IsZero() && r.readAt.After(n.drainStartedAt.Add(duration(n.opts.Settings.DrainGrace)))
 }
 
-// answeredForKill reports whether answerAllForKill is over: nobody would answer what is read now.
+// answeredForKill reports whether answerAllForKill has run: nothing would answer what is read now.
 func (n *Node) answeredForKill(now time.Time) bool {
 	return !n.drainStartedAt.IsZero() && !now.Before(n.killAt.Add(-n.opts.Limits.KillMargin))
 }
--- a/internal/node/elsewhere.go
+++ b/internal/node/elsewhere.go
@@ -9,7 +9,7 @@
 // process's run is, now or when it ends.
 //
 //	the run has ended, its result is stored   served with the result
-//	the run has ended otherwise               failed; so it does if the process died
+//	the run has ended otherwise               failed, also if its process died before the end
 //	the run is in flight                      wait for its end, until the request's deadline
 //	the start was withdrawn                   as any new request
 
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -87,21 +87,21 @@
 // answerCoalesced answers an attempt as its key's run was answered.
 func (n *Node) answerCoalesced(r *request, e *keyEntry) {
 	r.stage = stageEnded
-	took := n.opts.Clock.Now().Sub(r.reportedAt)
+	elapsed := n.opts.Clock.Now().Sub(r.reportedAt)
 	if e.succeeded && e.owner.Protocol == r.Protocol {
 		n.respond(r, Response{Status: StatusServed, Result: e.result})
-		n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeOK, took))
+		n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeOK, elapsed))
 	} else {
 		n.respond(r, Response{Status: StatusFailed})
-		n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeFailed, took))
+		n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeFailed, elapsed))
 	}
 	n.remove(r)
 }
 
 // completeKey takes in how the run of a key's owner ended: it answers the coalesced attempts, and stores and records
 // the result.
-func (n *Node) completeKey(r *request, e *keyEntry, o admission.Outcome, result []byte) {
-	if o == logic.OutcomeNotStarted {
+func (n *Node) completeKey(r *request, e *keyEntry, outcome admission.Outcome, result []byte) {
+	if outcome == logic.OutcomeNotStarted {
 		detail := fmt.Errorf("request %s, key %s", r.ID, r.IdempotencyKey)
 		n.log.Warn("keyed run was not started; its key is released", detail)
 		e.started = false // remove hands the key to the attempts that wait for it
@@ -110,7 +110,7 @@
 		}
 		return
 	}
-	e.finished, e.succeeded = true, o == logic.OutcomeOK
+	e.finished, e.succeeded = true, outcome == logic.OutcomeOK
 	e.result = result
 	coalesced := e.coalesced
 	e.coalesced = nil
@@ -124,7 +124,7 @@
 		return
 	}
 	record := n.runRecord(r)
-	record.Ended, record.Succeeded = true, o == logic.OutcomeOK
+	record.Ended, record.Succeeded = true, outcome == logic.OutcomeOK
 	if record.ResultStored = record.Succeeded && len(result) <= n.opts.Limits.StoredResultBytes; record.ResultStored {
 		record.Result = result
 	}
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -127,10 +127,10 @@
 
 // withdrawStart answers a request whose start is being recorded, and releases its key: nothing of it has run, and
 // nothing will.
-func (n *Node) withdrawStart(r *request, a Response) {
+func (n *Node) withdrawStart(r *request, response Response) {
 	n.unclaimStart(r)
 	n.opts.Journal.Withdraw(n.runRecord(r))
-	n.respond(r, a)
+	n.respond(r, response)
 	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,15 +39,15 @@
 	Resume(id string)
 	// DeliverReply continues a run that waits for a call with the call's reply.
 	DeliverReply(id string, reply []byte)
-	// SkipCall continues a run without the call that the notice of number pos asked for.
-	SkipCall(id string, pos uint64)
+	// SkipCall continues a run without the call that the notice of that number asked for.
+	SkipCall(id string, notice uint64)
 }
 
 // DependencyClient makes the calls that runs ask for. Its methods must not block.
 type DependencyClient interface {
 	// Call calls done once, unless Cancel comes first. once says that the call must not be repeated if it may have run.
 	Call(id string, timeout time.Duration, body []byte, once bool,
-		done func(o admission.Outcome, took time.Duration, reply []byte))
+		done func(outcome admission.Outcome, elapsed time.Duration, reply []byte))
 	// Cancel gives up the call of a run.
 	Cancel(id string)
 }
@@ -85,18 +85,18 @@
 }
 
 // New returns a Node. Its decisions are carried out by Run, or by ApplyDecision where the controller has OnDecision.
-func New(o Options) *Node {
+func New(opts Options) *Node {
 	n := &Node{
-		opts:        o,
+		opts:        opts,
 		classCounts: map[string]*ClassCounts{},
 		byID:        map[string]*request{},
 		byNumber:    map[uint64]*request{},
-		log:         lograte.New(o.Log, o.Limits.LogInterval),
-		tracing:     tracingEnabled(o.Log),
+		log:         lograte.New(opts.Log, opts.Limits.LogInterval),
+		tracing:     tracingEnabled(opts.Log),
 	}
 	// Called with n.mu held: the settings are those of the latest Reconfigure.
 	window := func(class int) time.Duration { return duration(n.opts.Settings.Classes[class].IdempotencyWindow) }
-	n.keys = newKeyTable(o.Limits.MaxKeys, o.Limits.TotalStoredResultBytes, o.Limits.KeyWindowSlack, window)
+	n.keys = newKeyTable(opts.Limits.MaxKeys, opts.Limits.TotalStoredResultBytes, opts.Limits.KeyWindowSlack, window)
 	return n
 }
 
@@ -143,7 +143,7 @@
 	if r := n.byNumber[d.ID]; r != nil {
 		n.apply(r, d)
 	} else if d.Kind == admission.Run || d.Kind == admission.Coalesce {
-		// The request was canceled or answered meanwhile. Admission counts it as running until it hears of an end:
+		// The request was canceled or answered meanwhile. Admission counts it as running until an end is reported:
 		// without this report it would run one request less from now on.
 		n.opts.Admission.Report(admission.RunEnded(d.ID, logic.OutcomeNotStarted, 0))
 	}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -64,23 +64,24 @@
 
 // newRequest returns q as a request in flight, which is not registered yet. Its deadline is that of its class or of its
 // caller, whichever is sooner, and not before now.
-func (n *Node) newRequest(q Request, reply func(Response), now time.Time) *request {
-	stampedAt := q.ArrivedAt
-	if q.ArrivedAt.After(now) {
-		q.ArrivedAt = now // a caller's clock ahead of this one must not extend its time
+func (n *Node) newRequest(attempt Request, reply func(Response), now time.Time) *request {
+	stampedAt := attempt.ArrivedAt
+	if attempt.ArrivedAt.After(now) {
+		attempt.ArrivedAt = now // a caller's clock ahead of this one must not extend its time
 	}
-	class := &n.opts.Settings.Classes[q.Class]
+	class := &n.opts.Settings.Classes[attempt.Class]
 	if class.Idempotency != logic.IdempotentByKey {
-		q.IdempotencyKey = ""
+		attempt.IdempotencyKey = ""
 	}
 	r := &request{
-		Request:   q,
+		Request:   attempt,
 		reply:     reply,
 		readAt:    now,
 		stampedAt: stampedAt,
-		deadline:  q.ArrivedAt.Add(duration(class.ClientTimeout)),
+		deadline:  attempt.ArrivedAt.Add(duration(class.ClientTimeout)),
 	}
-	if callerDeadline := q.ArrivedAt.Add(q.AttemptTimeout); q.AttemptTimeout > 0 && callerDeadline.Before(r.deadline) {
+	callerDeadline := attempt.ArrivedAt.Add(attempt.AttemptTimeout)
+	if attempt.AttemptTimeout > 0 && callerDeadline.Before(r.deadline) {
 		r.deadline = callerDeadline
 	}
 	if r.deadline.Before(now) {
@@ -90,10 +91,10 @@
 }
 
 // fingerprintOf distinguishes requests under one key: SHA-256 of the class's name and the content.
-func fingerprintOf(class string, q *Request) [sha256.Size]byte {
+func fingerprintOf(class string, attempt *Request) [sha256.Size]byte {
 	h := sha256.New()
 	_, _ = fmt.Fprintln(h, class)
-	h.Write(q.Content)
+	h.Write(attempt.Content)
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -28,20 +28,20 @@
 //   - Only the first response counts.
 //   - A rejection says that the request never ran. It becomes a failure where its key may have run, where a request that
 //     is not idempotent was handed to its runner, and once part of the response is with the caller.
-func (n *Node) respond(r *request, a Response) {
+func (n *Node) respond(r *request, response Response) {
 	if r.settled {
 		return
 	}
-	if a.Status == StatusRejected && (n.keyMayHaveRun(r) || n.mayHaveRun(r)) {
-		a = Response{Status: StatusFailed}
+	if response.Status == StatusRejected && (n.keyMayHaveRun(r) || n.mayHaveRun(r)) {
+		response = Response{Status: StatusFailed}
 	}
 	if r.responseStarted {
-		if a.ResponseStarted = true; a.Status == StatusRejected {
-			a = Response{Status: StatusFailed, ResponseStarted: true}
+		if response.ResponseStarted = true; response.Status == StatusRejected {
+			response = Response{Status: StatusFailed, ResponseStarted: true}
 		}
 	}
 	r.settled = true
-	switch a.Status {
+	switch response.Status {
 	case StatusServed:
 		n.counts.Served++
 		n.countsOf(r).Served++
@@ -54,10 +54,10 @@
 	case StatusFailed:
 		n.counts.Failed++
 		n.countsOf(r).Failed++
-		a.DeadlineExceeded = n.opts.Clock.Now().After(r.deadline.Add(-n.guardDelay()))
+		response.DeadlineExceeded = n.opts.Clock.Now().After(r.deadline.Add(-n.guardDelay()))
 	}
-	n.trace("answered", r, "status", a.Status, "time_left", r.deadline.Sub(n.opts.Clock.Now()))
-	r.reply(a)
+	n.trace("answered", r, "status", response.Status, "time_left", r.deadline.Sub(n.opts.Clock.Now()))
+	r.reply(response)
 	n.markAnswered(r)
 }
 
@@ -71,8 +71,8 @@
 
 // BeginResponse says that the front end is about to pass on the first part of a run's response before the run has
 // ended. It returns false if nothing of it may be passed on: the request is answered or does not run, or its response
-// is to be stored whole for retries of its key. After it the request's final response, which comes by its deadline as
-// ever, says only how the response ends.
+// is to be stored for retries of its key. After it the request's final response, which comes by its deadline as
+// always, says only how the response ends.
 func (n *Node) BeginResponse(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -34,15 +34,15 @@
 }
 
 // answerDecided answers a request as admission decided, and removes it if nothing of it runs.
-func (n *Node) answerDecided(r *request, a Response) {
+func (n *Node) answerDecided(r *request, response Response) {
 	if r.stage == stageRecording {
-		n.withdrawStart(r, a)
+		n.withdrawStart(r, response)
 		return
 	}
-	if a.Status == StatusRejected && r.stage == stageQueued && n.moveElsewhere(r) {
+	if response.Status == StatusRejected && r.stage == stageQueued && n.moveElsewhere(r) {
 		return
 	}
-	n.respond(r, a)
+	n.respond(r, response)
 	if r.stage == stageQueued || r.stage == stageCoalesced {
 		n.remove(r)
 	}
@@ -102,36 +102,36 @@
 
 // RunEnded reports the end of a run: how it ended, how long it took and its result. The end of a run that is not in
 // flight is ignored.
-func (n *Node) RunEnded(id string, o admission.Outcome, took time.Duration, result []byte) {
+func (n *Node) RunEnded(id string, outcome admission.Outcome, elapsed time.Duration, result []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.byID[id]
 	if r == nil || r.stage != stageRunning {
-		n.traceUnknown("end of a run that is not in flight", id, o)
+		n.traceUnknown("end of a run that is not in flight", id, outcome)
 		return
 	}
-	n.trace("run ended", r, "outcome", o, "took", took)
-	n.finishRun(r, o, took, result)
+	n.trace("run ended", r, "outcome", outcome, "took", elapsed)
+	n.finishRun(r, outcome, elapsed, result)
 }
 
 // finishRun reports the end of a request's run to admission, and answers the request and all that were coalesced with
 // it.
-func (n *Node) finishRun(r *request, o admission.Outcome, took time.Duration, result []byte) {
-	n.opts.Admission.Report(admission.RunEnded(r.number, o, took))
-	n.completeRun(r, o, result)
+func (n *Node) finishRun(r *request, outcome admission.Outcome, elapsed time.Duration, result []byte) {
+	n.opts.Admission.Report(admission.RunEnded(r.number, outcome, elapsed))
+	n.completeRun(r, outcome, result)
 }
 
 // completeRun is finishRun but for the report to admission.
-func (n *Node) completeRun(r *request, o admission.Outcome, result []byte) {
+func (n *Node) completeRun(r *request, outcome admission.Outcome, result []byte) {
 	started := r.stage == stageRunning
 	r.stage = stageEnded
-	if o == logic.OutcomeOK {
+	if outcome == logic.OutcomeOK {
 		n.respond(r, Response{Status: StatusServed, Result: result})
 	} else {
 		n.respond(r, Response{Status: StatusFailed})
 	}
 	if e := n.keys.entries[r.IdempotencyKey]; r.IdempotencyKey != "" && e != nil && e.owner == r && started {
-		n.completeKey(r, e, o, result)
+		n.completeKey(r, e, outcome, result)
 	}
 	n.remove(r)
 }
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -9,13 +9,13 @@
 
 // Submit takes a request that was read. reply gets its one final response, unless Cancel comes first; it is called
 // with the Node's lock held, possibly before Submit returns, and must not block.
-func (n *Node) Submit(q Request, reply func(Response)) {
+func (n *Node) Submit(attempt Request, reply func(Response)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.opts.Clock.Now()
 	n.counts.Read++
 	n.unanswered++
-	r := n.newRequest(q, reply, now)
+	r := n.newRequest(attempt, reply, now)
 	if n.rejectUntrackable(r) {
 		return
 	}
@@ -60,7 +60,7 @@
 	n.lastNumber++
 	r.number, r.stage, r.reportedAt = n.lastNumber, stageQueued, now
 	n.byNumber[r.number] = r
-	a := admission.Arrival{
+	arrival := admission.Arrival{
 		Class:          r.Class,
 		Tenant:         r.Tenant,
 		MemoryKB:       r.MemoryKB,
@@ -73,10 +73,10 @@
 	}
 	if r.IdempotencyKey != "" {
 		if original := n.keys.original(r); original != nil {
-			a.OriginalID = logic.RequestID(original.number)
+			arrival.OriginalID = logic.RequestID(original.number)
 		}
 	}
-	n.opts.Admission.Report(admission.Arrived(r.number, a))
+	n.opts.Admission.Report(admission.Arrived(r.number, arrival))
 }
 
 // unreport has admission forget a request of which nothing ran.
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -22,9 +22,9 @@
 }
 
 // traceUnknown logs the report of a run that is not in flight.
-func (n *Node) traceUnknown(what, id string, o admission.Outcome) {
+func (n *Node) traceUnknown(what, id string, outcome admission.Outcome) {
 	if n.tracing {
-		n.opts.Log.Debug(what, "request", id, "outcome", o)
+		n.opts.Log.Debug(what, "request", id, "outcome", outcome)
 	}
 }
 
