--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -104,49 +104,36 @@
 	l.holds(t, 100, 100, 3)
 }
 
-// TestSnapshots: whole or not there, the newest few stay, a flipped bit is told, and a log in use is no hindrance.
+// TestSnapshots: complete or not there, the newest few stay, a flipped bit is reported, and a log in use is no obstacle.
 func TestSnapshots(t *testing.T) {
 	fs := simdisk.New(1)
 	l := open(t, fs)
-	write := func(index uint64, size int) raft.SnapshotSink {
-		s, err := l.Snapshots().Create(1, index, 2, raft.Configuration{Servers: []raft.Server{{ID: "n1"}}}, 1, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := s.Write(bytes.Repeat([]byte{byte(index)}, size)); err != nil {
-			t.Fatal(err)
-		}
-		return s
-	}
-	begun := write(9, 250) // is still being written while others end
+	begun := begin(t, l, 9, 250) // is still being written while others end
 	for i := uint64(1); i <= 4; i++ {
-		if err := write(i, int(i)*333).Close(); err != nil {
+		if err := begin(t, l, i, int(i)*333).Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := write(8, 300).Cancel(); err != nil {
+	if err := begin(t, l, 8, 300).Cancel(); err != nil {
 		t.Fatal(err)
 	}
 	if err := begun.Close(); err != nil {
 		t.Fatal(err)
 	}
-	write(10, 400) // never ends
-	l.Close()
+	begin(t, l, 10, 400) // never ends
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
 	l = open(t, fs)
 	metas, err := l.Snapshots().List()
 	if err != nil || len(metas) != 2 || metas[0].Index != 9 || metas[1].Index != 4 || metas[1].Size != 1332 || metas[0].Configuration.Servers[0].ID != "n1" {
 		t.Fatalf("%+v, %v", metas, err)
 	}
 	for _, m := range metas {
-		_, from, err := l.Snapshots().Open(m.ID)
-		if err != nil {
-			t.Fatal(err)
-		}
-		text, err := io.ReadAll(from)
+		text, err := readSnapshot(t, l, m.ID)
 		if err != nil || !bytes.Equal(text, bytes.Repeat([]byte{byte(m.Index)}, int(m.Size))) {
 			t.Errorf("snapshot %d: %d bytes, %v", m.Index, len(text), err)
 		}
-		from.Close()
 	}
 	if n := l.Ledger().Stats().Keys; n != 2+3+14 { // descriptions and parts: nothing is left of the others
 		t.Errorf("%d keys", n)
@@ -154,26 +141,48 @@
 	if err := l.Ledger().Put(partKey(metas[0].ID, 1), make([]byte, 100), time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	_, from, err := l.Snapshots().Open(metas[0].ID)
+	if _, err := readSnapshot(t, l, metas[0].ID); err == nil {
+		t.Error("bytes that were not written were read")
+	}
+}
+
+// begin begins a snapshot and writes its bytes, all equal to its index.
+func begin(t *testing.T, l *Log, index uint64, size int) raft.SnapshotSink {
+	t.Helper()
+	s, err := l.Snapshots().Create(1, index, 2, raft.Configuration{Servers: []raft.Server{{ID: "n1"}}}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadAll(from); err == nil {
-		t.Error("bytes that were not written were read")
+	if _, err := s.Write(bytes.Repeat([]byte{byte(index)}, size)); err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+func readSnapshot(t *testing.T, l *Log, id string) (text []byte, err error) {
+	t.Helper()
+	_, from, err := l.Snapshots().Open(id)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err = io.ReadAll(from)
+	if err := from.Close(); err != nil {
+		t.Error(err)
 	}
+	return text, err
 }
 
-// TestCuts: the power is cut at drawn file operations of drawn work; what was acknowledged is there, entries have no gap,
+// TestCuts: the power is cut at random file operations of random work; what was acknowledged is there, entries have no gap,
 // and neither term nor vote goes back.
 func TestCuts(t *testing.T) {
 	for seed := range uint64(300) {
-		if wrong := cuts(t, seed, options); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+		if violation := cuts(t, seed, options); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// TestMutantIsCaught: a log that acknowledges before it is durable does not pass for one that does not.
+// TestMutantIsCaught: a log that acknowledges entries before they are durable is found out.
 func TestMutantIsCaught(t *testing.T) {
 	early := options
 	early.Flush = time.Hour
@@ -186,7 +195,7 @@
 	t.Error("acknowledged before durable: not caught within 20 seeds")
 }
 
-// cuts plays one seed and says what did not hold.
+// cuts runs the simulation of a seed and returns what did not hold.
 func cuts(t *testing.T, seed uint64, o ledger.Options) string {
 	r := rand.New(rand.NewPCG(seed, 5))
 	fs := simdisk.New(seed)
@@ -232,9 +241,9 @@
 			break
 		}
 	}
-	l.Close()
+	_ = l.Close() // fails after a power cut
 	l = openWith(t, fs.Cut(seed), o)
-	defer l.Close()
+	defer func() { _ = l.Close() }() // a folder that is not used again
 	f, _ := l.FirstIndex()
 	n, _ := l.LastIndex()
 	if n < last || n > high || f < first && first > 0 || f > low {
--- /dev/null
+++ b/internal/store/raftlog/sink.go
@@ -0,0 +1,84 @@
+package raftlog
+
+import (
+	"encoding/json"
+	"errors"
+	"hash/crc64"
+	"time"
+)
+
+var errSnapshotFinished = errors.New("raftlog: the snapshot has ended")
+
+// sink takes a snapshot's bytes. It implements raft.SnapshotSink and is not safe for concurrent use.
+type sink struct {
+	log         *Log
+	description description
+	part        []byte // not yet written
+	finished    bool
+}
+
+// ID returns the snapshot's id.
+func (s *sink) ID() string { return s.description.ID }
+
+// Write takes bytes, and writes each part that is complete.
+func (s *sink) Write(p []byte) (int, error) {
+	if s.finished {
+		return 0, errSnapshotFinished
+	}
+	s.description.Checksum = crc64.Update(s.description.Checksum, crcTable, p)
+	s.description.Size += int64(len(p))
+	for rest := p; len(rest) > 0; {
+		n := min(len(rest), s.log.limits.SnapshotPartBytes-len(s.part))
+		s.part, rest = append(s.part, rest[:n]...), rest[n:]
+		if len(s.part) == s.log.limits.SnapshotPartBytes {
+			if err := s.writePart(); err != nil {
+				return 0, err
+			}
+		}
+	}
+	return len(p), nil
+}
+
+func (s *sink) writePart() error {
+	key := partKey(s.description.ID, s.description.Parts)
+	err := s.log.ledger.Put(key, s.part, time.Time{})
+	s.description.Parts++
+	s.part = nil
+	return err
+}
+
+// Close completes the snapshot, and removes those that it replaces.
+func (s *sink) Close() error {
+	if s.finished {
+		return nil
+	}
+	defer s.finish() // also where it fails: the next removeStaleSnapshots takes its parts
+	if len(s.part) > 0 {
+		if err := s.writePart(); err != nil {
+			return err
+		}
+	}
+	text, err := json.Marshal(s.description)
+	if err != nil {
+		return err
+	}
+	if err := s.log.ledger.Put(descriptionKey(s.description.ID), text, time.Time{}); err != nil {
+		return err
+	}
+	s.finish()
+	return s.log.removeStaleSnapshots()
+}
+
+// Cancel removes what was written.
+func (s *sink) Cancel() error {
+	s.finish()
+	return s.log.removeStaleSnapshots()
+}
+
+// finish has removeStaleSnapshots no longer retain the snapshot's parts for being written.
+func (s *sink) finish() {
+	s.finished = true
+	s.log.mu.Lock()
+	delete(s.log.openSnapshots, s.description.ID)
+	s.log.mu.Unlock()
+}
