--- a/cmd/sloehitch/drain.go
+++ b/cmd/sloehitch/drain.go
@@ -19,13 +19,14 @@
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/store"
 )
 
 // drainView is the fleet as the node that grants drain permits sees it, with the versions of the documents that it was read from.
 type drainView struct {
-	drainpermit.View
-	versions drainpermit.Versions
+	fleetstate.View
+	versions fleetstate.Versions
 	status   store.ReadStatus
 }
 
@@ -37,7 +38,7 @@
 	}
 	v.status = status
 	var decodeErr error
-	v.View, v.versions, decodeErr = drainpermit.DecodeView(docs, drainpermit.DefaultDecoder, time.Now().UnixMilli())
+	v.View, v.versions, decodeErr = fleetstate.DecodeView(docs, fleetstate.DefaultDecoder, time.Now().UnixMilli())
 	silent := map[string]bool{}
 	for _, d := range docs {
 		if name, marked := strings.CutPrefix(d.Key, "silent/"); marked {
@@ -49,7 +50,7 @@
 		if !is {
 			continue
 		}
-		s := drainpermit.ObservedMember{Name: name}
+		s := fleetstate.ObservedMember{Name: name}
 		s.Unreadable = json.Unmarshal([]byte(d.Value), &s.Report) != nil
 		s.SinceMS = s.Report.ProcessStartMS
 		if silent[name] {
@@ -76,7 +77,7 @@
 	if c.File == "" {
 		fmt.Println(describeStatus(v.status))
 		for _, r := range v.Budgets {
-			fmt.Println(drainpermit.Encode(r))
+			fmt.Println(fleetstate.Encode(r))
 		}
 		if len(v.Budgets) == 0 {
 			fmt.Println("no budget is set: nothing may go out by choice")
@@ -98,7 +99,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	r, err := setIfUnchanged(ask, author{c.By, c.Why}, drainpermit.BudgetsKey, v.versions[drainpermit.BudgetsKey], drainpermit.Encode(rules))
+	r, err := setIfUnchanged(ask, author{c.By, c.Why}, fleetstate.BudgetsKey, v.versions[fleetstate.BudgetsKey], fleetstate.Encode(rules))
 	if err != nil {
 		return err
 	}
@@ -136,7 +137,7 @@
 	for _, w := range words {
 		zone, all := strings.CutPrefix(w, "zone=")
 		if address, server := strings.CutPrefix(w, "server="); server {
-			w = drainpermit.UpstreamName(address)
+			w = fleetstate.UpstreamName(address)
 		}
 		found := false
 		for _, m := range v.Members {
@@ -164,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	a := drainpermit.Request{RequestedBy: c.By, Reason: c.Why, RequestedAtMS: v.NowMS, Urgent: c.Urgent, DrainTimeoutMS: c.Within.Milliseconds()}
+	a := fleetstate.DrainRequest{RequestedBy: c.By, Reason: c.Why, RequestedAtMS: v.NowMS, Urgent: c.Urgent, DrainTimeoutMS: c.Within.Milliseconds()}
 	if c.Until > 0 {
 		a.ExpiresAtMS = v.NowMS + c.Until.Milliseconds()
 	}
@@ -174,8 +175,8 @@
 			continue
 		}
 		a.ID = rand.Text()
-		key := drainpermit.RequestKey(node)
-		if _, err := setIfUnchanged(ask, c.author, key, v.versions[key], drainpermit.Encode(a)); err != nil {
+		key := fleetstate.RequestKey(node)
+		if _, err := setIfUnchanged(ask, c.author, key, v.versions[key], fleetstate.Encode(a)); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
 		fmt.Printf("%s: asked for; \"fleet outs\" says when it is out, and what it waits for\n", node)
@@ -199,7 +200,7 @@
 		return err
 	}
 	for _, node := range nodes {
-		key := drainpermit.RequestKey(node)
+		key := fleetstate.RequestKey(node)
 		if _, asked := v.Requests[node]; !asked {
 			fmt.Printf("%s: nobody asked for it\n", node)
 			continue
@@ -219,7 +220,7 @@
 
 // Run halts, and returns once nothing can begin any more, however late a process wakes up.
 func (c *fleetHaltCmd) Run(_ *slog.Logger) error {
-	return halt(grammar.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.author)
+	return halt(grammar.Fleet.client(), cmp.Or(c.Release, fleetstate.HaltAll), c.author)
 }
 
 func halt(ask store.Client, what string, r author) error {
@@ -240,11 +241,11 @@
 }
 
 func (c *fleetResumeCmd) Run(_ *slog.Logger) error {
-	return resume(grammar.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.author)
+	return resume(grammar.Fleet.client(), cmp.Or(c.Release, fleetstate.HaltAll), c.author)
 }
 
 func resume(ask store.Client, what string, r author) error {
-	was, _, err := ask.Document(drainpermit.HaltKeyPrefix+what, false)
+	was, _, err := ask.Document(fleetstate.HaltKeyPrefix+what, false)
 	if err != nil {
 		return err
 	}
@@ -287,7 +288,7 @@
 			continue
 		}
 		held, waits := "", ""
-		if i := slices.IndexFunc(v.Members, func(s drainpermit.ObservedMember) bool { return s.Name == m.Name }); i >= 0 && permitted {
+		if i := slices.IndexFunc(v.Members, func(s fleetstate.ObservedMember) bool { return s.Name == m.Name }); i >= 0 && permitted {
 			r := v.Members[i].Report
 			held = fmt.Sprint(r.Running + r.Queued)
 			if r.DrainOverdue {
@@ -309,7 +310,7 @@
 }
 
 // confirmations says whether a server below is out on every node's word.
-func confirmations(m drainpermit.ObservedMember) string {
+func confirmations(m fleetstate.ObservedMember) string {
 	ok, open, silent := m.DrainConfirmed()
 	if ok {
 		return "out, on every node's word"
--- a/cmd/sloehitch/release.go
+++ b/cmd/sloehitch/release.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/release"
 	"sloehitch/internal/daemon"
 	"sloehitch/internal/store"
@@ -70,7 +70,7 @@
 		fmt.Printf("wave %d: %s\n", i+1, strings.Join(w, " "))
 	}
 	for _, rule := range v.Budgets {
-		fmt.Println("budget:", drainpermit.Encode(rule))
+		fmt.Println("budget:", fleetstate.Encode(rule))
 	}
 	if len(v.Budgets) == 0 {
 		fmt.Println("no budget is set: nothing would begin; \"fleet budget --file\" sets them")
@@ -130,7 +130,7 @@
 			lines += release.FormatStatus(r, v.View) + "\n"
 			mine := r.State == release.Running || r.State == release.RollingBack
 			open = open || mine
-			halted = halted || mine && (v.Halted[r.Name] || v.Halted[drainpermit.HaltAll])
+			halted = halted || mine && (v.Halted[r.Name] || v.Halted[fleetstate.HaltAll])
 		}
 		if len(docs) == 0 {
 			return errors.New("there is no release")
--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync"
 
-	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/platform/config"
@@ -138,19 +138,19 @@
 }
 
 // upstreamStatus is the state of each listed server as this node sees it, by address.
-func (d *Daemon) upstreamStatus() map[string]drainpermit.UpstreamStatus {
-	status := map[string]drainpermit.UpstreamStatus{}
+func (d *Daemon) upstreamStatus() map[string]fleetstate.UpstreamStatus {
+	status := map[string]fleetstate.UpstreamStatus{}
 	listed := map[string]string{} // by the form in which the pool has the address
 	d.upstreams.mu.Lock()
 	for _, address := range d.upstreams.listed {
-		status[address] = drainpermit.UpstreamStatus{}
+		status[address] = fleetstate.UpstreamStatus{}
 		if e, err := endpoint.Parse(address); err == nil {
 			listed[e.String()] = address
 		}
 	}
 	d.upstreams.mu.Unlock()
 	for _, s := range d.upstreams.pool.Servers() {
-		status[cmp.Or(listed[s.Name], s.Name)] = drainpermit.UpstreamStatus{Routable: s.State != balancer.Draining, InFlight: s.Open,
+		status[cmp.Or(listed[s.Name], s.Name)] = fleetstate.UpstreamStatus{Routable: s.State != balancer.Draining, InFlight: s.Open,
 			Healthy: s.State == balancer.In || s.State == balancer.Warming}
 	}
 	return status
--- a/internal/emulator/release.go
+++ b/internal/emulator/release.go
@@ -9,6 +9,7 @@
 	"sloehitch/internal/control/canary"
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/release"
 	"sloehitch/internal/node"
@@ -135,7 +136,7 @@
 		most = max(1, int(w.MostOut*float64(p.Nodes)))
 		zone = max(1, int(math.Ceil(3*w.MostOut*float64(p.Nodes)/float64(w.Zones))))
 	}
-	w.put(drainpermit.BudgetsKey, drainpermit.Encode(disruption.Budgets{{Scope: "fleet", MaxUnavailable: &most}, {Scope: "zone", MaxUnavailable: &zone}}))
+	w.put(fleetstate.BudgetsKey, fleetstate.Encode(disruption.Budgets{{Scope: "fleet", MaxUnavailable: &most}, {Scope: "zone", MaxUnavailable: &zone}}))
 	for _, h := range p.nodes {
 		w.starts(h, oldVersion)
 		h.version.in = p.begun.Add(-time.Hour)
@@ -180,9 +181,9 @@
 }
 
 // report is what a node tells of itself.
-func (w *rollout) report(h *host, zone int) drainpermit.Report {
+func (w *rollout) report(h *host, zone int) fleetstate.NodeReport {
 	v := h.version
-	r := drainpermit.Report{State: "ready", Healthy: true, Zone: fmt.Sprint("z", zone), DeployedVersion: v.label, ProcessStartMS: v.since.UnixMilli(), Served: v.served, Rejected: v.refused, Failed: v.failed, P99MS: v.p99,
+	r := fleetstate.NodeReport{State: "ready", Healthy: true, Zone: fmt.Sprint("z", zone), DeployedVersion: v.label, ProcessStartMS: v.since.UnixMilli(), Served: v.served, Rejected: v.refused, Failed: v.failed, P99MS: v.p99,
 		InServiceMS: w.clock.Now().Sub(v.in).Milliseconds()}
 	switch {
 	case h.gone:
@@ -201,10 +202,10 @@
 		w.clock.AfterFunc(releaseLook, w.look)
 	}
 	out := 0
-	var members []drainpermit.ObservedMember
+	var members []fleetstate.ObservedMember
 	for i, h := range w.nodes {
 		r := w.report(h, i%w.Zones)
-		members = append(members, drainpermit.ObservedMember{Name: h.name, Report: r})
+		members = append(members, fleetstate.ObservedMember{Name: h.name, Report: r})
 		if h.gone || h.version.out || now.Sub(h.version.in) < w.ColdFor {
 			out++
 		}
@@ -229,7 +230,7 @@
 		w.began = true
 		r := release.Release{Name: "r", TargetVersion: newVersion, RequestedBy: "op", State: release.Running, SoakMS: w.Soak.Milliseconds(), ReturnTimeoutMS: time.Hour.Milliseconds()}
 		r.Waves, r.PreviousVersions = release.PlanWaves(members, newVersion, 2)
-		w.put(release.KeyPrefix+"r", drainpermit.Encode(r))
+		w.put(release.KeyPrefix+"r", fleetstate.Encode(r))
 	}
 	for _, h := range w.nodes {
 		if !h.gone {
@@ -255,7 +256,7 @@
 }
 
 // take ends a span of the judgement where it is time.
-func (w *rollout) take(r release.Release, members []drainpermit.ObservedMember) {
+func (w *rollout) take(r release.Release, members []fleetstate.ObservedMember) {
 	if now := w.clock.Now(); now.Sub(w.looked) >= releaseReport {
 		w.looked = now
 		for i, h := range w.nodes {
@@ -264,7 +265,7 @@
 				members[i].Report.P99MS = v.p99
 			}
 		}
-		w.judge.Record(r.CanaryReports(drainpermit.View{Members: members}, w.Settle))
+		w.judge.Record(r.CanaryReports(fleetstate.View{Members: members}, w.Settle))
 	}
 }
 
@@ -274,8 +275,8 @@
 	}
 }
 
-func (w *rollout) view(members []drainpermit.ObservedMember) (drainpermit.View, drainpermit.Versions) {
-	v, at, err := drainpermit.DecodeView(w.store.List(""), drainpermit.DefaultDecoder, w.clock.Now().UnixMilli())
+func (w *rollout) view(members []fleetstate.ObservedMember) (fleetstate.View, fleetstate.Versions) {
+	v, at, err := fleetstate.DecodeView(w.store.List(""), fleetstate.DefaultDecoder, w.clock.Now().UnixMilli())
 	if err != nil {
 		panic(err) // nobody else writes here
 	}
@@ -288,13 +289,13 @@
 	v := h.version
 	running, held := h.server.Counts()
 	s := drainpermit.Observation{Revision: w.store.Revision(), InFlight: running + held + len(h.intake.line), Healthy: true}
-	if d := w.store.Get(drainpermit.RequestKey(h.name)); d.Version > 0 {
-		if a, err := drainpermit.Decode[drainpermit.Request](d.Value); err == nil {
+	if d := w.store.Get(fleetstate.RequestKey(h.name)); d.Version > 0 {
+		if a, err := fleetstate.Decode[fleetstate.DrainRequest](d.Value); err == nil {
 			s.Request, s.RequestVersion = &a, d.Version
 		}
 	}
-	if d := w.store.Get(drainpermit.PermitKey(h.name)); d.Version > 0 {
-		if p, err := drainpermit.Decode[drainpermit.Permit](d.Value); err == nil {
+	if d := w.store.Get(fleetstate.PermitKey(h.name)); d.Version > 0 {
+		if p, err := fleetstate.Decode[fleetstate.Permit](d.Value); err == nil {
 			s.Permit, s.PermitVersion = &p, d.Version
 		}
 	}
--- a/internal/frontend/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -181,15 +181,15 @@
 // It blocks until the peers have ended them too, for the timeout at most. A process that ended without it
 // would reset connections with unread data, and lose answers that are on their way.
 func (f *Front) Shutdown(timeout time.Duration) {
-	deadline := time.Now().Add(timeout)
+	start := time.Now()
 	for {
 		for _, c := range f.connections() {
 			c.socket.stopReading()
 		}
-		if f.OpenConnections() == 0 || !time.Now().Before(deadline) {
+		if f.OpenConnections() == 0 || time.Since(start) >= timeout {
 			return
 		}
-		time.Sleep(min(deadline.Sub(time.Now()), f.opts.Limits.MinBackoff/4))
+		time.Sleep(min(timeout-time.Since(start), f.opts.Limits.MinBackoff/4))
 	}
 }
 
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sloehitch/internal/control/disruption"
-	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/release"
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/balancer"
@@ -56,7 +56,7 @@
 		},
 		Config: func() (int, int) { return 2, 1 },
 		Fleet: func() fleet.Stats {
-			return fleet.Stats{OutOfService: true, Reports: map[string]uint64{"failed": 4}, Permits: map[string]uint64{"granted": 6}, Grants: &fleet.GrantStats{Waiting: 3, Permits: map[drainpermit.State]int{drainpermit.Started: 2}, Unavailable: map[disruption.Availability]int{disruption.Silent: 5}},
+			return fleet.Stats{OutOfService: true, Reports: map[string]uint64{"failed": 4}, Permits: map[string]uint64{"granted": 6}, Grants: &fleet.GrantStats{Waiting: 3, Permits: map[fleetstate.PermitState]int{fleetstate.PermitStarted: 2}, Unavailable: map[disruption.Availability]int{disruption.Silent: 5}},
 				Releases: []release.Status{{Name: "r", State: "running", Halted: true, Nodes: 9, Updated: 7, Wave: 2}}}
 		},
 	}, uwsgi.RunTimes{Started: at, Tries: []uwsgi.TryTimes{{Connected: at.Add(time.Millisecond), FirstByte: at.Add(3 * time.Second)}}, Done: at.Add(4 * time.Second), Outcome: "ok"},
--- a/internal/testing/fleetrig/drains.go
+++ b/internal/testing/fleetrig/drains.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"sloehitch/internal/control/disruption"
-	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/control/lease"
 	"sloehitch/internal/control/release"
 	"sloehitch/internal/store"
@@ -98,7 +98,7 @@
 // operate asks, takes back, halts and resumes until the end.
 func (d *drains) operate(end time.Time) {
 	by := end.Add(d.Recovery)
-	if !d.put(drainpermit.BudgetsKey, drainpermit.Encode(rules()), by) {
+	if !d.put(fleetstate.BudgetsKey, fleetstate.Encode(rules()), by) {
 		d.blame("the budgets were not agreed on")
 		return
 	}
@@ -108,20 +108,20 @@
 	asked := map[int]bool{}
 	for time.Now().Before(end) {
 		node := d.r.IntN(d.Nodes)
-		key := drainpermit.RequestKey(fmt.Sprint("n", node))
+		key := fleetstate.RequestKey(fmt.Sprint("n", node))
 		switch x := d.r.IntN(12); {
 		case x < 6 && !asked[node]:
 			d.n++
-			a := drainpermit.Request{ID: fmt.Sprint("ask ", d.n), RequestedBy: "rig", Reason: "drains", Urgent: x == 0}
+			a := fleetstate.DrainRequest{ID: fmt.Sprint("ask ", d.n), RequestedBy: "rig", Reason: "drains", Urgent: x == 0}
 			if x < 3 {
 				a.ReleaseName, a.TargetVersion = "r", fmt.Sprint("v", 1+d.r.IntN(3))
 			}
-			asked[node] = d.put(key, drainpermit.Encode(a), by)
+			asked[node] = d.put(key, fleetstate.Encode(a), by)
 			d.report.Drains.Asked++
 		case x < 9 && asked[node]:
 			asked[node] = !d.put(key, "", by)
 		case x == 9:
-			d.halt([]string{drainpermit.HaltAll, "r"}[d.r.IntN(2)], by)
+			d.halt([]string{fleetstate.HaltAll, "r"}[d.r.IntN(2)], by)
 		case x > 9:
 			d.resume(by)
 			if d.r.IntN(24) == 0 {
@@ -153,7 +153,7 @@
 	for i := range d.halts {
 		if h := &d.halts[i]; h.to == 0 {
 			h.to = lease.Now()
-			d.put(drainpermit.HaltKeyPrefix+h.what, "", by)
+			d.put(fleetstate.HaltKeyPrefix+h.what, "", by)
 			d.say("resumed: %s", h.what)
 		}
 	}
@@ -172,9 +172,9 @@
 		if err != nil {
 			return false
 		}
-		var seen []drainpermit.ObservedMember
+		var seen []fleetstate.ObservedMember
 		for _, doc := range docs {
-			s := drainpermit.ObservedMember{Name: strings.TrimPrefix(doc.Key, "node/")}
+			s := fleetstate.ObservedMember{Name: strings.TrimPrefix(doc.Key, "node/")}
 			s.Unreadable = json.Unmarshal([]byte(doc.Value), &s.Report) != nil
 			seen = append(seen, s)
 		}
@@ -219,7 +219,7 @@
 			return false
 		}
 		last = doc.Value
-		halted, _, err := d.client(turn).Document(drainpermit.HaltKeyPrefix+"s", false)
+		halted, _, err := d.client(turn).Document(fleetstate.HaltKeyPrefix+"s", false)
 		if err == nil && halted.Version > 0 {
 			d.say("the release halted by itself: %s", r.Note)
 			d.report.Drains.ByItself++
@@ -246,12 +246,12 @@
 	by := time.Now().Add(d.Recovery)
 	d.resume(by)
 	for i := range d.Nodes { // drains and asks of people would keep it waiting
-		d.put(drainpermit.RequestKey(fmt.Sprint("n", i)), "", by)
+		d.put(fleetstate.RequestKey(fmt.Sprint("n", i)), "", by)
 	}
 	d.ends(by)
 	left := ""
 	if !d.until(by, func() bool {
-		docs, _, err := d.client(d.n).Documents(drainpermit.KeyPrefix, false)
+		docs, _, err := d.client(d.n).Documents(fleetstate.DrainKeyPrefix, false)
 		if err != nil {
 			d.n++
 			left = err.Error()
@@ -259,7 +259,7 @@
 		}
 		left = ""
 		for _, doc := range docs {
-			if a, err := drainpermit.Decode[drainpermit.Request](doc.Value); err == nil && strings.HasSuffix(doc.Key, "/ask") && (a.ReleaseName == "" || a.FailureReason != "") {
+			if a, err := fleetstate.Decode[fleetstate.DrainRequest](doc.Value); err == nil && strings.HasSuffix(doc.Key, "/ask") && (a.ReleaseName == "" || a.FailureReason != "") {
 				d.put(doc.Key, "", by)
 			}
 			left += " " + doc.Key + " = " + doc.Value
@@ -309,7 +309,7 @@
 				wrong = append(wrong, fmt.Sprintf("at %d %d nodes are out by choice, n%d last", e.At, len(out), e.Node))
 			}
 			for _, h := range halts {
-				if (h.what == drainpermit.HaltAll || h.what == e.Duty) && e.At > h.from && (h.to == 0 || e.At < h.to) {
+				if (h.what == fleetstate.HaltAll || h.what == e.Duty) && e.At > h.from && (h.to == 0 || e.At < h.to) {
 					wrong = append(wrong, fmt.Sprintf("at %d n%d began to go out, %v after a halt of %s was acknowledged", e.At, e.Node, time.Duration(e.At-h.from), h.what))
 				}
 			}
