--- a/internal/store/backup_test.go
+++ b/internal/store/backup_test.go
@@ -9,7 +9,7 @@
 // TestRestore: all go back to a backup; what came after is gone, no token comes again, an owner of before is rejected, and who
 // watches has to read anew.
 func TestRestore(t *testing.T) {
-	cluster := newDiskCluster(t, 3)
+	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
 	leader := cluster.awaitLeader(t)
 	s := cluster.stores[leader.Name]
--- a/internal/store/diskcluster_test.go
+++ b/internal/store/diskcluster_test.go
@@ -19,13 +19,21 @@
 // diskCluster is members on disk that can be stopped, started again and added.
 type diskCluster struct {
 	*testCluster
-	t    *testing.T
-	dirs map[string]string
+	t               *testing.T
+	dirs            map[string]string
+	electionTimeout time.Duration
 }
 
+const (
+	shortElectionTimeout = 200 * time.Millisecond
+	// steadyElectionTimeout is for tests that expect a leader to stay: a leader that hears no majority for half of it steps down, as it has to, and on a
+	// busy machine heartbeats take over 100 ms.
+	steadyElectionTimeout = 2 * time.Second
+)
+
 // newDiskCluster starts members that begin together.
-func newDiskCluster(t *testing.T, size int) *diskCluster {
-	cluster := &diskCluster{testCluster: &testCluster{stores: map[string]*Store{}}, t: t, dirs: map[string]string{}}
+func newDiskCluster(t *testing.T, size int, electionTimeout time.Duration) *diskCluster {
+	cluster := &diskCluster{testCluster: &testCluster{stores: map[string]*Store{}}, t: t, dirs: map[string]string{}, electionTimeout: electionTimeout}
 	for i := range size {
 		cluster.members = append(cluster.members, cluster.newMember(fmt.Sprint("n", i)))
 	}
@@ -66,7 +74,7 @@
 		Join:            join,
 		Logger:          standin.Quiet,
 		CommitTimeout:   5 * time.Second,
-		ElectionTimeout: 200 * time.Millisecond,
+		ElectionTimeout: cluster.electionTimeout,
 	})
 	if err != nil {
 		cluster.t.Fatal(err)
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -9,7 +9,7 @@
 // TestMembersInService: one is added, catches up, gets a vote and the leadership; the one that led is removed and excluded; what would
 // lose the majority is rejected; all of it is in the history.
 func TestMembersInService(t *testing.T) {
-	cluster := newDiskCluster(t, 3)
+	cluster := newDiskCluster(t, 3, steadyElectionTimeout)
 	cluster.write("a", "1")
 	n3 := cluster.newMember("n3")
 	cluster.startMember("n3", true, n3)
--- a/internal/store/recover_test.go
+++ b/internal/store/recover_test.go
@@ -11,7 +11,7 @@
 // TestRecover: with the majority lost for good one member goes on from its data directory, alone, under a new id; revisions and
 // tokens go on above all that were; a lost member that comes back is excluded, and added anew with an empty directory.
 func TestRecover(t *testing.T) {
-	cluster := newDiskCluster(t, 3)
+	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
 	for name := range cluster.stores {
 		cluster.expectDocument(name, "a", "1")
--- a/internal/store/start_test.go
+++ b/internal/store/start_test.go
@@ -14,7 +14,7 @@
 
 // TestKeptOut: an older copy of a data directory, an empty one, another member's and another store's are told from a member's own.
 func TestKeptOut(t *testing.T) {
-	cluster := newDiskCluster(t, 3)
+	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
 	cluster.expectDocument("n2", "a", "1")
 	cluster.stopMember("n2")
@@ -77,7 +77,7 @@
 func (cluster *diskCluster) checkOtherStore() {
 	t := cluster.t
 	t.Helper()
-	other := newDiskCluster(t, 1)
+	other := newDiskCluster(t, 1, shortElectionTimeout)
 	waitFor(t, "the other store's id", func() bool { return other.stores["n0"].Members().StoreID != "" })
 	other.stopMember("n0")
 	cluster.stopMember("n0")
