--- a/internal/control/canary/analysis.go
+++ b/internal/control/canary/analysis.go
@@ -7,24 +7,26 @@
 
 // When a metric of the updated nodes is worse, and when a verdict is conclusive.
 //
-// Inputs, for one metric: the paired differences (differences.go) of each updated node, before and after its update. Each node's mean
-// from before is taken off its differences. With the mean m of all differences after the update, the residual standard deviation s and
-// the variance factor v,
+// Inputs, for one metric: the paired differences (differences.go) of each updated node, before and after its
+// update. Each node's mean from before is taken off its differences. With the mean m of all differences after
+// the update, the residual standard deviation s and the variance factor v,
 //
 //	chance = t(z, degrees of freedom) * s * sqrt(v * alike)
 //	worse      if m > minEffect and m > chance
 //	conclusive if chance <= detectableEffect, for every metric with alike = 1
 //
-// z is the one-sided normal quantile of the false alarm probability divided by the number of tests (Bonferroni), t is Student's quantile,
-// because there are few intervals. A value that is computed over several intervals has requests in common with its neighbours,
-// so "alike" intervals count as one.
+// z is the one-sided normal quantile of the false alarm probability divided by the number of tests
+// (Bonferroni), t is Student's quantile, because there are few intervals. A value that is computed over
+// several intervals has requests in common with its neighbours, so "alike" intervals count as one.
 //
-// Why: differences of a node are taken as independent from interval to interval, and a mean of many as normal. A version is sound only
-// once a difference that matters would have been seen. A smoothed metric takes too long for a wave to wait for it.
+// Why: differences of a node are taken as independent from interval to interval, and a mean of many as
+// normal. A version is sound only once a difference that matters would have been seen. A smoothed metric
+// takes too long for a wave to wait for it.
 
 // Options say how certain a verdict must be.
 type Options struct {
-	// FalseAlarmProbability is the probability, 0 to 1, that the release of a sound version is found worse, over all its analyses.
+	// FalseAlarmProbability is the probability, 0 to 1, that the release of a sound version is found worse,
+	// over all its analyses.
 	FalseAlarmProbability float64
 	// MaxAnalyses is how many analyses a release has at most.
 	MaxAnalyses int
@@ -46,7 +48,8 @@
 	Worse bool
 	// Reason says why it is worse, or why the verdict is not conclusive yet.
 	Reason string
-	// Conclusive says that there was enough to compare: if the version is not worse, a difference that matters would have been seen.
+	// Conclusive says that there was enough to compare: if the version is not worse, a difference that matters
+	// would have been seen.
 	Conclusive bool
 }
 
@@ -63,7 +66,8 @@
 	for i, m := range metrics {
 		s, short := sampleOf(m, updated, nodes, o.MinIntervals)
 		if short > 0 && i == 0 { // the first metric stands for all: each interval with requests has it
-			verdict.Conclusive, verdict.Reason = false, fmt.Sprintf("%d of %d changed nodes have too few spans, or nobody of their zone to compare with", short, len(updated))
+			verdict.Conclusive = false
+			verdict.Reason = fmt.Sprintf("%d of %d changed nodes have too few spans, or nobody of their zone to compare with", short, len(updated))
 		}
 		if len(s.nodes) == 0 {
 			continue
@@ -72,9 +76,12 @@
 		difference, chance := s.test(o, alike)
 		switch {
 		case difference > m.minEffect && difference > chance:
-			return Verdict{Worse: true, Conclusive: true, Reason: fmt.Sprintf("%s of the changed nodes is %.3f%s above the others' of their zones, where %.3f would be chance", m.name, difference, m.unit, max(m.minEffect, chance))}
+			return Verdict{Worse: true, Conclusive: true, Reason: fmt.Sprintf(
+				"%s of the changed nodes is %.3f%s above the others' of their zones, where %.3f would be chance",
+				m.name, difference, m.unit, max(m.minEffect, chance))}
 		case alike == 1 && chance > m.detectableEffect && verdict.Conclusive:
-			verdict.Conclusive, verdict.Reason = false, fmt.Sprintf("a difference in the %s below %.3f%s could not be told from chance yet", m.name, chance, m.unit)
+			verdict.Conclusive = false
+			verdict.Reason = fmt.Sprintf("a difference in the %s below %.3f%s could not be told from chance yet", m.name, chance, m.unit)
 		}
 	}
 	return verdict
@@ -109,8 +116,8 @@
 // nodeSample is how many differences one node has before and after its update.
 type nodeSample struct{ before, after int }
 
-// sampleOf collects the differences of the updated nodes. short counts the nodes that have fewer than minIntervals on a side; they are
-// left out.
+// sampleOf collects the differences of the updated nodes. short counts the nodes that have fewer than
+// minIntervals on a side; they are left out.
 func sampleOf(m metric, updated, nodes []NodeSeries, minIntervals int) (s sample, short int) {
 	for _, n := range updated {
 		before, after := pairedDifferences(m, n, nodes)
@@ -130,7 +137,8 @@
 	return s, short
 }
 
-// test returns the mean difference after the update, and the difference that chance explains at the significance of the options.
+// test returns the mean difference after the update, and the difference that chance explains at the
+// significance of the options.
 func (s sample) test(o Options, alike int) (difference, chance float64) {
 	difference = mean(s.after)
 	residuals := s.residuals
@@ -143,8 +151,8 @@
 	return difference, quantile * residualDeviation(residuals, means) * math.Sqrt(s.varianceFactor()*float64(alike))
 }
 
-// varianceFactor is the variance of the mean difference by that of one difference: the mean after the update has an error of its own,
-// and so has each node's mean from before.
+// varianceFactor is the variance of the mean difference by that of one difference: the mean after the update
+// has an error of its own, and so has each node's mean from before.
 func (s sample) varianceFactor() float64 {
 	factor := 1 / float64(len(s.after))
 	for _, n := range s.nodes {
--- a/internal/control/canary/analysis_test.go
+++ b/internal/control/canary/analysis_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// simulateRelease analyzes a release of eight nodes in two zones, node by node, after each interval. bad changes the counts of updated nodes, all
-// those of every node from interval 31 on. It returns the first verdict of a worse version, and after how many intervals.
+// simulateRelease analyzes a release of eight nodes in two zones, node by node, after each interval. bad
+// changes the counts of updated nodes, all those of every node from interval 31 on. It returns the first
+// verdict of a worse version, and after how many intervals.
 func simulateRelease(seed uint64, bad, all func(node int, s *Interval)) (Verdict, int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	options := Options{FalseAlarmProbability: 0.01, MaxAnalyses: 100, MinIntervals: 8}
@@ -48,7 +49,8 @@
 	return Verdict{}, intervals
 }
 
-// TestAnalyze: a bad version is found worse, by its metric; a rise in load, a faulty upstream and a slow machine are not.
+// TestAnalyze: a bad version is found worse, by its metric; a rise in load, a faulty upstream and a slow
+// machine are not.
 func TestAnalyze(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -71,7 +73,8 @@
 	}
 }
 
-// TestFalseAlarms: of 100 releases of good versions no more are found worse than the options state, with what chance allows for.
+// TestFalseAlarms: of 100 releases of good versions no more are found worse than the options state, with what
+// chance allows for.
 func TestFalseAlarms(t *testing.T) {
 	alarms := 0
 	for seed := range uint64(100) {
@@ -91,8 +94,8 @@
 	}
 }
 
-// TestSmoothedMetric: a percentile over several intervals is the same noise several times. They count as one, and raise no alarm where
-// each by itself would.
+// TestSmoothedMetric: a percentile over several intervals is the same noise several times. They count as one,
+// and raise no alarm where each by itself would.
 func TestSmoothedMetric(t *testing.T) {
 	alarms := map[int]int{}
 	for seed := range uint64(120) {
--- a/internal/control/canary/differences.go
+++ b/internal/control/canary/differences.go
@@ -2,12 +2,14 @@
 
 // What is compared with what.
 //
-// For an updated node and a metric, in each interval i in which the node's value and that of at least one peer are known,
+// For an updated node and a metric, in each interval i in which the node's value and that of at least one
+// peer are known,
 //
 //	difference(i) = value of the node - mean of its peers' values
 //
-// Peers are the other nodes of its zone that are not updated in i. Intervals up to the one before the node's update are "before", those
-// from UpdatedFrom on "after"; the one between, in which the node was updated, is neither.
+// Peers are the other nodes of its zone that are not updated in i. Intervals up to the one before the node's
+// update are "before", those from UpdatedFrom on "after"; the one between, in which the node was updated, is
+// neither.
 
 // pairedDifferences returns the differences of a node to its peers, before and after its update.
 func pairedDifferences(m metric, n NodeSeries, nodes []NodeSeries) (before, after []float64) {
--- a/internal/control/canary/recorder.go
+++ b/internal/control/canary/recorder.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Recorder makes intervals of the counts that nodes report since their processes started. It is not safe for concurrent use.
+// Recorder makes intervals of the counts that nodes report since their processes started. It is not safe for
+// concurrent use.
 type Recorder struct {
 	capacity  int // intervals
 	nodes     map[string]*nodeRecord
@@ -57,7 +58,10 @@
 	n := r.nodes[report.Name]
 	if n == nil {
 		earlier := r.intervals - 1
-		n = &nodeRecord{NodeSeries: NodeSeries{Name: report.Name, Zone: report.Zone, Intervals: make([]Interval, earlier), Known: make([]bool, earlier), Restarted: make([]bool, earlier)}}
+		n = &nodeRecord{NodeSeries: NodeSeries{
+			Name: report.Name, Zone: report.Zone,
+			Intervals: make([]Interval, earlier), Known: make([]bool, earlier), Restarted: make([]bool, earlier),
+		}}
 		r.nodes[report.Name] = n
 	}
 	known := report.InService && n.reported && report.ProcessStartMS == n.processStartMS
@@ -66,7 +70,8 @@
 		n.UpdatedFrom, restarted = r.intervals+1, false
 	}
 	n.append(report.Total.since(n.lastTotal), known, restarted)
-	n.lastTotal, n.processStartMS, n.reported, n.InService, n.Zone = report.Total, report.ProcessStartMS, true, report.InService, report.Zone
+	n.lastTotal, n.processStartMS, n.reported = report.Total, report.ProcessStartMS, true
+	n.InService, n.Zone = report.InService, report.Zone
 }
 
 func (n *nodeRecord) append(interval Interval, known, restarted bool) {
@@ -97,7 +102,8 @@
 	}
 }
 
-// Nodes returns the recorded series, sorted by node name. They share memory with the recorder: they are valid until the next Record.
+// Nodes returns the recorded series, sorted by node name. They share memory with the recorder: they are valid
+// until the next Record.
 func (r *Recorder) Nodes() (nodes []NodeSeries) {
 	for _, n := range r.nodes {
 		nodes = append(nodes, n.NodeSeries)
--- a/internal/control/canary/restarts.go
+++ b/internal/control/canary/restarts.go
@@ -7,8 +7,8 @@
 
 // When the updated nodes restart too often.
 //
-// Inputs: restarts (processes) and watched time (intervals) of nodes before and after their update. With n restarts in all, k of them
-// of updated nodes, and the fraction p of the watched time that is theirs,
+// Inputs: restarts (processes) and watched time (intervals) of nodes before and after their update. With n
+// restarts in all, k of them of updated nodes, and the fraction p of the watched time that is theirs,
 //
 //	worse if P(Binomial(n, p) >= k) < significance
 //
@@ -18,8 +18,8 @@
 // restartCounts are what is counted on one side of the comparison.
 type restartCounts struct{ restarts, intervals int }
 
-// excessRestarts describes the restarts of updated nodes if they are significantly more frequent than the others', and returns "" if
-// they are not.
+// excessRestarts describes the restarts of updated nodes if they are significantly more frequent than the
+// others', and returns "" if they are not.
 func excessRestarts(o Options, nodes []NodeSeries) string {
 	unchanged, updated := countRestarts(nodes)
 	if unchanged.intervals == 0 || updated.intervals == 0 || updated.restarts == 0 {
@@ -30,7 +30,8 @@
 	if binomialTail(all, updated.restarts, p) >= o.significance() {
 		return ""
 	}
-	return fmt.Sprintf("changed nodes were started anew %d times in %d spans, the others %d times in %d", updated.restarts, updated.intervals, unchanged.restarts, unchanged.intervals)
+	return fmt.Sprintf("changed nodes were started anew %d times in %d spans, the others %d times in %d",
+		updated.restarts, updated.intervals, unchanged.restarts, unchanged.intervals)
 }
 
 // countRestarts counts restarts and known intervals, before and after the nodes' updates.
--- a/internal/control/canary/restarts_test.go
+++ b/internal/control/canary/restarts_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestExcessRestarts: a process that restarts once or twice proves nothing, nor do restarts that the other nodes have as well; one that
-// restarts again and again does.
+// TestExcessRestarts: a process that restarts once or twice proves nothing, nor do restarts that the other
+// nodes have as well; one that restarts again and again does.
 func TestExcessRestarts(t *testing.T) {
 	for _, c := range []struct {
 		updated, others int
--- a/internal/control/canary/series.go
+++ b/internal/control/canary/series.go
@@ -10,9 +10,11 @@
 type NodeSeries struct {
 	Name, Zone string
 	Intervals  []Interval
-	// Known says of each interval whether its counts are known. They are not while the node was out of service or silent.
+	// Known says of each interval whether its counts are known. They are not while the node was out of service
+	// or silent.
 	Known []bool
-	// Restarted says of each interval whether the node's process was restarted in it, for another reason than its update.
+	// Restarted says of each interval whether the node's process was restarted in it, for another reason than
+	// its update.
 	Restarted []bool
 	// UpdatedFrom is the index of the first interval that counts as after the update. 0: the node is not updated.
 	UpdatedFrom int
@@ -23,5 +25,6 @@
 // updatedIn says whether interval i counts as after the node's update.
 func (n NodeSeries) updatedIn(i int) bool { return n.UpdatedFrom > 0 && i >= n.UpdatedFrom }
 
-// unchangedIn says whether interval i is wholly from before the node's update. The interval in which it was updated is neither.
+// unchangedIn says whether interval i is wholly from before the node's update. The interval in which it was
+// updated is neither.
 func (n NodeSeries) unchangedIn(i int) bool { return n.UpdatedFrom == 0 || i < n.UpdatedFrom-1 }
--- a/internal/control/canary/statistics.go
+++ b/internal/control/canary/statistics.go
@@ -20,8 +20,9 @@
 	return math.Sqrt(sum / float64(max(1, len(residuals)-means)))
 }
 
-// studentQuantile returns the quantile of Student's distribution with the given degrees of freedom where the normal distribution has z
-// (Abramowitz and Stegun, 26.7.5). From seven degrees on it is within some hundredths.
+// studentQuantile returns the quantile of Student's distribution with the given degrees of freedom where the
+// normal distribution has z (Abramowitz and Stegun, 26.7.5). From seven degrees on it is within some
+// hundredths.
 func studentQuantile(z float64, degrees int) float64 {
 	n := float64(max(1, degrees))
 	z3, z5 := z*z*z, z*z*z*z*z
--- a/internal/control/desiredstate/follower.go
+++ b/internal/control/desiredstate/follower.go
@@ -2,12 +2,13 @@
 
 // Which observed documents a node applies.
 //
-// Inputs: the document's version (a revision of the store; for an absent document the revision at which it was absent), and the version
-// applied last. A document is applied if its version is higher and its text can be parsed. A version is rejected once, and ignored
-// when it is seen again.
+// Inputs: the document's version (a revision of the store; for an absent document the revision at which it
+// was absent), and the version applied last. A document is applied if its version is higher and its text can
+// be parsed. A version is rejected once, and ignored when it is seen again.
 //
-// Why: versions only grow, so the newest state wins in whatever order documents are observed, and a lagging member cannot take a node
-// back. The caller checks the fencing token, which keeps out a task that has lost its lease.
+// Why: versions only grow, so the newest state wins in whatever order documents are observed, and a lagging
+// member cannot take a node back. The caller checks the fencing token, which keeps out a task that has lost
+// its lease.
 
 // Applied is the state that a node applied last, as the node persists it before it applies it.
 type Applied struct {
@@ -21,7 +22,8 @@
 	rejectedVersion uint64 // the last version that was rejected
 }
 
-// NewFollower returns a follower that continues from what the node applied last; the zero value if it has applied nothing.
+// NewFollower returns a follower that continues from what the node applied last; the zero value if it has
+// applied nothing.
 func NewFollower(last Applied) *Follower { return &Follower{applied: last} }
 
 // LastApplied returns the state that was applied last.
@@ -37,8 +39,8 @@
 	Reject                 // it cannot be applied; the state applied last stays
 )
 
-// Observe decides on a document as it was read at a revision of the store. version is 0 if there was none. The error explains a Reject.
-// The caller reports what came of an Apply by MarkApplied or MarkRejected.
+// Observe decides on a document as it was read at a revision of the store. version is 0 if there was none.
+// The error explains a Reject. The caller reports what came of an Apply by MarkApplied or MarkRejected.
 func (f *Follower) Observe(text string, version, revision uint64) (Applied, Decision, error) {
 	absent := version == 0
 	if absent {
--- a/internal/control/desiredstate/follower_test.go
+++ b/internal/control/desiredstate/follower_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFollower: in whatever order documents are observed, how often, and from however stale a member, what is applied never goes back and ends at
-// the newest.
+// TestFollower: in whatever order documents are observed, how often, and from however stale a member, what is
+// applied never goes back and ends at the newest.
 func TestFollower(t *testing.T) {
 	type observation struct {
 		text              string
--- a/internal/control/desiredstate/state.go
+++ b/internal/control/desiredstate/state.go
@@ -1,6 +1,6 @@
-// Package desiredstate decides what a node does with the state that the fleet wants it to have. The state is a document of the replicated
-// store; a node may read it from a member that lags behind, so documents arrive late, repeatedly and out of order. The package has no
-// I/O and no clock.
+// Package desiredstate decides what a node does with the state that the fleet wants it to have. The state is
+// a document of the replicated store; a node may read it from a member that lags behind, so documents arrive
+// late, repeatedly and out of order. The package has no I/O and no clock.
 package desiredstate
 
 import (
@@ -17,8 +17,8 @@
 type State struct {
 	// OutOfService asks the node to fail its health checks. It still serves the requests that come.
 	OutOfService bool `json:"out"`
-	// Task is the leased task on whose behalf the state was written, and Token the fencing token of its lease. Both are zero for a
-	// state that an operator wrote.
+	// Task is the leased task on whose behalf the state was written, and Token the fencing token of its lease.
+	// Both are zero for a state that an operator wrote.
 	Task        string `json:"duty,omitempty"`
 	Token       uint64 `json:"token,omitempty"`
 	RequestedBy string `json:"by,omitempty"`
@@ -31,7 +31,8 @@
 	errTaskWithToken = errors.New("the wished state is of a duty without a token, or of a token without a duty")
 )
 
-// Parse decodes a document. It returns an error for fields that it does not know: half of a desired state is another one.
+// Parse decodes a document. It returns an error for fields that it does not know: half of a desired state is
+// another one.
 func Parse(text string) (State, error) {
 	var s State
 	d := json.NewDecoder(strings.NewReader(text))
--- a/internal/control/disruption/budget.go
+++ b/internal/control/disruption/budget.go
@@ -42,10 +42,11 @@
 	errFractionOutside = errors.New("a share from 0 to 1 is wanted")
 )
 
-// Budget bounds how many members of each group of a scope may be unavailable at once. Exactly one of the four bounds is set.
+// Budget bounds how many members of each group of a scope may be unavailable at once. Exactly one of the four
+// bounds is set.
 type Budget struct {
-	// Scope is "fleet" (all nodes), "zone", "kind" or "service" (upstream servers). There is one group for each value that members
-	// have for the scope.
+	// Scope is "fleet" (all nodes), "zone", "kind" or "service" (upstream servers). There is one group for
+	// each value that members have for the scope.
 	Scope string `toml:"group" json:"group"`
 	// ScopeValue restricts the budget to the group of one value. Empty: every group of the scope.
 	ScopeValue string `toml:"only" json:"only,omitempty"`
@@ -96,7 +97,8 @@
 	return set, err
 }
 
-// allowedUnavailable returns how many members of a group of the given size may be unavailable. The budget must be valid.
+// allowedUnavailable returns how many members of a group of the given size may be unavailable. The budget
+// must be valid.
 func (b Budget) allowedUnavailable(size int) int {
 	switch {
 	case b.MaxUnavailable != nil:
@@ -109,8 +111,8 @@
 	return max(0, size-int(math.Ceil(*b.MinAvailableFraction*float64(size)-fractionTolerance)))
 }
 
-// Budgets are all budgets of a fleet. A member that no budget covers is never granted anything: without budgets nothing may go out of
-// service.
+// Budgets are all budgets of a fleet. A member that no budget covers is never granted anything: without
+// budgets nothing may go out of service.
 type Budgets []Budget
 
 // Validate returns an error that names everything that is wrong with the budgets, or nil.
--- a/internal/control/disruption/decide.go
+++ b/internal/control/disruption/decide.go
@@ -9,20 +9,21 @@
 
 // Which requests to go out of service are granted.
 //
-// Inputs: the budgets, the members with their availability, and the requests. Requests are taken urgent first, then by Order.
-// A request is granted if in every group of its member
+// Inputs: the budgets, the members with their availability, and the requests. Requests are taken urgent
+// first, then by Order. A request is granted if in every group of its member
 //
 //	unavailable + (1 if the member is available, else 0) <= maxUnavailable
 //
-// and no earlier request has the group reserved. A rejected request reserves its groups if only permits are in its way, that is if in
-// every full group
+// and no earlier request has the group reserved. A rejected request reserves its groups if only permits are
+// in its way, that is if in every full group
 //
 //	involuntary + (1 if the member is available, else 0) <= maxUnavailable
 //
 // The first such request reserves all groups of its member, later ones only the group that is full.
 //
-// Why: permits are returned, so a request that waits for them gets its turn, and requests that came later must not starve it. A request
-// that waits for silent or unhealthy members reserves nothing: they may never come back, and others would wait with it for ever.
+// Why: permits are returned, so a request that waits for them gets its turn, and requests that came later
+// must not starve it. A request that waits for silent or unhealthy members reserves nothing: they may never
+// come back, and others would wait with it for ever.
 
 // Request asks that a member go out of service.
 type Request struct {
@@ -35,8 +36,8 @@
 // Rejection says why a request is not granted now, or which group exceeds its budget.
 type Rejection struct {
 	Request Request
-	// Group is the group whose budget is in the way, for example "zone b"; MaxUnavailable is how many of its members may be out, and
-	// Unavailable are those that are.
+	// Group is the group whose budget is in the way, for example "zone b"; MaxUnavailable is how many of its
+	// members may be out, and Unavailable are those that are.
 	Group          string
 	MaxUnavailable int
 	Unavailable    []Member
@@ -117,7 +118,8 @@
 	d.grant(request, member, groups)
 }
 
-// ineligible says why a member could not be granted anything, whatever its groups are like. member is nil if it is not known.
+// ineligible says why a member could not be granted anything, whatever its groups are like. member is nil if
+// it is not known.
 func ineligible(member *Member, groups []*group) (reason string) {
 	switch {
 	case member == nil:
@@ -130,8 +132,8 @@
 	return ""
 }
 
-// firstFull returns the first group that has no room for the member to go out, or nil, and whether only permits are in the way in all
-// of those that have none.
+// firstFull returns the first group that has no room for the member to go out, or nil, and whether only
+// permits are in the way in all of those that have none.
 func firstFull(member *Member, groups []*group) (full *group, onlyPermits bool) {
 	added := 0 // to the unavailable members of each group
 	if member.Availability == Available {
--- a/internal/control/disruption/doc.go
+++ b/internal/control/disruption/doc.go
@@ -1,6 +1,7 @@
-// Package disruption decides which nodes and upstream servers may go out of service voluntarily, so that each group of them
-// (the fleet, a zone, a kind of node, an upstream service) keeps enough members in service. The model is Kubernetes'
-// PodDisruptionBudget; a budget here also counts members that are out involuntarily, and requests wait in order.
+// Package disruption decides which nodes and upstream servers may go out of service voluntarily, so that each
+// group of them (the fleet, a zone, a kind of node, an upstream service) keeps enough members in service. The
+// model is Kubernetes' PodDisruptionBudget; a budget here also counts members that are out involuntarily, and
+// requests wait in order.
 //
 // The package is a pure function of its arguments: it has no I/O, no clock and no state. The rules are
 //
--- a/internal/control/disruption/group.go
+++ b/internal/control/disruption/group.go
@@ -8,12 +8,13 @@
 
 // Which members count as unavailable, and in which groups.
 //
-// Inputs: the budgets, and each member's labels and Availability. A member belongs to the group "fleet" if it is a node, and to
-// one group of each other scope for which it has a label. It counts as unavailable in all of its groups unless its Availability is
-// Available; so what is not known to be in service uses a budget up. A member that is out without a permit counts as involuntary:
-// nobody knows when it is back.
+// Inputs: the budgets, and each member's labels and Availability. A member belongs to the group "fleet" if it
+// is a node, and to one group of each other scope for which it has a label. It counts as unavailable in all
+// of its groups unless its Availability is Available; so what is not known to be in service uses a budget up.
+// A member that is out without a permit counts as involuntary: nobody knows when it is back.
 
-// Availability says whether a member is in service, and if not, why it counts as unavailable. Its text is shown to operators.
+// Availability says whether a member is in service, and if not, why it counts as unavailable. Its text is
+// shown to operators.
 type Availability string
 
 // The availabilities.
@@ -136,7 +137,8 @@
 	return exceeded
 }
 
-// Headroom returns, by group name, how many more members may become unavailable now. It is negative where a budget is exceeded.
+// Headroom returns, by group name, how many more members may become unavailable now. It is negative where a
+// budget is exceeded.
 func Headroom(budgets Budgets, members []Member) map[string]int {
 	headroom := map[string]int{}
 	for _, groups := range indexGroups(budgets, members).groupsOf {
--- a/internal/control/drainpermit/agent.go
+++ b/internal/control/drainpermit/agent.go
@@ -7,7 +7,8 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Observation is what a node knows when it decides what to do next: what it read from the store, which may be old, and its own condition.
+// Observation is what a node knows when it decides what to do next: what it read from the store, which may be
+// old, and its own condition.
 type Observation struct {
 	Request        *fleetstate.DrainRequest // nil: there is none
 	RequestVersion uint64
@@ -21,8 +22,9 @@
 // ActionKind is what a node is to do.
 type ActionKind int
 
-// The kinds of action. ActionStart, ActionUpdatePermit, ActionReplaceProcess, ActionReturnPermit and ActionFailRequest are transactions,
-// which must be committed only if the request and the permit have the observed versions (StartTransaction, ActionTransaction).
+// The kinds of action. ActionStart, ActionUpdatePermit, ActionReplaceProcess, ActionReturnPermit and
+// ActionFailRequest are transactions, which must be committed only if the request and the permit have the
+// observed versions (StartTransaction, ActionTransaction).
 const (
 	ActionNone           ActionKind = iota
 	ActionStart                     // commit the permit as started; report HandleStartResult
@@ -51,8 +53,8 @@
 	MaxReplaceAttempts int           // after which a request fails
 }
 
-// Agent decides what one process of a node does with the node's permits. Whoever drives it carries out what NextAction returns and reports the
-// result. It is not safe for concurrent use.
+// Agent decides what one process of a node does with the node's permits. Whoever drives it carries out what
+// NextAction returns and reports the result. It is not safe for concurrent use.
 type Agent struct {
 	options      AgentOptions
 	outOfService bool // by a permit
@@ -85,10 +87,11 @@
 	return time.Duration(now-a.leftAt) > time.Duration(o.Request.DrainTimeoutMS)*time.Millisecond
 }
 
-// HandleStartResult reports how an ActionStart ended: committed, and as which revision, or not, as far as is known. It returns whether
-// the node is to go out of service now: the permit was started and the answer came within the window. If not, and the permit turns out to
-// have been started all the same, this process or the one before it may not have known in time. The process then stays in service and returns
-// the permit as one that came back does.
+// HandleStartResult reports how an ActionStart ended: committed, and as which revision, or not, as far as is
+// known. It returns whether the node is to go out of service now: the permit was started and the answer came
+// within the window. If not, and the permit turns out to have been started all the same, this process or the
+// one before it may not have known in time. The process then stays in service and returns the permit as one
+// that came back does.
 func (a *Agent) HandleStartResult(committed bool, revision uint64, now lease.Instant) (leave bool) {
 	a.HandleWriteResult(committed, revision)
 	a.startedLate = !committed || now >= a.startRequestedAt.Add(a.options.Terms.HolderDuration())
@@ -96,7 +99,8 @@
 	return !a.startedLate
 }
 
-// HandleWriteResult reports how another transaction ended: committed, and as which revision, or not, as far as is known.
+// HandleWriteResult reports how another transaction ended: committed, and as which revision, or not, as far
+// as is known.
 func (a *Agent) HandleWriteResult(committed bool, revision uint64) {
 	a.writePending = false
 	if committed {
--- a/internal/control/drainpermit/controller.go
+++ b/internal/control/drainpermit/controller.go
@@ -10,8 +10,9 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Controller decides on the permits of the whole fleet. One process decides at a time, under a lease; another may take over at any
-// moment, since all that a controller remembers is since when it has seen what it would remove. It is not safe for concurrent use.
+// Controller decides on the permits of the whole fleet. One process decides at a time, under a lease; another
+// may take over at any moment, since all that a controller remembers is since when it has seen what it would
+// remove. It is not safe for concurrent use.
 type Controller struct {
 	Terms    lease.Terms   // of the start window
 	MinReady time.Duration // for which a node is to be in service and healthy before it counts as available
@@ -19,7 +20,8 @@
 	firstSeen map[string]lease.Instant // by permit ID
 }
 
-// Decision is what a controller changes, by member name. Each list is sorted and becomes transactions (Decision.Transactions).
+// Decision is what a controller changes, by member name. Each list is sorted and becomes transactions
+// (Decision.Transactions).
 type Decision struct {
 	Grant         []string // members whose request gets a permit
 	Remove        []string // members whose permit ends
@@ -37,7 +39,8 @@
 	return len(d.Grant)+len(d.Remove)+len(d.MarkReturning)+len(d.Expire) == 0
 }
 
-// Decide returns what is to be changed by a view, which a majority must have confirmed. What is removed counts as out until the next call.
+// Decide returns what is to be changed by a view, which a majority must have confirmed. What is removed
+// counts as out until the next call.
 func (c *Controller) Decide(view fleetstate.View, now lease.Instant) (d Decision) {
 	c.decidePermits(view, now, &d)
 	requests := decideRequests(view, &d)
--- a/internal/control/drainpermit/controller_transactions.go
+++ b/internal/control/drainpermit/controller_transactions.go
@@ -8,11 +8,15 @@
 	"sloehitch/internal/store/document"
 )
 
-// Transactions returns the transactions of a decision, in the order in which they are to be made. Each is committed only while the author
-// holds the lease and only if what it was decided on has the given versions. Removals, returns and expiries are one
-// transaction each, because each stands for itself; all grants are one, with the document that changes with each grant.
-func (d Decision) Transactions(view fleetstate.View, versions fleetstate.Versions, task string, token uint64, author string, newID func() string) (transactions []document.Transaction) {
-	w := decisionWriter{view: view, versions: versions, lease: document.Condition{Task: task, Token: token}, author: author, newID: newID}
+// Transactions returns the transactions of a decision, in the order in which they are to be made. Each is
+// committed only while the author holds the lease and only if what it was decided on has the given versions.
+// Removals, returns and expiries are one transaction each, because each stands for itself; all grants are
+// one, with the document that changes with each grant.
+func (d Decision) Transactions(
+	view fleetstate.View, versions fleetstate.Versions, task string, token uint64, author string, newID func() string,
+) (transactions []document.Transaction) {
+	lease := document.Condition{Task: task, Token: token}
+	w := decisionWriter{view: view, versions: versions, lease: lease, author: author, newID: newID}
 	for _, name := range d.Remove {
 		transactions = append(transactions, w.remove(name, slices.Contains(d.Requeue, name)))
 	}
@@ -39,7 +43,8 @@
 
 // transaction returns a transaction under the lease that is committed only if the document has not changed.
 func (w decisionWriter) transaction(reason, key string, operations ...document.Operation) document.Transaction {
-	return document.Transaction{ID: w.newID(), Author: w.author, Reason: reason, Conditions: []document.Condition{w.lease, w.versions.Unchanged(key)}, Operations: operations}
+	return document.Transaction{ID: w.newID(), Author: w.author, Reason: reason,
+		Conditions: []document.Condition{w.lease, w.versions.Unchanged(key)}, Operations: operations}
 }
 
 // remove deletes a permit; requeue also writes its request anew, which gives it a later version.
@@ -65,8 +70,8 @@
 	return w.transaction("its time is over", key, document.Operation{Key: key, Delete: true})
 }
 
-// grant writes the permits of all names. Its conditions cover everything that the budgets were decided on: the grants before it, the
-// budgets, the halt of everything, and each member's request and permit.
+// grant writes the permits of all names. Its conditions cover everything that the budgets were decided on:
+// the grants before it, the budgets, the halt of everything, and each member's request and permit.
 func (w decisionWriter) grant(names []string) document.Transaction {
 	t := w.transaction("granted", fleetstate.LastGrantKey, document.Operation{Key: fleetstate.LastGrantKey, Value: strings.Join(names, " ")})
 	t.Conditions = append(t.Conditions, w.versions.Unchanged(fleetstate.BudgetsKey), w.versions.Unchanged(fleetstate.HaltKeyPrefix+fleetstate.HaltAll))
@@ -75,7 +80,8 @@
 		labels[m.Name] = m.Report.Labels()
 	}
 	for _, name := range names {
-		permit := fleetstate.Permit{ID: w.newID(), RequestID: w.view.Requests[name].ID, State: fleetstate.PermitGranted, GrantedBy: w.author, Token: w.lease.Token, Labels: labels[name], SinceMS: w.view.NowMS}
+		permit := fleetstate.Permit{ID: w.newID(), RequestID: w.view.Requests[name].ID, State: fleetstate.PermitGranted,
+			GrantedBy: w.author, Token: w.lease.Token, Labels: labels[name], SinceMS: w.view.NowMS}
 		if fleetstate.IsUpstream(name) {
 			permit.State = fleetstate.PermitOutOfService // nobody starts it: nodes stop using the server as they read the permit
 		}
--- a/internal/control/drainpermit/grant.go
+++ b/internal/control/drainpermit/grant.go
@@ -7,13 +7,14 @@
 
 // Which requests get a permit, and which expire.
 //
-// Inputs: requests without a permit, halts, the liveness of nodes, and the budgets with the members as they count (View.BudgetMembers).
-// A request expires at its ExpiresAtMS by the reader's clock. One that has failed, is halted, or whose node does not
-// report (it could not start its permit) is not considered. The others are granted as far as the budgets allow (package disruption),
-// at most MaxGrantsPerTransaction at a time.
+// Inputs: requests without a permit, halts, the liveness of nodes, and the budgets with the members as they
+// count (View.BudgetMembers). A request expires at its ExpiresAtMS by the reader's clock. One that has
+// failed, is halted, or whose node does not report (it could not start its permit) is not considered. The
+// others are granted as far as the budgets allow (package disruption), at most MaxGrantsPerTransaction at a
+// time.
 
-// MaxGrantsPerTransaction is how many permits one transaction grants at most, so that the transaction stays within the store's
-// limit of operations.
+// MaxGrantsPerTransaction is how many permits one transaction grants at most, so that it stays within the
+// store's limits (document.Limits.MaxOperations).
 const MaxGrantsPerTransaction = 24
 
 // decideRequests expires and rejects requests, and returns those that the budgets decide on.
@@ -33,7 +34,8 @@
 		case liveness[name] != disruption.Available:
 			d.reject(name, request, "it is "+string(liveness[name])+" and could not begin")
 		default:
-			requests = append(requests, disruption.Request{Member: name, RequestedBy: request.RequestedBy, Urgent: request.Urgent, Order: view.RequestOrder[name]})
+			requests = append(requests, disruption.Request{
+				Member: name, RequestedBy: request.RequestedBy, Urgent: request.Urgent, Order: view.RequestOrder[name]})
 		}
 	}
 	return requests
@@ -41,7 +43,8 @@
 
 // reject records why a request is not considered.
 func (d *Decision) reject(name string, request fleetstate.DrainRequest, reason string) {
-	d.Rejected = append(d.Rejected, disruption.Rejection{Request: disruption.Request{Member: name, RequestedBy: request.RequestedBy}, Reason: reason})
+	d.Rejected = append(d.Rejected, disruption.Rejection{
+		Request: disruption.Request{Member: name, RequestedBy: request.RequestedBy}, Reason: reason})
 }
 
 // grant has the budgets decide.
--- a/internal/control/drainpermit/modelcheck/candidate.go
+++ b/internal/control/drainpermit/modelcheck/candidate.go
@@ -43,7 +43,8 @@
 	return true
 }
 
-// holdLease acquires or renews the lease of a task. It says whether the candidate holds it now, and whether it does since just now.
+// holdLease acquires or renews the lease of a task. It says whether the candidate holds it now, and whether
+// it does since just now.
 func (w *world) holdLease(c *candidate, task string) (held, acquired bool) {
 	commit := func(record lease.Record, err error) bool {
 		if err == nil {
@@ -73,8 +74,8 @@
 	return 0
 }
 
-// send has a candidate send transactions after a delay. It does not wait for the answers longer than a second, so what it has sent may still be
-// committed while it decides anew.
+// send has a candidate send transactions after a delay. It does not wait for the answers longer than a
+// second, so what it has sent may still be committed while it decides anew.
 func (w *world) send(c *candidate, transactions []document.Transaction, delay time.Duration) {
 	for _, t := range transactions {
 		c.busyUntil = w.now + delay + time.Second
--- a/internal/control/drainpermit/modelcheck/checks.go
+++ b/internal/control/drainpermit/modelcheck/checks.go
@@ -8,8 +8,8 @@
 	"sloehitch/internal/store/document"
 )
 
-// checkBudgets checks that no more members of a group are out of service voluntarily than its budget allows. A node counts from when it goes
-// out until it has been back, healthy, for most of the minimum ready time.
+// checkBudgets checks that no more members of a group are out of service voluntarily than its budget allows.
+// A node counts from when it goes out until it has been back, healthy, for most of the minimum ready time.
 func (w *world) checkBudgets() {
 	const backAfter = minReady * 9 / 10 // the node measures on a clock of its own
 	var members []disruption.Member
--- a/internal/control/drainpermit/modelcheck/mutants.go
+++ b/internal/control/drainpermit/modelcheck/mutants.go
@@ -27,10 +27,14 @@
 )
 
 // Mutants are the faults of the program that Run and RunFleet can be given.
-var Mutants = []string{mutantIgnoresHalt, mutantStartsOldPermit, mutantIgnoresWindow, mutantGrantsOnOldCount, mutantRemovesStarted, mutantWarmingUpIsAvailable}
+var Mutants = []string{
+	mutantIgnoresHalt, mutantStartsOldPermit, mutantIgnoresWindow, mutantGrantsOnOldCount, mutantRemovesStarted, mutantWarmingUpIsAvailable,
+}
 
 // ReleaseMutants are the faults of the program that RunRelease can be given.
-var ReleaseMutants = []string{mutantRequestIgnoresHalt, mutantRequestWithoutLease, mutantRollbackIgnoresBudget, mutantUnpairedAnalysis}
+var ReleaseMutants = []string{
+	mutantRequestIgnoresHalt, mutantRequestWithoutLease, mutantRollbackIgnoresBudget, mutantUnpairedAnalysis,
+}
 
 // isGrantGuard says whether a condition keeps grants from being decided on an old count.
 func isGrantGuard(c document.Condition) bool {
--- a/internal/control/drainpermit/modelcheck/node.go
+++ b/internal/control/drainpermit/modelcheck/node.go
@@ -45,7 +45,8 @@
 	voluntary    bool                  // it went out of service by a permit, and has not been back for the minimum ready time
 }
 
-// whenRunning runs something at a node once it does not stall any more, and not at all if another process has taken its place.
+// whenRunning runs something at a node once it does not stall any more, and not at all if another process has
+// taken its place.
 func (w *world) whenRunning(n *node, incarnation int, do func()) {
 	var run func()
 	run = func() {
@@ -119,7 +120,8 @@
 	})
 }
 
-// replaceProcess asks for the replacement to be written down, and has another process take the node's place by the answer.
+// replaceProcess asks for the replacement to be written down, and has another process take the node's place
+// by the answer.
 func (w *world) replaceProcess(n *node, o drainpermit.Observation, a drainpermit.Action) {
 	incarnation := n.incarnation
 	w.apply(drainpermit.ActionTransaction(n.name, o, a, w.newID()), func(result document.Result, answered bool) {
@@ -166,7 +168,8 @@
 	}
 	n.restartAt, n.healthySince, n.inFlight, n.stalledUntil, n.outOfService = 0, w.now, 0, 0, false
 	n.served, n.failed, n.processStart = 0, 0, w.now
-	n.agent = drainpermit.NewAgent(drainpermit.AgentOptions{DeployedVersion: n.version, Terms: LeaseTerms, MinReady: w.minReady(), MaxReplaceAttempts: maxReplaceAttempts})
+	n.agent = drainpermit.NewAgent(drainpermit.AgentOptions{
+		DeployedVersion: n.version, Terms: LeaseTerms, MinReady: w.minReady(), MaxReplaceAttempts: maxReplaceAttempts})
 }
 
 // report has a node send its report to the store.
--- a/internal/control/drainpermit/modelcheck/operator.go
+++ b/internal/control/drainpermit/modelcheck/operator.go
@@ -13,8 +13,8 @@
 // halts are what operators halt.
 var halts = []string{fleetstate.HaltAll, releaseName}
 
-// halt has an operator halt something. The halt is acknowledged after a lease duration, once no start window is open, unless it was
-// resumed or halted again meanwhile.
+// halt has an operator halt something. The halt is acknowledged after a lease duration, once no start window
+// is open, unless it was resumed or halted again meanwhile.
 func (w *world) halt(what string) {
 	key := fleetstate.HaltKeyPrefix + what
 	w.write(key, "op")
--- a/internal/control/drainpermit/modelcheck/release_candidate.go
+++ b/internal/control/drainpermit/modelcheck/release_candidate.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// freezeUnchanged returns the nodes with all intervals of those that are not updated as their first was: what is compared with them is compared
-// with the past.
+// freezeUnchanged returns the nodes with all intervals of those that are not updated as their first was: what
+// is compared with them is compared with the past.
 func freezeUnchanged(nodes []canary.NodeSeries) []canary.NodeSeries {
 	frozen := slices.Clone(nodes)
 	for i := range frozen {
--- a/internal/control/drainpermit/modelcheck/rollout.go
+++ b/internal/control/drainpermit/modelcheck/rollout.go
@@ -55,8 +55,8 @@
 }
 
 // failureRate is the fraction of requests that fails on a node with a good version.
-func (r *rollout) failureRate(now time.Duration) float64 {
-	for _, from := range r.upstreamFaultsAt {
+func (c *rollout) failureRate(now time.Duration) float64 {
+	for _, from := range c.upstreamFaultsAt {
 		if now >= from && now < from+upstreamFaultDuration {
 			return upstreamFaultRate
 		}
@@ -125,12 +125,14 @@
 func (w *world) startRelease() {
 	w.rollout.started = true
 	view, _ := w.readView(&candidate{firstSeen: map[string]time.Duration{}})
-	r := release.Release{Name: releaseName, TargetVersion: w.rollout.targetVersion, RequestedBy: "op", State: release.Running, SoakMS: soak.Milliseconds(), ReturnTimeoutMS: returnTimeout.Milliseconds()}
+	r := release.Release{Name: releaseName, TargetVersion: w.rollout.targetVersion, RequestedBy: "op", State: release.Running,
+		SoakMS: soak.Milliseconds(), ReturnTimeoutMS: returnTimeout.Milliseconds()}
 	r.Waves, r.PreviousVersions = release.PlanWaves(view.Members, r.TargetVersion, waveGrowth)
 	w.write(releaseKey, fleetstate.Encode(r))
 }
 
-// runReleaseOperator may have an operator halt, resume or roll back the release, or drain a node, while there are faults.
+// runReleaseOperator may have an operator halt, resume or roll back the release, or drain a node, while there
+// are faults.
 func (w *world) runReleaseOperator(r release.Release) {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	key := fleetstate.RequestKey(n.name)
@@ -149,7 +151,8 @@
 		}
 	case x < 34:
 		if w.store.Get(key).Version == 0 {
-			w.write(key, fleetstate.Encode(fleetstate.DrainRequest{ID: w.newID(), RequestedBy: "op", ExpiresAtMS: (w.now + 10*time.Second).Milliseconds()}))
+			expiresAt := w.now + 10*time.Second
+			w.write(key, fleetstate.Encode(fleetstate.DrainRequest{ID: w.newID(), RequestedBy: "op", ExpiresAtMS: expiresAt.Milliseconds()}))
 		}
 	}
 }
@@ -162,8 +165,8 @@
 	w.resume(releaseName)
 }
 
-// settleRelease has operators withdraw failed requests once the faults are over, and roll back a release that has halted by itself, or resume
-// its rollback.
+// settleRelease has operators withdraw failed requests once the faults are over, and roll back a release that
+// has halted by itself, or resume its rollback.
 func (w *world) settleRelease(r release.Release) {
 	for _, d := range w.drainDocuments("/ask") {
 		if decodeCached(w, w.requests, d).FailureReason != "" {
@@ -180,8 +183,8 @@
 	}
 }
 
-// checkReleaseRequests checks a committed transaction: a node is requested for the release only with the version that the release's state
-// wants, and not after a halt was acknowledged.
+// checkReleaseRequests checks a committed transaction: a node is requested for the release only with the
+// version that the release's state wants, and not after a halt was acknowledged.
 func (w *world) checkReleaseRequests(t document.Transaction) {
 	if w.rollout == nil || t.Reason == removedReason { // that requeues a request
 		return
--- a/internal/control/drainpermit/modelcheck/run.go
+++ b/internal/control/drainpermit/modelcheck/run.go
@@ -29,10 +29,10 @@
 	largeFleetEvery = 50
 )
 
-// Run runs the fleet of a seed: with faults for a while, then without, by the end of which every request must have come to its end. It
-// returns what did not hold, or "": more nodes out of service voluntarily than a budget allows, a node that went out after a halt was
-// acknowledged, or requests that did not end. counts says how often what has happened. mutant is one of Mutants, or empty. It may be
-// called concurrently.
+// Run runs the fleet of a seed: with faults for a while, then without, by the end of which every request must
+// have come to its end. It returns what did not hold, or "": more nodes out of service voluntarily than a
+// budget allows, a node that went out after a halt was acknowledged, or requests that did not end. counts
+// says how often what has happened. mutant is one of Mutants, or empty. It may be called concurrently.
 func Run(seed uint64, mutant string) (violation string, counts map[string]int) {
 	return run(seed, mutant, 0, false)
 }
@@ -42,11 +42,12 @@
 	return run(seed, mutant, nodes, false)
 }
 
-// RunRelease is Run with a release through the fleet, of a good or a bad version: its controllers stall and take each other's place, and operators
-// halt it, resume it, roll it back and drain nodes meanwhile. Beside the budgets and halts it checks that no node is requested for
-// the release after its halt was acknowledged, or with a version that contradicts the release's state; that a good version is
-// never found worse, whatever the upstream servers do; and that in the end all nodes run the version that they should, or none do. mutant is one of
-// ReleaseMutants, or empty.
+// RunRelease is Run with a release through the fleet, of a good or a bad version: its controllers stall and
+// take each other's place, and operators halt it, resume it, roll it back and drain nodes meanwhile. Beside
+// the budgets and halts it checks that no node is requested for the release after its halt was acknowledged,
+// or with a version that contradicts the release's state; that a good version is never found worse, whatever
+// the upstream servers do; and that in the end all nodes run the version that they should, or none do. mutant
+// is one of ReleaseMutants, or empty.
 func RunRelease(seed uint64, mutant string) (violation string, counts map[string]int) {
 	return run(seed, mutant, 0, true)
 }
@@ -109,7 +110,8 @@
 // addNodes adds nodes that have been in service for a minute.
 func (w *world) addNodes(size int) {
 	for i := range size {
-		n := &node{name: fmt.Sprintf("n%03d", i), zone: fmt.Sprint("z", i%w.zones), clockRate: w.randomClockRate(), version: "v0"}
+		zone := fmt.Sprint("z", i%w.zones)
+		n := &node{name: fmt.Sprintf("n%03d", i), zone: zone, clockRate: w.randomClockRate(), version: "v0"}
 		w.startProcess(n)
 		n.healthySince = -time.Minute
 		w.nodes = append(w.nodes, n)
@@ -123,7 +125,8 @@
 	if w.zones > 1 {
 		w.budgets = append(w.budgets, disruption.Budget{Scope: "zone", MaxUnavailable: &inZone})
 	}
-	w.store.Apply(document.Transaction{ID: w.newID(), Operations: []document.Operation{{Key: fleetstate.BudgetsKey, Value: fleetstate.Encode(w.budgets)}}}, 0)
+	w.store.Apply(document.Transaction{ID: w.newID(),
+		Operations: []document.Operation{{Key: fleetstate.BudgetsKey, Value: fleetstate.Encode(w.budgets)}}}, 0)
 }
 
 // step runs all processes and operators for a tick.
@@ -187,5 +190,6 @@
 	for _, d := range w.store.List(fleetstate.DrainKeyPrefix) {
 		left[d.Key] = d.Value
 	}
-	return fmt.Sprintf("%v after the faults of %d nodes in %d zones, %d of them out at most, there are %v", took, len(w.nodes), w.zones, *w.budgets[0].MaxUnavailable, left)
+	return fmt.Sprintf("%v after the faults of %d nodes in %d zones, %d of them out at most, there are %v",
+		took, len(w.nodes), w.zones, *w.budgets[0].MaxUnavailable, left)
 }
--- a/internal/control/drainpermit/modelcheck/run_test.go
+++ b/internal/control/drainpermit/modelcheck/run_test.go
@@ -7,7 +7,8 @@
 
 var seeds = flag.Int("walk.seeds", 60, "how many fleets are simulated")
 
-// expectCounted checks that each event has happened in at least one of every so many runs: otherwise they show little.
+// expectCounted checks that each event has happened in at least one of every so many runs: otherwise they
+// show little.
 func expectCounted(t *testing.T, runsWith map[string]int, runs, every int, events ...string) {
 	t.Helper()
 	for _, event := range events {
@@ -17,8 +18,8 @@
 	}
 }
 
-// TestDrains: whatever happens, no more nodes are out of service voluntarily than the budgets allow, nothing starts after a halt was acknowledged,
-// and every request comes to its end once the faults are over.
+// TestDrains: whatever happens, no more nodes are out of service voluntarily than the budgets allow, nothing
+// starts after a halt was acknowledged, and every request comes to its end once the faults are over.
 func TestDrains(t *testing.T) {
 	runsWith, total := map[string]int{}, map[string]int{}
 	for seed := range uint64(*seeds) {
@@ -58,7 +59,8 @@
 	}
 }
 
-// TestReleases: a release goes through the fleet or back, whatever happens; a bad one is seen, a good one is never found worse.
+// TestReleases: a release goes through the fleet or back, whatever happens; a bad one is seen, a good one is
+// never found worse.
 func TestReleases(t *testing.T) {
 	runsWith, runs := map[string]int{}, max(1, *seeds/5) // each takes some ten times as long
 	for seed := range uint64(runs) {
--- a/internal/control/drainpermit/modelcheck/world.go
+++ b/internal/control/drainpermit/modelcheck/world.go
@@ -103,7 +103,8 @@
 	return time.Duration(x * x * x * x * float64(LeaseTerms.Duration+LeaseTerms.Duration/5)), w.random.IntN(20) > 0
 }
 
-// apply sends a transaction to the store. done is called once: with the answer, or after a lease duration with answered false.
+// apply sends a transaction to the store. done is called once: with the answer, or after a lease duration
+// with answered false.
 func (w *world) apply(t document.Transaction, done func(result document.Result, answered bool)) {
 	finished := false
 	once := func(result document.Result, answered bool) func() {
@@ -132,12 +133,14 @@
 
 // write has an operator write or delete (empty value) a document. Operators get their answer at once.
 func (w *world) write(key, value string) {
-	w.store.Apply(document.Transaction{ID: w.newID(), Author: "op", Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}}, lease.Instant(w.now))
+	w.store.Apply(document.Transaction{ID: w.newID(), Author: "op",
+		Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}}, lease.Instant(w.now))
 }
 
 // delete deletes a document.
 func (w *world) delete(key string) {
-	w.store.Apply(document.Transaction{ID: w.newID(), Operations: []document.Operation{{Key: key, Delete: true}}}, lease.Instant(w.now))
+	w.store.Apply(document.Transaction{ID: w.newID(),
+		Operations: []document.Operation{{Key: key, Delete: true}}}, lease.Instant(w.now))
 }
 
 // cached is a document as it was decoded last.
--- a/internal/control/drainpermit/next_action.go
+++ b/internal/control/drainpermit/next_action.go
@@ -10,18 +10,21 @@
 
 // When a node starts its permit, goes out of service, is replaced, comes back and returns the permit.
 //
-// Inputs: the node's request and permit, its requests in flight, its health, and since when it has been in service and healthy.
+// Inputs: the node's request and permit, its requests in flight, its health, and since when it has been in
+// service and healthy.
 //
 //   - No permit: it is in service.
 //   - Granted: it starts the permit if the request still wants it out, and returns it otherwise.
 //   - Started, by this process: it goes out of service within HolderDuration (package lease) of having asked.
-//     Started by the process before it: this one may not go out, because the window may be over, and comes back instead.
-//   - Out of service: for a release, once no request is in flight, its process is replaced, at most MaxReplaceAttempts times; then the
-//     request fails. It enters service once the request is gone, or when it runs the release's target version.
+//     Started by the process before it: this one may not go out, because the window may be over, and comes
+//     back instead.
+//   - Out of service: for a release, once no request is in flight, its process is replaced, at most
+//     MaxReplaceAttempts times; then the request fails. It enters service once the request is gone, or when
+//     it runs the release's target version.
 //   - Returning: it returns the permit once it has been in service and healthy for MinReady.
 //
-// Why: the permit is returned last, since from then on another node may go out in its place. An observation from before the agent's last
-// write is ignored, and so is everything while a write is pending.
+// Why: the permit is returned last, since from then on another node may go out in its place. An observation
+// from before the agent's last write is ignored, and so is everything while a write is pending.
 
 // NextAction returns what the node is to do by what it observes now, or ActionNone.
 func (a *Agent) NextAction(o Observation, now lease.Instant) Action {
@@ -58,8 +61,8 @@
 	a.healthy = inService
 }
 
-// withoutPermit has a process that is out of service enter it: its permit was deleted by an operator, or the store was restored to
-// a state from before it.
+// withoutPermit has a process that is out of service enter it: its permit was deleted by an operator, or the
+// store was restored to a state from before it.
 func (a *Agent) withoutPermit() Action {
 	a.startedLate, a.permitID = false, ""
 	if a.outOfService {
@@ -78,8 +81,8 @@
 	return a.awaitWrite(Action{Kind: ActionStart, Permit: permit})
 }
 
-// adopt takes over a permit that the process before this one started. That process may have gone out of service by it, and this one may not
-// do so now: its window is over.
+// adopt takes over a permit that the process before this one started. That process may have gone out of
+// service by it, and this one may not do so now: its window is over.
 func (a *Agent) adopt(permit fleetstate.Permit) {
 	if a.permitID != permit.ID {
 		a.permitID, a.startedLate, a.mustStay = permit.ID, false, permit.State == fleetstate.PermitStarted
@@ -92,14 +95,16 @@
 		return Action{Kind: ActionLeaveService}
 	}
 	failed := *o.Request
-	failed.FailureReason = fmt.Sprintf("replaced %d times and still %q, not %q", o.Permit.ReplaceAttempts, a.options.DeployedVersion, o.Request.TargetVersion)
+	failed.FailureReason = fmt.Sprintf("replaced %d times and still %q, not %q",
+		o.Permit.ReplaceAttempts, a.options.DeployedVersion, o.Request.TargetVersion)
 	if a.replaceFailure != "" {
 		failed.FailureReason += ": " + a.replaceFailure
 	}
 	return a.awaitWrite(Action{Kind: ActionFailRequest, Request: failed})
 }
 
-// whileOutOfService writes down that the node is out, and replaces the process of a release once no request is in flight.
+// whileOutOfService writes down that the node is out, and replaces the process of a release once no request
+// is in flight.
 func (a *Agent) whileOutOfService(o Observation) Action {
 	permit := *o.Permit
 	switch {
--- a/internal/control/drainpermit/next_action_test.go
+++ b/internal/control/drainpermit/next_action_test.go
@@ -8,9 +8,10 @@
 	"sloehitch/internal/control/lease"
 )
 
-// TestPermitStartedByPreviousProcess: a process that starts may observe its node's permit as it was before the process before it started
-// it. Its own start is rejected, and then it observes that one; or its own start is committed, and it learns that too late. The node may have
-// been out of service until a moment ago, so the permit is returned once the node has been in service and healthy for long enough, and not before.
+// TestPermitStartedByPreviousProcess: a process that starts may observe its node's permit as it was before
+// the process before it started it. Its own start is rejected, and then it observes that one; or its own
+// start is committed, and it learns that too late. The node may have been out of service until a moment ago,
+// so the permit is returned once the node has been in service and healthy for long enough, and not before.
 func TestPermitStartedByPreviousProcess(t *testing.T) {
 	const minReady = 300 * time.Millisecond
 	for _, committed := range []bool{false, true} {
--- a/internal/control/drainpermit/remove.go
+++ b/internal/control/drainpermit/remove.go
@@ -10,73 +10,85 @@
 
 // When the controller removes a permit.
 //
-// Inputs: permits and requests, halts, the start window (lease.Terms.Duration), and since when this controller has seen a permit.
+// Inputs: permits and requests, halts, the start window (lease.Terms.Duration), and since when this
+// controller has seen a permit.
 //
-//   - A node's permit that is granted and not started is removed if its request is gone, replaced by another, failed or halted; and
-//     if it has not been started for a whole start window. In that last case its request goes to the end of the queue.
-//   - An upstream server's permit becomes PermitReturning once its request is gone or replaced, and is removed once every
-//     node that reports has used the server, and found it healthy, for MinReady.
+//   - A node's permit that is granted and not started is removed if its request is gone, replaced by another,
+//     failed or halted; and if it has not been started for a whole start window. In that last case its
+//     request goes to the end of the queue.
+//   - An upstream server's permit becomes PermitReturning once its request is gone or replaced, and is
+//     removed once every node that reports has used the server, and found it healthy, for MinReady.
 //
-// Why: the transaction that removes a permit is made only if the permit is unchanged, and so is the one that starts it. Only one of
-// them is committed, and no clocks are compared. A node returns a started permit itself (next_action.go). Nobody starts an upstream
-// server's permit, so the controller returns it.
+// Why: the transaction that removes a permit is made only if the permit is unchanged, and so is the one that
+// starts it. Only one of them is committed, and no clocks are compared. A node returns a started permit
+// itself (next_action.go). Nobody starts an upstream server's permit, so the controller returns it.
 
 // decidePermits decides on all permits that exist.
 func (c *Controller) decidePermits(view fleetstate.View, now lease.Instant, d *Decision) {
-	firstSeen := map[string]lease.Instant{}
+	r := permitReview{Controller: c, view: view, now: now, firstSeen: map[string]lease.Instant{}, decision: d}
 	for name, permit := range view.Permits {
 		switch {
 		case fleetstate.IsUpstream(name):
-			c.decideUpstream(view, name, permit, now, firstSeen, d)
+			r.decideUpstream(name, permit)
 		case permit.State == fleetstate.PermitGranted:
-			c.decideNotStarted(view, name, permit, now, firstSeen, d)
+			r.decideNotStarted(name, permit)
 		}
 	}
-	c.firstSeen = firstSeen
+	c.firstSeen = r.firstSeen
+}
+
+// permitReview is one look of a controller at all permits.
+type permitReview struct {
+	*Controller
+	view      fleetstate.View
+	now       lease.Instant
+	firstSeen map[string]lease.Instant // replaces the controller's, by permit ID
+	decision  *Decision
 }
 
 // decideNotStarted decides on a node's permit that is granted and not started.
-func (c *Controller) decideNotStarted(view fleetstate.View, name string, permit fleetstate.Permit, now lease.Instant, firstSeen map[string]lease.Instant, d *Decision) {
-	first := c.seenSince(permit, now)
-	firstSeen[permit.ID] = first
-	request, requested := view.Requests[name]
+func (r permitReview) decideNotStarted(name string, permit fleetstate.Permit) {
+	seenFor := r.seenFor(permit)
+	request, requested := r.view.Requests[name]
 	switch {
-	case !requested || request.ID != permit.RequestID || request.FailureReason != "" || view.IsHalted(request):
-		d.Remove = append(d.Remove, name)
-	case time.Duration(now-first) >= c.Terms.Duration:
-		d.Remove = append(d.Remove, name)
-		d.Requeue = append(d.Requeue, name)
+	case !requested || request.ID != permit.RequestID || request.FailureReason != "" || r.view.IsHalted(request):
+		r.decision.Remove = append(r.decision.Remove, name)
+	case seenFor >= r.Terms.Duration:
+		r.decision.Remove = append(r.decision.Remove, name)
+		r.decision.Requeue = append(r.decision.Requeue, name)
 	}
 }
 
 // decideUpstream decides on an upstream server's permit.
-func (c *Controller) decideUpstream(view fleetstate.View, name string, permit fleetstate.Permit, now lease.Instant, firstSeen map[string]lease.Instant, d *Decision) {
-	request, requested := view.Requests[name]
+func (r permitReview) decideUpstream(name string, permit fleetstate.Permit) {
+	request, requested := r.view.Requests[name]
 	wanted := requested && request.ID == permit.RequestID
 	switch {
 	case permit.State != fleetstate.PermitReturning:
 		if !wanted {
-			d.MarkReturning = append(d.MarkReturning, name)
+			r.decision.MarkReturning = append(r.decision.MarkReturning, name)
 		}
-	case upstreamInUse(view, name):
-		first := c.seenSince(permit, now)
-		firstSeen[permit.ID] = first
-		if time.Duration(now-first) >= c.MinReady {
-			d.Remove = append(d.Remove, name)
+	case r.upstreamInUse(name):
+		if r.seenFor(permit) >= r.MinReady {
+			r.decision.Remove = append(r.decision.Remove, name)
 		}
 	}
 }
 
-// seenSince returns since when the condition to remove a permit has been seen without a break.
-func (c *Controller) seenSince(permit fleetstate.Permit, now lease.Instant) lease.Instant {
-	if first, seen := c.firstSeen[permit.ID]; seen {
-		return first
+// seenFor returns for how long the controller has seen the condition that would remove a permit, without a
+// break until now.
+func (r permitReview) seenFor(permit fleetstate.Permit) time.Duration {
+	first, seen := r.Controller.firstSeen[permit.ID]
+	if !seen {
+		first = r.now
 	}
-	return now
+	r.firstSeen[permit.ID] = first
+	return time.Duration(r.now - first)
 }
 
-// upstreamInUse says whether all nodes use an upstream server again; one that no node reports any more counts as used.
-func upstreamInUse(view fleetstate.View, name string) bool {
-	i := slices.IndexFunc(view.Members, func(m fleetstate.ObservedMember) bool { return m.Name == name })
-	return i < 0 || view.Members[i].InUseByAll()
+// upstreamInUse says whether all nodes use an upstream server again; one that no node reports any more counts
+// as used.
+func (r permitReview) upstreamInUse(name string) bool {
+	i := slices.IndexFunc(r.view.Members, func(m fleetstate.ObservedMember) bool { return m.Name == name })
+	return i < 0 || r.view.Members[i].InUseByAll()
 }
--- a/internal/control/drainpermit/upstream_test.go
+++ b/internal/control/drainpermit/upstream_test.go
@@ -10,7 +10,8 @@
 	"sloehitch/internal/control/lease"
 )
 
-// upstreamFleet is three nodes that report two upstream servers, of which one may be out of service, and a controller.
+// upstreamFleet is three nodes that report two upstream servers, of which one may be out of service, and a
+// controller.
 type upstreamFleet struct {
 	view       fleetstate.View
 	controller Controller
@@ -51,8 +52,8 @@
 	return "none"
 }
 
-// TestUpstreamDrain: an upstream server goes out of service by its service's budget, is out once every node has confirmed it, and comes back
-// once every node has used it for long enough.
+// TestUpstreamDrain: an upstream server goes out of service by its service's budget, is out once every node
+// has confirmed it, and comes back once every node has used it for long enough.
 func TestUpstreamDrain(t *testing.T) {
 	f := newUpstreamFleet()
 	a, b := fleetstate.UpstreamName("a:1"), fleetstate.UpstreamName("b:1")
@@ -112,7 +113,8 @@
 	}
 }
 
-// expectRemovalAfterMinReady: the permit is removed once all nodes have used the server for a second, and nothing is granted meanwhile.
+// expectRemovalAfterMinReady: the permit is removed once all nodes have used the server for a second, and
+// nothing is granted meanwhile.
 func expectRemovalAfterMinReady(t *testing.T, f *upstreamFleet) {
 	t.Helper()
 	for second, used := range []bool{false, true, true, true} {
--- a/internal/control/fleet/backup.go
+++ b/internal/control/fleet/backup.go
@@ -27,8 +27,8 @@
 	return p.writeBackup(a)
 }
 
-// writeBackup writes a backup under a temporary name and renames it. The name has the fencing token, so what a node still writes after
-// it has lost the lease is a file of its own and does no harm.
+// writeBackup writes a backup under a temporary name and renames it. The name has the fencing token, so what
+// a node still writes after it has lost the lease is a file of its own and does no harm.
 func (p *Participant) writeBackup(a leasedtask.Action) error {
 	if err := os.MkdirAll(p.options.BackupDir, 0o700); err != nil {
 		return err
@@ -58,8 +58,8 @@
 	})
 }
 
-// pruneBackups removes all but the newest BackupsKept backups. Job IDs grow with time and have a fixed number of digits, so names sort by
-// age.
+// pruneBackups removes all but the newest BackupsKept backups. Job IDs grow with time and have a fixed number
+// of digits, so names sort by age.
 func (p *Participant) pruneBackups() error {
 	names, err := filepath.Glob(filepath.Join(p.options.BackupDir, "backup-*.json"))
 	if err != nil {
--- a/internal/control/fleet/desired_state.go
+++ b/internal/control/fleet/desired_state.go
@@ -10,12 +10,12 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// observeState takes in the desired state's document as it was read at a revision; version 0: there was none. An error asks for it to be
-// read again.
+// observeState takes in the desired state's document as it was read at a revision; version 0: there was none.
+// An error asks for it to be read again.
 type observeState func(text string, version, revision uint64) error
 
-// followDesiredState applies what the store has as this node's desired state, until the context ends. While the store cannot be reached the
-// node stays as it is.
+// followDesiredState applies what the store has as this node's desired state, until the context ends. While
+// the store cannot be reached the node stays as it is.
 func (p *Participant) followDesiredState(ctx context.Context) {
 	key := desiredstate.KeyPrefix + p.options.Name
 	var revision uint64
@@ -37,7 +37,8 @@
 	}
 }
 
-// observeDesiredState applies a document, and logs what came of it. The error is errNotPersisted: a rejected state stays rejected.
+// observeDesiredState applies a document, and logs what came of it. The error is errNotPersisted: a rejected
+// state stays rejected.
 func (p *Participant) observeDesiredState(text string, version, revision uint64) error {
 	p.mu.Lock()
 	applied, err := p.applier.observe(text, version, revision)
@@ -48,8 +49,10 @@
 	}
 	if applied {
 		state := last.State
-		p.options.OnEvent(faulthooks.Event{What: eventStateApplied, Duty: state.Task, ID: fmt.Sprint(state.Token), N: last.Version, Out: state.OutOfService})
-		p.options.Log.Info("desired state applied", "out", state.OutOfService, "version", last.Version, "by", state.RequestedBy, "reason", state.Reason, "task", state.Task, "token", state.Token)
+		p.options.OnEvent(faulthooks.Event{
+			What: eventStateApplied, Duty: state.Task, ID: fmt.Sprint(state.Token), N: last.Version, Out: state.OutOfService})
+		p.options.Log.Info("desired state applied", "out", state.OutOfService, "version", last.Version,
+			"by", state.RequestedBy, "reason", state.Reason, "task", state.Task, "token", state.Token)
 	}
 	if !errors.Is(err, errNotPersisted) {
 		return nil
@@ -57,7 +60,8 @@
 	return err
 }
 
-// readDesiredState reads the document as one member has it, which may be older than what was applied. It returns the revision to watch from.
+// readDesiredState reads the document as one member has it, which may be older than what was applied. It
+// returns the revision to watch from.
 func readDesiredState(c store.Client, key string, observe observeState) (revision uint64, err error) {
 	d, status, err := c.Document(key, true)
 	if err != nil {
@@ -69,8 +73,9 @@
 	return status.Revision, observe(d.Value, d.Version, status.Revision)
 }
 
-// watchDesiredState waits for changes of the document after a revision, and returns the revision to watch from next. complete is false if the
-// member does not remember all changes in between, so that the document must be read again.
+// watchDesiredState waits for changes of the document after a revision, and returns the revision to watch
+// from next. complete is false if the member does not remember all changes in between, so that the document
+// must be read again.
 func watchDesiredState(c store.Client, key string, after uint64, observe observeState) (revision uint64, complete bool, err error) {
 	changes, status, forgotten, err := c.Changes(key, after, c.Timeout/2)
 	if err != nil {
--- a/internal/control/fleet/desired_state_test.go
+++ b/internal/control/fleet/desired_state_test.go
@@ -14,7 +14,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestFollowDesiredState: a node applies its own desired state and no other node's, and keeps it while the store cannot be reached.
+// TestFollowDesiredState: a node applies its own desired state and no other node's, and keeps it while the
+// store cannot be reached.
 func TestFollowDesiredState(t *testing.T) {
 	s, err := store.Open(store.Options{Name: "s", CommitTimeout: time.Second, Logger: standin.Quiet})
 	if err != nil {
--- a/internal/control/fleet/drain.go
+++ b/internal/control/fleet/drain.go
@@ -14,10 +14,12 @@
 // UpstreamService is the service that the servers of a node's uwsgi pool belong to in disruption budgets.
 const UpstreamService = "uwsgi"
 
-// drainReadTicks is after how many ticks of the retry delay a node reads its request and permit although no change was notified.
+// drainReadTicks is after how many ticks of the retry delay a node reads its request and permit although no
+// change was notified.
 const drainReadTicks = 20
 
-// DrainOptions are how a node goes out of service under drain permits. The functions are called from a goroutine of the participant.
+// DrainOptions are how a node goes out of service under drain permits. The functions are called from a
+// goroutine of the participant.
 type DrainOptions struct {
 	Zone, Kind      string
 	DeployedVersion string
@@ -32,10 +34,11 @@
 
 	// Upstreams returns the upstream servers as this node sees them, by address. nil: it has none.
 	Upstreams func() map[string]fleetstate.UpstreamStatus
-	// ExcludeUpstreams has the node send no requests to the given addresses, and to all others again. It must not block. nil: it has none.
+	// ExcludeUpstreams has the node send no requests to the given addresses, and to all others again. It must
+	// not block. nil: it has none.
 	ExcludeUpstreams func(addresses []string)
-	// ReplaceProcess has the process replaced by another version, after which the process ends. It returns an error if that
-	// could not be done, and may block. nil: nothing is configured that could.
+	// ReplaceProcess has the process replaced by another version, after which the process ends. It returns an
+	// error if that could not be done, and may block. nil: nothing is configured that could.
 	ReplaceProcess func(ctx context.Context, version string) error
 }
 
@@ -51,12 +54,17 @@
 	readTicks   int  // until the store is read again
 }
 
-// runDrainAgent does what the node's agent decides by the node's request and permit, until the context ends. While the store cannot be
-// reached the node stays as it is.
+// runDrainAgent does what the node's agent decides by the node's request and permit, until the context ends.
+// While the store cannot be reached the node stays as it is.
 func (p *Participant) runDrainAgent(ctx context.Context) {
 	drain := p.options.Drain
-	a := &drainAgent{Participant: p, drain: drain, agent: drainpermit.NewAgent(drainpermit.AgentOptions{
-		DeployedVersion: drain.DeployedVersion, Terms: p.options.LeaseTerms, MinReady: drain.MinReady, MaxReplaceAttempts: max(1, drain.MaxReplaceAttempts)})}
+	agent := drainpermit.NewAgent(drainpermit.AgentOptions{
+		DeployedVersion:    drain.DeployedVersion,
+		Terms:              p.options.LeaseTerms,
+		MinReady:           drain.MinReady,
+		MaxReplaceAttempts: max(1, drain.MaxReplaceAttempts),
+	})
+	a := &drainAgent{Participant: p, drain: drain, agent: agent}
 	changed := p.watchChanges(ctx, fleetstate.DrainKeyPrefix+p.options.Name+"/")
 	ticker := time.NewTicker(p.options.RetryDelay)
 	defer ticker.Stop()
@@ -172,7 +180,8 @@
 		stats.OutOfService = true
 		stats.Permits[permitsStarted]++
 	})
-	a.options.Log.Info("leaving service under a drain permit", "permit", a.permitID(), "by", request.RequestedBy, "reason", request.Reason, "release", request.ReleaseName)
+	a.options.Log.Info("leaving service under a drain permit", "permit", a.permitID(),
+		"by", request.RequestedBy, "reason", request.Reason, "release", request.ReleaseName)
 }
 
 func (a *drainAgent) enterService() {
--- a/internal/control/fleet/events.go
+++ b/internal/control/fleet/events.go
@@ -1,6 +1,7 @@
 package fleet
 
-// The events that a participant tells of (faulthooks.Event). Test rigs read them from files, so their text does not change.
+// The events that a participant tells of (faulthooks.Event). Test rigs read them from files, so their text
+// does not change.
 const (
 	eventLeaseHeld      = "holds"
 	eventLeaseGivenUp   = "gives"
--- a/internal/control/fleet/failure_detector.go
+++ b/internal/control/fleet/failure_detector.go
@@ -12,14 +12,16 @@
 
 // When a node counts as silent.
 //
-// Inputs: the versions of the nodes' reports, each time they are read, and the instant of reading on this process's clock. A node is
+// Inputs: the versions of the nodes' reports, each time they are read, and the instant of reading on this
+// process's clock. A node is
 //
 //	silent  if now - (instant at which its report was last seen to change) >= timeout
 //	alive   if its report has been seen to change, and it is not silent; or if it has no report any more
 //
 // A node counts from when it is first observed, so one that has just been observed is neither silent nor alive.
 //
-// Why: only changes on this process's clock are compared. The times in reports are of other clocks, which may be wrong.
+// Why: only changes on this process's clock are compared. The times in reports are of other clocks, which may
+// be wrong.
 
 // FailureDetector keeps when nodes were last seen to report. It has no I/O and is not safe for concurrent use.
 type FailureDetector struct {
--- a/internal/control/fleet/grant_task.go
+++ b/internal/control/fleet/grant_task.go
@@ -57,7 +57,8 @@
 	return len(state.view.Requests)+len(state.view.Permits) == 0, nil
 }
 
-// fleetState is all documents of the store as of one revision that a majority confirmed, and the view that they add up to.
+// fleetState is all documents of the store as of one revision that a majority confirmed, and the view that
+// they add up to.
 type fleetState struct {
 	view     fleetstate.View
 	versions fleetstate.Versions
@@ -98,7 +99,10 @@
 	return members
 }
 
-func (p *Participant) observeMember(detector *FailureDetector, report document.Document, silence map[string]time.Duration, now lease.Instant) fleetstate.ObservedMember {
+// observeMember decodes a node's report. silence has the nodes that are silent now.
+func (p *Participant) observeMember(
+	detector *FailureDetector, report document.Document, silence map[string]time.Duration, now lease.Instant,
+) fleetstate.ObservedMember {
 	m := fleetstate.ObservedMember{Name: strings.TrimPrefix(report.Key, nodeKeyPrefix)}
 	m.Unreadable = json.Unmarshal([]byte(report.Value), &m.Report) != nil
 	m.SinceMS = m.Report.ProcessStartMS
--- a/internal/control/fleet/job_runner.go
+++ b/internal/control/fleet/job_runner.go
@@ -13,8 +13,9 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// jobRun drives the runner of one job. What the runner asks for is carried out in goroutines of their own, so that the lease is renewed while
-// a step goes on. Its results are handed to run by deliver, so the runner is used by one goroutine only.
+// jobRun drives the runner of one job. What the runner asks for is carried out in goroutines of their own, so
+// that the lease is renewed while a step goes on. Its results are handed to run by deliver, so the runner is
+// used by one goroutine only.
 type jobRun struct {
 	*Participant
 	task    PeriodicTask
--- a/internal/control/fleet/lease_requests.go
+++ b/internal/control/fleet/lease_requests.go
@@ -12,7 +12,8 @@
 	leaseHandOver = "hand-over"
 )
 
-// handOverLease gives a task's lease up, so that another node need not wait for it to expire. If the request fails it expires.
+// handOverLease gives a task's lease up, so that another node need not wait for it to expire. If the request
+// fails it expires.
 func (p *Participant) handOverLease(task string, token uint64, reason string) {
 	p.options.OnEvent(faulthooks.Event{What: eventLeaseGivenUp, Duty: task, N: token})
 	_, err := p.requestLease(task, store.LeaseRequest{Action: leaseHandOver, Holder: p.options.Name, Token: token, Reason: reason})
--- a/internal/control/fleet/leased_loop.go
+++ b/internal/control/fleet/leased_loop.go
@@ -21,8 +21,9 @@
 
 var errLeaseLost = errors.New("the lease of the task is not held any more")
 
-// leasedLoop runs a continuous task on one node at a time, for as long as there is anything to do. It has no jobs: what is done
-// in each turn follows from the documents, in transactions under the fencing token of the lease.
+// leasedLoop runs a continuous task on one node at a time, for as long as there is anything to do. It has no
+// jobs: what is done in each turn follows from the documents, in transactions under the fencing token of the
+// lease.
 type leasedLoop struct {
 	*Participant
 	task      string
@@ -97,7 +98,8 @@
 	return len(docs) > 0
 }
 
-// acquire acquires the lease, or renews the one that is held. It returns whether the task may be run now, and under which token.
+// acquire acquires the lease, or renews the one that is held. It returns whether the task may be run now, and
+// under which token.
 func (l *leasedLoop) acquire(token uint64, renew bool) (newToken uint64, held bool) {
 	request := store.LeaseRequest{Action: leaseAcquire, Holder: l.options.Name}
 	if renew {
@@ -132,7 +134,8 @@
 	}
 }
 
-// transactWhileHeld commits a transaction while the lease is held. The error is store.ErrConflict if a condition did not hold.
+// transactWhileHeld commits a transaction while the lease is held. The error is store.ErrConflict if a
+// condition did not hold.
 func (l *leasedLoop) transactWhileHeld(t document.Transaction) error {
 	if _, held := l.claim.Holds(l.clock()); !held {
 		return errLeaseLost
--- a/internal/control/fleet/options.go
+++ b/internal/control/fleet/options.go
@@ -27,7 +27,8 @@
 	// NodeState returns what the node reports of itself. It is called from another goroutine.
 	NodeState func() map[string]any
 
-	// Ledger persists the desired state that was applied last, and fencing tokens. nil: they are forgotten with the process.
+	// Ledger persists the desired state that was applied last, and fencing tokens. nil: they are forgotten
+	// with the process.
 	Ledger *ledger.Store
 	// ApplyDesiredState applies a desired state. It must not block, and cannot fail. nil: nothing is applied.
 	ApplyDesiredState func(desiredstate.State)
@@ -39,7 +40,8 @@
 	// OnReport is called after each report, with how long it took and how it ended. nil: it is not.
 	OnReport func(took time.Duration, err error)
 
-	// Drain is how this node goes out of service under drain permits. nil: it never does, and neither grants permits nor runs releases.
+	// Drain is how this node goes out of service under drain permits. nil: it never does, and neither grants
+	// permits nor runs releases.
 	Drain *DrainOptions
 
 	BackupDir      string        // where backups of the store are written
--- a/internal/control/fleet/participant.go
+++ b/internal/control/fleet/participant.go
@@ -31,8 +31,8 @@
 	stats        Stats
 }
 
-// New returns a participant that does nothing until Serve. It returns an error for options that cannot be used, and if the state in the
-// ledger cannot be read.
+// New returns a participant that does nothing until Serve. It returns an error for options that cannot be
+// used, and if the state in the ledger cannot be read.
 func New(o Options) (*Participant, error) {
 	if err := o.Validate(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -54,7 +54,8 @@
 	}, nil
 }
 
-// Serve reports the node and runs the fleet's tasks until the context ends; then it hands leases over. It blocks, and is called once.
+// Serve reports the node and runs the fleet's tasks until the context ends; then it hands leases over. It
+// blocks, and is called once.
 func (p *Participant) Serve(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, run := range p.loops() {
@@ -93,7 +94,8 @@
 func (p *Participant) periodicTasks() []PeriodicTask {
 	tasks := []PeriodicTask{{Name: sweepTaskName, Interval: p.options.SilentAfter, Steps: []string{"mark"}, RunStep: p.markSilentNodes}}
 	if p.options.BackupInterval > 0 {
-		tasks = append(tasks, PeriodicTask{Name: "backup", Interval: p.options.BackupInterval, Steps: []string{backupStepWrite, backupStepPrune}, RunStep: p.backup})
+		steps := []string{backupStepWrite, backupStepPrune}
+		tasks = append(tasks, PeriodicTask{Name: "backup", Interval: p.options.BackupInterval, Steps: steps, RunStep: p.backup})
 	}
 	return tasks
 }
--- a/internal/control/fleet/periodic_task.go
+++ b/internal/control/fleet/periodic_task.go
@@ -19,8 +19,8 @@
 	Name     string
 	Interval time.Duration
 	Steps    []string // of each job, in order
-	// RunStep runs a step under a fencing token. It is called in a goroutine of its own, and may be called again for a step that was run
-	// before. It must make its changes under the token.
+	// RunStep runs a step under a fencing token. It is called in a goroutine of its own, and may be called
+	// again for a step that was run before. It must make its changes under the token.
 	RunStep func(ctx context.Context, a leasedtask.Action) error
 }
 
@@ -40,7 +40,8 @@
 	}
 }
 
-// readTaskRecord reads how far a task's job is, and the document's version: confirmed by a majority, or (local) as the preferred member has it.
+// readTaskRecord reads how far a task's job is, and the document's version: confirmed by a majority, or
+// (local) as the preferred member has it.
 func (p *Participant) readTaskRecord(task string, local bool) (record leasedtask.Record, version uint64, err error) {
 	key := taskKeyPrefix + task
 	var doc document.Document
--- a/internal/control/fleet/release_requests.go
+++ b/internal/control/fleet/release_requests.go
@@ -12,14 +12,16 @@
 	"sloehitch/internal/store/document"
 )
 
-// How often a rollback is attempted while the release's controller writes at the same time, and the delay between attempts.
+// How often a rollback is attempted while the release's controller writes at the same time, and the delay
+// between attempts.
 const (
 	rollBackAttempts   = 5
 	rollBackRetryDelay = 20 * time.Millisecond
 )
 
-// StartRelease writes a release to the store; the holder of the release task's lease takes it through the fleet. The error is
-// store.ErrConflict if a release of that name is under way. One that has ended is overwritten. It blocks for the client's timeout.
+// StartRelease writes a release to the store; the holder of the release task's lease takes it through the
+// fleet. The error is store.ErrConflict if a release of that name is under way. One that has ended is
+// overwritten. It blocks for the client's timeout.
 func StartRelease(client store.Client, r release.Release) error {
 	if err := r.Validate(); err != nil {
 		return err
@@ -34,14 +36,15 @@
 			return fmt.Errorf("%w: there is a release %s that is not over", store.ErrConflict, r.Name)
 		}
 	}
-	_, err = client.Commit(document.Transaction{ID: rand.Text(), Author: r.RequestedBy, Reason: "release " + r.Name + " to " + r.TargetVersion + ": " + r.Reason,
+	reason := "release " + r.Name + " to " + r.TargetVersion + ": " + r.Reason
+	_, err = client.Commit(document.Transaction{ID: rand.Text(), Author: r.RequestedBy, Reason: reason,
 		Conditions: []document.Condition{{Key: existing.Key, Version: existing.Version}, {Key: fleetstate.HaltKeyPrefix + r.Name}},
 		Operations: []document.Operation{{Key: existing.Key, Value: fleetstate.Encode(r)}}})
 	return err
 }
 
-// RollBackRelease has a release roll back: updated nodes get their previous version back, the latest wave first, under the same budgets. A
-// halt of the release ends. It blocks for some of the client's timeouts.
+// RollBackRelease has a release roll back: updated nodes get their previous version back, the latest wave
+// first, under the same budgets. A halt of the release ends. It blocks for some of the client's timeouts.
 func RollBackRelease(client store.Client, name, by, reason string) error {
 	for range rollBackAttempts {
 		if err := tryRollBack(client, name, by, reason); !errors.Is(err, store.ErrConflict) {
@@ -52,7 +55,8 @@
 	return fmt.Errorf("%w: it changes all the time; ask again", store.ErrConflict)
 }
 
-// tryRollBack reads the release and writes it as rolling back. The error is store.ErrConflict if it has changed meanwhile.
+// tryRollBack reads the release and writes it as rolling back. The error is store.ErrConflict if it has
+// changed meanwhile.
 func tryRollBack(client store.Client, name, by, reason string) error {
 	existing, _, err := client.Document(release.KeyPrefix+name, false)
 	if err != nil {
--- a/internal/control/fleet/release_task.go
+++ b/internal/control/fleet/release_task.go
@@ -91,7 +91,8 @@
 	return idle, nil
 }
 
-// activeRelease decodes a document. found is false if it is not a release, or one that is not under way or cannot be used.
+// activeRelease decodes a document. found is false if it is not a release, or one that is not under way or
+// cannot be used.
 func (t *releaseTask) activeRelease(d document.Document) (r release.Release, found bool) {
 	if !strings.HasPrefix(d.Key, release.KeyPrefix) {
 		return r, false
--- a/internal/control/fleet/silent_marks.go
+++ b/internal/control/fleet/silent_marks.go
@@ -25,8 +25,8 @@
 	Since int64  `json:"since"` // Unix milliseconds, by the clock of the node that marked it
 }
 
-// observeReportsWhileSweeping reads the reports on the node that runs the sweep. If every node read all of them, reads would grow with the
-// square of the number of nodes.
+// observeReportsWhileSweeping reads the reports on the node that runs the sweep. If every node read all of
+// them, reads would grow with the square of the number of nodes.
 func (p *Participant) observeReportsWhileSweeping() {
 	p.mu.Lock()
 	sweeping := p.lastSweep != 0 && p.clock() < p.lastSweep.Add(sweepIntervals*p.options.SilentAfter)
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// markSilentNodes marks the silent nodes and removes the marks from those that are alive, under the task's fencing token.
+// markSilentNodes marks the silent nodes and removes the marks from those that are alive, under the task's
+// fencing token.
 func (p *Participant) markSilentNodes(_ context.Context, a leasedtask.Action) error {
 	marks, err := p.documents(silentKeyPrefix)
 	if err != nil {
@@ -81,8 +82,9 @@
 	return err
 }
 
-// removeMarks returns the operations that remove the marks of nodes that are alive, and which nodes are marked. A node that this process has
-// only just observed is not alive yet, so it keeps the mark that another process has set.
+// removeMarks returns the operations that remove the marks of nodes that are alive, and which nodes are
+// marked. A node that this process has only just observed is not alive yet, so it keeps the mark that another
+// process has set.
 func (p *Participant) removeMarks(marks []document.Document) (operations []document.Operation, marked map[string]bool) {
 	marked = map[string]bool{}
 	for _, mark := range marks {
--- a/internal/control/fleet/state_applier.go
+++ b/internal/control/fleet/state_applier.go
@@ -17,8 +17,8 @@
 // errNotPersisted says that a state was not applied because it could not be persisted. It is to be observed again.
 var errNotPersisted = errors.New("it can't be kept")
 
-// stateApplier applies the node's desired state: it persists a state before it applies it, and rejects one whose fencing token is
-// stale. It is not safe for concurrent use.
+// stateApplier applies the node's desired state: it persists a state before it applies it, and rejects one
+// whose fencing token is stale. It is not safe for concurrent use.
 type stateApplier struct {
 	ledger   *ledger.Store // nil: what was applied is forgotten with the process
 	guard    *fencing.Guard
@@ -65,8 +65,9 @@
 	return last, nil
 }
 
-// observe takes in the node's document as it was read at a revision; version 0: there was none. It says whether a state was applied, and
-// if not, why. The error is reported once for each version, and errNotPersisted each time.
+// observe takes in the node's document as it was read at a revision; version 0: there was none. It says
+// whether a state was applied, and if not, why. The error is reported once for each version, and
+// errNotPersisted each time.
 func (s *stateApplier) observe(text string, version, revision uint64) (applied bool, err error) {
 	next, decision, err := s.follower.Observe(text, version, revision)
 	if decision != desiredstate.Apply {
--- a/internal/control/fleet/state_applier_test.go
+++ b/internal/control/fleet/state_applier_test.go
@@ -14,8 +14,8 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// TestStateApplier: a stale fencing token is rejected, once, also after the power was cut; the node continues from what it applied last without
-// the store.
+// TestStateApplier: a stale fencing token is rejected, once, also after the power was cut; the node continues
+// from what it applied last without the store.
 func TestStateApplier(t *testing.T) {
 	disk := simdisk.New(1)
 	var applied []string
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestTokenNotDurable: a node that keeps fencing tokens only until the next power cut accepts a stale one. That is the mutant that TestStateApplier
-// must see.
+// TestTokenNotDurable: a node that keeps fencing tokens only until the next power cut accepts a stale one.
+// That is the mutant that TestStateApplier must see.
 func TestTokenNotDurable(t *testing.T) {
 	disk := simdisk.New(1)
 	for i, token := range []int{5, 4} {
--- a/internal/control/fleet/stats.go
+++ b/internal/control/fleet/stats.go
@@ -19,7 +19,8 @@
 	permitsRemoved  = "freed"
 )
 
-// Stats are what this node has done in the fleet since its process started, and what it knows of the tasks whose leases it holds.
+// Stats are what this node has done in the fleet since its process started, and what it knows of the tasks
+// whose leases it holds.
 type Stats struct {
 	OutOfService bool // this node is out of service under a permit
 	DrainOverdue bool // and still has requests after its drain timeout
--- a/internal/control/fleet/store_access.go
+++ b/internal/control/fleet/store_access.go
@@ -19,8 +19,9 @@
 	return store.Client{Address: members[turn%int64(len(members))], Timeout: p.options.RequestTimeout}
 }
 
-// skipMember records that the member of a turn gave no answer: from now on the next one is asked first, unless another goroutine has seen to
-// that already. (Were each to go on by one, they could come round to the same member.)
+// skipMember records that the member of a turn gave no answer: from now on the next one is asked first,
+// unless another goroutine has seen to that already. (Were each to go on by one, they could come round to the
+// same member.)
 func (p *Participant) skipMember(turn int64) { p.preferredMember.CompareAndSwap(turn, turn+1) }
 
 // tryMembers calls do with one member after the other until one answers. That one is asked first from now on.
@@ -45,7 +46,8 @@
 	return record, err
 }
 
-// transact asks members to commit a transaction until one says whether it did. The error is store.ErrConflict if a condition did not hold.
+// transact asks members to commit a transaction until one says whether it did. The error is store.ErrConflict
+// if a condition did not hold.
 func (p *Participant) transact(t document.Transaction) (result document.Result, err error) {
 	err = p.tryMembers(func(c store.Client) (err error) {
 		result, err = c.Commit(t)
--- a/internal/control/fleet/upstream_exclusion.go
+++ b/internal/control/fleet/upstream_exclusion.go
@@ -14,8 +14,8 @@
 	errMemberBehind = errors.New("the member asked is behind, or has heard of no leader")
 )
 
-// followExcludedUpstreams keeps this node from sending requests to upstream servers with a drain permit, until the context ends. While the
-// store cannot be reached the last known servers stay excluded.
+// followExcludedUpstreams keeps this node from sending requests to upstream servers with a drain permit,
+// until the context ends. While the store cannot be reached the last known servers stay excluded.
 func (p *Participant) followExcludedUpstreams(ctx context.Context) {
 	keyPrefix := fleetstate.DrainKeyPrefix + fleetstate.UpstreamName("")
 	changed := p.watchChanges(ctx, keyPrefix)
@@ -43,8 +43,8 @@
 	}
 }
 
-// excludedUpstreams returns the addresses of the upstream servers with a permit to be out of service. A permit that cannot be decoded
-// counts as one: to send a healthy server nothing is the lesser harm.
+// excludedUpstreams returns the addresses of the upstream servers with a permit to be out of service. A
+// permit that cannot be decoded counts as one: to send a healthy server nothing is the lesser harm.
 func excludedUpstreams(docs []document.Document) (addresses []string) {
 	for _, d := range docs {
 		name, isPermit := fleetstate.PermitMember(d.Key)
--- a/internal/control/fleet/watch.go
+++ b/internal/control/fleet/watch.go
@@ -2,8 +2,9 @@
 
 import "context"
 
-// watchChanges returns a channel that receives when documents whose keys begin with keyPrefix may have changed, until the context ends. The
-// channel holds one notification: a receiver that is late gets one for all changes.
+// watchChanges returns a channel that receives when documents whose keys begin with keyPrefix may have
+// changed, until the context ends. The channel holds one notification: a receiver that is late gets one for
+// all changes.
 func (p *Participant) watchChanges(ctx context.Context, keyPrefix string) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	go func() {
--- a/internal/control/fleetstate/documents.go
+++ b/internal/control/fleetstate/documents.go
@@ -13,10 +13,11 @@
 const (
 	// DrainKeyPrefix, followed by a member's name and "/ask" or "/permit", is the key of a DrainRequest or a Permit.
 	DrainKeyPrefix = "out/"
-	// HaltKeyPrefix, followed by a release's name or HaltAll, is the key of a halt. While it exists nothing that it covers is started.
+	// HaltKeyPrefix, followed by a release's name or HaltAll, is the key of a halt. While it exists nothing
+	// that it covers is started.
 	HaltKeyPrefix = "halt/"
-	// LastGrantKey is the key of a document that changes with every grant. It is a condition of every grant, so no two grants are
-	// decided on the same count of unavailable members.
+	// LastGrantKey is the key of a document that changes with every grant. It is a condition of every grant,
+	// so no two grants are decided on the same count of unavailable members.
 	LastGrantKey = "permits"
 	// BudgetsKey is the key of the disruption.Budgets.
 	BudgetsKey = "budget"
@@ -59,7 +60,8 @@
 	ExpiresAtMS int64 `json:"until,omitempty"`
 	// DrainTimeoutMS is the time in milliseconds in which the node should have finished its requests. 0: any.
 	DrainTimeoutMS int64 `json:"within_ms,omitempty"`
-	// ReleaseName is the release on whose behalf the node is drained. Empty: an operator's drain, which ends when the request is deleted.
+	// ReleaseName is the release on whose behalf the node is drained. Empty: an operator's drain, which ends
+	// when the request is deleted.
 	ReleaseName string `json:"release,omitempty"`
 	// TargetVersion is, for a release, the version that the node is to run when it comes back.
 	TargetVersion string `json:"to,omitempty"`
@@ -89,7 +91,8 @@
 	Labels map[string]string `json:"labels,omitempty"`
 	// ReplaceAttempts is how often the node's process was replaced.
 	ReplaceAttempts int `json:"tries,omitempty"`
-	// StartWindowMS is the start window of a started permit in milliseconds: the node goes out within it or not at all.
+	// StartWindowMS is the start window of a started permit in milliseconds: the node goes out within it or
+	// not at all.
 	StartWindowMS int64 `json:"window_ms,omitempty"`
 	// SinceMS is when this state was entered, Unix milliseconds by the clock of the writer; for display only.
 	SinceMS int64 `json:"since"`
@@ -98,7 +101,8 @@
 // errTrailingData is returned for a document of more than one value.
 var errTrailingData = errors.New("it can't be read: there is more than one")
 
-// Decode decodes the value of a document. It returns an error for fields that it does not know: half of a document is another one.
+// Decode decodes the value of a document. It returns an error for fields that it does not know: half of a
+// document is another one.
 func Decode[T DrainRequest | Permit | disruption.Budgets](text string) (value T, err error) {
 	d := json.NewDecoder(strings.NewReader(text))
 	d.DisallowUnknownFields()
@@ -111,7 +115,8 @@
 	return value, nil
 }
 
-// Encode returns the value of a document. It panics on values that JSON has no form for, which no document of this package is.
+// Encode returns the value of a document. It panics on values that JSON has no form for, which no document of
+// this package is.
 func Encode(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/control/fleetstate/documents_test.go
+++ b/internal/control/fleetstate/documents_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestDecodeView: a permit that cannot be decoded counts as out of service, and what else cannot be decoded is left out and named.
+// TestDecodeView: a permit that cannot be decoded counts as out of service, and what else cannot be decoded
+// is left out and named.
 func TestDecodeView(t *testing.T) {
 	view, versions, err := DecodeView([]document.Document{
 		{Key: RequestKey("n1"), Value: `{"id":"a"}`, Version: 3},
--- a/internal/control/fleetstate/report.go
+++ b/internal/control/fleetstate/report.go
@@ -46,8 +46,8 @@
 	return map[string]string{"zone": r.Zone, "kind": r.Kind}
 }
 
-// Availability returns the node's availability by its own report, whatever permit it holds. A node counts as available once it
-// has been in service and healthy for minReady.
+// Availability returns the node's availability by its own report, whatever permit it holds. A node counts as
+// available once it has been in service and healthy for minReady.
 func (r NodeReport) Availability(minReady time.Duration) disruption.Availability {
 	switch {
 	case r.State == nodeLeaving || r.State == nodeOutOfService:
--- a/internal/control/fleetstate/upstream.go
+++ b/internal/control/fleetstate/upstream.go
@@ -9,9 +9,10 @@
 
 // Whether an upstream server is available, and whether one that is drained is out of service.
 //
-// Inputs: the reports of the nodes that have it in their pool. It is available if at least half of the nodes that report and may send
-// to it find it healthy. It is out of service, confirmed, once every node has reported that it no longer sends to it
-// and has no request in flight there; a silent node cannot confirm that.
+// Inputs: the reports of the nodes that have it in their pool. It is available if at least half of the nodes
+// that report and may send to it find it healthy. It is out of service, confirmed, once every node has
+// reported that it no longer sends to it and has no request in flight there; a silent node cannot confirm
+// that.
 
 // upstreamNamePrefix, followed by an address, is the member name of an upstream server.
 const upstreamNamePrefix = "server:"
@@ -32,7 +33,8 @@
 	Liveness disruption.Availability // of the node
 }
 
-// WithUpstreams returns the view with the upstream servers that any node reports, as members of the given service, sorted by address.
+// WithUpstreams returns the view with the upstream servers that any node reports, as members of the given
+// service, sorted by address.
 func (v View) WithUpstreams(service string) View {
 	upstreams := map[string]*ObservedMember{}
 	var addresses []string
@@ -76,8 +78,8 @@
 	return disruption.Available
 }
 
-// DrainConfirmed says whether every node has reported that it no longer uses the upstream server. If not, it returns the nodes that may still
-// send to it or have requests there, and those that are silent.
+// DrainConfirmed says whether every node has reported that it no longer uses the upstream server. If not, it
+// returns the nodes that may still send to it or have requests there, and those that are silent.
 func (m ObservedMember) DrainConfirmed() (confirmed bool, sending, silent []string) {
 	for _, user := range m.UpstreamUsers {
 		switch {
--- a/internal/control/fleetstate/view.go
+++ b/internal/control/fleetstate/view.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/store/document"
 )
 
-// View is the fleet as it is decided on: all documents as of one revision that a majority confirmed, and what the reader's failure
-// detector says of the nodes.
+// View is the fleet as it is decided on: all documents as of one revision that a majority confirmed, and what
+// the reader's failure detector says of the nodes.
 type View struct {
 	Budgets  disruption.Budgets
 	Members  []ObservedMember
@@ -64,10 +64,11 @@
 	Permit:  func(d document.Document) (Permit, error) { return Decode[Permit](d.Value) },
 }
 
-// DecodeView returns the view of all documents without its members, and the documents' versions. It leaves out what cannot be decoded and
-// returns an error that names it.
+// DecodeView returns the view of all documents without its members, and the documents' versions. It leaves
+// out what cannot be decoded and returns an error that names it.
 func DecodeView(docs []document.Document, decoder Decoder, nowMS int64) (View, Versions, error) {
-	v := View{Requests: map[string]DrainRequest{}, RequestOrder: map[string]uint64{}, Permits: map[string]Permit{}, Halted: map[string]bool{}, NowMS: nowMS}
+	v := View{Requests: map[string]DrainRequest{}, RequestOrder: map[string]uint64{}, Permits: map[string]Permit{},
+		Halted: map[string]bool{}, NowMS: nowMS}
 	versions := Versions{}
 	var errs []error
 	for _, d := range docs {
@@ -116,8 +117,9 @@
 	return err
 }
 
-// BudgetMembers returns the members as budgets count them, sorted by name: by their permit first, then by what is known of them.
-// Members of which only a permit is known count too. A node counts as available once it has been in service and healthy for minReady.
+// BudgetMembers returns the members as budgets count them, sorted by name: by their permit first, then by
+// what is known of them. Members of which only a permit is known count too. A node counts as available once
+// it has been in service and healthy for minReady.
 func (v View) BudgetMembers(minReady time.Duration) (members []disruption.Member) {
 	observed := map[string]bool{}
 	for _, m := range v.Members {
--- a/internal/control/release/advance.go
+++ b/internal/control/release/advance.go
@@ -14,13 +14,14 @@
 //
 // Inputs: the nodes of the current wave with their requests, permits and reports, the canary verdict, and SoakMS.
 //
-//   - All nodes of the wave that are not updated are asked for at once; how many go out at once is up to the budgets. The very first node is
-//     asked for only after SoakMS of watching.
-//   - The next wave begins once every node of the wave is updated and available (or gone from the fleet) without a break for SoakMS,
-//     or for inconclusiveSoakFactor times as long while the verdict is not conclusive. That is noted.
+//   - All nodes of the wave that are not updated are asked for at once; how many go out at once is up to the
+//     budgets. The very first node is asked for only after SoakMS of watching.
+//   - The next wave begins once every node of the wave is updated and available (or gone from the fleet)
+//     without a break for SoakMS, or for inconclusiveSoakFactor times as long while the verdict is not
+//     conclusive. That is noted.
 //
-// Why: the canary analysis compares nodes with themselves before the update, so it needs intervals from before. A zone
-// without nodes to compare with must not stop a release; it is watched for longer.
+// Why: the canary analysis compares nodes with themselves before the update, so it needs intervals from
+// before. A zone without nodes to compare with must not stop a release; it is watched for longer.
 
 // inconclusiveSoakFactor is how many times SoakMS a wave is watched without a conclusive verdict.
 const inconclusiveSoakFactor = 3
@@ -32,8 +33,10 @@
 	failure  string        // why the release is to halt
 }
 
-func (c *Controller) advance(r Release, view fleetstate.View, members map[string]fleetstate.ObservedMember, verdict canary.Verdict, minReady time.Duration, now lease.Instant) Decision {
-	progress := inspectWave(r, view, members, minReady)
+// advance decides by the progress of the current wave.
+func (c *Controller) advance(
+	r Release, progress waveProgress, members map[string]fleetstate.ObservedMember, verdict canary.Verdict, now lease.Instant,
+) Decision {
 	switch {
 	case progress.failure != "":
 		return Decision{HaltReason: progress.failure}
@@ -50,7 +53,9 @@
 }
 
 // inspectWave looks at the nodes of the current wave up to the first whose request has failed.
-func inspectWave(r Release, view fleetstate.View, members map[string]fleetstate.ObservedMember, minReady time.Duration) (progress waveProgress) {
+func inspectWave(
+	r Release, view fleetstate.View, members map[string]fleetstate.ObservedMember, minReady time.Duration,
+) (progress waveProgress) {
 	for _, node := range r.Waves[r.CurrentWave] {
 		m, known := members[node]
 		request, requested := view.Requests[node]
--- a/internal/control/release/canary_reports.go
+++ b/internal/control/release/canary_reports.go
@@ -8,8 +8,8 @@
 	"sloehitch/internal/control/fleetstate"
 )
 
-// CanaryReports returns the reports of all nodes as the canary analysis of the release records them. A node is in service for
-// the analysis once it has been so for minReady.
+// CanaryReports returns the reports of all nodes as the canary analysis of the release records them. A node
+// is in service for the analysis once it has been so for minReady.
 func (r Release) CanaryReports(view fleetstate.View, minReady time.Duration) (reports []canary.NodeReport) {
 	for _, m := range view.Members {
 		if m.Service != "" {
@@ -17,9 +17,10 @@
 		}
 		report := m.Report
 		reports = append(reports, canary.NodeReport{
-			Name:           m.Name,
-			Zone:           report.Zone,
-			Total:          canary.Interval{Served: float64(report.Served), Rejected: float64(report.Rejected), Failed: float64(report.Failed), P99MS: report.P99MS},
+			Name: m.Name,
+			Zone: report.Zone,
+			Total: canary.Interval{
+				Served: float64(report.Served), Rejected: float64(report.Rejected), Failed: float64(report.Failed), P99MS: report.P99MS},
 			ProcessStartMS: report.ProcessStartMS,
 			InService:      m.Liveness == disruption.Available && !m.Unreadable && report.Availability(minReady) == disruption.Available,
 			Updated:        report.DeployedVersion == r.TargetVersion,
--- a/internal/control/release/controller.go
+++ b/internal/control/release/controller.go
@@ -27,8 +27,8 @@
 	Withdraw      bool // delete the request that there is
 }
 
-// Controller decides on one release. What it remembers is since when it has seen something, on its own process's clock; another process that
-// takes over counts anew. It is not safe for concurrent use.
+// Controller decides on one release. What it remembers is since when it has seen something, on its own
+// process's clock; another process that takes over counts anew. It is not safe for concurrent use.
 type Controller struct {
 	watching      bool
 	watchingSince lease.Instant
@@ -40,8 +40,8 @@
 	outSince map[string]lease.Instant // since when a permit has been seen as started, by permit ID
 }
 
-// Decide returns what is to be changed by a view, which a majority must have confirmed, and by the verdict on the nodes updated so far. It
-// must be called with the same release each time.
+// Decide returns what is to be changed by a view, which a majority must have confirmed, and by the verdict on
+// the nodes updated so far. It must be called with the same release each time.
 func (c *Controller) Decide(r Release, view fleetstate.View, verdict canary.Verdict, minReady time.Duration, now lease.Instant) Decision {
 	if view.Halted[fleetstate.HaltAll] || view.Halted[r.Name] || !r.Active() {
 		c.waveReady, c.outSince = false, nil
@@ -63,5 +63,5 @@
 	if reason := badVersion(r, members, verdict); reason != "" {
 		return Decision{HaltReason: reason}
 	}
-	return c.advance(r, view, members, verdict, minReady, now)
+	return c.advance(r, inspectWave(r, view, members, minReady), members, verdict, now)
 }
--- a/internal/control/release/controller_test.go
+++ b/internal/control/release/controller_test.go
@@ -28,7 +28,8 @@
 	verdict canary.Verdict
 }
 
-// newSituation returns a release to v2 of three nodes in two waves, none of them updated, and a verdict without findings.
+// newSituation returns a release to v2 of three nodes in two waves, none of them updated, and a verdict
+// without findings.
 func newSituation() *situation {
 	return &situation{
 		release: Release{Name: "r", TargetVersion: "v2", State: Running, Waves: [][]string{{"n0"}, {"n1", "n2"}}, PreviousVersions: map[string]string{"n0": "v1", "n1": "v1"}, SoakMS: 1000, ReturnTimeoutMS: 5000},
@@ -37,7 +38,8 @@
 	}
 }
 
-// decide has a new controller decide once a second until there is something to change: by then what soaks has soaked, and what is overdue is so.
+// decide has a new controller decide once a second until there is something to change: by then what soaks has
+// soaked, and what is overdue is so.
 func (s *situation) decide() Decision {
 	c := &Controller{}
 	for second := range 7 {
@@ -131,7 +133,8 @@
 	}
 }
 
-// TestBaselineIsWatchedFirst: the first node is requested only after the fleet has been watched without the new version for as long as a wave is.
+// TestBaselineIsWatchedFirst: the first node is requested only after the fleet has been watched without the
+// new version for as long as a wave is.
 func TestBaselineIsWatchedFirst(t *testing.T) {
 	r := Release{Name: "r", TargetVersion: "v2", State: Running, Waves: [][]string{{"n0"}}, SoakMS: 1000, ReturnTimeoutMS: 5000}
 	view := viewOf(node("n0", "a"))
--- a/internal/control/release/doc.go
+++ b/internal/control/release/doc.go
@@ -1,8 +1,9 @@
-// Package release decides how another version goes through a fleet: a first node alone, then growing waves, zone by zone; and how it
-// halts by itself and rolls back. It has no I/O and no clock.
+// Package release decides how another version goes through a fleet: a first node alone, then growing waves,
+// zone by zone; and how it halts by itself and rolls back. It has no I/O and no clock.
 //
-// The release asks for nodes to be drained and replaced. How many are out of service at once is not decided here: the requests wait
-// for permits, which the disruption budgets bound (packages drainpermit and disruption).
+// The release asks for nodes to be drained and replaced. How many are out of service at once is not decided
+// here: the requests wait for permits, which the disruption budgets bound (packages drainpermit and
+// disruption).
 //
 // The rules are
 //
--- a/internal/control/release/halt.go
+++ b/internal/control/release/halt.go
@@ -14,7 +14,8 @@
 
 // When a release halts by itself.
 //
-// Inputs: permits and since when this controller has seen them started, the canary verdict, and the liveness of updated nodes. It halts if
+// Inputs: permits and since when this controller has seen them started, the canary verdict, and the liveness
+// of updated nodes. It halts if
 //
 //   - a node of the release has been out of service for more than ReturnTimeoutMS, forwards or back;
 //   - the updated nodes are worse than the others (package canary), unless it is rolling back;
--- a/internal/control/release/rollback.go
+++ b/internal/control/release/rollback.go
@@ -9,12 +9,14 @@
 
 // How a release rolls back.
 //
-// Inputs: the nodes of all waves with their requests, permits and deployed versions, and their previous versions. Waves go back one
-// after the other, the latest first. In a wave, requests that are not needed any more (for the target version, or failed) are withdrawn,
-// and updated nodes are asked to go back to their previous version. The wave before it follows once nothing is
-// requested or permitted in it. When no wave has anything left the release is RolledBack.
+// Inputs: the nodes of all waves with their requests, permits and deployed versions, and their previous
+// versions. Waves go back one after the other, the latest first. In a wave, requests that are not needed any
+// more (for the target version, or failed) are withdrawn, and updated nodes are asked to go back to their
+// previous version. The wave before it follows once nothing is requested or permitted in it. When no wave has
+// anything left the release is RolledBack.
 //
-// A node without a previous version keeps the target version, and the note says so. A failed request to go back halts the rollback.
+// A node without a previous version keeps the target version, and the note says so. A failed request to go
+// back halts the rollback.
 
 // rollBack returns the next step of a rollback.
 func rollBack(r Release, view fleetstate.View, members map[string]fleetstate.ObservedMember) Decision {
--- a/internal/control/release/status.go
+++ b/internal/control/release/status.go
@@ -21,7 +21,8 @@
 
 // StatusOf returns how far a release is by a view.
 func StatusOf(r Release, view fleetstate.View) Status {
-	status := Status{Name: r.Name, State: r.State, Halted: view.Halted[r.Name] || view.Halted[fleetstate.HaltAll], Wave: r.CurrentWave + 1, Waves: len(r.Waves)}
+	halted := view.Halted[r.Name] || view.Halted[fleetstate.HaltAll]
+	status := Status{Name: r.Name, State: r.State, Halted: halted, Wave: r.CurrentWave + 1, Waves: len(r.Waves)}
 	deployed := map[string]string{}
 	for _, m := range view.Members {
 		deployed[m.Name] = m.Report.DeployedVersion
@@ -48,7 +49,8 @@
 // FormatStatus returns how far a release is as one line for operators.
 func FormatStatus(r Release, view fleetstate.View) string {
 	s := StatusOf(r, view)
-	line := fmt.Sprintf("%s to %s: %s, wave %d of %d, %d of %d nodes changed, %d out, %d wait", r.Name, r.TargetVersion, r.State, s.Wave, s.Waves, s.Updated, s.Nodes, s.OutOfService, s.Waiting)
+	line := fmt.Sprintf("%s to %s: %s, wave %d of %d, %d of %d nodes changed, %d out, %d wait",
+		r.Name, r.TargetVersion, r.State, s.Wave, s.Waves, s.Updated, s.Nodes, s.OutOfService, s.Waiting)
 	if s.Halted {
 		line += ", HALTED"
 	}
--- a/internal/control/release/transactions.go
+++ b/internal/control/release/transactions.go
@@ -7,11 +7,15 @@
 	"sloehitch/internal/store/document"
 )
 
-// Transactions returns the transactions of a decision, in the order in which they are to be made. Each is committed only while the author
-// holds the lease of the task with the given fencing token, and only if the release has the version that was read. A request
-// is also a condition of nothing being halted. newID returns a unique ID for each transaction and request.
-func (d Decision) Transactions(r Release, view fleetstate.View, versions fleetstate.Versions, token uint64, author string, newID func() string) (transactions []document.Transaction) {
-	w := transactionWriter{release: r, view: view, versions: versions, lease: document.Condition{Task: TaskName, Token: token}, author: author, newID: newID}
+// Transactions returns the transactions of a decision, in the order in which they are to be made. Each is
+// committed only while the author holds the lease of the task with the given fencing token, and only if the
+// release has the version that was read. A request is also a condition of nothing being halted. newID returns
+// a unique ID for each transaction and request.
+func (d Decision) Transactions(
+	r Release, view fleetstate.View, versions fleetstate.Versions, token uint64, author string, newID func() string,
+) (transactions []document.Transaction) {
+	lease := document.Condition{Task: TaskName, Token: token}
+	w := transactionWriter{release: r, view: view, versions: versions, lease: lease, author: author, newID: newID}
 	switch {
 	case d.HaltReason != "":
 		return []document.Transaction{w.halt(d.HaltReason)}
@@ -67,12 +71,22 @@
 		operation = document.Operation{Key: key, Value: fleetstate.Encode(w.drainRequest(nr))}
 	}
 	t := w.transaction(reason, operation)
-	t.Conditions = append(t.Conditions, w.versions.Unchanged(key), document.Condition{Key: fleetstate.HaltKeyPrefix + fleetstate.HaltAll}, document.Condition{Key: w.haltKey()})
+	t.Conditions = append(t.Conditions,
+		w.versions.Unchanged(key),
+		document.Condition{Key: fleetstate.HaltKeyPrefix + fleetstate.HaltAll},
+		document.Condition{Key: w.haltKey()})
 	return t
 }
 
 func (w transactionWriter) drainRequest(nr NodeRequest) fleetstate.DrainRequest {
 	r := w.release
-	return fleetstate.DrainRequest{ID: w.newID(), RequestedBy: r.RequestedBy, Reason: "release " + r.Name + " to " + nr.TargetVersion, RequestedAtMS: w.view.NowMS,
-		DrainTimeoutMS: r.DrainTimeoutMS, ReleaseName: r.Name, TargetVersion: nr.TargetVersion}
+	return fleetstate.DrainRequest{
+		ID:             w.newID(),
+		RequestedBy:    r.RequestedBy,
+		Reason:         "release " + r.Name + " to " + nr.TargetVersion,
+		RequestedAtMS:  w.view.NowMS,
+		DrainTimeoutMS: r.DrainTimeoutMS,
+		ReleaseName:    r.Name,
+		TargetVersion:  nr.TargetVersion,
+	}
 }
