--- a/internal/control/fleet/periodic_task.go
+++ b/internal/control/fleet/periodic_task.go
@@ -14,6 +14,9 @@
 // taskKeyPrefix, followed by a task's name, is the key of the record of the task's job (leasedtask.Record).
 const taskKeyPrefix = "duty/"
 
+// dueChecksPerInterval is how often in a task's interval a node looks whether a job is due, if the retry delay is not shorter.
+const dueChecksPerInterval = 4
+
 // PeriodicTask is a task that one node runs for the fleet, one job in each interval.
 type PeriodicTask struct {
 	Name     string
@@ -35,7 +38,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(min(task.Interval/4, p.options.RetryDelay)):
+		case <-time.After(min(task.Interval/dueChecksPerInterval, p.options.RetryDelay)):
 		}
 	}
 }
