--- a/cmd/sloehitch/drain.go
+++ b/cmd/sloehitch/drain.go
@@ -19,25 +19,26 @@
 	"sloehitch/internal/control/disruption"
 	"sloehitch/internal/control/drainpermit"
 	"sloehitch/internal/control/fleet"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/store"
 )
 
-// outView is what is known of who is out, as a keeper sees it but for how long it has looked itself.
-type outView struct {
-	drainpermit.View
-	at   drainpermit.Versions
-	seen store.ReadStatus
+// drainView is the fleet as the node that grants drain permits sees it, with the versions of the documents that it was read from.
+type drainView struct {
+	fleetstate.View
+	versions fleetstate.Versions
+	status   store.ReadStatus
 }
 
-// look reads it, confirmed by a majority.
-func look(c store.Client) (v outView, err error) {
-	docs, seen, err := c.Documents("", false)
+// readDrainView reads the view, confirmed by a majority.
+func readDrainView(c store.Client) (v drainView, err error) {
+	docs, status, err := c.Documents("", false)
 	if err != nil {
 		return v, fmt.Errorf("%w; without a majority nothing can be permitted, and nothing begins", err)
 	}
-	v.seen = seen
-	var wrong error
-	v.View, v.at, wrong = drainpermit.DecodeView(docs, drainpermit.DefaultDecoder, time.Now().UnixMilli())
+	v.status = status
+	var decodeErr error
+	v.View, v.versions, decodeErr = fleetstate.DecodeView(docs, fleetstate.DefaultDecoder, time.Now().UnixMilli())
 	silent := map[string]bool{}
 	for _, d := range docs {
 		if name, marked := strings.CutPrefix(d.Key, "silent/"); marked {
@@ -49,7 +50,7 @@
 		if !is {
 			continue
 		}
-		s := drainpermit.ObservedMember{Name: name}
+		s := fleetstate.ObservedMember{Name: name}
 		s.Unreadable = json.Unmarshal([]byte(d.Value), &s.Report) != nil
 		s.SinceMS = s.Report.ProcessStartMS
 		if silent[name] {
@@ -58,7 +59,7 @@
 		v.Members = append(v.Members, s)
 	}
 	v.View = v.WithUpstreams(fleet.UpstreamService)
-	return v, wrong
+	return v, decodeErr
 }
 
 type fleetBudgetCmd struct {
@@ -68,15 +69,15 @@
 }
 
 func (c *fleetBudgetCmd) Run(_ *slog.Logger) error {
-	ask := cli.Fleet.client()
-	v, err := look(ask)
+	ask := grammar.Fleet.client()
+	v, err := readDrainView(ask)
 	if err != nil {
 		return err
 	}
 	if c.File == "" {
-		fmt.Println(since(v.seen))
+		fmt.Println(describeStatus(v.status))
 		for _, r := range v.Budgets {
-			fmt.Println(drainpermit.Encode(r))
+			fmt.Println(fleetstate.Encode(r))
 		}
 		if len(v.Budgets) == 0 {
 			fmt.Println("no budget is set: nothing may go out by choice")
@@ -98,7 +99,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	r, err := setIf(ask, reason{c.By, c.Why}, drainpermit.BudgetsKey, v.at[drainpermit.BudgetsKey], drainpermit.Encode(rules))
+	r, err := setIfUnchanged(ask, author{c.By, c.Why}, fleetstate.BudgetsKey, v.versions[fleetstate.BudgetsKey], fleetstate.Encode(rules))
 	if err != nil {
 		return err
 	}
@@ -128,15 +129,15 @@
 	Until  time.Duration `help:"From now, after which they come back by themselves; 0: until undrain."`
 	Within time.Duration `help:"In which each should be empty; one that is not says so."`
 	Urgent bool          `help:"Before what is planned."`
-	reason
+	author
 }
 
-// named are the nodes that are meant.
-func named(v outView, words []string) (list []string, err error) {
+// resolveNames are the nodes that are meant.
+func resolveNames(v drainView, words []string) (list []string, err error) {
 	for _, w := range words {
 		zone, all := strings.CutPrefix(w, "zone=")
 		if address, server := strings.CutPrefix(w, "server="); server {
-			w = drainpermit.UpstreamName(address)
+			w = fleetstate.UpstreamName(address)
 		}
 		found := false
 		for _, m := range v.Members {
@@ -155,16 +156,16 @@
 }
 
 func (c *fleetDrainCmd) Run(_ *slog.Logger) error {
-	ask := cli.Fleet.client()
-	v, err := look(ask)
+	ask := grammar.Fleet.client()
+	v, err := readDrainView(ask)
 	if err != nil {
 		return err
 	}
-	nodes, err := named(v, c.Nodes)
+	nodes, err := resolveNames(v, c.Nodes)
 	if err != nil {
 		return err
 	}
-	a := drainpermit.Request{RequestedBy: c.By, Reason: c.Why, RequestedAtMS: v.NowMS, Urgent: c.Urgent, DrainTimeoutMS: c.Within.Milliseconds()}
+	a := fleetstate.DrainRequest{RequestedBy: c.By, Reason: c.Why, RequestedAtMS: v.NowMS, Urgent: c.Urgent, DrainTimeoutMS: c.Within.Milliseconds()}
 	if c.Until > 0 {
 		a.ExpiresAtMS = v.NowMS + c.Until.Milliseconds()
 	}
@@ -174,8 +175,8 @@
 			continue
 		}
 		a.ID = rand.Text()
-		key := drainpermit.RequestKey(node)
-		if _, err := setIf(ask, c.reason, key, v.at[key], drainpermit.Encode(a)); err != nil {
+		key := fleetstate.RequestKey(node)
+		if _, err := setIfUnchanged(ask, c.author, key, v.versions[key], fleetstate.Encode(a)); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
 		fmt.Printf("%s: asked for; \"fleet outs\" says when it is out, and what it waits for\n", node)
@@ -185,26 +186,26 @@
 
 type fleetUndrainCmd struct {
 	Nodes []string `arg:"" help:"The nodes' names, zone=Z for all nodes of a zone, or server=ADDRESS for a server below."`
-	reason
+	author
 }
 
 func (c *fleetUndrainCmd) Run(_ *slog.Logger) error {
-	ask := cli.Fleet.client()
-	v, err := look(ask)
+	ask := grammar.Fleet.client()
+	v, err := readDrainView(ask)
 	if err != nil {
 		return err
 	}
-	nodes, err := named(v, c.Nodes)
+	nodes, err := resolveNames(v, c.Nodes)
 	if err != nil {
 		return err
 	}
 	for _, node := range nodes {
-		key := drainpermit.RequestKey(node)
+		key := fleetstate.RequestKey(node)
 		if _, asked := v.Requests[node]; !asked {
 			fmt.Printf("%s: nobody asked for it\n", node)
 			continue
 		}
-		if _, err := setIf(ask, c.reason, key, v.at[key], ""); err != nil {
+		if _, err := setIfUnchanged(ask, c.author, key, v.versions[key], ""); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
 		fmt.Printf("%s: taken back\n", node)
@@ -214,15 +215,15 @@
 
 type fleetHaltCmd struct {
 	Release string `help:"Halt only what this release does; without it, everything voluntary."`
-	reason
+	author
 }
 
 // Run halts, and returns once nothing can begin any more, however late a process wakes up.
 func (c *fleetHaltCmd) Run(_ *slog.Logger) error {
-	return halt(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.reason)
+	return halt(grammar.Fleet.client(), cmp.Or(c.Release, fleetstate.HaltAll), c.author)
 }
 
-func halt(ask store.Client, what string, r reason) error {
+func halt(ask store.Client, what string, r author) error {
 	if strings.Contains(what, "/") {
 		return fmt.Errorf("release %q: a name without slashes is wanted", what)
 	}
@@ -236,15 +237,15 @@
 
 type fleetResumeCmd struct {
 	Release string `help:"Let this release go on; without it, everything."`
-	reason
+	author
 }
 
 func (c *fleetResumeCmd) Run(_ *slog.Logger) error {
-	return resume(cli.Fleet.client(), cmp.Or(c.Release, drainpermit.HaltAll), c.reason)
+	return resume(grammar.Fleet.client(), cmp.Or(c.Release, fleetstate.HaltAll), c.author)
 }
 
-func resume(ask store.Client, what string, r reason) error {
-	was, _, err := ask.Document(drainpermit.HaltKeyPrefix+what, false)
+func resume(ask store.Client, what string, r author) error {
+	was, _, err := ask.Document(fleetstate.HaltKeyPrefix+what, false)
 	if err != nil {
 		return err
 	}
@@ -253,7 +254,7 @@
 		return nil
 	}
 	r.Why = "resume " + what + ": " + r.Why
-	made, err := setIf(ask, r, was.Key, was.Version, "")
+	made, err := setIfUnchanged(ask, r, was.Key, was.Version, "")
 	if err != nil {
 		return err
 	}
@@ -265,11 +266,11 @@
 
 // Run shows who is out, who waits, and for what.
 func (fleetOutsCmd) Run(_ *slog.Logger) error {
-	v, err := look(cli.Fleet.client())
+	v, err := readDrainView(grammar.Fleet.client())
 	if err != nil {
 		return err
 	}
-	fmt.Println(since(v.seen))
+	fmt.Println(describeStatus(v.status))
 	for _, what := range slices.Sorted(maps.Keys(v.Halted)) {
 		fmt.Printf("HALTED: %s\n", what)
 	}
@@ -287,14 +288,14 @@
 			continue
 		}
 		held, waits := "", ""
-		if i := slices.IndexFunc(v.Members, func(s drainpermit.ObservedMember) bool { return s.Name == m.Name }); i >= 0 && permitted {
+		if i := slices.IndexFunc(v.Members, func(s fleetstate.ObservedMember) bool { return s.Name == m.Name }); i >= 0 && permitted {
 			r := v.Members[i].Report
 			held = fmt.Sprint(r.Running + r.Queued)
 			if r.DrainOverdue {
 				held += ", longer than it was to take"
 			}
 			if m := v.Members[i]; m.Service != "" {
-				held = agreed(m)
+				held = confirmations(m)
 			}
 		}
 		if r, no := refused[m.Name]; no {
@@ -308,8 +309,8 @@
 	return w.Flush()
 }
 
-// agreed says whether a server below is out on every node's word.
-func agreed(m drainpermit.ObservedMember) string {
+// confirmations says whether a server below is out on every node's word.
+func confirmations(m fleetstate.ObservedMember) string {
 	ok, open, silent := m.DrainConfirmed()
 	if ok {
 		return "out, on every node's word"
--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -38,11 +38,11 @@
 	JSON     bool   `help:"Speak JSON, one object a line; bytes that are no text as key64 and value64."`
 	MemoryMB int    `help:"Memory for the keys, in MB." default:"1024"`
 
-	tended bool // compacts by itself while it is open
+	compacts bool // compacts by itself while it is open
 }
 
 func (f *ledgerFlags) options(readOnly bool, log *slog.Logger) ledger.Options {
-	return ledger.Options{Limits: limits.ForLedger(int64(f.MemoryMB) << 20), ReadOnly: readOnly, Manual: !f.tended, Log: log, Step: progress()}
+	return ledger.Options{Limits: limits.ForLedger(int64(f.MemoryMB) << 20), ReadOnly: readOnly, Manual: !f.compacts, Log: log, Step: progress()}
 }
 
 func (f *ledgerFlags) open(readOnly bool, log *slog.Logger) (*ledger.Store, error) {
@@ -59,6 +59,9 @@
 	return s, nil
 }
 
+// closeReadOnly closes a store that was opened for reading: nothing of it is left to be written.
+func closeReadOnly(s *ledger.Store) { _ = s.Close() }
+
 // progress shows long work on a terminal, and nothing elsewhere.
 func progress() func(what string, done, of int64) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
@@ -81,8 +84,8 @@
 	}
 }
 
-// line is a pair as JSON.
-type line struct {
+// jsonPair is a pair as JSON.
+type jsonPair struct {
 	Key     string     `json:"key,omitempty"`
 	Key64   []byte     `json:"key64,omitempty"`
 	Value   *string    `json:"value,omitempty"`
@@ -108,21 +111,21 @@
 const inFlight = 4096
 
 func (c *ledgerPutCmd) Run(log *slog.Logger) (err error) {
-	dir, err := disk.MakeDir(c.Dir)
+	_, err = disk.MakeDir(c.Dir)
 	if err != nil {
 		return err
 	}
-	c.tended = true // or overwriting would leave behind all that it replaced
+	c.compacts = true // or overwriting would leave behind all that it replaced
 	s, err := c.open(false, log)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, s.Close()) }()
-	return c.write(s, dir, os.Stdin, os.Stdout)
+	return c.write(s, os.Stdin, os.Stdout)
 }
 
 // write puts the lines and prints the keys in their order, each once it is durable and only then.
-func (c *ledgerPutCmd) write(s *ledger.Store, dir disk.Dir, in io.Reader, out io.Writer) error {
+func (c *ledgerPutCmd) write(s *ledger.Store, in io.Reader, out io.Writer) error {
 	lim := limits.ForLedger(0)
 	sc := bufio.NewScanner(in)
 	sc.Buffer(nil, 2*(lim.KeyBytes+lim.ValueBytes))
@@ -164,8 +167,7 @@
 				fail(fmt.Errorf("line %d: %w", at, err))
 				return
 			}
-			w.Write(key)
-			err = w.WriteByte('\n')
+			_, err = fmt.Fprintf(w, "%s\n", key)
 			if len(tokens) <= 1 || w.Buffered() > 2048 { // what is acknowledged is told soon, and many at a time
 				err = errors.Join(err, w.Flush())
 			}
@@ -200,7 +202,7 @@
 		}
 		return bytes.Clone(k), bytes.Clone(v), expiry, nil
 	}
-	var l line
+	var l jsonPair
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&l); err != nil {
@@ -228,25 +230,23 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer closeReadOnly(s)
 	w := bufio.NewWriterSize(os.Stdout, 1<<16)
 	enc := json.NewEncoder(w)
 	err = s.Scan([]byte(c.Prefix), func(p ledger.Pair) error {
 		if c.JSON {
-			return enc.Encode(toLine(p))
+			return enc.Encode(toJSONPair(p))
 		}
 		if bytes.ContainsAny(p.Key, "\t\n") || bytes.ContainsRune(p.Value, '\n') {
 			return fmt.Errorf("key %q: it or its value has a tab or a line break; use --json", p.Key)
 		}
-		w.Write(p.Key)
-		w.WriteByte('\t')
-		w.Write(p.Value)
-		return w.WriteByte('\n')
+		_, err := fmt.Fprintf(w, "%s\t%s\n", p.Key, p.Value)
+		return err
 	})
 	return errors.Join(err, w.Flush())
 }
 
-func toLine(p ledger.Pair) (l line) {
+func toJSONPair(p ledger.Pair) (l jsonPair) {
 	if utf8.Valid(p.Key) {
 		l.Key = string(p.Key)
 	} else {
@@ -272,7 +272,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer closeReadOnly(s)
 	stats, r := s.Stats(), s.Recovery()
 	return c.show(struct {
 		ledger.Stats
@@ -331,7 +331,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer closeReadOnly(s)
 	to, err := disk.MakeDir(c.To)
 	if err != nil {
 		return err
--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync"
 
-	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
 	"sloehitch/internal/frontend/uwsgi"
 	"sloehitch/internal/frontend/uwsgi/balancer"
 	"sloehitch/internal/platform/config"
@@ -54,7 +54,7 @@
 	classes := c.Platform.Logic.Classes
 	d.uwsgi = uwsgi.New(uwsgi.Options{Over: observe, Core: d.node, Mapper: c.Operations, Pool: d.upstreams.pool, Limits: d.limits, Log: d.log,
 		Safe: func(class int) bool { return classes[class].Idempotency == logic.Idempotent }, Well: func() bool { return !d.service.outOfService() },
-		Modifiers: u.ModifierBytes(), Deadline: u.Deadline, HalfClose: u.HalfClose == "leaves", PerSource: u.ConnectionsPerSource, BodyMost: u.MaxBodyBytes()})
+		Modifiers: u.ModifierBytes(), Deadline: u.Deadline, HalfClose: u.ClientsLeave(), PerSource: u.ConnectionsPerSource, BodyMost: u.MaxBodyBytes()})
 	return d.serveOn("uwsgi", func() (net.Listener, error) { return address.Listen(mode, frontKeys) }, d.uwsgi.Serve)
 }
 
@@ -138,19 +138,19 @@
 }
 
 // upstreamStatus is the state of each listed server as this node sees it, by address.
-func (d *Daemon) upstreamStatus() map[string]drainpermit.UpstreamStatus {
-	status := map[string]drainpermit.UpstreamStatus{}
+func (d *Daemon) upstreamStatus() map[string]fleetstate.UpstreamStatus {
+	status := map[string]fleetstate.UpstreamStatus{}
 	listed := map[string]string{} // by the form in which the pool has the address
 	d.upstreams.mu.Lock()
 	for _, address := range d.upstreams.listed {
-		status[address] = drainpermit.UpstreamStatus{}
+		status[address] = fleetstate.UpstreamStatus{}
 		if e, err := endpoint.Parse(address); err == nil {
 			listed[e.String()] = address
 		}
 	}
 	d.upstreams.mu.Unlock()
 	for _, s := range d.upstreams.pool.Servers() {
-		status[cmp.Or(listed[s.Name], s.Name)] = drainpermit.UpstreamStatus{Routable: s.State != balancer.Draining, InFlight: s.Open,
+		status[cmp.Or(listed[s.Name], s.Name)] = fleetstate.UpstreamStatus{Routable: s.State != balancer.Draining, InFlight: s.Open,
 			Healthy: s.State == balancer.In || s.State == balancer.Warming}
 	}
 	return status
--- /dev/null
+++ b/logic/faults_test.go
@@ -0,0 +1,111 @@
+package logic
+
+import "testing"
+
+// The tests of this file combine two faults, and check the recovery from each.
+
+func TestDrainWhileStalled(t *testing.T) {
+	d := drive(t, testSettings())
+	d.step(0, arrival(1, 2, 60000*ms), arrival(2, 0, 60000*ms), arrival(3, 0, 60000*ms))
+	d.step(2000*ms, Event{Kind: EventDrain, TimeToKill: 2000 * ms})
+	answered := map[RequestID]int{}
+	for range 200 { // nothing completes
+		for _, a := range d.step(10*ms, tick()) {
+			if a.Kind == ActionFail || a.Kind == ActionReject {
+				answered[a.ID]++
+			}
+			if a.Kind == ActionReject && a.ID == 1 {
+				t.Error("a started run that is not idempotent was rejected")
+			}
+		}
+	}
+	for id := RequestID(1); id <= 3; id++ {
+		if id != 3 && answered[id] != 1 || answered[id] > 1 {
+			t.Errorf("request %d has %d answers at the kill", id, answered[id])
+		}
+	}
+}
+
+func TestSlowStartInBurst(t *testing.T) {
+	cfg := testSettings()
+	cfg.SlowStart = true
+	d := drive(t, cfg)
+	var burst []Event
+	for id := RequestID(1); id <= 60; id++ {
+		burst = append(burst, arrival(id, 0, 3000*ms))
+	}
+	d.step(0, burst...)
+	idle := tick()
+	idle.Gauges.RunQueueLength = 0 // a gauge that would raise the limit
+	survives := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
+	for range 50 {
+		d.step(4*ms, idle)
+		if float64(d.s.running) > survives {
+			t.Fatalf("%d runs on a starting server that survives %.1f", d.s.running, survives)
+		}
+	}
+}
+
+func TestSlowDependencyInRetryStorm(t *testing.T) {
+	cfg := testSettings()
+	cfg.CallConcurrencyLimit, cfg.Cores = 2, 4
+	d := drive(t, cfg)
+	most := 0
+	for i := range RequestID(300) {
+		id := i + 1
+		out := d.step(10*ms, arrival(id, 0, 1500*ms))
+		for _, a := range out {
+			if a.Kind == ActionRun {
+				d.step(0, needs(a.ID)) // no call ever ends
+			}
+		}
+		most = max(most, d.s.callsInFlight)
+		for _, r := range append([]*request(nil), d.s.active...) {
+			if r.state == stateRunning {
+				d.step(0, done(r.id, OutcomeOK, 20*ms))
+			}
+		}
+	}
+	if most == 0 || float64(most) > 2*cfg.CallConcurrencyLimit+1 {
+		t.Errorf("%d calls in flight under a limit of %v", most, cfg.CallConcurrencyLimit)
+	}
+}
+
+func TestFullKeyTableInOverloadStillServesReads(t *testing.T) {
+	cfg := testSettings()
+	cfg.KeyEntryKB = cfg.MemoryKB / 3
+	d := drive(t, cfg)
+	for id := RequestID(1); id <= 6; id++ {
+		if ran := started(d.step(10*ms, arrival(id, 1, 3000*ms))); ran != 0 {
+			d.step(0, done(ran, OutcomeOK, 10*ms))
+		}
+	}
+	d.want(d.step(10*ms, arrival(50, 0, 3000*ms)), ActionRun, 50)
+}
+
+func TestRunLimitAndRetryAfterRecover(t *testing.T) {
+	d := drive(t, testSettings())
+	d.learn(1, 0, 100*ms)
+	var burst []Event
+	for id := RequestID(10); id < 60; id++ {
+		burst = append(burst, arrival(id, 0, 3000*ms))
+	}
+	d.step(0, burst...)
+	if d.s.retryAfter() == 0 {
+		t.Fatal("no Retry-After with a long backlog")
+	}
+	for range 100 {
+		var ended []Event
+		for _, r := range d.s.active {
+			ended = append(ended, done(r.id, OutcomeOK, 100*ms))
+		}
+		d.step(100*ms, append(ended, tick())...)
+	}
+	if n := len(d.s.byID); n != 0 {
+		t.Fatalf("%d requests left after the burst", n)
+	}
+	if d.s.retryAfter() != 0 || d.s.runLimit < float64(d.s.cfg.Cores) {
+		t.Errorf("Retry-After %v, limit %v after the burst", d.s.retryAfter(), d.s.runLimit)
+	}
+	d.want(d.step(10*ms, arrival(99, 0, 3000*ms)), ActionRun, 99)
+}
--- /dev/null
+++ b/logic/invariants_test.go
@@ -0,0 +1,341 @@
+package logic
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// eventGenerator plays the host of one Server on generated, legal event sequences and checks the invariants
+// of the actions alone. It has no model of speed or load: work ends at random.
+type eventGenerator struct {
+	t        *testing.T
+	s        *Server
+	cfg      Settings
+	rng      *rand.Rand
+	now      Micros
+	next     RequestID
+	live     map[RequestID]*trackedRequest
+	order    []RequestID // ids in order of arrival, for reproducible draws
+	pending  []Event
+	timers   []timer
+	ranKey   map[uint64][]Micros // arrivals of the attempts of a key that ran
+	entries  map[uint64]keyEntry
+	drainAt  Micros
+	kill     Micros
+	keyOf    map[RequestID]uint64
+	answered int
+}
+
+type timer struct {
+	at  Micros
+	tag uint64
+}
+
+type keyEntry struct {
+	id      RequestID
+	expires Micros
+}
+
+type trackedRequest struct {
+	class                int
+	key                  uint64
+	memoryKB             float64
+	arrived, deadline    Micros
+	answered, started    bool
+	running, coalesced   bool
+	atCall, callInFlight bool
+	callForbidden        bool // an earlier call that is not idempotent may have run
+}
+
+func newEventGenerator(t *testing.T, cfg Settings, seed uint64) *eventGenerator {
+	s, err := New(cfg, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &eventGenerator{t: t, s: s, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), now: 1 << 40, next: 1,
+		live: map[RequestID]*trackedRequest{}, ranKey: map[uint64][]Micros{}, entries: map[uint64]keyEntry{},
+		keyOf: map[RequestID]uint64{}}
+}
+
+func (gen *eventGenerator) arrive() {
+	class := gen.rng.IntN(len(gen.cfg.Classes))
+	c := gen.cfg.Classes[class]
+	age := Micros(gen.rng.IntN(40000))
+	wait := c.ClientTimeout/4 + Micros(gen.rng.Int64N(int64(c.ClientTimeout)))
+	r := &trackedRequest{class: class, memoryKB: 5 + 40*gen.rng.Float64(), arrived: gen.now - age, deadline: gen.now + wait}
+	a := Arrival{Class: class, Tenant: -1, MemoryKB: r.memoryKB, AttemptTimeout: wait, Age: age, PriorityRank: gen.rng.Float64(),
+		CallerID: gen.rng.IntN(3)}
+	if !gen.cfg.DeadlinePropagated {
+		a.AttemptTimeout, r.deadline = 0, r.arrived+c.ClientTimeout
+	}
+	if len(gen.cfg.Tenants) > 0 {
+		a.Tenant = gen.rng.IntN(len(gen.cfg.Tenants))
+	}
+	if gen.rng.IntN(2) == 0 {
+		a.WorkHint = Micros(gen.rng.IntN(300000))
+	}
+	if c.Idempotency == IdempotentByKey {
+		r.key = uint64(gen.rng.IntN(40))
+		if e, ok := gen.entries[r.key]; ok && e.expires > r.arrived {
+			f := gen.live[e.id]
+			if f == nil && len(gen.ranKey[r.key]) > 0 || f != nil && !f.answered || f != nil && f.started {
+				a.OriginalID = e.id
+			}
+		}
+	}
+	gen.live[gen.next] = r
+	gen.order = append(gen.order, gen.next)
+	gen.keyOf[gen.next] = r.key
+	gen.pending = append(gen.pending, Event{Kind: EventArrival, ID: gen.next, Arrival: a})
+	gen.next++
+}
+
+// progress ends or advances a random share of the requests in flight.
+func (gen *eventGenerator) progress() {
+	kept := gen.order[:0]
+	for _, id := range gen.order {
+		if r := gen.live[id]; r != nil {
+			kept = append(kept, id)
+			gen.progressRequest(id, r)
+		}
+	}
+	gen.order = kept
+}
+
+func (gen *eventGenerator) progressRequest(id RequestID, r *trackedRequest) {
+	draw := gen.rng.Float64()
+	onCore := r.running && !r.atCall
+	switch {
+	case r.callInFlight && draw < 0.2:
+		gen.endCall(id, r)
+	case r.atCall && r.answered:
+		gen.done(id, OutcomeCanceled)
+	case (onCore || r.coalesced && !r.atCall) && draw < 0.05:
+		out := OutcomeOK
+		if gen.rng.IntN(10) == 0 {
+			out = OutcomeFailed
+		}
+		gen.done(id, out)
+	case onCore && !r.callInFlight && draw < 0.08 && gen.cfg.Classes[r.class].CallsDependency:
+		r.atCall = true
+		gen.pending = append(gen.pending, Event{Kind: EventCallNeeded, ID: id})
+	case draw > 0.998 && !r.answered:
+		r.answered = true
+		gen.pending = append(gen.pending, Event{Kind: EventCanceled, ID: id})
+		if !r.running {
+			delete(gen.live, id)
+		}
+	}
+}
+
+func (gen *eventGenerator) endCall(id RequestID, r *trackedRequest) {
+	r.callInFlight = false
+	outcomes := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut,
+		OutcomeUnreachable, OutcomeReset}
+	out := outcomes[gen.rng.IntN(len(outcomes))]
+	r.atCall = out != OutcomeOK
+	if out != OutcomeOK && !out.NeverRan() && gen.cfg.Classes[r.class].Idempotency != Idempotent {
+		r.callForbidden = true
+	}
+	gen.pending = append(gen.pending, Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 90000})
+}
+
+func (gen *eventGenerator) done(id RequestID, out Outcome) {
+	if out == OutcomeOK || out == OutcomeFailed {
+		gen.answered++
+	}
+	gen.pending = append(gen.pending, Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: 200000})
+	delete(gen.live, id)
+}
+
+func (gen *eventGenerator) step() {
+	waiting := gen.timers[:0]
+	for _, t := range gen.timers {
+		if t.at <= gen.now {
+			g := Gauges{CPUUtilization: gen.rng.Float64(), RunQueueLength: 20 * gen.rng.Float64(), MemoryUtilization: 0.5, Connections: 9}
+			gen.pending = append(gen.pending, Event{Kind: EventTimer, TimerID: t.tag, Gauges: g})
+			continue
+		}
+		waiting = append(waiting, t)
+	}
+	gen.timers = waiting
+	if len(gen.pending) > 0 {
+		for _, a := range gen.s.Step(gen.now, gen.pending) {
+			gen.action(a)
+		}
+		gen.pending = gen.pending[:0]
+	}
+	gen.check()
+}
+
+func (gen *eventGenerator) action(a Action) {
+	r := gen.live[a.ID]
+	switch a.Kind {
+	case ActionSetTimer:
+		gen.timers = append(gen.timers, timer{gen.now + a.Duration, a.TimerID})
+	case ActionStoreKey:
+		gen.entries[gen.keyOf[a.ID]] = keyEntry{a.ID, gen.now + a.Duration}
+	case ActionDeleteKey:
+		delete(gen.entries, gen.keyOf[a.ID])
+	case ActionStop:
+		if gen.cfg.StopMode == StopOff {
+			gen.t.Fatal("stop where it is not allowed")
+		}
+		if r != nil && r.running && r.answered && !r.atCall {
+			gen.done(a.ID, OutcomeCanceled)
+		}
+	case ActionSkipCall:
+		if gen.cfg.Classes[r.class].DegradedWeightShare == 0 {
+			gen.t.Fatal("skipped a call where that is not allowed")
+		}
+		r.atCall = false
+	case ActionSetLoadSignal:
+		if gen.cfg.SignalMode == SignalOff {
+			gen.t.Fatal("set a load signal where none is used")
+		}
+	}
+	if r == nil {
+		return
+	}
+	switch a.Kind {
+	case ActionRun:
+		gen.run(a.ID, r)
+	case ActionCoalesce:
+		r.coalesced = true
+	case ActionCall:
+		if r.callForbidden {
+			gen.t.Fatalf("call of %d was retried and is not idempotent", a.ID)
+		}
+		r.callInFlight = true
+	case ActionReject, ActionFail:
+		gen.answer(a, r)
+	}
+}
+
+func (gen *eventGenerator) run(id RequestID, r *trackedRequest) {
+	if r.running {
+		return
+	}
+	c := gen.cfg.Classes[r.class]
+	if r.answered {
+		gen.t.Fatalf("run of %d after its answer", id)
+	}
+	if gen.kill > 0 && r.arrived > gen.drainAt+gen.cfg.DrainGrace {
+		gen.t.Fatalf("run of %d, which arrived past the drain's grace", id)
+	}
+	if c.Idempotency == IdempotentByKey {
+		for _, at := range gen.ranKey[r.key] {
+			if r.arrived-at < c.IdempotencyWindow && r.arrived > at-c.IdempotencyWindow {
+				gen.t.Fatalf("key %d ran twice within its window", r.key)
+			}
+		}
+		gen.ranKey[r.key] = append(gen.ranKey[r.key], r.arrived)
+	}
+	r.running, r.started = true, true
+}
+
+func (gen *eventGenerator) answer(a Action, r *trackedRequest) {
+	if r.answered {
+		gen.t.Fatalf("second answer for %d", a.ID)
+	}
+	if a.Kind == ActionReject && r.started && gen.cfg.Classes[r.class].Idempotency != Idempotent {
+		gen.t.Fatalf("request %d is not idempotent and was rejected after a run", a.ID)
+	}
+	r.answered = true
+	gen.answered++
+	if !r.running {
+		delete(gen.live, a.ID)
+	}
+}
+
+// check looks at what must hold after every step.
+func (gen *eventGenerator) check() {
+	memory, onCores := 0.0, 0
+	for id, r := range gen.live {
+		if r.running && !r.atCall && !r.callInFlight {
+			onCores++
+		}
+		memoryKB := r.memoryKB
+		if r.running {
+			memoryKB *= gen.cfg.RunMemoryFactor
+		}
+		memory += memoryKB
+		if !r.answered && gen.now > r.deadline+gen.cfg.ResponseGrace {
+			gen.t.Fatalf("request %d unanswered past its deadline", id)
+		}
+		if gen.kill > 0 && gen.now >= gen.kill && !r.answered {
+			gen.t.Fatalf("request %d unanswered at the kill", id)
+		}
+	}
+	speed := 1.0
+	if gen.cfg.SlowStart {
+		speed = min(1, gen.cfg.SlowStartCapacity+(1-gen.cfg.SlowStartCapacity)*float64(gen.now-1<<40)/float64(gen.cfg.SlowStartDuration))
+	}
+	if most := float64(gen.cfg.Cores) * (1 + (gen.cfg.MaxConcurrencyPerCore-1)*speed); float64(onCores) > most {
+		gen.t.Fatalf("%d runs on cores that survive %.1f", onCores, most)
+	}
+	for _, e := range gen.entries {
+		if e.expires > gen.now {
+			memory += gen.cfg.KeyEntryKB
+		}
+	}
+	if memory > gen.cfg.MemoryKB {
+		gen.t.Fatalf("memory %.0f of %.0f", memory, gen.cfg.MemoryKB)
+	}
+}
+
+func TestGeneratedSequencesKeepInvariants(t *testing.T) {
+	for name, change := range map[string]func(*Settings){
+		"plain":      func(*Settings) {},
+		"one core":   func(c *Settings) { c.Cores = 1 },
+		"no waits":   func(c *Settings) { c.DeadlinePropagated = false },
+		"no stop":    func(c *Settings) { c.StopMode = StopOff },
+		"freeze":     func(c *Settings) { c.StopMode = StopPause },
+		"dear keys":  func(c *Settings) { c.KeyEntryKB, c.MemoryKB = 400, 9000 },
+		"tight":      func(c *Settings) { c.MemoryKB = 3000 },
+		"few calls":  func(c *Settings) { c.CallConcurrencyLimit = 0.5 },
+		"floor":      func(c *Settings) { c.SignalMode = SignalPriorityFloor },
+		"weight":     func(c *Settings) { c.SignalMode = SignalWeight },
+		"long tick":  func(c *Settings) { c.StepInterval = 20000 },
+		"cold":       func(c *Settings) { c.SlowStart = true },
+		"cold calls": func(c *Settings) { c.SlowStart, c.CallConcurrencyLimit, c.SlowStartDuration = true, 50, 60000*ms },
+		"no tenants": func(c *Settings) { c.Tenants = nil },
+	} {
+		t.Run(name, func(t *testing.T) {
+			cfg := testSettings()
+			change(&cfg)
+			for seed := range uint64(6) {
+				playGenerated(t, cfg, seed)
+			}
+		})
+	}
+}
+
+func playGenerated(t *testing.T, cfg Settings, seed uint64) {
+	gen := newEventGenerator(t, cfg, seed)
+	const steps = 4000
+	for i := range steps {
+		gen.now += cfg.StepInterval * Micros(1+gen.rng.IntN(2))
+		if gen.kill > 0 && gen.now >= gen.kill-cfg.StepInterval {
+			break
+		}
+		busy := i/500%2 == 1
+		for range gen.rng.IntN(2) {
+			if busy || gen.rng.IntN(8) == 0 {
+				gen.arrive()
+			}
+		}
+		if i/300%3 != 1 { // the work hangs for a third of the time
+			gen.progress()
+		}
+		if i == steps*3/4 {
+			gen.drainAt, gen.kill = gen.now, gen.now+4*cfg.DrainGrace
+			gen.pending = append(gen.pending, Event{Kind: EventDrain, TimeToKill: 4 * cfg.DrainGrace})
+		}
+		gen.step()
+	}
+	gen.check()
+	if gen.answered < 100 {
+		t.Fatalf("only %d requests answered: the sequence tests nothing", gen.answered)
+	}
+}
