--- a/internal/control/fleet/periodic_task.go
+++ b/internal/control/fleet/periodic_task.go
@@ -14,13 +14,16 @@
 // taskKeyPrefix, followed by a task's name, is the key of the record of the task's job (leasedtask.Record).
 const taskKeyPrefix = "duty/"
 
+// dueChecksPerInterval is how often in a task's interval a node looks whether a job is due, if the retry delay is not shorter.
+const dueChecksPerInterval = 4
+
 // PeriodicTask is a task that one node runs for the fleet, one job in each interval.
 type PeriodicTask struct {
 	Name     string
 	Interval time.Duration
 	Steps    []string // of each job, in order
-	// RunStep runs a step under a fencing token. It is called in a goroutine of its own, and may be called again for a step that was run
-	// before. It must make its changes under the token.
+	// RunStep runs a step under a fencing token. It is called in a goroutine of its own, and may be called
+	// again for a step that was run before. It must make its changes under the token.
 	RunStep func(ctx context.Context, a leasedtask.Action) error
 }
 
@@ -35,12 +38,13 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(min(task.Interval/4, p.options.RetryDelay)):
+		case <-time.After(min(task.Interval/dueChecksPerInterval, p.options.RetryDelay)):
 		}
 	}
 }
 
-// readTaskRecord reads how far a task's job is, and the document's version: confirmed by a majority, or (local) as the preferred member has it.
+// readTaskRecord reads how far a task's job is, and the document's version: confirmed by a majority, or
+// (local) as the preferred member has it.
 func (p *Participant) readTaskRecord(task string, local bool) (record leasedtask.Record, version uint64, err error) {
 	key := taskKeyPrefix + task
 	var doc document.Document
