--- a/internal/control/drainpermit/agent.go
+++ b/internal/control/drainpermit/agent.go
@@ -112,7 +112,7 @@
 func (a *Agent) LeftService(now lease.Instant) { a.outOfService, a.leftAt = true, now }
 
 // EnteredService reports that the process is in service again.
-func (a *Agent) EnteredService(_ lease.Instant) { a.outOfService, a.healthy = false, false }
+func (a *Agent) EnteredService() { a.outOfService, a.healthy = false, false }
 
 // HandleReplaceFailure reports that the process could not be replaced.
 func (a *Agent) HandleReplaceFailure(reason string) { a.writePending, a.replaceFailure = false, reason }
--- a/internal/control/drainpermit/modelcheck/node.go
+++ b/internal/control/drainpermit/modelcheck/node.go
@@ -91,7 +91,7 @@
 	case drainpermit.ActionLeaveService:
 		w.leaveService(n)
 	case drainpermit.ActionEnterService:
-		n.agent.EnteredService(now)
+		n.agent.EnteredService()
 		n.outOfService, n.healthySince = false, w.now
 	case drainpermit.ActionReplaceProcess:
 		w.replaceProcess(n, o, a)
--- a/internal/control/fleet/drain.go
+++ b/internal/control/fleet/drain.go
@@ -186,7 +186,7 @@
 
 func (a *drainAgent) enterService() {
 	a.drain.EnterService()
-	a.agent.EnteredService(a.clock())
+	a.agent.EnteredService()
 	a.options.OnEvent(faulthooks.Event{What: eventInService, ID: a.permitID()})
 	a.updateStats(func(stats *Stats) { stats.OutOfService = false })
 	a.options.Log.Info("back in service", "permit", a.permitID())
--- a/internal/emulator/release.go
+++ b/internal/emulator/release.go
@@ -309,7 +309,7 @@
 	case drainpermit.ActionLeaveService:
 		w.leaves(h)
 	case drainpermit.ActionEnterService:
-		v.agent.EnteredService(now)
+		v.agent.EnteredService()
 		v.out, v.in = false, w.clock.Now()
 		w.list(h, true)
 	case drainpermit.ActionReplaceProcess:
