--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -76,7 +76,7 @@
 	return listenWithRetry(d.limits, func() (net.Listener, error) { return net.Listen("tcp", address) })
 }
 
-// listenWithRetry retries for limits.Agree while the error may pass: a process that ended at once would be taken for one that cannot start.
+// listenWithRetry retries for limits.CommitTimeout while the error may pass: a process that ended at once would be taken for one that cannot start.
 func listenWithRetry(l limits.Limits, listen func() (net.Listener, error)) (net.Listener, error) {
 	for end := time.Now().Add(l.CommitTimeout); ; time.Sleep(l.MinBackoff) {
 		ln, err := listen()
