--- a/internal/backend/catalogue/conn.go
+++ b/internal/backend/catalogue/conn.go
@@ -22,105 +22,105 @@
 }
 
 // enqueue queues a call; the caller holds mu.
-func (p *conn) enqueue(k *call) {
-	p.calls[k.id] = k
-	p.queue = append(p.queue, k)
-	p.startWriter()
+func (cn *conn) enqueue(k *call) {
+	cn.calls[k.id] = k
+	cn.queue = append(cn.queue, k)
+	cn.startWriter()
 }
 
 // cancel tells the catalogue that nobody waits for a call, if that was sent; the caller holds mu.
-func (p *conn) cancel(k *call) {
+func (cn *conn) cancel(k *call) {
 	if k.sent {
-		p.pendingCancels = appendCancel(p.pendingCancels, k.id)
-		p.startWriter()
+		cn.pendingCancels = appendCancel(cn.pendingCancels, k.id)
+		cn.startWriter()
 		return
 	}
-	for i, queued := range p.queue {
+	for i, queued := range cn.queue {
 		if queued == k {
-			p.queue = append(p.queue[:i], p.queue[i+1:]...)
+			cn.queue = append(cn.queue[:i], cn.queue[i+1:]...)
 			return
 		}
 	}
 }
 
 // startWriter has the queue written, once the connection is open; the caller holds mu.
-func (p *conn) startWriter() {
-	if p.socket != nil && !p.writing && !p.closed {
-		p.writing = true
-		go p.writeLoop()
+func (cn *conn) startWriter() {
+	if cn.socket != nil && !cn.writing && !cn.closed {
+		cn.writing = true
+		go cn.writeLoop()
 	}
 }
 
 // run opens the connection and reads replies until it ends.
-func (p *conn) run() {
-	c := p.client
-	socket, err := net.DialTimeout("tcp", p.address, c.limits.DialTimeout)
+func (cn *conn) run() {
+	c := cn.client
+	socket, err := net.DialTimeout("tcp", cn.address, c.limits.DialTimeout)
 	c.mu.Lock()
 	if err != nil {
-		lost := c.closeConnection(p) // nothing was sent: each call is known not to have run
+		lost := c.closeConnection(cn) // nothing was sent: each call is known not to have run
 		c.mu.Unlock()
 		c.log.Warn("connection to the catalogue failed; its calls did not run", err)
 		failCalls(lost)
 		return
 	}
-	if p.socket = socket; p.closed {
+	if cn.socket = socket; cn.closed {
 		_ = socket.Close()
 	}
-	p.startWriter()
+	cn.startWriter()
 	c.mu.Unlock()
-	p.readLoop(socket)
+	cn.readLoop(socket)
 }
 
 // writeLoop writes what is queued until nothing is left.
-func (p *conn) writeLoop() {
-	c := p.client
+func (cn *conn) writeLoop() {
+	c := cn.client
 	for {
-		batch := p.takeBatch()
+		batch := cn.takeBatch()
 		if batch == nil {
 			return
 		}
-		err := p.socket.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
+		err := cn.socket.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
 		if err == nil {
-			_, err = p.socket.Write(batch)
+			_, err = cn.socket.Write(batch)
 		}
 		if err != nil {
-			_ = p.socket.Close() // the reader notices
+			_ = cn.socket.Close() // the reader notices
 		}
 	}
 }
 
 // takeBatch returns what is queued, and marks its calls as sent; nil if nothing is, or the connection is
 // closed.
-func (p *conn) takeBatch() []byte {
-	p.client.mu.Lock()
-	defer p.client.mu.Unlock()
-	if p.closed || len(p.queue) == 0 && len(p.pendingCancels) == 0 {
-		p.writing = false
+func (cn *conn) takeBatch() []byte {
+	cn.client.mu.Lock()
+	defer cn.client.mu.Unlock()
+	if cn.closed || len(cn.queue) == 0 && len(cn.pendingCancels) == 0 {
+		cn.writing = false
 		return nil
 	}
-	batch := p.pendingCancels
-	p.pendingCancels = nil
-	for _, k := range p.queue {
+	batch := cn.pendingCancels
+	cn.pendingCancels = nil
+	for _, k := range cn.queue {
 		k.sent = true
 		batch = append(batch, k.encoded...)
 		k.encoded = nil
 	}
-	p.queue = nil
+	cn.queue = nil
 	return batch
 }
 
 // readLoop takes replies until the connection ends or a malformed reply comes, after which nothing on it can
 // be told apart.
-func (p *conn) readLoop(socket net.Conn) {
+func (cn *conn) readLoop(socket net.Conn) {
 	in := bufio.NewReaderSize(socket, 4<<10)
 	var err error
 	for err == nil {
-		err = p.handleReply(socket, in)
+		err = cn.handleReply(socket, in)
 	}
-	c := p.client
+	c := cn.client
 	c.mu.Lock()
-	idle := time.Since(p.lastUsed)
-	lost := c.closeConnection(p)
+	idle := time.Since(cn.lastUsed)
+	lost := c.closeConnection(cn)
 	c.mu.Unlock()
 	if len(lost) > 0 {
 		c.log.Warn("connection to the catalogue ended with calls in flight; whether they ran is not known",
@@ -132,14 +132,14 @@
 // handleReply reads one reply and ends its call. Once begun, a reply must be complete within
 // limits.ReplyTimeout. One for a call that is not in flight here is dropped: it is a second copy, or its call
 // was canceled.
-func (p *conn) handleReply(socket net.Conn, in *bufio.Reader) error {
+func (cn *conn) handleReply(socket net.Conn, in *bufio.Reader) error {
 	if err := socket.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
 	if _, err := in.Peek(1); err != nil {
 		return err
 	}
-	c := p.client
+	c := cn.client
 	if err := socket.SetReadDeadline(time.Now().Add(c.limits.ReplyTimeout)); err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 		return err
 	}
 	c.mu.Lock()
-	k := p.calls[r.id]
+	k := cn.calls[r.id]
 	if k == nil || !k.sent {
 		c.mu.Unlock()
 		return nil
--- a/internal/backend/catalogue/pool.go
+++ b/internal/backend/catalogue/pool.go
@@ -18,15 +18,16 @@
 // pickConnection returns the connection for a request's call; the caller holds mu.
 func (c *Client) pickConnection(id string, once bool) *conn {
 	var least *conn
-	for _, p := range slices.Backward(c.connections) {
-		if p.address != c.address || p.lastRequest == id {
+	for i := len(c.connections) - 1; i >= 0; i-- {
+		cn := c.connections[i]
+		if cn.address != c.address || cn.lastRequest == id {
 			continue
 		}
-		if len(p.calls) == 0 && !once && time.Since(p.lastUsed) < c.limits.CatalogueIdleTimeout {
-			return p
+		if len(cn.calls) == 0 && !once && time.Since(cn.lastUsed) < c.limits.CatalogueIdleTimeout {
+			return cn
 		}
-		if least == nil || len(p.calls) < len(least.calls) {
-			least = p
+		if least == nil || len(cn.calls) < len(least.calls) {
+			least = cn
 		}
 	}
 	if len(c.connections) >= c.limits.CatalogueConnections {
@@ -40,17 +41,17 @@
 
 // openConnection adds a connection that is being opened; the caller holds mu.
 func (c *Client) openConnection() *conn {
-	p := &conn{client: c, address: c.address, calls: map[string]*call{}, lastUsed: time.Now()}
-	c.connections = append(c.connections, p)
-	go p.run()
-	return p
+	cn := &conn{client: c, address: c.address, calls: map[string]*call{}, lastUsed: time.Now()}
+	c.connections = append(c.connections, cn)
+	go cn.run()
+	return cn
 }
 
 // closeOneIdle closes the first idle connection, if any, to make room for a new one; the caller holds mu.
 func (c *Client) closeOneIdle() {
-	for _, p := range c.connections {
-		if len(p.calls) == 0 {
-			c.closeConnection(p)
+	for _, cn := range c.connections {
+		if len(cn.calls) == 0 {
+			c.closeConnection(cn)
 			return
 		}
 	}
@@ -61,10 +62,10 @@
 func (c *Client) closeIdle() {
 	idle := false
 	for i := 0; i < len(c.connections); i++ {
-		switch p := c.connections[i]; {
-		case len(p.calls) > 0:
-		case p.address != c.address || time.Since(p.lastUsed) >= c.limits.CatalogueIdleTimeout:
-			c.closeConnection(p)
+		switch cn := c.connections[i]; {
+		case len(cn.calls) > 0:
+		case cn.address != c.address || time.Since(cn.lastUsed) >= c.limits.CatalogueIdleTimeout:
+			c.closeConnection(cn)
 			i--
 		default:
 			idle = true
@@ -83,19 +84,19 @@
 
 // closeConnection closes a connection and returns the calls that were in flight on it; the caller holds mu, and
 // ends them without it.
-func (c *Client) closeConnection(p *conn) (lost []*call) {
-	if i := slices.Index(c.connections, p); i >= 0 {
+func (c *Client) closeConnection(cn *conn) (lost []*call) {
+	if i := slices.Index(c.connections, cn); i >= 0 {
 		c.connections = slices.Delete(c.connections, i, i+1)
 	}
-	p.closed = true
-	if p.socket != nil {
-		_ = p.socket.Close()
+	cn.closed = true
+	if cn.socket != nil {
+		_ = cn.socket.Close()
 	}
-	for _, k := range p.calls {
+	for _, k := range cn.calls {
 		k.timer.Stop()
 		delete(c.calls, k.id)
 		lost = append(lost, k)
 	}
-	clear(p.calls)
+	clear(cn.calls)
 	return lost
 }
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -83,11 +83,13 @@
 func (c *conn) begin(tag string, submit *submitMessage) (hasSlot bool, err error) {
 	c.mu.Lock()
 	if c.writeEnded {
+		// No answer could follow: it must not run, and its caller learns by the close that it did not.
 		c.mu.Unlock()
-		return false, errAborted // no answer could follow: it must not run, and its caller learns by the close that it did not
+		return false, errAborted
 	}
 	// An answer with the tag of an open request would be taken for the answer to that one.
-	if _, duplicate := c.openRequests[tag]; duplicate || submit != nil && len(c.openRequests) >= c.front.opts.Limits.RequestsPerConnection {
+	_, duplicate := c.openRequests[tag]
+	if duplicate || submit != nil && len(c.openRequests) >= c.front.opts.Limits.RequestsPerConnection {
 		c.mu.Unlock()
 		return false, errDuplicateTag
 	}
