--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -162,47 +162,56 @@
 func unconfirmedStart(id string) unconfirmedCommand              { return unconfirmedCommand{id, 0} }
 func unconfirmedReply(id string, call uint64) unconfirmedCommand { return unconfirmedCommand{id, call} }
 
+// requestGauges asks for gauges as if the runtime were ready, and answerGauges takes their echo.
+func requestGauges(l *Link) { l.writable = true; l.RequestGauges(); l.writable = false }
+
+func answerGauges(l *Link) {
+	l.recordGaugesReceived(gaugesNotice{echo: strconv.FormatUint(l.gaugesRequested, 10)})
+}
+
+// redeliveryCases are what happened to a command on a connection before it broke, and what is sent again or
+// reported on the next.
+var redeliveryCases = []struct {
+	name        string
+	prepare     func(l *Link)
+	want        string
+	unconfirmed []unconfirmedCommand
+}{
+	{"an idempotent start", func(l *Link) { l.Start("a", "book", nil, false) }, "start", nil},
+	{"an idempotent start that was read", func(l *Link) { l.Start("a", "book", nil, false); requestGauges(l); answerGauges(l) }, "start", nil},
+	{"another start", func(l *Link) { l.Start("a", "book", nil, true) }, "", []unconfirmedCommand{{"a", 0}}},
+	{"another start, with gauges requested after it", func(l *Link) { l.Start("a", "book", nil, true); requestGauges(l) }, "", []unconfirmedCommand{{"a", 0}}},
+	{"another start that was read", func(l *Link) { l.Start("a", "book", nil, true); requestGauges(l); answerGauges(l) }, "", nil},
+	{"a start behind gauges that came", func(l *Link) { requestGauges(l); l.Start("a", "book", nil, true); answerGauges(l) }, "", []unconfirmedCommand{{"a", 0}}},
+	{"a start with a later notice", func(l *Link) { l.Start("a", "book", nil, true); l.recordCall("a", 3) }, "", nil},
+	{"a run that is over", func(l *Link) { l.Start("a", "book", nil, true); l.removeRun("a") }, "", nil},
+	{"a reply", func(l *Link) {
+		l.Start("a", "book", nil, false)
+		l.recordCall("a", 3)
+		requestGauges(l)
+		answerGauges(l)
+		l.DeliverReply("a", nil)
+	}, "", []unconfirmedCommand{{"a", 3}}},
+	{"a reply that was read", func(l *Link) {
+		l.Start("a", "book", nil, true)
+		l.recordCall("a", 3)
+		l.DeliverReply("a", nil)
+		requestGauges(l)
+		answerGauges(l)
+	}, "", nil},
+	{"a skipped call", func(l *Link) {
+		l.Start("a", "book", nil, true)
+		l.recordCall("a", 3)
+		l.SkipCall("a", 3)
+		requestGauges(l)
+		answerGauges(l)
+	}, "omit", nil},
+}
+
 // TestRedeliveredCommands: what may arrive twice is sent again on the next connection; what may not is
 // reported as unconfirmed, unless an answer shows that it was read.
 func TestRedeliveredCommands(t *testing.T) {
-	ask := func(l *Link) { l.writable = true; l.RequestGauges(); l.writable = false }
-	echo := func(l *Link) { l.recordGaugesReceived(gaugesNotice{echo: strconv.FormatUint(l.gaugesRequested, 10)}) }
-	for _, c := range []struct {
-		name        string
-		prepare     func(l *Link)
-		want        string
-		unconfirmed []unconfirmedCommand
-	}{
-		{"an idempotent start", func(l *Link) { l.Start("a", "book", nil, false) }, "start", nil},
-		{"an idempotent start that was read", func(l *Link) { l.Start("a", "book", nil, false); ask(l); echo(l) }, "start", nil},
-		{"another start", func(l *Link) { l.Start("a", "book", nil, true) }, "", []unconfirmedCommand{{"a", 0}}},
-		{"another start, with gauges requested after it", func(l *Link) { l.Start("a", "book", nil, true); ask(l) }, "", []unconfirmedCommand{{"a", 0}}},
-		{"another start that was read", func(l *Link) { l.Start("a", "book", nil, true); ask(l); echo(l) }, "", nil},
-		{"a start behind gauges that came", func(l *Link) { ask(l); l.Start("a", "book", nil, true); echo(l) }, "", []unconfirmedCommand{{"a", 0}}},
-		{"a start with a later notice", func(l *Link) { l.Start("a", "book", nil, true); l.recordCall("a", 3) }, "", nil},
-		{"a run that is over", func(l *Link) { l.Start("a", "book", nil, true); l.removeRun("a") }, "", nil},
-		{"a reply", func(l *Link) {
-			l.Start("a", "book", nil, false)
-			l.recordCall("a", 3)
-			ask(l)
-			echo(l)
-			l.DeliverReply("a", nil)
-		}, "", []unconfirmedCommand{{"a", 3}}},
-		{"a reply that was read", func(l *Link) {
-			l.Start("a", "book", nil, true)
-			l.recordCall("a", 3)
-			l.DeliverReply("a", nil)
-			ask(l)
-			echo(l)
-		}, "", nil},
-		{"a skipped call", func(l *Link) {
-			l.Start("a", "book", nil, true)
-			l.recordCall("a", 3)
-			l.SkipCall("a", 3)
-			ask(l)
-			echo(l)
-		}, "omit", nil},
-	} {
+	for _, c := range redeliveryCases {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
 		l.generation = 1
 		c.prepare(l)
