--- a/internal/store/raftlog/encoding.go
+++ b/internal/store/raftlog/encoding.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -29,23 +28,22 @@
 	return append(append(b, e.Extensions...), e.Data...)
 }
 
-// decodeEntry reads an entry's bytes; what it returns shares them.
+// decodeEntry reads an entry's bytes into e, which shares them. It returns ErrMalformedEntry for bytes of another form.
 func decodeEntry(b []byte, index uint64, e *raft.Log) error {
-	malformed := fmt.Errorf("raftlog: entry %d is not one of this version's", index)
 	if len(b) < entryHeaderBytes || b[0] != entryVersion {
-		return malformed
+		return ErrMalformedEntry
 	}
 	*e = raft.Log{Index: index, Type: raft.LogType(b[1])}
 	b = b[entryHeaderBytes:]
 	term, n := binary.Uvarint(b)
 	if n <= 0 {
-		return malformed
+		return ErrMalformedEntry
 	}
 	e.Term = term
 	b = b[n:]
 	appendedAt, n := binary.Varint(b)
 	if n <= 0 {
-		return malformed
+		return ErrMalformedEntry
 	}
 	b = b[n:]
 	if appendedAt != 0 {
@@ -53,7 +51,7 @@
 	}
 	size, n := binary.Uvarint(b)
 	if n <= 0 || size > uint64(len(b)-n) {
-		return malformed
+		return ErrMalformedEntry
 	}
 	b = b[n:]
 	if size > 0 {
--- a/internal/store/raftlog/entries.go
+++ b/internal/store/raftlog/entries.go
@@ -33,7 +33,7 @@
 	return l.last, nil
 }
 
-// GetLog reads an entry. It returns raft.ErrLogNotFound where there is none.
+// GetLog reads an entry. It returns raft.ErrLogNotFound where there is none, and ErrMalformedEntry for one of another version.
 func (l *Log) GetLog(index uint64, into *raft.Log) error {
 	value, err := l.ledger.Get(entryKey(index))
 	if errors.Is(err, ledger.ErrNotFound) {
@@ -42,13 +42,16 @@
 	if err != nil {
 		return err
 	}
-	return decodeEntry(value, index, into)
+	if err := decodeEntry(value, index, into); err != nil {
+		return fmt.Errorf("raftlog: entry %d: %w", index, err)
+	}
+	return nil
 }
 
 // StoreLog stores an entry.
 func (l *Log) StoreLog(entry *raft.Log) error { return l.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs stores entries, which must follow one another and those that are there. They may exceed what one flush takes; after a
+// StoreLogs stores entries, which must follow one another and those that are there, else it returns ErrNotContiguous. They may exceed what one flush takes; after a
 // power cut a first part of them is there.
 func (l *Log) StoreLogs(logs []*raft.Log) error {
 	l.mu.Lock()
@@ -70,7 +73,7 @@
 	for ; n < len(logs); n++ {
 		e := logs[n]
 		if last != 0 && e.Index != last+1 {
-			return 0, fmt.Errorf("raftlog: entry %d was to be kept after entry %d", e.Index, last)
+			return 0, fmt.Errorf("raftlog: %w: entry %d after entry %d", ErrNotContiguous, e.Index, last)
 		}
 		value := encodeEntry(e)
 		if n > 0 && bytes+len(value) > l.limits.BatchBytes {
@@ -90,7 +93,8 @@
 	return n, nil
 }
 
-// DeleteRange deletes the entries from low to high, both included, which must be the oldest or the newest. After a power cut
+// DeleteRange deletes the entries from low to high, both included, which must be the oldest or the newest, else it
+// returns ErrNotAtAnEnd. After a power cut
 // between two flushes the entries that are left follow one another without a gap.
 func (l *Log) DeleteRange(low, high uint64) error {
 	l.mu.Lock()
@@ -100,7 +104,7 @@
 	case l.first == 0 || low > high:
 		return nil
 	case low != l.first && high != l.last:
-		return fmt.Errorf("raftlog: entries %d to %d are neither the oldest nor the newest of %d to %d", low, high, l.first, l.last)
+		return fmt.Errorf("raftlog: %w: entries %d to %d of %d to %d", ErrNotAtAnEnd, low, high, l.first, l.last)
 	}
 	var err error
 	if low == l.first {
--- a/internal/store/raftlog/raftlog.go
+++ b/internal/store/raftlog/raftlog.go
@@ -27,6 +27,22 @@
 	"sloehitch/internal/platform/limits"
 )
 
+// Errors of the log and its snapshots.
+var (
+	// ErrMissingEntries means that entries are missing between others, as no power cut leaves them.
+	ErrMissingEntries = errors.New("entries are missing")
+	// ErrMalformedEntry means that an entry's bytes are not of this version's form.
+	ErrMalformedEntry = errors.New("not an entry of this version")
+	// ErrNotContiguous means that entries to be stored do not follow one another.
+	ErrNotContiguous = errors.New("entries do not follow one another")
+	// ErrNotAtAnEnd means that entries to be deleted are neither the oldest nor the newest.
+	ErrNotAtAnEnd = errors.New("neither the oldest nor the newest entries")
+	// ErrCorruptSnapshot means that a snapshot's bytes are not those that were written.
+	ErrCorruptSnapshot = errors.New("the bytes are not those that were written")
+	// ErrSnapshotFinished means that bytes were written to a snapshot that was closed or canceled.
+	ErrSnapshotFinished = errors.New("the snapshot is finished")
+)
+
 // First bytes of the keys.
 const (
 	entryPrefix    = 'l'
@@ -49,8 +65,7 @@
 	stopOnce sync.Once
 }
 
-// Open opens a data directory. It returns the ledger's error, or one where entries are missing between others, as no power cut
-// could leave them.
+// Open opens a data directory. It returns the ledger's error, or ErrMissingEntries.
 func Open(fs disk.FS, lim limits.RaftLog, o ledger.Options) (*Log, error) {
 	s, err := ledger.Open(fs, o)
 	if err != nil {
@@ -76,7 +91,8 @@
 		if l.first == 0 {
 			l.first = index
 		} else if index != l.last+1 {
-			return fmt.Errorf("raftlog: entry %d follows entry %d: those between are lost, and with them what was agreed on; take this member out and add it anew", index, l.last)
+			return fmt.Errorf("raftlog: %w: entry %d follows entry %d; what was agreed on is lost with them: take this member out and add it anew",
+				ErrMissingEntries, index, l.last)
 		}
 		l.last = index
 		return nil
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -67,14 +67,14 @@
 	if err := errors.Join(l.StoreLogs(logs), l.StoreLog(entry(40, 2))); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.StoreLog(entry(42, 2)); err == nil {
+	if err := l.StoreLog(entry(42, 2)); !errors.Is(err, ErrNotContiguous) {
 		t.Error("a gap was taken")
 	}
 	l.holds(t, 5, 40, 2)
 	if err := l.GetLog(4, &raft.Log{}); !errors.Is(err, raft.ErrLogNotFound) {
 		t.Errorf("an entry that is not there: %v", err)
 	}
-	if err := l.DeleteRange(10, 20); err == nil {
+	if err := l.DeleteRange(10, 20); !errors.Is(err, ErrNotAtAnEnd) {
 		t.Error("entries amid others were deleted")
 	}
 	if err := errors.Join(l.DeleteRange(1, 9), l.DeleteRange(30, 99)); err != nil {
@@ -141,7 +141,7 @@
 	if err := l.Ledger().Put(partKey(metas[0].ID, 1), make([]byte, 100), time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := readSnapshot(t, l, metas[0].ID); err == nil {
+	if _, err := readSnapshot(t, l, metas[0].ID); !errors.Is(err, ErrCorruptSnapshot) {
 		t.Error("bytes that were not written were read")
 	}
 }
--- a/internal/store/raftlog/sink.go
+++ b/internal/store/raftlog/sink.go
@@ -2,13 +2,11 @@
 
 import (
 	"encoding/json"
-	"errors"
+	"fmt"
 	"hash/crc64"
 	"time"
 )
 
-var errSnapshotFinished = errors.New("raftlog: the snapshot has ended")
-
 // sink takes a snapshot's bytes. It implements raft.SnapshotSink and is not safe for concurrent use.
 type sink struct {
 	log         *Log
@@ -23,7 +21,7 @@
 // Write takes bytes, and writes each part that is complete.
 func (s *sink) Write(p []byte) (int, error) {
 	if s.finished {
-		return 0, errSnapshotFinished
+		return 0, fmt.Errorf("raftlog: %w", ErrSnapshotFinished)
 	}
 	s.description.Checksum = crc64.Update(s.description.Checksum, crcTable, p)
 	s.description.Size += int64(len(p))
--- a/internal/store/raftlog/snapshots.go
+++ b/internal/store/raftlog/snapshots.go
@@ -68,7 +68,8 @@
 	return metas, err
 }
 
-// Open opens a snapshot for reading. The reader returns an error at the end where the bytes are not those that were written.
+// Open opens a snapshot for reading. The reader returns ErrCorruptSnapshot at the end where the bytes are not those that were
+// written.
 func (s Snapshots) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	text, err := s.log.ledger.Get(descriptionKey(id))
 	if err != nil {
--- a/internal/store/raftlog/source.go
+++ b/internal/store/raftlog/source.go
@@ -17,7 +17,7 @@
 	part        []byte // not yet returned
 }
 
-// Read returns the snapshot's bytes, and an error at their end where the checksum differs.
+// Read returns the snapshot's bytes, and ErrCorruptSnapshot at their end where the checksum differs.
 func (s *source) Read(p []byte) (int, error) {
 	for len(s.part) == 0 {
 		if s.nextPart == s.description.Parts {
@@ -39,7 +39,7 @@
 // end returns io.EOF where all bytes are those that were written.
 func (s *source) end() error {
 	if s.checksum != s.description.Checksum {
-		return fmt.Errorf("raftlog: snapshot %s is not as it was written", s.description.ID)
+		return fmt.Errorf("raftlog: snapshot %s: %w", s.description.ID, ErrCorruptSnapshot)
 	}
 	return io.EOF
 }
