--- a/internal/store/backup_test.go
+++ b/internal/store/backup_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRestore: all go back to a backup; what came after is gone, no token comes again, an owner of before is rejected, and who
-// watches has to read anew.
+// TestRestore: all go back to a backup; what came after is lost, no token is granted again, an earlier holder is rejected, and
+// watchers have to read anew.
 func TestRestore(t *testing.T) {
 	cluster := newDiskCluster(t, 3)
 	cluster.write("a", "1")
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/control/lease"
 )
 
-// BenchmarkChanges is changes through the leader, on disk, by so many writers at once with so many members: an operators'
-// value, and a transaction under a task's token.
+// BenchmarkChanges measures changes through the leader, on disk, by concurrent writers: an operators' value, and a transaction
+// under a task's token.
 func BenchmarkChanges(b *testing.B) {
 	for _, members := range []int{1, 3, 5} {
 		for _, writers := range []int{1, 16, 64} {
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMembersInService: one is added, catches up, gets a vote and the leadership; the one that led is removed and excluded; what would
-// lose the majority is rejected; all of it is in the history.
+// TestMembersInService: a member is added, catches up, gets a vote and the leadership; the former leader is removed and excluded; a change
+// that would lose the majority is rejected; all of it is in the history.
 func TestMembersInService(t *testing.T) {
 	cluster := newDiskCluster(t, 3)
 	cluster.write("a", "1")
--- a/internal/store/quorum/rejoin.go
+++ b/internal/store/quorum/rejoin.go
@@ -40,16 +40,16 @@
 	InMemory           bool   // it has no data directory: it starts empty each time, by configuration
 }
 
-// PeerAnswer is what another member answers to one that starts.
+// PeerAnswer is the response of another member to one that starts, the requester.
 type PeerAnswer struct {
 	From               string   `json:"from"`
 	StoreID            string   `json:"store"`  // empty: it has none yet
-	IsMember           bool     `json:"member"` // the one that asks is a member, as far as is known
-	IsVoter            bool     `json:"votes"`  // the one that asks is a voter
-	IsLeader           bool     `json:"leads"`  // the one that answers leads, as far as it knows: then it does know the members
-	Term               uint64   `json:"term"`   // the highest that the one that answers acted in
+	IsMember           bool     `json:"member"` // the requester is a member, as far as is known
+	IsVoter            bool     `json:"votes"`  // the requester is a voter
+	IsLeader           bool     `json:"leads"`  // the responder leads, as far as it knows: then it does know the members
+	Term               uint64   `json:"term"`   // the highest that the responder acted in
 	LeaderAdminAddress string   `json:"leader"` // where operators reach the leader; empty: not known
-	Progress           Progress `json:"mark"`   // of the one that asks, as the one that answers remembers it
+	Progress           Progress `json:"mark"`   // of the requester, as the responder remembers it
 	Unsupported        bool     `json:"-"`      // its version does not know the question
 }
 
--- a/internal/store/start_test.go
+++ b/internal/store/start_test.go
@@ -12,7 +12,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestKeptOut: an older copy of a data directory, an empty one, another member's and another store's are told from a member's own.
+// TestKeptOut: an older copy of a data directory, an empty one, another member's and another store's are distinguished from a
+// member's own.
 func TestKeptOut(t *testing.T) {
 	cluster := newDiskCluster(t, 3)
 	cluster.write("a", "1")
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -7,7 +7,8 @@
 //   - propose.go, statemachine.go: how a change is replicated by raft, and applied on each member.
 //   - leadership.go: what a member does as it becomes the leader, and hands the leadership over.
 //   - raftstorage.go, peertracker.go: what a member must not forget; transport.go, streamlayer.go: its links to the others.
-//   - start.go, excluded.go: how a member asks the others whether it may take part, and what it does where it may not.
+//   - start.go, identity.go: how a member asks the others whether it may take part; membershipwatch.go: how it finds out that
+//     it was removed.
 //   - members.go, memberchange.go: the members, and changes of them while the store runs.
 //   - recover.go: how one member goes on alone after the majority was lost for good.
 //   - api.go, documentapi.go, memberapi.go: HTTP for operators and for the other members; client.go: its client.
@@ -99,7 +100,7 @@
 	exclusionReason  string         // why this member takes no part, or not yet
 }
 
-// Open returns this member's copy. It returns before the member takes part; Members tells whether it does. It returns an error
+// Open returns this member's copy. It may return before the member takes part; Members tells whether it does. It returns an error
 // where the options, the data directory or the address for the other members can't be used.
 func Open(o Options) (*Store, error) {
 	s := &Store{
