--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -12,7 +12,7 @@
 )
 
 // errWrongPeer means that what answers at a member's address is not that member.
-var errWrongPeer = errors.New("no connection to a stranger")
+var errWrongPeer = errors.New("not connected to the wrong peer")
 
 func wrongPeerError(address raft.ServerAddress, format string, args ...any) error {
 	return fmt.Errorf("%w at %s: %s", errWrongPeer, address, fmt.Sprintf(format, args...))
