--- a/client/uwsgi/client.go
+++ b/client/uwsgi/client.go
@@ -31,13 +31,13 @@
 	Address string      // host:port, suwsgi://host:port (TLS) or unix:/path
 	TLS     *tls.Config // for suwsgi://; nil: the system's authorities
 
-	Dial     time.Duration // for one connection attempt; 0: 2 s
-	Tries    int           // of one request, the first included; 0: 4
-	BackOff  time.Duration // before a further try that the server named no time for, doubling, with jitter; 0: 100 ms
-	MaxWait  time.Duration // the longest that a server's Retry-After is heeded; beyond it the response is returned; 0: 30 s
-	MaxHead  int           // bytes of a response's head; 0: 64 KiB
-	Deadline string        // the variable that tells how many milliseconds are left, such as HTTP_X_DEADLINE_MS; empty: none is sent
-	Modifier byte          // modifier1; 0 for WSGI
+	DialTimeout      time.Duration // for one connection attempt; 0: 2 s
+	MaxAttempts      int           // of one request, the first included; 0: 4
+	Backoff          time.Duration // before a further try that the server named no time for, doubling, with jitter; 0: 100 ms
+	MaxRetryAfter    time.Duration // the longest that a server's Retry-After is heeded; beyond it the response is returned; 0: 30 s
+	MaxHeadBytes     int           // bytes of a response's head; 0: 64 KiB
+	DeadlineVariable string        // the variable that tells how many milliseconds are left, such as HTTP_X_DEADLINE_MS; empty: none is sent
+	Modifier         byte          // modifier1; 0 for WSGI
 }
 
 // Request is one request. Body is read once for each try.
@@ -49,27 +49,27 @@
 	Header http.Header
 	Vars   map[string]string // further CGI variables, or others in the place of those that follow from the fields
 
-	// Key is the same for all tries of one request that must not run twice; it is sent as Idempotency-Key. A request without a key is sent again only
+	// IdempotencyKey is the same for all tries of one request that must not run twice; it is sent as Idempotency-Key. A request without a key is sent again only
 	// if no connection came about.
-	Key string
+	IdempotencyKey string
 	// Body returns the body anew for each try; nil: none. Length is its length in bytes, -1 if it isn't known: then it is sent in chunks.
 	Body   func() (io.Reader, error)
 	Length int64
 }
 
-// Text is a body of these bytes, for Request.Body and Request.Length.
-func Text(s string) (func() (io.Reader, error), int64) {
+// TextBody is a body of these bytes, for Request.Body and Request.Length.
+func TextBody(s string) (func() (io.Reader, error), int64) {
 	return func() (io.Reader, error) { return strings.NewReader(s), nil }, int64(len(s))
 }
 
 // Response is the response to a request. Its Body must be closed. A body that ends before it is whole gives io.ErrUnexpectedEOF, or the
 // connection's error, never io.EOF; only where the close of the connection marks the end and is no reset that can't be told.
 type Response struct {
-	Status int
-	Header http.Header
-	Body   io.ReadCloser
-	Length int64 // of the body; -1: not told
-	Tries  int
+	Status   int
+	Header   http.Header
+	Body     io.ReadCloser
+	Length   int64 // of the body; -1: not told
+	Attempts int
 }
 
 // RetryAfter is when the server asks to come back; 0 if it doesn't say. Only seconds are read, as the daemon sends them.
@@ -81,7 +81,7 @@
 	return time.Duration(n) * time.Second
 }
 
-func or[T int | time.Duration](v, other T) T {
+func orDefault[T int | time.Duration](v, other T) T {
 	if v == 0 {
 		return other
 	}
@@ -96,11 +96,11 @@
 		return nil, err
 	}
 	for n := 1; ; n++ {
-		resp, err := c.once(ctx, e, r)
+		resp, err := c.attempt(ctx, e, r)
 		if resp != nil {
-			resp.Tries = n
+			resp.Attempts = n
 		}
-		wait, again := c.again(r, n, resp, err)
+		wait, again := c.retryDelay(r, n, resp, err)
 		if !again || ctx.Err() != nil {
 			return resp, err
 		}
@@ -120,18 +120,18 @@
 	}
 }
 
-// again says whether a request may be sent once more, and after which time.
-func (c *Client) again(r *Request, tries int, resp *Response, err error) (time.Duration, bool) {
-	if tries >= or(c.Tries, 4) {
+// retryDelay says whether a request may be sent once more, and after which time.
+func (c *Client) retryDelay(r *Request, tries int, resp *Response, err error) (time.Duration, bool) {
+	if tries >= orDefault(c.MaxAttempts, 4) {
 		return 0, false
 	}
-	back := or(c.BackOff, 100*time.Millisecond) << (tries - 1)
+	back := orDefault(c.Backoff, 100*time.Millisecond) << (tries - 1)
 	back += time.Duration(rand.Int64N(int64(back)/2 + 1)) // so that callers that failed together don't come back together
 	var d *DialError
 	switch {
-	case err == nil && resp.Status == http.StatusServiceUnavailable && r.Key != "":
+	case err == nil && resp.Status == http.StatusServiceUnavailable && r.IdempotencyKey != "":
 		if told := resp.RetryAfter(); told > 0 {
-			return told, told <= or(c.MaxWait, 30*time.Second)
+			return told, told <= orDefault(c.MaxRetryAfter, 30*time.Second)
 		}
 		return back, true
 	case err == nil:
@@ -140,7 +140,7 @@
 		return back, true // nothing was sent
 	}
 	var bad *BodyError
-	return back, r.Key != "" && !errors.As(err, &bad)
+	return back, r.IdempotencyKey != "" && !errors.As(err, &bad)
 }
 
 // DialError says that no connection came about: nothing was sent.
@@ -155,13 +155,13 @@
 func (e *BodyError) Error() string { return "uwsgi: the request's body: " + e.Err.Error() }
 func (e *BodyError) Unwrap() error { return e.Err }
 
-// once makes one try.
-func (c *Client) once(ctx context.Context, e endpoint.Endpoint, r *Request) (*Response, error) {
-	head, err := c.head(ctx, r)
+// attempt makes one try.
+func (c *Client) attempt(ctx context.Context, e endpoint.Endpoint, r *Request) (*Response, error) {
+	head, err := c.packetHead(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	dialing, cancel := context.WithTimeout(ctx, or(c.Dial, 2*time.Second))
+	dialing, cancel := context.WithTimeout(ctx, orDefault(c.DialTimeout, 2*time.Second))
 	conn, err := c.connect(dialing, e)
 	cancel()
 	if err != nil {
@@ -184,7 +184,7 @@
 		}
 		return nil, fmt.Errorf("uwsgi: %w", err)
 	}
-	resp.Body = &body{resp.Body, conn, stop}
+	resp.Body = &connBody{resp.Body, conn, stop}
 	return resp, nil
 }
 
@@ -210,8 +210,8 @@
 	return t, nil
 }
 
-// head is the packet's header and variables.
-func (c *Client) head(ctx context.Context, r *Request) ([]byte, error) {
+// packetHead is the packet's header and variables.
+func (c *Client) packetHead(ctx context.Context, r *Request) ([]byte, error) {
 	path := r.Path
 	if path == "" {
 		path = "/"
@@ -230,8 +230,8 @@
 	for name, values := range r.Header {
 		vars[variable(name)] = strings.Join(values, ", ")
 	}
-	if r.Key != "" {
-		vars[variable("Idempotency-Key")] = r.Key
+	if r.IdempotencyKey != "" {
+		vars[variable("Idempotency-Key")] = r.IdempotencyKey
 	}
 	switch {
 	case r.Body == nil:
@@ -241,8 +241,8 @@
 	default:
 		vars["HTTP_TRANSFER_ENCODING"] = "chunked"
 	}
-	if deadline, ok := ctx.Deadline(); ok && c.Deadline != "" {
-		vars[c.Deadline] = strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10)
+	if deadline, ok := ctx.Deadline(); ok && c.DeadlineVariable != "" {
+		vars[c.DeadlineVariable] = strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10)
 	}
 	for name, value := range r.Vars {
 		vars[name] = value
@@ -254,7 +254,7 @@
 		}
 		list = append(list, [2]string{name, value})
 	}
-	return packet.Append(nil, c.Modifier, 0, list)
+	return packet.AppendRequest(nil, c.Modifier, 0, list)
 }
 
 // variable is the CGI variable of a header field.
@@ -276,7 +276,7 @@
 		conn.Close()
 		return &BodyError{err}
 	}
-	source := &reading{from: from}
+	source := &errorRecorder{from: from}
 	if r.Length >= 0 {
 		n, err := io.Copy(conn, io.LimitReader(source, r.Length))
 		if source.err == nil && err == nil && n < r.Length {
@@ -303,13 +303,13 @@
 	return err
 }
 
-// reading notes an error of the body's own.
-type reading struct {
+// errorRecorder notes an error of the body's own.
+type errorRecorder struct {
 	from io.Reader
 	err  error
 }
 
-func (r *reading) Read(b []byte) (int, error) {
+func (r *errorRecorder) Read(b []byte) (int, error) {
 	n, err := r.from.Read(b)
 	if err != nil && !errors.Is(err, io.EOF) {
 		r.err = err
@@ -319,7 +319,7 @@
 
 // receive reads a response's head.
 func (c *Client) receive(conn net.Conn, r *Request) (*Response, error) {
-	most := or(c.MaxHead, 64<<10)
+	most := orDefault(c.MaxHeadBytes, 64<<10)
 	in := bufio.NewReaderSize(conn, most+1)
 	for {
 		b, head, err := peekHead(in, r.Method == http.MethodHead, most)
@@ -345,7 +345,7 @@
 		case head.Body.Chunked:
 			resp.Body = io.NopCloser(httputil.NewChunkedReader(in))
 		case head.Body.Length >= 0:
-			resp.Body = io.NopCloser(&exact{in, head.Body.Length})
+			resp.Body = io.NopCloser(&lengthReader{in, head.Body.Length})
 		default:
 			resp.Body = io.NopCloser(in)
 		}
@@ -354,11 +354,11 @@
 }
 
 // peekHead looks at a whole head.
-func peekHead(in *bufio.Reader, headOnly bool, most int) ([]byte, packet.Head, error) {
+func peekHead(in *bufio.Reader, headOnly bool, most int) ([]byte, packet.ResponseHead, error) {
 	for {
 		b, _ := in.Peek(in.Buffered())
-		head, err := packet.ReadHead(b, headOnly, most)
-		if !errors.Is(err, packet.ErrShort) {
+		head, err := packet.ReadResponseHead(b, headOnly, most)
+		if !errors.Is(err, packet.ErrIncomplete) {
 			return b, head, err
 		}
 		if _, err := in.Peek(len(b) + 1); err != nil {
@@ -370,13 +370,13 @@
 	}
 }
 
-// exact reads so many bytes, and takes fewer for an error.
-type exact struct {
+// lengthReader reads so many bytes, and takes fewer for an error.
+type lengthReader struct {
 	in   io.Reader
 	left int64
 }
 
-func (e *exact) Read(b []byte) (int, error) {
+func (e *lengthReader) Read(b []byte) (int, error) {
 	if e.left == 0 {
 		return 0, io.EOF
 	}
@@ -387,14 +387,14 @@
 	return n, err
 }
 
-// body closes its connection.
-type body struct {
+// connBody closes its connection.
+type connBody struct {
 	io.ReadCloser
 	conn net.Conn
 	stop func() bool
 }
 
-func (b *body) Close() error {
+func (b *connBody) Close() error {
 	b.stop()
 	return b.conn.Close()
 }
--- a/client/uwsgi/client_test.go
+++ b/client/uwsgi/client_test.go
@@ -23,10 +23,10 @@
 }
 
 func TestDo(t *testing.T) {
-	hello, n := uwsgi.Text("hello")
+	hello, n := uwsgi.TextBody("hello")
 	post := uwsgi.Request{Method: "POST", Path: "/book", Body: hello, Length: n}
 	keyed := post
-	keyed.Key = "k1"
+	keyed.IdempotencyKey = "k1"
 	stream := post
 	stream.Length = -1
 	short := post
@@ -65,7 +65,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := standin.NewScripted(t, c.scripts...)
-			client := uwsgi.Client{Address: s.Address, BackOff: time.Millisecond}
+			client := uwsgi.Client{Address: s.Address, Backoff: time.Millisecond}
 			ctx, cancel := context.WithTimeout(context.Background(), standin.Patience)
 			defer cancel()
 			resp, err := client.Do(ctx, &c.r)
@@ -74,7 +74,7 @@
 				var b []byte
 				b, err = io.ReadAll(resp.Body)
 				resp.Body.Close()
-				got = fmt.Sprint(resp.Status, " ", string(b), " ", resp.Tries)
+				got = fmt.Sprint(resp.Status, " ", string(b), " ", resp.Attempts)
 			}
 			if c.err != nil {
 				if err == nil || !c.err(err) {
@@ -90,7 +90,7 @@
 // TestDeadline: a hanging server costs no more than the context allows, the time left is told, and nothing waits past it.
 func TestDeadline(t *testing.T) {
 	s := standin.NewScripted(t, standin.Script{{Until: "HTTP_X_DEADLINE_MS"}, {Until: "never"}})
-	client := uwsgi.Client{Address: s.Address, Deadline: "HTTP_X_DEADLINE_MS"}
+	client := uwsgi.Client{Address: s.Address, DeadlineVariable: "HTTP_X_DEADLINE_MS"}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for s.Connections() == 0 {
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	down.Close()
-	client = uwsgi.Client{Address: down.Addr().String(), BackOff: time.Hour}
+	client = uwsgi.Client{Address: down.Addr().String(), Backoff: time.Hour}
 	ctx, cancel = context.WithTimeout(context.Background(), standin.Patience)
 	defer cancel()
 	var d *uwsgi.DialError
@@ -167,15 +167,15 @@
 	}
 
 	// A booking has a key: it may be sent again, and is when the server is too busy.
-	body, length := uwsgi.Text("chair 3")
-	resp, err = client.Do(ctx, &uwsgi.Request{Method: "POST", Path: "/book", Key: "5c0f6e1a", Body: body, Length: length})
+	body, length := uwsgi.TextBody("chair 3")
+	resp, err = client.Do(ctx, &uwsgi.Request{Method: "POST", Path: "/book", IdempotencyKey: "5c0f6e1a", Body: body, Length: length})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	defer resp.Body.Close()
 	text, err = io.ReadAll(resp.Body)
-	fmt.Println(resp.Status, strings.TrimSpace(string(text)), "after", resp.Tries, "tries", err)
+	fmt.Println(resp.Status, strings.TrimSpace(string(text)), "after", resp.Attempts, "tries", err)
 	// Output:
 	// 200 09:00 10:30
 	// 200 booked after 2 tries <nil>
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -112,7 +112,7 @@
 type describeCmd struct{}
 
 func (describeCmd) Run(_ *slog.Logger) error {
-	_, err := os.Stdout.Write(apispec.Platform)
+	_, err := os.Stdout.Write(apispec.PlatformAsyncAPI)
 	return err
 }
 
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -76,11 +76,11 @@
 		return vars, 0, err
 	}
 	h := packet.ReadHeader(first)
-	if h == (packet.Header{Mod1: packet.Ping}) {
+	if h == (packet.Header{Modifier1: packet.Ping}) {
 		return vars, 0, errPing
 	}
-	if h.Mod1 != 0 {
-		return vars, 0, fmt.Errorf("modifier %d", h.Mod1)
+	if h.Modifier1 != 0 {
+		return vars, 0, fmt.Errorf("modifier %d", h.Modifier1)
 	}
 	block := make([]byte, h.Size)
 	if _, err := io.ReadFull(conn, block); err != nil {
@@ -89,7 +89,7 @@
 	if vars, err = packet.ReadVars(block, 256); err != nil {
 		return vars, 0, err
 	}
-	kind, err := packet.RequestBody(vars)
+	kind, err := packet.RequestFraming(vars)
 	if err != nil || kind.Chunked {
 		if err == nil {
 			err = errors.New("chunks are more than this toy reads")
@@ -113,14 +113,14 @@
 func (c *askCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
 	defer cancel()
-	client := &uwsgi.Client{Address: c.To, Deadline: "HTTP_X_DEADLINE_MS", Tries: c.Tries}
-	body, length := uwsgi.Text(c.Body)
-	resp, err := client.Do(ctx, &uwsgi.Request{Method: c.Method, Path: c.Path, Key: c.Key, Body: body, Length: length})
+	client := &uwsgi.Client{Address: c.To, DeadlineVariable: "HTTP_X_DEADLINE_MS", MaxAttempts: c.Tries}
+	body, length := uwsgi.TextBody(c.Body)
+	resp, err := client.Do(ctx, &uwsgi.Request{Method: c.Method, Path: c.Path, IdempotencyKey: c.Key, Body: body, Length: length})
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	fmt.Printf("%d %s (tries: %d)\n", resp.Status, http.StatusText(resp.Status), resp.Tries)
+	fmt.Printf("%d %s (tries: %d)\n", resp.Status, http.StatusText(resp.Status), resp.Attempts)
 	_, err = io.Copy(os.Stdout, resp.Body)
 	return err
 }
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -268,7 +268,7 @@
 // TestMessagesFollowTheDescription: each command is valid by the AsyncAPI document, and each notice of that
 // document is handled.
 func TestMessagesFollowTheDescription(t *testing.T) {
-	messages, err := apispec.Messages(apispec.Platform)
+	messages, err := apispec.Messages(apispec.PlatformAsyncAPI)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -287,7 +287,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := messages["command"].Valid(payload); err != nil {
+		if err := messages["command"].Validate(payload); err != nil {
 			t.Errorf("%s: %v", q.line, err)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -172,7 +172,7 @@
 	if d.uwsgi == nil {
 		return d.resp.OpenConnections()
 	}
-	return d.resp.OpenConnections() + d.uwsgi.Open()
+	return d.resp.OpenConnections() + d.uwsgi.OpenConnections()
 }
 
 // closeTraces writes the spans that are left.
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -24,7 +24,7 @@
 	from := metrics.Sources{Core: d.node.Totals, Resp: d.resp.OpenConnections, Classes: d.node.CountsByClass,
 		Config: func() (int, int) { return int(d.counts.applied.Load()), int(d.counts.rejected.Load()) }}
 	if d.uwsgi != nil {
-		from.Uwsgi = func() (uwsgi.Counts, int) { return d.uwsgi.Totals(), d.uwsgi.Open() }
+		from.Uwsgi = func() (uwsgi.Counts, int) { return d.uwsgi.Totals(), d.uwsgi.OpenConnections() }
 		from.Servers = d.upstreams.pool.Servers
 	}
 	if d.deploy.Load().Ledger.Dir != "" {
@@ -39,6 +39,6 @@
 // observeRun hands a uwsgi run's times to the metrics, where they are on.
 func (d *Daemon) observeRun(r uwsgi.RunTimes) {
 	if m := d.metrics.Load(); m != nil {
-		m.Run(r)
+		m.ObserveRun(r)
 	}
 }
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -424,7 +424,7 @@
 	}
 	defer conn.Close()
 	vars = append(vars, [2]string{"CONTENT_LENGTH", fmt.Sprint(len(body))})
-	head, err := packet.Append(nil, 0, 0, vars)
+	head, err := packet.AppendRequest(nil, 0, 0, vars)
 	if err != nil {
 		t.Error(err)
 	}
--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -52,9 +52,9 @@
 		return err
 	}
 	classes := c.Platform.Logic.Classes
-	d.uwsgi = uwsgi.New(uwsgi.Options{Over: observe, Core: d.node, Mapper: c.Operations, Pool: d.upstreams.pool, Limits: d.limits, Log: d.log,
-		Safe: func(class int) bool { return classes[class].Idempotency == logic.Idempotent }, Well: func() bool { return !d.service.outOfService() },
-		Modifiers: u.ModifierBytes(), Deadline: u.Deadline, HalfClose: u.ClientsLeave(), PerSource: u.ConnectionsPerSource, BodyMost: u.MaxBodyBytes()})
+	d.uwsgi = uwsgi.New(uwsgi.Options{OnRequestDone: observe, Core: d.node, Mapper: c.Operations, Pool: d.upstreams.pool, Limits: d.limits, Log: d.log,
+		Idempotent: func(class int) bool { return classes[class].Idempotency == logic.Idempotent }, Healthy: func() bool { return !d.service.outOfService() },
+		Modifiers: u.ModifierBytes(), DeadlineVariable: u.Deadline, HalfCloseCancels: u.ClientsLeave(), MaxConnectionsPerHost: u.ConnectionsPerSource, MaxBodyBytes: u.MaxBodyBytes()})
 	return d.serveOn("uwsgi", func() (net.Listener, error) { return address.Listen(mode, frontKeys) }, d.uwsgi.Serve)
 }
 
@@ -65,12 +65,12 @@
 	if err != nil {
 		return err
 	}
-	rules := balancer.Default()
-	rules.Most = u.MaxPerServer
-	d.upstreams.pool = uwsgi.NewPool(uwsgi.PoolOptions{Rules: rules, Seed: seedNumber(c.Platform.Seed), Keys: keys, Name: u.ServersTLS.Name,
-		Over: d.observeRun, Limits: d.limits, Log: d.log})
+	rules := balancer.DefaultConfig()
+	rules.MaxConcurrency = u.MaxPerServer
+	d.upstreams.pool = uwsgi.NewPool(uwsgi.PoolOptions{Balancer: rules, Seed: seedNumber(c.Platform.Seed), Keys: keys, ServerName: u.ServersTLS.Name,
+		OnRunDone: d.observeRun, Limits: d.limits, Log: d.log})
 	d.upstreams.listed = slices.Clone(u.Servers)
-	if err := d.upstreams.pool.Use(u.Servers); err != nil {
+	if err := d.upstreams.pool.SetServers(u.Servers); err != nil {
 		return err
 	}
 	d.upstreams.pool.Serve(d.node)
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	d.traces = t
-	return t.Request, nil
+	return t.RecordRequest, nil
 }
 
 // setUpstreams has the pool send to the servers that the operators' state names, else to those of the configuration, but for those that hold a drain
@@ -118,7 +118,7 @@
 	}
 	u.listed = slices.Clone(addresses)
 	addresses = slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(u.excluded, a) })
-	if err := u.pool.Use(addresses); err != nil {
+	if err := u.pool.SetServers(addresses); err != nil {
 		d.log.Error("uwsgi servers unchanged: the new list is not valid", "error", err)
 	}
 }
@@ -150,8 +150,8 @@
 	}
 	d.upstreams.mu.Unlock()
 	for _, s := range d.upstreams.pool.Servers() {
-		status[cmp.Or(listed[s.Name], s.Name)] = drainpermit.UpstreamStatus{Routable: s.State != balancer.Draining, InFlight: s.Open,
-			Healthy: s.State == balancer.In || s.State == balancer.Warming}
+		status[cmp.Or(listed[s.Name], s.Name)] = drainpermit.UpstreamStatus{Routable: s.State != balancer.StateDraining, InFlight: s.InFlight,
+			Healthy: s.State == balancer.StateHealthy || s.State == balancer.StateWarmingUp}
 	}
 	return status
 }
--- a/internal/frontend/resp/description_test.go
+++ b/internal/frontend/resp/description_test.go
@@ -17,7 +17,7 @@
 
 func describedMessages(t *testing.T) map[string]*apispec.Message {
 	t.Helper()
-	messages, err := apispec.Messages(apispec.Platform)
+	messages, err := apispec.Messages(apispec.PlatformAsyncAPI)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		for _, example := range m.Examples {
 			read := func(what string, payload map[string]any) {
 				_, err := decodeMessage(messageParts(payload), lim.BodyBytes, lim.FieldListBytes)
-				if valid := m.Valid(payload); (err == nil) != (valid == nil) {
+				if valid := m.Validate(payload); (err == nil) != (valid == nil) {
 					t.Errorf("%s, %s: the parser says %v, the description %v", name, what, err, valid)
 				}
 			}
@@ -130,7 +130,7 @@
 			}
 			payload["fields"], payload["body"] = fields, parts[3]
 		}
-		if err := messages["answer"].Valid(payload); err != nil {
+		if err := messages["answer"].Validate(payload); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/frontend/uwsgi/balancer/ramp_test.go
+++ b/internal/frontend/uwsgi/balancer/slowstart_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-var rampSeeds = flag.Int("ramp.seeds", 2, "seeds of each fleet that a cold server returns to")
+var rampSeeds = flag.Int("ramp.seeds", 2, "seeds per fleet in the test of slow start")
 
-// happening is something in a fleet's simulated time.
-type happening struct {
+// event is something that happens in simulated time.
+type event struct {
 	at time.Duration
 	do func()
 }
 
-type happenings []happening
+type eventQueue []event
 
-func (h happenings) Len() int           { return len(h) }
-func (h happenings) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h happenings) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)        { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h eventQueue) Len() int           { return len(h) }
+func (h eventQueue) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h eventQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)        { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
@@ -33,17 +33,17 @@
 // fleet is processes that send to the same servers and know nothing of one another.
 type fleet struct {
 	processes int
-	each      float64 // requests a second that a server gets on the mean
+	perServer float64 // requests a second that a server gets on the mean
 	bursts    bool    // all processes get three times as much for a fifth of each second, and half as much for the rest
 	late      time.Duration
 }
 
 const fleetServers = 8
 
-// play has the servers warm for 12 s; then the first is gone for a second and returns cold. It returns how many requests that one
-// got, by time since its return.
+// play runs the servers warm for 12 s; then the first one is not listed for a second and returns to slow start. It returns when
+// that one got requests, as time since its return.
 func (f fleet) play(seed uint64) (got []time.Duration) {
-	rules := Default()
+	config := DefaultConfig()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	epoch := time.Unix(1764576000, 0)
 	const returns = 12 * time.Second
@@ -51,18 +51,18 @@
 	for i := range names {
 		names[i] = fmt.Sprint("s", i)
 	}
-	var agenda happenings
-	at := func(t time.Duration, do func()) { heap.Push(&agenda, happening{t, do}) }
+	var agenda eventQueue
+	at := func(t time.Duration, do func()) { heap.Push(&agenda, event{t, do}) }
 	now := time.Duration(0)
-	pools := make([]*Pool, f.processes)
+	pools := make([]*Balancer, f.processes)
 	ids := 0
 	for i := range pools {
-		p := New(rules, rng.Uint64())
+		p := New(config, rng.Uint64())
 		pools[i] = p
-		p.Use(epoch, names)
+		p.SetServers(epoch, names)
 		away, back := returns-time.Second+time.Duration(rng.Float64()*float64(f.late)), returns+time.Duration(rng.Float64()*float64(f.late))
 		var sent func(server string)
-		take := func(grants []Grant) {
+		take := func(grants []Assignment) {
 			for _, g := range grants {
 				if g.Server != "" {
 					sent(g.Server)
@@ -74,23 +74,23 @@
 				got = append(got, now-returns)
 			}
 			took := time.Duration((0.03 + 0.01*rng.ExpFloat64()) * float64(time.Second))
-			at(now+took, func() { take(p.Ended(epoch.Add(now), server, OK, took)) })
+			at(now+took, func() { take(p.Release(epoch.Add(now), server, ResultOK, took)) })
 		}
-		at(away, func() { take(p.Use(epoch.Add(now), names[1:])) })
-		at(back, func() { take(p.Use(epoch.Add(now), names)) })
-		for t := time.Duration(0); t < returns+rules.SlowStart+2*time.Second; t += 50 * time.Millisecond {
+		at(away, func() { take(p.SetServers(epoch.Add(now), names[1:])) })
+		at(back, func() { take(p.SetServers(epoch.Add(now), names)) })
+		for t := time.Duration(0); t < returns+config.SlowStart+2*time.Second; t += 50 * time.Millisecond {
 			at(t, func() { take(p.Tick(epoch.Add(now))) })
 		}
 		var arrive func()
 		next := func() {
-			mean := f.each * fleetServers / float64(f.processes)
+			mean := f.perServer * fleetServers / float64(f.processes)
 			if f.bursts { // thinned from the most
 				mean *= 3
 			}
 			at(now+time.Duration(rng.ExpFloat64()/mean*float64(time.Second)), arrive)
 		}
 		arrive = func() {
-			if now > returns+rules.SlowStart+2*time.Second {
+			if now > returns+config.SlowStart+2*time.Second {
 				return
 			}
 			next()
@@ -98,50 +98,50 @@
 				return
 			}
 			ids++
-			if name, v := p.Take(epoch.Add(now), fmt.Sprint(ids), epoch.Add(now+time.Second), nil); v == Go {
+			if name, v := p.Acquire(epoch.Add(now), fmt.Sprint(ids), epoch.Add(now+time.Second), nil); v == Assigned {
 				sent(name)
 			}
 		}
 		next()
 	}
 	for len(agenda) > 0 {
-		h := heap.Pop(&agenda).(happening)
+		h := heap.Pop(&agenda).(event)
 		now = h.at
 		h.do()
 	}
 	return got
 }
 
-// over is by how many requests the worst span of a warm-up went over its budget N and what counts as chance, 2 x root of N + 2.
-func (f fleet) over(got []time.Duration) float64 {
-	rules := Default()
-	span := rules.SlowStart / rampSpans
+// excess returns by how many requests the worst span of a slow start went over its bound N + 2√N + 2.
+func (f fleet) excess(got []time.Duration) float64 {
+	config := DefaultConfig()
+	span := config.SlowStart / slowStartSpans
 	worst := math.Inf(-1)
 	first := 0
 	for i, t := range got {
 		for t-got[first] > span {
 			first++
 		}
-		share := min(1, max(rules.StartShare, float64(t)/float64(rules.SlowStart)))
-		n := share * f.each * span.Seconds()
-		if t <= rules.SlowStart+2*time.Second {
+		share := min(1, max(config.MinSlowStartFraction, float64(t)/float64(config.SlowStart)))
+		n := share * f.perServer * span.Seconds()
+		if t <= config.SlowStart+2*time.Second {
 			worst = max(worst, float64(i-first+1)-n-2*math.Sqrt(n)-2)
 		}
 	}
 	return worst
 }
 
-// TestTheRampHoldsForTheFleet: a cold server never gets more than its budget and chance from all processes together, however many
-// they are, and it is not left idle for it.
-func TestTheRampHoldsForTheFleet(t *testing.T) {
+// TestSlowStartHoldsForTheFleet: a server in slow start never gets more than its bound from all processes together, however many
+// they are, and it is not left idle either.
+func TestSlowStartHoldsForTheFleet(t *testing.T) {
 	for _, processes := range []int{1, 5, 20, 30} {
-		for _, each := range []float64{8, 40, 200} {
+		for _, perServer := range []float64{8, 40, 200} {
 			for _, bursts := range []bool{false, true} {
-				f := fleet{processes, each, bursts, time.Second}
+				f := fleet{processes, perServer, bursts, time.Second}
 				broken, most, half, end := 0, math.Inf(-1), 0, 0
 				for seed := range *rampSeeds {
 					got := f.play(uint64(seed))
-					if o := f.over(got); o > 0 {
+					if o := f.excess(got); o > 0 {
 						broken++
 						t.Errorf("%+v seed %d: %.1f beyond budget and chance", f, seed, o)
 					} else {
@@ -156,8 +156,8 @@
 						}
 					}
 				}
-				ramped := float64(half) / float64(*rampSeeds) / (2.5 * 0.75 * each)
-				warm := float64(end) / float64(*rampSeeds) / each
+				ramped := float64(half) / float64(*rampSeeds) / (2.5 * 0.75 * perServer)
+				warm := float64(end) / float64(*rampSeeds) / perServer
 				t.Logf("%+v: %d broken, nearest %.1f; second half of the ramp at %.2f of its budget, after it %.2f of the mean", f, broken, most, ramped, warm)
 				if ramped < 0.2 || warm < 0.6 { // few requests meet a turn where each process has two a second
 					t.Errorf("%+v: the ramp is at %.2f of its budget, after it %.2f of the mean", f, ramped, warm)
--- a/internal/frontend/uwsgi/bench_test.go
+++ b/internal/frontend/uwsgi/bench_test.go
@@ -106,7 +106,7 @@
 					cores = 2 * n
 				}
 				r := newRigOn(b, cores, []string{s.Address}, func(o *Options, p *PoolOptions) {
-					o.Limits.UwsgiConnections, o.Limits.MaxInFlight, p.Rules.Most, p.Rules.Queue = 2*n, 2*n, 2*n, 2*n
+					o.Limits.UwsgiConnections, o.Limits.MaxInFlight, p.Balancer.MaxConcurrency, p.Balancer.MaxQueued = 2*n, 2*n, 2*n, 2*n
 				})
 				before := heap()
 				var conns []net.Conn
--- /dev/null
+++ b/internal/frontend/uwsgi/bodyreader.go
@@ -0,0 +1,291 @@
+package uwsgi
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"sloehitch/internal/frontend/uwsgi/packet"
+	"sloehitch/internal/platform/limits"
+)
+
+// errBodyTruncated says that the client ended its side within the body that it announced.
+var errBodyTruncated = errors.New("the client ended within its request's body")
+
+// readBufferSize is the size of the buffer that a body is read with, in bytes.
+const readBufferSize = 4 << 10
+
+// bodyReader reads a request's body from its client into a bounded window, from which another goroutine takes it. While the window
+// is full, the rest stays with the client.
+type bodyReader struct {
+	conn             net.Conn
+	framing          packet.Framing
+	maxBytes         int64 // of content; a longer body is rejected
+	idleTimeout      time.Duration
+	windowSize       int  // bytes
+	halfCloseCancels bool // a client that ends its sending side counts as disconnected
+	reading          bool // start was called; used by the front's goroutine only
+	buffered         bool // the body was handed over apart from this; set before the pool gets the request
+
+	mu         sync.Mutex
+	changed    *sync.Cond
+	window     []byte // received and not taken
+	replay     []byte // taken, as long as all of it fits in windowSize: a retry sends it again
+	replayLost bool   // replay no longer has all that was taken
+	received   int64  // bytes of the body so far, framing included
+	chunks     packet.ChunkScanner
+	complete   bool
+	err        error
+
+	ended        chan struct{} // closed when the client has failed or stop was called: err is set
+	trailing     chan struct{} // closed when bytes came after the body
+	trailingOnce sync.Once
+	readerDone   chan struct{} // closed when the reading goroutine has ended
+}
+
+func newBodyReader(conn net.Conn, framing packet.Framing, l limits.Limits, maxBytes int64, halfCloseCancels bool) *bodyReader {
+	b := &bodyReader{conn: conn, framing: framing, maxBytes: maxBytes, idleTimeout: l.BodyIdleTimeout, windowSize: l.BodyWindowBytes,
+		halfCloseCancels: halfCloseCancels, ended: make(chan struct{}), trailing: make(chan struct{}), readerDone: make(chan struct{})}
+	b.changed = sync.NewCond(&b.mu)
+	b.complete = !framing.Chunked && framing.Length == 0
+	return b
+}
+
+// start begins to read the body in a goroutine of its own.
+func (b *bodyReader) start() {
+	b.reading = true
+	go b.readLoop()
+}
+
+// readLoop reads until the client has failed or stop is called. It is the only reader of the connection.
+func (b *bodyReader) readLoop() {
+	defer close(b.readerDone)
+	buf := make([]byte, readBufferSize)
+	for {
+		maxRead, complete, err := b.waitForWindow(len(buf))
+		if err != nil {
+			b.fail(err)
+			return
+		}
+		n, err := b.conn.Read(buf[:maxRead])
+		if n > 0 && complete {
+			b.reportTrailing()
+			continue
+		}
+		if n > 0 {
+			b.mu.Lock()
+			taken, malformed := b.append(buf[:n])
+			b.changed.Broadcast()
+			b.mu.Unlock()
+			if malformed != nil {
+				b.fail(malformed)
+				return
+			}
+			if taken < n {
+				b.reportTrailing()
+			}
+		}
+		if err != nil {
+			b.readEnded(err, complete)
+			return
+		}
+	}
+}
+
+// waitForWindow blocks until the window has room, and sets the deadline of the next read. It returns how many bytes may be read, at
+// most maxRead, and whether the body is complete.
+func (b *bodyReader) waitForWindow(maxRead int) (n int, complete bool, err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for !b.complete && b.err == nil && len(b.window) >= b.windowSize {
+		b.changed.Wait()
+	}
+	if b.err != nil {
+		return 0, false, b.err
+	}
+	deadline := time.Time{} // after the body a client may be silent until it is answered
+	if !b.complete {
+		maxRead = min(maxRead, max(1, b.windowSize-len(b.window)))
+		deadline = time.Now().Add(b.idleTimeout)
+	}
+	// With the lock held: the deadline that stop sets must not be undone.
+	return maxRead, b.complete, b.conn.SetReadDeadline(deadline)
+}
+
+// append takes received bytes into the window. It returns how many of them belong to the body; the caller holds mu.
+func (b *bodyReader) append(received []byte) (n int, err error) {
+	n = len(received)
+	if b.framing.Chunked {
+		var done bool
+		if n, done, err = b.chunks.Scan(received); err != nil {
+			return 0, err
+		}
+		b.complete = done
+		if b.chunks.Data > b.maxBytes {
+			return 0, packet.ErrOversize
+		}
+	} else if left := b.framing.Length - b.received; int64(n) >= left {
+		n, b.complete = int(left), true
+	}
+	b.received += int64(n)
+	b.window = append(b.window, received[:n]...)
+	return n, nil
+}
+
+// reportTrailing notes that bytes came after the body: others on the way may take them for another request.
+func (b *bodyReader) reportTrailing() {
+	b.trailingOnce.Do(func() { close(b.trailing) })
+}
+
+// readEnded notes that nothing more will come from the client.
+func (b *bodyReader) readEnded(err error, complete bool) {
+	b.mu.Lock()
+	complete = complete || b.complete
+	b.mu.Unlock()
+	switch {
+	case !complete && errors.Is(err, io.EOF):
+		b.fail(errBodyTruncated)
+	case complete && errors.Is(err, io.EOF) && !b.halfCloseCancels:
+		// It has ended its sending side, and may still read the response.
+	default:
+		b.fail(err)
+	}
+}
+
+// fail ends the body with an error. Only the first one counts.
+func (b *bodyReader) fail(err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.err != nil {
+		return
+	}
+	b.err = err
+	b.changed.Broadcast()
+	close(b.ended)
+}
+
+// failure returns the error that ended the body; nil while none has.
+func (b *bodyReader) failure() error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.err
+}
+
+// clientFailed says whether the client has disconnected, or sent a malformed or oversize body; that the front has called stop is
+// neither.
+func (b *bodyReader) clientFailed() bool {
+	err := b.failure()
+	return err != nil && !errors.Is(err, net.ErrClosed)
+}
+
+// readAll waits for the complete body and returns it.
+func (b *bodyReader) readAll(timeout time.Duration) ([]byte, error) {
+	timer := time.AfterFunc(timeout, func() { b.fail(os.ErrDeadlineExceeded) })
+	defer timer.Stop()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for !b.complete && b.err == nil {
+		b.changed.Wait()
+	}
+	if !b.complete {
+		return nil, b.err
+	}
+	return b.window, nil
+}
+
+// rewind puts what was taken back into the window. It returns false where some of it is no longer buffered.
+func (b *bodyReader) rewind() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.replayLost {
+		return false
+	}
+	b.window = append(append([]byte(nil), b.replay...), b.window...)
+	b.replay = nil
+	return true
+}
+
+// replayable says whether a retry could send all of the body.
+func (b *bodyReader) replayable() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return !b.replayLost
+}
+
+// copyTo writes the body to a server as it comes, until it is complete or stop is closed. A slow server slows the client down and
+// takes no memory.
+func (b *bodyReader) copyTo(server net.Conn, writeTimeout time.Duration, stop <-chan struct{}) error {
+	done := make(chan struct{})
+	defer close(done)
+	go func() {
+		select {
+		case <-stop:
+			b.mu.Lock()
+			b.changed.Broadcast()
+			b.mu.Unlock()
+		case <-done:
+		}
+	}()
+	for {
+		data, complete, err := b.take(stop)
+		switch {
+		case isClosed(stop):
+			return nil
+		case len(data) == 0 && complete:
+			return nil
+		case len(data) == 0:
+			return err
+		}
+		if err := server.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+			return err
+		}
+		if _, err := server.Write(data); err != nil {
+			return err
+		}
+	}
+}
+
+// take waits until there is something in the window, the body has ended or stop is closed, and empties the window.
+func (b *bodyReader) take(stop <-chan struct{}) (data []byte, complete bool, err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for len(b.window) == 0 && !b.complete && b.err == nil && !isClosed(stop) {
+		b.changed.Wait()
+	}
+	data = b.window
+	b.window = nil
+	if len(b.replay)+len(data) > b.windowSize {
+		b.replay, b.replayLost = nil, true
+	}
+	if !b.replayLost {
+		b.replay = append(b.replay, data...)
+	}
+	b.changed.Broadcast()
+	return data, b.complete, b.err
+}
+
+// stop ends the reading, and says whether the client may have sent bytes that were not read.
+func (b *bodyReader) stop() (unread bool) {
+	if !b.reading {
+		return !b.complete
+	}
+	b.mu.Lock()
+	unread = !b.complete
+	b.mu.Unlock()
+	b.fail(net.ErrClosed)
+	_ = b.conn.SetReadDeadline(time.Now()) // where that fails the connection is closed already
+	<-b.readerDone
+	return unread || isClosed(b.trailing)
+}
+
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/frontend/uwsgi/conformance_test.go
+++ b/internal/frontend/uwsgi/conformance_test.go
@@ -25,5 +25,5 @@
 		counts, hand, keys := r.node.Totals()
 		t.Errorf("%s\ncore %+v, %d in hand, %d keys; front %+v; servers %+v", b.String(), counts, hand, keys, r.Totals(), r.pool.Servers())
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 })
+	standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 })
 }
--- a/internal/frontend/uwsgi/evict_test.go
+++ b/internal/frontend/uwsgi/evict_test.go
@@ -16,7 +16,7 @@
 // before the request is read. The connection was closed over it without an answer. It is refused; a caller that has said nothing, or half a
 // request, is let go without a word.
 func TestARequestOfACallerThatMakesRoom(t *testing.T) {
-	request, err := packet.Append(nil, 0, 0, at("/", length(0)))
+	request, err := packet.AppendRequest(nil, 0, 0, at("/", length(0)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,8 +37,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &caller{Conn: ours}
-		seat := r.seats.Acquire(k.evict)
+		k := &clientConn{Conn: ours}
+		seat := r.slots.Acquire(k.evict)
 		if _, err := io.WriteString(client, c.sent); err != nil {
 			t.Fatal(err)
 		}
@@ -48,7 +48,7 @@
 		go func() {
 			defer close(served)
 			defer ours.Close()
-			r.serve(k, seat, "")
+			r.serveConnection(k, seat, "")
 		}()
 		if err := client.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
 			t.Fatal(err)
--- a/internal/frontend/uwsgi/packet/body.go
+++ b/internal/frontend/uwsgi/packet/body.go
@@ -2,37 +2,37 @@
 
 import "bytes"
 
-// Body is how a body's end is told.
-type Body struct {
-	Length  int64 // bytes; -1: until the connection closes (responses only)
-	Chunked bool  // by chunks; Length is -1
+// Framing says how a body's end is found.
+type Framing struct {
+	Length  int64 // bytes; -1: to the connection's close (responses only), or chunked
+	Chunked bool  // in chunks; Length is -1
 }
 
-// RequestBody finds out from its variables how a request's body ends. Two ways at once are refused, as the server
-// below may believe the other one (request smuggling, RFC 9112 section 11.2).
-func RequestBody(v Vars) (Body, error) {
+// RequestFraming returns the framing of a request's body by its variables. Contradicting variables are malformed: the server may
+// believe the other one (request smuggling, RFC 9112 section 11.2).
+func RequestFraming(v Vars) (Framing, error) {
 	length, has := v.Find("CONTENT_LENGTH")
 	n, err := contentLength(length)
 	if err != nil {
-		return Body{}, err
+		return Framing{}, err
 	}
 	if again, twice := v.Find("HTTP_CONTENT_LENGTH"); twice && (!has || !bytes.Equal(again, length)) {
-		return Body{}, malformed("CONTENT_LENGTH %.20q and HTTP_CONTENT_LENGTH %.20q", length, again)
+		return Framing{}, malformed("CONTENT_LENGTH %.20q and HTTP_CONTENT_LENGTH %.20q", length, again)
 	}
 	coding, coded := v.Find("HTTP_TRANSFER_ENCODING")
 	if !coded || len(coding) == 0 {
-		return Body{Length: n}, nil
+		return Framing{Length: n}, nil
 	}
-	if !foldEqual(coding, "chunked") {
-		return Body{}, malformed("HTTP_TRANSFER_ENCODING %.40q is not chunked", coding)
+	if !equalFold(coding, "chunked") {
+		return Framing{}, malformed("HTTP_TRANSFER_ENCODING %.40q is not chunked", coding)
 	}
 	if len(length) > 0 {
-		return Body{}, malformed("both CONTENT_LENGTH %.20q and chunks", length)
+		return Framing{}, malformed("both CONTENT_LENGTH %.20q and chunks", length)
 	}
-	return Body{Length: -1, Chunked: true}, nil
+	return Framing{Length: -1, Chunked: true}, nil
 }
 
-// contentLength reads a length: digits only, as servers differ in what else they take. Empty means none.
+// contentLength reads a length. Only digits are valid, as servers differ in what else they accept; empty means 0.
 func contentLength(b []byte) (n int64, err error) {
 	if len(b) > 18 {
 		return 0, malformed("a length of %.20q", b)
@@ -46,8 +46,8 @@
 	return n, nil
 }
 
-// foldEqual compares without regard to the case of letters; s is in lower case.
-func foldEqual(b []byte, s string) bool {
+// equalFold compares b with s, ignoring the case of ASCII letters; s must be in lower case.
+func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
 	}
@@ -62,15 +62,15 @@
 	return true
 }
 
-// Chunks finds the end of a chunked body in bytes that come in any pieces (RFC 9112 section 7.1). It is strict: what one
-// reader takes and another doesn't is how requests are smuggled. Its zero value is ready.
-type Chunks struct {
-	state  chunkState
-	size   int64 // of the chunk that is read, or what is left of it
-	digits int
-	line   int   // bytes of an extension or trailer line
-	meta   int   // bytes of trailers
-	Data   int64 // bytes of content so far
+// ChunkScanner finds the end of a chunked body in bytes that come in any pieces (RFC 9112 section 7.1). It is strict: where two
+// readers disagree, requests can be smuggled. Its zero value is ready for use.
+type ChunkScanner struct {
+	state        chunkState
+	size         int64 // of the chunk that is read, or what is left of it
+	digits       int
+	lineBytes    int   // of the chunk extension that is read
+	trailerBytes int   // so far
+	Data         int64 // bytes of content so far
 }
 
 type chunkState uint8
@@ -89,17 +89,17 @@
 	chunkDone
 )
 
-// Bounds of what is not content.
+// Bounds of what is not content, in bytes.
 const (
-	maxExtension = 256
-	maxTrailers  = 8 << 10
+	maxChunkExtensionBytes = 256
+	maxChunkSizeDigits     = 15 // hexadecimal; a size fits in an int64
+	maxTrailerBytes        = 8 << 10
 )
 
-// Scan takes the next bytes. It returns how many of them belong to the body, and whether the body is whole; what is behind
-// is not its own.
-func (c *Chunks) Scan(b []byte) (n int, done bool, err error) {
+// Scan takes the next bytes. It returns how many of them belong to the body, and whether the body is complete.
+func (c *ChunkScanner) Scan(b []byte) (n int, done bool, err error) {
 	for n < len(b) {
-		if c.state == chunkData { // the common case goes through without a look at each byte
+		if c.state == chunkData { // the common case, without a step for each byte
 			k := min(int64(len(b)-n), c.size)
 			n += int(k)
 			c.Data += k
@@ -120,28 +120,11 @@
 	return n, c.state == chunkDone, nil
 }
 
-// step takes one byte that is not content.
-func (c *Chunks) step(ch byte) error {
+// step takes one byte that is not content, up to the last chunk's size line.
+func (c *ChunkScanner) step(ch byte) error {
 	switch c.state {
 	case chunkSize:
-		d := hex(ch)
-		switch {
-		case d >= 0:
-			if c.digits++; c.digits > 15 {
-				return malformed("a chunk's size of more than 15 digits")
-			}
-			c.size = c.size<<4 | int64(d)
-			return nil
-		case c.digits == 0:
-			return malformed("a chunk's size begins with %q", ch)
-		case ch == '\r':
-			c.state = chunkSizeLF
-			return nil
-		case ch == ';':
-			c.state, c.line = chunkExt, 0
-			return nil
-		}
-		return malformed("%q in a chunk's size", ch)
+		return c.stepSize(ch)
 	case chunkExt:
 		switch ch {
 		case '\r':
@@ -149,7 +132,7 @@
 		case '\n', 0:
 			return malformed("%q in a chunk's extension", ch)
 		default:
-			if c.line++; c.line > maxExtension {
+			if c.lineBytes++; c.lineBytes > maxChunkExtensionBytes {
 				return oversize("a chunk's extension")
 			}
 		}
@@ -177,9 +160,31 @@
 	return c.trailer(ch)
 }
 
-// trailer takes one byte behind the last chunk.
-func (c *Chunks) trailer(ch byte) error {
-	if c.meta++; c.meta > maxTrailers {
+// stepSize takes one byte of a chunk's size.
+func (c *ChunkScanner) stepSize(ch byte) error {
+	d := hexDigit(ch)
+	switch {
+	case d >= 0:
+		if c.digits++; c.digits > maxChunkSizeDigits {
+			return malformed("a chunk's size of more than %d digits", maxChunkSizeDigits)
+		}
+		c.size = c.size<<4 | int64(d)
+		return nil
+	case c.digits == 0:
+		return malformed("a chunk's size begins with %q", ch)
+	case ch == '\r':
+		c.state = chunkSizeLF
+		return nil
+	case ch == ';':
+		c.state, c.lineBytes = chunkExt, 0
+		return nil
+	}
+	return malformed("%q in a chunk's size", ch)
+}
+
+// trailer takes one byte after the last chunk.
+func (c *ChunkScanner) trailer(ch byte) error {
+	if c.trailerBytes++; c.trailerBytes > maxTrailerBytes {
 		return oversize("trailers")
 	}
 	switch c.state {
@@ -208,7 +213,8 @@
 	return nil
 }
 
-func hex(c byte) int {
+// hexDigit returns the value of a hexadecimal digit, or -1.
+func hexDigit(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
 		return int(c - '0')
--- a/internal/frontend/uwsgi/packet/packet.go
+++ b/internal/frontend/uwsgi/packet/packet.go
@@ -8,9 +8,10 @@
 	"errors"
 	"fmt"
 	"iter"
+	"math"
 )
 
-// What is wrong with bytes that can't be taken. Errors wrap one of them.
+// The errors of this package wrap one of these.
 var (
 	ErrMalformed = errors.New("malformed")
 	ErrOversize  = errors.New("beyond the limits")
@@ -24,7 +25,7 @@
 	return fmt.Errorf("%w: %s", ErrOversize, fmt.Sprintf(format, args...))
 }
 
-// HeaderSize is the bytes of a packet's header: modifier1, the size of what follows in little-endian order, modifier2.
+// HeaderSize is the size of a packet's header in bytes: modifier1, the size of what follows in little-endian order, modifier2.
 const HeaderSize = 4
 
 // Ping is the modifier1 of pings: a request with modifier2 0 and no data, answered by the same with modifier2 1.
@@ -32,37 +33,37 @@
 
 // Header is a packet's header.
 type Header struct {
-	Mod1, Mod2 byte
-	Size       int // bytes of the variables
+	Modifier1, Modifier2 byte
+	Size                 int // bytes of the variables
 }
 
-// ReadHeader reads a header; b has HeaderSize bytes at least.
+// ReadHeader reads a header; b must have at least HeaderSize bytes.
 func ReadHeader(b []byte) Header {
-	return Header{Mod1: b[0], Size: int(binary.LittleEndian.Uint16(b[1:])), Mod2: b[3]}
+	return Header{Modifier1: b[0], Size: int(binary.LittleEndian.Uint16(b[1:])), Modifier2: b[3]}
 }
 
-// Append adds the header to b.
+// Append appends the header to b.
 func (h Header) Append(b []byte) []byte {
-	b = append(b, h.Mod1)
+	b = append(b, h.Modifier1)
 	b = binary.LittleEndian.AppendUint16(b, uint16(h.Size))
-	return append(b, h.Mod2)
+	return append(b, h.Modifier2)
 }
 
-// Pong answers a ping.
-var Pong = Header{Mod1: Ping, Mod2: 1}
+// Pong is the response to a ping.
+var Pong = Header{Modifier1: Ping, Modifier2: 1}
 
-// Vars is a packet's block of variables. It points into the bytes that it was read from.
+// Vars is a packet's block of variables. It shares the bytes that it was read from.
 type Vars struct {
 	block []byte
 	n     int
 }
 
-// ReadVars checks a whole block: for each variable a length and its name, a length and its value. A name that is empty or stands
-// twice is refused: the server below may read the other one of two lengths, keys or hosts.
-func ReadVars(block []byte, most int) (Vars, error) {
+// ReadVars checks a block of at most maxVars variables, each a length and its name, a length and its value. An empty or duplicate
+// name is malformed: the server may use the other one of two lengths, keys or hosts.
+func ReadVars(block []byte, maxVars int) (Vars, error) {
 	v := Vars{block: block}
 	for rest := block; len(rest) > 0; {
-		name, value, after, ok := cut(rest)
+		name, value, after, ok := cutVariable(rest)
 		switch {
 		case !ok:
 			return Vars{}, malformed("a variable goes past the end of the block")
@@ -70,9 +71,9 @@
 			return Vars{}, malformed("a variable without a name")
 		}
 		for before := block; len(before) > len(rest); {
-			other, _, next, _ := cut(before)
+			other, _, next, _ := cutVariable(before)
 			if string(other) == string(name) {
-				return Vars{}, malformed("%.40q stands twice", name)
+				return Vars{}, malformed("%.40q is duplicate", name)
 			}
 			before = next
 		}
@@ -82,16 +83,16 @@
 				return Vars{}, malformed("the value of %.40q has a byte %#02x", name, c)
 			}
 		}
-		if v.n++; v.n > most {
-			return Vars{}, oversize("more than %d variables", most)
+		if v.n++; v.n > maxVars {
+			return Vars{}, oversize("more than %d variables", maxVars)
 		}
 		rest = after
 	}
 	return v, nil
 }
 
-// cut takes the first variable off a block.
-func cut(b []byte) (name, value, rest []byte, ok bool) {
+// cutVariable splits off the first variable of a block.
+func cutVariable(b []byte) (name, value, rest []byte, ok bool) {
 	if name, b, ok = cutString(b); !ok {
 		return nil, nil, nil, false
 	}
@@ -99,6 +100,7 @@
 	return name, value, rest, ok
 }
 
+// cutString splits off a length and as many bytes.
 func cutString(b []byte) (s, rest []byte, ok bool) {
 	if len(b) < 2 {
 		return nil, nil, false
@@ -110,13 +112,13 @@
 	return b[2 : 2+n], b[2+n:], true
 }
 
-// Len is the number of variables.
+// Len returns the number of variables.
 func (v Vars) Len() int { return v.n }
 
-// Find is the value of a variable as it stands in the packet, and whether it is there.
+// Find returns the value of a variable, which shares the packet's bytes, and whether there is such a variable.
 func (v Vars) Find(name string) ([]byte, bool) {
 	for b := v.block; len(b) > 0; {
-		n, value, rest, _ := cut(b)
+		n, value, rest, _ := cutVariable(b)
 		if string(n) == name {
 			return value, true
 		}
@@ -125,17 +127,17 @@
 	return nil, false
 }
 
-// Get is the value of a variable, or "".
+// Get returns the value of a variable, or "".
 func (v Vars) Get(name string) string {
 	value, _ := v.Find(name)
 	return string(value)
 }
 
-// All goes through the variables in their order.
+// All iterates over the variables in their order.
 func (v Vars) All() iter.Seq2[[]byte, []byte] {
 	return func(yield func(name, value []byte) bool) {
 		for b := v.block; len(b) > 0; {
-			name, value, rest, _ := cut(b)
+			name, value, rest, _ := cutVariable(b)
 			if !yield(name, value) {
 				return
 			}
@@ -144,19 +146,20 @@
 	}
 }
 
-// Append adds a request's header and variables, in their order.
-func Append(b []byte, mod1, mod2 byte, vars [][2]string) ([]byte, error) {
+// AppendRequest appends a request's header and variables, in their order. It returns an error that wraps ErrOversize where they don't
+// fit in a packet.
+func AppendRequest(b []byte, mod1, mod2 byte, vars [][2]string) ([]byte, error) {
 	size := 0
 	for _, v := range vars {
-		if len(v[0]) > 0xffff || len(v[1]) > 0xffff {
+		if len(v[0]) > math.MaxUint16 || len(v[1]) > math.MaxUint16 {
 			return b, oversize("the variable %.40q", v[0])
 		}
 		size += 4 + len(v[0]) + len(v[1])
 	}
-	if size > 0xffff {
+	if size > math.MaxUint16 {
 		return b, oversize("%d bytes of variables", size)
 	}
-	b = Header{Mod1: mod1, Size: size, Mod2: mod2}.Append(b)
+	b = Header{Modifier1: mod1, Size: size, Modifier2: mod2}.Append(b)
 	for _, v := range vars {
 		for _, s := range v {
 			b = binary.LittleEndian.AppendUint16(b, uint16(len(s)))
--- a/internal/frontend/uwsgi/packet/packet_test.go
+++ b/internal/frontend/uwsgi/packet/packet_test.go
@@ -10,7 +10,7 @@
 
 func request(t testing.TB, vars ...[2]string) []byte {
 	t.Helper()
-	b, err := Append(nil, 0, 0, vars)
+	b, err := AppendRequest(nil, 0, 0, vars)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
-	if _, err := Append(nil, 0, 0, [][2]string{v("A", strings.Repeat("x", 70000))}); !errors.Is(err, ErrOversize) {
+	if _, err := AppendRequest(nil, 0, 0, [][2]string{v("A", strings.Repeat("x", 70000))}); !errors.Is(err, ErrOversize) {
 		t.Errorf("a variable beyond the packet: %v", err)
 	}
 }
@@ -53,28 +53,28 @@
 	for _, c := range []struct {
 		name string
 		vars [][2]string
-		want Body
+		want Framing
 		err  error
 	}{
-		{"none", nil, Body{}, nil},
-		{"empty length", [][2]string{v("CONTENT_LENGTH", "")}, Body{}, nil},
-		{"length", [][2]string{v("CONTENT_LENGTH", "12"), v("HTTP_CONTENT_LENGTH", "12")}, Body{Length: 12}, nil},
-		{"chunks", [][2]string{v("HTTP_TRANSFER_ENCODING", "Chunked")}, Body{Length: -1, Chunked: true}, nil},
-		{"both", [][2]string{v("CONTENT_LENGTH", "0"), v("HTTP_TRANSFER_ENCODING", "chunked")}, Body{}, ErrMalformed},
-		{"two codings", [][2]string{v("HTTP_TRANSFER_ENCODING", "gzip, chunked")}, Body{}, ErrMalformed},
-		{"two lengths", [][2]string{v("CONTENT_LENGTH", "1"), v("HTTP_CONTENT_LENGTH", "2")}, Body{}, ErrMalformed},
-		{"a length in the header only", [][2]string{v("HTTP_CONTENT_LENGTH", "2")}, Body{}, ErrMalformed},
-		{"a sign", [][2]string{v("CONTENT_LENGTH", "+1")}, Body{}, ErrMalformed},
-		{"negative", [][2]string{v("CONTENT_LENGTH", "-1")}, Body{}, ErrMalformed},
-		{"blank", [][2]string{v("CONTENT_LENGTH", " 1")}, Body{}, ErrMalformed},
-		{"hexadecimal", [][2]string{v("CONTENT_LENGTH", "0x1")}, Body{}, ErrMalformed},
-		{"beyond counting", [][2]string{v("CONTENT_LENGTH", "9999999999999999999")}, Body{}, ErrMalformed},
+		{"none", nil, Framing{}, nil},
+		{"empty length", [][2]string{v("CONTENT_LENGTH", "")}, Framing{}, nil},
+		{"length", [][2]string{v("CONTENT_LENGTH", "12"), v("HTTP_CONTENT_LENGTH", "12")}, Framing{Length: 12}, nil},
+		{"chunks", [][2]string{v("HTTP_TRANSFER_ENCODING", "Chunked")}, Framing{Length: -1, Chunked: true}, nil},
+		{"both", [][2]string{v("CONTENT_LENGTH", "0"), v("HTTP_TRANSFER_ENCODING", "chunked")}, Framing{}, ErrMalformed},
+		{"two codings", [][2]string{v("HTTP_TRANSFER_ENCODING", "gzip, chunked")}, Framing{}, ErrMalformed},
+		{"two lengths", [][2]string{v("CONTENT_LENGTH", "1"), v("HTTP_CONTENT_LENGTH", "2")}, Framing{}, ErrMalformed},
+		{"a length in the header only", [][2]string{v("HTTP_CONTENT_LENGTH", "2")}, Framing{}, ErrMalformed},
+		{"a sign", [][2]string{v("CONTENT_LENGTH", "+1")}, Framing{}, ErrMalformed},
+		{"negative", [][2]string{v("CONTENT_LENGTH", "-1")}, Framing{}, ErrMalformed},
+		{"blank", [][2]string{v("CONTENT_LENGTH", " 1")}, Framing{}, ErrMalformed},
+		{"hexadecimal", [][2]string{v("CONTENT_LENGTH", "0x1")}, Framing{}, ErrMalformed},
+		{"beyond counting", [][2]string{v("CONTENT_LENGTH", "9999999999999999999")}, Framing{}, ErrMalformed},
 	} {
 		vars, err := ReadVars(request(t, c.vars...)[HeaderSize:], 8)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := RequestBody(vars); !errors.Is(err, c.err) || got != c.want {
+		if got, err := RequestFraming(vars); !errors.Is(err, c.err) || got != c.want {
 			t.Errorf("%s: %+v, %v; want %+v, %v", c.name, got, err, c.want, c.err)
 		}
 	}
@@ -111,7 +111,7 @@
 			if cut >= 0 {
 				pieces = []string{c.in[:cut], c.in[cut:]}
 			}
-			var s Chunks
+			var s ChunkScanner
 			var err error
 			taken, done := 0, false
 			for _, p := range pieces {
@@ -135,43 +135,43 @@
 	for _, c := range []struct {
 		name, in string
 		headOnly bool
-		want     Head
+		want     ResponseHead
 		err      error
 	}{
-		{"until the close", "HTTP/1.1 200 OK\r\n\r\nbody", false, Head{Status: 200, Body: Body{Length: -1}, Size: 19}, nil},
-		{"no reason", "HTTP/1.0 204\r\n\r\n", false, Head{Status: 204, Size: 16}, nil},
-		{"a length", "HTTP/1.1 500 Oops\r\ncontent-length: 2\r\n\r\nhi", false, Head{Status: 500, Body: Body{Length: 2}, Size: 40}, nil},
-		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, Head{Status: 200, Body: Body{Length: -1, Chunked: true}, Size: 47}, nil},
-		{"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n", true, Head{Status: 200, Size: 39}, nil},
-		{"interim", "HTTP/1.1 100 Continue\r\n\r\n", false, Head{Status: 100, Size: 25}, nil},
-		{"not modified", "HTTP/1.1 304 Not Modified\r\nContent-Length: 10\r\n\r\n", false, Head{Status: 304, Size: 49}, nil},
-		{"CGI", "Status: 404 Not Found\r\nContent-Length: 0\r\n\r\n", false, Head{Status: 404, CGI: true, Size: 44}, nil},
-		{"CGI with line feeds", "Content-Type: text/plain\nStatus: 201\n\nx", false, Head{Status: 201, CGI: true, Body: Body{Length: -1}, Size: 38}, nil},
-		{"CGI without a status", "Content-Type: text/plain\r\n\r\n", false, Head{Status: 200, CGI: true, Body: Body{Length: -1}, Size: 28}, nil},
-		{"the same length twice", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n", false, Head{Status: 200, Body: Body{Length: 2}, Size: 57}, nil},
-		{"nothing yet", "", false, Head{}, ErrShort},
-		{"half a head", "HTTP/1.1 200 OK\r\nA: b\r\n", false, Head{}, ErrShort},
-		{"an endless head", strings.Repeat("A: b\r\n", 50), false, Head{}, ErrOversize},
-		{"too long a head", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 200) + "\r\n\r\n", false, Head{}, ErrOversize},
-		{"an empty head", "\r\n\r\n", false, Head{}, ErrMalformed},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a length that is none", "HTTP/1.1 200 OK\r\nContent-Length: two\r\n\r\n", false, Head{}, ErrMalformed},
-		{"an empty length", "HTTP/1.1 200 OK\r\nContent-Length:\r\n\r\n", false, Head{}, ErrMalformed},
-		{"another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a folded line", "HTTP/1.1 200 OK\r\nA: b\r\n c\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a blank before the colon", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\n", false, Head{}, ErrMalformed},
-		{"no colon", "HTTP/1.1 200 OK\r\ngarbage\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a lone carriage return", "HTTP/1.1 200 OK\r\nA: b\rContent-Length: 2\r\n\r\n", false, Head{}, ErrMalformed},
-		{"HTTP/2", "HTTP/2.0 200 OK\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a low status", "HTTP/1.1 099 Low\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a high status", "HTTP/1.1 600 High\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a long status", "HTTP/1.1 2000 OK\r\n\r\n", false, Head{}, ErrMalformed},
-		{"CGI with a bad status", "Status: fine\r\n\r\n", false, Head{}, ErrMalformed},
-		{"a request", "GET / HTTP/1.1\r\n\r\n", false, Head{}, ErrMalformed},
+		{"until the close", "HTTP/1.1 200 OK\r\n\r\nbody", false, ResponseHead{Status: 200, Body: Framing{Length: -1}, Size: 19}, nil},
+		{"no reason", "HTTP/1.0 204\r\n\r\n", false, ResponseHead{Status: 204, Size: 16}, nil},
+		{"a length", "HTTP/1.1 500 Oops\r\ncontent-length: 2\r\n\r\nhi", false, ResponseHead{Status: 500, Body: Framing{Length: 2}, Size: 40}, nil},
+		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, ResponseHead{Status: 200, Body: Framing{Length: -1, Chunked: true}, Size: 47}, nil},
+		{"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n", true, ResponseHead{Status: 200, Size: 39}, nil},
+		{"interim", "HTTP/1.1 100 Continue\r\n\r\n", false, ResponseHead{Status: 100, Size: 25}, nil},
+		{"not modified", "HTTP/1.1 304 Not Modified\r\nContent-Length: 10\r\n\r\n", false, ResponseHead{Status: 304, Size: 49}, nil},
+		{"CGI", "Status: 404 Not Found\r\nContent-Length: 0\r\n\r\n", false, ResponseHead{Status: 404, CGI: true, Size: 44}, nil},
+		{"CGI with line feeds", "Content-Type: text/plain\nStatus: 201\n\nx", false, ResponseHead{Status: 201, CGI: true, Body: Framing{Length: -1}, Size: 38}, nil},
+		{"CGI without a status", "Content-Type: text/plain\r\n\r\n", false, ResponseHead{Status: 200, CGI: true, Body: Framing{Length: -1}, Size: 28}, nil},
+		{"the same length twice", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n", false, ResponseHead{Status: 200, Body: Framing{Length: 2}, Size: 57}, nil},
+		{"nothing yet", "", false, ResponseHead{}, ErrIncomplete},
+		{"half a head", "HTTP/1.1 200 OK\r\nA: b\r\n", false, ResponseHead{}, ErrIncomplete},
+		{"an endless head", strings.Repeat("A: b\r\n", 50), false, ResponseHead{}, ErrOversize},
+		{"too long a head", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 200) + "\r\n\r\n", false, ResponseHead{}, ErrOversize},
+		{"an empty head", "\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a length that is none", "HTTP/1.1 200 OK\r\nContent-Length: two\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"an empty length", "HTTP/1.1 200 OK\r\nContent-Length:\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a folded line", "HTTP/1.1 200 OK\r\nA: b\r\n c\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a blank before the colon", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"no colon", "HTTP/1.1 200 OK\r\ngarbage\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a lone carriage return", "HTTP/1.1 200 OK\r\nA: b\rContent-Length: 2\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"HTTP/2", "HTTP/2.0 200 OK\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a low status", "HTTP/1.1 099 Low\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a high status", "HTTP/1.1 600 High\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a long status", "HTTP/1.1 2000 OK\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"CGI with a bad status", "Status: fine\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"a request", "GET / HTTP/1.1\r\n\r\n", false, ResponseHead{}, ErrMalformed},
 	} {
-		got, err := ReadHead([]byte(c.in), c.headOnly, most)
-		if !errors.Is(err, c.err) || (c.err == ErrShort) != (err == ErrShort) || got != c.want { //nolint:errorlint // callers compare with ErrShort itself
+		got, err := ReadResponseHead([]byte(c.in), c.headOnly, most)
+		if !errors.Is(err, c.err) || (c.err == ErrIncomplete) != (err == ErrIncomplete) || got != c.want { //nolint:errorlint // callers compare with ErrShort itself
 			t.Errorf("%s: %+v, %v; want %+v, %v", c.name, got, err, c.want, c.err)
 		}
 	}
@@ -187,10 +187,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, err := RequestBody(vars); err != nil || body.Length != 5 {
+		if body, err := RequestFraming(vars); err != nil || body.Length != 5 {
 			t.Fatal(body, err)
 		}
-		if r, err := ReadHead(head, false, 1024); err != nil || r.Body.Length != 5 {
+		if r, err := ReadResponseHead(head, false, 1024); err != nil || r.Body.Length != 5 {
 			t.Fatal(r, err)
 		}
 	}); n != 0 {
@@ -216,10 +216,10 @@
 				t.Errorf("%q is %q, found as %q", name, value, got)
 			}
 		}
-		if again, err := Append(nil, 0, 0, list); err == nil && !bytes.Equal(again[HeaderSize:], b[HeaderSize:]) {
+		if again, err := AppendRequest(nil, 0, 0, list); err == nil && !bytes.Equal(again[HeaderSize:], b[HeaderSize:]) {
 			t.Errorf("%x is written as %x", b[HeaderSize:], again[HeaderSize:])
 		}
-		if body, err := RequestBody(vars); err == nil && (body.Length < 0) != body.Chunked {
+		if body, err := RequestFraming(vars); err == nil && (body.Length < 0) != body.Chunked {
 			t.Errorf("%+v", body)
 		}
 	})
@@ -229,7 +229,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), 7)
 	f.Add([]byte("Status: 404 Not Found\nContent-Length: 2\n\nhi"), 3)
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
-		h, err := ReadHead(b, false, 1<<10)
+		h, err := ReadResponseHead(b, false, 1<<10)
 		if err != nil {
 			return
 		}
@@ -237,13 +237,13 @@
 			t.Fatalf("%+v of %d bytes", h, len(b))
 		}
 		body := b[h.Size:]
-		whole, done, err := h.Rest().Scan(body)
+		whole, done, err := h.BodyScanner().Scan(body)
 		// In two pieces it ends at the same place.
 		at := 0
 		if len(body) > 0 {
 			at = int(uint(cut) % uint(len(body)+1))
 		}
-		r := h.Rest()
+		r := h.BodyScanner()
 		n, d, e := r.Scan(body[:at])
 		if e == nil && !d {
 			var m int
@@ -265,7 +265,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := RequestBody(vars); err != nil {
+		if _, err := RequestFraming(vars); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/frontend/uwsgi/packet/response.go
+++ b/internal/frontend/uwsgi/packet/response.go
@@ -2,52 +2,53 @@
 
 import "bytes"
 
-// Head is what a response's head says, as far as it matters for passing the response on.
-type Head struct {
+// ResponseHead is a response's head, as far as it matters for forwarding the response.
+type ResponseHead struct {
 	Status int
-	CGI    bool // it begins with "Status:" (RFC 3875 section 6.3.3) or another field, not with a line of HTTP's
-	Body   Body
-	Size   int // bytes of the head with its empty line
+	CGI    bool // it begins with a field, such as "Status:" (RFC 3875 section 6.3.3), and not with an HTTP status line
+	Body   Framing
+	Size   int // bytes of the head, its empty line included
 }
 
-// ReadHead reads the head at the start of b. It returns ErrShort while the head is not whole, and an error that wraps
-// ErrMalformed or ErrOversize where it can't be one. headOnly says that the request was a HEAD.
-func ReadHead(b []byte, headOnly bool, most int) (Head, error) {
+// ReadResponseHead reads the head at the start of b, of at most maxBytes. It returns ErrIncomplete while the head is not complete, and an error that wraps
+// ErrMalformed or ErrOversize where it is not valid. headOnly says that the request was a HEAD.
+func ReadResponseHead(b []byte, headOnly bool, maxBytes int) (ResponseHead, error) {
 	size := headEnd(b)
 	if size < 0 {
-		if len(b) > most {
-			return Head{}, oversize("a response's head of more than %d bytes", most)
+		if len(b) > maxBytes {
+			return ResponseHead{}, oversize("a response's head of more than %d bytes", maxBytes)
 		}
-		return Head{}, ErrShort
+		return ResponseHead{}, ErrIncomplete
 	}
-	if size > most {
-		return Head{}, oversize("a response's head of %d bytes", size)
+	if size > maxBytes {
+		return ResponseHead{}, oversize("a response's head of %d bytes", size)
 	}
-	h := Head{Size: size, Body: Body{Length: -1}}
+	h := ResponseHead{Size: size, Body: Framing{Length: -1}}
 	rest := b[:size]
 	line, after := cutLine(rest)
 	if bytes.HasPrefix(line, []byte("HTTP/")) {
 		var err error
 		if h.Status, err = statusLine(line); err != nil {
-			return Head{}, err
+			return ResponseHead{}, err
 		}
 		rest = after
 	} else {
 		h.CGI, h.Status = true, 200
 	}
-	if err := h.fields(rest); err != nil {
-		return Head{}, err
+	if err := h.readFields(rest); err != nil {
+		return ResponseHead{}, err
 	}
 	if headOnly || h.Status < 200 || h.Status == 204 || h.Status == 304 { // RFC 9112 section 6.3
-		h.Body = Body{}
+		h.Body = Framing{}
 	}
 	return h, nil
 }
 
-// ErrShort says that more bytes are needed.
-var ErrShort = malformed("the response ended within its head")
+// ErrIncomplete says that more bytes are needed. It wraps ErrMalformed: at the end of a connection a head is malformed.
+var ErrIncomplete = malformed("the response ended within its head")
 
-// headEnd is where the head ends, its empty line included; -1 if it does not. Lines may end in LF alone, as CGI allows it.
+// headEnd returns the length of the head at the start of b, its empty line included, or -1 if the head is not complete. Lines may end
+// in LF alone, as CGI allows.
 func headEnd(b []byte) int {
 	for i := 0; ; {
 		j := bytes.IndexByte(b[i:], '\n')
@@ -61,7 +62,7 @@
 	}
 }
 
-// cutLine takes a line off, without its end.
+// cutLine splits off the first line and drops its line end.
 func cutLine(b []byte) (line, rest []byte) {
 	line, rest, _ = bytes.Cut(b, []byte{'\n'})
 	return bytes.TrimSuffix(line, []byte{'\r'}), rest
@@ -75,7 +76,7 @@
 	return status(line[9:])
 }
 
-// status reads three digits at the start of b, alone or before a blank.
+// status reads three digits at the start of b, alone or before a space.
 func status(b []byte) (int, error) {
 	if len(b) < 3 || len(b) > 3 && b[3] != ' ' {
 		return 0, malformed("the status %.40q", b)
@@ -87,57 +88,76 @@
 	return int(n), nil
 }
 
-// fields reads the lines of a head and what they say of the body.
-func (h *Head) fields(rest []byte) error {
-	var lengths, codings int
-	names := 0
+// fieldCounts counts what may stand in a head only once, or not together.
+type fieldCounts struct{ lines, contentLengths, transferCodings int }
+
+// readFields reads the lines of a head and what they say of the body.
+func (h *ResponseHead) readFields(rest []byte) error {
+	var seen fieldCounts
 	for {
 		var line []byte
 		if line, rest = cutLine(rest); len(line) == 0 {
 			break
 		}
-		names++
-		i := bytes.IndexByte(line, ':')
-		if i <= 0 || !token(line[:i]) {
-			return malformed("the line %.60q of a head", line)
-		}
-		name, value := line[:i], bytes.Trim(line[i+1:], " \t")
-		if bytes.IndexByte(value, 0) >= 0 || bytes.IndexByte(value, '\r') >= 0 {
-			return malformed("the value of %.40q", name)
+		seen.lines++
+		name, value, err := splitField(line)
+		if err != nil {
+			return err
 		}
-		switch {
-		case h.CGI && foldEqual(name, "status"):
-			n, err := status(value)
-			if err != nil {
-				return err
-			}
-			h.Status = n
-		case foldEqual(name, "content-length"):
-			n, err := contentLength(value)
-			if err != nil || len(value) == 0 || lengths > 0 && n != h.Body.Length {
-				return malformed("a Content-Length of %.20q", value)
-			}
-			lengths++
-			h.Body.Length = n
-		case foldEqual(name, "transfer-encoding"):
-			if !foldEqual(value, "chunked") || codings > 0 {
-				return malformed("a Transfer-Encoding of %.40q", value)
-			}
-			codings++
-			h.Body.Chunked = true
+		if err := h.readField(name, value, &seen); err != nil {
+			return err
 		}
 	}
 	switch {
-	case names == 0 && h.CGI:
+	case seen.lines == 0 && h.CGI:
 		return malformed("a response without a head")
-	case lengths > 0 && codings > 0:
+	case seen.contentLengths > 0 && seen.transferCodings > 0:
 		return malformed("both Content-Length and chunks")
 	}
 	return nil
 }
 
-// token says whether a field's name is one (RFC 9110 section 5.6.2).
-func token(b []byte) bool {
+// splitField takes a line apart into a field's name and its value.
+func splitField(line []byte) (name, value []byte, err error) {
+	i := bytes.IndexByte(line, ':')
+	if i <= 0 || !isToken(line[:i]) {
+		return nil, nil, malformed("the line %.60q of a head", line)
+	}
+	name, value = line[:i], bytes.Trim(line[i+1:], " \t")
+	if bytes.IndexByte(value, 0) >= 0 || bytes.IndexByte(value, '\r') >= 0 {
+		return nil, nil, malformed("the value of %.40q", name)
+	}
+	return name, value, nil
+}
+
+// readField takes in a field that matters for the response's status or body.
+func (h *ResponseHead) readField(name, value []byte, seen *fieldCounts) error {
+	switch {
+	case h.CGI && equalFold(name, "status"):
+		n, err := status(value)
+		if err != nil {
+			return err
+		}
+		h.Status = n
+	case equalFold(name, "content-length"):
+		n, err := contentLength(value)
+		if err != nil || len(value) == 0 || seen.contentLengths > 0 && n != h.Body.Length {
+			return malformed("a Content-Length of %.20q", value)
+		}
+		seen.contentLengths++
+		h.Body.Length = n
+	case equalFold(name, "transfer-encoding"):
+		if !equalFold(value, "chunked") || seen.transferCodings > 0 {
+			return malformed("a Transfer-Encoding of %.40q", value)
+		}
+		seen.transferCodings++
+		h.Body.Chunked = true
+	}
+	return nil
+}
+
+// isToken says whether b is a token (RFC 9110 section 5.6.2), as the names of fields are.
+func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
 		case 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9':
@@ -149,33 +169,33 @@
 	return true
 }
 
-// Rest follows a response's body, in bytes that come in any pieces, to its end.
-type Rest struct {
-	left   int64 // of a length; -1: until the connection closes
-	chunks *Chunks
+// BodyScanner finds the end of a response's body in bytes that come in any pieces.
+type BodyScanner struct {
+	left   int64 // bytes; -1: not known
+	chunks *ChunkScanner
 }
 
-// Rest follows the body that belongs to the head.
-func (h Head) Rest() *Rest {
+// BodyScanner returns a scanner for the body that follows the head.
+func (h ResponseHead) BodyScanner() *BodyScanner {
 	if h.Body.Chunked {
-		return &Rest{left: -1, chunks: &Chunks{}}
+		return &BodyScanner{left: -1, chunks: &ChunkScanner{}}
 	}
-	return &Rest{left: h.Body.Length}
+	return &BodyScanner{left: h.Body.Length}
 }
 
-// Scan takes the next bytes, returns how many of them are the body's, and whether the body is whole. One that only the
-// close of the connection ends is never whole by its bytes.
-func (r *Rest) Scan(b []byte) (n int, done bool, err error) {
+// Scan takes the next bytes. It returns how many of them belong to the body, and whether the body is complete. A body that ends at
+// the connection's close is never complete by its bytes.
+func (s *BodyScanner) Scan(b []byte) (n int, done bool, err error) {
 	switch {
-	case r.chunks != nil:
-		return r.chunks.Scan(b)
-	case r.left < 0:
+	case s.chunks != nil:
+		return s.chunks.Scan(b)
+	case s.left < 0:
 		return len(b), false, nil
 	}
-	n = int(min(r.left, int64(len(b))))
-	r.left -= int64(n)
-	return n, r.left == 0, nil
+	n = int(min(s.left, int64(len(b))))
+	s.left -= int64(n)
+	return n, s.left == 0, nil
 }
 
-// ByClose says that the close of the connection ends the body.
-func (r *Rest) ByClose() bool { return r.chunks == nil && r.left < 0 }
+// EndsAtClose says whether the body ends at the connection's close.
+func (s *BodyScanner) EndsAtClose() bool { return s.chunks == nil && s.left < 0 }
--- /dev/null
+++ b/internal/frontend/uwsgi/run.go
@@ -0,0 +1,160 @@
+package uwsgi
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"sloehitch/internal/admission"
+	"sloehitch/internal/frontend/uwsgi/balancer"
+	"sloehitch/logic"
+)
+
+// The reasons for which a run gets no server.
+var (
+	errNoServer   = errors.New("no server is available")
+	errQueueFull  = errors.New("the queue for servers is full")
+	errNoCapacity = errors.New("no server had capacity in time")
+)
+
+// run is a request that was started.
+type run struct {
+	id      string
+	request *clientRequest
+	body    []byte // of a buffered request: all that follows the head
+	cancel  context.CancelFunc
+	sent    bool     // a server may have got some of it
+	times   RunTimes // used by the run's goroutine only
+}
+
+// run sends a request to one server after the other, until one has responded or no retry is allowed, and reports how it ended.
+func (p *Pool) run(ctx context.Context, r *run) {
+	defer r.cancel()
+	startedAt := time.Now()
+	result, err := p.attemptInTurn(ctx, r)
+	p.mu.Lock()
+	delete(p.runs, r.id)
+	p.mu.Unlock()
+	outcome := p.outcome(ctx, r, err)
+	if err != nil {
+		r.times.Failure = err.Error()
+	}
+	p.reportRun(r, outcome)
+	p.events.RunEnded(r.id, outcome, time.Since(startedAt), result)
+}
+
+// attemptInTurn makes the attempts of a run. It returns the response of one that was buffered, or the last attempt's error.
+func (p *Pool) attemptInTurn(ctx context.Context, r *run) (result []byte, err error) {
+	var attempted []string
+	for {
+		server, acquireErr := p.acquire(ctx, r, attempted)
+		if acquireErr != nil {
+			if len(attempted) == 0 {
+				err = acquireErr
+			}
+			return result, err
+		}
+		attempted = append(attempted, server)
+		a := attempt{pool: p, run: r, server: server, times: AttemptTimes{Server: server, StartedAt: time.Now()}}
+		result, err = a.do(ctx)
+		retry := p.attemptEnded(ctx, &a, len(attempted), err)
+		if err == nil || !retry {
+			return result, err
+		}
+		p.log.Warn("a uwsgi server failed the request; trying the next one", err)
+		if !r.request.body.rewind() {
+			return result, err
+		}
+	}
+}
+
+// attemptEnded records an attempt, releases its server, and says whether a retry is allowed.
+func (p *Pool) attemptEnded(ctx context.Context, a *attempt, attempts int, err error) (retry bool) {
+	now := time.Now()
+	if a.times.EndedAt = now; err != nil {
+		a.times.Failure = err.Error()
+	}
+	r := a.run
+	r.times.Attempts = append(r.times.Attempts, a.times)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.deliver(p.balancer.Release(now, a.server, a.result, a.firstByteLatency))
+	r.sent = r.sent || a.sent
+	if err == nil || ctx.Err() != nil {
+		return false
+	}
+	return p.balancer.AllowRetry(now, balancer.FailedAttempt{Sent: a.sent, Idempotent: r.request.idempotent,
+		BodyAvailable: r.request.body.replayable(), ResponseStarted: a.responseStarted, Attempts: attempts,
+		TimeLeft: r.request.deadline.Sub(now)}) == nil
+}
+
+// outcome is what the node is told of a run that ended with err, which is logged where a server is to blame.
+func (p *Pool) outcome(ctx context.Context, r *run, err error) admission.Outcome {
+	switch {
+	case err == nil:
+		return logic.OutcomeOK
+	case !r.sent:
+		p.log.Warn("uwsgi request not sent to any server", err)
+		return logic.OutcomeNotStarted
+	case errors.Is(ctx.Err(), context.Canceled), errors.As(err, new(*bodyError)), errors.Is(err, errClientWrite):
+		// A fault on the client's side says nothing about the servers: counted as a failure, a few bad clients would have the
+		// node shed everybody's requests.
+		return logic.OutcomeCanceled
+	default: // it may have run
+		p.log.Warn("uwsgi request failed", err)
+		return logic.OutcomeFailed
+	}
+}
+
+// acquire gets a server for a run, and waits for one if need be.
+func (p *Pool) acquire(ctx context.Context, r *run, attempted []string) (server string, err error) {
+	p.mu.Lock()
+	server, decision := p.balancer.Acquire(time.Now(), r.id, r.request.deadline, attempted)
+	if decision != balancer.Queued {
+		p.mu.Unlock()
+		switch decision {
+		case balancer.NoServer:
+			return "", errNoServer
+		case balancer.QueueFull:
+			return "", errQueueFull
+		default:
+			return server, nil
+		}
+	}
+	wait := make(chan string, 1)
+	p.waiters[r.id] = wait
+	p.mu.Unlock()
+	select {
+	case server = <-wait:
+		if server == "" {
+			return "", errNoCapacity
+		}
+		return server, nil
+	case <-ctx.Done():
+		p.cancelWait(r.id, wait)
+		return "", errNoCapacity
+	}
+}
+
+// cancelWait takes a run out of the queue. A server that was assigned to it just now is released.
+func (p *Pool) cancelWait(id string, wait <-chan string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.waiters, id)
+	if p.balancer.CancelWait(id) {
+		return
+	}
+	if server := <-wait; server != "" {
+		p.deliver(p.balancer.Release(time.Now(), server, balancer.ResultCanceled, 0))
+	}
+}
+
+// deliver hands assigned servers to the runs that wait for them; the caller holds mu.
+func (p *Pool) deliver(assignments []balancer.Assignment) {
+	for _, a := range assignments {
+		if wait := p.waiters[a.ID]; wait != nil {
+			delete(p.waiters, a.ID)
+			wait <- a.Server // it has room for the only one that is ever sent
+		}
+	}
+}
--- a/internal/frontend/uwsgi/uwsgi_test.go
+++ b/internal/frontend/uwsgi/uwsgi_test.go
@@ -41,7 +41,7 @@
 		{node.Response{Status: node.StatusFailed}, "HTTP/1.1 502 Bad Gateway\r\n"},
 		{node.Response{Status: node.StatusFailed, DeadlineExceeded: true}, "HTTP/1.1 504 Gateway Timeout\r\n"},
 	} {
-		if got := string(render(c.a)); !strings.Contains(got, c.want) {
+		if got := string(responseBytes(c.a)); !strings.Contains(got, c.want) {
 			t.Errorf("%+v: %q lacks %q", c.a, got, c.want)
 		}
 	}
@@ -94,8 +94,8 @@
 		{Name: "read", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 1},
 		{Name: "book", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.IdempotentByKey, IdempotencyWindow: 60e6},
 		{Name: "write", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.NonIdempotent}}}
-	o := Options{Mapper: mapper{}, Safe: func(class int) bool { return class == read }, BodyMost: 1 << 20, Limits: lim, Log: standin.Quiet}
-	po := PoolOptions{Rules: balancer.Default(), Limits: lim, Log: standin.Quiet}
+	o := Options{Mapper: mapper{}, Idempotent: func(class int) bool { return class == read }, MaxBodyBytes: 1 << 20, Limits: lim, Log: standin.Quiet}
+	po := PoolOptions{Balancer: balancer.DefaultConfig(), Limits: lim, Log: standin.Quiet}
 	if change != nil {
 		change(&o, &po)
 	}
@@ -108,7 +108,7 @@
 	t.Cleanup(g.Close)
 	po.Limits = o.Limits
 	p := NewPool(po)
-	if err := p.Use(servers); err != nil {
+	if err := p.SetServers(servers); err != nil {
 		t.Fatal(err)
 	}
 	p.Serve(n)
@@ -177,7 +177,7 @@
 		{"a body in chunks", standin.Packet(t, "5\r\nhello\r\n0\r\n\r\n", at("/", chunked)...), false, nil, fine, "hello\r\n0\r\n\r\n"},
 		{"a keyed body in chunks", standin.Packet(t, "5\r\nhello\r\n0\r\n\r\n", at("/book", chunked, [2]string{"HTTP_IDEMPOTENCY_KEY", "k"})...), true, nil, fine, "\r\n0\r\n\r\n"},
 		{"a ping", "\x64\x00\x00\x00", false, nil, "\x64\x00\x00\x01", ""},
-		{"a ping of one that is not well", "\x64\x00\x00\x00", false, func(o *Options, _ *PoolOptions) { o.Well = func() bool { return false } }, "", ""},
+		{"a ping of one that is not well", "\x64\x00\x00\x00", false, func(o *Options, _ *PoolOptions) { o.Healthy = func() bool { return false } }, "", ""},
 		{"a ping with data", "\x64\x01\x00\x00x", false, nil, "HTTP/1.1 400 ", ""},
 		{"another application", "\x05" + get[1:], false, nil, "HTTP/1.1 400 ", ""},
 		{"another application that is served", "\x05" + get[1:], false, func(o *Options, _ *PoolOptions) { o.Modifiers = []byte{5} }, fine, "/"},
@@ -271,7 +271,7 @@
 			if n := s.Connections() + other.Connections(); c.tries >= 0 && n != c.tries {
 				t.Errorf("%d tries, want %d", n, c.tries)
 			}
-			standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 })
+			standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 })
 		})
 	}
 }
@@ -285,13 +285,14 @@
 	hold := make(chan struct{})
 	slow := standin.NewScripted(t, standin.Script{{Wait: hold}})
 	r := newRig(t, []string{slow.Address}, func(o *Options, _ *PoolOptions) {
-		o.BodyMost = size
+		o.MaxBodyBytes = size
 		o.Limits.WriteTimeout, o.Limits.BodyIdleTimeout = time.Hour, time.Hour
 	})
 	c := r.dial(t)
 	if _, err := io.WriteString(c, standin.Packet(t, "", at("/write", length(size))...)); err != nil {
 		t.Fatal(err)
 	}
+	piece := make([]byte, 64<<10) // made here: one for each write would count as heap that the body takes
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	sent := 0
@@ -299,7 +300,7 @@
 		if err := c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		n, err := c.Write(make([]byte, 64<<10))
+		n, err := c.Write(piece)
 		if sent += n; err != nil {
 			break
 		}
@@ -313,7 +314,7 @@
 	}
 	close(hold)
 	c.Close()
-	standin.WaitFor(t, "the connection is over", func() bool { return r.Open() == 0 })
+	standin.WaitFor(t, "the connection is over", func() bool { return r.OpenConnections() == 0 })
 }
 
 // TestUploadAndDownload: large bodies go through whole in both directions.
@@ -342,7 +343,7 @@
 	whole := standin.Packet(t, "hello", at("/write", length(5))...)
 	s := standin.NewScripted(t, standin.Script{{Until: "hello"}, {Send: fine}})
 	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) {
-		o.HalfClose = true
+		o.HalfCloseCancels = true
 		o.Limits.UwsgiConnections = len(whole) // on a slow machine all of them are there at once: none is to make room for another
 	})
 	goroutines := runtime.NumGoroutine()
@@ -353,7 +354,9 @@
 		}
 		c.Close()
 	}
-	standin.WaitFor(t, "all are gone", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 && r.Totals().Left == len(whole) })
+	standin.WaitFor(t, "all are gone", func() bool {
+		return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && r.Totals().Left == len(whole)
+	})
 	standin.WaitFor(t, "the servers' connections are over", func() bool { return len(s.Got()) == s.Connections() })
 	for _, got := range s.Got() {
 		if strings.HasSuffix(got, "hello") {
@@ -368,7 +371,7 @@
 	for _, leaves := range []bool{false, true} {
 		hold := make(chan struct{})
 		s := standin.NewScripted(t, standin.Script{{Until: "/"}, {Wait: hold}, {Send: fine}})
-		r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.HalfClose = leaves })
+		r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.HalfCloseCancels = leaves })
 		c := r.dial(t)
 		if _, err := (standin.Script{{Send: standin.Packet(t, "", at("/")...)}, {Half: true}}).Play(c); err != nil {
 			t.Fatal(err)
@@ -402,14 +405,14 @@
 
 // TestPerSource: one host has no more connections than it may.
 func TestPerSource(t *testing.T) {
-	r := newRig(t, nil, func(o *Options, _ *PoolOptions) { o.PerSource = 2; o.Limits.MessageTimeout = time.Minute })
+	r := newRig(t, nil, func(o *Options, _ *PoolOptions) { o.MaxConnectionsPerHost = 2; o.Limits.MessageTimeout = time.Minute })
 	for range 2 {
 		c := r.dial(t)
 		if _, err := c.Write([]byte{0}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	standin.WaitFor(t, "both are seated", func() bool { return r.Open() == 2 })
+	standin.WaitFor(t, "both are seated", func() bool { return r.OpenConnections() == 2 })
 	if got, _ := io.ReadAll(r.dial(t)); len(got) != 0 || r.Totals().Crowded != 1 {
 		t.Errorf("a third one got %q", got)
 	}
@@ -427,22 +430,22 @@
 		}
 	}
 	for _, e := range r.pool.Servers() {
-		if e.Name != s.Address && e.Fails == 0 {
+		if e.Name != s.Address && e.ConsecutiveFailures == 0 {
 			t.Errorf("%+v was not noticed to fail", e)
 		}
 	}
-	if err := r.pool.Use([]string{down}); err != nil {
+	if err := r.pool.SetServers([]string{down}); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := r.ask(t, get); !strings.HasPrefix(got, "HTTP/1.1 502 ") || err != nil {
 		t.Errorf("with all down: %q, %v", got, err)
 	}
-	if err := r.pool.Use([]string{"nonsense"}); err == nil {
+	if err := r.pool.SetServers([]string{"nonsense"}); err == nil {
 		t.Error("a bad address was taken")
 	}
 	hold := make(chan struct{})
 	one := standin.NewScripted(t, standin.Script{{Until: "/write"}, {Wait: hold}, {Send: fine}})
-	r = newRig(t, []string{one.Address}, func(_ *Options, p *PoolOptions) { p.Rules.Most = 1 })
+	r = newRig(t, []string{one.Address}, func(_ *Options, p *PoolOptions) { p.Balancer.MaxConcurrency = 1 })
 	answers := make(chan string, 3)
 	for range 3 {
 		go func() {
@@ -450,7 +453,7 @@
 			answers <- got
 		}()
 	}
-	standin.WaitFor(t, "two wait", func() bool { r.pool.mu.Lock(); defer r.pool.mu.Unlock(); return r.pool.choice.Waiting() == 2 })
+	standin.WaitFor(t, "two wait", func() bool { r.pool.mu.Lock(); defer r.pool.mu.Unlock(); return r.pool.balancer.QueueLength() == 2 })
 	standin.WaitFor(t, "one runs", func() bool { return one.Connections() > 0 }) // the choice is made before the server sees the connection
 	if n := one.Connections(); n != 1 {
 		t.Errorf("%d at once on a server that takes one", n)
@@ -468,14 +471,14 @@
 	bad := standin.NewScripted(t, standin.Script{{Until: "/"}})
 	good := standin.NewScripted(t, reply("/", fine))
 	times := make(chan RequestTimes, 9)
-	r := newRig(t, []string{bad.Address, good.Address}, func(o *Options, _ *PoolOptions) { o.Over = func(x RequestTimes) { times <- x } })
+	r := newRig(t, []string{bad.Address, good.Address}, func(o *Options, _ *PoolOptions) { o.OnRequestDone = func(x RequestTimes) { times <- x } })
 	if got, err := r.ask(t, standin.Script{{Send: standin.Packet(t, "", at("/", [2]string{"HTTP_TRACEPARENT", "p"})...)}}); got != fine || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
 	x := <-times
-	last, ran := x.Run.Last()
-	if x.Outcome != "served" || x.Parent != "p" || !ran || len(x.Run.Tries) != 2 || x.Run.Tries[0].Why == "" || last.Why != "" || last.Server != good.Address ||
-		x.Run.Outcome != "ok" || last.FirstByte.Before(last.Connected) || x.Answered.Before(x.Run.Done) || len(times) > 0 {
+	last, ran := x.Run.LastAttempt()
+	if x.Outcome != "served" || x.TraceParent != "p" || !ran || len(x.Run.Attempts) != 2 || x.Run.Attempts[0].Failure == "" || last.Failure != "" || last.Server != good.Address ||
+		x.Run.Outcome != "ok" || last.FirstByteAt.Before(last.ConnectedAt) || x.AnsweredAt.Before(x.Run.DoneAt) || len(times) > 0 {
 		t.Errorf("%+v", x)
 	}
 	if got, err := r.ask(t, standin.Script{{Send: standin.Packet(t, "", at("/none")...)}}); !strings.HasPrefix(got, "HTTP/1.1 404 ") || err != nil || len(times) > 0 {
@@ -490,12 +493,12 @@
 		trickle = append(trickle, standin.Step{Pause: 5 * time.Millisecond}, standin.Step{Send: "x"})
 	}
 	s := standin.NewScripted(t, trickle)
-	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.Deadline = "HTTP_X_DEADLINE_MS" })
+	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.DeadlineVariable = "HTTP_X_DEADLINE_MS" })
 	got, err := r.ask(t, standin.Script{{Send: standin.Packet(t, "", at("/write", [2]string{"HTTP_X_DEADLINE_MS", "200"})...)}})
 	if !errors.Is(err, syscall.ECONNRESET) || !strings.HasPrefix(got, "HTTP/1.1 200 ") || r.Totals().Broken != 1 {
 		t.Errorf("%d bytes, %v; %+v", len(got), err, r.Totals())
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 && len(s.Got()) == 1 })
+	standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && len(s.Got()) == 1 })
 }
 
 // TestNoDescriptors: when the daemon can open no more, what streams goes on, what comes is answered, and nothing is held against the servers.
@@ -508,7 +511,7 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	next := r.dial(t)
-	standin.WaitFor(t, "the next one is seated", func() bool { return r.Open() == 2 })
+	standin.WaitFor(t, "the next one is seated", func() bool { return r.OpenConnections() == 2 })
 	var was syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
 		t.Fatal(err)
@@ -533,7 +536,7 @@
 	if !strings.HasPrefix(got, "HTTP/1.1 502 ") || err != nil {
 		t.Errorf("without descriptors: %q, %v", got, err)
 	}
-	if e := r.pool.Servers()[0]; e.Fails != 0 || e.State != balancer.In {
+	if e := r.pool.Servers()[0]; e.ConsecutiveFailures != 0 || e.State != balancer.StateHealthy {
 		t.Errorf("held against the server: %+v", e)
 	}
 	close(hold)
@@ -564,7 +567,7 @@
 	if got, err := io.ReadAll(first); string(got) != fine || err != nil {
 		t.Errorf("the first: %q, %v", got, err)
 	}
-	standin.WaitFor(t, "it is over", func() bool { return r.Open() == 0 })
+	standin.WaitFor(t, "it is over", func() bool { return r.OpenConnections() == 0 })
 	if got, err := r.ask(t, standin.Script{{Send: post}}); got != fine || err != nil {
 		t.Errorf("a third: %q, %v", got, err)
 	}
@@ -575,7 +578,7 @@
 	s := standin.NewScripted(t, standin.Script{{Until: "never"}})
 	good := standin.NewScripted(t, reply("/write", fine))
 	r := newRig(t, []string{s.Address, good.Address}, func(o *Options, p *PoolOptions) {
-		o.Deadline, p.Rules.Fails = "HTTP_X_DEADLINE_MS", 1
+		o.DeadlineVariable, p.Balancer.FailureThreshold = "HTTP_X_DEADLINE_MS", 1
 	})
 	late := false
 	for range 2 { // one of the two meets the silent server
@@ -592,7 +595,7 @@
 	}
 	standin.WaitFor(t, "it is left out", func() bool {
 		return slices.ContainsFunc(r.pool.Servers(), func(e balancer.Server) bool {
-			return e.Name == s.Address && (e.State == balancer.Out || e.State == balancer.Probing)
+			return e.Name == s.Address && (e.State == balancer.StateEjected || e.State == balancer.StateProbing)
 		})
 	})
 	for range 5 { // with all the time there is: who met it again would wait for it
@@ -633,13 +636,13 @@
 	if got, err := io.ReadAll(c); !strings.HasPrefix(string(got), "HTTP/1.1 502 ") || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	standin.WaitFor(t, "the server is blamed", func() bool { return r.pool.Servers()[0].Fails == 1 })
+	standin.WaitFor(t, "the server is blamed", func() bool { return r.pool.Servers()[0].ConsecutiveFailures == 1 })
 }
 
 // TestGivesUpAsTheAnswerComes: clients that leave at the instant at which their answer is ready leave nothing behind.
 func TestGivesUpAsTheAnswerComes(t *testing.T) {
 	s := standin.NewScripted(t, reply("/", fine))
-	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.HalfClose = true })
+	r := newRig(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.HalfCloseCancels = true })
 	goroutines, descriptors := runtime.NumGoroutine(), openFiles(t)
 	for i := range 300 {
 		c := r.dial(t)
@@ -653,7 +656,7 @@
 	}
 	standin.WaitFor(t, "all is over", func() bool {
 		_, hand, _ := r.node.Totals()
-		return r.Open() == 0 && r.node.Unanswered() == 0 && hand == 0 && len(s.Got()) == s.Connections()
+		return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && hand == 0 && len(s.Got()) == s.Connections()
 	})
 	standin.WaitFor(t, "nothing is left", func() bool { return runtime.NumGoroutine() <= goroutines && openFiles(t) <= descriptors })
 	if got, err := r.ask(t, standin.Script{{Send: standin.Packet(t, "", at("/")...)}}); got != fine || err != nil {
@@ -674,7 +677,7 @@
 func TestLeaveWhileHundredsStream(t *testing.T) {
 	const n = 300
 	s := standin.NewScripted(t, standin.Script{{Until: "/"}, {Send: "HTTP/1.1 200 OK\r\n\r\nfirst"}, {Until: "never"}})
-	r := newRigOn(t, 2*n, []string{s.Address}, func(o *Options, p *PoolOptions) { o.Limits.UwsgiConnections, p.Rules.Most = n, n })
+	r := newRigOn(t, 2*n, []string{s.Address}, func(o *Options, p *PoolOptions) { o.Limits.UwsgiConnections, p.Balancer.MaxConcurrency = n, n })
 	goroutines := runtime.NumGoroutine()
 	conns := make([]net.Conn, n)
 	for i := range conns {
@@ -690,7 +693,7 @@
 		}
 		c.Close()
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 && r.Totals().Broken == n })
+	standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && r.Totals().Broken == n })
 	r.node.Sweep()
 	for id := range r.runs() { // a stop of the process would end them
 		r.pool.Stop(id)
@@ -732,7 +735,7 @@
 		default:
 			t.Errorf("seed %d: %d bytes, %v: %.80q", seed, len(got), err, got)
 		}
-		standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 })
+		standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 })
 		if n := a.Connections() + b.Connections(); path != "/" && n > 1 {
 			t.Errorf("seed %d: what must not run twice went to %d servers", seed, n)
 		}
@@ -751,8 +754,8 @@
 	if _, err := io.WriteString(c, standin.Packet(t, "", at("/")...)); err != nil {
 		t.Fatal(err)
 	}
-	standin.WaitFor(t, "it is broken off", func() bool { return r.Totals().Broken == 1 && r.Open() == 0 && len(s.Got()) == 1 })
-	if e := r.pool.Servers()[0]; e.Fails != 0 || e.Open != 0 {
+	standin.WaitFor(t, "it is broken off", func() bool { return r.Totals().Broken == 1 && r.OpenConnections() == 0 && len(s.Got()) == 1 })
+	if e := r.pool.Servers()[0]; e.ConsecutiveFailures != 0 || e.InFlight != 0 {
 		t.Errorf("held against the server: %+v", e)
 	}
 }
@@ -761,13 +764,15 @@
 func TestProbe(t *testing.T) {
 	address := standin.Free(t)
 	other := standin.NewScripted(t, reply("/", fine))
-	r := newRig(t, []string{address, other.Address}, func(_ *Options, p *PoolOptions) { p.Rules.Fails, p.Rules.OutLeast = 1, time.Millisecond })
+	r := newRig(t, []string{address, other.Address}, func(_ *Options, p *PoolOptions) {
+		p.Balancer.FailureThreshold, p.Balancer.BaseEjectionTime = 1, time.Millisecond
+	})
 	get := standin.Script{{Send: standin.Packet(t, "", at("/")...)}}
 	standin.WaitFor(t, "it is left out", func() bool {
 		if got, err := r.ask(t, get); got != fine || err != nil {
 			t.Fatalf("%q, %v", got, err)
 		}
-		return r.pool.Servers()[0].Fails+r.pool.Servers()[1].Fails > 0
+		return r.pool.Servers()[0].ConsecutiveFailures+r.pool.Servers()[1].ConsecutiveFailures > 0
 	})
 	again, err := net.Listen("tcp", address)
 	if err != nil {
@@ -794,7 +799,7 @@
 	standin.WaitFor(t, "it is in", func() bool {
 		for _, s := range r.pool.Servers() {
 			if s.Name == address {
-				return s.State == balancer.Warming || s.State == balancer.In
+				return s.State == balancer.StateWarmingUp || s.State == balancer.StateHealthy
 			}
 		}
 		return false
@@ -832,7 +837,7 @@
 		if below.TLS {
 			address = "suwsgi://" + ln.Addr().String()
 		}
-		r := newRig(t, []string{address}, func(_ *Options, p *PoolOptions) { p.Keys, p.Name = keys, "node.test" })
+		r := newRig(t, []string{address}, func(_ *Options, p *PoolOptions) { p.Keys, p.ServerName = keys, "node.test" })
 		up := below
 		up.Address = filepath.Join(dir, "front")
 		if up.TLS {
--- a/internal/platform/apispec/asyncapi.go
+++ b/internal/platform/apispec/asyncapi.go
@@ -11,10 +11,10 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// Platform is the AsyncAPI document of the platform's messages.
+// PlatformAsyncAPI is the AsyncAPI document of the platform's messages.
 //
 //go:embed platform.asyncapi.yaml
-var Platform []byte
+var PlatformAsyncAPI []byte
 
 // Message is one described message.
 type Message struct {
@@ -23,8 +23,8 @@
 	schema   *jsonschema.Schema
 }
 
-// Valid says whether a message has the described form.
-func (m *Message) Valid(payload any) error { return m.schema.Validate(payload) }
+// Validate says whether a message has the described form.
+func (m *Message) Validate(payload any) error { return m.schema.Validate(payload) }
 
 // document is the part of an AsyncAPI document that is used here; payloads are JSON Schemas.
 type document struct {
@@ -61,7 +61,7 @@
 		}
 		m := &Message{Summary: described.Summary, schema: schema}
 		for _, example := range described.Examples {
-			if err := m.Valid(example.Payload); err != nil {
+			if err := m.Validate(example.Payload); err != nil {
 				return nil, fmt.Errorf("%s: example: %w", name, err)
 			}
 			m.Examples = append(m.Examples, example.Payload)
--- a/internal/platform/apispec/asyncapi_test.go
+++ b/internal/platform/apispec/asyncapi_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestMessages(t *testing.T) {
-	messages, err := Messages(Platform)
+	messages, err := Messages(PlatformAsyncAPI)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 		{"no messages", "components:", "other:", "no messages"},
 		{"not YAML", "channels:", "\t:", ""},
 	} {
-		text := strings.ReplaceAll(string(Platform), c.old, c.new)
+		text := strings.ReplaceAll(string(PlatformAsyncAPI), c.old, c.new)
 		if _, err := Messages([]byte(text)); err == nil || !strings.Contains(err.Error(), c.wrong) {
 			t.Errorf("%s: %v, want an error on %q", c.name, err, c.wrong)
 		}
--- a/internal/platform/apispec/openapi.go
+++ b/internal/platform/apispec/openapi.go
@@ -26,24 +26,24 @@
 
 // operation are what the extension says of an operation.
 type operation struct {
-	Class     string   `json:"class"`     // a class of the settings
-	Semantics string   `json:"semantics"` // retryable, dedup or fragile; must be the class's
-	Key       string   `json:"key"`       // dedup: header:NAME or query:NAME that is the same for all tries
-	Worth     *float64 `json:"worth"`     // takes the place of the class's worth
-	WorkMS    float64  `json:"work-ms"`   // the work to expect on one core; 0: unknown
-	KB        float64  `json:"kb"`        // memory while held; 0: what the front holds of it
-	Tenant    string   `json:"tenant"`    // header:NAME or query:NAME that names the tenant
-	Retry     string   `json:"retry"`     // header:NAME that is present on further tries
+	Class          string   `json:"class"`     // a class of the settings
+	Semantics      string   `json:"semantics"` // retryable, dedup or fragile; must be the class's
+	Key            string   `json:"key"`       // dedup: header:NAME or query:NAME that is the same for all tries
+	PriorityWeight *float64 `json:"worth"`     // takes the place of the class's worth
+	WorkMS         float64  `json:"work-ms"`   // the work to expect on one core; 0: unknown
+	MemoryKB       float64  `json:"kb"`        // memory while held; 0: what the front holds of it
+	Tenant         string   `json:"tenant"`    // header:NAME or query:NAME that names the tenant
+	RetryMarker    string   `json:"retry"`     // header:NAME that is present on further tries
 
 	class int
 }
 
 // Operations map uwsgi requests to classes.
 type Operations struct {
-	router  routers.Router
-	terms   map[*openapi3.Operation]*operation
-	tenants map[string]int
-	ranks   []float64
+	router        routers.Router
+	operations    map[*openapi3.Operation]*operation
+	tenants       map[string]int
+	priorityRanks []float64
 }
 
 var semantics = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey, "fragile": logic.NonIdempotent}
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	doc.Servers = nil // paths match wherever the front stands
-	o := &Operations{terms: map[*openapi3.Operation]*operation{}, tenants: tenants}
+	o := &Operations{operations: map[*openapi3.Operation]*operation{}, tenants: tenants}
 	if o.router, err = gorillamux.NewRouter(doc); err != nil {
 		return nil, err
 	}
@@ -70,11 +70,11 @@
 				return nil, fmt.Errorf("%s %s: %w", method, path, err)
 			}
 			if t != nil {
-				o.terms[op] = t
+				o.operations[op] = t
 			}
 		}
 	}
-	if len(o.terms) == 0 {
+	if len(o.operations) == 0 {
 		return nil, fmt.Errorf("no operation carries %s", extension)
 	}
 	o.setRanks(cfg.Classes)
@@ -83,7 +83,7 @@
 
 // setRanks gives each class an equal portion from 0 to 1 in order of worth, the least first, and its requests the middle.
 func (o *Operations) setRanks(classes []logic.Class) {
-	o.ranks = make([]float64, len(classes))
+	o.priorityRanks = make([]float64, len(classes))
 	for i, c := range classes {
 		below := 0
 		for j, other := range classes {
@@ -91,7 +91,7 @@
 				below++
 			}
 		}
-		o.ranks[i] = (float64(below) + 0.5) / float64(len(classes))
+		o.priorityRanks[i] = (float64(below) + 0.5) / float64(len(classes))
 	}
 }
 
@@ -127,16 +127,16 @@
 		return fmt.Errorf("%s: semantics %q is not that of class %s in the settings", extension, t.Semantics, t.Class)
 	case effect == logic.IdempotentByKey && t.Key == "":
 		return fmt.Errorf("%s: dedup needs a key", extension)
-	case t.WorkMS < 0 || t.KB < 0 || t.Worth != nil && *t.Worth < 0:
+	case t.WorkMS < 0 || t.MemoryKB < 0 || t.PriorityWeight != nil && *t.PriorityWeight < 0:
 		return fmt.Errorf("%s: negative figure", extension)
 	}
-	for _, from := range []string{t.Key, t.Tenant, t.Retry} {
+	for _, from := range []string{t.Key, t.Tenant, t.RetryMarker} {
 		if place, name, _ := strings.Cut(from, ":"); from != "" && (name == "" || !slices.Contains([]string{"header", "query"}, place)) {
 			return fmt.Errorf("%s: %q is neither header:NAME nor query:NAME", extension, from)
 		}
 	}
-	if t.Worth != nil {
-		class.PriorityWeight = *t.Worth
+	if t.PriorityWeight != nil {
+		class.PriorityWeight = *t.PriorityWeight
 	}
 	return nil
 }
@@ -152,17 +152,17 @@
 	if errors.Is(err, routers.ErrMethodNotAllowed) {
 		return http.StatusMethodNotAllowed
 	}
-	if err != nil || o.terms[route.Operation] == nil {
+	if err != nil || o.operations[route.Operation] == nil {
 		return http.StatusNotFound
 	}
-	t := o.terms[route.Operation]
+	t := o.operations[route.Operation]
 	query := at.Query()
-	q.Class, q.PriorityRank = t.class, o.ranks[t.class]
+	q.Class, q.PriorityRank = t.class, o.priorityRanks[t.class]
 	q.WorkHint = time.Duration(t.WorkMS * float64(time.Millisecond))
-	if t.KB > 0 {
-		q.MemoryKB = t.KB
+	if t.MemoryKB > 0 {
+		q.MemoryKB = t.MemoryKB
 	}
-	q.Retry = findValue(t.Retry, get, query) != ""
+	q.Retry = findValue(t.RetryMarker, get, query) != ""
 	if tenant, known := o.tenants[findValue(t.Tenant, get, query)]; known {
 		q.Tenant = tenant
 	}
--- a/internal/platform/endpoint/endpoint.go
+++ b/internal/platform/endpoint/endpoint.go
@@ -85,7 +85,7 @@
 		ln.Close()
 		return nil, fmt.Errorf("address %s: TLS needs a certificate and its key", e)
 	}
-	return tls.NewListener(ln, keys.Server()), nil
+	return tls.NewListener(ln, keys.ServerConfig()), nil
 }
 
 // unixListener takes its name away when it is closed, if the name is still its own.
@@ -157,7 +157,7 @@
 	}
 	config := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: name}
 	if keys != nil {
-		config = keys.Client(name)
+		config = keys.ClientConfig(name)
 	}
 	t := tls.Client(conn, config)
 	if err := t.HandshakeContext(ctx); err != nil {
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -50,15 +50,15 @@
 	return m
 }
 
-// Run takes in a uwsgi run that is over. A stage that was not reached is not counted.
-func (m *Metrics) Run(r uwsgi.RunTimes) {
-	last, _ := r.Last()
+// ObserveRun takes in a uwsgi run that is over. A stage that was not reached is not counted.
+func (m *Metrics) ObserveRun(r uwsgi.RunTimes) {
+	last, _ := r.LastAttempt()
 	for _, stage := range []struct {
 		name string
 		at   time.Time
-	}{{"connected", last.Connected}, {"first_byte", last.FirstByte}, {"done", r.Done}} {
+	}{{"connected", last.ConnectedAt}, {"first_byte", last.FirstByteAt}, {"done", r.DoneAt}} {
 		if !stage.at.IsZero() {
-			m.runs.WithLabelValues(stage.name, r.Outcome).Observe(stage.at.Sub(r.Started).Seconds())
+			m.runs.WithLabelValues(stage.name, r.Outcome).Observe(stage.at.Sub(r.StartedAt).Seconds())
 		}
 	}
 }
@@ -214,8 +214,8 @@
 
 func (c *collector) servers(s sender) {
 	for _, server := range c.from.Servers() {
-		s.gauge(serverOpen, server.Open, server.Name)
-		s.gauge(serverCapacity, server.Room, server.Name)
+		s.gauge(serverOpen, server.InFlight, server.Name)
+		s.gauge(serverCapacity, server.Capacity, server.Name)
 		s.gauge(serverState, 1, server.Name, server.State.String())
 	}
 }
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -27,7 +27,7 @@
 		m := New(s)
 		go m.Serve(ln, limits.For(64, 256), standin.Quiet)
 		for _, r := range runs {
-			m.Run(r)
+			m.ObserveRun(r)
 		}
 		resp, err := http.Get("http://" + ln.Addr().String() + "/metrics")
 		if err != nil {
@@ -48,7 +48,7 @@
 		Resp:  func() int { return 4 },
 		Uwsgi: func() (uwsgi.Counts, int) { return uwsgi.Counts{Malformed: 6}, 8 },
 		Servers: func() []balancer.Server {
-			return []balancer.Server{{Name: "127.0.0.1:1", State: balancer.Out, Open: 1, Room: 9}}
+			return []balancer.Server{{Name: "127.0.0.1:1", State: balancer.StateEjected, InFlight: 1, Capacity: 9}}
 		},
 		Ledger: func() ledger.Stats { return ledger.Stats{Keys: 11, Broken: "a flush failed"} },
 		Classes: func() map[string]node.ClassCounts {
@@ -59,8 +59,8 @@
 			return fleet.Stats{OutOfService: true, Reports: map[string]uint64{"failed": 4}, Permits: map[string]uint64{"granted": 6}, Grants: &fleet.GrantStats{Waiting: 3, Permits: map[drainpermit.State]int{drainpermit.Started: 2}, Unavailable: map[disruption.Availability]int{disruption.Silent: 5}},
 				Releases: []release.Status{{Name: "r", State: "running", Halted: true, Nodes: 9, Updated: 7, Wave: 2}}}
 		},
-	}, uwsgi.RunTimes{Started: at, Tries: []uwsgi.TryTimes{{Connected: at.Add(time.Millisecond), FirstByte: at.Add(3 * time.Second)}}, Done: at.Add(4 * time.Second), Outcome: "ok"},
-		uwsgi.RunTimes{Started: at, Done: at.Add(time.Second), Outcome: "moot"})
+	}, uwsgi.RunTimes{StartedAt: at, Attempts: []uwsgi.AttemptTimes{{ConnectedAt: at.Add(time.Millisecond), FirstByteAt: at.Add(3 * time.Second)}}, DoneAt: at.Add(4 * time.Second), Outcome: "ok"},
+		uwsgi.RunTimes{StartedAt: at, DoneAt: at.Add(time.Second), Outcome: "moot"})
 	for _, line := range []string{`sloehitch_requests_total{outcome="refused"} 3`, `sloehitch_bookings_unrecorded_total 1`, `sloehitch_tries_abroad_total{how="waited"} 6`, `sloehitch_tries_abroad_total{how="heard"} 8`, `sloehitch_requests_in_hand 2`,
 		`sloehitch_keys 5`, `sloehitch_connections{front="resp"} 4`, `sloehitch_connections{front="uwsgi"} 8`, `sloehitch_uwsgi_requests_total{what="malformed"} 6`,
 		`sloehitch_uwsgi_server_state{server="127.0.0.1:1",state="out"} 1`, `sloehitch_uwsgi_server_room{server="127.0.0.1:1"} 9`, `sloehitch_ledger_keys 11`,
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -13,7 +13,7 @@
 
 // The platform's words for enumerated values.
 var (
-	idempotencyByName = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey,
+	IdempotencyByName = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey,
 		"fragile": logic.NonIdempotent}
 	signalModeByName = map[string]logic.SignalMode{"off": logic.SignalOff, "floor": logic.SignalPriorityFloor,
 		"allowance": logic.SignalConcurrencyLimit, "weight": logic.SignalWeight}
@@ -110,7 +110,7 @@
 		ClientTimeout:     p.duration(at+"hard-limit", requiredDurationRange),
 		PriorityWeight:    p.number(at+"credit", priorityWeightRange),
 		LateWeightShare:   p.number(at+"late-worth", shareRange),
-		Idempotency:       oneOf(p, at+"semantics", idempotencyByName),
+		Idempotency:       oneOf(p, at+"semantics", IdempotencyByName),
 		IdempotencyWindow: p.duration(at+"window", idempotencyWindowRange),
 		CallsDependency:   p.parseBoolean("domain.class-calls", p.listItem("domain.class-calls", i)),
 	}
--- a/internal/platform/tlskeys/tlskeys.go
+++ b/internal/platform/tlskeys/tlskeys.go
@@ -21,8 +21,8 @@
 	CA   string // authorities that the other end's certificate must lead to; empty: those of the system for a client, none for a server
 }
 
-// Expiring is how long before its end a certificate is warned of, once a day.
-const Expiring = 14 * 24 * time.Hour
+// ExpiryWarning is how long before its end a certificate is warned of, once a day.
+const ExpiryWarning = 14 * 24 * time.Hour
 
 // Keys are the certificates in force. They are safe for use from many goroutines.
 type Keys struct {
@@ -30,18 +30,18 @@
 	log   *slog.Logger
 	now   func() time.Time
 
-	inForce atomic.Pointer[pair]
+	current atomic.Pointer[keySet]
 
-	mu     sync.Mutex // guards what follows, and loading
-	seen   string     // how the files looked when they were last read, whether or not they were any good
-	warned time.Time
+	mu            sync.Mutex // guards what follows, and loading
+	lastFileState string     // how the files looked when they were last read, whether or not they were any good
+	warnedAt      time.Time
 }
 
-// pair is one set of keys.
-type pair struct {
-	cert  *tls.Certificate // nil: none
-	peers *x509.CertPool   // nil: none named
-	ends  time.Time
+// keySet is one set of keys.
+type keySet struct {
+	cert     *tls.Certificate // nil: none
+	peers    *x509.CertPool   // nil: none named
+	notAfter time.Time
 }
 
 // Load reads the files. They must be in order.
@@ -50,26 +50,26 @@
 	if (files.Cert == "") != (files.Key == "") {
 		return nil, errors.New("tls: cert and key belong together")
 	}
-	k.seen = k.fileState()
+	k.lastFileState = k.fileState()
 	p, err := k.read()
 	if err != nil {
 		return nil, err
 	}
-	k.inForce.Store(p)
-	k.warn(p)
+	k.current.Store(p)
+	k.warnBeforeExpiry(p)
 	return k, nil
 }
 
 // read reads all files. It is the only place that decides what is good.
-func (k *Keys) read() (*pair, error) {
-	p := &pair{}
+func (k *Keys) read() (*keySet, error) {
+	p := &keySet{}
 	if k.files.Cert != "" {
 		cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 		if err != nil {
 			return nil, fmt.Errorf("tls: %s with %s: %w", k.files.Cert, k.files.Key, err)
 		}
-		if p.ends = cert.Leaf.NotAfter; k.now().After(p.ends) {
-			return nil, fmt.Errorf("tls: %s expired at %s", k.files.Cert, p.ends.UTC().Format(time.RFC3339))
+		if p.notAfter = cert.Leaf.NotAfter; k.now().After(p.notAfter) {
+			return nil, fmt.Errorf("tls: %s expired at %s", k.files.Cert, p.notAfter.UTC().Format(time.RFC3339))
 		}
 		p.cert = &cert
 	}
@@ -94,16 +94,16 @@
 }
 
 func (k *Keys) reload(look string) error {
-	k.seen = look
+	k.lastFileState = look
 	p, err := k.read()
 	if err != nil {
 		k.log.Error("the TLS keys stay as they were", "error", err)
 		return err
 	}
-	k.inForce.Store(p)
-	k.warned = time.Time{}
-	k.log.Info("TLS keys taken up", "cert", k.files.Cert, "ca", k.files.CA, "expires", p.ends)
-	k.warn(p)
+	k.current.Store(p)
+	k.warnedAt = time.Time{}
+	k.log.Info("TLS keys taken up", "cert", k.files.Cert, "ca", k.files.CA, "expires", p.notAfter)
+	k.warnBeforeExpiry(p)
 	return nil
 }
 
@@ -127,30 +127,30 @@
 func (k *Keys) Check() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if look := k.fileState(); look != k.seen {
+	if look := k.fileState(); look != k.lastFileState {
 		_ = k.reload(look) // said in the log
 	}
-	k.warn(k.inForce.Load())
+	k.warnBeforeExpiry(k.current.Load())
 }
 
-// warn says once a day that the certificate in force is near its end.
-func (k *Keys) warn(p *pair) {
+// warnBeforeExpiry says once a day that the certificate in force is near its end.
+func (k *Keys) warnBeforeExpiry(p *keySet) {
 	now := k.now()
-	if p.ends.IsZero() || p.ends.Sub(now) > Expiring || now.Sub(k.warned) < 24*time.Hour {
+	if p.notAfter.IsZero() || p.notAfter.Sub(now) > ExpiryWarning || now.Sub(k.warnedAt) < 24*time.Hour {
 		return
 	}
-	k.warned = now
-	k.log.Warn("a TLS certificate is near its end", "cert", k.files.Cert, "expires", p.ends, "left", p.ends.Sub(now).Round(time.Hour))
+	k.warnedAt = now
+	k.log.Warn("a TLS certificate is near its end", "cert", k.files.Cert, "expires", p.notAfter, "left", p.notAfter.Sub(now).Round(time.Hour))
 }
 
 // Expires is when the certificate in force ends; zero without one.
-func (k *Keys) Expires() time.Time { return k.inForce.Load().ends }
+func (k *Keys) Expires() time.Time { return k.current.Load().notAfter }
 
-// Server is a configuration for listening that always offers the keys in force. Where authorities are named, clients must show a
+// ServerConfig is a configuration for listening that always offers the keys in force. Where authorities are named, clients must show a
 // certificate that leads to one of them.
-func (k *Keys) Server() *tls.Config {
+func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		p := k.inForce.Load()
+		p := k.current.Load()
 		c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*p.cert},
 			SessionTicketsDisabled: true} // a ticket would outlive the keys that it was given under
 		if p.peers != nil {
@@ -160,9 +160,9 @@
 	}}
 }
 
-// Client is a configuration for one connection to a server of that name, with the keys in force.
-func (k *Keys) Client(name string) *tls.Config {
-	p := k.inForce.Load()
+// ClientConfig is a configuration for one connection to a server of that name, with the keys in force.
+func (k *Keys) ClientConfig(name string) *tls.Config {
+	p := k.current.Load()
 	c := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: p.peers, ServerName: name}
 	if p.cert != nil {
 		c.Certificates = []tls.Certificate{*p.cert}
@@ -171,4 +171,4 @@
 }
 
 // HasCert says whether there is a certificate, which a server needs.
-func (k *Keys) HasCert() bool { return k.inForce.Load().cert != nil }
+func (k *Keys) HasCert() bool { return k.current.Load().cert != nil }
--- a/internal/platform/traces/traces.go
+++ b/internal/platform/traces/traces.go
@@ -24,10 +24,10 @@
 
 // Traces writes spans to a file.
 type Traces struct {
-	provider *sdktrace.TracerProvider
-	tracer   trace.Tracer
-	file     *os.File
-	share    float64
+	provider   *sdktrace.TracerProvider
+	tracer     trace.Tracer
+	file       *os.File
+	sampleRate float64
 }
 
 // Open appends to the file at path. share is the part of requests that are traced, 0 to 1; those whose client traces them are in any case.
@@ -41,7 +41,7 @@
 		f.Close()
 		return nil, err
 	}
-	t := &Traces{file: f, share: share}
+	t := &Traces{file: f, sampleRate: share}
 	t.provider = sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(l.QueuedSpans)), // what doesn't fit is dropped: a slow disk holds up nobody
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "sloehitch"), attribute.String("service.instance.id", node))))
@@ -75,44 +75,44 @@
 func (t *Traces) sampled(id string) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return float64(h.Sum32()) < t.share*(1<<32)
+	return float64(h.Sum32()) < t.sampleRate*(1<<32)
 }
 
-// Request writes a request that is over: a span for all of it, one for the time that it was held, and one for each try on a server.
-func (t *Traces) Request(r uwsgi.RequestTimes) {
-	ctx := propagation.TraceContext{}.Extract(context.Background(), carrier(r.Parent))
+// RecordRequest writes a request that is over: a span for all of it, one for the time that it was held, and one for each try on a server.
+func (t *Traces) RecordRequest(r uwsgi.RequestTimes) {
+	ctx := propagation.TraceContext{}.Extract(context.Background(), carrier(r.TraceParent))
 	if !trace.SpanContextFromContext(ctx).IsSampled() && !t.sampled(r.ID) {
 		return
 	}
-	ctx, whole := t.tracer.Start(ctx, "request", trace.WithTimestamp(r.Read), trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
+	ctx, whole := t.tracer.Start(ctx, "request", trace.WithTimestamp(r.ReadAt), trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
 		attribute.String("sloehitch.request", r.ID), attribute.String("sloehitch.outcome", r.Outcome), attribute.Bool("sloehitch.streamed", r.Streamed)))
-	defer whole.End(trace.WithTimestamp(r.Answered))
+	defer whole.End(trace.WithTimestamp(r.AnsweredAt))
 	if r.Outcome != "served" {
 		whole.SetStatus(codes.Error, r.Outcome)
 	}
-	started := r.Answered
-	if !r.Run.Started.IsZero() {
-		started = r.Run.Started
+	started := r.AnsweredAt
+	if !r.Run.StartedAt.IsZero() {
+		started = r.Run.StartedAt
 	}
-	_, held := t.tracer.Start(ctx, "held", trace.WithTimestamp(r.Read))
+	_, held := t.tracer.Start(ctx, "held", trace.WithTimestamp(r.ReadAt))
 	held.End(trace.WithTimestamp(started))
-	for n, try := range r.Run.Tries {
-		end := try.Ended
+	for n, try := range r.Run.Attempts {
+		end := try.EndedAt
 		if end.IsZero() { // answered while it was under way
-			end = r.Answered
+			end = r.AnsweredAt
 		}
-		_, span := t.tracer.Start(ctx, fmt.Sprint("try ", n+1), trace.WithTimestamp(try.Began), trace.WithSpanKind(trace.SpanKindClient),
+		_, span := t.tracer.Start(ctx, fmt.Sprint("try ", n+1), trace.WithTimestamp(try.StartedAt), trace.WithSpanKind(trace.SpanKindClient),
 			trace.WithAttributes(attribute.String("server.address", try.Server)))
 		for _, e := range []struct {
 			name string
 			at   time.Time
-		}{{"connected", try.Connected}, {"first byte", try.FirstByte}} {
+		}{{"connected", try.ConnectedAt}, {"first byte", try.FirstByteAt}} {
 			if !e.at.IsZero() {
 				span.AddEvent(e.name, trace.WithTimestamp(e.at))
 			}
 		}
-		if try.Why != "" {
-			span.SetStatus(codes.Error, try.Why)
+		if try.Failure != "" {
+			span.SetStatus(codes.Error, try.Failure)
 		}
 		span.End(trace.WithTimestamp(end))
 	}
--- a/internal/platform/traces/traces_test.go
+++ b/internal/platform/traces/traces_test.go
@@ -53,13 +53,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := uwsgi.RequestTimes{ID: "1", Read: at(0), Answered: at(90), Outcome: "failed", Run: uwsgi.RunTimes{Started: at(20), Done: at(80), Tries: []uwsgi.TryTimes{
-			{Server: "a", Began: at(20), Ended: at(30), Why: "refused"}, {Server: "b", Began: at(30), Connected: at(31), FirstByte: at(70), Ended: at(80)}}}}
-		tr.Request(r) // a share of none: not traced
-		r.Parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-00"
-		tr.Request(r) // nor does the client trace it
-		r.Parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-		tr.Request(r)
+		r := uwsgi.RequestTimes{ID: "1", ReadAt: at(0), AnsweredAt: at(90), Outcome: "failed", Run: uwsgi.RunTimes{StartedAt: at(20), DoneAt: at(80), Attempts: []uwsgi.AttemptTimes{
+			{Server: "a", StartedAt: at(20), EndedAt: at(30), Failure: "refused"}, {Server: "b", StartedAt: at(30), ConnectedAt: at(31), FirstByteAt: at(70), EndedAt: at(80)}}}}
+		tr.RecordRequest(r) // a share of none: not traced
+		r.TraceParent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-00"
+		tr.RecordRequest(r) // nor does the client trace it
+		r.TraceParent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
+		tr.RecordRequest(r)
 		if err := tr.Close(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 
 // TestShare: about the share of requests is traced, the same ones each time.
 func TestShare(t *testing.T) {
-	tr := &Traces{share: 0.25}
+	tr := &Traces{sampleRate: 0.25}
 	n := 0
 	for i := range 10000 {
 		id := fmt.Sprint("uwsgi-", i)
@@ -99,7 +99,7 @@
 	if n < 2000 || n > 3000 {
 		t.Errorf("%d of 10,000", n)
 	}
-	if (&Traces{share: 0}).sampled("x") || !(&Traces{share: 1}).sampled("x") {
+	if (&Traces{sampleRate: 0}).sampled("x") || !(&Traces{sampleRate: 1}).sampled("x") {
 		t.Error("none and all")
 	}
 }
@@ -111,9 +111,9 @@
 		b.Fatal(err)
 	}
 	now := time.Now()
-	r := uwsgi.RequestTimes{ID: "1", Read: now, Answered: now, Outcome: "served", Run: uwsgi.RunTimes{Started: now, Done: now, Tries: []uwsgi.TryTimes{{Server: "a", Began: now, Ended: now}}}}
+	r := uwsgi.RequestTimes{ID: "1", ReadAt: now, AnsweredAt: now, Outcome: "served", Run: uwsgi.RunTimes{StartedAt: now, DoneAt: now, Attempts: []uwsgi.AttemptTimes{{Server: "a", StartedAt: now, EndedAt: now}}}}
 	b.ReportAllocs()
 	for b.Loop() {
-		tr.Request(r)
+		tr.RecordRequest(r)
 	}
 }
--- a/internal/testing/conformance/cases.go
+++ b/internal/testing/conformance/cases.go
@@ -72,7 +72,7 @@
 
 // pack is a packet of these variables, in their order and however often they stand there.
 func pack(list vars) string {
-	b, err := packet.Append(nil, 0, 0, list)
+	b, err := packet.AppendRequest(nil, 0, 0, list)
 	if err != nil {
 		panic(err) // the cases are fixed
 	}
--- a/internal/testing/conformance/conformance.go
+++ b/internal/testing/conformance/conformance.go
@@ -66,7 +66,7 @@
 func (t Target) Reach(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, t.Patience)
 	defer cancel()
-	c := client.Client{Address: t.Address.String(), Tries: 1}
+	c := client.Client{Address: t.Address.String(), MaxAttempts: 1}
 	resp, err := c.Do(ctx, &client.Request{Path: t.Path, Host: "localhost"})
 	if err != nil {
 		return err
@@ -193,9 +193,9 @@
 }
 
 // whole reads one sound response and its body, chunks undone, and refuses what follows it.
-func whole(b []byte, headOnly, reset bool) (head packet.Head, body []byte, err error) {
+func whole(b []byte, headOnly, reset bool) (head packet.ResponseHead, body []byte, err error) {
 	for {
-		if head, err = packet.ReadHead(b, headOnly, 64<<10); err != nil {
+		if head, err = packet.ReadResponseHead(b, headOnly, 64<<10); err != nil {
 			return head, nil, err
 		}
 		b = b[head.Size:]
@@ -203,14 +203,14 @@
 			break
 		}
 	}
-	rest := head.Rest()
+	rest := head.BodyScanner()
 	n, done, err := rest.Scan(b)
 	switch {
 	case err != nil:
 		return head, nil, err
-	case !done && !rest.ByClose():
+	case !done && !rest.EndsAtClose():
 		return head, nil, fmt.Errorf("its body ends after %d bytes, before it is whole", n)
-	case rest.ByClose() && reset:
+	case rest.EndsAtClose() && reset:
 		return head, nil, errors.New("the connection was reset within a body that its close ends")
 	case n < len(b):
 		return head, nil, fmt.Errorf("%d bytes follow its answer", len(b)-n)
--- a/internal/testing/standin/echo.go
+++ b/internal/testing/standin/echo.go
@@ -78,10 +78,10 @@
 		return vars, nil, io.EOF
 	}
 	h := packet.ReadHeader(first)
-	if h.Mod1 == packet.Ping && h.Mod2 == 0 && h.Size == 0 && e.mutant != "takes no pings" {
+	if h.Modifier1 == packet.Ping && h.Modifier2 == 0 && h.Size == 0 && e.mutant != "takes no pings" {
 		return vars, nil, errPing
 	}
-	if h.Mod1 != 0 && e.mutant != "takes all modifiers" {
+	if h.Modifier1 != 0 && e.mutant != "takes all modifiers" {
 		return vars, nil, packet.ErrMalformed
 	}
 	block := make([]byte, h.Size)
@@ -124,20 +124,20 @@
 }
 
 func (e *Echo) body(in *bufio.Reader, vars packet.Vars) ([]byte, error) {
-	kind, err := packet.RequestBody(vars)
+	kind, err := packet.RequestFraming(vars)
 	length := vars.Get("CONTENT_LENGTH")
 	coding := vars.Get("HTTP_TRANSFER_ENCODING")
 	switch {
 	case e.mutant == "takes a length and chunks" && err != nil && length != "" && strings.EqualFold(coding, "chunked"):
-		kind, err = packet.Body{Length: -1, Chunked: true}, nil
+		kind, err = packet.Framing{Length: -1, Chunked: true}, nil
 	case e.mutant == "takes any coding" && err != nil && coding != "" && length == "":
-		kind, err = packet.Body{Length: -1, Chunked: true}, nil
+		kind, err = packet.Framing{Length: -1, Chunked: true}, nil
 	case e.mutant == "takes signs in lengths" && err != nil:
 		n, numErr := strconv.Atoi(length)
 		if numErr != nil || n < 0 {
 			return nil, err
 		}
-		kind, err = packet.Body{Length: int64(n)}, nil
+		kind, err = packet.Framing{Length: int64(n)}, nil
 	}
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 
 // chunks reads a chunked body and takes its framing off.
 func (e *Echo) chunks(in *bufio.Reader) ([]byte, error) {
-	var scan packet.Chunks
+	var scan packet.ChunkScanner
 	var raw []byte
 	for {
 		b, err := in.ReadByte()
--- a/internal/testing/standin/uwsgi.go
+++ b/internal/testing/standin/uwsgi.go
@@ -102,7 +102,7 @@
 // Packet is a uwsgi request's bytes.
 func Packet(t testing.TB, body string, vars ...[2]string) string {
 	t.Helper()
-	b, err := packet.Append(nil, 0, 0, vars)
+	b, err := packet.AppendRequest(nil, 0, 0, vars)
 	if err != nil {
 		t.Fatal(err)
 	}
