--- /dev/null
+++ b/client/uwsgi/body.go
@@ -0,0 +1,53 @@
+package uwsgi
+
+import (
+	"errors"
+	"io"
+	"net"
+)
+
+// errorRecorder is a reader that records its source's error, to tell it from one of the connection.
+type errorRecorder struct {
+	source io.Reader
+	err    error
+}
+
+// Read implements io.Reader.
+func (r *errorRecorder) Read(b []byte) (int, error) {
+	n, err := r.source.Read(b)
+	if err != nil && !errors.Is(err, io.EOF) {
+		r.err = err
+	}
+	return n, err
+}
+
+// lengthReader reads a body of known length; an earlier end is io.ErrUnexpectedEOF.
+type lengthReader struct {
+	in   io.Reader
+	left int64
+}
+
+// Read implements io.Reader.
+func (l *lengthReader) Read(b []byte) (int, error) {
+	if l.left == 0 {
+		return 0, io.EOF
+	}
+	n, err := l.in.Read(b[:min(int64(len(b)), l.left)])
+	if l.left -= int64(n); errors.Is(err, io.EOF) && l.left > 0 {
+		err = io.ErrUnexpectedEOF
+	}
+	return n, err
+}
+
+// connBody is a response's body that closes its connection.
+type connBody struct {
+	io.ReadCloser
+	conn net.Conn
+	stop func() bool
+}
+
+// Close implements io.Closer.
+func (b *connBody) Close() error {
+	b.stop()
+	return b.conn.Close()
+}
--- a/internal/platform/apispec/asyncapi.go
+++ b/internal/platform/apispec/asyncapi.go
@@ -11,22 +11,22 @@
 	"go.yaml.in/yaml/v4"
 )
 
-// PlatformAsyncAPI is the AsyncAPI document of the platform's messages.
+// PlatformAsyncAPI describes the platform's messages.
 //
 //go:embed platform.asyncapi.yaml
 var PlatformAsyncAPI []byte
 
-// Message is one described message.
+// Message is the description of a message.
 type Message struct {
 	Summary  string
 	Examples []any
 	schema   *jsonschema.Schema
 }
 
-// Validate says whether a message has the described form.
+// Validate returns an error if a payload doesn't match the message's schema.
 func (m *Message) Validate(payload any) error { return m.schema.Validate(payload) }
 
-// document is the part of an AsyncAPI document that is used here; payloads are JSON Schemas.
+// document is the part of an AsyncAPI document that is read; payloads are JSON Schemas.
 type document struct {
 	AsyncAPI   string `yaml:"asyncapi"`
 	Components struct {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Messages reads an AsyncAPI document and holds its examples against its schemas.
+// Messages reads the messages of an AsyncAPI document by name, and checks its examples against its schemas.
 func Messages(text []byte) (map[string]*Message, error) {
 	var doc document
 	if err := yaml.Unmarshal(text, &doc); err != nil {
@@ -51,11 +51,11 @@
 	for _, name := range slices.Sorted(maps.Keys(doc.Components.Messages)) {
 		described := doc.Components.Messages[name]
 		compiler := jsonschema.NewCompiler()
-		at := "message:" + name
-		if err := compiler.AddResource(at, described.Payload); err != nil {
+		location := "message:" + name
+		if err := compiler.AddResource(location, described.Payload); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		schema, err := compiler.Compile(at)
+		schema, err := compiler.Compile(location)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
--- a/internal/platform/apispec/openapi.go
+++ b/internal/platform/apispec/openapi.go
@@ -1,5 +1,5 @@
-// Package apispec works with the descriptions of what is served: an OpenAPI document maps uwsgi requests to the
-// classes of the settings, and an AsyncAPI document tells the platform's messages.
+// Package apispec reads the descriptions of the APIs: an OpenAPI document maps uwsgi requests to the classes of the settings, and an
+// AsyncAPI document describes the platform's messages.
 package apispec
 
 import (
@@ -18,37 +18,40 @@
 	"github.com/getkin/kin-openapi/routers/gorillamux"
 
 	"sloehitch/internal/node"
+	"sloehitch/internal/platform/settings"
 	"sloehitch/logic"
 )
 
 // extension is the name of the OpenAPI extension that an operation must carry to be served.
 const extension = "x-sloehitch"
 
-// operation are what the extension says of an operation.
+// maxKeyBytes is the largest length of an idempotency key.
+const maxKeyBytes = 256
+
+// operation is what the extension says of an operation. The tags are the extension's names.
 type operation struct {
 	Class          string   `json:"class"`     // a class of the settings
 	Semantics      string   `json:"semantics"` // retryable, dedup or fragile; must be the class's
-	Key            string   `json:"key"`       // dedup: header:NAME or query:NAME that is the same for all tries
-	PriorityWeight *float64 `json:"worth"`     // takes the place of the class's worth
-	WorkMS         float64  `json:"work-ms"`   // the work to expect on one core; 0: unknown
-	MemoryKB       float64  `json:"kb"`        // memory while held; 0: what the front holds of it
-	Tenant         string   `json:"tenant"`    // header:NAME or query:NAME that names the tenant
-	RetryMarker    string   `json:"retry"`     // header:NAME that is present on further tries
+	Key            string   `json:"key"`       // dedup: header:NAME or query:NAME of the idempotency key
+	PriorityWeight *float64 `json:"worth"`     // replaces the class's weight
+	WorkMS         float64  `json:"work-ms"`   // expected work on one core, in milliseconds; 0: unknown
+	MemoryKB       float64  `json:"kb"`        // memory while in flight; 0: what the front buffers of it
+	Tenant         string   `json:"tenant"`    // header:NAME or query:NAME of the tenant
+	RetryMarker    string   `json:"retry"`     // header:NAME or query:NAME that is present on retries
 
 	class int
 }
 
-// Operations map uwsgi requests to classes.
+// Operations maps uwsgi requests to classes. It is safe for concurrent use.
 type Operations struct {
 	router        routers.Router
 	operations    map[*openapi3.Operation]*operation
 	tenants       map[string]int
-	priorityRanks []float64
+	priorityRanks []float64 // by class
 }
 
-var semantics = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey, "fragile": logic.NonIdempotent}
-
-// Load reads an OpenAPI document and holds it against the settings, in which it may change the worth of classes.
+// Load reads an OpenAPI document and checks it against the settings. It sets the priority weights of classes in cfg where the document
+// gives them.
 func Load(text []byte, cfg *logic.Settings, classes, tenants map[string]int) (*Operations, error) {
 	loader := openapi3.NewLoader() // external references stay off
 	doc, err := loader.LoadFromData(text)
@@ -58,19 +61,19 @@
 	if err := doc.Validate(context.Background()); err != nil {
 		return nil, err
 	}
-	doc.Servers = nil // paths match wherever the front stands
+	doc.Servers = nil // paths match whatever the server's address is
 	o := &Operations{operations: map[*openapi3.Operation]*operation{}, tenants: tenants}
 	if o.router, err = gorillamux.NewRouter(doc); err != nil {
 		return nil, err
 	}
 	for path, item := range doc.Paths.Map() {
 		for method, op := range item.Operations() {
-			t, err := readOperation(op, cfg, classes)
+			described, err := readOperation(op, cfg, classes)
 			if err != nil {
 				return nil, fmt.Errorf("%s %s: %w", method, path, err)
 			}
-			if t != nil {
-				o.operations[op] = t
+			if described != nil {
+				o.operations[op] = described
 			}
 		}
 	}
@@ -81,7 +84,8 @@
 	return o, nil
 }
 
-// setRanks gives each class an equal portion from 0 to 1 in order of worth, the least first, and its requests the middle.
+// setRanks divides 0 to 1 into equal portions, one for each class in ascending order of priority weight, and gives each class the middle
+// of its portion.
 func (o *Operations) setRanks(classes []logic.Class) {
 	o.priorityRanks = make([]float64, len(classes))
 	for i, c := range classes {
@@ -95,9 +99,9 @@
 	}
 }
 
-// readOperation reads an operation's extension; nil if it has none.
-func readOperation(op *openapi3.Operation, cfg *logic.Settings, classes map[string]int) (*operation, error) {
-	value, found := op.Extensions[extension]
+// readOperation reads an operation's extension. It returns nil if the operation has none.
+func readOperation(from *openapi3.Operation, cfg *logic.Settings, classes map[string]int) (*operation, error) {
+	value, found := from.Extensions[extension]
 	if !found {
 		return nil, nil
 	}
@@ -105,44 +109,45 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &operation{}
+	op := &operation{}
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
-	decoder.DisallowUnknownFields() // a misspelt term would be a rule that silently does not hold
-	if err := decoder.Decode(t); err != nil {
+	decoder.DisallowUnknownFields() // a misspelt name would silently have no effect
+	if err := decoder.Decode(op); err != nil {
 		return nil, fmt.Errorf("%s: %w", extension, err)
 	}
 	var known bool
-	if t.class, known = classes[t.Class]; !known {
-		return nil, fmt.Errorf("%s: class %q is not in the settings", extension, t.Class)
+	if op.class, known = classes[op.Class]; !known {
+		return nil, fmt.Errorf("%s: class %q is not in the settings", extension, op.Class)
 	}
-	return t, t.check(&cfg.Classes[t.class])
+	return op, op.check(&cfg.Classes[op.class])
 }
 
-func (t *operation) check(class *logic.Class) error {
-	effect, known := semantics[t.Semantics]
+// check checks the extension against its class, whose priority weight it may set.
+func (op *operation) check(class *logic.Class) error {
+	idempotency, known := settings.ParseIdempotency(op.Semantics)
 	switch {
 	case !known:
-		return fmt.Errorf("%s: semantics %q is none of retryable, dedup, fragile", extension, t.Semantics)
-	case effect != class.Idempotency:
-		return fmt.Errorf("%s: semantics %q is not that of class %s in the settings", extension, t.Semantics, t.Class)
-	case effect == logic.IdempotentByKey && t.Key == "":
+		return fmt.Errorf("%s: semantics %q is none of retryable, dedup, fragile", extension, op.Semantics)
+	case idempotency != class.Idempotency:
+		return fmt.Errorf("%s: semantics %q is not that of class %s in the settings", extension, op.Semantics, op.Class)
+	case idempotency == logic.IdempotentByKey && op.Key == "":
 		return fmt.Errorf("%s: dedup needs a key", extension)
-	case t.WorkMS < 0 || t.MemoryKB < 0 || t.PriorityWeight != nil && *t.PriorityWeight < 0:
+	case op.WorkMS < 0 || op.MemoryKB < 0 || op.PriorityWeight != nil && *op.PriorityWeight < 0:
 		return fmt.Errorf("%s: negative figure", extension)
 	}
-	for _, from := range []string{t.Key, t.Tenant, t.RetryMarker} {
+	for _, from := range []string{op.Key, op.Tenant, op.RetryMarker} {
 		if place, name, _ := strings.Cut(from, ":"); from != "" && (name == "" || !slices.Contains([]string{"header", "query"}, place)) {
 			return fmt.Errorf("%s: %q is neither header:NAME nor query:NAME", extension, from)
 		}
 	}
-	if t.PriorityWeight != nil {
-		class.PriorityWeight = *t.PriorityWeight
+	if op.PriorityWeight != nil {
+		class.PriorityWeight = *op.PriorityWeight
 	}
 	return nil
 }
 
-// Map fills in what a request is by its operation. It returns 0, or the status to answer with: 400 for a request
-// without its key, 404 and 405 for what is not described.
+// Map classifies a request by its operation and fills in q. It returns 0, or the status of the rejection: 400 for a request without
+// its key, 404 and 405 for what is not described.
 func (o *Operations) Map(get func(name string) string, q *node.Request) int {
 	at := &url.URL{Scheme: "http", Host: "localhost", Path: get("PATH_INFO"), RawQuery: get("QUERY_STRING")}
 	if at.Path == "" {
@@ -155,26 +160,26 @@
 	if err != nil || o.operations[route.Operation] == nil {
 		return http.StatusNotFound
 	}
-	t := o.operations[route.Operation]
+	op := o.operations[route.Operation]
 	query := at.Query()
-	q.Class, q.PriorityRank = t.class, o.priorityRanks[t.class]
-	q.WorkHint = time.Duration(t.WorkMS * float64(time.Millisecond))
-	if t.MemoryKB > 0 {
-		q.MemoryKB = t.MemoryKB
+	q.Class, q.PriorityRank = op.class, o.priorityRanks[op.class]
+	q.WorkHint = time.Duration(op.WorkMS * float64(time.Millisecond))
+	if op.MemoryKB > 0 {
+		q.MemoryKB = op.MemoryKB
 	}
-	q.Retry = findValue(t.RetryMarker, get, query) != ""
-	if tenant, known := o.tenants[findValue(t.Tenant, get, query)]; known {
+	q.Retry = findValue(op.RetryMarker, get, query) != ""
+	if tenant, known := o.tenants[findValue(op.Tenant, get, query)]; known {
 		q.Tenant = tenant
 	}
-	if t.Key != "" {
-		if q.IdempotencyKey = findValue(t.Key, get, query); q.IdempotencyKey == "" || len(q.IdempotencyKey) > 256 {
+	if op.Key != "" {
+		if q.IdempotencyKey = findValue(op.Key, get, query); q.IdempotencyKey == "" || len(q.IdempotencyKey) > maxKeyBytes {
 			return http.StatusBadRequest
 		}
 	}
 	return 0
 }
 
-// findValue is the value at a place such as header:Idempotency-Key, or "".
+// findValue returns the value at a place such as header:Idempotency-Key, or "".
 func findValue(from string, get func(string) string, query url.Values) string {
 	place, name, _ := strings.Cut(from, ":")
 	switch place {
--- a/internal/platform/endpoint/endpoint.go
+++ b/internal/platform/endpoint/endpoint.go
@@ -1,4 +1,4 @@
-// Package endpoint reads the addresses of the uwsgi side, and listens on and dials them: TCP or Unix sockets, plain or TLS.
+// Package endpoint parses the addresses of the uwsgi side, and listens on and dials them: TCP or Unix sockets, plain or TLS.
 package endpoint
 
 import (
@@ -24,11 +24,14 @@
 	TLS     bool
 }
 
-// Parse reads an address.
+// maxUnixPathBytes is the longest path of a Unix socket.
+const maxUnixPathBytes = 100
+
+// Parse parses an address in one of the forms of Endpoint.
 func Parse(text string) (Endpoint, error) {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
-		if path == "" || len(path) > 100 {
-			return Endpoint{}, fmt.Errorf("address %q: a Unix socket's path has 1 to 100 bytes", text)
+		if path == "" || len(path) > maxUnixPathBytes {
+			return Endpoint{}, fmt.Errorf("address %q: a Unix socket's path has 1 to %d bytes", text, maxUnixPathBytes)
 		}
 		return Endpoint{Network: "unix", Address: path}, nil
 	}
@@ -46,6 +49,7 @@
 	return e, nil
 }
 
+// String returns the address in its shortest form, which Parse accepts.
 func (e Endpoint) String() string {
 	switch {
 	case e.Network == "unix":
@@ -56,7 +60,7 @@
 	return e.Address
 }
 
-// Local says what is wrong with an address that is not on this machine's loopback.
+// Local returns an error if the address is neither a Unix socket nor on this machine's loopback.
 func (e Endpoint) Local() error {
 	if e.Network == "unix" {
 		return nil
@@ -71,8 +75,8 @@
 	return nil
 }
 
-// Listen listens. mode is a Unix socket's; keys are needed with TLS. The socket of a process that has ended is replaced, that of one that
-// still serves is not.
+// Listen listens on the address. mode is that of a Unix socket; TLS needs keys with a certificate. The Unix socket of a process that
+// has ended is replaced, that of one that still serves is an error.
 func (e Endpoint) Listen(mode fs.FileMode, keys *tlskeys.Keys) (net.Listener, error) {
 	if e.Network == "unix" {
 		return listenUnix(e.Address, mode)
@@ -88,13 +92,14 @@
 	return tls.NewListener(ln, keys.ServerConfig()), nil
 }
 
-// unixListener takes its name away when it is closed, if the name is still its own.
+// unixListener removes its socket file when it is closed, unless another process has replaced the file.
 type unixListener struct {
 	*net.UnixListener
 	path string
 	info fs.FileInfo
 }
 
+// Close implements net.Listener.
 func (l *unixListener) Close() error {
 	err := l.UnixListener.Close()
 	if info, statErr := os.Lstat(l.path); statErr == nil && os.SameFile(info, l.info) {
@@ -103,49 +108,60 @@
 	return err
 }
 
-// listenUnix makes the socket under another name and moves it into place once it has its mode: nobody connects to one that
-// is open to all.
+// unixDialTimeout bounds the check whether another process serves a Unix socket.
+const unixDialTimeout = time.Second
+
+// listenUnix makes the socket under a temporary name and renames it once it has its mode, so that nobody can connect before.
 func listenUnix(path string, mode fs.FileMode) (net.Listener, error) {
-	switch info, err := os.Lstat(path); {
-	case errors.Is(err, fs.ErrNotExist):
-	case err != nil:
+	if err := checkUnused(path); err != nil {
 		return nil, err
-	case info.Mode()&fs.ModeSocket == 0:
-		return nil, fmt.Errorf("%s: there is a file that is no socket", path)
-	default:
-		conn, err := net.DialTimeout("unix", path, time.Second)
-		if err == nil {
-			conn.Close()
-			return nil, fmt.Errorf("%s: another process serves there", path)
-		}
-		if !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, fs.ErrNotExist) {
-			return nil, fmt.Errorf("%s: it can't be told whether another process serves there: %w", path, err)
-		}
 	}
-	made := fmt.Sprintf("%s.%d", path, os.Getpid())
-	if err := os.Remove(made); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: made, Net: "unix"})
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false)
-	if err = os.Chmod(made, mode); err == nil {
-		err = os.Rename(made, path)
+	if err = os.Chmod(temporary, mode); err == nil {
+		err = os.Rename(temporary, path)
 	}
 	var info fs.FileInfo
 	if err == nil {
 		info, err = os.Lstat(path)
 	}
 	if err != nil {
-		return nil, errors.Join(err, ln.Close(), os.Remove(made))
+		return nil, errors.Join(err, ln.Close(), os.Remove(temporary))
 	}
 	return &unixListener{ln, path, info}, nil
 }
 
-// Dial connects, with TLS where the address says so: the server must then show a certificate for name, or if that is empty for
-// the address's host. The context bounds all of it.
+// checkUnused returns an error if there is something at a path that must not be replaced by a socket.
+func checkUnused(path string) error {
+	info, err := os.Lstat(path)
+	switch {
+	case errors.Is(err, fs.ErrNotExist):
+		return nil
+	case err != nil:
+		return err
+	case info.Mode()&fs.ModeSocket == 0:
+		return fmt.Errorf("%s: there is a file that is no socket", path)
+	}
+	conn, err := net.DialTimeout("unix", path, unixDialTimeout)
+	if err == nil {
+		conn.Close()
+		return fmt.Errorf("%s: another process serves there", path)
+	}
+	if !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("%s: it can't be told whether another process serves there: %w", path, err)
+	}
+	return nil
+}
+
+// Dial connects, with TLS where the address says so: the server must then present a certificate for name, or if name is empty for the
+// address's host. The context bounds the connection and the handshake. A failed handshake is a *HandshakeError.
 func (e Endpoint) Dial(ctx context.Context, keys *tlskeys.Keys, name string) (net.Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, e.Network, e.Address)
@@ -167,7 +183,8 @@
 	return t, nil
 }
 
-// HandshakeError is a failed handshake: nothing of a request was sent.
+// HandshakeError is a failed TLS handshake: nothing of a request was sent.
 type HandshakeError struct{ error }
 
+// Unwrap returns the cause.
 func (e *HandshakeError) Unwrap() error { return e.error }
--- a/internal/platform/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestKeysChange: new keys are taken up in service, a bad or half pair is not, open connections go on, and each end
+// TestKeysChange: new keys are reloaded in service, a bad or incomplete pair is not, open connections go on, and each end
 // refuses another authority's certificate.
 func TestKeysChange(t *testing.T) {
 	dir := t.TempDir()
@@ -166,7 +166,7 @@
 	}
 	keys.Check()
 	keys.Check()
-	if err := talk(dial(of1, "")); err != nil || strings.Count(log.String(), "stay as they were") != 1 {
+	if err := talk(dial(of1, "")); err != nil || strings.Count(log.String(), "the current ones stay in use") != 1 {
 		t.Errorf("with a bad key in the file: %v; log %s", err, log.String())
 	}
 	if err := os.WriteFile(key, append(good, '\n'), 0o600); err != nil {
@@ -185,8 +185,8 @@
 	if err := talk(open, nil); err != nil {
 		t.Errorf("a connection that was open: %v", err)
 	}
-	if !strings.Contains(log.String(), "near its end") || keys.Expires().After(far.Add(-time.Hour)) {
-		t.Errorf("no word of the end at %v: %s", keys.Expires(), log.String())
+	if !strings.Contains(log.String(), "expires soon") || keys.Expires().After(far.Add(-time.Hour)) {
+		t.Errorf("no warning before expiry at %v: %s", keys.Expires(), log.String())
 	}
 	_, _, _ = first.Issue(t, dir, "dead", "x", time.Now().Add(-time.Minute))
 	for _, f := range []tlskeys.Files{{Cert: cert}, {Cert: cert, Key: filepath.Join(dir, "c1.key")}, {CA: key}, {CA: filepath.Join(dir, "none")},
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -1,5 +1,7 @@
-// Package metrics shows the daemon's figures in Prometheus' text form. They are read where they are kept when they are asked for, so
-// that nothing is counted twice and nothing costs anything while nobody asks; only the times of uwsgi runs are gathered here.
+// Package metrics exposes the daemon's metrics in Prometheus' text format. Values are read from their sources at each scrape, so that
+// nothing is counted twice and nothing costs anything between scrapes; only the times of uwsgi runs are collected here.
+//
+// The metrics' names and labels are an interface: they stay as they are, whatever the code calls things.
 package metrics
 
 import (
@@ -21,28 +23,28 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// Sources are what the figures are read from; nil where a part is off. They are called from the goroutines of those who ask.
+// Sources are the functions that metrics are read from; nil where a part is off. They are called from the goroutines of scrapes.
 type Sources struct {
-	Core    func() (c node.Counts, hand, keys int)
+	Core    func() (c node.Counts, inFlight, keys int)
 	Resp    func() int // open connections
 	Uwsgi   func() (c uwsgi.Counts, open int)
 	Servers func() []balancer.Server
 	Ledger  func() ledger.Stats
-	Classes func() map[string]node.ClassCounts // the counts that the operators' telemetry shows too
+	Classes func() map[string]node.ClassCounts // by class name
 	Fleet   func() fleet.Stats
-	Config  func() (applied, rejected int) // configuration files taken and turned down at SIGHUP
+	Config  func() (applied, rejected int) // configuration files at SIGHUP
 }
 
-// Metrics is the daemon's figures.
+// Metrics is the registry of the daemon's metrics. It is safe for concurrent use.
 type Metrics struct {
 	registry *prometheus.Registry
 	runs     *prometheus.HistogramVec
 }
 
-// buckets are for times in seconds: from a millisecond to beyond any due time.
+// buckets are the upper bounds of histograms in seconds, from a millisecond to beyond any deadline.
 var buckets = prometheus.ExponentialBuckets(0.001, 2, 16)
 
-// New returns the figures of these sources.
+// New returns the metrics of these sources.
 func New(s Sources) *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(), runs: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "sloehitch_uwsgi_run_seconds", Help: "Of runs on uwsgi servers, by the stage that was reached and how the run ended.", Buckets: buckets}, []string{"stage", "outcome"})}
@@ -50,7 +52,7 @@
 	return m
 }
 
-// ObserveRun takes in a uwsgi run that is over. A stage that was not reached is not counted.
+// ObserveRun records the times of a uwsgi run that has ended. A stage that was not reached is not counted.
 func (m *Metrics) ObserveRun(r uwsgi.RunTimes) {
 	last, _ := r.LastAttempt()
 	for _, stage := range []struct {
@@ -63,7 +65,7 @@
 	}
 }
 
-// Serve answers on ln until it is closed.
+// Serve serves /metrics on ln and blocks until ln is closed.
 func (m *Metrics) Serve(ln net.Listener, l limits.Limits, log *slog.Logger) error {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{MaxRequestsInFlight: 2,
@@ -75,9 +77,10 @@
 	return nil
 }
 
-// collector reads the sources.
+// collector reads the sources at each scrape.
 type collector struct{ from Sources }
 
+// desc returns the description of a metric of the daemon.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("sloehitch_"+name, help, labels, nil)
 }
@@ -154,10 +157,12 @@
 // sender sends metrics to the channel of one scrape.
 type sender chan<- prometheus.Metric
 
+// counter sends a counter.
 func (s sender) counter(d *prometheus.Desc, value int, labels ...string) {
 	s <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(value), labels...)
 }
 
+// gauge sends a gauge.
 func (s sender) gauge(d *prometheus.Desc, value int, labels ...string) {
 	s <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(value), labels...)
 }
@@ -171,8 +176,9 @@
 	s.gauge(d, value, labels...)
 }
 
+// core sends the node's metrics.
 func (c *collector) core(s sender) {
-	n, hand, known := c.from.Core()
+	n, inHand, keyCount := c.from.Core()
 	s.counter(requests, n.Read, "read")
 	s.counter(requests, n.Served, "served")
 	s.counter(requests, n.Rejected, "refused")
@@ -185,10 +191,11 @@
 	s.counter(elsewhere, n.WaitedElsewhere, "waited")
 	s.counter(elsewhere, n.ServedFromElsewhere, "heard")
 	s.gauge(restored, n.Restored)
-	s.gauge(inFlight, hand)
-	s.gauge(keys, known)
+	s.gauge(inFlight, inHand)
+	s.gauge(keys, keyCount)
 }
 
+// classes sends the metrics of each class.
 func (c *collector) classes(s sender) {
 	for name, n := range c.from.Classes() {
 		s.counter(byClass, n.Served, name, "ok")
@@ -198,6 +205,7 @@
 	}
 }
 
+// uwsgi sends the metrics of the uwsgi front.
 func (c *collector) uwsgi(s sender) {
 	n, open := c.from.Uwsgi()
 	s.gauge(conns, open, "uwsgi")
@@ -212,6 +220,7 @@
 	s.counter(clients, n.Broken, "broken")
 }
 
+// servers sends the metrics of each uwsgi server.
 func (c *collector) servers(s sender) {
 	for _, server := range c.from.Servers() {
 		s.gauge(serverOpen, server.InFlight, server.Name)
@@ -220,6 +229,7 @@
 	}
 }
 
+// ledger sends the ledger's metrics.
 func (c *collector) ledger(s sender) {
 	t := c.from.Ledger()
 	s.gauge(ledgerKeys, t.Keys)
@@ -233,7 +243,7 @@
 	s.flag(ledgerBroken, t.Broken != "")
 }
 
-// fleet sends the figures of this node's part in the fleet.
+// fleet sends the metrics of this node's part in the fleet.
 func (c *collector) fleet(s sender) {
 	x := c.from.Fleet()
 	s.flag(fleetOut, x.OutOfService, "by permit")
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -13,7 +13,7 @@
 
 // The platform's words for enumerated values.
 var (
-	IdempotencyByName = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey,
+	idempotencyByName = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey,
 		"fragile": logic.NonIdempotent}
 	signalModeByName = map[string]logic.SignalMode{"off": logic.SignalOff, "floor": logic.SignalPriorityFloor,
 		"allowance": logic.SignalConcurrencyLimit, "weight": logic.SignalWeight}
@@ -23,6 +23,12 @@
 	weightPerWorkByName    = map[string]bool{"request": false, "work": true}
 )
 
+// ParseIdempotency returns the idempotency that one of the platform's words for it stands for, and whether the word is known.
+func ParseIdempotency(word string) (logic.Idempotency, bool) {
+	idempotency, known := idempotencyByName[word]
+	return idempotency, known
+}
+
 // Largest lengths of the lists: every step looks at each entry.
 const (
 	// MaxClasses is the largest number of classes.
@@ -110,7 +116,7 @@
 		ClientTimeout:     p.duration(at+"hard-limit", requiredDurationRange),
 		PriorityWeight:    p.number(at+"credit", priorityWeightRange),
 		LateWeightShare:   p.number(at+"late-worth", shareRange),
-		Idempotency:       oneOf(p, at+"semantics", IdempotencyByName),
+		Idempotency:       oneOf(p, at+"semantics", idempotencyByName),
 		IdempotencyWindow: p.duration(at+"window", idempotencyWindowRange),
 		CallsDependency:   p.parseBoolean("domain.class-calls", p.listItem("domain.class-calls", i)),
 	}
--- a/internal/platform/tlskeys/tlskeys.go
+++ b/internal/platform/tlskeys/tlskeys.go
@@ -1,5 +1,5 @@
-// Package tlskeys holds certificates that change in service: new files are taken up together and at one go, or not at
-// all. Connections that are open finish on the keys that they began with.
+// Package tlskeys reloads TLS certificates without a restart. The files of one end are replaced together and atomically, or not at
+// all; open connections keep the keys that they began with.
 package tlskeys
 
 import (
@@ -14,17 +14,20 @@
 	"time"
 )
 
-// Files name the PEM files of one end. All are read together.
+// Files names the PEM files of one end. All are read together.
 type Files struct {
-	Cert string // this end's certificate and what leads to its authority; empty: none
+	Cert string // this end's certificate chain; empty: none
 	Key  string
-	CA   string // authorities that the other end's certificate must lead to; empty: those of the system for a client, none for a server
+	CA   string // authorities of the other end's certificate; empty: those of the system for a client, none for a server
 }
 
-// ExpiryWarning is how long before its end a certificate is warned of, once a day.
-const ExpiryWarning = 14 * 24 * time.Hour
+// ExpiryWarning is the time before a certificate expires in which the log warns of it, once every warningInterval.
+const (
+	ExpiryWarning   = 14 * 24 * time.Hour
+	warningInterval = 24 * time.Hour
+)
 
-// Keys are the certificates in force. They are safe for use from many goroutines.
+// Keys holds the current certificates of one end. It is safe for concurrent use.
 type Keys struct {
 	files Files
 	log   *slog.Logger
@@ -32,23 +35,23 @@
 
 	current atomic.Pointer[keySet]
 
-	mu            sync.Mutex // guards what follows, and loading
-	lastFileState string     // how the files looked when they were last read, whether or not they were any good
+	mu            sync.Mutex // guards what follows, and reloading
+	lastFileState string     // fileState when the files were last read, valid or not
 	warnedAt      time.Time
 }
 
-// keySet is one set of keys.
+// keySet is the content of the files.
 type keySet struct {
 	cert     *tls.Certificate // nil: none
 	peers    *x509.CertPool   // nil: none named
 	notAfter time.Time
 }
 
-// Load reads the files. They must be in order.
+// Load reads the files. It returns an error if one is missing or not valid.
 func Load(files Files, log *slog.Logger) (*Keys, error) {
 	k := &Keys{files: files, log: log, now: time.Now}
 	if (files.Cert == "") != (files.Key == "") {
-		return nil, errors.New("tls: cert and key belong together")
+		return nil, errors.New("tls: cert and key must be given together")
 	}
 	k.lastFileState = k.fileState()
 	p, err := k.read()
@@ -60,7 +63,7 @@
 	return k, nil
 }
 
-// read reads all files. It is the only place that decides what is good.
+// read reads and checks all files.
 func (k *Keys) read() (*keySet, error) {
 	p := &keySet{}
 	if k.files.Cert != "" {
@@ -86,28 +89,29 @@
 	return p, nil
 }
 
-// Reload reads the files again. On an error the keys stay as they were.
+// Reload reads the files again. On an error the current keys stay in use.
 func (k *Keys) Reload() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.reload(k.fileState())
 }
 
-func (k *Keys) reload(look string) error {
-	k.lastFileState = look
+// reload is Reload; the caller holds mu.
+func (k *Keys) reload(state string) error {
+	k.lastFileState = state
 	p, err := k.read()
 	if err != nil {
-		k.log.Error("the TLS keys stay as they were", "error", err)
+		k.log.Error("could not reload the TLS keys; the current ones stay in use", "error", err)
 		return err
 	}
 	k.current.Store(p)
 	k.warnedAt = time.Time{}
-	k.log.Info("TLS keys taken up", "cert", k.files.Cert, "ca", k.files.CA, "expires", p.notAfter)
+	k.log.Info("reloaded the TLS keys", "cert", k.files.Cert, "ca", k.files.CA, "expires", p.notAfter)
 	k.warnBeforeExpiry(p)
 	return nil
 }
 
-// fileState is how the files look: it changes when one of them does.
+// fileState returns the sizes and times of the files as a string that changes when one of them does.
 func (k *Keys) fileState() (s string) {
 	for _, name := range []string{k.files.Cert, k.files.Key, k.files.CA} {
 		if name == "" {
@@ -122,37 +126,37 @@
 	return s
 }
 
-// Check reloads the files if they have changed since they were last read, and warns of an end that is near. It is to be called now
-// and then; it reads the disk.
+// Check reloads the files if they have changed since they were last read, and warns of a certificate that expires soon. It must be
+// called at intervals; it blocks on the disk.
 func (k *Keys) Check() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if look := k.fileState(); look != k.lastFileState {
-		_ = k.reload(look) // said in the log
+	if state := k.fileState(); state != k.lastFileState {
+		_ = k.reload(state) // logged there
 	}
 	k.warnBeforeExpiry(k.current.Load())
 }
 
-// warnBeforeExpiry says once a day that the certificate in force is near its end.
+// warnBeforeExpiry logs once a day that the current certificate expires soon.
 func (k *Keys) warnBeforeExpiry(p *keySet) {
 	now := k.now()
-	if p.notAfter.IsZero() || p.notAfter.Sub(now) > ExpiryWarning || now.Sub(k.warnedAt) < 24*time.Hour {
+	if p.notAfter.IsZero() || p.notAfter.Sub(now) > ExpiryWarning || now.Sub(k.warnedAt) < warningInterval {
 		return
 	}
 	k.warnedAt = now
-	k.log.Warn("a TLS certificate is near its end", "cert", k.files.Cert, "expires", p.notAfter, "left", p.notAfter.Sub(now).Round(time.Hour))
+	k.log.Warn("a TLS certificate expires soon", "cert", k.files.Cert, "expires", p.notAfter, "left", p.notAfter.Sub(now).Round(time.Hour))
 }
 
-// Expires is when the certificate in force ends; zero without one.
+// Expires returns when the current certificate expires; zero without one.
 func (k *Keys) Expires() time.Time { return k.current.Load().notAfter }
 
-// ServerConfig is a configuration for listening that always offers the keys in force. Where authorities are named, clients must show a
-// certificate that leads to one of them.
+// ServerConfig returns a configuration for listening that always uses the current keys. Where authorities are named, clients must
+// present a certificate of one of them.
 func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		p := k.current.Load()
 		c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*p.cert},
-			SessionTicketsDisabled: true} // a ticket would outlive the keys that it was given under
+			SessionTicketsDisabled: true} // a ticket would outlive the keys that it was issued under
 		if p.peers != nil {
 			c.ClientCAs, c.ClientAuth = p.peers, tls.RequireAndVerifyClientCert
 		}
@@ -160,7 +164,7 @@
 	}}
 }
 
-// ClientConfig is a configuration for one connection to a server of that name, with the keys in force.
+// ClientConfig returns a configuration for one connection to a server of that name, with the current keys.
 func (k *Keys) ClientConfig(name string) *tls.Config {
 	p := k.current.Load()
 	c := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: p.peers, ServerName: name}
@@ -170,5 +174,5 @@
 	return c
 }
 
-// HasCert says whether there is a certificate, which a server needs.
+// HasCert says whether there is a certificate; ServerConfig needs one.
 func (k *Keys) HasCert() bool { return k.current.Load().cert != nil }
--- a/internal/platform/traces/traces.go
+++ b/internal/platform/traces/traces.go
@@ -1,5 +1,5 @@
-// Package traces writes what happened to uwsgi requests as OpenTelemetry spans, one JSON object each, to a file. Spans are made once a
-// request is over, of the times that were noted on its way, so that they cost nothing while they are off and little while they are on.
+// Package traces writes uwsgi requests to a file as OpenTelemetry spans, one JSON object each. Spans are made when a request is done,
+// from the times that were recorded on its way, so that they cost nothing while they are off and little while they are on.
 package traces
 
 import (
@@ -22,7 +22,7 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// Traces writes spans to a file.
+// Traces writes spans to a file. It is safe for concurrent use.
 type Traces struct {
 	provider   *sdktrace.TracerProvider
 	tracer     trace.Tracer
@@ -30,8 +30,9 @@
 	sampleRate float64
 }
 
-// Open appends to the file at path. share is the part of requests that are traced, 0 to 1; those whose client traces them are in any case.
-func Open(path, node string, share float64, l limits.Limits, log *slog.Logger) (*Traces, error) {
+// Open appends to the file at path. sampleRate is the fraction of requests that are traced, 0 to 1; requests that their client samples
+// are traced in any case.
+func Open(path, node string, sampleRate float64, l limits.Limits, log *slog.Logger) (*Traces, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
@@ -41,16 +42,16 @@
 		f.Close()
 		return nil, err
 	}
-	t := &Traces{file: f, sampleRate: share}
+	t := &Traces{file: f, sampleRate: sampleRate}
 	t.provider = sdktrace.NewTracerProvider(
-		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(l.QueuedSpans)), // what doesn't fit is dropped: a slow disk holds up nobody
+		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(l.QueuedSpans)), // what doesn't fit is dropped: a slow disk delays no request
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "sloehitch"), attribute.String("service.instance.id", node))))
 	t.tracer = t.provider.Tracer("sloehitch/uwsgi")
-	log.Info("traces are written", "file", path, "share", share)
+	log.Info("writing traces", "file", path, "sample_rate", sampleRate)
 	return t, nil
 }
 
-// Close writes what is left, for as long as the context allows.
+// Close writes queued spans and closes the file. It blocks at most until the context is done.
 func (t *Traces) Close(ctx context.Context) error {
 	err := t.provider.Shutdown(ctx)
 	if closeErr := t.file.Close(); err == nil {
@@ -59,61 +60,72 @@
 	return err
 }
 
-// carrier hands a client's traceparent over (W3C Trace Context, section 3.2).
+// carrier is a client's traceparent header (W3C Trace Context, section 3.2) as a propagation.TextMapCarrier.
 type carrier string
 
+// Get implements propagation.TextMapCarrier.
 func (c carrier) Get(key string) string {
 	if key == "traceparent" {
 		return string(c)
 	}
 	return ""
 }
+
+// Set implements propagation.TextMapCarrier; it does nothing.
 func (carrier) Set(string, string) {}
-func (carrier) Keys() []string     { return []string{"traceparent"} }
 
-// sampled picks requests by their id, the same ones at each call.
+// Keys implements propagation.TextMapCarrier.
+func (carrier) Keys() []string { return []string{"traceparent"} }
+
+// sampled says whether a request is traced; it depends on the request's id only.
 func (t *Traces) sampled(id string) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return float64(h.Sum32()) < t.sampleRate*(1<<32)
 }
 
-// RecordRequest writes a request that is over: a span for all of it, one for the time that it was held, and one for each try on a server.
+// RecordRequest writes a request that is done: a span for the whole request, one for the time that it was queued, and one for each
+// attempt on a server.
 func (t *Traces) RecordRequest(r uwsgi.RequestTimes) {
 	ctx := propagation.TraceContext{}.Extract(context.Background(), carrier(r.TraceParent))
 	if !trace.SpanContextFromContext(ctx).IsSampled() && !t.sampled(r.ID) {
 		return
 	}
-	ctx, whole := t.tracer.Start(ctx, "request", trace.WithTimestamp(r.ReadAt), trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
+	ctx, request := t.tracer.Start(ctx, "request", trace.WithTimestamp(r.ReadAt), trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
 		attribute.String("sloehitch.request", r.ID), attribute.String("sloehitch.outcome", r.Outcome), attribute.Bool("sloehitch.streamed", r.Streamed)))
-	defer whole.End(trace.WithTimestamp(r.AnsweredAt))
+	defer request.End(trace.WithTimestamp(r.AnsweredAt))
 	if r.Outcome != "served" {
-		whole.SetStatus(codes.Error, r.Outcome)
+		request.SetStatus(codes.Error, r.Outcome)
 	}
-	started := r.AnsweredAt
+	startedAt := r.AnsweredAt
 	if !r.Run.StartedAt.IsZero() {
-		started = r.Run.StartedAt
+		startedAt = r.Run.StartedAt
 	}
-	_, held := t.tracer.Start(ctx, "held", trace.WithTimestamp(r.ReadAt))
-	held.End(trace.WithTimestamp(started))
-	for n, try := range r.Run.Attempts {
-		end := try.EndedAt
-		if end.IsZero() { // answered while it was under way
-			end = r.AnsweredAt
-		}
-		_, span := t.tracer.Start(ctx, fmt.Sprint("try ", n+1), trace.WithTimestamp(try.StartedAt), trace.WithSpanKind(trace.SpanKindClient),
-			trace.WithAttributes(attribute.String("server.address", try.Server)))
-		for _, e := range []struct {
-			name string
-			at   time.Time
-		}{{"connected", try.ConnectedAt}, {"first byte", try.FirstByteAt}} {
-			if !e.at.IsZero() {
-				span.AddEvent(e.name, trace.WithTimestamp(e.at))
-			}
-		}
-		if try.Failure != "" {
-			span.SetStatus(codes.Error, try.Failure)
+	_, queued := t.tracer.Start(ctx, "held", trace.WithTimestamp(r.ReadAt))
+	queued.End(trace.WithTimestamp(startedAt))
+	for i, attempt := range r.Run.Attempts {
+		t.recordAttempt(ctx, i+1, attempt, r.AnsweredAt)
+	}
+}
+
+// recordAttempt writes the span of a request's n-th attempt.
+func (t *Traces) recordAttempt(ctx context.Context, n int, attempt uwsgi.AttemptTimes, answeredAt time.Time) {
+	endedAt := attempt.EndedAt
+	if endedAt.IsZero() { // the request was answered while the attempt was under way
+		endedAt = answeredAt
+	}
+	_, span := t.tracer.Start(ctx, fmt.Sprint("try ", n), trace.WithTimestamp(attempt.StartedAt), trace.WithSpanKind(trace.SpanKindClient),
+		trace.WithAttributes(attribute.String("server.address", attempt.Server)))
+	for _, event := range []struct {
+		name string
+		at   time.Time
+	}{{"connected", attempt.ConnectedAt}, {"first byte", attempt.FirstByteAt}} {
+		if !event.at.IsZero() {
+			span.AddEvent(event.name, trace.WithTimestamp(event.at))
 		}
-		span.End(trace.WithTimestamp(end))
 	}
+	if attempt.Failure != "" {
+		span.SetStatus(codes.Error, attempt.Failure)
+	}
+	span.End(trace.WithTimestamp(endedAt))
 }
