--- a/internal/frontend/uwsgi/bench_test.go
+++ b/internal/frontend/uwsgi/bench_test.go
@@ -44,7 +44,7 @@
 				e := standin.NewEcho(b, "")
 				address := e.Address
 				if through {
-					address = newRig(b, []string{address}, nil).address
+					address = newHarness(b, []string{address}, nil).address
 				}
 				request := standin.Packet(b, body, at("/", length(size))...)
 				h := hdrhistogram.New(1, int64(time.Minute), 3)
@@ -105,7 +105,7 @@
 				if kind == "streaming" {
 					cores = 2 * n
 				}
-				r := newRigOn(b, cores, []string{s.Address}, func(o *Options, p *PoolOptions) {
+				r := newHarnessOn(b, cores, []string{s.Address}, func(o *Options, p *PoolOptions) {
 					o.Limits.UwsgiConnections, o.Limits.MaxInFlight, p.Balancer.MaxConcurrency, p.Balancer.MaxQueued = 2*n, 2*n, 2*n, 2*n
 				})
 				before := heap()
--- a/internal/frontend/uwsgi/evict_test.go
+++ b/internal/frontend/uwsgi/clientconn_test.go
@@ -12,10 +12,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestARequestOfACallerThatMakesRoom: a caller's request arrives while the process stands still, and as it goes on another takes the caller's place
-// before the request is read. The connection was closed over it without an answer. It is refused; a caller that has said nothing, or half a
-// request, is let go without a word.
-func TestARequestOfACallerThatMakesRoom(t *testing.T) {
+// TestEvictedConnection: a client's request arrives while the process stands still, and its connection is evicted before the request is read. A
+// complete request is rejected with 503; a client that has sent nothing or half a request gets no response.
+func TestEvictedConnection(t *testing.T) {
 	request, err := packet.AppendRequest(nil, 0, 0, at("/", length(0)))
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +25,7 @@
 		{"half of one", whole[:len(whole)/2], ""},
 		{"nothing", "", ""},
 	} {
-		r := newRig(t, nil, func(o *Options, p *PoolOptions) { o.Limits.MessageTimeout = standin.Patience })
+		r := newHarness(t, nil, func(o *Options, p *PoolOptions) { o.Limits.MessageTimeout = standin.Patience })
 		ln := standin.Listen(t)
 		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -62,9 +61,9 @@
 	}
 }
 
-// TestACrowdOfCallersKeepsItsDescriptors: callers that say nothing make room for one another, and none of them keeps its connection.
-func TestACrowdOfCallersKeepsItsDescriptors(t *testing.T) {
-	r := newRig(t, nil, func(o *Options, p *PoolOptions) {
+// TestIdleConnectionsAreEvicted: idle connections are evicted for new ones, and closed.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	r := newHarness(t, nil, func(o *Options, p *PoolOptions) {
 		o.Limits = limits.For(64, 256)
 		o.Limits.UwsgiConnections, o.Limits.NewConnectionGrace = 2, time.Millisecond
 	})
--- a/internal/frontend/uwsgi/conformance_test.go
+++ b/internal/frontend/uwsgi/conformance_test.go
@@ -11,7 +11,7 @@
 
 // TestConformance: the front passes the suite, with a right server below it.
 func TestConformance(t *testing.T) {
-	r := newRig(t, []string{standin.NewEcho(t, "").Address}, nil)
+	r := newHarness(t, []string{standin.NewEcho(t, "").Address}, nil)
 	e, err := endpoint.Parse(r.address)
 	if err != nil {
 		t.Fatal(err)
