--- a/client/uwsgi/client_test.go
+++ b/client/uwsgi/client_test.go
@@ -41,7 +41,7 @@
 		name    string
 		r       uwsgi.Request
 		scripts []standin.Script
-		want    string // status, body, tries
+		want    string // status, body, attempts
 		err     func(err error) bool
 	}{
 		{"a length", post, []standin.Script{answer("hello", fine)}, "200 ok 1", nil},
@@ -53,7 +53,7 @@
 		{"refused, then served", keyed, []standin.Script{answer("hello", busy), answer("hello", busy), answer("hello", fine)}, "200 ok 3", nil},
 		{"refused without a key", post, []standin.Script{answer("hello", busy)}, "503  1", nil},
 		{"refused for too long", keyed, []standin.Script{answer("hello", strings.Replace(busy, "After: 0", "After: 3600", 1))}, "503  1", nil},
-		{"refused at each try", keyed, []standin.Script{answer("hello", busy)}, "503  4", nil},
+		{"rejected at each attempt", keyed, []standin.Script{answer("hello", busy)}, "503  4", nil},
 		{"broken off with a key", keyed, []standin.Script{answer("hello", ""), answer("hello", fine)}, "200 ok 2", nil},
 		{"broken off without one", post, []standin.Script{answer("hello", ""), answer("hello", fine)}, "", func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
 		{"a body cut short", post, []standin.Script{answer("hello", fine[:len(fine)-1])}, "", func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestDeadline: a hanging server costs no more than the context allows, the time left is told, and nothing waits past it.
+// TestDeadline: a hanging server costs no more than the context allows, the time left is sent, and no retry waits past it.
 func TestDeadline(t *testing.T) {
 	s := standin.NewScripted(t, standin.Script{{Until: "HTTP_X_DEADLINE_MS"}, {Until: "never"}})
 	client := uwsgi.Client{Address: s.Address, DeadlineVariable: "HTTP_X_DEADLINE_MS"}
@@ -116,11 +116,11 @@
 	defer cancel()
 	var d *uwsgi.DialError
 	if _, err := client.Do(ctx, &uwsgi.Request{}); !errors.As(err, &d) {
-		t.Errorf("down, with no time for another try: %v", err)
+		t.Errorf("down, with no time for a retry: %v", err)
 	}
 }
 
-// example is a server for the examples: the first try of a booking is refused.
+// example is a server for the examples: the first attempt at a booking is rejected.
 func example() (address string, end func()) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -175,8 +175,8 @@
 	}
 	defer resp.Body.Close()
 	text, err = io.ReadAll(resp.Body)
-	fmt.Println(resp.Status, strings.TrimSpace(string(text)), "after", resp.Attempts, "tries", err)
+	fmt.Println(resp.Status, strings.TrimSpace(string(text)), "after", resp.Attempts, "attempts", err)
 	// Output:
 	// 200 09:00 10:30
-	// 200 booked after 2 tries <nil>
+	// 200 booked after 2 attempts <nil>
 }
--- a/internal/frontend/uwsgi/balancer/queue.go
+++ b/internal/frontend/uwsgi/balancer/queue.go
@@ -9,8 +9,8 @@
 //
 // Inputs: the requests that wait (at most Config.MaxQueued), each with its deadline and the servers that it was sent to.
 // A request waits where candidates exist but none has capacity, and behind those that wait already. Queued requests are
-// served in order of arrival whenever capacity may have come free; one whose deadline has passed, or whose candidates are all
-// gone, is told that it gets none.
+// served in order of arrival whenever capacity may have come free; the wait of one whose deadline has passed, or that has no
+// candidates left, ends without a server.
 
 // Decision is the outcome of a request for a server.
 type Decision int
--- a/internal/frontend/uwsgi/bench_test.go
+++ b/internal/frontend/uwsgi/bench_test.go
@@ -16,7 +16,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// exchange sends a request and reads the whole response.
+// exchange sends a request and reads the complete response.
 func exchange(address, request string) (int64, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkMemory tells the heap and stacks that so many requests take while they are held, and while their responses stream. The stand-ins'
-// share of it is in the figure.
+// BenchmarkMemory measures the heap and stacks that requests take while they are queued, and while their responses are streamed. The
+// stand-ins' part is included.
 func BenchmarkMemory(b *testing.B) {
 	heap := func() int64 {
 		var m runtime.MemStats
--- a/internal/frontend/uwsgi/faults_test.go
+++ b/internal/frontend/uwsgi/faults_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("without descriptors: %q, %v", got, err)
 	}
 	if e := r.pool.Servers()[0]; e.ConsecutiveFailures != 0 || e.State != balancer.StateHealthy {
-		t.Errorf("held against the server: %+v", e)
+		t.Errorf("counted against the server: %+v", e)
 	}
 	close(hold)
 	if rest, err := io.ReadAll(stream); string(rest) != ", last" || err != nil {
@@ -112,8 +112,8 @@
 	standin.WaitFor(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
-// TestSeededFaults: whatever servers do, by seed, each client gets at most one answer, a good one whole; nothing that must not run twice gets to two
-// servers; and nothing is left.
+// TestSeededFaults: whatever servers do, by seed, each client gets at most one response, complete or marked as truncated; nothing that is not
+// idempotent gets to two servers; and nothing is left.
 func TestSeededFaults(t *testing.T) {
 	const seeds = 200
 	served := 0
--- a/internal/frontend/uwsgi/pool_test.go
+++ b/internal/frontend/uwsgi/pool_test.go
@@ -29,7 +29,7 @@
 		scripts    []standin.Script
 		want       string
 		reset      bool // the client sees the connection reset
-		tries      int
+		attempts   int
 	}{
 		{"whole", "/", []standin.Script{reply("body", fine)}, fine, false, 1},
 		{"until the close", "/", []standin.Script{reply("body", "HTTP/1.0 200 OK\r\n\r\nhello")}, "HTTP/1.0 200 OK\r\n\r\nhello", false, 1},
@@ -70,11 +70,11 @@
 			if !strings.HasPrefix(got, c.want) || !c.reset && (len(got) != len(c.want) && !strings.HasSuffix(c.want, " ")) || strings.Count(got, "HTTP/1.") > 1 {
 				t.Errorf("got %.200q (%d bytes), want %.200q (%d)", got, len(got), c.want, len(c.want))
 			}
-			if broken := errors.Is(err, syscall.ECONNRESET); broken != c.reset && c.tries >= 0 || err != nil && !broken {
+			if broken := errors.Is(err, syscall.ECONNRESET); broken != c.reset && c.attempts >= 0 || err != nil && !broken {
 				t.Errorf("the connection ended with %v, want a reset: %v", err, c.reset)
 			}
-			if n := s.Connections() + other.Connections(); c.tries >= 0 && n != c.tries {
-				t.Errorf("%d tries, want %d", n, c.tries)
+			if n := s.Connections() + other.Connections(); c.attempts >= 0 && n != c.attempts {
+				t.Errorf("%d attempts, want %d", n, c.attempts)
 			}
 			standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 })
 		})
@@ -172,7 +172,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		if _, err := conn.Read(make([]byte, 4096)); err == nil {
-			close(read) // stopped before that, it would not have been asked: nothing would be held against it
+			close(read) // stopped before that, it would not count as failed
 		}
 	}()
 	r := newHarness(t, []string{ln.Addr().String()}, nil)
--- a/internal/frontend/uwsgi/stream_test.go
+++ b/internal/frontend/uwsgi/stream_test.go
@@ -100,6 +100,6 @@
 	}
 	standin.WaitFor(t, "it is broken off", func() bool { return r.Totals().Broken == 1 && r.OpenConnections() == 0 && len(s.Got()) == 1 })
 	if e := r.pool.Servers()[0]; e.ConsecutiveFailures != 0 || e.InFlight != 0 {
-		t.Errorf("held against the server: %+v", e)
+		t.Errorf("counted against the server: %+v", e)
 	}
 }
--- a/internal/frontend/uwsgi/submit.go
+++ b/internal/frontend/uwsgi/submit.go
@@ -93,8 +93,8 @@
 	f.count(func(n *Counts) { n.Left++ })
 }
 
-// rejectBodyAfterSubmit ends a request whose body turned out bad after it was submitted. The node has been told that the request
-// is canceled, so nothing else writes to the connection from here on.
+// rejectBodyAfterSubmit ends a request whose body turned out bad after it was submitted. The node has canceled the request, so
+// nothing else writes to the connection from here on.
 func (f *Front) rejectBodyAfterSubmit(conn net.Conn, r *clientRequest, err error) {
 	if r.hasStartedResponse() {
 		f.count(func(n *Counts) { n.Broken++ })
--- a/internal/platform/traces/traces_test.go
+++ b/internal/platform/traces/traces_test.go
@@ -44,7 +44,7 @@
 	return spans
 }
 
-// TestRequest: a request with two tries tells where its time went, within the client's own trace.
+// TestRequest: a request with two attempts is traced within the client's own trace.
 func TestRequest(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(1764576000000 + int64(ms)) }
 	path := filepath.Join(t.TempDir(), "spans")
