--- a/client/uwsgi/client_test.go
+++ b/client/uwsgi/client_test.go
@@ -23,10 +23,10 @@
 }
 
 func TestDo(t *testing.T) {
-	hello, n := uwsgi.Text("hello")
+	hello, n := uwsgi.TextBody("hello")
 	post := uwsgi.Request{Method: "POST", Path: "/book", Body: hello, Length: n}
 	keyed := post
-	keyed.Key = "k1"
+	keyed.IdempotencyKey = "k1"
 	stream := post
 	stream.Length = -1
 	short := post
@@ -41,7 +41,7 @@
 		name    string
 		r       uwsgi.Request
 		scripts []standin.Script
-		want    string // status, body, tries
+		want    string // status, body, attempts
 		err     func(err error) bool
 	}{
 		{"a length", post, []standin.Script{answer("hello", fine)}, "200 ok 1", nil},
@@ -53,7 +53,7 @@
 		{"refused, then served", keyed, []standin.Script{answer("hello", busy), answer("hello", busy), answer("hello", fine)}, "200 ok 3", nil},
 		{"refused without a key", post, []standin.Script{answer("hello", busy)}, "503  1", nil},
 		{"refused for too long", keyed, []standin.Script{answer("hello", strings.Replace(busy, "After: 0", "After: 3600", 1))}, "503  1", nil},
-		{"refused at each try", keyed, []standin.Script{answer("hello", busy)}, "503  4", nil},
+		{"rejected at each attempt", keyed, []standin.Script{answer("hello", busy)}, "503  4", nil},
 		{"broken off with a key", keyed, []standin.Script{answer("hello", ""), answer("hello", fine)}, "200 ok 2", nil},
 		{"broken off without one", post, []standin.Script{answer("hello", ""), answer("hello", fine)}, "", func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
 		{"a body cut short", post, []standin.Script{answer("hello", fine[:len(fine)-1])}, "", func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
@@ -65,7 +65,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := standin.NewScripted(t, c.scripts...)
-			client := uwsgi.Client{Address: s.Address, BackOff: time.Millisecond}
+			client := uwsgi.Client{Address: s.Address, Backoff: time.Millisecond}
 			ctx, cancel := context.WithTimeout(context.Background(), standin.Patience)
 			defer cancel()
 			resp, err := client.Do(ctx, &c.r)
@@ -74,7 +74,7 @@
 				var b []byte
 				b, err = io.ReadAll(resp.Body)
 				resp.Body.Close()
-				got = fmt.Sprint(resp.Status, " ", string(b), " ", resp.Tries)
+				got = fmt.Sprint(resp.Status, " ", string(b), " ", resp.Attempts)
 			}
 			if c.err != nil {
 				if err == nil || !c.err(err) {
@@ -87,10 +87,10 @@
 	}
 }
 
-// TestDeadline: a hanging server costs no more than the context allows, the time left is told, and nothing waits past it.
+// TestDeadline: a hanging server costs no more than the context allows, the time left is sent, and no retry waits past it.
 func TestDeadline(t *testing.T) {
 	s := standin.NewScripted(t, standin.Script{{Until: "HTTP_X_DEADLINE_MS"}, {Until: "never"}})
-	client := uwsgi.Client{Address: s.Address, Deadline: "HTTP_X_DEADLINE_MS"}
+	client := uwsgi.Client{Address: s.Address, DeadlineVariable: "HTTP_X_DEADLINE_MS"}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for s.Connections() == 0 {
@@ -111,16 +111,16 @@
 		t.Fatal(err)
 	}
 	down.Close()
-	client = uwsgi.Client{Address: down.Addr().String(), BackOff: time.Hour}
+	client = uwsgi.Client{Address: down.Addr().String(), Backoff: time.Hour}
 	ctx, cancel = context.WithTimeout(context.Background(), standin.Patience)
 	defer cancel()
 	var d *uwsgi.DialError
 	if _, err := client.Do(ctx, &uwsgi.Request{}); !errors.As(err, &d) {
-		t.Errorf("down, with no time for another try: %v", err)
+		t.Errorf("down, with no time for a retry: %v", err)
 	}
 }
 
-// example is a server for the examples: the first try of a booking is refused.
+// example is a server for the examples: the first attempt at a booking is rejected.
 func example() (address string, end func()) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -167,16 +167,16 @@
 	}
 
 	// A booking has a key: it may be sent again, and is when the server is too busy.
-	body, length := uwsgi.Text("chair 3")
-	resp, err = client.Do(ctx, &uwsgi.Request{Method: "POST", Path: "/book", Key: "5c0f6e1a", Body: body, Length: length})
+	body, length := uwsgi.TextBody("chair 3")
+	resp, err = client.Do(ctx, &uwsgi.Request{Method: "POST", Path: "/book", IdempotencyKey: "5c0f6e1a", Body: body, Length: length})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	defer resp.Body.Close()
 	text, err = io.ReadAll(resp.Body)
-	fmt.Println(resp.Status, strings.TrimSpace(string(text)), "after", resp.Tries, "tries", err)
+	fmt.Println(resp.Status, strings.TrimSpace(string(text)), "after", resp.Attempts, "attempts", err)
 	// Output:
 	// 200 09:00 10:30
-	// 200 booked after 2 tries <nil>
+	// 200 booked after 2 attempts <nil>
 }
--- a/internal/frontend/uwsgi/bench_test.go
+++ b/internal/frontend/uwsgi/bench_test.go
@@ -16,7 +16,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// exchange sends a request and reads the whole response.
+// exchange sends a request and reads the complete response.
 func exchange(address, request string) (int64, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -44,7 +44,7 @@
 				e := standin.NewEcho(b, "")
 				address := e.Address
 				if through {
-					address = newRig(b, []string{address}, nil).address
+					address = newHarness(b, []string{address}, nil).address
 				}
 				request := standin.Packet(b, body, at("/", length(size))...)
 				h := hdrhistogram.New(1, int64(time.Minute), 3)
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkMemory tells the heap and stacks that so many requests take while they are held, and while their responses stream. The stand-ins'
-// share of it is in the figure.
+// BenchmarkMemory measures the heap and stacks that requests take while they are queued, and while their responses are streamed. The
+// stand-ins' part is included.
 func BenchmarkMemory(b *testing.B) {
 	heap := func() int64 {
 		var m runtime.MemStats
@@ -105,8 +105,8 @@
 				if kind == "streaming" {
 					cores = 2 * n
 				}
-				r := newRigOn(b, cores, []string{s.Address}, func(o *Options, p *PoolOptions) {
-					o.Limits.UwsgiConnections, o.Limits.MaxInFlight, p.Rules.Most, p.Rules.Queue = 2*n, 2*n, 2*n, 2*n
+				r := newHarnessOn(b, cores, []string{s.Address}, func(o *Options, p *PoolOptions) {
+					o.Limits.UwsgiConnections, o.Limits.MaxInFlight, p.Balancer.MaxConcurrency, p.Balancer.MaxQueued = 2*n, 2*n, 2*n, 2*n
 				})
 				before := heap()
 				var conns []net.Conn
--- a/internal/frontend/uwsgi/conformance_test.go
+++ b/internal/frontend/uwsgi/conformance_test.go
@@ -11,7 +11,7 @@
 
 // TestConformance: the front passes the suite, with a right server below it.
 func TestConformance(t *testing.T) {
-	r := newRig(t, []string{standin.NewEcho(t, "").Address}, nil)
+	r := newHarness(t, []string{standin.NewEcho(t, "").Address}, nil)
 	e, err := endpoint.Parse(r.address)
 	if err != nil {
 		t.Fatal(err)
@@ -25,5 +25,5 @@
 		counts, hand, keys := r.node.Totals()
 		t.Errorf("%s\ncore %+v, %d in hand, %d keys; front %+v; servers %+v", b.String(), counts, hand, keys, r.Totals(), r.pool.Servers())
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.Open() == 0 && r.node.Unanswered() == 0 })
+	standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 })
 }
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -23,6 +23,12 @@
 	weightPerWorkByName    = map[string]bool{"request": false, "work": true}
 )
 
+// ParseIdempotency returns the idempotency that one of the platform's words for it stands for, and whether the word is known.
+func ParseIdempotency(word string) (logic.Idempotency, bool) {
+	idempotency, known := idempotencyByName[word]
+	return idempotency, known
+}
+
 // Largest lengths of the lists: every step looks at each entry.
 const (
 	// MaxClasses is the largest number of classes.
