--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -128,18 +128,19 @@
 		c.front.opts.Core.Submit(q, func(r node.Response) { c.sendAnswer(tag, r) })
 		return nil
 	}
-	c.reject(m)
-	if errors.Is(err, errUnknownClass) {
-		// Well formed, of a class that the settings do not name (yet, or any more): balancers learn of new
-		// settings late, and the connection carries others' requests, so it does not count against the
-		// connection.
-		c.front.log.Warn("request of an unknown class rejected", err)
-		if c.front.opts.OnUnknownClass != nil {
-			c.front.opts.OnUnknownClass(m.class)
-		}
-		return nil
+	if !errors.Is(err, errUnknownClass) {
+		c.reject(m)
+		return c.countBadMessage(err)
 	}
-	return c.countBadMessage(err)
+	// Well formed, of a class that the settings do not name (yet, or any more): balancers learn of new settings late, and the
+	// connection carries others' requests, so it does not count against the connection. It is counted before it is answered,
+	// as every other request is.
+	if c.front.opts.OnUnknownClass != nil {
+		c.front.opts.OnUnknownClass(m.class)
+	}
+	c.reject(m)
+	c.front.log.Warn("request of an unknown class rejected", err)
+	return nil
 }
 
 // reject answers a request that can't be submitted. It was read, so it is owed an answer; the core knows
