--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/platform/config"
 )
 
-// Config is all that the daemon is told by its files.
+// Config is what the daemon reads from its files.
 type Config struct {
 	Platform   *config.Platform
 	Deploy     *config.Deploy
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.listeners.close)
+	t.Cleanup(d.listeners.closeAll)
 	return &served{d, p.Listen, "", make(chan os.Signal, 1), make(chan error, 1)}
 }
 
--- a/internal/daemon/deployments_test.go
+++ b/internal/daemon/deployments_test.go
@@ -75,7 +75,7 @@
 			}
 			stop, stopped := make(chan os.Signal, 1), make(chan error, 1)
 			go func() { stopped <- d.Run(ReceivedAt(stop)) }()
-			t.Cleanup(d.listeners.close)
+			t.Cleanup(d.listeners.closeAll)
 
 			b := standin.Dial(t, p.Listen)
 			tag := 0
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -60,7 +60,7 @@
 		if d.resp.OpenConnections() != 3 {
 			t.Fatalf("the process holds %d connections, not its 3", d.resp.OpenConnections())
 		}
-		d.listeners.close() // it takes no more: the next process does
+		d.listeners.closeAll() // it takes no more: the next process does
 	}
 	conns[0].Do(2, "book", standin.RequestID(2), time.Now(), "a", ",opkey=k1") // the old process runs it
 	if got := conns[0].Read(); len(got) < 2 || got[1] != "ACK" {
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -58,7 +58,7 @@
 	s := &served{d, own, ownUwsgi, make(chan os.Signal, 1), make(chan error, 1)}
 	go func() { s.stopped <- d.Run(ReceivedAt(s.stop)) }()
 	t.Cleanup(func() {
-		d.listeners.close()
+		d.listeners.closeAll()
 	})
 	return s
 }
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -126,7 +126,7 @@
 		"torn_bytes", r.Torn, "took", r.Took, "backlog", backlog)
 }
 
-// restoreRuns tells the core what ran before a restart, one run after another: their results together may exceed the memory.
+// restoreRuns gives the core what ran before a restart, one run after another: their results together may exceed the memory.
 func (d *Daemon) restoreRuns() error {
 	if d.journals.earlier == nil {
 		return nil
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -14,14 +14,14 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// listeners are what the daemon listens on, until it leaves.
+// listeners are the listeners of the daemon until its shutdown.
 type listeners struct {
 	mu     sync.Mutex
 	all    []net.Listener
 	closed bool
 }
 
-// add keeps a listener; one that comes after close is closed at once.
+// add registers a listener. After closeAll it closes the listener at once and returns false.
 func (l *listeners) add(ln net.Listener) (open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,8 +33,8 @@
 	return true
 }
 
-// close closes all.
-func (l *listeners) close() {
+// closeAll closes all listeners, and those that are added later.
+func (l *listeners) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
@@ -49,9 +49,8 @@
 	return l.closed
 }
 
-// clientListener is the listener for balancers: the one that the platform holds and hands down as the descriptor named in
-// $GW_ACCEPT_FD, so that an old and a new process take from the same queue while one replaces the other; without
-// it, a socket of its own on address.
+// clientListener returns the listener for balancers: the one that the platform passes as the descriptor in $GW_ACCEPT_FD, so that an old and a new
+// process accept from the same queue while one replaces the other; without it, a socket of its own on address.
 func (d *Daemon) clientListener(address string) (net.Listener, error) {
 	text := os.Getenv("GW_ACCEPT_FD")
 	if text == "" {
@@ -86,8 +85,8 @@
 	}
 }
 
-// serveOn listens and serves in the background. Where a process replaces another (the platform holds the clients'
-// listener) that one may still have the address: it is taken as soon as it is free, and the clients don't wait for it.
+// serveOn listens and serves in the background. Where this process replaces another one, that one may still use the address: it is retried in the
+// background until it is free, and clients do not wait for it.
 func (d *Daemon) serveOn(what string, listen func() (net.Listener, error), serve func(net.Listener) error) error {
 	ln, err := listen()
 	if errors.Is(err, syscall.EADDRINUSE) && listenerInherited() {
@@ -104,14 +103,14 @@
 	return nil
 }
 
-// served serves until the listener is closed, which is no failure.
+// served serves until the listener is closed, which is not a failure.
 func (d *Daemon) served(ln net.Listener, serve func(net.Listener) error) {
 	if err := serve(ln); err != nil {
 		d.failed <- err
 	}
 }
 
-// serveLater tries again until the address is free or the daemon leaves.
+// serveLater retries until the address is free or the daemon shuts down.
 func (d *Daemon) serveLater(what string, listen func() (net.Listener, error), serve func(net.Listener) error) {
 	for !d.listeners.isClosed() {
 		time.Sleep(d.limits.MinBackoff)
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -15,7 +15,7 @@
 	own.Connections = d.resp.OpenConnections()
 	var others []handover.Load
 	for _, note := range d.journals.keys.ExchangeNotes(own.Encode()) {
-		load, _ := handover.ParseLoad(note) // one that has told nothing has nothing in hand
+		load, _ := handover.ParseLoad(note) // without a note nothing is in flight
 		others = append(others, load)
 	}
 	is, was := handover.ComputeQuota(own, others, d.limits.MaxConnections), d.quota
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -22,7 +22,7 @@
 	return s.closed.Load() || s.outByDesired.Load() || s.outByPermit.Load()
 }
 
-// advertisedClosed reports whether the directory is to be told that this node takes no callers.
+// advertisedClosed reports whether the directory should list this node as closed.
 func (s *serviceState) advertisedClosed() bool {
 	return s.outOfService() || s.draining.Load() && !s.keepAdvertised.Load()
 }
@@ -40,16 +40,16 @@
 	return "ready"
 }
 
-// nodeStatus is what callers are told of the node: load signal and health by the decisions, unless the node is out of service.
+// nodeStatus is what callers learn of the node: load signal and health by the decisions, unless the node is out of service.
 type nodeStatus struct {
 	*admission.Controller
 	service *serviceState
 }
 
-// Healthy is what health checks are told.
+// Healthy is the answer to health checks.
 func (n nodeStatus) Healthy() bool {
 	return !n.service.outOfService() && !n.service.evacuated.Load() && n.Controller.Healthy()
 }
 
-// advertise has the directory told whether this node takes callers.
+// advertise updates what the directory learns of this node.
 func (d *Daemon) advertise() { d.directory.SetClosed(d.service.advertisedClosed()) }
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -42,7 +42,7 @@
 			d.attachLedger(s)
 		case <-graceOver:
 			listenersClosed = true
-			d.listeners.close() // a refused connection proves that nothing ran
+			d.listeners.closeAll() // a refused connection proves that nothing ran
 			d.resp.StartDrain()
 		case <-poll.C:
 			d.updateQuota()
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -77,7 +77,7 @@
 	return d
 }
 
-// startCore opens the decisions, the links that they need, the journals and the core, and tells the core what ran before a restart.
+// startCore opens the decisions, the links that they need, the journals and the core, and gives the core what ran before a restart.
 func (d *Daemon) startCore() error {
 	if listenerInherited() {
 		if err := clock.ShareReference(clockFile(os.TempDir(), d.name)); err != nil {
