--- a/internal/ledger/backup.go
+++ b/internal/ledger/backup.go
@@ -17,7 +17,7 @@
 		return 0, err
 	}
 	for _, name := range names {
-		if _, ok := number(name); ok || name == manifestName {
+		if _, ok := segmentNumber(name); ok || name == manifestName {
 			return 0, fmt.Errorf("%s: not empty: it holds %s", to, name)
 		}
 	}
@@ -26,16 +26,16 @@
 			return 0, err
 		}
 	}
-	s.meta.Lock()
+	s.manifestMu.Lock()
 	all := append(s.sealed[:len(s.sealed):len(s.sealed)], s.active)
 	if s.active == nil {
 		all = all[:len(all)-1]
 	}
-	m := s.next(all, nil) // their sizes are those of this moment, and end with whole groups
+	m := s.nextManifest(all, nil) // their sizes are those of this moment, and end with whole groups
 	for _, g := range all {
 		g.acquire()
 	}
-	s.meta.Unlock()
+	s.manifestMu.Unlock()
 	defer func() {
 		for _, g := range all {
 			g.release()
@@ -45,10 +45,10 @@
 	for _, e := range m.Segments {
 		total += e.Size
 	}
-	var kept []format.Entry
+	var kept []format.SegmentEntry
 	for i, g := range all {
 		e := m.Segments[i]
-		if e.Least == 0 {
+		if e.MinSequence == 0 {
 			continue // no record in it
 		}
 		if err := copySegment(to, g, e.Size); err != nil {
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -41,7 +41,7 @@
 				b.Fatal(err)
 			}
 			defer f.Close()
-			buf := make([]byte, n*(format.RecordHeader+32+benchValue)+format.GroupSize)
+			buf := make([]byte, n*(format.RecordHeaderSize+32+benchValue)+format.GroupRecordSize)
 			off := int64(0)
 			for b.Loop() {
 				if _, err := f.WriteAt(buf, off); err != nil {
@@ -245,7 +245,7 @@
 	}
 	write(keys, func(i int) int { return i })
 	write(4*keys, func(int) int { return rng.IntN(keys) })
-	if err := s.compactDue(); err != nil {
+	if err := s.compactWhileDue(); err != nil {
 		b.Fatal(err)
 	}
 	st := s.Stats()
--- a/internal/ledger/compact.go
+++ b/internal/ledger/compact.go
@@ -23,30 +23,30 @@
 	Took     time.Duration `json:"took_ns"`
 }
 
-// tend compacts by itself and forgets what has expired, until the store is closed.
-func (s *Store) tend() {
+// maintain compacts by itself and forgets what has expired, until the store is closed.
+func (s *Store) maintain() {
 	ticker := time.NewTicker(s.opts.Limits.SweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-s.closing:
 			return
-		case <-s.kick:
+		case <-s.compactionDue:
 		case <-ticker.C:
 		}
 		s.Sweep()
-		if err := s.compactDue(); err != nil && !errors.Is(err, ErrClosed) {
+		if err := s.compactWhileDue(); err != nil && !errors.Is(err, ErrClosed) {
 			s.opts.Log.Warn("a compaction failed; nothing is lost", "folder", s.fs.String(), "error", err)
 		}
 	}
 }
 
-// compactDue compacts while there is something worth it.
-func (s *Store) compactDue() error {
+// compactWhileDue compacts while there is something worth it.
+func (s *Store) compactWhileDue() error {
 	for s.Err() == nil && !s.isClosed() {
-		s.meta.Lock()
-		chosen := plan.Choose(s.figures(s.sealed), s.rules())
-		s.meta.Unlock()
+		s.manifestMu.Lock()
+		chosen := plan.ChooseSegments(s.planSegments(s.sealed), s.compactionOptions())
+		s.manifestMu.Unlock()
 		if len(chosen) == 0 {
 			return nil
 		}
@@ -64,32 +64,32 @@
 	if s.opts.ReadOnly {
 		return Compaction{}, ErrReadOnly
 	}
-	if err := s.roll(); err != nil {
+	if err := s.sealActive(); err != nil {
 		return Compaction{}, err
 	}
-	s.meta.Lock()
+	s.manifestMu.Lock()
 	var all []uint64
 	for _, g := range s.sealed {
 		all = append(all, g.number)
 	}
-	s.meta.Unlock()
+	s.manifestMu.Unlock()
 	return s.compact(all, true)
 }
 
-// roll has the writer seal the active segment.
-func (s *Store) roll() error {
-	return s.await(&pending{flush: true, roll: true})
+// sealActive has the writer seal the active segment.
+func (s *Store) sealActive() error {
+	return s.enqueueAndWait(&pending{flush: true, seal: true})
 }
 
 // Sweep takes keys whose time is over out of memory. They are gone for readers before that.
 func (s *Store) Sweep() {
 	s.mu.Lock()
-	if s.soonest == 0 || s.soonest > s.mark {
+	if s.nextExpiry == 0 || s.nextExpiry > s.clockMark {
 		s.mu.Unlock()
 		return
 	}
-	index, mark := s.index.Copy(), s.mark
-	s.soonest = 0
+	index, mark := s.index.Copy(), s.clockMark
+	s.nextExpiry = 0
 	s.mu.Unlock()
 	type old struct {
 		key string
@@ -97,42 +97,42 @@
 	}
 	var over []old
 	var soonest int64
-	index.Scan(func(key string, p place) bool {
+	index.Scan(func(key string, p location) bool {
 		switch {
-		case gone(p, mark):
-			over = append(over, old{key, p.seq})
-		case p.expiry != 0 && (soonest == 0 || p.expiry < soonest):
-			soonest = p.expiry
+		case expired(p, mark):
+			over = append(over, old{key, p.sequence})
+		case p.expiryMillis != 0 && (soonest == 0 || p.expiryMillis < soonest):
+			soonest = p.expiryMillis
 		}
 		return true
 	})
 	for part := range slices.Chunk(over, 64) { // in parts, so that no reader or writer waits long
 		s.mu.Lock()
 		for _, o := range part {
-			if p, ok := s.index.Get(o.key); ok && p.seq == o.seq {
+			if p, ok := s.index.Get(o.key); ok && p.sequence == o.seq {
 				s.index.Delete(o.key)
-				s.keys -= cost(len(o.key))
-				s.live -= int64(p.size)
-				p.seg.tombs += int64(p.size)
+				s.indexBytes -= indexCost(len(o.key))
+				s.liveBytes -= int64(p.size)
+				p.seg.tombstoneBytes += int64(p.size)
 			}
 		}
 		s.mu.Unlock()
 	}
 	s.mu.Lock()
-	if soonest != 0 && (s.soonest == 0 || soonest < s.soonest) {
-		s.soonest = soonest
+	if soonest != 0 && (s.nextExpiry == 0 || soonest < s.nextExpiry) {
+		s.nextExpiry = soonest
 	}
 	s.mu.Unlock()
 }
 
 // compact replaces the chosen segments by new ones that hold what still counts of them.
 func (s *Store) compact(chosen []uint64, step bool) (c Compaction, err error) {
-	s.compacting.Lock()
-	defer s.compacting.Unlock()
-	s.busy.Store(true)
-	defer s.busy.Store(false)
+	s.compactionMu.Lock()
+	defer s.compactionMu.Unlock()
+	s.compactionRunning.Store(true)
+	defer s.compactionRunning.Store(false)
 	began := time.Now()
-	s.meta.Lock()
+	s.manifestMu.Lock()
 	var in []*segment
 	for _, g := range s.sealed {
 		if slices.Contains(chosen, g.number) {
@@ -140,8 +140,8 @@
 			in = append(in, g)
 		}
 	}
-	oldest := plan.Oldest(s.figures(append(s.sealed[:len(s.sealed):len(s.sealed)], s.active)), chosen)
-	s.meta.Unlock()
+	oldest := plan.MinSequenceOutside(s.planSegments(append(s.sealed[:len(s.sealed):len(s.sealed)], s.active)), chosen)
+	s.manifestMu.Unlock()
 	var out []*segment
 	listed := false // the new segments may be in a manifest: they must not be removed
 	defer func() {
@@ -165,13 +165,13 @@
 	if err = s.Sync(); err != nil {
 		return c, err
 	}
-	if listed, err = s.swap(in, out); err != nil {
+	if listed, err = s.installSegments(in, out); err != nil {
 		return c, err
 	}
 	c.Took = time.Since(began)
 	s.mu.Lock()
 	s.counts.compactions++
-	s.counts.packed += c.After
+	s.counts.compactedBytes += c.After
 	s.mu.Unlock()
 	return c, nil
 }
@@ -179,7 +179,7 @@
 // rewrite writes what counts of some segments to new ones, makes them durable and reads them once more.
 func (s *Store) rewrite(in []*segment, oldest uint64, c *Compaction, step bool) (out []*segment, err error) {
 	l := s.opts.Limits
-	var p *packer
+	var p *coldWriter
 	var read, total int64
 	for _, g := range in {
 		total += g.size
@@ -194,15 +194,15 @@
 		}
 		// A large flush would hold up the writers' flushes behind it, so there are many small ones with rests between.
 		written = 0
-		_, share := s.garbage()
-		time.Sleep(plan.Rest(share, s.rules()))
+		_, share := s.garbageShare()
+		time.Sleep(plan.CompactionPause(share, s.compactionOptions()))
 		return p.file.Sync()
 	}
 	end := func() error {
 		if p == nil {
 			return nil
 		}
-		err := p.pack()
+		err := p.flushBlock()
 		if err == nil {
 			err = p.file.Sync()
 		}
@@ -212,41 +212,42 @@
 	}
 	for _, g := range in {
 		_, err := g.scan(l.ValueBytes, func(_ int64, r *format.Record) error {
-			if r.Kind == format.Group {
+			if r.Kind == format.KindGroup {
 				return nil
 			}
 			s.mu.RLock()
-			now, there := s.index.Get(view(r.Key))
-			mark := s.mark
+			now, there := s.index.Get(unsafeString(r.Key))
+			mark := s.clockMark
 			s.mu.RUnlock()
-			newest := there && now.seq == r.Seq
+			newest := there && now.sequence == r.Sequence
 			kept := *r
-			kept.More = false // a batch is whole once it is in the index
-			switch plan.Judge(r.Kind == format.Put, r.Seq, newest, there && !newest, r.Expiry, mark, oldest) {
-			case plan.Drop:
+			kept.BatchContinues = false // a batch is whole once it is in the index
+			record := plan.Record{Put: r.Kind == format.KindPut, Sequence: r.Sequence, Indexed: newest, Superseded: there && !newest, ExpiryMillis: r.ExpiryMillis}
+			switch plan.DecideRecord(record, mark, oldest) {
+			case plan.DropRecord:
 				c.Dropped++
 				return nil
-			case plan.Bury:
-				kept = format.Record{Kind: format.Delete, Seq: r.Seq, Key: r.Key}
+			case plan.WriteTombstone:
+				kept = format.Record{Kind: format.KindDelete, Sequence: r.Sequence, Key: r.Key}
 				c.Buried++
-			case plan.Keep:
+			case plan.KeepRecord:
 				c.Kept++
 			}
-			if p != nil && p.rawOff >= l.SegmentBytes {
+			if p != nil && p.rawOffset >= l.SegmentBytes {
 				if err := end(); err != nil {
 					return err
 				}
 			}
 			if p == nil {
 				var err error
-				if p, err = newPacker(s.fs, s.id, s.takeNumber(), l.BlockBytes, paced); err != nil {
+				if p, err = newColdWriter(s.fs, s.id, s.allocateSegmentNumber(), l.BlockBytes, paced); err != nil {
 					return err
 				}
 				out = append(out, p.segment)
 			}
 			_, err := p.add(&kept)
-			if kept.Kind == format.Delete {
-				p.tombs += int64(kept.Size())
+			if kept.Kind == format.KindDelete {
+				p.tombstoneBytes += int64(kept.Size())
 			}
 			return err
 		})
@@ -261,7 +262,7 @@
 		c.Before += g.size
 	}
 	if err := end(); err != nil {
-		return out, refused(err)
+		return out, notWritten(err)
 	}
 	if err := s.fs.SyncDir(); err != nil {
 		return out, err
@@ -276,66 +277,66 @@
 	return out, nil
 }
 
-// view is a string over the same bytes, for a look-up that doesn't keep it: a compaction that made garbage of each key would
+// unsafeString is a string over the same bytes, for a look-up that doesn't keep it: a compaction that made garbage of each key would
 // have the writers pay for its collection.
-func view(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
+func unsafeString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// garbage is how many bytes of all records no longer count, and which share that is.
-func (s *Store) garbage() (bytes int64, share float64) {
+// garbageShare is how many bytes of all records no longer count, and which share that is.
+func (s *Store) garbageShare() (bytes int64, share float64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	bytes = s.total - s.live
-	return bytes, float64(bytes) / float64(max(s.total, 1))
+	bytes = s.recordBytes - s.liveBytes
+	return bytes, float64(bytes) / float64(max(s.recordBytes, 1))
 }
 
-// rules are the bounds of the choices in package plan.
-func (s *Store) rules() plan.Rules {
+// compactionOptions are the bounds of the choices in package plan.
+func (s *Store) compactionOptions() plan.Options {
 	l := s.opts.Limits
-	return plan.Rules{Garbage: l.GarbageShare, Segment: l.SegmentBytes, Small: l.MaxSmallSegments, Most: l.CompactionBytes, Rest: l.CompactionPause}
+	return plan.Options{GarbageThreshold: l.GarbageShare, SegmentBytes: l.SegmentBytes, MaxSmallSegments: l.MaxSmallSegments, MaxCompactionBytes: l.CompactionBytes, MaxPause: l.CompactionPause}
 }
 
-func (s *Store) takeNumber() uint64 {
-	s.meta.Lock()
-	defer s.meta.Unlock()
-	n := s.manifest.Next
-	s.manifest.Next++
+func (s *Store) allocateSegmentNumber() uint64 {
+	s.manifestMu.Lock()
+	defer s.manifestMu.Unlock()
+	n := s.manifest.NextSegment
+	s.manifest.NextSegment++
 	return n
 }
 
-// swap puts new segments in the place of old ones: in the manifest, then in the index, then on the disk. listed says that
+// installSegments puts new segments in the place of old ones: in the manifest, then in the index, then on the disk. listed says that
 // the new ones may be in the manifest in force.
-func (s *Store) swap(in, out []*segment) (listed bool, err error) {
-	s.meta.Lock()
+func (s *Store) installSegments(in, out []*segment) (listed bool, err error) {
+	s.manifestMu.Lock()
 	sealed := slices.Clone(out)
 	for _, g := range s.sealed {
 		if !slices.Contains(in, g) {
 			sealed = append(sealed, g)
 		}
 	}
-	if err := s.replace(s.next(sealed, s.active)); err != nil {
-		s.meta.Unlock()
+	if err := s.replaceManifest(s.nextManifest(sealed, s.active)); err != nil {
+		s.manifestMu.Unlock()
 		return errors.Is(err, ErrBroken), err
 	}
 	// From here on nothing may fail: the files that the index points to stay open until it doesn't. The writer may need meta
 	// to begin a segment, so it isn't held while the index changes.
-	s.sealed, s.leaving = sealed, in
-	s.meta.Unlock()
+	s.sealed, s.retired = sealed, in
+	s.manifestMu.Unlock()
 	s.mu.Lock()
 	for _, g := range out {
-		s.total += g.raw
+		s.recordBytes += g.totalBytes
 	}
 	for _, g := range in {
-		s.total -= g.raw
+		s.recordBytes -= g.totalBytes
 	}
 	s.mu.Unlock()
 	for _, g := range out {
-		if err := s.relocate(g); err != nil {
+		if err := s.repointIndex(g); err != nil {
 			return true, s.fail(err) // the old ones stay, for readers
 		}
 	}
-	s.meta.Lock()
-	s.leaving = nil
-	s.meta.Unlock()
+	s.manifestMu.Lock()
+	s.retired = nil
+	s.manifestMu.Unlock()
 	for _, g := range in {
 		g.release()
 		if err := s.fs.Remove(g.name); err != nil {
@@ -345,28 +346,28 @@
 	return true, nil
 }
 
-// relocate points the index at the records of a new segment, in parts, so that no reader or writer waits long.
-func (s *Store) relocate(g *segment) error {
+// repointIndex points the index at the records of a new segment, in parts, so that no reader or writer waits long.
+func (s *Store) repointIndex(g *segment) error {
 	type moved struct {
 		key string
-		to  place
+		to  location
 	}
 	var part []moved
 	apply := func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, m := range part {
-			if p, ok := s.index.Get(m.key); ok && p.seq == m.to.seq {
+			if p, ok := s.index.Get(m.key); ok && p.sequence == m.to.sequence {
 				s.index.Set(m.key, m.to)
 			} else {
-				g.dead += int64(m.to.size) // replaced meanwhile
+				g.deadBytes += int64(m.to.size) // replaced meanwhile
 			}
 		}
 		part = part[:0]
 	}
 	_, err := g.scan(s.opts.Limits.ValueBytes, func(off int64, r *format.Record) error {
-		if r.Kind == format.Put {
-			part = append(part, moved{string(r.Key), place{g, r.Seq, r.Expiry, uint32(off), uint32(r.Size())}})
+		if r.Kind == format.KindPut {
+			part = append(part, moved{string(r.Key), location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(r.Size())}})
 		}
 		if len(part) >= 64 {
 			apply()
--- /dev/null
+++ b/internal/ledger/format/block.go
@@ -0,0 +1,68 @@
+package format
+
+import "encoding/binary"
+
+// BlockHeaderSize is in bytes.
+const BlockHeaderSize = 24
+
+// The values of a block's compression field.
+const (
+	compressionNone = 0
+	compressionZstd = 1
+)
+
+// BlockHeader describes a block of a cold segment.
+type BlockHeader struct {
+	CompressedBytes, RawBytes int
+	Compressed                bool  // by zstd; else the bytes are stored as they are
+	RawOffset                 int64 // of its first record in the decompressed segment
+}
+
+// AppendBlock appends a block, encoded for an offset of the file with this salt. compressed holds its bytes as they are
+// stored; h.CompressedBytes is ignored.
+func AppendBlock(b []byte, salt uint32, offset int64, h BlockHeader, compressed []byte) []byte {
+	start := len(b)
+	le := binary.LittleEndian
+	b = le.AppendUint32(b, 0)
+	b = le.AppendUint32(b, uint32(len(compressed)))
+	b = le.AppendUint32(b, uint32(h.RawBytes))
+	method := uint32(compressionNone)
+	if h.Compressed {
+		method = compressionZstd
+	}
+	b = le.AppendUint32(b, method)
+	b = le.AppendUint64(b, uint64(h.RawOffset))
+	b = append(b, compressed...)
+	le.PutUint32(b[start:], checksum(salt, offset, b[start+4:]))
+	return b
+}
+
+// DecodeBlock decodes the block at the start of b, which stands at this offset of the file with this salt, and returns its
+// stored bytes, which point into b. The error is ErrShort or ErrInvalid.
+func DecodeBlock(b []byte, salt uint32, offset int64) (BlockHeader, []byte, error) {
+	header, err := DecodeBlockHeader(b)
+	if err != nil {
+		return header, nil, err
+	}
+	end := BlockHeaderSize + header.CompressedBytes
+	if len(b) < end {
+		return header, nil, ErrShort
+	}
+	if binary.LittleEndian.Uint32(b) != checksum(salt, offset, b[4:end]) {
+		return header, nil, ErrInvalid
+	}
+	return header, b[BlockHeaderSize:end], nil
+}
+
+// DecodeBlockHeader decodes a block's header and does not verify the checksum. The error is ErrShort or ErrInvalid.
+func DecodeBlockHeader(b []byte) (BlockHeader, error) {
+	if len(b) < BlockHeaderSize {
+		return BlockHeader{}, ErrShort
+	}
+	le := binary.LittleEndian
+	header := BlockHeader{int(le.Uint32(b[4:])), int(le.Uint32(b[8:])), le.Uint32(b[12:]) == compressionZstd, int64(le.Uint64(b[16:]))}
+	if le.Uint32(b[12:]) > compressionZstd || !header.Compressed && header.CompressedBytes != header.RawBytes || header.RawBytes == 0 || header.RawOffset < SegmentHeaderSize {
+		return BlockHeader{}, ErrInvalid
+	}
+	return header, nil
+}
--- a/internal/ledger/format/format_test.go
+++ b/internal/ledger/format/format_test.go
@@ -6,33 +6,33 @@
 )
 
 func FuzzRecord(f *testing.F) {
-	rec := Record{Kind: Put, More: true, Seq: 7, Expiry: 9, Key: []byte("key"), Value: []byte("value")}
+	rec := Record{Kind: KindPut, BatchContinues: true, Sequence: 7, ExpiryMillis: 9, Key: []byte("key"), Value: []byte("value")}
 	f.Add(AppendRecord(nil, 1, 36, &rec), uint32(1), int64(36))
 	f.Add(AppendGroup(nil, 1, 36, 36, 5), uint32(1), int64(36))
-	f.Add(AppendRecord(nil, 1, 99, &Record{Kind: Delete, Seq: 1, Key: []byte("k")}), uint32(2), int64(99))
-	h, _ := Header{Number: 3, Cold: true}.Append(nil)
+	f.Add(AppendRecord(nil, 1, 99, &Record{Kind: KindDelete, Sequence: 1, Key: []byte("k")}), uint32(2), int64(99))
+	h, _ := SegmentHeader{Number: 3, Cold: true}.Append(nil)
 	f.Add(h, uint32(0), int64(0))
-	f.Add((&Manifest{Next: 2, Segments: []Entry{{Number: 1, Size: Active}}}).Append(nil), uint32(0), int64(0))
-	f.Add(AppendBlock(nil, 1, 36, Block{Raw: 3, Offset: 36}, []byte("abc")), uint32(1), int64(36))
+	f.Add((&Manifest{NextSegment: 2, Segments: []SegmentEntry{{Number: 1, Size: ActiveSegmentSize}}}).Append(nil), uint32(0), int64(0))
+	f.Add(AppendBlock(nil, 1, 36, BlockHeader{RawBytes: 3, RawOffset: 36}, []byte("abc")), uint32(1), int64(36))
 	f.Fuzz(func(t *testing.T, b []byte, salt uint32, off int64) {
-		if r, err := ReadRecord(b, salt, off); err == nil {
+		if r, err := DecodeRecord(b, salt, off); err == nil {
 			if again := AppendRecord(nil, salt, off, &r); !bytes.Equal(again, b[:len(again)]) {
 				t.Errorf("%+v is written as %x, was read from %x", r, again, b)
 			}
-			if _, err := ReadRecord(b, salt, off+1); err == nil {
+			if _, err := DecodeRecord(b, salt, off+1); err == nil {
 				t.Error("valid at another place")
 			}
 		}
-		if m, _, err := ReadManifest(b); err == nil && !bytes.Equal(m.Append(nil), b) {
+		if m, _, err := DecodeManifest(b); err == nil && !bytes.Equal(m.Append(nil), b) {
 			t.Errorf("%+v is not written as it was read", m)
 		}
-		if h, _, err := ReadHeader(b); err == nil {
+		if h, _, err := DecodeSegmentHeader(b); err == nil {
 			if again, _ := h.Append(nil); !bytes.Equal(again, b[:len(again)]) {
 				t.Errorf("%+v is written as %x, was read from %x", h, again, b)
 			}
 		}
-		if h, packed, err := ReadBlock(b, salt, off); err == nil {
-			if again := AppendBlock(nil, salt, off, h, packed); !bytes.Equal(again, b[:len(again)]) {
+		if h, stored, err := DecodeBlock(b, salt, off); err == nil {
+			if again := AppendBlock(nil, salt, off, h, stored); !bytes.Equal(again, b[:len(again)]) {
 				t.Errorf("%+v is not written as it was read", h)
 			}
 		}
--- a/internal/ledger/format/record.go
+++ b/internal/ledger/format/record.go
@@ -1,138 +1,112 @@
-// Package format reads and writes the bytes of the ledger's files, as docs/format-ledger.md has them. It does no I/O.
 package format
 
-import (
-	"encoding/binary"
-	"errors"
-	"hash/crc32"
-)
-
-// Version is the version of the files that are written, and the latest that can be read.
-const Version = 1
+import "encoding/binary"
 
 // Sizes in bytes.
 const (
-	SegmentHeader = 36
-	RecordHeader  = 28
-	GroupValue    = 16
-	GroupSize     = RecordHeader + GroupValue
-	BlockHeader   = 24
-	MaxKey        = 1<<16 - 1
+	RecordHeaderSize = 28
+	GroupValueSize   = 16
+	GroupRecordSize  = RecordHeaderSize + GroupValueSize
+	MaxKeyBytes      = 1<<16 - 1
 )
 
-// Kind says what a record is.
+// Kind is the kind of a record.
 type Kind uint8
 
-// The kinds.
+// The kinds. A group record stands before each group of batches that was written at once.
 const (
-	Put    Kind = 1
-	Delete Kind = 2
-	Group  Kind = 3
+	KindPut    Kind = 1
+	KindDelete Kind = 2
+	KindGroup  Kind = 3
 )
 
-const flagMore = 1
-
-var (
-	// ErrShort says that the bytes end before the record does.
-	ErrShort = errors.New("the record is cut short")
-	// ErrInvalid says that there is no record here: a wrong checksum, or fields that no record has.
-	ErrInvalid = errors.New("not a valid record")
-)
+const flagBatchContinues = 1
 
-var table = crc32.MakeTable(crc32.Castagnoli)
-
-// Record is one record. Key and Value may point into the bytes that it was read from.
+// Record is one record. Key and Value may point into the bytes that it was decoded from.
 type Record struct {
-	Kind   Kind
-	More   bool // the batch goes on
-	Seq    uint64
-	Expiry int64 // Unix milliseconds; 0: never
-	Key    []byte
-	Value  []byte
+	Kind           Kind
+	BatchContinues bool // the next record belongs to the same batch
+	Sequence       uint64
+	ExpiryMillis   int64 // Unix milliseconds; 0: never
+	Key            []byte
+	Value          []byte
 }
 
-// Size is how many bytes the record takes.
-func (r *Record) Size() int { return RecordHeader + len(r.Key) + len(r.Value) }
-
-// sum is the checksum of what stands at an offset of the segment with this salt.
-func sum(salt uint32, offset int64, b []byte) uint32 {
-	var place [12]byte
-	binary.LittleEndian.PutUint32(place[:], salt)
-	binary.LittleEndian.PutUint64(place[4:], uint64(offset))
-	return crc32.Update(crc32.Update(0, table, place[:]), table, b)
-}
+// Size is the encoded size in bytes.
+func (r *Record) Size() int { return RecordHeaderSize + len(r.Key) + len(r.Value) }
 
-// AppendRecord adds the record as it stands at this offset of the segment with this salt.
+// AppendRecord appends the record, encoded for an offset of the segment with this salt.
 func AppendRecord(b []byte, salt uint32, offset int64, r *Record) []byte {
 	start := len(b)
-	var h [RecordHeader]byte
+	var h [RecordHeaderSize]byte
 	binary.LittleEndian.PutUint32(h[4:], uint32(len(r.Value)))
 	binary.LittleEndian.PutUint16(h[8:], uint16(len(r.Key)))
 	h[10] = byte(r.Kind)
-	if r.More {
-		h[11] = flagMore
+	if r.BatchContinues {
+		h[11] = flagBatchContinues
 	}
-	binary.LittleEndian.PutUint64(h[12:], r.Seq)
-	binary.LittleEndian.PutUint64(h[20:], uint64(r.Expiry))
+	binary.LittleEndian.PutUint64(h[12:], r.Sequence)
+	binary.LittleEndian.PutUint64(h[20:], uint64(r.ExpiryMillis))
 	b = append(b, h[:]...)
 	b = append(b, r.Key...)
 	b = append(b, r.Value...)
-	binary.LittleEndian.PutUint32(b[start:], sum(salt, offset, b[start+4:]))
+	binary.LittleEndian.PutUint32(b[start:], checksum(salt, offset, b[start+4:]))
 	return b
 }
 
-// AppendGroup adds a group record: the segment is known to be flushed up to the given offset, and the clock's mark.
-func AppendGroup(b []byte, salt uint32, offset, flushed, mark int64) []byte {
-	var v [GroupValue]byte
+// AppendGroup appends a group record. flushed is the offset up to which the segment is known to be flushed, clockMark the
+// store's clock in Unix milliseconds.
+func AppendGroup(b []byte, salt uint32, offset, flushed, clockMark int64) []byte {
+	var v [GroupValueSize]byte
 	binary.LittleEndian.PutUint64(v[:], uint64(flushed))
-	binary.LittleEndian.PutUint64(v[8:], uint64(mark))
-	return AppendRecord(b, salt, offset, &Record{Kind: Group, Value: v[:]})
+	binary.LittleEndian.PutUint64(v[8:], uint64(clockMark))
+	return AppendRecord(b, salt, offset, &Record{Kind: KindGroup, Value: v[:]})
 }
 
-// GroupFields are the two figures of a group record.
-func (r *Record) GroupFields() (flushed, mark int64) {
+// GroupFields returns the two fields of a group record as AppendGroup takes them.
+func (r *Record) GroupFields() (flushed, clockMark int64) {
 	return int64(binary.LittleEndian.Uint64(r.Value)), int64(binary.LittleEndian.Uint64(r.Value[8:]))
 }
 
-// ReadRecord reads the record at the start of b, which stands at this offset of the segment with this salt. Its key and
-// value point into b.
-func ReadRecord(b []byte, salt uint32, offset int64) (Record, error) {
-	if len(b) < RecordHeader {
+// DecodeRecord decodes the record at the start of b, which stands at this offset of the segment with this salt. Its key and
+// value point into b. The error is ErrShort or ErrInvalid.
+func DecodeRecord(b []byte, salt uint32, offset int64) (Record, error) {
+	if len(b) < RecordHeaderSize {
 		return Record{}, ErrShort
 	}
-	r := Record{Kind: Kind(b[10]), More: b[11] == flagMore, Seq: binary.LittleEndian.Uint64(b[12:]),
-		Expiry: int64(binary.LittleEndian.Uint64(b[20:]))}
+	r := Record{Kind: Kind(b[10]), BatchContinues: b[11] == flagBatchContinues, Sequence: binary.LittleEndian.Uint64(b[12:]),
+		ExpiryMillis: int64(binary.LittleEndian.Uint64(b[20:]))}
 	key, value := int(binary.LittleEndian.Uint16(b[8:])), int64(binary.LittleEndian.Uint32(b[4:]))
 	switch {
-	case b[11] > flagMore:
+	case b[11] > flagBatchContinues:
 		return Record{}, ErrInvalid
-	case r.Kind == Put && key > 0:
-	case r.Kind == Delete && key > 0 && value == 0 && r.Expiry == 0:
-	case r.Kind == Group && key == 0 && value == GroupValue && !r.More && r.Seq == 0 && r.Expiry == 0:
+	case r.Kind == KindPut && key > 0:
+	case r.Kind == KindDelete && key > 0 && value == 0 && r.ExpiryMillis == 0:
+	case r.Kind == KindGroup && key == 0 && value == GroupValueSize && !r.BatchContinues && r.Sequence == 0 && r.ExpiryMillis == 0:
 	default:
 		return Record{}, ErrInvalid
 	}
-	size := RecordHeader + int64(key) + value
+	size := RecordHeaderSize + int64(key) + value
 	if int64(len(b)) < size {
 		return Record{}, ErrShort
 	}
-	if binary.LittleEndian.Uint32(b) != sum(salt, offset, b[4:size]) {
+	if binary.LittleEndian.Uint32(b) != checksum(salt, offset, b[4:size]) {
 		return Record{}, ErrInvalid
 	}
-	r.Key = b[RecordHeader : RecordHeader+key : RecordHeader+key]
-	r.Value = b[RecordHeader+key : size : size]
+	r.Key = b[RecordHeaderSize : RecordHeaderSize+key : RecordHeaderSize+key]
+	r.Value = b[RecordHeaderSize+key : size : size]
 	return r, nil
 }
 
-// FindFlushed looks at every offset of b for group records, and returns the highest "flushed" of those that are
-// valid. b stands at this offset of the segment with this salt.
+// FindFlushed searches b at every offset for valid group records, and returns the highest flushed offset among them. b stands
+// at this offset of the segment with this salt.
 func FindFlushed(b []byte, salt uint32, offset int64) (flushed int64, found bool) {
-	for i := 0; i+GroupSize <= len(b); i++ {
-		// The fields that all groups share are looked at before the checksum: key length 0, kind, flags.
-		if b[i+10] != byte(Group) || b[i+8]|b[i+9]|b[i+11] != 0 {
+	for i := 0; i+GroupRecordSize <= len(b); i++ {
+		// The fields that all group records share are compared first, as they are cheaper than the checksum.
+		if b[i+10] != byte(KindGroup) || b[i+8]|b[i+9]|b[i+11] != 0 {
 			continue
 		}
-		if r, err := ReadRecord(b[i:], salt, offset+int64(i)); err == nil {
+		if r, err := DecodeRecord(b[i:], salt, offset+int64(i)); err == nil {
 			f, _ := r.GroupFields()
 			flushed, found = max(flushed, f), true
 		}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -53,62 +53,62 @@
 	Took     time.Duration `json:"took_ns"`
 }
 
-// place is where the newest record of a key stands.
-type place struct {
-	seg    *segment
-	seq    uint64
-	expiry int64
-	off    uint32
-	size   uint32
+// location is where the newest record of a key stands.
+type location struct {
+	seg          *segment
+	sequence     uint64
+	expiryMillis int64
+	offset       uint32
+	size         uint32
 }
 
-// keyCost is what a key takes in memory beside its own bytes: its place in the tree and the tree's slack, rounded up
+// indexEntryOverheadBytes is what a key takes in memory beside its own bytes: its place in the tree and the tree's slack, rounded up
 // from what BenchmarkMemoryPerKey measures.
-const keyCost = 96
+const indexEntryOverheadBytes = 96
 
-func cost(key int) int64 { return keyCost + int64(key) }
+func indexCost(key int) int64 { return indexEntryOverheadBytes + int64(key) }
 
 // Store is an open ledger. Its methods may be called from any goroutine.
 type Store struct {
 	fs   disk.FS
 	opts Options
 
-	mu      sync.RWMutex // guards the index, the figures of segments, mark and broken
-	index   *btree.Map[string, place]
-	keys    int64 // bytes of memory that the index takes
-	total   int64 // bytes of all records, unpacked
-	live    int64 // of them, those that count
-	mark    int64 // the clock as last made durable
-	soonest int64 // no key expires before this
-	broken  error
-	counts  counters
+	mu          sync.RWMutex // guards the index, the figures of segments, mark and broken
+	index       *btree.Map[string, location]
+	indexBytes  int64 // bytes of memory that the index takes
+	recordBytes int64 // bytes of all records, unpacked
+	liveBytes   int64 // of them, those that count
+	clockMark   int64 // the clock as last made durable
+	nextExpiry  int64 // no key expires before this
+	broken      error
+	counts      counters
 
 	id format.ID // of the store; set by Open
 
-	meta     sync.Mutex // guards the manifest: what follows, and each replacement of the file
-	manifest format.Manifest
-	sealed   []*segment
-	active   *segment
-	leaving  []*segment // replaced by a compaction, and the index may still point to them
+	manifestMu sync.Mutex // guards the manifest: what follows, and each replacement of the file
+	manifest   format.Manifest
+	sealed     []*segment
+	active     *segment
+	retired    []*segment // replaced by a compaction, and the index may still point to them
 
-	compacting sync.Mutex // one compaction at a time
+	compactionMu sync.Mutex // one compaction at a time
 
-	busy atomic.Bool // a compaction is under way
+	compactionRunning atomic.Bool // a compaction is under way
 
-	w         writer
-	unlock    func() error
-	closing   chan struct{}
-	closeOnce sync.Once
-	closeErr  error
-	kick      chan struct{} // there may be something to compact
-	jobs      sync.WaitGroup
-	recovery  Recovery
+	writer        writer
+	unlock        func() error
+	closing       chan struct{}
+	closeOnce     sync.Once
+	closeErr      error
+	compactionDue chan struct{} // there may be something to compact
+	background    sync.WaitGroup
+	recovery      Recovery
 }
 
 type counters struct {
 	puts, deletes, batches, groups, flushes, compactions uint64
-	written, packed                                      int64 // bytes: by writers, by compactions
-	asked                                                int64 // bytes of records that writers asked for
+	writtenBytes, compactedBytes                         int64 // bytes: by writers, by compactions
+	requestedBytes                                       int64 // bytes of records that writers asked for
 }
 
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
@@ -135,10 +135,10 @@
 	if o.Step == nil {
 		o.Step = func(string, int64, int64) {}
 	}
-	s := &Store{fs: fsys, opts: o, index: &btree.Map[string, place]{}, closing: make(chan struct{}), kick: make(chan struct{}, 1)}
-	s.w.init()
+	s := &Store{fs: fsys, opts: o, index: &btree.Map[string, location]{}, closing: make(chan struct{}), compactionDue: make(chan struct{}, 1)}
+	s.writer.init()
 	if o.ReadOnly {
-		return s, s.look()
+		return s, s.recoverReadOnly()
 	}
 	unlock, err := fsys.Lock("LOCK", disk.Owner())
 	if err != nil {
@@ -146,12 +146,12 @@
 	}
 	s.unlock = unlock
 	if err := s.recover(); err != nil {
-		s.release()
+		s.releaseSegments()
 		return nil, errors.Join(err, unlock())
 	}
-	s.jobs.Go(s.write)
+	s.background.Go(s.writeLoop)
 	if !o.Manual {
-		s.jobs.Go(s.tend)
+		s.background.Go(s.maintain)
 	}
 	return s, nil
 }
@@ -162,10 +162,10 @@
 // Close flushes what is queued, ends and lets others at the folder. Calls after it get ErrClosed. It may be called twice.
 func (s *Store) Close() error {
 	s.closeOnce.Do(func() {
-		s.w.close()
+		s.writer.close()
 		close(s.closing)
-		s.jobs.Wait()
-		s.release()
+		s.background.Wait()
+		s.releaseSegments()
 		if s.unlock != nil {
 			s.closeErr = s.unlock()
 		}
@@ -173,34 +173,34 @@
 	return s.closeErr
 }
 
-// release lets go of all segments.
-func (s *Store) release() {
-	s.meta.Lock()
-	defer s.meta.Unlock()
-	for _, g := range slices.Concat(s.sealed, s.leaving) {
+// releaseSegments lets go of all segments.
+func (s *Store) releaseSegments() {
+	s.manifestMu.Lock()
+	defer s.manifestMu.Unlock()
+	for _, g := range slices.Concat(s.sealed, s.retired) {
 		g.release()
 	}
 	if s.active != nil {
 		s.active.release()
 	}
-	s.sealed, s.leaving, s.active = nil, nil, nil
+	s.sealed, s.retired, s.active = nil, nil, nil
 }
 
-// gone says whether a key's time is over by the store's clock.
-func gone(p place, mark int64) bool { return p.expiry != 0 && p.expiry <= mark }
+// expired says whether a key's time is over by the store's clock.
+func expired(p location, mark int64) bool { return p.expiryMillis != 0 && p.expiryMillis <= mark }
 
 // Get returns the value of a key, or ErrNotFound. It reads one record from the disk.
 func (s *Store) Get(key []byte) ([]byte, error) {
 	s.mu.RLock()
 	p, ok := s.index.Get(string(key))
-	if !ok || gone(p, s.mark) {
+	if !ok || expired(p, s.clockMark) {
 		s.mu.RUnlock()
 		return nil, ErrNotFound
 	}
 	p.seg.acquire()
 	s.mu.RUnlock()
 	defer p.seg.release()
-	r, err := p.seg.read(int64(p.off), int(p.size))
+	r, err := p.seg.read(int64(p.offset), int(p.size))
 	return r.Value, err
 }
 
@@ -209,7 +209,7 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	p, ok := s.index.Get(string(key))
-	return ok && !gone(p, s.mark)
+	return ok && !expired(p, s.clockMark)
 }
 
 // Put makes a value durable. A zero expiry means never; else the key is gone at some time in [expiry, expiry + limits.Mark] by
@@ -229,7 +229,7 @@
 
 // Snapshot is the store as it was at one moment. It must be closed: until then the files that it reads stay open.
 type Snapshot struct {
-	index *btree.Map[string, place]
+	index *btree.Map[string, location]
 	mark  int64
 	segs  []*segment
 	once  sync.Once
@@ -237,13 +237,13 @@
 
 // Snapshot takes one; that costs the same however large the store is. Writers pay for copies of what they change while it is open.
 func (s *Store) Snapshot() (*Snapshot, error) {
-	s.meta.Lock() // so that no segment goes meanwhile
-	defer s.meta.Unlock()
+	s.manifestMu.Lock() // so that no segment goes meanwhile
+	defer s.manifestMu.Unlock()
 	if s.active == nil && s.sealed == nil && s.isClosed() {
 		return nil, ErrClosed
 	}
 	n := &Snapshot{}
-	for _, g := range slices.Concat(s.sealed, s.leaving) {
+	for _, g := range slices.Concat(s.sealed, s.retired) {
 		g.acquire()
 		n.segs = append(n.segs, g)
 	}
@@ -252,7 +252,7 @@
 		n.segs = append(n.segs, s.active)
 	}
 	s.mu.Lock() // Copy marks the tree's nodes as shared
-	n.index, n.mark = s.index.Copy(), s.mark
+	n.index, n.mark = s.index.Copy(), s.clockMark
 	s.mu.Unlock()
 	return n, nil
 }
@@ -278,10 +278,10 @@
 // Get returns the value of a key, or ErrNotFound.
 func (n *Snapshot) Get(key []byte) ([]byte, error) {
 	p, ok := n.index.Get(string(key))
-	if !ok || gone(p, n.mark) {
+	if !ok || expired(p, n.mark) {
 		return nil, ErrNotFound
 	}
-	r, err := p.seg.read(int64(p.off), int(p.size))
+	r, err := p.seg.read(int64(p.offset), int(p.size))
 	return r.Value, err
 }
 
@@ -295,18 +295,18 @@
 // returns.
 func (n *Snapshot) Scan(prefix []byte, fn func(Pair) error) (err error) {
 	from := string(prefix)
-	n.index.Ascend(from, func(key string, p place) bool {
+	n.index.Ascend(from, func(key string, p location) bool {
 		if !strings.HasPrefix(key, from) {
 			return false
 		}
-		if gone(p, n.mark) {
+		if expired(p, n.mark) {
 			return true
 		}
 		var r format.Record
-		if r, err = p.seg.read(int64(p.off), int(p.size)); err != nil {
+		if r, err = p.seg.read(int64(p.offset), int(p.size)); err != nil {
 			return false
 		}
-		err = fn(Pair{r.Key, r.Value, fromMillis(r.Expiry)})
+		err = fn(Pair{r.Key, r.Value, fromMillis(r.ExpiryMillis)})
 		return err == nil
 	})
 	return err
@@ -354,12 +354,12 @@
 	return s.broken
 }
 
-// figures are the sealed segments as the choice of a compaction sees them; the caller holds meta.
-func (s *Store) figures(of []*segment) (list []plan.Segment) {
+// planSegments are the sealed segments as the choice of a compaction sees them; the caller holds meta.
+func (s *Store) planSegments(of []*segment) (list []plan.Segment) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, g := range of {
-		list = append(list, plan.Segment{Number: g.number, Raw: g.raw, Dead: g.dead, Least: g.least, High: g.high, Tombs: g.tombs})
+		list = append(list, plan.Segment{Number: g.number, TotalBytes: g.totalBytes, DeadBytes: g.deadBytes, MinSequence: g.minSequence, MaxSequence: g.maxSequence, TombstoneBytes: g.tombstoneBytes})
 	}
 	return list
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -194,7 +194,7 @@
 		t.Errorf("%v", got)
 	}
 	o := options()
-	o.Limits.IndexBytes = 3 * cost(1)
+	o.Limits.IndexBytes = 3 * indexCost(1)
 	s = mustOpen(t, simdisk.New(1), o)
 	put(t, s, "a", "1")
 	put(t, s, "b", "1")
@@ -330,17 +330,17 @@
 	if got := content(t, s); got["k"] != "9" {
 		t.Errorf("%v", got)
 	}
-	s.w.mu.Lock()
-	s.w.bytes = s.opts.Limits.QueueBytes // as if a flush took long
-	s.w.mu.Unlock()
+	s.writer.mu.Lock()
+	s.writer.queuedBytes = s.opts.Limits.QueueBytes // as if a flush took long
+	s.writer.mu.Unlock()
 	var b Batch
 	b.Put([]byte("k"), nil, time.Time{})
 	if err := s.Go(&b, func(error) { t.Error("called back") }); !errors.Is(err, ErrBusy) {
 		t.Errorf("a full queue: %v", err)
 	}
-	s.w.mu.Lock()
-	s.w.bytes = 0
-	s.w.mu.Unlock()
+	s.writer.mu.Lock()
+	s.writer.queuedBytes = 0
+	s.writer.mu.Unlock()
 }
 
 // TestCompact: garbage goes, what counts stays, records are packed; it happens by itself at the share that the limits say.
@@ -354,7 +354,7 @@
 		put(t, s, k, v)
 	}
 	before := s.Stats()
-	if err := s.compactDue(); err != nil {
+	if err := s.compactWhileDue(); err != nil {
 		t.Fatal(err)
 	}
 	if st := s.Stats(); st.Compactions == 0 || float64(st.Garbage) > 0.45*float64(st.Records) {
@@ -381,7 +381,7 @@
 		s.Close()
 		s = mustOpen(t, fs, options())
 	}
-	if err := s.compactDue(); err != nil {
+	if err := s.compactWhileDue(); err != nil {
 		t.Fatal(err)
 	}
 	if st := s.Stats(); st.Segments > 11 {
@@ -409,7 +409,7 @@
 	now := fs.Files()
 	back := 0
 	for name, b := range old {
-		if _, ok := number(name); ok && now[name] == nil {
+		if _, ok := segmentNumber(name); ok && now[name] == nil {
 			now[name] = b
 			back++
 		}
@@ -423,15 +423,15 @@
 		t.Errorf("%d stray files swept, want %d at least", r.Stray, back)
 	}
 	for name := range old {
-		if _, ok := number(name); ok && fs.Files()[name] != nil && now[name] != nil && !listed(s, name) {
+		if _, ok := segmentNumber(name); ok && fs.Files()[name] != nil && now[name] != nil && !listed(s, name) {
 			t.Errorf("%s was not swept", name)
 		}
 	}
 }
 
 func listed(s *Store, name string) bool {
-	n, _ := number(name)
-	return slices.ContainsFunc(s.manifest.Segments, func(e format.Entry) bool { return e.Number == n })
+	n, _ := segmentNumber(name)
+	return slices.ContainsFunc(s.manifest.Segments, func(e format.SegmentEntry) bool { return e.Number == n })
 }
 
 // TestLaterVersion: files of a later version are refused by name, not taken for damage.
--- a/internal/ledger/recover.go
+++ b/internal/ledger/recover.go
@@ -27,23 +27,23 @@
 	if err := s.readManifest(names); err != nil {
 		return err
 	}
-	rest, err := s.load()
+	rest, err := s.loadSegments()
 	if err != nil {
 		return err
 	}
 	if rest.seg != nil {
-		s.leaving = []*segment{rest.seg} // let go of with the store until it has its place
+		s.retired = []*segment{rest.seg} // let go of with the store until it has its place
 	}
-	if err := s.begin(rest); err != nil {
+	if err := s.startActive(rest); err != nil {
 		return err
 	}
-	s.sweepFiles()
+	s.removeUnlistedFiles()
 	s.recovery.Took = time.Since(began)
 	return nil
 }
 
-// look is recover for a reader: nothing is changed. A writer may replace segments meanwhile; then it is tried again.
-func (s *Store) look() (err error) {
+// recoverReadOnly is recover for a reader: nothing is changed. A writer may replace segments meanwhile; then it is tried again.
+func (s *Store) recoverReadOnly() (err error) {
 	began := time.Now()
 	for range 5 {
 		var names []string
@@ -53,15 +53,15 @@
 		if err = s.readManifest(names); err != nil {
 			return err
 		}
-		edition := s.manifest.Edition
-		var rest *tail
-		if rest, err = s.load(); err == nil {
+		edition := s.manifest.Generation
+		var rest *activeTail
+		if rest, err = s.loadSegments(); err == nil {
 			s.active = rest.seg
 			s.recovery.Took = time.Since(began)
 			return nil
 		}
-		s.release()
-		if m, _, again := loadManifest(s.fs); again != nil || m.Edition == edition {
+		s.releaseSegments()
+		if m, _, again := loadManifest(s.fs); again != nil || m.Generation == edition {
 			return err
 		}
 	}
@@ -89,13 +89,13 @@
 	if _, err := f.ReadAt(b, 0); err != nil && !errors.Is(err, io.EOF) {
 		return nil, 0, err
 	}
-	return format.ReadManifest(b)
+	return format.DecodeManifest(b)
 }
 
 func (s *Store) readManifest(names []string) error {
 	if !slices.Contains(names, manifestName) {
 		for _, name := range names {
-			if _, ok := number(name); ok {
+			if _, ok := segmentNumber(name); ok {
 				return damage(manifestName, 0, "there is none, though there are segments such as %s", name)
 			}
 		}
@@ -105,7 +105,7 @@
 		// First the manifest, then segments: so a folder with segments always has one.
 		s.recovery.Fresh = true
 		s.id = newID()
-		return s.replace(format.Manifest{Store: s.id, Next: 1})
+		return s.replaceManifest(format.Manifest{Store: s.id, NextSegment: 1})
 	}
 	m, where, err := loadManifest(s.fs)
 	switch v := (format.VersionError{}); {
@@ -118,36 +118,36 @@
 	}
 	s.manifest, s.id = *m, m.Store
 	for _, e := range m.Segments {
-		s.manifest.Next = max(s.manifest.Next, e.Number+1)
+		s.manifest.NextSegment = max(s.manifest.NextSegment, e.Number+1)
 	}
 	for _, name := range names { // numbers of files that no manifest lists are not given again either
-		if n, ok := number(name); ok && n < math.MaxUint64 {
-			s.manifest.Next = max(s.manifest.Next, n+1)
+		if n, ok := segmentNumber(name); ok && n < math.MaxUint64 {
+			s.manifest.NextSegment = max(s.manifest.NextSegment, n+1)
 		}
 	}
 	return nil
 }
 
-// found is a record seen while loading.
-type found struct {
-	key  string
-	put  bool
-	what place
+// loadedRecord is a record seen while loading.
+type loadedRecord struct {
+	key      string
+	put      bool
+	location location
 }
 
-// tail is the active segment as it was found: what of it counts and is not known to be flushed.
-type tail struct {
+// activeTail is the active segment as it was found: what of it counts and is not known to be flushed.
+type activeTail struct {
 	seg     *segment
 	flushed int64 // up to here it is known to be
 	records []format.Record
 }
 
-// load reads all segments and fills the index, the figures and the recovery. The tail's records are in the index only for a
+// loadSegments reads all segments and fills the index, the figures and the recovery. The tail's records are in the index only for a
 // reader.
-func (s *Store) load() (*tail, error) {
+func (s *Store) loadSegments() (*activeTail, error) {
 	s.sealed, s.active = nil, nil
 	s.index.Clear()
-	s.keys, s.soonest, s.mark, s.total, s.live = 0, 0, s.manifest.Mark, 0, 0
+	s.indexBytes, s.nextExpiry, s.clockMark, s.recordBytes, s.liveBytes = 0, 0, s.manifest.ClockMark, 0, 0
 	s.recovery = Recovery{Fresh: s.recovery.Fresh}
 	var active *segment
 	var total int64
@@ -157,7 +157,7 @@
 			return nil, err
 		}
 		total += g.size
-		if e.Size != format.Active {
+		if e.Size != format.ActiveSegmentSize {
 			s.sealed = append(s.sealed, g)
 			continue
 		}
@@ -167,7 +167,7 @@
 		}
 	}
 	s.recovery.Segments, s.recovery.Bytes = len(s.manifest.Segments), total
-	lists := make([][]found, len(s.sealed)+1)
+	lists := make([][]loadedRecord, len(s.sealed)+1)
 	errs := make([]error, len(s.sealed))
 	var read atomic.Int64
 	var wait sync.WaitGroup
@@ -186,7 +186,7 @@
 			return nil, err
 		}
 	}
-	t := &tail{}
+	t := &activeTail{}
 	if active != nil {
 		var err error
 		if t, lists[len(s.sealed)], err = s.loadActive(active); err != nil {
@@ -197,36 +197,36 @@
 	for _, list := range lists {
 		s.recovery.Records += len(list)
 	}
-	s.fill(lists)
-	s.w.seq = max(s.w.seq, s.manifest.Seq)
+	s.buildIndex(lists)
+	s.writer.lastSequence = max(s.writer.lastSequence, s.manifest.LastSequence)
 	for _, g := range s.sealed {
-		s.w.seq = max(s.w.seq, g.high)
+		s.writer.lastSequence = max(s.writer.lastSequence, g.maxSequence)
 	}
 	if t.seg != nil {
-		s.w.seq = max(s.w.seq, t.seg.high)
+		s.writer.lastSequence = max(s.writer.lastSequence, t.seg.maxSequence)
 	}
 	for _, r := range t.records {
-		s.w.seq = max(s.w.seq, r.Seq)
+		s.writer.lastSequence = max(s.writer.lastSequence, r.Sequence)
 	}
-	s.w.marked = s.mark
+	s.writer.writtenMark = s.clockMark
 	s.recovery.Keys = s.index.Len()
 	return t, nil
 }
 
 // loadSealed reads a segment that must be whole.
-func (s *Store) loadSealed(g *segment) ([]found, error) {
-	var list []found
+func (s *Store) loadSealed(g *segment) ([]loadedRecord, error) {
+	var list []loadedRecord
 	var mark int64
 	more := false
 	end, err := g.scan(s.opts.Limits.ValueBytes, func(off int64, r *format.Record) error {
-		if r.Kind == format.Group {
+		if r.Kind == format.KindGroup {
 			_, m := r.GroupFields()
 			mark = max(mark, m)
 			return nil
 		}
-		more = r.More
-		g.count(r.Seq, r.Size())
-		list = append(list, found{string(r.Key), r.Kind == format.Put, place{g, r.Seq, r.Expiry, uint32(off), uint32(r.Size())}})
+		more = r.BatchContinues
+		g.countRecord(r.Sequence, r.Size())
+		list = append(list, loadedRecord{string(r.Key), r.Kind == format.KindPut, location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(r.Size())}})
 		return nil
 	})
 	switch {
@@ -237,36 +237,36 @@
 	case more:
 		return nil, damage(g.name, end, "the segment ends within a batch")
 	}
-	sortFound(list)
+	sortLoaded(list)
 	s.mu.Lock()
-	s.mark = max(s.mark, mark)
+	s.clockMark = max(s.clockMark, mark)
 	s.mu.Unlock()
 	return list, nil
 }
 
-func sortFound(list []found) {
-	slices.SortFunc(list, func(a, b found) int {
+func sortLoaded(list []loadedRecord) {
+	slices.SortFunc(list, func(a, b loadedRecord) int {
 		if c := strings.Compare(a.key, b.key); c != 0 {
 			return c
 		}
-		return int(int64(a.what.seq - b.what.seq))
+		return int(int64(a.location.sequence - b.location.sequence))
 	})
 }
 
 // loadActive reads the segment that was being written, up to its torn tail if it has one.
-func (s *Store) loadActive(g *segment) (*tail, []found, error) {
-	t := &tail{seg: g, flushed: min(format.SegmentHeader, g.size)}
+func (s *Store) loadActive(g *segment) (*activeTail, []loadedRecord, error) {
+	t := &activeTail{seg: g, flushed: min(format.SegmentHeaderSize, g.size)}
 	type at struct {
 		off  int64
 		size int
-		f    found
+		f    loadedRecord
 	}
 	var all, batch []at
 	var high uint64
 	whole := t.flushed                    // where the last whole batch ends
 	starts := map[int64]bool{whole: true} // where groups may begin: only there can a flush have ended
 	end, err := g.scan(s.opts.Limits.ValueBytes, func(off int64, r *format.Record) error {
-		if r.Kind == format.Group {
+		if r.Kind == format.KindGroup {
 			if len(batch) > 0 {
 				return format.ErrInvalid
 			}
@@ -274,17 +274,17 @@
 			if starts[off] = true; !starts[f] {
 				return format.ErrInvalid
 			}
-			t.flushed, s.mark = max(t.flushed, f), max(s.mark, m)
-			whole = off + format.GroupSize
+			t.flushed, s.clockMark = max(t.flushed, f), max(s.clockMark, m)
+			whole = off + format.GroupRecordSize
 			return nil
 		}
-		if r.Seq <= high {
+		if r.Sequence <= high {
 			return format.ErrInvalid // rest of a group that was taken back
 		}
-		high = r.Seq
+		high = r.Sequence
 		size := r.Size()
-		batch = append(batch, at{off, size, found{string(r.Key), r.Kind == format.Put, place{g, r.Seq, r.Expiry, uint32(off), uint32(size)}}})
-		if !r.More {
+		batch = append(batch, at{off, size, loadedRecord{string(r.Key), r.Kind == format.KindPut, location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(size)}}})
+		if !r.BatchContinues {
 			all = append(all, batch...)
 			batch = batch[:0]
 			whole = off + int64(size)
@@ -308,7 +308,7 @@
 		s.recovery.Torn, s.recovery.TornFile, s.recovery.TornAt = g.size-whole, g.name, whole
 		g.size = whole
 	}
-	var list []found
+	var list []loadedRecord
 	for _, a := range all {
 		if a.off >= t.flushed && !s.opts.ReadOnly {
 			r, err := g.read(a.off, a.size)
@@ -318,10 +318,10 @@
 			t.records = append(t.records, r)
 			continue
 		}
-		g.count(a.f.what.seq, a.size)
+		g.countRecord(a.f.location.sequence, a.size)
 		list = append(list, a.f)
 	}
-	sortFound(list)
+	sortLoaded(list)
 	return t, list, nil
 }
 
@@ -332,8 +332,8 @@
 	return err
 }
 
-// fill makes the index of sorted lists: of each key the record with the highest sequence number counts.
-func (s *Store) fill(lists [][]found) {
+// buildIndex makes the index of sorted lists: of each key the record with the highest sequence number counts.
+func (s *Store) buildIndex(lists [][]loadedRecord) {
 	heads := make([]int, len(lists))
 	for {
 		least := -1
@@ -346,47 +346,47 @@
 			return
 		}
 		key := lists[least][heads[least]].key
-		var last found
+		var last loadedRecord
 		for i, list := range lists {
 			for ; heads[i] < len(list) && list[heads[i]].key == key; heads[i]++ {
 				f := list[heads[i]]
-				s.total += int64(f.what.size)
-				if last.what.seg != nil && f.what.seq < last.what.seq {
-					f.bury()
+				s.recordBytes += int64(f.location.size)
+				if last.location.seg != nil && f.location.sequence < last.location.sequence {
+					f.countDead()
 					continue
 				}
-				if last.what.seg != nil {
-					last.bury()
+				if last.location.seg != nil {
+					last.countDead()
 				}
 				last = f
 			}
 		}
 		if !last.put {
-			last.what.seg.tombs += int64(last.what.size)
+			last.location.seg.tombstoneBytes += int64(last.location.size)
 			continue
 		}
-		s.index.Load(key, last.what)
-		s.live += int64(last.what.size)
-		s.keys += cost(len(key))
-		if e := last.what.expiry; e != 0 && (s.soonest == 0 || e < s.soonest) {
-			s.soonest = e
+		s.index.Load(key, last.location)
+		s.liveBytes += int64(last.location.size)
+		s.indexBytes += indexCost(len(key))
+		if e := last.location.expiryMillis; e != 0 && (s.nextExpiry == 0 || e < s.nextExpiry) {
+			s.nextExpiry = e
 		}
 	}
 }
 
-// bury counts a record that another one of its key replaced.
-func (f *found) bury() { f.what.seg.dead += int64(f.what.size) }
+// countDead counts a record that another one of its key replaced.
+func (f *loadedRecord) countDead() { f.location.seg.deadBytes += int64(f.location.size) }
 
-// begin starts a new active segment with the records that are not known to be flushed, and seals the old one before
+// startActive starts a new active segment with the records that are not known to be flushed, and seals the old one before
 // them. Nothing is ever appended to a file that this process did not write: what can be read of it need not be on the disk.
-func (s *Store) begin(t *tail) error {
-	s.meta.Lock()
-	defer s.meta.Unlock()
+func (s *Store) startActive(t *activeTail) error {
+	s.manifestMu.Lock()
+	defer s.manifestMu.Unlock()
 	g, err := s.newSegment()
 	if err != nil {
-		return refused(err)
+		return notWritten(err)
 	}
-	b := format.AppendGroup(nil, g.salt, g.size, g.size, s.mark)
+	b := format.AppendGroup(nil, g.salt, g.size, g.size, s.clockMark)
 	offs := make([]int64, len(t.records))
 	for i := range t.records {
 		offs[i] = g.size + int64(len(b))
@@ -398,12 +398,12 @@
 	}
 	if err != nil {
 		g.release()
-		return refused(err)
+		return notWritten(err)
 	}
 	g.size += int64(len(b))
 	sealed := s.sealed
 	if old := t.seg; old != nil {
-		if old.size = t.flushed; old.raw > 0 {
+		if old.size = t.flushed; old.totalBytes > 0 {
 			sealed = append(sealed[:len(sealed):len(sealed)], old)
 		} else {
 			old.release()
@@ -411,26 +411,26 @@
 	}
 	s.mu.Lock()
 	for i := range t.records {
-		s.set(g, offs[i], &t.records[i])
+		s.indexRecord(g, offs[i], &t.records[i])
 	}
 	s.counts = counters{}
 	s.mu.Unlock()
-	s.leaving = nil
-	s.sealed, s.active, s.w.flushed, s.w.records = sealed, g, g.size, len(t.records)
+	s.retired = nil
+	s.sealed, s.active, s.writer.flushedOffset, s.writer.activeRecords = sealed, g, g.size, len(t.records)
 	s.recovery.Keys = s.index.Len()
-	return s.replace(s.next(sealed, g))
+	return s.replaceManifest(s.nextManifest(sealed, g))
 }
 
-// sweepFiles removes files that the manifest in force does not list. One that comes back after that is swept the next
+// removeUnlistedFiles removes files that the manifest in force does not list. One that comes back after that is swept the next
 // time; it is never read.
-func (s *Store) sweepFiles() {
+func (s *Store) removeUnlistedFiles() {
 	names, err := s.fs.List()
 	if err != nil {
 		return
 	}
 	for _, name := range names {
-		n, ok := number(name)
-		if name != manifestNew && (!ok || slices.ContainsFunc(s.manifest.Segments, func(e format.Entry) bool { return e.Number == n })) {
+		n, ok := segmentNumber(name)
+		if name != manifestTempName && (!ok || slices.ContainsFunc(s.manifest.Segments, func(e format.SegmentEntry) bool { return e.Number == n })) {
 			continue
 		}
 		if err := s.fs.Remove(name); err != nil {
--- a/internal/ledger/repair.go
+++ b/internal/ledger/repair.go
@@ -42,7 +42,7 @@
 	if slices.Contains(names, manifestName) {
 		return v, fmt.Errorf("%s: a ledger is there already", to)
 	}
-	segs, err := v.pick(from)
+	segs, err := v.openSegments(from)
 	if err != nil {
 		return v, err
 	}
@@ -51,13 +51,13 @@
 			g.release()
 		}
 	}()
-	best := map[string]found{} // the newest record of each key
+	best := map[string]loadedRecord{} // the newest record of each key
 	var mark, total, done int64
 	for _, g := range segs {
 		total += g.size
 	}
 	for _, g := range segs {
-		m, err := v.salvage(g, o.Limits.ValueBytes, best)
+		m, err := v.salvageSegment(g, o.Limits.ValueBytes, best)
 		if err != nil {
 			return v, fmt.Errorf("%s: %w", g.name, err)
 		}
@@ -73,7 +73,7 @@
 	defer func() { err = errors.Join(err, s.Close()) }()
 	keys := make([]string, 0, len(best))
 	for key, b := range best {
-		if b.put && !gone(b.what, mark) {
+		if b.put && !expired(b.location, mark) {
 			keys = append(keys, key)
 		}
 	}
@@ -83,12 +83,12 @@
 			var batch Batch
 			n := 0
 			for ; n < len(part) && (n == 0 || batch.bytes < o.Limits.BatchBytes/2-o.Limits.ValueBytes); n++ {
-				p := best[part[n]].what
-				r, err := p.seg.read(int64(p.off), int(p.size))
+				p := best[part[n]].location
+				r, err := p.seg.read(int64(p.offset), int(p.size))
 				if err != nil {
 					return v, err
 				}
-				batch.Put(r.Key, r.Value, fromMillis(r.Expiry))
+				batch.Put(r.Key, r.Value, fromMillis(r.ExpiryMillis))
 			}
 			if err := s.Apply(&batch); err != nil {
 				return v, err
@@ -100,12 +100,12 @@
 	return v, nil
 }
 
-// pick opens the segments to read: those of the manifest, or without a readable one all that belong together.
-func (v *Salvage) pick(fs disk.FS) (segs []*segment, err error) {
+// openSegments opens the segments to read: those of the manifest, or without a readable one all that belong together.
+func (v *Salvage) openSegments(fs disk.FS) (segs []*segment, err error) {
 	m, where, err := loadManifest(fs)
 	if err == nil {
 		for _, e := range m.Segments {
-			if g := v.open(fs, fileName(e.Number), &m.Store, e.Size); g != nil {
+			if g := v.openSegment(fs, segmentFileName(e.Number), &m.Store, e.Size); g != nil {
 				segs = append(segs, g)
 			}
 		}
@@ -123,10 +123,10 @@
 	}
 	var store *format.ID
 	for _, name := range names {
-		if _, ok := number(name); !ok {
+		if _, ok := segmentNumber(name); !ok {
 			continue
 		}
-		if g := v.open(fs, name, store, format.Active); g != nil {
+		if g := v.openSegment(fs, name, store, format.ActiveSegmentSize); g != nil {
 			segs = append(segs, g)
 			store = &g.store
 		}
@@ -137,8 +137,8 @@
 	return segs, nil
 }
 
-// open opens a segment for salvage; nil if its header is of no use.
-func (v *Salvage) open(fs disk.FS, name string, store *format.ID, size int64) *segment {
+// openSegment opens a segment for salvage; nil if its header is of no use.
+func (v *Salvage) openSegment(fs disk.FS, name string, store *format.ID, size int64) *segment {
 	lose := func(why string, args ...any) *segment {
 		v.Lost = append(v.Lost, Loss{name, 0, max(size, 0), fmt.Sprintf(why, args...)})
 		return nil
@@ -148,12 +148,12 @@
 		return lose("%v", err)
 	}
 	has, err := f.Size()
-	b := make([]byte, format.SegmentHeader)
+	b := make([]byte, format.SegmentHeaderSize)
 	if err == nil {
 		_, err = f.ReadAt(b, 0)
 	}
-	h, salt, herr := format.ReadHeader(b)
-	n, _ := number(name)
+	h, salt, herr := format.DecodeSegmentHeader(b)
+	n, _ := segmentNumber(name)
 	switch {
 	case errors.Is(err, io.EOF) && has == 0, err != nil && !errors.Is(err, io.EOF):
 		closeRead(f)
@@ -165,7 +165,7 @@
 		closeRead(f)
 		return lose("the file is another store's or was renamed")
 	}
-	if size == format.Active {
+	if size == format.ActiveSegmentSize {
 		size = has
 	} else if has < size {
 		v.Lost = append(v.Lost, Loss{name, has, size - has, "the file is cut short"})
@@ -176,34 +176,34 @@
 	return g
 }
 
-// salvage reads all whole batches of a segment, also behind stretches that can't be read.
-func (v *Salvage) salvage(g *segment, most int, best map[string]found) (mark int64, err error) {
-	var batch []found
+// salvageSegment reads all whole batches of a segment, also behind stretches that can't be read.
+func (v *Salvage) salvageSegment(g *segment, most int, best map[string]loadedRecord) (mark int64, err error) {
+	var batch []loadedRecord
 	skip := false // the batch that begins here may lack its first records
 	take := func(off int64, r *format.Record) error {
-		if r.Kind == format.Group {
+		if r.Kind == format.KindGroup {
 			_, m := r.GroupFields()
 			mark, skip, batch = max(mark, m), false, batch[:0]
 			return nil
 		}
-		batch = append(batch, found{string(r.Key), r.Kind == format.Put, place{g, r.Seq, r.Expiry, uint32(off), uint32(r.Size())}})
-		if r.More {
+		batch = append(batch, loadedRecord{string(r.Key), r.Kind == format.KindPut, location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(r.Size())}})
+		if r.BatchContinues {
 			return nil
 		}
 		for _, f := range batch {
 			if skip {
-				v.Lost = append(v.Lost, Loss{g.name, int64(f.what.off), int64(f.what.size), "it may belong to a batch that is not whole"})
+				v.Lost = append(v.Lost, Loss{g.name, int64(f.location.offset), int64(f.location.size), "it may belong to a batch that is not whole"})
 				continue
 			}
 			v.Records++
-			if old, ok := best[f.key]; !ok || old.what.seq < f.what.seq {
+			if old, ok := best[f.key]; !ok || old.location.sequence < f.location.sequence {
 				best[f.key] = f
 			}
 		}
 		skip, batch = false, batch[:0]
 		return nil
 	}
-	for from := int64(format.SegmentHeader); from < g.size; {
+	for from := int64(format.SegmentHeaderSize); from < g.size; {
 		end, err := g.scanFrom(from, most, take)
 		if err == nil {
 			break
@@ -212,7 +212,7 @@
 			return mark, err
 		}
 		skip, batch = !g.cold, batch[:0] // a compaction leaves no batches of several records
-		next, err2 := g.resync(end+1, most)
+		next, err2 := g.findNextReadable(end+1, most)
 		if err2 != nil {
 			return mark, err2
 		}
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -23,31 +23,31 @@
 	file   disk.File
 	salt   uint32
 	cold   bool
-	size   int64   // bytes on disk that count
-	blocks []block // cold: where they are
+	size   int64           // bytes on disk that count
+	blocks []blockLocation // cold: where they are
 
-	raw, dead, tombs int64 // bytes: of all records; of those that no longer count; of deletions
-	least, high      uint64
+	totalBytes, deadBytes, tombstoneBytes int64 // bytes: of all records; of those that no longer count; of deletions
+	minSequence, maxSequence              uint64
 
 	refs  atomic.Int32 // the store's own, and one for each reader
-	cache atomic.Pointer[unpacked]
+	cache atomic.Pointer[decodedBlock]
 }
 
-// block is where a block of a cold segment stands.
-type block struct{ raw, off int64 }
+// blockLocation is where a block of a cold segment stands.
+type blockLocation struct{ rawOffset, fileOffset int64 }
 
-// unpacked is the block that was read last.
-type unpacked struct {
-	raw   int64
-	bytes []byte
+// decodedBlock is the block that was read last.
+type decodedBlock struct {
+	rawOffset int64
+	bytes     []byte
 }
 
-func fileName(number uint64) string { return fmt.Sprintf("%016x.seg", number) }
+func segmentFileName(number uint64) string { return fmt.Sprintf("%016x.seg", number) }
 
-// number reads a segment's number from its file name.
-func number(name string) (n uint64, ok bool) {
+// segmentNumber reads a segment's number from its file name.
+func segmentNumber(name string) (n uint64, ok bool) {
 	_, err := fmt.Sscanf(name, "%016x.seg", &n)
-	return n, err == nil && name == fileName(n)
+	return n, err == nil && name == segmentFileName(n)
 }
 
 func (g *segment) acquire() { g.refs.Add(1) }
@@ -59,18 +59,18 @@
 	}
 }
 
-// count notes a record in the segment's figures.
-func (g *segment) count(seq uint64, size int) {
-	g.raw += int64(size)
-	g.high = max(g.high, seq)
-	if g.least == 0 || seq < g.least {
-		g.least = seq
+// countRecord notes a record in the segment's figures.
+func (g *segment) countRecord(seq uint64, size int) {
+	g.totalBytes += int64(size)
+	g.maxSequence = max(g.maxSequence, seq)
+	if g.minSequence == 0 || seq < g.minSequence {
+		g.minSequence = seq
 	}
 }
 
 // openSegment opens a file that the manifest lists.
-func openSegment(fs disk.FS, store format.ID, e format.Entry) (*segment, error) {
-	name := fileName(e.Number)
+func openSegment(fs disk.FS, store format.ID, e format.SegmentEntry) (*segment, error) {
+	name := segmentFileName(e.Number)
 	f, err := fs.Open(name)
 	if err != nil {
 		if isNotExist(err) {
@@ -80,32 +80,32 @@
 	}
 	g := &segment{number: e.Number, name: name, store: store, file: f, cold: e.Cold, size: e.Size}
 	g.refs.Store(1)
-	if err := g.begin(); err != nil {
+	if err := g.readHeader(); err != nil {
 		closeRead(f)
 		return nil, err
 	}
 	return g, nil
 }
 
-// begin reads the header, and fills in the size of the active segment.
-func (g *segment) begin() error {
+// readHeader reads the header, and fills in the size of the active segment.
+func (g *segment) readHeader() error {
 	size, err := g.file.Size()
 	if err != nil {
 		return err
 	}
 	switch {
-	case g.size == format.Active:
-		if g.size = size; size < format.SegmentHeader {
+	case g.size == format.ActiveSegmentSize:
+		if g.size = size; size < format.SegmentHeaderSize {
 			return nil // cut off in its header, before any record
 		}
 	case size < g.size:
 		return damage(g.name, size, "the file ends here, and should have %d bytes", g.size)
 	}
-	b := make([]byte, format.SegmentHeader)
+	b := make([]byte, format.SegmentHeaderSize)
 	if _, err := g.file.ReadAt(b, 0); err != nil {
 		return err
 	}
-	h, salt, err := format.ReadHeader(b)
+	h, salt, err := format.DecodeSegmentHeader(b)
 	switch v := (format.VersionError{}); {
 	case errors.As(err, &v):
 		return fmt.Errorf("%s: %w", g.name, err)
@@ -122,7 +122,7 @@
 // last good one ended; the error wraps ErrShort or ErrInvalid of package format where the bytes behind it are no record. Keys
 // and values are valid during the call only.
 func (g *segment) scan(most int, fn func(off int64, r *format.Record) error) (end int64, err error) {
-	return g.scanFrom(format.SegmentHeader, most, fn)
+	return g.scanFrom(format.SegmentHeaderSize, most, fn)
 }
 
 // scanFrom begins at an offset of the file, where a record or block must stand.
@@ -130,25 +130,25 @@
 	if g.cold {
 		return g.scanCold(from, most, fn)
 	}
-	if g.size < format.SegmentHeader {
+	if g.size < format.SegmentHeaderSize {
 		return g.size, nil
 	}
-	w := window{file: g.file, off: from, end: g.size}
+	w := fileWindow{file: g.file, off: from, end: g.size}
 	for w.off < g.size {
-		b, err := w.peek(format.RecordHeader)
+		b, err := w.peek(format.RecordHeaderSize)
 		if err != nil {
 			return w.off, err
 		}
-		r, err := format.ReadRecord(b, g.salt, w.off)
+		r, err := format.DecodeRecord(b, g.salt, w.off)
 		if errors.Is(err, format.ErrShort) {
-			need := format.RecordHeader + recordRest(b)
-			if need > format.RecordHeader+format.MaxKey+int64(most) || w.off+need > g.size {
+			need := format.RecordHeaderSize + recordRest(b)
+			if need > format.RecordHeaderSize+format.MaxKeyBytes+int64(most) || w.off+need > g.size {
 				return w.off, err
 			}
 			if b, err = w.peek(int(need)); err != nil {
 				return w.off, err
 			}
-			r, err = format.ReadRecord(b, g.salt, w.off)
+			r, err = format.DecodeRecord(b, g.salt, w.off)
 		}
 		if err != nil {
 			return w.off, err
@@ -163,7 +163,7 @@
 
 // recordRest is how many bytes a header says are behind it; it may be wrong, as nothing has been checked.
 func recordRest(b []byte) int64 {
-	if len(b) < format.RecordHeader {
+	if len(b) < format.RecordHeaderSize {
 		return 0
 	}
 	return int64(binary.LittleEndian.Uint32(b[4:])) + int64(binary.LittleEndian.Uint16(b[8:]))
@@ -171,19 +171,19 @@
 
 // scanCold reads a cold segment block by block, and notes blocks that it sees for the first time.
 func (g *segment) scanCold(from int64, most int, fn func(off int64, r *format.Record) error) (end int64, err error) {
-	w := window{file: g.file, off: from, end: g.size}
+	w := fileWindow{file: g.file, off: from, end: g.size}
 	for w.off < g.size {
 		b, raw, at, err := g.block(&w, most)
 		if err != nil {
 			return at, err
 		}
 		// Those already known are being read by others, so they are left alone.
-		if n := len(g.blocks); n == 0 || g.blocks[n-1].raw < raw {
-			g.blocks = append(g.blocks, block{raw, at})
+		if n := len(g.blocks); n == 0 || g.blocks[n-1].rawOffset < raw {
+			g.blocks = append(g.blocks, blockLocation{raw, at})
 		}
 		for rest := b; len(rest) > 0; {
 			off := raw + int64(len(b)-len(rest))
-			r, err := format.ReadRecord(rest, g.salt, off)
+			r, err := format.DecodeRecord(rest, g.salt, off)
 			if err != nil {
 				return at, err
 			}
@@ -197,47 +197,47 @@
 }
 
 // block reads and unpacks the block at the window, moves behind it, and returns where it stood, unpacked and in the file.
-func (g *segment) block(w *window, most int) (b []byte, raw, at int64, err error) {
+func (g *segment) block(w *fileWindow, most int) (b []byte, raw, at int64, err error) {
 	at = w.off
-	if b, err = w.peek(format.BlockHeader); err != nil {
+	if b, err = w.peek(format.BlockHeaderSize); err != nil {
 		return nil, 0, at, err
 	}
-	head, err := format.ReadBlockHead(b)
+	head, err := format.DecodeBlockHeader(b)
 	if err != nil {
 		return nil, 0, at, err
 	}
-	if limit := 4*most + format.MaxKey + 1<<20; head.Raw > limit || head.Packed > limit {
+	if limit := 4*most + format.MaxKeyBytes + 1<<20; head.RawBytes > limit || head.CompressedBytes > limit {
 		return nil, 0, at, format.ErrInvalid
 	}
-	if b, err = w.peek(format.BlockHeader + head.Packed); err != nil {
+	if b, err = w.peek(format.BlockHeaderSize + head.CompressedBytes); err != nil {
 		return nil, 0, at, err
 	}
-	if b, err = unpack(b, g.salt, at); err != nil {
+	if b, err = decodeBlock(b, g.salt, at); err != nil {
 		return nil, 0, at, err
 	}
-	w.off += int64(format.BlockHeader + head.Packed)
-	return b, head.Offset, at, nil
+	w.off += int64(format.BlockHeaderSize + head.CompressedBytes)
+	return b, head.RawOffset, at, nil
 }
 
-// resync finds the next offset of the file from which there can be read again: a valid record, or in a cold segment a
+// findNextReadable finds the next offset of the file from which there can be read again: a valid record, or in a cold segment a
 // valid block; the size where there is none.
-func (g *segment) resync(from int64, most int) (int64, error) {
-	w := window{file: g.file, off: from, end: g.size}
+func (g *segment) findNextReadable(from int64, most int) (int64, error) {
+	w := fileWindow{file: g.file, off: from, end: g.size}
 	for ; w.off < g.size; w.off++ {
-		b, err := w.peek(format.RecordHeader)
+		b, err := w.peek(format.RecordHeaderSize)
 		if err != nil {
 			return 0, err
 		}
-		need := format.RecordHeader + recordRest(b)
+		need := format.RecordHeaderSize + recordRest(b)
 		if g.cold {
-			head, err := format.ReadBlockHead(b)
+			head, err := format.DecodeBlockHeader(b)
 			if err != nil {
 				continue
 			}
-			need = int64(format.BlockHeader + head.Packed)
-		} else if _, err := format.ReadRecord(b, g.salt, w.off); err == nil {
+			need = int64(format.BlockHeaderSize + head.CompressedBytes)
+		} else if _, err := format.DecodeRecord(b, g.salt, w.off); err == nil {
 			return w.off, nil
-		} else if !errors.Is(err, format.ErrShort) || need > format.RecordHeader+format.MaxKey+int64(most) {
+		} else if !errors.Is(err, format.ErrShort) || need > format.RecordHeaderSize+format.MaxKeyBytes+int64(most) {
 			continue // the fields are looked at before the checksum, so that most offsets cost little
 		}
 		if w.off+need > g.size {
@@ -247,9 +247,9 @@
 			return 0, err
 		}
 		if g.cold {
-			_, err = unpack(b, g.salt, w.off)
+			_, err = decodeBlock(b, g.salt, w.off)
 		} else {
-			_, err = format.ReadRecord(b, g.salt, w.off)
+			_, err = format.DecodeRecord(b, g.salt, w.off)
 		}
 		if err == nil {
 			return w.off, nil
@@ -258,21 +258,21 @@
 	return g.size, nil
 }
 
-// unpack returns a block's records.
-func unpack(b []byte, salt uint32, off int64) ([]byte, error) {
-	head, packed, err := format.ReadBlock(b, salt, off)
+// decodeBlock returns a block's records.
+func decodeBlock(b []byte, salt uint32, off int64) ([]byte, error) {
+	head, packed, err := format.DecodeBlock(b, salt, off)
 	if err != nil {
 		return nil, err
 	}
-	if !head.Zstd {
+	if !head.Compressed {
 		return bytes.Clone(packed), nil
 	}
 	d, err := decoder()
 	if err != nil {
 		return nil, err
 	}
-	raw, err := d.DecodeAll(packed, make([]byte, 0, head.Raw))
-	if err != nil || len(raw) != head.Raw {
+	raw, err := d.DecodeAll(packed, make([]byte, 0, head.RawBytes))
+	if err != nil || len(raw) != head.RawBytes {
 		return nil, fmt.Errorf("%w: it does not unpack (%w)", format.ErrInvalid, err)
 	}
 	return raw, nil
@@ -282,7 +282,7 @@
 func (g *segment) read(off int64, size int) (format.Record, error) {
 	var b []byte
 	if g.cold {
-		i, found := slices.BinarySearchFunc(g.blocks, off, func(b block, off int64) int { return int(b.raw - off) })
+		i, found := slices.BinarySearchFunc(g.blocks, off, func(b blockLocation, off int64) int { return int(b.rawOffset - off) })
 		if !found {
 			i--
 		}
@@ -290,25 +290,25 @@
 			return format.Record{}, damage(g.name, off, "no block has this record")
 		}
 		u := g.cache.Load()
-		if u == nil || u.raw != g.blocks[i].raw {
-			at, end := g.blocks[i].off, g.size
+		if u == nil || u.rawOffset != g.blocks[i].rawOffset {
+			at, end := g.blocks[i].fileOffset, g.size
 			if i+1 < len(g.blocks) {
-				end = g.blocks[i+1].off
+				end = g.blocks[i+1].fileOffset
 			}
 			packed := make([]byte, end-at)
 			if _, err := g.file.ReadAt(packed, at); err != nil && !errors.Is(err, io.EOF) {
 				return format.Record{}, fmt.Errorf("%s: %w", g.name, err)
 			}
-			raw, err := unpack(packed, g.salt, at)
+			raw, err := decodeBlock(packed, g.salt, at)
 			if err != nil {
 				return format.Record{}, damage(g.name, at, "%v", err)
 			}
-			u = &unpacked{g.blocks[i].raw, raw}
+			u = &decodedBlock{g.blocks[i].rawOffset, raw}
 			g.cache.Store(u)
 		}
-		from := int(off - u.raw)
+		from := int(off - u.rawOffset)
 		if from < 0 || from+size > len(u.bytes) {
-			return format.Record{}, damage(g.name, g.blocks[i].off, "a record is not where it was")
+			return format.Record{}, damage(g.name, g.blocks[i].fileOffset, "a record is not where it was")
 		}
 		b = bytes.Clone(u.bytes[from : from+size])
 	} else {
@@ -317,15 +317,15 @@
 			return format.Record{}, fmt.Errorf("%s: %w", g.name, err)
 		}
 	}
-	r, err := format.ReadRecord(b, g.salt, off)
+	r, err := format.DecodeRecord(b, g.salt, off)
 	if err != nil {
 		return r, damage(g.name, off, "%v", err)
 	}
 	return r, nil
 }
 
-// window reads a file forwards through a buffer.
-type window struct {
+// fileWindow reads a file forwards through a buffer.
+type fileWindow struct {
 	file     disk.File
 	off, end int64 // what is peeked at next; where the file is taken to end
 	buf      []byte
@@ -333,7 +333,7 @@
 }
 
 // peek returns at least n bytes at off, fewer only where the file ends.
-func (w *window) peek(n int) ([]byte, error) {
+func (w *fileWindow) peek(n int) ([]byte, error) {
 	have := w.from + int64(len(w.buf)) - w.off
 	if want := min(int64(n), w.end-w.off); w.off < w.from || have < want {
 		size := min(max(int64(n), 256<<10), w.end-w.off)
@@ -353,8 +353,8 @@
 
 // findFlushed looks behind an offset for groups, and returns the highest flushed offset that they tell of.
 func (g *segment) findFlushed(from int64) (flushed int64, err error) {
-	w := window{file: g.file, off: from, end: g.size}
-	for w.off+format.GroupSize <= g.size {
+	w := fileWindow{file: g.file, off: from, end: g.size}
+	for w.off+format.GroupRecordSize <= g.size {
 		b, err := w.peek(1 << 20)
 		if err != nil {
 			return 0, err
@@ -362,27 +362,27 @@
 		if f, found := format.FindFlushed(b, g.salt, w.off); found {
 			flushed = max(flushed, f)
 		}
-		w.off += int64(len(b)) - format.GroupSize + 1
-		if len(b) < format.GroupSize {
+		w.off += int64(len(b)) - format.GroupRecordSize + 1
+		if len(b) < format.GroupRecordSize {
 			break
 		}
 	}
 	return flushed, nil
 }
 
-// packer writes a cold segment.
-type packer struct {
+// coldWriter writes a cold segment.
+type coldWriter struct {
 	*segment
-	limit  int // bytes of a block before it is packed
-	paced  func() error
-	enc    *zstd.Encoder
-	block  []byte
-	packed []byte // used again from block to block
-	out    []byte
-	rawOff int64 // where the next record stands, unpacked
+	limit      int // bytes of a block before it is packed
+	afterBlock func() error
+	enc        *zstd.Encoder
+	block      []byte
+	compressed []byte // used again from block to block
+	out        []byte
+	rawOffset  int64 // where the next record stands, unpacked
 }
 
-func newPacker(fs disk.FS, store format.ID, number uint64, limit int, paced func() error) (*packer, error) {
+func newColdWriter(fs disk.FS, store format.ID, number uint64, limit int, paced func() error) (*coldWriter, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(128<<10))
 	if err != nil {
 		return nil, err
@@ -391,19 +391,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return &packer{segment: g, limit: limit, paced: paced, enc: enc, rawOff: format.SegmentHeader}, nil
+	return &coldWriter{segment: g, limit: limit, afterBlock: paced, enc: enc, rawOffset: format.SegmentHeaderSize}, nil
 }
 
 // createSegment makes a segment's file with its header.
 func createSegment(fs disk.FS, store format.ID, number uint64, cold bool) (*segment, error) {
-	g := &segment{number: number, name: fileName(number), store: store, cold: cold, size: format.SegmentHeader}
+	g := &segment{number: number, name: segmentFileName(number), store: store, cold: cold, size: format.SegmentHeaderSize}
 	g.refs.Store(1)
 	f, err := fs.Create(g.name)
 	if err != nil {
 		return nil, err
 	}
 	var b []byte
-	b, g.salt = format.Header{Store: store, Number: number, Cold: cold}.Append(nil)
+	b, g.salt = format.SegmentHeader{Store: store, Number: number, Cold: cold}.Append(nil)
 	if _, err := f.WriteAt(b, 0); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
@@ -412,36 +412,36 @@
 }
 
 // add appends a record and returns its offset.
-func (p *packer) add(r *format.Record) (off int64, err error) {
-	off = p.rawOff
+func (p *coldWriter) add(r *format.Record) (off int64, err error) {
+	off = p.rawOffset
 	p.block = format.AppendRecord(p.block, p.salt, off, r)
-	p.rawOff += int64(r.Size())
-	p.count(r.Seq, r.Size())
+	p.rawOffset += int64(r.Size())
+	p.countRecord(r.Sequence, r.Size())
 	if len(p.block) >= p.limit {
-		err = p.pack()
+		err = p.flushBlock()
 	}
 	return off, err
 }
 
-// pack writes the block that has gathered, compressed where that saves an eighth.
-func (p *packer) pack() error {
+// flushBlock writes the block that has gathered, compressed where that saves an eighth.
+func (p *coldWriter) flushBlock() error {
 	if len(p.block) == 0 {
 		return nil
 	}
-	p.packed = p.enc.EncodeAll(p.block, p.packed[:0])
-	packed := p.packed
+	p.compressed = p.enc.EncodeAll(p.block, p.compressed[:0])
+	packed := p.compressed
 	zst := len(packed) < len(p.block)-len(p.block)/8
 	if !zst {
 		packed = p.block
 	}
-	first := p.rawOff - int64(len(p.block))
-	b := format.AppendBlock(p.out[:0], p.salt, p.size, format.Block{Raw: len(p.block), Zstd: zst, Offset: first}, packed)
+	first := p.rawOffset - int64(len(p.block))
+	b := format.AppendBlock(p.out[:0], p.salt, p.size, format.BlockHeader{RawBytes: len(p.block), Compressed: zst, RawOffset: first}, packed)
 	if _, err := p.file.WriteAt(b, p.size); err != nil {
 		return err
 	}
 	p.out = b
-	p.blocks = append(p.blocks, block{first, p.size})
+	p.blocks = append(p.blocks, blockLocation{first, p.size})
 	p.size += int64(len(b))
 	p.block = p.block[:0]
-	return p.paced()
+	return p.afterBlock()
 }
--- a/internal/ledger/stats.go
+++ b/internal/ledger/stats.go
@@ -32,14 +32,14 @@
 
 // Stats takes the figures.
 func (s *Store) Stats() Stats {
-	s.meta.Lock()
-	defer s.meta.Unlock()
+	s.manifestMu.Lock()
+	defer s.manifestMu.Unlock()
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	c := s.counts
-	t := Stats{Keys: s.index.Len(), Index: s.keys, IndexLimit: s.opts.Limits.IndexBytes, Mark: fromMillis(s.mark), Puts: c.puts,
-		Deletes: c.deletes, Batches: c.batches, Groups: c.groups, Flushes: c.flushes, Asked: c.asked, Written: c.written,
-		Packed: c.packed, Compactions: c.compactions}
+	t := Stats{Keys: s.index.Len(), Index: s.indexBytes, IndexLimit: s.opts.Limits.IndexBytes, Mark: fromMillis(s.clockMark), Puts: c.puts,
+		Deletes: c.deletes, Batches: c.batches, Groups: c.groups, Flushes: c.flushes, Asked: c.requestedBytes, Written: c.writtenBytes,
+		Packed: c.compactedBytes, Compactions: c.compactions}
 	all := s.sealed
 	if s.active != nil {
 		all = append(all[:len(all):len(all)], s.active)
@@ -50,8 +50,8 @@
 			t.Cold++
 		}
 		t.Disk += g.size
-		t.Records += g.raw
-		t.Garbage += g.dead + g.tombs
+		t.Records += g.totalBytes
+		t.Garbage += g.deadBytes + g.tombstoneBytes
 	}
 	if s.broken != nil {
 		t.Broken = s.broken.Error()
--- a/internal/ledger/torture_test.go
+++ b/internal/ledger/torture_test.go
@@ -71,7 +71,7 @@
 		case n < 17:
 			err = h.apply(s, map[string]string{"batch" + key(): value, key(): "b" + value, key(): ""}, key())
 		case n < 19:
-			err = s.compactDue()
+			err = s.compactWhileDue()
 		default:
 			_, err = s.Compact()
 		}
@@ -219,7 +219,7 @@
 					}
 					continue
 				}
-				if name != manifestNew {
+				if name != manifestTempName {
 					t.Fatalf("%s cut at %d opens: %v", name, k, err)
 				}
 			}
@@ -265,8 +265,8 @@
 			}
 		}
 	}
-	last, active := s.w.flushed, s.active.name
-	last -= int64(len(s.w.buf)) // where the last group begins
+	last, active := s.writer.flushedOffset, s.active.name
+	last -= int64(len(s.writer.buf)) // where the last group begins
 	files := fs.Kill().Files()
 	repaired := 0
 	for name, b := range files {
@@ -321,7 +321,7 @@
 	}
 	cut := maps.Clone(files)
 	for name := range files {
-		if _, ok := number(name); ok && name != active {
+		if _, ok := segmentNumber(name); ok && name != active {
 			delete(cut, name)
 			var d *Damage
 			if _, err := Open(simdisk.Of(cut), o); !errors.As(err, &d) || d.File != name {
@@ -549,7 +549,7 @@
 			return m
 		}
 		follow := func(t *rapid.T) {
-			now := time.UnixMilli(s.mark)
+			now := time.UnixMilli(s.clockMark)
 			if now.Before(mark) || now.After(mark) && now.After(c.Now()) {
 				t.Fatalf("the mark went from %v to %v at %v", mark, now, c.Now())
 			}
@@ -596,7 +596,7 @@
 			},
 			"tend": func(t *rapid.T) {
 				s.Sweep()
-				if err := s.compactDue(); err != nil {
+				if err := s.compactWhileDue(); err != nil {
 					t.Fatal(err)
 				}
 				follow(t)
@@ -634,7 +634,7 @@
 	s := mustOpen(t, fs, o)
 	roll := func() {
 		t.Helper()
-		if err := s.roll(); err != nil {
+		if err := s.sealActive(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -678,7 +678,7 @@
 		fs := simdisk.New(state)
 		s := mustOpen(t, fs, o)
 		put(t, s, "k", "old")
-		if err := s.roll(); err != nil {
+		if err := s.sealActive(); err != nil {
 			t.Fatal(err)
 		}
 		put(t, s, "k", "new")
@@ -708,7 +708,7 @@
 			}
 			g = s.sealed[0]
 		}
-		at := fs.Flip(g.name, format.SegmentHeader, int(g.size), seed)
+		at := fs.Flip(g.name, format.SegmentHeaderSize, int(g.size), seed)
 		damaged := 0
 		for i := range 6 {
 			v, err := s.Get([]byte(fmt.Sprint("k", i)))
--- a/internal/ledger/write.go
+++ b/internal/ledger/write.go
@@ -21,11 +21,11 @@
 
 // Put adds a value.
 func (b *Batch) Put(key, value []byte, expiry time.Time) {
-	b.add(format.Record{Kind: format.Put, Key: key, Value: value, Expiry: millis(expiry)})
+	b.add(format.Record{Kind: format.KindPut, Key: key, Value: value, ExpiryMillis: millis(expiry)})
 }
 
 // Delete adds a removal.
-func (b *Batch) Delete(key []byte) { b.add(format.Record{Kind: format.Delete, Key: key}) }
+func (b *Batch) Delete(key []byte) { b.add(format.Record{Kind: format.KindDelete, Key: key}) }
 
 func (b *Batch) add(r format.Record) {
 	b.records = append(b.records, r)
@@ -41,43 +41,43 @@
 	bytes   int
 	done    func(error) // called once; must not block
 	flush   bool        // wants all that was written before it flushed
-	roll    bool        // wants the active segment sealed
+	seal    bool        // wants the active segment sealed
 }
 
 // writer is the queue before the one goroutine that writes.
 type writer struct {
-	mu      sync.Mutex
-	queue   []*pending
-	bytes   int
-	closed  bool
-	full    int        // so many queued are worth no further wait
-	room    *sync.Cond // the queue got shorter, or closed
-	arrived chan struct{}
+	mu          sync.Mutex
+	queue       []*pending
+	queuedBytes int
+	closed      bool
+	wakeAt      int        // so many queued are worth no further wait
+	spaceFreed  *sync.Cond // the queue got shorter, or closed
+	arrived     chan struct{}
 
 	// Of the writing goroutine alone:
-	group   plan.Group
-	seq     uint64
-	flushed int64 // of the active segment
-	records int   // in it
-	marked  int64 // the mark as last written
-	buf     []byte
+	groupCommit   plan.GroupCommit
+	lastSequence  uint64
+	flushedOffset int64 // of the active segment
+	activeRecords int   // in it
+	writtenMark   int64 // the mark as last written
+	buf           []byte
 
-	settle   chan written
-	settling sync.WaitGroup // groups written and not yet in the index
+	durable   chan durableGroup
+	unindexed sync.WaitGroup // groups written and not yet in the index
 
 	// told is what is to be called back, in order, by a goroutine of its own.
-	tell sync.Mutex
-	told []func()
-	bell chan struct{}
+	callbackMu    sync.Mutex
+	callbacks     []func()
+	callbackReady chan struct{}
 }
 
 func (w *writer) init() {
-	w.room = sync.NewCond(&w.mu)
-	w.arrived, w.bell = make(chan struct{}, 1), make(chan struct{}, 1)
-	w.settle = make(chan written, 4)
+	w.spaceFreed = sync.NewCond(&w.mu)
+	w.arrived, w.callbackReady = make(chan struct{}, 1), make(chan struct{}, 1)
+	w.durable = make(chan durableGroup, 4)
 }
 
-func ring(bell chan struct{}) {
+func signal(bell chan struct{}) {
 	select {
 	case bell <- struct{}{}:
 	default:
@@ -87,13 +87,13 @@
 func (w *writer) close() {
 	w.mu.Lock()
 	w.closed = true
-	w.room.Broadcast()
+	w.spaceFreed.Broadcast()
 	w.mu.Unlock()
-	ring(w.arrived)
+	signal(w.arrived)
 }
 
-// check refuses a batch that could never be written.
-func (s *Store) check(b *Batch) error {
+// validate refuses a batch that could never be written.
+func (s *Store) validate(b *Batch) error {
 	if s.opts.ReadOnly {
 		return ErrReadOnly
 	}
@@ -101,7 +101,7 @@
 		switch {
 		case len(r.Key) == 0:
 			return fmt.Errorf("%w: a key has at least one byte", ErrNotWritten)
-		case len(r.Key) > min(s.opts.Limits.KeyBytes, format.MaxKey):
+		case len(r.Key) > min(s.opts.Limits.KeyBytes, format.MaxKeyBytes):
 			return fmt.Errorf("%w: a key of %d bytes", ErrTooLarge, len(r.Key))
 		case len(r.Value) > s.opts.Limits.ValueBytes:
 			return fmt.Errorf("%w: a value of %d bytes", ErrTooLarge, len(r.Value))
@@ -115,17 +115,17 @@
 
 // Apply makes a batch durable and returns then. It waits while the queue is full. Errors are those of errors.go.
 func (s *Store) Apply(b *Batch) error {
-	if err := s.check(b); err != nil {
+	if err := s.validate(b); err != nil {
 		return err
 	}
 	if len(b.records) == 0 {
 		return nil
 	}
-	return s.await(&pending{records: b.records, bytes: b.bytes})
+	return s.enqueueAndWait(&pending{records: b.records, bytes: b.bytes})
 }
 
-// await queues something and waits for its end.
-func (s *Store) await(p *pending) error {
+// enqueueAndWait queues something and waits for its end.
+func (s *Store) enqueueAndWait(p *pending) error {
 	done := make(chan error, 1)
 	p.done = func(err error) { done <- err }
 	if err := s.enqueue(p, true); err != nil {
@@ -137,10 +137,10 @@
 // Go does the same without waiting: done is called from another goroutine once the batch is durable or can't be. Batches
 // reach the log in the order of the calls. An error means that done will not be called; ErrBusy that the queue is full.
 func (s *Store) Go(b *Batch, done func(error)) error {
-	if err := s.check(b); err != nil {
+	if err := s.validate(b); err != nil {
 		return err
 	}
-	return s.enqueue(&pending{records: b.records, bytes: b.bytes, done: func(err error) { s.w.later(func() { done(err) }) }}, false)
+	return s.enqueue(&pending{records: b.records, bytes: b.bytes, done: func(err error) { s.writer.queueCallback(func() { done(err) }) }}, false)
 }
 
 // Sync returns once all that was written before it is flushed.
@@ -148,46 +148,46 @@
 	if s.opts.ReadOnly {
 		return ErrReadOnly
 	}
-	return s.await(&pending{flush: true})
+	return s.enqueueAndWait(&pending{flush: true})
 }
 
 func (s *Store) enqueue(p *pending, wait bool) error {
-	w := &s.w
+	w := &s.writer
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for !w.closed && w.bytes > 0 && w.bytes+p.bytes > s.opts.Limits.QueueBytes {
+	for !w.closed && w.queuedBytes > 0 && w.queuedBytes+p.bytes > s.opts.Limits.QueueBytes {
 		if !wait {
 			return ErrBusy
 		}
-		w.room.Wait()
+		w.spaceFreed.Wait()
 	}
 	if w.closed {
 		return ErrClosed
 	}
 	w.queue = append(w.queue, p)
-	w.bytes += p.bytes
+	w.queuedBytes += p.bytes
 	// The writing goroutine is woken for the first one, from which on it counts the time, and for the last it waits for.
-	if n := len(w.queue); n == 1 || n >= w.full || w.bytes >= s.opts.Limits.GroupBytes {
-		ring(w.arrived)
+	if n := len(w.queue); n == 1 || n >= w.wakeAt || w.queuedBytes >= s.opts.Limits.GroupBytes {
+		signal(w.arrived)
 	}
 	return nil
 }
 
-// later calls fn from the goroutine that calls back, so that no caller's code holds up the next flush.
-func (w *writer) later(fn func()) {
-	w.tell.Lock()
-	w.told = append(w.told, fn)
-	w.tell.Unlock()
-	ring(w.bell)
+// queueCallback calls fn from the goroutine that calls back, so that no caller's code holds up the next flush.
+func (w *writer) queueCallback(fn func()) {
+	w.callbackMu.Lock()
+	w.callbacks = append(w.callbacks, fn)
+	w.callbackMu.Unlock()
+	signal(w.callbackReady)
 }
 
-// callBack runs until end is closed and nothing is left.
-func (w *writer) callBack(end <-chan struct{}) {
+// runCallbacks runs until end is closed and nothing is left.
+func (w *writer) runCallbacks(end <-chan struct{}) {
 	for ended := false; ; {
-		w.tell.Lock()
-		told := w.told
-		w.told = nil
-		w.tell.Unlock()
+		w.callbackMu.Lock()
+		told := w.callbacks
+		w.callbacks = nil
+		w.callbackMu.Unlock()
 		for _, fn := range told {
 			fn()
 		}
@@ -198,16 +198,16 @@
 			return
 		}
 		select {
-		case <-w.bell:
+		case <-w.callbackReady:
 		case <-end:
 			ended = true
 		}
 	}
 }
 
-// take waits for the next group: what is queued, up to the limits. It returns nothing at a tick, and false at the end.
-func (s *Store) take(tick <-chan time.Time) (group []*pending, ok bool) {
-	w, lim := &s.w, s.opts.Limits
+// nextGroup waits for the next group: what is queued, up to the limits. It returns nothing at a tick, and false at the end.
+func (s *Store) nextGroup(tick <-chan time.Time) (group []*pending, ok bool) {
+	w, lim := &s.writer, s.opts.Limits
 	var began time.Time
 	var timer *time.Timer
 	defer func() {
@@ -217,18 +217,18 @@
 	}()
 	for {
 		w.mu.Lock()
-		n, full, closed := len(w.queue), w.bytes >= lim.GroupBytes, w.closed
-		w.full = w.group.Full(lim.GroupBatches)
+		n, full, closed := len(w.queue), w.queuedBytes >= lim.GroupBytes, w.closed
+		w.wakeAt = w.groupCommit.TargetSize(lim.GroupBatches)
 		w.mu.Unlock()
 		if n > 0 {
 			// A monotonic clock: the Unix clock has no say in how long a group waits.
 			if began.IsZero() {
 				began = time.Now()
 			}
-			left := w.group.Wait(n, lim.GroupBatches, time.Since(began), lim.GroupDelay)
+			left := w.groupCommit.RemainingWait(n, lim.GroupBatches, time.Since(began), lim.GroupDelay)
 			if full || closed || left <= 0 {
 				if timer != nil {
-					w.group.Waited(n >= w.group.Full(lim.GroupBatches))
+					w.groupCommit.RecordWait(n >= w.groupCommit.TargetSize(lim.GroupBatches))
 				}
 				break
 			}
@@ -262,20 +262,20 @@
 	if len(w.queue) == 0 {
 		w.queue = nil
 	}
-	w.bytes -= bytes
-	w.room.Broadcast()
+	w.queuedBytes -= bytes
+	w.spaceFreed.Broadcast()
 	return group, true
 }
 
-// write is the one goroutine that writes to the active segment.
-func (s *Store) write() {
+// writeLoop is the one goroutine that writes to the active segment.
+func (s *Store) writeLoop() {
 	end := make(chan struct{})
-	s.jobs.Go(func() { s.w.callBack(end) })
-	s.jobs.Go(func() {
-		s.settle()
+	s.background.Go(func() { s.writer.runCallbacks(end) })
+	s.background.Go(func() {
+		s.indexLoop()
 		close(end)
 	})
-	defer close(s.w.settle)
+	defer close(s.writer.durable)
 	every := s.opts.Limits.ClockMarkInterval
 	if f := s.opts.Flush; f > 0 {
 		every = min(every, f)
@@ -287,7 +287,7 @@
 		tick = nil
 	}
 	for {
-		group, ok := s.take(tick)
+		group, ok := s.nextGroup(tick)
 		if !ok {
 			break
 		}
@@ -297,7 +297,7 @@
 		}
 		s.commit(group)
 	}
-	s.end()
+	s.finishLog()
 }
 
 // onTick flushes what waits for it, and advances the mark where a key's time is over.
@@ -306,10 +306,10 @@
 		return
 	}
 	s.mu.RLock()
-	soonest := s.soonest
+	soonest := s.nextExpiry
 	s.mu.RUnlock()
 	now := s.opts.Now().UnixMilli()
-	if soonest != 0 && soonest <= now && now >= s.w.marked+s.opts.Limits.ClockMarkInterval.Milliseconds() && !s.opts.Manual {
+	if soonest != 0 && soonest <= now && now >= s.writer.writtenMark+s.opts.Limits.ClockMarkInterval.Milliseconds() && !s.opts.Manual {
 		s.commit(nil)
 	} else {
 		_ = s.flush() // a failure is noted, and the writers' answers say so
@@ -321,8 +321,8 @@
 	return s.Sync()
 }
 
-// end closes the log: everything is flushed, and a last group says so.
-func (s *Store) end() {
+// finishLog closes the log: everything is flushed, and a last group says so.
+func (s *Store) finishLog() {
 	if s.Err() == nil {
 		s.commit(nil)
 	}
@@ -332,31 +332,31 @@
 // commit writes a group, flushes it, puts it in the index and tells its writers.
 func (s *Store) commit(group []*pending) {
 	if err := s.Err(); err != nil {
-		answer(group, err)
+		notify(group, err)
 		return
 	}
 	began := time.Now() // monotonic
 	lim := s.opts.Limits
-	rolls := slices.ContainsFunc(group, func(p *pending) bool { return p.roll }) && s.w.records > 0
+	rolls := slices.ContainsFunc(group, func(p *pending) bool { return p.seal }) && s.writer.activeRecords > 0
 	if s.active.size >= lim.SegmentBytes || rolls {
 		if err := s.rotate(); err != nil {
-			answer(group, err)
+			notify(group, err)
 			return
 		}
 	}
-	group = s.fit(group)
-	w := &s.w
-	mark := max(w.marked, s.opts.Now().UnixMilli())
+	group = s.admitToIndex(group)
+	w := &s.writer
+	mark := max(w.writtenMark, s.opts.Now().UnixMilli())
 	g := s.active
-	b := format.AppendGroup(w.buf[:0], g.salt, g.size, w.flushed, mark)
+	b := format.AppendGroup(w.buf[:0], g.salt, g.size, w.flushedOffset, mark)
 	forced := s.opts.Flush == 0 || len(group) == 0
 	for _, p := range group {
 		forced = forced || p.flush
 		for i := range p.records {
 			r := &p.records[i]
-			w.seq++
-			w.records++
-			r.Seq, r.More = w.seq, i < len(p.records)-1
+			w.lastSequence++
+			w.activeRecords++
+			r.Sequence, r.BatchContinues = w.lastSequence, i < len(p.records)-1
 			b = format.AppendRecord(b, g.salt, g.size+int64(len(b)), r)
 		}
 	}
@@ -365,19 +365,19 @@
 		w.buf = nil
 	}
 	if _, err := g.file.WriteAt(b, g.size); err != nil {
-		answer(group, s.undo(err))
+		notify(group, s.rollBackWrite(err))
 		return
 	}
-	start := g.size + format.GroupSize
+	start := g.size + format.GroupRecordSize
 	s.mu.Lock()
 	g.size += int64(len(b))
 	s.counts.groups++
-	s.counts.written += int64(len(b))
+	s.counts.writtenBytes += int64(len(b))
 	s.mu.Unlock()
-	w.marked = mark
+	w.writtenMark = mark
 	if forced {
 		if err := s.flush(); err != nil {
-			answer(group, fmt.Errorf("%w: %w", ErrUnknown, err))
+			notify(group, fmt.Errorf("%w: %w", ErrUnknown, err))
 			return
 		}
 	}
@@ -385,34 +385,34 @@
 	w.mu.Lock()
 	queued := len(w.queue)
 	w.mu.Unlock()
-	w.group.Flushed(len(group), queued, time.Since(began))
-	w.settling.Add(1)
-	w.settle <- written{group, g, start}
-	if s.busy.Load() {
-		dead, share := s.garbage()
-		if stall := plan.Stall(dead, share, s.rules()); stall > 0 {
+	w.groupCommit.RecordFlush(len(group), queued, time.Since(began))
+	w.unindexed.Add(1)
+	w.durable <- durableGroup{group, g, start}
+	if s.compactionRunning.Load() {
+		dead, share := s.garbageShare()
+		if stall := plan.WriteStall(dead, share, s.compactionOptions()); stall > 0 {
 			time.Sleep(stall)
 		}
 	}
 }
 
-// written is a group that is as durable as it will be.
-type written struct {
+// durableGroup is a group that is as durable as it will be.
+type durableGroup struct {
 	group []*pending
 	seg   *segment
 	off   int64
 }
 
-// settle puts groups in the index and tells their writers, while the next group is being flushed.
-func (s *Store) settle() {
-	for w := range s.w.settle {
-		s.enter(w.group, w.seg, w.off)
-		s.w.settling.Done()
-		answer(w.group, nil)
+// indexLoop puts groups in the index and tells their writers, while the next group is being flushed.
+func (s *Store) indexLoop() {
+	for w := range s.writer.durable {
+		s.indexGroup(w.group, w.seg, w.off)
+		s.writer.unindexed.Done()
+		notify(w.group, nil)
 	}
 }
 
-func answer(group []*pending, err error) {
+func notify(group []*pending, err error) {
 	for _, p := range group {
 		p.done(err)
 	}
@@ -420,23 +420,23 @@
 
 // flush makes all that was written durable.
 func (s *Store) flush() error {
-	w := &s.w
-	if w.flushed == s.active.size || s.Err() != nil {
+	w := &s.writer
+	if w.flushedOffset == s.active.size || s.Err() != nil {
 		return s.Err()
 	}
 	if err := s.active.file.Sync(); err != nil {
 		return s.fail(err)
 	}
-	w.flushed = s.active.size
+	w.flushedOffset = s.active.size
 	s.mu.Lock()
-	s.mark = w.marked
+	s.clockMark = w.writtenMark
 	s.counts.flushes++
 	s.mu.Unlock()
 	return nil
 }
 
-// undo takes back a group whose write failed, and says what its writers are to hear.
-func (s *Store) undo(cause error) error {
+// rollBackWrite takes back a group whose write failed, and says what its writers are to hear.
+func (s *Store) rollBackWrite(cause error) error {
 	// What of it reached the file must not be taken for records behind a later, shorter group.
 	err := s.active.file.Truncate(s.active.size)
 	if err == nil {
@@ -445,33 +445,33 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnknown, s.fail(errors.Join(cause, err)))
 	}
-	s.w.flushed = s.active.size
-	return refused(cause)
+	s.writer.flushedOffset = s.active.size
+	return notWritten(cause)
 }
 
-// refused wraps the error of an operation that left nothing behind.
-func refused(cause error) error {
+// notWritten wraps the error of an operation that left nothing behind.
+func notWritten(cause error) error {
 	if disk.IsFull(cause) {
 		return fmt.Errorf("%w: %w: %w", ErrNotWritten, ErrFull, cause)
 	}
 	return fmt.Errorf("%w: %w", ErrNotWritten, cause)
 }
 
-// fit answers those of a group whose new keys have no room in memory, and returns the others.
-func (s *Store) fit(group []*pending) []*pending {
+// admitToIndex answers those of a group whose new keys have no room in memory, and returns the others.
+func (s *Store) admitToIndex(group []*pending) []*pending {
 	s.mu.RLock()
-	room := s.opts.Limits.IndexBytes - s.keys
+	room := s.opts.Limits.IndexBytes - s.indexBytes
 	var worst int64
 	for _, p := range group {
 		for i := range p.records {
-			worst += cost(len(p.records[i].Key))
+			worst += indexCost(len(p.records[i].Key))
 		}
 	}
 	if worst > room { // exact figures are needed, so those still on their way into the index count too
 		s.mu.RUnlock()
-		s.w.settling.Wait()
+		s.writer.unindexed.Wait()
 		s.mu.RLock()
-		room = s.opts.Limits.IndexBytes - s.keys
+		room = s.opts.Limits.IndexBytes - s.indexBytes
 	}
 	if worst <= room { // the common case needs no look at each key
 		s.mu.RUnlock()
@@ -490,10 +490,10 @@
 				there = was
 			}
 			switch {
-			case r.Kind == format.Put && !there:
-				need += cost(len(key))
-			case r.Kind == format.Delete && there:
-				need -= cost(len(key))
+			case r.Kind == format.KindPut && !there:
+				need += indexCost(len(key))
+			case r.Kind == format.KindDelete && there:
+				need -= indexCost(len(key))
 			}
 		}
 		if need > room && need > 0 {
@@ -502,17 +502,17 @@
 		}
 		room -= need
 		for i := range p.records {
-			fresh[string(p.records[i].Key)] = p.records[i].Kind == format.Put
+			fresh[string(p.records[i].Key)] = p.records[i].Kind == format.KindPut
 		}
 		fits = append(fits, p)
 	}
 	s.mu.RUnlock()
-	answer(over, fmt.Errorf("%w: %w (%d bytes)", ErrNotWritten, ErrIndexFull, s.opts.Limits.IndexBytes))
+	notify(over, fmt.Errorf("%w: %w (%d bytes)", ErrNotWritten, ErrIndexFull, s.opts.Limits.IndexBytes))
 	return fits
 }
 
-// enter puts a durable group in the index.
-func (s *Store) enter(group []*pending, g *segment, off int64) {
+// indexGroup puts a durable group in the index.
+func (s *Store) indexGroup(group []*pending, g *segment, off int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range group {
@@ -520,39 +520,39 @@
 			s.counts.batches++
 		}
 		for i := range p.records {
-			s.set(g, off, &p.records[i])
+			s.indexRecord(g, off, &p.records[i])
 			off += int64(p.records[i].Size())
 		}
 	}
 }
 
-// set enters one record; the caller holds mu.
-func (s *Store) set(g *segment, off int64, r *format.Record) {
+// indexRecord enters one record; the caller holds mu.
+func (s *Store) indexRecord(g *segment, off int64, r *format.Record) {
 	size := r.Size()
-	g.count(r.Seq, size)
-	s.counts.asked += int64(size)
-	s.total += int64(size)
+	g.countRecord(r.Sequence, size)
+	s.counts.requestedBytes += int64(size)
+	s.recordBytes += int64(size)
 	key := string(r.Key)
-	if r.Kind == format.Delete {
+	if r.Kind == format.KindDelete {
 		s.counts.deletes++
-		g.tombs += int64(size)
+		g.tombstoneBytes += int64(size)
 		if old, ok := s.index.Delete(key); ok {
-			old.seg.dead += int64(old.size)
-			s.live -= int64(old.size)
-			s.keys -= cost(len(key))
+			old.seg.deadBytes += int64(old.size)
+			s.liveBytes -= int64(old.size)
+			s.indexBytes -= indexCost(len(key))
 		}
 		return
 	}
 	s.counts.puts++
-	s.live += int64(size)
-	if old, ok := s.index.Set(key, place{g, r.Seq, r.Expiry, uint32(off), uint32(size)}); ok {
-		old.seg.dead += int64(old.size)
-		s.live -= int64(old.size)
+	s.liveBytes += int64(size)
+	if old, ok := s.index.Set(key, location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(size)}); ok {
+		old.seg.deadBytes += int64(old.size)
+		s.liveBytes -= int64(old.size)
 	} else {
-		s.keys += cost(len(key))
+		s.indexBytes += indexCost(len(key))
 	}
-	if r.Expiry != 0 && (s.soonest == 0 || r.Expiry < s.soonest) {
-		s.soonest = r.Expiry
+	if r.ExpiryMillis != 0 && (s.nextExpiry == 0 || r.ExpiryMillis < s.nextExpiry) {
+		s.nextExpiry = r.ExpiryMillis
 	}
 }
 
@@ -561,29 +561,29 @@
 	if err := s.flush(); err != nil {
 		return err
 	}
-	s.w.settling.Wait() // the manifest has figures of the segment's records
-	s.meta.Lock()
-	defer s.meta.Unlock()
+	s.writer.unindexed.Wait() // the manifest has figures of the segment's records
+	s.manifestMu.Lock()
+	defer s.manifestMu.Unlock()
 	g, err := s.newSegment()
 	if err != nil {
-		return refused(err)
+		return notWritten(err)
 	}
 	old := s.active
-	next := s.next(append(s.sealed[:len(s.sealed):len(s.sealed)], old), g)
-	if err := s.replace(next); err != nil {
+	next := s.nextManifest(append(s.sealed[:len(s.sealed):len(s.sealed)], old), g)
+	if err := s.replaceManifest(next); err != nil {
 		g.release()
 		return err
 	}
 	s.sealed = append(s.sealed, old)
-	s.active, s.w.flushed, s.w.records = g, g.size, 0
-	ring(s.kick)
+	s.active, s.writer.flushedOffset, s.writer.activeRecords = g, g.size, 0
+	signal(s.compactionDue)
 	return nil
 }
 
 // newSegment makes a segment's file durable, though not yet listed; the caller holds meta.
 func (s *Store) newSegment() (*segment, error) {
-	n := s.manifest.Next
-	s.manifest.Next++ // never twice, also if it fails
+	n := s.manifest.NextSegment
+	s.manifest.NextSegment++ // never twice, also if it fails
 	g, err := createSegment(s.fs, s.id, n, false)
 	if err != nil {
 		return nil, err
@@ -598,50 +598,50 @@
 	return g, nil
 }
 
-// next is the manifest with these segments; the caller holds meta.
-func (s *Store) next(sealed []*segment, active *segment) format.Manifest {
+// nextManifest is the manifest with these segments; the caller holds meta.
+func (s *Store) nextManifest(sealed []*segment, active *segment) format.Manifest {
 	m := s.manifest
-	m.Edition++
+	m.Generation++
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	m.Mark, m.Segments = max(m.Mark, s.mark), nil
+	m.ClockMark, m.Segments = max(m.ClockMark, s.clockMark), nil
 	for _, g := range sealed {
-		m.Segments = append(m.Segments, format.Entry{Number: g.number, Size: g.size, Least: g.least, Cold: g.cold})
-		m.Seq = max(m.Seq, g.high)
+		m.Segments = append(m.Segments, format.SegmentEntry{Number: g.number, Size: g.size, MinSequence: g.minSequence, Cold: g.cold})
+		m.LastSequence = max(m.LastSequence, g.maxSequence)
 	}
 	if active != nil {
-		m.Segments = append(m.Segments, format.Entry{Number: active.number, Size: format.Active, Least: active.least})
-		m.Seq = max(m.Seq, active.high)
+		m.Segments = append(m.Segments, format.SegmentEntry{Number: active.number, Size: format.ActiveSegmentSize, MinSequence: active.minSequence})
+		m.LastSequence = max(m.LastSequence, active.maxSequence)
 	}
 	return m
 }
 
-// replace makes a manifest the one in force; the caller holds meta. After an error before the renaming the old one is in
+// replaceManifest makes a manifest the one in force; the caller holds meta. After an error before the renaming the old one is in
 // force. After one behind it nobody knows, and the store takes no more writes.
-func (s *Store) replace(m format.Manifest) error {
+func (s *Store) replaceManifest(m format.Manifest) error {
 	if err := writeManifest(s.fs, m); err != nil {
-		var unsure *unsureError
+		var unsure *manifestUncertainError
 		if errors.As(err, &unsure) {
 			return fmt.Errorf("%w: %w", ErrUnknown, s.fail(err))
 		}
-		return refused(err)
+		return notWritten(err)
 	}
 	s.manifest = m
 	return nil
 }
 
-// unsureError says that the manifest may have been replaced or not.
-type unsureError struct{ error }
+// manifestUncertainError says that the manifest may have been replaced or not.
+type manifestUncertainError struct{ error }
 
-func (e *unsureError) Unwrap() error { return e.error }
+func (e *manifestUncertainError) Unwrap() error { return e.error }
 
 const (
-	manifestName = "MANIFEST"
-	manifestNew  = "MANIFEST.new"
+	manifestName     = "MANIFEST"
+	manifestTempName = "MANIFEST.new"
 )
 
 func writeManifest(fs disk.FS, m format.Manifest) error {
-	f, err := fs.Create(manifestNew)
+	f, err := fs.Create(manifestTempName)
 	if err != nil {
 		return err
 	}
@@ -652,11 +652,11 @@
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	if err = fs.Rename(manifestNew, manifestName); err == nil {
+	if err = fs.Rename(manifestTempName, manifestName); err == nil {
 		err = fs.SyncDir()
 	}
 	if err != nil {
-		return &unsureError{err}
+		return &manifestUncertainError{err}
 	}
 	return nil
 }
