--- /dev/null
+++ b/internal/ledger/callbacks.go
@@ -0,0 +1,33 @@
+package ledger
+
+// queueCallback has runCallbacks call fn, so that no caller's code delays the next flush. It does not block.
+func (w *writer) queueCallback(fn func()) {
+	w.callbackMu.Lock()
+	w.callbacks = append(w.callbacks, fn)
+	w.callbackMu.Unlock()
+	signal(w.callbackReady)
+}
+
+// runCallbacks calls what was queued, in order, until end is closed and nothing is left.
+func (w *writer) runCallbacks(end <-chan struct{}) {
+	for ended := false; ; {
+		w.callbackMu.Lock()
+		callbacks := w.callbacks
+		w.callbacks = nil
+		w.callbackMu.Unlock()
+		for _, fn := range callbacks {
+			fn()
+		}
+		if len(callbacks) > 0 {
+			continue
+		}
+		if ended {
+			return
+		}
+		select {
+		case <-w.callbackReady:
+		case <-end:
+			ended = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/ledger/commit.go
@@ -0,0 +1,204 @@
+package ledger
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"sloehitch/internal/ledger/disk"
+	"sloehitch/internal/ledger/format"
+	"sloehitch/internal/ledger/plan"
+)
+
+// writeLoop is the one goroutine that writes to the active segment. It returns once the queue is closed and empty.
+func (s *Store) writeLoop() {
+	committed := make(chan struct{})
+	s.background.Go(func() { s.writer.runCallbacks(committed) })
+	s.background.Go(func() {
+		s.indexLoop()
+		close(committed)
+	})
+	defer close(s.writer.durable)
+	every := s.opts.Limits.ClockMarkInterval
+	if f := s.opts.Flush; f > 0 {
+		every = min(every, f)
+	}
+	ticker := time.NewTicker(every)
+	defer ticker.Stop()
+	tick := ticker.C
+	if s.opts.Manual && s.opts.Flush == 0 {
+		tick = nil
+	}
+	for {
+		group, ok := s.nextGroup(tick)
+		if !ok {
+			break
+		}
+		if len(group) == 0 {
+			s.onTick()
+			continue
+		}
+		s.commit(group)
+	}
+	s.finishLog()
+}
+
+// onTick flushes what is not flushed yet, and advances the clock mark where a key has expired.
+func (s *Store) onTick() {
+	if s.Err() != nil {
+		return
+	}
+	s.mu.RLock()
+	nextExpiry := s.nextExpiry
+	s.mu.RUnlock()
+	now := s.opts.Now().UnixMilli()
+	if nextExpiry != 0 && nextExpiry <= now && now >= s.writer.writtenMark+s.opts.Limits.ClockMarkInterval.Milliseconds() && !s.opts.Manual {
+		s.commit(nil)
+	} else {
+		_ = s.flush() // fail keeps the error, and the writers get it
+	}
+}
+
+// finishLog flushes everything and writes a last group that says so.
+func (s *Store) finishLog() {
+	if s.Err() == nil {
+		s.commit(nil)
+	}
+	_ = s.flush() // what was acknowledged before a flush is at risk as documented; the log has the error
+}
+
+// commit writes a group to the active segment, flushes it where that is due, and hands it on to indexLoop, which notifies
+// its writers.
+func (s *Store) commit(group []*pending) {
+	if err := s.Err(); err != nil {
+		notify(group, err)
+		return
+	}
+	began := time.Now() // monotonic
+	if err := s.rotateIfDue(group); err != nil {
+		notify(group, err)
+		return
+	}
+	group = s.admitToIndex(group)
+	w, g := &s.writer, s.active
+	mark := max(w.writtenMark, s.opts.Now().UnixMilli())
+	encoded := s.encodeGroup(group, mark)
+	if _, err := g.file.WriteAt(encoded, g.size); err != nil {
+		notify(group, s.rollBackWrite(err))
+		return
+	}
+	firstRecord := g.size + format.GroupRecordSize
+	s.mu.Lock()
+	g.size += int64(len(encoded))
+	s.counts.groups++
+	s.counts.writtenBytes += int64(len(encoded))
+	s.mu.Unlock()
+	w.writtenMark = mark
+	if s.mustFlush(group) {
+		if err := s.flush(); err != nil {
+			notify(group, fmt.Errorf("%w: %w", ErrUnknown, err))
+			return
+		}
+	}
+	// The writers of this group have not been notified yet, so what is queued now is from others.
+	w.mu.Lock()
+	queued := len(w.queue)
+	w.mu.Unlock()
+	w.groupCommit.RecordFlush(len(group), queued, time.Since(began))
+	w.unindexed.Add(1)
+	w.durable <- durableGroup{group, g, firstRecord}
+	s.stallForCompaction()
+}
+
+// rotateIfDue starts a new active segment where the current one is full or the group asks for it.
+func (s *Store) rotateIfDue(group []*pending) error {
+	seal := slices.ContainsFunc(group, func(p *pending) bool { return p.seal }) && s.writer.activeRecords > 0
+	if s.active.size < s.opts.Limits.SegmentBytes && !seal {
+		return nil
+	}
+	return s.rotate()
+}
+
+// encodeGroup numbers the records of a group and encodes them for the end of the active segment. The bytes are valid until
+// the next call.
+func (s *Store) encodeGroup(group []*pending, clockMark int64) []byte {
+	w, g := &s.writer, s.active
+	b := format.AppendGroup(w.buf[:0], g.salt, g.size, w.flushedOffset, clockMark)
+	for _, p := range group {
+		for i := range p.records {
+			r := &p.records[i]
+			w.lastSequence++
+			w.activeRecords++
+			r.Sequence, r.BatchContinues = w.lastSequence, i < len(p.records)-1
+			b = format.AppendRecord(b, g.salt, g.size+int64(len(b)), r)
+		}
+	}
+	w.buf = b
+	if cap(w.buf) > 2*s.opts.Limits.GroupBytes {
+		w.buf = nil // one large batch is no reason to keep its memory
+	}
+	return b
+}
+
+// mustFlush reports whether a group is flushed before its writers are notified.
+func (s *Store) mustFlush(group []*pending) bool {
+	return s.opts.Flush == 0 || len(group) == 0 || slices.ContainsFunc(group, func(p *pending) bool { return p.flush })
+}
+
+// stallForCompaction pauses the writing goroutine by plan.WriteStall while a compaction is running.
+func (s *Store) stallForCompaction() {
+	if !s.compactionRunning.Load() {
+		return
+	}
+	bytes, share := s.garbageShare()
+	if stall := plan.WriteStall(bytes, share, s.compactionOptions()); stall > 0 {
+		time.Sleep(stall)
+	}
+}
+
+// notify tells the writers of a group how it ended.
+func notify(group []*pending, err error) {
+	for _, p := range group {
+		p.done(err)
+	}
+}
+
+// flush makes all that was written durable.
+func (s *Store) flush() error {
+	w := &s.writer
+	if w.flushedOffset == s.active.size || s.Err() != nil {
+		return s.Err()
+	}
+	if err := s.active.file.Sync(); err != nil {
+		return s.fail(err)
+	}
+	w.flushedOffset = s.active.size
+	s.mu.Lock()
+	s.clockMark = w.writtenMark
+	s.counts.flushes++
+	s.mu.Unlock()
+	return nil
+}
+
+// rollBackWrite truncates what a failed write left behind, and returns the error for its writers.
+func (s *Store) rollBackWrite(cause error) error {
+	// Otherwise the rest could be read as records behind a later, shorter group.
+	err := s.active.file.Truncate(s.active.size)
+	if err == nil {
+		err = s.active.file.Sync()
+	}
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrUnknown, s.fail(errors.Join(cause, err)))
+	}
+	s.writer.flushedOffset = s.active.size
+	return notWritten(cause)
+}
+
+// notWritten wraps the error of an operation that left nothing behind.
+func notWritten(cause error) error {
+	if disk.IsFull(cause) {
+		return fmt.Errorf("%w: %w: %w", ErrNotWritten, ErrFull, cause)
+	}
+	return fmt.Errorf("%w: %w", ErrNotWritten, cause)
+}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -62,12 +62,6 @@
 	size         uint32
 }
 
-// indexEntryOverheadBytes is what a key takes in memory beside its own bytes: its place in the tree and the tree's slack, rounded up
-// from what BenchmarkMemoryPerKey measures.
-const indexEntryOverheadBytes = 96
-
-func indexCost(key int) int64 { return indexEntryOverheadBytes + int64(key) }
-
 // Store is an open ledger. Its methods may be called from any goroutine.
 type Store struct {
 	fs   disk.FS
--- a/internal/ledger/recover.go
+++ b/internal/ledger/recover.go
@@ -3,8 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"io"
-	"math"
 	"runtime"
 	"slices"
 	"strings"
@@ -71,63 +69,6 @@
 // closeRead closes a file that was only read: nothing is left to be written.
 func closeRead(f disk.File) { _ = f.Close() }
 
-// loadManifest reads the manifest; where is at which offset it is bad.
-func loadManifest(fs disk.FS) (m *format.Manifest, where int64, err error) {
-	f, err := fs.Open(manifestName)
-	if err != nil {
-		return nil, 0, err
-	}
-	defer closeRead(f)
-	size, err := f.Size()
-	if err != nil {
-		return nil, 0, err
-	}
-	if size > 64<<20 {
-		return nil, 0, fmt.Errorf("the manifest has %d bytes", size)
-	}
-	b := make([]byte, size)
-	if _, err := f.ReadAt(b, 0); err != nil && !errors.Is(err, io.EOF) {
-		return nil, 0, err
-	}
-	return format.DecodeManifest(b)
-}
-
-func (s *Store) readManifest(names []string) error {
-	if !slices.Contains(names, manifestName) {
-		for _, name := range names {
-			if _, ok := segmentNumber(name); ok {
-				return damage(manifestName, 0, "there is none, though there are segments such as %s", name)
-			}
-		}
-		if s.opts.ReadOnly {
-			return fmt.Errorf("%s: no ledger in this folder", s.fs)
-		}
-		// First the manifest, then segments: so a folder with segments always has one.
-		s.recovery.Fresh = true
-		s.id = newID()
-		return s.replaceManifest(format.Manifest{Store: s.id, NextSegment: 1})
-	}
-	m, where, err := loadManifest(s.fs)
-	switch v := (format.VersionError{}); {
-	case errors.As(err, &v):
-		return fmt.Errorf("%s: %w", manifestName, err)
-	case err != nil && isNotExist(err):
-		return err
-	case err != nil:
-		return damage(manifestName, where, "%v", err)
-	}
-	s.manifest, s.id = *m, m.Store
-	for _, e := range m.Segments {
-		s.manifest.NextSegment = max(s.manifest.NextSegment, e.Number+1)
-	}
-	for _, name := range names { // numbers of files that no manifest lists are not given again either
-		if n, ok := segmentNumber(name); ok && n < math.MaxUint64 {
-			s.manifest.NextSegment = max(s.manifest.NextSegment, n+1)
-		}
-	}
-	return nil
-}
-
 // loadedRecord is a record seen while loading.
 type loadedRecord struct {
 	key      string
--- /dev/null
+++ b/internal/ledger/rotate.go
@@ -0,0 +1,43 @@
+package ledger
+
+// rotate seals the active segment and starts a new one, which is in use once the manifest lists it.
+func (s *Store) rotate() error {
+	if err := s.flush(); err != nil {
+		return err
+	}
+	s.writer.unindexed.Wait() // the manifest has figures of the segment's records
+	s.manifestMu.Lock()
+	defer s.manifestMu.Unlock()
+	g, err := s.newSegment()
+	if err != nil {
+		return notWritten(err)
+	}
+	old := s.active
+	next := s.nextManifest(append(s.sealed[:len(s.sealed):len(s.sealed)], old), g)
+	if err := s.replaceManifest(next); err != nil {
+		g.release()
+		return err
+	}
+	s.sealed = append(s.sealed, old)
+	s.active, s.writer.flushedOffset, s.writer.activeRecords = g, g.size, 0
+	signal(s.compactionDue)
+	return nil
+}
+
+// newSegment creates a segment's file and makes it durable, though not yet listed; the caller holds manifestMu.
+func (s *Store) newSegment() (*segment, error) {
+	n := s.manifest.NextSegment
+	s.manifest.NextSegment++ // never twice, also if it fails
+	g, err := createSegment(s.fs, s.id, n, false)
+	if err != nil {
+		return nil, err
+	}
+	if err = g.file.Sync(); err == nil {
+		err = s.fs.SyncDir()
+	}
+	if err != nil {
+		g.release()
+		return nil, err
+	}
+	return g, nil
+}
