--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -20,7 +20,6 @@
 
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/ledger/format"
-	"sloehitch/internal/ledger/plan"
 	"sloehitch/internal/platform/limits"
 )
 
@@ -180,9 +179,6 @@
 	s.sealed, s.retired, s.active = nil, nil, nil
 }
 
-// expired says whether a key's time is over by the store's clock.
-func expired(p location, mark int64) bool { return p.expiryMillis != 0 && p.expiryMillis <= mark }
-
 // Get returns the value of a key, or ErrNotFound. It reads one record from the disk.
 func (s *Store) Get(key []byte) ([]byte, error) {
 	s.mu.RLock()
@@ -347,13 +343,3 @@
 	defer s.mu.RUnlock()
 	return s.broken
 }
-
-// planSegments are the sealed segments as the choice of a compaction sees them; the caller holds meta.
-func (s *Store) planSegments(of []*segment) (list []plan.Segment) {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	for _, g := range of {
-		list = append(list, plan.Segment{Number: g.number, TotalBytes: g.totalBytes, DeadBytes: g.deadBytes, MinSequence: g.minSequence, MaxSequence: g.maxSequence, TombstoneBytes: g.tombstoneBytes})
-	}
-	return list
-}
--- /dev/null
+++ b/internal/ledger/rewrite.go
@@ -0,0 +1,159 @@
+package ledger
+
+import (
+	"fmt"
+	"time"
+	"unsafe"
+
+	"sloehitch/internal/ledger/format"
+	"sloehitch/internal/ledger/plan"
+)
+
+// rewriter writes the live records of segments to new, cold segments. It belongs to one goroutine.
+type rewriter struct {
+	store              *Store
+	minSequenceOutside uint64 // the lowest sequence number outside the compaction
+	report             *Compaction
+	writer             *coldWriter // nil between two segments
+	out                []*segment
+	unflushedBytes     int // before compression
+}
+
+// rewrite writes the live records of some segments to new ones, makes those durable and verifies them. It returns the new
+// segments also on an error.
+func (s *Store) rewrite(in []*segment, minSequenceOutside uint64, c *Compaction, reportProgress bool) ([]*segment, error) {
+	w := &rewriter{store: s, minSequenceOutside: minSequenceOutside, report: c}
+	var read, total int64
+	for _, g := range in {
+		total += g.size
+	}
+	for _, g := range in {
+		if _, err := g.scan(s.opts.Limits.ValueBytes, w.copyRecord); err != nil {
+			return w.out, fmt.Errorf("compaction of %s: %w", g.name, err)
+		}
+		read += g.size
+		if reportProgress {
+			s.opts.Step("compact", read, total)
+		}
+		c.Segments++
+		c.Before += g.size
+	}
+	if err := w.finishSegment(); err != nil {
+		return w.out, notWritten(err)
+	}
+	if err := s.fs.SyncDir(); err != nil {
+		return w.out, err
+	}
+	return w.out, w.verify()
+}
+
+// copyRecord writes a record of an old segment, or a tombstone for it, where plan.DecideRecord says so.
+func (w *rewriter) copyRecord(_ int64, r *format.Record) error {
+	if r.Kind == format.KindGroup {
+		return nil
+	}
+	kept := *r
+	kept.BatchContinues = false // what is in the index belongs to a complete batch
+	switch w.decide(r) {
+	case plan.DropRecord:
+		w.report.Dropped++
+		return nil
+	case plan.WriteTombstone:
+		kept = format.Record{Kind: format.KindDelete, Sequence: r.Sequence, Key: r.Key}
+		w.report.Buried++
+	case plan.KeepRecord:
+		w.report.Kept++
+	}
+	if err := w.ensureWriter(); err != nil {
+		return err
+	}
+	_, err := w.writer.add(&kept)
+	if kept.Kind == format.KindDelete {
+		w.writer.tombstoneBytes += int64(kept.Size())
+	}
+	return err
+}
+
+// decide looks a record up in the index and applies plan.DecideRecord.
+func (w *rewriter) decide(r *format.Record) plan.RecordAction {
+	s := w.store
+	s.mu.RLock()
+	newest, exists := s.index.Get(unsafeString(r.Key))
+	mark := s.clockMark
+	s.mu.RUnlock()
+	indexed := exists && newest.sequence == r.Sequence
+	record := plan.Record{
+		Put:          r.Kind == format.KindPut,
+		Sequence:     r.Sequence,
+		Indexed:      indexed,
+		Superseded:   exists && !indexed,
+		ExpiryMillis: r.ExpiryMillis,
+	}
+	return plan.DecideRecord(record, mark, w.minSequenceOutside)
+}
+
+// ensureWriter starts a new segment where there is none or the current one is full.
+func (w *rewriter) ensureWriter() error {
+	s := w.store
+	if w.writer != nil && w.writer.rawOffset >= s.opts.Limits.SegmentBytes {
+		if err := w.finishSegment(); err != nil {
+			return err
+		}
+	}
+	if w.writer != nil {
+		return nil
+	}
+	writer, err := newColdWriter(s.fs, s.id, s.allocateSegmentNumber(), s.opts.Limits.BlockBytes, w.afterBlock)
+	if err != nil {
+		return err
+	}
+	w.writer = writer
+	w.out = append(w.out, writer.segment)
+	return nil
+}
+
+// finishSegment writes the last block of the current segment and flushes it.
+func (w *rewriter) finishSegment() error {
+	if w.writer == nil {
+		return nil
+	}
+	err := w.writer.flushBlock()
+	if err == nil {
+		err = w.writer.file.Sync()
+	}
+	_ = w.writer.enc.Close() // it encodes complete blocks and keeps nothing between them
+	w.writer = nil
+	return err
+}
+
+// afterBlock flushes and pauses after each limits.Ledger's CompactionFlushBytes: one large flush would delay the writers'
+// flushes behind it.
+func (w *rewriter) afterBlock() error {
+	s := w.store
+	if s.isClosed() {
+		return ErrClosed
+	}
+	if w.unflushedBytes += s.opts.Limits.BlockBytes; w.unflushedBytes < s.opts.Limits.CompactionFlushBytes {
+		return nil
+	}
+	w.unflushedBytes = 0
+	_, share := s.garbageShare()
+	time.Sleep(plan.CompactionPause(share, s.compactionOptions()))
+	return w.writer.file.Sync()
+}
+
+// verify reads all new segments once and adds them to the report.
+func (w *rewriter) verify() error {
+	for _, g := range w.out {
+		if end, err := g.scan(w.store.opts.Limits.ValueBytes, func(int64, *format.Record) error { return nil }); err != nil {
+			return damage(g.name, end, "just written, and not readable: %v", err)
+		}
+		w.report.Made++
+		w.report.After += g.size
+	}
+	return nil
+}
+
+// unsafeString is a string over the same bytes, for a look-up that doesn't keep it: the garbage of a copy of each key would
+// cost the writers time.
+func unsafeString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
