--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -42,7 +42,7 @@
 }
 
 func (f *ledgerFlags) options(readOnly bool, log *slog.Logger) ledger.Options {
-	return ledger.Options{Limits: limits.ForLedger(int64(f.MemoryMB) << 20), ReadOnly: readOnly, Manual: !f.compacts, Log: log, Step: progress()}
+	return ledger.Options{Limits: limits.ForLedger(int64(f.MemoryMB) << 20), ReadOnly: readOnly, Manual: !f.compacts, Log: log, Progress: progress()}
 }
 
 func (f *ledgerFlags) open(readOnly bool, log *slog.Logger) (*ledger.Store, error) {
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	if r := s.Recovery(); r.Torn > 0 && !readOnly {
-		log.Warn("a torn tail was cut off; it was never acknowledged", "file", r.TornFile, "offset", r.TornAt, "bytes", r.Torn)
+		log.Warn("a torn tail was cut off; it was never acknowledged", "file", r.TornFile, "offset", r.TornOffset, "bytes", r.Torn)
 	}
 	return s, nil
 }
@@ -318,7 +318,7 @@
 		return err
 	}
 	return c.show(r, fmt.Sprintf("%d segments of %d bytes became %d of %d; %d records kept, %d dropped, in %v\n",
-		r.Segments, r.Before, r.Made, r.After, r.Kept+r.Buried, r.Dropped, r.Took.Round(time.Millisecond)))
+		r.SegmentsRead, r.BytesBefore, r.SegmentsWritten, r.BytesAfter, r.RecordsKept+r.TombstonesWritten, r.RecordsDropped, r.Duration.Round(time.Millisecond)))
 }
 
 type ledgerBackupCmd struct {
@@ -364,7 +364,7 @@
 	}
 	text := fmt.Sprintf("%d keys saved to %s, of %d records in %d segments\n", v.Keys, c.To, v.Records, v.Segments)
 	for _, l := range v.Lost {
-		text += fmt.Sprintf("lost: %s from offset %d, %d bytes: %s\n", l.File, l.Offset, l.Bytes, l.Why)
+		text += fmt.Sprintf("lost: %s from offset %d, %d bytes: %s\n", l.File, l.Offset, l.Bytes, l.Reason)
 	}
 	for _, w := range v.Warnings {
 		text += "warning: " + w + "\n"
--- a/internal/ledger/backup.go
+++ b/internal/ledger/backup.go
@@ -55,7 +55,7 @@
 			return bytes, fmt.Errorf("%s: %w", g.name, err)
 		}
 		bytes += e.Size
-		s.opts.Step("backup", bytes, total)
+		s.opts.Progress("backup", bytes, total)
 		kept = append(kept, e)
 	}
 	m.Segments = kept
--- a/internal/ledger/compact.go
+++ b/internal/ledger/compact.go
@@ -10,14 +10,14 @@
 
 // Compaction reports what a compaction did. Sizes are in bytes on disk.
 type Compaction struct {
-	Segments int           `json:"segments"` // read
-	Made     int           `json:"made"`
-	Before   int64         `json:"bytes_before"`
-	After    int64         `json:"bytes_after"`
-	Kept     int           `json:"records_kept"`
-	Buried   int           `json:"records_buried"` // kept as deletions
-	Dropped  int           `json:"records_dropped"`
-	Took     time.Duration `json:"took_ns"`
+	SegmentsRead      int           `json:"segments"` // read
+	SegmentsWritten   int           `json:"made"`
+	BytesBefore       int64         `json:"bytes_before"`
+	BytesAfter        int64         `json:"bytes_after"`
+	RecordsKept       int           `json:"records_kept"`
+	TombstonesWritten int           `json:"records_buried"` // kept as deletions
+	RecordsDropped    int           `json:"records_dropped"`
+	Duration          time.Duration `json:"took_ns"`
 }
 
 // maintain sweeps expired keys and compacts when a compaction is due, until the store is closed.
@@ -51,7 +51,7 @@
 		if err != nil {
 			return err
 		}
-		s.opts.Log.Info("compacted", "segments", c.Segments, "made", c.Made, "before", c.Before, "after", c.After, "took", c.Took)
+		s.opts.Log.Info("compacted", "segments", c.SegmentsRead, "made", c.SegmentsWritten, "before", c.BytesBefore, "after", c.BytesAfter, "took", c.Duration)
 	}
 	return nil
 }
@@ -122,10 +122,10 @@
 	if listed, err = s.installSegments(in, out); err != nil {
 		return c, err
 	}
-	c.Took = time.Since(began)
+	c.Duration = time.Since(began)
 	s.mu.Lock()
 	s.counts.compactions++
-	s.counts.compactedBytes += c.After
+	s.counts.compactedBytes += c.BytesAfter
 	s.mu.Unlock()
 	return c, nil
 }
--- a/internal/ledger/errors.go
+++ b/internal/ledger/errors.go
@@ -22,20 +22,20 @@
 	ErrBroken = errors.New("the ledger takes no writes since a flush failed")
 )
 
-// Damage says that a file is not as this program, cut off at any moment, could have left it.
-type Damage struct {
+// DamageError says that a file is not as this program, cut off at any moment, could have left it.
+type DamageError struct {
 	File   string
 	Offset int64
-	What   string
-	Do     string // the remedy
+	Reason string
+	Remedy string // the remedy
 }
 
 const remedy = "restore a backup, or save what can be read with `sloehitch ledger repair`"
 
-func (d *Damage) Error() string {
-	return fmt.Sprintf("%s: damaged at offset %d: %s; %s", d.File, d.Offset, d.What, d.Do)
+func (d *DamageError) Error() string {
+	return fmt.Sprintf("%s: damaged at offset %d: %s; %s", d.File, d.Offset, d.Reason, d.Remedy)
 }
 
-func damage(file string, offset int64, format string, args ...any) *Damage {
-	return &Damage{file, offset, fmt.Sprintf(format, args...), remedy}
+func damage(file string, offset int64, format string, args ...any) *DamageError {
+	return &DamageError{file, offset, fmt.Sprintf(format, args...), remedy}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -32,24 +32,24 @@
 	// ReadOnly opens without lock and changes nothing; the folder may be in use by another process.
 	ReadOnly bool
 	// Manual leaves compactions and marks of the clock to the caller.
-	Manual bool
-	Now    func() time.Time                  // the Unix clock; nil: the system's
-	Log    *slog.Logger                      // nil: none
-	Step   func(what string, done, of int64) // is told of the progress of long work, in bytes; nil: nobody
+	Manual   bool
+	Now      func() time.Time                  // the Unix clock; nil: the system's
+	Log      *slog.Logger                      // nil: none
+	Progress func(what string, done, of int64) // is told of the progress of long work, in bytes; nil: nobody
 }
 
 // Recovery says what Open found.
 type Recovery struct {
-	Fresh    bool          `json:"fresh"` // the folder was empty
-	Segments int           `json:"segments"`
-	Records  int           `json:"records"` // read
-	Keys     int           `json:"keys"`
-	Bytes    int64         `json:"bytes"`
-	Torn     int64         `json:"torn_bytes"` // cut off at the end of the active segment: never acknowledged
-	TornFile string        `json:"torn_file,omitempty"`
-	TornAt   int64         `json:"torn_at,omitempty"`
-	Stray    int           `json:"stray_files"` // files swept away that no manifest lists
-	Took     time.Duration `json:"took_ns"`
+	Fresh      bool          `json:"fresh"` // the folder was empty
+	Segments   int           `json:"segments"`
+	Records    int           `json:"records"` // read
+	Keys       int           `json:"keys"`
+	Bytes      int64         `json:"bytes"`
+	Torn  int64         `json:"torn_bytes"` // cut off at the end of the active segment: never acknowledged
+	TornFile   string        `json:"torn_file,omitempty"`
+	TornOffset int64         `json:"torn_at,omitempty"`
+	StrayFiles int           `json:"stray_files"` // files swept away that no manifest lists
+	Took   time.Duration `json:"took_ns"`
 }
 
 // location is where the newest record of a key stands.
@@ -125,8 +125,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Step == nil {
-		o.Step = func(string, int64, int64) {}
+	if o.Progress == nil {
+		o.Progress = func(string, int64, int64) {}
 	}
 	s := &Store{fs: fsys, opts: o, index: &btree.Map[string, location]{}, closing: make(chan struct{}), compactionDue: make(chan struct{}, 1)}
 	s.writer.init()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -365,7 +365,7 @@
 		t.Fatal(err)
 	}
 	st := s.Stats()
-	if st.Garbage != 0 || st.Cold == 0 || st.Disk >= before.Disk/4 || c.Kept != 30 {
+	if st.Garbage != 0 || st.Cold == 0 || st.Disk >= before.Disk/4 || c.RecordsKept != 30 {
 		t.Errorf("%+v\n%v", c, st)
 	}
 	if got := content(t, s); !maps.Equal(got, want) {
@@ -419,8 +419,8 @@
 	if got := content(t, s); back == 0 || len(got) != 1 || got["k29"] == "" {
 		t.Errorf("with %d old segments back: %v", back, got)
 	}
-	if r := s.Recovery(); r.Stray < back {
-		t.Errorf("%d stray files swept, want %d at least", r.Stray, back)
+	if r := s.Recovery(); r.StrayFiles < back {
+		t.Errorf("%d stray files swept, want %d at least", r.StrayFiles, back)
 	}
 	for name := range old {
 		if _, ok := segmentNumber(name); ok && fs.Files()[name] != nil && now[name] != nil && !listed(s, name) {
@@ -446,7 +446,7 @@
 		files[name][4]++
 		_, err := Open(simdisk.Of(files), options())
 		var v format.VersionError
-		var d *Damage
+		var d *DamageError
 		if !errors.As(err, &v) || errors.As(err, &d) || !strings.Contains(err.Error(), "version 2") {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/ledger/repair.go
+++ b/internal/ledger/repair.go
@@ -8,17 +8,18 @@
 
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/ledger/format"
+	"sloehitch/internal/platform/limits"
 )
 
-// Loss is a stretch of a file that could not be saved.
+// Loss is a range of a file that could not be saved, in bytes.
 type Loss struct {
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
 	Bytes  int64  `json:"bytes"`
-	Why    string `json:"why"`
+	Reason string `json:"why"`
 }
 
-// Salvage says what Repair saved.
+// Salvage reports what Repair saved.
 type Salvage struct {
 	Segments int      `json:"segments"`
 	Records  int      `json:"records"`
@@ -28,12 +29,12 @@
 }
 
 // Repair saves what can be read in a folder into a new store in another, empty folder. The old folder is not changed. It
-// holds the keys in memory while it works.
+// holds the keys in memory while it works, and blocks until it is done.
 func Repair(from, to disk.FS, o Options) (v Salvage, err error) {
 	o.ReadOnly = false
 	o.Manual = true
-	if o.Step == nil {
-		o.Step = func(string, int64, int64) {}
+	if o.Progress == nil {
+		o.Progress = func(string, int64, int64) {}
 	}
 	names, err := to.List()
 	if err != nil {
@@ -42,65 +43,91 @@
 	if slices.Contains(names, manifestName) {
 		return v, fmt.Errorf("%s: a ledger is there already", to)
 	}
-	segs, err := v.openSegments(from)
+	segments, err := v.openSegments(from)
 	if err != nil {
 		return v, err
 	}
 	defer func() {
-		for _, g := range segs {
+		for _, g := range segments {
 			g.release()
 		}
 	}()
-	best := map[string]loadedRecord{} // the newest record of each key
-	var mark, total, done int64
-	for _, g := range segs {
-		total += g.size
-	}
-	for _, g := range segs {
-		m, err := v.salvageSegment(g, o.Limits.ValueBytes, best)
-		if err != nil {
-			return v, fmt.Errorf("%s: %w", g.name, err)
-		}
-		mark = max(mark, m)
-		v.Segments++
-		done += g.size
-		o.Step("repair", done, total)
+	newest, clockMark, err := v.salvageAll(segments, o)
+	if err != nil {
+		return v, err
 	}
 	s, err := Open(to, o)
 	if err != nil {
 		return v, err
 	}
 	defer func() { err = errors.Join(err, s.Close()) }()
-	keys := make([]string, 0, len(best))
-	for key, b := range best {
-		if b.put && !expired(b.location, mark) {
+	keys := make([]string, 0, len(newest))
+	for key, r := range newest {
+		if r.put && !expired(r.location, clockMark) {
 			keys = append(keys, key)
 		}
 	}
 	slices.Sort(keys)
-	for part := range slices.Chunk(keys, 256) {
-		for len(part) > 0 {
-			var batch Batch
-			n := 0
-			for ; n < len(part) && (n == 0 || batch.bytes < o.Limits.BatchBytes/2-o.Limits.ValueBytes); n++ {
-				p := best[part[n]].location
-				r, err := p.seg.read(int64(p.offset), int(p.size))
-				if err != nil {
-					return v, err
-				}
-				batch.Put(r.Key, r.Value, fromMillis(r.ExpiryMillis))
+	err = v.copyKeys(s, keys, newest)
+	return v, err
+}
+
+// salvageAll reads all segments, and returns the newest record of each key and the latest clock mark, in Unix milliseconds.
+func (v *Salvage) salvageAll(segments []*segment, o Options) (newest map[string]loadedRecord, clockMark int64, err error) {
+	newest = map[string]loadedRecord{}
+	var total, done int64
+	for _, g := range segments {
+		total += g.size
+	}
+	for _, g := range segments {
+		mark, err := v.salvageSegment(g, o.Limits.ValueBytes, newest)
+		if err != nil {
+			return nil, 0, fmt.Errorf("%s: %w", g.name, err)
+		}
+		clockMark = max(clockMark, mark)
+		v.Segments++
+		done += g.size
+		o.Progress("repair", done, total)
+	}
+	return newest, clockMark, nil
+}
+
+// maxRepairBatch is how many keys a batch of a repair has at most.
+const maxRepairBatch = 256
+
+// copyKeys writes the salvaged values of keys to the new store.
+func (v *Salvage) copyKeys(s *Store, keys []string, newest map[string]loadedRecord) error {
+	for chunk := range slices.Chunk(keys, maxRepairBatch) {
+		for len(chunk) > 0 {
+			batch, err := salvagedBatch(s.opts.Limits, chunk, newest)
+			if err != nil {
+				return err
 			}
-			if err := s.Apply(&batch); err != nil {
-				return v, err
+			if err := s.Apply(batch); err != nil {
+				return err
 			}
-			v.Keys += n
-			part = part[n:]
+			v.Keys += batch.Len()
+			chunk = chunk[batch.Len():]
+		}
+	}
+	return nil
+}
+
+// salvagedBatch reads the values of the first keys, as many as are sure to fit in half of a batch, but at least one.
+func salvagedBatch(l limits.Ledger, keys []string, newest map[string]loadedRecord) (*Batch, error) {
+	batch := &Batch{}
+	for n := 0; n < len(keys) && (n == 0 || batch.bytes < l.BatchBytes/2-l.ValueBytes); n++ {
+		at := newest[keys[n]].location
+		r, err := at.seg.read(int64(at.offset), int(at.size))
+		if err != nil {
+			return nil, err
 		}
+		batch.Put(r.Key, r.Value, fromMillis(r.ExpiryMillis))
 	}
-	return v, nil
+	return batch, nil
 }
 
-// openSegments opens the segments to read: those of the manifest, or without a readable one all that belong together.
+// openSegments opens the segments to read: those of the manifest, or without a readable one all of the same store.
 func (v *Salvage) openSegments(fs disk.FS) (segs []*segment, err error) {
 	m, where, err := loadManifest(fs)
 	if err == nil {
@@ -137,15 +164,15 @@
 	return segs, nil
 }
 
-// openSegment opens a segment for salvage; nil if its header is of no use.
+// openSegment opens a segment for salvage. It returns nil and notes the loss if its header is not usable.
 func (v *Salvage) openSegment(fs disk.FS, name string, store *format.ID, size int64) *segment {
-	lose := func(why string, args ...any) *segment {
-		v.Lost = append(v.Lost, Loss{name, 0, max(size, 0), fmt.Sprintf(why, args...)})
+	lost := func(reason string, args ...any) *segment {
+		v.Lost = append(v.Lost, Loss{name, 0, max(size, 0), fmt.Sprintf(reason, args...)})
 		return nil
 	}
 	f, err := fs.Open(name)
 	if err != nil {
-		return lose("%v", err)
+		return lost("%v", err)
 	}
 	has, err := f.Size()
 	b := make([]byte, format.SegmentHeaderSize)
@@ -157,13 +184,13 @@
 	switch {
 	case errors.Is(err, io.EOF) && has == 0, err != nil && !errors.Is(err, io.EOF):
 		closeRead(f)
-		return lose("the header can't be read: %v", err)
+		return lost("the header can't be read: %v", err)
 	case herr != nil:
 		closeRead(f)
-		return lose("%v: the records can't be told without it", herr)
+		return lost("%v: the records can't be told without it", herr)
 	case h.Number != n || store != nil && h.Store != *store:
 		closeRead(f)
-		return lose("the file is another store's or was renamed")
+		return lost("the file is another store's or was renamed")
 	}
 	if size == format.ActiveSegmentSize {
 		size = has
@@ -176,8 +203,9 @@
 	return g
 }
 
-// salvageSegment reads all whole batches of a segment, also behind stretches that can't be read.
-func (v *Salvage) salvageSegment(g *segment, most int, best map[string]loadedRecord) (mark int64, err error) {
+// salvageSegment reads all complete batches of a segment, also behind ranges that can't be read, into the newest records of
+// their keys.
+func (v *Salvage) salvageSegment(g *segment, maxValueBytes int, newest map[string]loadedRecord) (mark int64, err error) {
 	var batch []loadedRecord
 	skip := false // the batch that begins here may lack its first records
 	take := func(off int64, r *format.Record) error {
@@ -196,15 +224,15 @@
 				continue
 			}
 			v.Records++
-			if old, ok := best[f.key]; !ok || old.location.sequence < f.location.sequence {
-				best[f.key] = f
+			if old, ok := newest[f.key]; !ok || old.location.sequence < f.location.sequence {
+				newest[f.key] = f
 			}
 		}
 		skip, batch = false, batch[:0]
 		return nil
 	}
 	for from := int64(format.SegmentHeaderSize); from < g.size; {
-		end, err := g.scanFrom(from, most, take)
+		end, err := g.scanFrom(from, maxValueBytes, take)
 		if err == nil {
 			break
 		}
@@ -212,9 +240,9 @@
 			return mark, err
 		}
 		skip, batch = !g.cold, batch[:0] // a compaction leaves no batches of several records
-		next, err2 := g.findNextReadable(end+1, most)
-		if err2 != nil {
-			return mark, err2
+		next, resyncErr := g.findNextReadable(end+1, maxValueBytes)
+		if resyncErr != nil {
+			return mark, resyncErr
 		}
 		v.Lost = append(v.Lost, Loss{g.name, end, next - end, err.Error()})
 		from = next
--- a/internal/ledger/rewrite.go
+++ b/internal/ledger/rewrite.go
@@ -33,10 +33,10 @@
 		}
 		read += g.size
 		if reportProgress {
-			s.opts.Step("compact", read, total)
+			s.opts.Progress("compact", read, total)
 		}
-		c.Segments++
-		c.Before += g.size
+		c.SegmentsRead++
+		c.BytesBefore += g.size
 	}
 	if err := w.finishSegment(); err != nil {
 		return w.out, notWritten(err)
@@ -56,13 +56,13 @@
 	kept.BatchContinues = false // what is in the index belongs to a complete batch
 	switch w.decide(r) {
 	case plan.DropRecord:
-		w.report.Dropped++
+		w.report.RecordsDropped++
 		return nil
 	case plan.WriteTombstone:
 		kept = format.Record{Kind: format.KindDelete, Sequence: r.Sequence, Key: r.Key}
-		w.report.Buried++
+		w.report.TombstonesWritten++
 	case plan.KeepRecord:
-		w.report.Kept++
+		w.report.RecordsKept++
 	}
 	if err := w.ensureWriter(); err != nil {
 		return err
@@ -148,8 +148,8 @@
 		if end, err := g.scan(w.store.opts.Limits.ValueBytes, func(int64, *format.Record) error { return nil }); err != nil {
 			return damage(g.name, end, "just written, and not readable: %v", err)
 		}
-		w.report.Made++
-		w.report.After += g.size
+		w.report.SegmentsWritten++
+		w.report.BytesAfter += g.size
 	}
 	return nil
 }
--- a/internal/ledger/torture_test.go
+++ b/internal/ledger/torture_test.go
@@ -212,9 +212,9 @@
 			cut[name] = b[:k]
 			s, err := Open(simdisk.Of(cut), o)
 			if name != active {
-				var d *Damage
+				var d *DamageError
 				if errors.As(err, &d) {
-					if d.File != name || d.Offset > int64(k) || d.Do == "" {
+					if d.File != name || d.Offset > int64(k) || d.Remedy == "" {
 						t.Fatalf("%s cut at %d: %v", name, k, err)
 					}
 					continue
@@ -283,7 +283,7 @@
 				s.Close()
 				t.Fatalf("%s: a flipped bit at %d was not noticed", name, i)
 			}
-			var d *Damage
+			var d *DamageError
 			if errors.As(err, &d) && d.File != name {
 				t.Fatalf("%s flipped at %d: %v", name, i, err)
 			}
@@ -323,7 +323,7 @@
 	for name := range files {
 		if _, ok := segmentNumber(name); ok && name != active {
 			delete(cut, name)
-			var d *Damage
+			var d *DamageError
 			if _, err := Open(simdisk.Of(cut), o); !errors.As(err, &d) || d.File != name {
 				t.Errorf("without %s: %v", name, err)
 			}
@@ -331,7 +331,7 @@
 		}
 	}
 	delete(cut, manifestName)
-	var d *Damage
+	var d *DamageError
 	if _, err := Open(simdisk.Of(cut), o); !errors.As(err, &d) || d.File != manifestName {
 		t.Errorf("without a manifest: %v", err)
 	}
@@ -460,7 +460,7 @@
 		for state := range uint64(4) {
 			left := to.Cut(state)
 			b, openErr := Open(left, options())
-			var d *Damage
+			var d *DamageError
 			switch {
 			case openErr == nil:
 				if got := content(t, b); len(got) != 0 && !maps.Equal(got, h.acked) || len(got) == 0 && err == nil {
@@ -656,7 +656,7 @@
 	s.Sweep()
 	newer := s.sealed[len(s.sealed)-1].number
 	got, err := s.compact([]uint64{newer}, false)
-	if err != nil || got.Buried != 2 {
+	if err != nil || got.TombstonesWritten != 2 {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	want := map[string]string{"kept": "old"}
@@ -665,7 +665,7 @@
 	if got := content(t, s); !maps.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
-	if got, err := s.Compact(); err != nil || got.Buried != 0 || got.Kept != 1 {
+	if got, err := s.Compact(); err != nil || got.TombstonesWritten != 0 || got.RecordsKept != 1 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -682,7 +682,7 @@
 			t.Fatal(err)
 		}
 		put(t, s, "k", "new")
-		if c, err := s.compact([]uint64{s.sealed[0].number}, false); err != nil || c.Dropped != 1 {
+		if c, err := s.compact([]uint64{s.sealed[0].number}, false); err != nil || c.RecordsDropped != 1 {
 			t.Fatalf("%+v, %v", c, err)
 		}
 		s2 := mustOpen(t, fs.Cut(state), o)
@@ -712,7 +712,7 @@
 		damaged := 0
 		for i := range 6 {
 			v, err := s.Get([]byte(fmt.Sprint("k", i)))
-			var d *Damage
+			var d *DamageError
 			switch {
 			case errors.As(err, &d) && d.File == g.name:
 				damaged++
--- a/internal/ledger/verify.go
+++ b/internal/ledger/verify.go
@@ -30,16 +30,16 @@
 	if s != nil {
 		defer func() { _ = s.Close() }() // opened for reading: nothing is left to be written
 	}
-	var d *Damage
+	var d *DamageError
 	switch {
 	case errors.As(err, &d):
-		return Verdict{State: Damaged, File: d.File, Offset: d.Offset, What: d.What}, nil
+		return Verdict{State: Damaged, File: d.File, Offset: d.Offset, What: d.Reason}, nil
 	case err != nil:
 		return Verdict{}, err
 	}
 	v := Verdict{State: Whole, Recovery: s.Recovery()}
 	if r := v.Recovery; r.Torn > 0 {
-		v.State, v.File, v.Offset = Torn, r.TornFile, r.TornAt
+		v.State, v.File, v.Offset = Torn, r.TornFile, r.TornOffset
 		v.What = "the segment ends in bytes that were never acknowledged"
 	}
 	return v, nil
