--- a/internal/ledger/backup.go
+++ b/internal/ledger/backup.go
@@ -9,8 +9,9 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// Backup copies the store as it is at one moment into another, empty folder while it goes on serving. The copy is a store of its own
-// with the same id, and is whole once its manifest is there, which comes last.
+// Backup copies the store as it is at one moment into another, empty folder, and returns how many bytes it copied. It blocks until
+// then; reads and writes go on. The copy is a store of its own with the same id. It is complete once its manifest exists,
+// which is written last.
 func (s *Store) Backup(to disk.FS) (bytes int64, err error) {
 	names, err := to.List()
 	if err != nil {
@@ -31,7 +32,7 @@
 	if s.active == nil {
 		all = all[:len(all)-1]
 	}
-	m := s.nextManifest(all, nil) // their sizes are those of this moment, and end with whole groups
+	m := s.nextManifest(all, nil) // their sizes are those of this moment, and end with complete groups
 	for _, g := range all {
 		g.acquire()
 	}
@@ -45,7 +46,7 @@
 	for _, e := range m.Segments {
 		total += e.Size
 	}
-	var kept []format.SegmentEntry
+	var copied []format.SegmentEntry
 	for i, g := range all {
 		e := m.Segments[i]
 		if e.MinSequence == 0 {
@@ -56,23 +57,25 @@
 		}
 		bytes += e.Size
 		s.opts.Progress("backup", bytes, total)
-		kept = append(kept, e)
+		copied = append(copied, e)
 	}
-	m.Segments = kept
+	m.Segments = copied
 	if err := to.SyncDir(); err != nil {
 		return bytes, err
 	}
 	return bytes, writeManifest(to, m)
 }
 
-// copySegment copies the first bytes of a segment durably.
+const copyBufferBytes = 1 << 20
+
+// copySegment copies the first size bytes of a segment and flushes them.
 func copySegment(to disk.FS, g *segment, size int64) (err error) {
 	f, err := to.Create(g.name)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	buf := make([]byte, min(size, 1<<20))
+	buf := make([]byte, min(size, copyBufferBytes))
 	for off := int64(0); off < size; {
 		b := buf[:min(size-off, int64(len(buf)))]
 		if _, err := io.ReadFull(io.NewSectionReader(g.file, off, size-off), b); err != nil {
--- a/internal/ledger/disk/disk.go
+++ b/internal/ledger/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk is the file layer under the ledger: one flat folder of files, with the operations whose durability the
-// ledger has to reason about kept apart. Dir is the real one; simdisk has one that can be cut.
+// Package disk is the file layer under the ledger: one flat folder of files, whose operations separate what is written from
+// what is durable. Dir is a folder of the operating system; package simdisk simulates one that loses power.
 package disk
 
 import (
@@ -17,22 +17,23 @@
 // ErrLocked is wrapped by the error of Lock when another process holds the folder.
 var ErrLocked = errors.New("the folder is in use")
 
-// FS is one folder. Its methods may be called from several goroutines at once. None but SyncDir makes a change of the
-// folder (a name that appears, goes or changes) durable.
+// FS is one folder. Its methods may be called from any goroutine. Only SyncDir makes created, renamed and removed names
+// durable.
 type FS interface {
-	// Create makes an empty file for reading and writing, in place of any of that name.
+	// Create creates an empty file for reading and writing, and replaces one of that name.
 	Create(name string) (File, error)
 	// Open opens a file for reading. Errors wrap fs.ErrNotExist where there is none.
 	Open(name string) (File, error)
-	// Rename puts a file in another's place at one go.
+	// Rename renames a file atomically, and replaces one of the new name.
 	Rename(from, to string) error
-	// Remove takes a name away; files that are open stay readable.
+	// Remove removes a name; open files stay readable.
 	Remove(name string) error
-	// List returns the names in order.
+	// List returns the names of the files, sorted.
 	List() ([]string, error)
 	// SyncDir makes all changes of names durable.
 	SyncDir() error
-	// Lock keeps other processes out until release is called, and tells them who holds the folder. It does not wait.
+	// Lock locks the folder against other processes until release is called. owner describes the holder in their errors, which
+	// wrap ErrLocked. It does not block.
 	Lock(name, owner string) (release func() error, err error)
 	// String names the folder in messages.
 	String() string
@@ -48,7 +49,7 @@
 	Close() error
 }
 
-// IsFull says whether an operation failed for want of space.
+// IsFull reports whether an operation failed because the disk or a quota is full.
 func IsFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
@@ -56,20 +57,20 @@
 // Dir is a folder of the operating system.
 type Dir string
 
-// MakeDir makes the folder and its parents where they are missing, durably, and returns it.
+// MakeDir creates the folder and missing parents durably, and returns it.
 func MakeDir(path string) (Dir, error) {
 	path = filepath.Clean(path)
-	var made []string
+	var created []string
 	for p := path; ; p = filepath.Dir(p) {
 		if _, err := os.Stat(p); err == nil || p == filepath.Dir(p) {
 			break
 		}
-		made = append(made, p)
+		created = append(created, p)
 	}
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return "", err
 	}
-	for _, p := range slices.Backward(made) {
+	for _, p := range slices.Backward(created) {
 		if err := Dir(filepath.Dir(p)).SyncDir(); err != nil {
 			return "", err
 		}
@@ -87,10 +88,13 @@
 	return info.Size(), nil
 }
 
+// maxOwnerBytes is how much of the owner's description is shown.
+const maxOwnerBytes = 512
+
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 func (d Dir) String() string          { return string(d) }
 
-// Create makes a file anew, empty, for reading and writing.
+// Create creates an empty file for reading and writing, and replaces one of that name.
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -108,13 +112,13 @@
 	return osFile{f}, nil
 }
 
-// Rename gives a file another name, in place of a file of that name.
+// Rename renames a file atomically, and replaces one of the new name.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove deletes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// List names the regular files.
+// List returns the names of the regular files, sorted.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -139,7 +143,7 @@
 	return f.Sync()
 }
 
-// Lock uses flock(2): the kernel lets go of it when the process ends, however it ends.
+// Lock uses flock(2), which the kernel releases when the process ends, however it ends.
 func (d Dir) Lock(name, owner string) (func() error, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -150,7 +154,7 @@
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, err
 		}
-		held, _ := io.ReadAll(io.LimitReader(f, 512)) // who holds it is told as well as it can be
+		held, _ := io.ReadAll(io.LimitReader(f, maxOwnerBytes)) // the owner is for the message only
 		by := strings.TrimSpace(string(held))
 		if by == "" {
 			by = "a process that has not said who it is"
@@ -161,7 +165,7 @@
 	if err == nil {
 		_, err = f.WriteAt([]byte(owner+"\n"), 0)
 	}
-	if err != nil && !IsFull(err) { // on a full disk the name of the owner is missing, nothing else
+	if err != nil && !IsFull(err) { // on a full disk only the owner's description is missing
 		f.Close()
 		return nil, err
 	}
--- a/internal/ledger/errors.go
+++ b/internal/ledger/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// What a call may be refused with; errors.Is tells them apart.
+// Errors that a call may return, compared by errors.Is.
 var (
 	ErrNotFound  = errors.New("no such key")
 	ErrClosed    = errors.New("the ledger is closed")
@@ -14,20 +14,20 @@
 	ErrIndexFull = errors.New("no room for more keys in memory")
 	ErrBusy      = errors.New("too much waits for a flush already")
 	ErrFull      = errors.New("no space left for the ledger's files")
-	// ErrNotWritten says that nothing of the batch was kept; it may be tried again.
+	// ErrNotWritten says that nothing of the batch was kept; it may be retried.
 	ErrNotWritten = errors.New("the batch was not written")
 	// ErrUnknown says that a flush failed: the batch may turn up after a restart, or not.
 	ErrUnknown = errors.New("it can't be known whether the batch is durable")
-	// ErrBroken says that a flush failed earlier: nothing is written until the ledger is opened anew.
+	// ErrBroken says that a flush failed earlier: nothing is written until the ledger is opened again.
 	ErrBroken = errors.New("the ledger takes no writes since a flush failed")
 )
 
-// DamageError says that a file is not as this program, cut off at any moment, could have left it.
+// DamageError says that a file is not as this program could have left it, even after a crash.
 type DamageError struct {
 	File   string
 	Offset int64
 	Reason string
-	Remedy string // the remedy
+	Remedy string // what to do about it
 }
 
 const remedy = "restore a backup, or save what can be read with `sloehitch ledger repair`"
--- a/internal/ledger/stats.go
+++ b/internal/ledger/stats.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Stats are a store's figures at one moment. Totals count from Open on.
+// Stats are a store's statistics at one moment. Totals count from Open on. Sizes are in bytes.
 type Stats struct {
 	Keys        int       `json:"keys"`
-	Index       int64     `json:"index_bytes"` // memory of the keys, as counted against the limit
+	Index       int64     `json:"index_bytes"` // memory of the index, as counted against the limit
 	IndexLimit  int64     `json:"index_limit_bytes"`
 	Segments    int       `json:"segments"`
 	Cold        int       `json:"cold_segments"`
 	Disk        int64     `json:"disk_bytes"`
-	Records     int64     `json:"record_bytes"`  // unpacked
-	Garbage     int64     `json:"garbage_bytes"` // of them, what no longer counts, deletions included
+	Records     int64     `json:"record_bytes"`  // uncompressed
+	Garbage     int64     `json:"garbage_bytes"` // of them, superseded and expired records and deletions
 	Mark        time.Time `json:"mark"`          // the store's clock
 	Puts        uint64    `json:"puts"`
 	Deletes     uint64    `json:"deletes"`
 	Batches     uint64    `json:"batches"`
 	Groups      uint64    `json:"groups"`
 	Flushes     uint64    `json:"flushes"`
-	Asked       int64     `json:"asked_bytes"`     // records that writers asked for
+	Asked       int64     `json:"asked_bytes"`     // of records in acknowledged batches
 	Written     int64     `json:"written_bytes"`   // to the log
 	Packed      int64     `json:"compacted_bytes"` // written by compactions
 	Compactions uint64    `json:"compactions"`
 	Broken      string    `json:"broken,omitempty"`
 }
 
-// Stats takes the figures.
+// Stats returns the current statistics.
 func (s *Store) Stats() Stats {
 	s.manifestMu.Lock()
 	defer s.manifestMu.Unlock()
@@ -59,7 +59,7 @@
 	return t
 }
 
-// WriteAmplification is the bytes written for each byte that writers asked for; 0 before the first write.
+// WriteAmplification is how many bytes were written for each byte of records; 0 before the first write.
 func (t Stats) WriteAmplification() float64 {
 	if t.Asked == 0 {
 		return 0
@@ -67,7 +67,7 @@
 	return float64(t.Written+t.Packed) / float64(t.Asked)
 }
 
-// SpaceAmplification is the bytes on disk for each byte of records that count; 0 without any.
+// SpaceAmplification is how many bytes are on disk for each byte of current records; 0 without any.
 func (t Stats) SpaceAmplification() float64 {
 	if t.Records <= t.Garbage {
 		return 0
@@ -75,7 +75,7 @@
 	return float64(t.Disk) / float64(t.Records-t.Garbage)
 }
 
-// String is a table to read.
+// String returns a table for people.
 func (t Stats) String() string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
--- a/internal/ledger/verify.go
+++ b/internal/ledger/verify.go
@@ -6,7 +6,7 @@
 	"sloehitch/internal/ledger/disk"
 )
 
-// Verdict says how a folder's files are.
+// Verdict reports the state of a folder's files.
 type Verdict struct {
 	State    string   `json:"state"` // whole, torn or damaged
 	File     string   `json:"file,omitempty"`
@@ -18,17 +18,17 @@
 // The states of a folder.
 const (
 	Whole   = "whole"
-	Torn    = "torn"    // the end of the active segment was never acknowledged; Open cuts it off
-	Damaged = "damaged" // Open refuses
+	Torn    = "torn"    // the end of the active segment was never acknowledged; Open truncates it
+	Damaged = "damaged" // Open returns a *DamageError
 )
 
-// Verify reads all that a folder holds without changing it. The error is about what could not be looked at, not about what was
-// found. A folder that a process is writing to may look torn.
+// Verify reads all that a folder holds without changing it, and blocks until then. The error says what could not be read, not
+// what was found. A folder that a process is writing to may look torn.
 func Verify(fs disk.FS, o Options) (Verdict, error) {
 	o.ReadOnly = true
 	s, err := Open(fs, o)
 	if s != nil {
-		defer func() { _ = s.Close() }() // opened for reading: nothing is left to be written
+		defer func() { _ = s.Close() }() // opened for reading only
 	}
 	var d *DamageError
 	switch {
