--- a/internal/ledger/backup.go
+++ b/internal/ledger/backup.go
@@ -9,15 +9,16 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// Backup copies the store as it is at one moment into another, empty folder while it goes on serving. The copy is a store of its own
-// with the same id, and is whole once its manifest is there, which comes last.
+// Backup copies the store as it is at one moment into another, empty folder, and returns how many bytes it copied. It blocks until
+// then; reads and writes go on. The copy is a store of its own with the same id. It is complete once its manifest exists,
+// which is written last.
 func (s *Store) Backup(to disk.FS) (bytes int64, err error) {
 	names, err := to.List()
 	if err != nil {
 		return 0, err
 	}
 	for _, name := range names {
-		if _, ok := number(name); ok || name == manifestName {
+		if _, ok := segmentNumber(name); ok || name == manifestName {
 			return 0, fmt.Errorf("%s: not empty: it holds %s", to, name)
 		}
 	}
@@ -26,16 +27,16 @@
 			return 0, err
 		}
 	}
-	s.meta.Lock()
+	s.manifestMu.Lock()
 	all := append(s.sealed[:len(s.sealed):len(s.sealed)], s.active)
 	if s.active == nil {
 		all = all[:len(all)-1]
 	}
-	m := s.next(all, nil) // their sizes are those of this moment, and end with whole groups
+	m := s.nextManifest(all, nil) // their sizes are those of this moment, and end with complete groups
 	for _, g := range all {
 		g.acquire()
 	}
-	s.meta.Unlock()
+	s.manifestMu.Unlock()
 	defer func() {
 		for _, g := range all {
 			g.release()
@@ -45,34 +46,36 @@
 	for _, e := range m.Segments {
 		total += e.Size
 	}
-	var kept []format.Entry
+	var copied []format.SegmentEntry
 	for i, g := range all {
 		e := m.Segments[i]
-		if e.Least == 0 {
+		if e.MinSequence == 0 {
 			continue // no record in it
 		}
 		if err := copySegment(to, g, e.Size); err != nil {
 			return bytes, fmt.Errorf("%s: %w", g.name, err)
 		}
 		bytes += e.Size
-		s.opts.Step("backup", bytes, total)
-		kept = append(kept, e)
+		s.opts.Progress("backup", bytes, total)
+		copied = append(copied, e)
 	}
-	m.Segments = kept
+	m.Segments = copied
 	if err := to.SyncDir(); err != nil {
 		return bytes, err
 	}
 	return bytes, writeManifest(to, m)
 }
 
-// copySegment copies the first bytes of a segment durably.
+const copyBufferBytes = 1 << 20
+
+// copySegment copies the first size bytes of a segment and flushes them.
 func copySegment(to disk.FS, g *segment, size int64) (err error) {
 	f, err := to.Create(g.name)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	buf := make([]byte, min(size, 1<<20))
+	buf := make([]byte, min(size, copyBufferBytes))
 	for off := int64(0); off < size; {
 		b := buf[:min(size-off, int64(len(buf)))]
 		if _, err := io.ReadFull(io.NewSectionReader(g.file, off, size-off), b); err != nil {
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -1,21 +1,17 @@
 package ledger
 
 import (
-	"bytes"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
-	"slices"
 	"sync/atomic"
 
-	"github.com/klauspost/compress/zstd"
-
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/ledger/format"
 )
 
-// segment is one file of records. Its figures are guarded by the store's mu.
+// segment is one file of records. Its figures are guarded by the store's mu. Cold ones are written by compactions, in
+// compressed blocks (cold_segment.go); of them "offset" means that in the decompressed form, if not said otherwise.
 type segment struct {
 	number uint64
 	name   string
@@ -23,54 +19,47 @@
 	file   disk.File
 	salt   uint32
 	cold   bool
-	size   int64   // bytes on disk that count
-	blocks []block // cold: where they are
-
-	raw, dead, tombs int64 // bytes: of all records; of those that no longer count; of deletions
-	least, high      uint64
-
-	refs  atomic.Int32 // the store's own, and one for each reader
-	cache atomic.Pointer[unpacked]
-}
+	size   int64           // durable bytes of the file
+	blocks []blockLocation // of a cold segment, in order
 
-// block is where a block of a cold segment stands.
-type block struct{ raw, off int64 }
+	totalBytes, deadBytes, tombstoneBytes int64  // of all records, of superseded ones, of deletions and expired ones
+	minSequence, maxSequence              uint64 // 0: no record
 
-// unpacked is the block that was read last.
-type unpacked struct {
-	raw   int64
-	bytes []byte
+	refs  atomic.Int32 // one for the store, and one for each reader
+	cache atomic.Pointer[decodedBlock]
 }
 
-func fileName(number uint64) string { return fmt.Sprintf("%016x.seg", number) }
+// segmentFileName is the name of a segment's file.
+func segmentFileName(number uint64) string { return fmt.Sprintf("%016x.seg", number) }
 
-// number reads a segment's number from its file name.
-func number(name string) (n uint64, ok bool) {
+// segmentNumber reads a segment's number from its file name.
+func segmentNumber(name string) (n uint64, ok bool) {
 	_, err := fmt.Sscanf(name, "%016x.seg", &n)
-	return n, err == nil && name == fileName(n)
+	return n, err == nil && name == segmentFileName(n)
 }
 
+// acquire keeps the file open until release.
 func (g *segment) acquire() { g.refs.Add(1) }
 
-// release closes the file with the last reader.
+// release undoes acquire; the last one closes the file.
 func (g *segment) release() {
 	if g.refs.Add(-1) == 0 {
 		_ = g.file.Close() // only ever read from by now
 	}
 }
 
-// count notes a record in the segment's figures.
-func (g *segment) count(seq uint64, size int) {
-	g.raw += int64(size)
-	g.high = max(g.high, seq)
-	if g.least == 0 || seq < g.least {
-		g.least = seq
+// countRecord notes a record in the segment's figures.
+func (g *segment) countRecord(seq uint64, size int) {
+	g.totalBytes += int64(size)
+	g.maxSequence = max(g.maxSequence, seq)
+	if g.minSequence == 0 || seq < g.minSequence {
+		g.minSequence = seq
 	}
 }
 
 // openSegment opens a file that the manifest lists.
-func openSegment(fs disk.FS, store format.ID, e format.Entry) (*segment, error) {
-	name := fileName(e.Number)
+func openSegment(fs disk.FS, store format.ID, e format.SegmentEntry) (*segment, error) {
+	name := segmentFileName(e.Number)
 	f, err := fs.Open(name)
 	if err != nil {
 		if isNotExist(err) {
@@ -80,32 +69,32 @@
 	}
 	g := &segment{number: e.Number, name: name, store: store, file: f, cold: e.Cold, size: e.Size}
 	g.refs.Store(1)
-	if err := g.begin(); err != nil {
+	if err := g.readHeader(); err != nil {
 		closeRead(f)
 		return nil, err
 	}
 	return g, nil
 }
 
-// begin reads the header, and fills in the size of the active segment.
-func (g *segment) begin() error {
+// readHeader reads the header, and fills in the size of the active segment.
+func (g *segment) readHeader() error {
 	size, err := g.file.Size()
 	if err != nil {
 		return err
 	}
 	switch {
-	case g.size == format.Active:
-		if g.size = size; size < format.SegmentHeader {
-			return nil // cut off in its header, before any record
+	case g.size == format.ActiveSegmentSize:
+		if g.size = size; size < format.SegmentHeaderSize {
+			return nil // a crash cut it off in its header, before any record
 		}
 	case size < g.size:
 		return damage(g.name, size, "the file ends here, and should have %d bytes", g.size)
 	}
-	b := make([]byte, format.SegmentHeader)
+	b := make([]byte, format.SegmentHeaderSize)
 	if _, err := g.file.ReadAt(b, 0); err != nil {
 		return err
 	}
-	h, salt, err := format.ReadHeader(b)
+	h, salt, err := format.DecodeSegmentHeader(b)
 	switch v := (format.VersionError{}); {
 	case errors.As(err, &v):
 		return fmt.Errorf("%s: %w", g.name, err)
@@ -118,330 +107,44 @@
 	return nil
 }
 
-// scan hands all records to fn in order, with their offsets in the unpacked form, up to the size. It returns where the
-// last good one ended; the error wraps ErrShort or ErrInvalid of package format where the bytes behind it are no record. Keys
-// and values are valid during the call only.
-func (g *segment) scan(most int, fn func(off int64, r *format.Record) error) (end int64, err error) {
-	return g.scanFrom(format.SegmentHeader, most, fn)
-}
-
-// scanFrom begins at an offset of the file, where a record or block must stand.
-func (g *segment) scanFrom(from int64, most int, fn func(off int64, r *format.Record) error) (end int64, err error) {
-	if g.cold {
-		return g.scanCold(from, most, fn)
-	}
-	if g.size < format.SegmentHeader {
-		return g.size, nil
-	}
-	w := window{file: g.file, off: from, end: g.size}
-	for w.off < g.size {
-		b, err := w.peek(format.RecordHeader)
-		if err != nil {
-			return w.off, err
-		}
-		r, err := format.ReadRecord(b, g.salt, w.off)
-		if errors.Is(err, format.ErrShort) {
-			need := format.RecordHeader + recordRest(b)
-			if need > format.RecordHeader+format.MaxKey+int64(most) || w.off+need > g.size {
-				return w.off, err
-			}
-			if b, err = w.peek(int(need)); err != nil {
-				return w.off, err
-			}
-			r, err = format.ReadRecord(b, g.salt, w.off)
-		}
-		if err != nil {
-			return w.off, err
-		}
-		if err := fn(w.off, &r); err != nil {
-			return w.off, err
-		}
-		w.off += int64(r.Size())
-	}
-	return w.off, nil
-}
-
-// recordRest is how many bytes a header says are behind it; it may be wrong, as nothing has been checked.
-func recordRest(b []byte) int64 {
-	if len(b) < format.RecordHeader {
-		return 0
-	}
-	return int64(binary.LittleEndian.Uint32(b[4:])) + int64(binary.LittleEndian.Uint16(b[8:]))
-}
-
-// scanCold reads a cold segment block by block, and notes blocks that it sees for the first time.
-func (g *segment) scanCold(from int64, most int, fn func(off int64, r *format.Record) error) (end int64, err error) {
-	w := window{file: g.file, off: from, end: g.size}
-	for w.off < g.size {
-		b, raw, at, err := g.block(&w, most)
-		if err != nil {
-			return at, err
-		}
-		// Those already known are being read by others, so they are left alone.
-		if n := len(g.blocks); n == 0 || g.blocks[n-1].raw < raw {
-			g.blocks = append(g.blocks, block{raw, at})
-		}
-		for rest := b; len(rest) > 0; {
-			off := raw + int64(len(b)-len(rest))
-			r, err := format.ReadRecord(rest, g.salt, off)
-			if err != nil {
-				return at, err
-			}
-			if err := fn(off, &r); err != nil {
-				return at, err
-			}
-			rest = rest[r.Size():]
-		}
-	}
-	return w.off, nil
-}
-
-// block reads and unpacks the block at the window, moves behind it, and returns where it stood, unpacked and in the file.
-func (g *segment) block(w *window, most int) (b []byte, raw, at int64, err error) {
-	at = w.off
-	if b, err = w.peek(format.BlockHeader); err != nil {
-		return nil, 0, at, err
-	}
-	head, err := format.ReadBlockHead(b)
-	if err != nil {
-		return nil, 0, at, err
-	}
-	if limit := 4*most + format.MaxKey + 1<<20; head.Raw > limit || head.Packed > limit {
-		return nil, 0, at, format.ErrInvalid
-	}
-	if b, err = w.peek(format.BlockHeader + head.Packed); err != nil {
-		return nil, 0, at, err
-	}
-	if b, err = unpack(b, g.salt, at); err != nil {
-		return nil, 0, at, err
-	}
-	w.off += int64(format.BlockHeader + head.Packed)
-	return b, head.Offset, at, nil
-}
-
-// resync finds the next offset of the file from which there can be read again: a valid record, or in a cold segment a
-// valid block; the size where there is none.
-func (g *segment) resync(from int64, most int) (int64, error) {
-	w := window{file: g.file, off: from, end: g.size}
-	for ; w.off < g.size; w.off++ {
-		b, err := w.peek(format.RecordHeader)
-		if err != nil {
-			return 0, err
-		}
-		need := format.RecordHeader + recordRest(b)
-		if g.cold {
-			head, err := format.ReadBlockHead(b)
-			if err != nil {
-				continue
-			}
-			need = int64(format.BlockHeader + head.Packed)
-		} else if _, err := format.ReadRecord(b, g.salt, w.off); err == nil {
-			return w.off, nil
-		} else if !errors.Is(err, format.ErrShort) || need > format.RecordHeader+format.MaxKey+int64(most) {
-			continue // the fields are looked at before the checksum, so that most offsets cost little
-		}
-		if w.off+need > g.size {
-			continue
-		}
-		if b, err = w.peek(int(need)); err != nil {
-			return 0, err
-		}
-		if g.cold {
-			_, err = unpack(b, g.salt, w.off)
-		} else {
-			_, err = format.ReadRecord(b, g.salt, w.off)
-		}
-		if err == nil {
-			return w.off, nil
-		}
-	}
-	return g.size, nil
-}
-
-// unpack returns a block's records.
-func unpack(b []byte, salt uint32, off int64) ([]byte, error) {
-	head, packed, err := format.ReadBlock(b, salt, off)
-	if err != nil {
-		return nil, err
-	}
-	if !head.Zstd {
-		return bytes.Clone(packed), nil
-	}
-	d, err := decoder()
+// createSegment creates a segment's file and writes its header; nothing is flushed.
+func createSegment(fs disk.FS, store format.ID, number uint64, cold bool) (*segment, error) {
+	g := &segment{number: number, name: segmentFileName(number), store: store, cold: cold, size: format.SegmentHeaderSize}
+	g.refs.Store(1)
+	f, err := fs.Create(g.name)
 	if err != nil {
 		return nil, err
 	}
-	raw, err := d.DecodeAll(packed, make([]byte, 0, head.Raw))
-	if err != nil || len(raw) != head.Raw {
-		return nil, fmt.Errorf("%w: it does not unpack (%w)", format.ErrInvalid, err)
+	var b []byte
+	b, g.salt = format.SegmentHeader{Store: store, Number: number, Cold: cold}.Append(nil)
+	if _, err := f.WriteAt(b, 0); err != nil {
+		return nil, errors.Join(err, f.Close())
 	}
-	return raw, nil
+	g.file = f
+	return g, nil
 }
 
-// read returns the record at an offset. The bytes are the caller's.
-func (g *segment) read(off int64, size int) (format.Record, error) {
+// read reads the record at an offset of the decompressed segment. The caller may keep its bytes.
+func (g *segment) read(offset int64, size int) (format.Record, error) {
 	var b []byte
+	var err error
 	if g.cold {
-		i, found := slices.BinarySearchFunc(g.blocks, off, func(b block, off int64) int { return int(b.raw - off) })
-		if !found {
-			i--
-		}
-		if i < 0 {
-			return format.Record{}, damage(g.name, off, "no block has this record")
-		}
-		u := g.cache.Load()
-		if u == nil || u.raw != g.blocks[i].raw {
-			at, end := g.blocks[i].off, g.size
-			if i+1 < len(g.blocks) {
-				end = g.blocks[i+1].off
-			}
-			packed := make([]byte, end-at)
-			if _, err := g.file.ReadAt(packed, at); err != nil && !errors.Is(err, io.EOF) {
-				return format.Record{}, fmt.Errorf("%s: %w", g.name, err)
-			}
-			raw, err := unpack(packed, g.salt, at)
-			if err != nil {
-				return format.Record{}, damage(g.name, at, "%v", err)
-			}
-			u = &unpacked{g.blocks[i].raw, raw}
-			g.cache.Store(u)
-		}
-		from := int(off - u.raw)
-		if from < 0 || from+size > len(u.bytes) {
-			return format.Record{}, damage(g.name, g.blocks[i].off, "a record is not where it was")
-		}
-		b = bytes.Clone(u.bytes[from : from+size])
+		b, err = g.readCold(offset, size)
 	} else {
 		b = make([]byte, size)
-		if _, err := g.file.ReadAt(b, off); err != nil && !errors.Is(err, io.EOF) {
-			return format.Record{}, fmt.Errorf("%s: %w", g.name, err)
+		if _, err = g.file.ReadAt(b, offset); errors.Is(err, io.EOF) {
+			err = nil // what is missing fails the checksum
 		}
-	}
-	r, err := format.ReadRecord(b, g.salt, off)
-	if err != nil {
-		return r, damage(g.name, off, "%v", err)
-	}
-	return r, nil
-}
-
-// window reads a file forwards through a buffer.
-type window struct {
-	file     disk.File
-	off, end int64 // what is peeked at next; where the file is taken to end
-	buf      []byte
-	from     int64 // of buf
-}
-
-// peek returns at least n bytes at off, fewer only where the file ends.
-func (w *window) peek(n int) ([]byte, error) {
-	have := w.from + int64(len(w.buf)) - w.off
-	if want := min(int64(n), w.end-w.off); w.off < w.from || have < want {
-		size := min(max(int64(n), 256<<10), w.end-w.off)
-		if int64(cap(w.buf)) < size {
-			w.buf = make([]byte, size)
-		}
-		w.buf = w.buf[:size]
-		got, err := w.file.ReadAt(w.buf, w.off)
-		if err != nil && !errors.Is(err, io.EOF) {
-			w.buf = nil
-			return nil, err
-		}
-		w.buf, w.from = w.buf[:got], w.off
-	}
-	return w.buf[w.off-w.from:], nil
-}
-
-// findFlushed looks behind an offset for groups, and returns the highest flushed offset that they tell of.
-func (g *segment) findFlushed(from int64) (flushed int64, err error) {
-	w := window{file: g.file, off: from, end: g.size}
-	for w.off+format.GroupSize <= g.size {
-		b, err := w.peek(1 << 20)
 		if err != nil {
-			return 0, err
-		}
-		if f, found := format.FindFlushed(b, g.salt, w.off); found {
-			flushed = max(flushed, f)
-		}
-		w.off += int64(len(b)) - format.GroupSize + 1
-		if len(b) < format.GroupSize {
-			break
+			err = fmt.Errorf("%s: %w", g.name, err)
 		}
 	}
-	return flushed, nil
-}
-
-// packer writes a cold segment.
-type packer struct {
-	*segment
-	limit  int // bytes of a block before it is packed
-	paced  func() error
-	enc    *zstd.Encoder
-	block  []byte
-	packed []byte // used again from block to block
-	out    []byte
-	rawOff int64 // where the next record stands, unpacked
-}
-
-func newPacker(fs disk.FS, store format.ID, number uint64, limit int, paced func() error) (*packer, error) {
-	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(128<<10))
 	if err != nil {
-		return nil, err
+		return format.Record{}, err
 	}
-	g, err := createSegment(fs, store, number, true)
+	r, err := format.DecodeRecord(b, g.salt, offset)
 	if err != nil {
-		return nil, err
-	}
-	return &packer{segment: g, limit: limit, paced: paced, enc: enc, rawOff: format.SegmentHeader}, nil
-}
-
-// createSegment makes a segment's file with its header.
-func createSegment(fs disk.FS, store format.ID, number uint64, cold bool) (*segment, error) {
-	g := &segment{number: number, name: fileName(number), store: store, cold: cold, size: format.SegmentHeader}
-	g.refs.Store(1)
-	f, err := fs.Create(g.name)
-	if err != nil {
-		return nil, err
-	}
-	var b []byte
-	b, g.salt = format.Header{Store: store, Number: number, Cold: cold}.Append(nil)
-	if _, err := f.WriteAt(b, 0); err != nil {
-		return nil, errors.Join(err, f.Close())
+		return r, damage(g.name, offset, "%v", err)
 	}
-	g.file = f
-	return g, nil
-}
-
-// add appends a record and returns its offset.
-func (p *packer) add(r *format.Record) (off int64, err error) {
-	off = p.rawOff
-	p.block = format.AppendRecord(p.block, p.salt, off, r)
-	p.rawOff += int64(r.Size())
-	p.count(r.Seq, r.Size())
-	if len(p.block) >= p.limit {
-		err = p.pack()
-	}
-	return off, err
-}
-
-// pack writes the block that has gathered, compressed where that saves an eighth.
-func (p *packer) pack() error {
-	if len(p.block) == 0 {
-		return nil
-	}
-	p.packed = p.enc.EncodeAll(p.block, p.packed[:0])
-	packed := p.packed
-	zst := len(packed) < len(p.block)-len(p.block)/8
-	if !zst {
-		packed = p.block
-	}
-	first := p.rawOff - int64(len(p.block))
-	b := format.AppendBlock(p.out[:0], p.salt, p.size, format.Block{Raw: len(p.block), Zstd: zst, Offset: first}, packed)
-	if _, err := p.file.WriteAt(b, p.size); err != nil {
-		return err
-	}
-	p.out = b
-	p.blocks = append(p.blocks, block{first, p.size})
-	p.size += int64(len(b))
-	p.block = p.block[:0]
-	return p.paced()
+	return r, nil
 }
--- a/internal/ledger/torture_test.go
+++ b/internal/ledger/torture_test.go
@@ -71,7 +71,7 @@
 		case n < 17:
 			err = h.apply(s, map[string]string{"batch" + key(): value, key(): "b" + value, key(): ""}, key())
 		case n < 19:
-			err = s.compactDue()
+			err = s.compactWhileDue()
 		default:
 			_, err = s.Compact()
 		}
@@ -212,14 +212,14 @@
 			cut[name] = b[:k]
 			s, err := Open(simdisk.Of(cut), o)
 			if name != active {
-				var d *Damage
+				var d *DamageError
 				if errors.As(err, &d) {
-					if d.File != name || d.Offset > int64(k) || d.Do == "" {
+					if d.File != name || d.Offset > int64(k) || d.Remedy == "" {
 						t.Fatalf("%s cut at %d: %v", name, k, err)
 					}
 					continue
 				}
-				if name != manifestNew {
+				if name != manifestTempName {
 					t.Fatalf("%s cut at %d opens: %v", name, k, err)
 				}
 			}
@@ -265,8 +265,8 @@
 			}
 		}
 	}
-	last, active := s.w.flushed, s.active.name
-	last -= int64(len(s.w.buf)) // where the last group begins
+	last, active := s.writer.flushedOffset, s.active.name
+	last -= int64(len(s.writer.buf)) // where the last group begins
 	files := fs.Kill().Files()
 	repaired := 0
 	for name, b := range files {
@@ -283,7 +283,7 @@
 				s.Close()
 				t.Fatalf("%s: a flipped bit at %d was not noticed", name, i)
 			}
-			var d *Damage
+			var d *DamageError
 			if errors.As(err, &d) && d.File != name {
 				t.Fatalf("%s flipped at %d: %v", name, i, err)
 			}
@@ -321,9 +321,9 @@
 	}
 	cut := maps.Clone(files)
 	for name := range files {
-		if _, ok := number(name); ok && name != active {
+		if _, ok := segmentNumber(name); ok && name != active {
 			delete(cut, name)
-			var d *Damage
+			var d *DamageError
 			if _, err := Open(simdisk.Of(cut), o); !errors.As(err, &d) || d.File != name {
 				t.Errorf("without %s: %v", name, err)
 			}
@@ -331,7 +331,7 @@
 		}
 	}
 	delete(cut, manifestName)
-	var d *Damage
+	var d *DamageError
 	if _, err := Open(simdisk.Of(cut), o); !errors.As(err, &d) || d.File != manifestName {
 		t.Errorf("without a manifest: %v", err)
 	}
@@ -460,7 +460,7 @@
 		for state := range uint64(4) {
 			left := to.Cut(state)
 			b, openErr := Open(left, options())
-			var d *Damage
+			var d *DamageError
 			switch {
 			case openErr == nil:
 				if got := content(t, b); len(got) != 0 && !maps.Equal(got, h.acked) || len(got) == 0 && err == nil {
@@ -549,7 +549,7 @@
 			return m
 		}
 		follow := func(t *rapid.T) {
-			now := time.UnixMilli(s.mark)
+			now := time.UnixMilli(s.clockMark)
 			if now.Before(mark) || now.After(mark) && now.After(c.Now()) {
 				t.Fatalf("the mark went from %v to %v at %v", mark, now, c.Now())
 			}
@@ -596,7 +596,7 @@
 			},
 			"tend": func(t *rapid.T) {
 				s.Sweep()
-				if err := s.compactDue(); err != nil {
+				if err := s.compactWhileDue(); err != nil {
 					t.Fatal(err)
 				}
 				follow(t)
@@ -634,7 +634,7 @@
 	s := mustOpen(t, fs, o)
 	roll := func() {
 		t.Helper()
-		if err := s.roll(); err != nil {
+		if err := s.sealActive(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -656,7 +656,7 @@
 	s.Sweep()
 	newer := s.sealed[len(s.sealed)-1].number
 	got, err := s.compact([]uint64{newer}, false)
-	if err != nil || got.Buried != 2 {
+	if err != nil || got.TombstonesWritten != 2 {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	want := map[string]string{"kept": "old"}
@@ -665,7 +665,7 @@
 	if got := content(t, s); !maps.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
-	if got, err := s.Compact(); err != nil || got.Buried != 0 || got.Kept != 1 {
+	if got, err := s.Compact(); err != nil || got.TombstonesWritten != 0 || got.RecordsKept != 1 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -678,11 +678,11 @@
 		fs := simdisk.New(state)
 		s := mustOpen(t, fs, o)
 		put(t, s, "k", "old")
-		if err := s.roll(); err != nil {
+		if err := s.sealActive(); err != nil {
 			t.Fatal(err)
 		}
 		put(t, s, "k", "new")
-		if c, err := s.compact([]uint64{s.sealed[0].number}, false); err != nil || c.Dropped != 1 {
+		if c, err := s.compact([]uint64{s.sealed[0].number}, false); err != nil || c.RecordsDropped != 1 {
 			t.Fatalf("%+v, %v", c, err)
 		}
 		s2 := mustOpen(t, fs.Cut(state), o)
@@ -708,11 +708,11 @@
 			}
 			g = s.sealed[0]
 		}
-		at := fs.Flip(g.name, format.SegmentHeader, int(g.size), seed)
+		at := fs.Flip(g.name, format.SegmentHeaderSize, int(g.size), seed)
 		damaged := 0
 		for i := range 6 {
 			v, err := s.Get([]byte(fmt.Sprint("k", i)))
-			var d *Damage
+			var d *DamageError
 			switch {
 			case errors.As(err, &d) && d.File == g.name:
 				damaged++
--- a/internal/ledger/verify.go
+++ b/internal/ledger/verify.go
@@ -6,7 +6,7 @@
 	"sloehitch/internal/ledger/disk"
 )
 
-// Verdict says how a folder's files are.
+// Verdict reports the state of a folder's files.
 type Verdict struct {
 	State    string   `json:"state"` // whole, torn or damaged
 	File     string   `json:"file,omitempty"`
@@ -18,28 +18,28 @@
 // The states of a folder.
 const (
 	Whole   = "whole"
-	Torn    = "torn"    // the end of the active segment was never acknowledged; Open cuts it off
-	Damaged = "damaged" // Open refuses
+	Torn    = "torn"    // the end of the active segment was never acknowledged; Open truncates it
+	Damaged = "damaged" // Open returns a *DamageError
 )
 
-// Verify reads all that a folder holds without changing it. The error is about what could not be looked at, not about what was
-// found. A folder that a process is writing to may look torn.
+// Verify reads all that a folder holds without changing it, and blocks until then. The error says what could not be read, not
+// what was found. A folder that a process is writing to may look torn.
 func Verify(fs disk.FS, o Options) (Verdict, error) {
 	o.ReadOnly = true
 	s, err := Open(fs, o)
 	if s != nil {
-		defer func() { _ = s.Close() }() // opened for reading: nothing is left to be written
+		defer func() { _ = s.Close() }() // opened for reading only
 	}
-	var d *Damage
+	var d *DamageError
 	switch {
 	case errors.As(err, &d):
-		return Verdict{State: Damaged, File: d.File, Offset: d.Offset, What: d.What}, nil
+		return Verdict{State: Damaged, File: d.File, Offset: d.Offset, What: d.Reason}, nil
 	case err != nil:
 		return Verdict{}, err
 	}
 	v := Verdict{State: Whole, Recovery: s.Recovery()}
 	if r := v.Recovery; r.Torn > 0 {
-		v.State, v.File, v.Offset = Torn, r.TornFile, r.TornAt
+		v.State, v.File, v.Offset = Torn, r.TornFile, r.TornOffset
 		v.What = "the segment ends in bytes that were never acknowledged"
 	}
 	return v, nil
