--- a/cmd/sloehitch-lab/experiment.go
+++ b/cmd/sloehitch-lab/experiment.go
@@ -28,7 +28,7 @@
 
 // Run plays an experiment and reports it.
 func (c *runCmd) Run() error {
-	f, err := experiment.Read(c.File)
+	f, err := experiment.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -81,22 +81,22 @@
 
 // Run plays one run and tells the life of one of its requests.
 func (c *traceCmd) Run() error {
-	f, err := experiment.Read(c.File)
+	f, err := experiment.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
-	steps, err := f.Watch(c.Arm, c.Load, c.Seed)
+	steps, err := f.Trace(c.Arm, c.Load, c.Seed)
 	if err != nil {
 		return err
 	}
-	if err := emulator.Life(os.Stdout, steps, c.Request); err != nil || c.Out == "" {
+	if err := emulator.WriteTimeline(os.Stdout, steps, c.Request); err != nil || c.Out == "" {
 		return err
 	}
 	out, err := os.Create(c.Out)
 	if err != nil {
 		return err
 	}
-	return errors.Join(emulator.Trace(out, steps), out.Close())
+	return errors.Join(emulator.WriteTrace(out, steps), out.Close())
 }
 
 type loadCmd struct {
@@ -108,7 +108,7 @@
 
 // Run plays the same load against the model and against real daemons on loopback.
 func (c *loadCmd) Run() error {
-	f, err := experiment.Read(c.File)
+	f, err := experiment.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -126,11 +126,11 @@
 		return exec.Command(c.Program, "serve", "--config", config, "--deploy", deploy)
 	}
 	real := func(w emulator.World) (*emulator.Result, error) {
-		fmt.Fprintf(os.Stderr, "%d daemons at a load of %.3g, %v\n", w.Nodes, w.Load, w.Length)
+		fmt.Fprintf(os.Stderr, "%d daemons at a load of %.3g, %v\n", w.Nodes, w.Load, w.Duration)
 		return loadrig.Play(w, loadrig.Options{Command: command, Dir: dir, Log: log})
 	}
 	told := 0
-	broken := func(b *emulator.Broken) {
+	broken := func(b *emulator.Violation) {
 		if told++; told <= 5 {
 			fmt.Fprintln(os.Stderr, b)
 		}
@@ -150,7 +150,7 @@
 
 // Run prints the table, and writes the charts and the page.
 func (c *reportCmd) Run() error {
-	table, err := experiment.Report(c.Dir)
+	table, err := experiment.WriteReport(c.Dir)
 	if err != nil {
 		return err
 	}
@@ -168,11 +168,11 @@
 
 // Run tells what changed from A to B; it errs where something is worse beyond noise.
 func (c *diffCmd) Run() error {
-	a, err := experiment.Rows(c.A)
+	a, err := experiment.ReadRows(c.A)
 	if err != nil {
 		return err
 	}
-	b, err := experiment.Rows(c.B)
+	b, err := experiment.ReadRows(c.B)
 	if err != nil {
 		return err
 	}
@@ -184,15 +184,15 @@
 	for _, d := range changes {
 		word := "noise"
 		switch {
-		case d.By.Mean == 0 && !d.Beyond:
+		case d.Difference.Mean == 0 && !d.Significant:
 			word = "the same"
-		case d.Beyond && d.By.Mean < 0:
+		case d.Significant && d.Difference.Mean < 0:
 			word, worse = "WORSE", true
-		case d.Beyond:
+		case d.Significant:
 			word = "better"
 		}
 		fmt.Printf("load %.3g, %d nodes, %d retries, %s: goodput %.3f, by %+.3f [%+.3f, %+.3f]: %s\n", d.Cell.Load, d.Cell.Nodes, d.Cell.Retries, d.Cell.Arm,
-			d.Cell.Goodput.Mean, d.By.Mean, d.By.Low, d.By.High, word)
+			d.Cell.Goodput.Mean, d.Difference.Mean, d.Difference.Low, d.Difference.High, word)
 	}
 	if worse {
 		return errWorse
--- a/cmd/sloehitch/rig_test.go
+++ b/cmd/sloehitch/rig_test.go
@@ -13,16 +13,16 @@
 // TestRig: the emulator's load, played against real daemons, is answered and accounted for, and no key runs twice; how
 // fast this machine is decides nothing here.
 func TestRig(t *testing.T) {
-	w := emulator.World{Seed: 1, Length: 2 * time.Second, Nodes: 2, Cores: 2, Speed: 1, Thrash: 0.3, ThrashAt: 3, Crowd: 5, MemoryKB: 1e5, Load: 0.8,
-		Balancers: 2, Habit: emulator.LeastOpen, Retries: 1, Backoff: 10 * time.Millisecond, Heed: true, Classes: []emulator.Class{
-			{Name: "read", Share: 1, Work: emulator.Sizes{Mean: 0.02, CV: 1, Kind: "lognormal"}, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "book", Share: 1, Work: emulator.Sizes{Mean: 0.02}, Aim: time.Second, Deadline: 2 * time.Second, Worth: 3, Keyed: true, Window: 10 * time.Second}},
-		Faults: []emulator.Fault{{At: time.Second, Node: 0, Kind: emulator.Stall, Length: 200 * time.Millisecond}}}
-	policy, err := emulator.Policies("none", 0) // not used
+	w := emulator.World{Seed: 1, Duration: 2 * time.Second, Nodes: 2, Cores: 2, Speed: 1, Thrash: 0.3, ThrashThreshold: 3, MaxConcurrencyPerCore: 5, MemoryKB: 1e5, Load: 0.8,
+		Balancers: 2, Balancing: emulator.LeastRequests, MaxRetries: 1, Backoff: 10 * time.Millisecond, HonorRetryAfter: true, Classes: []emulator.Class{
+			{Name: "read", Share: 1, Work: emulator.Distribution{Mean: 0.02, CV: 1, Kind: "lognormal"}, LatencyObjective: time.Second, ClientTimeout: 2 * time.Second, PriorityWeight: 1},
+			{Name: "book", Share: 1, Work: emulator.Distribution{Mean: 0.02}, LatencyObjective: time.Second, ClientTimeout: 2 * time.Second, PriorityWeight: 3, HasIdempotencyKey: true, IdempotencyWindow: 10 * time.Second}},
+		Faults: []emulator.Fault{{At: time.Second, Node: 0, Kind: emulator.FaultStall, Duration: 200 * time.Millisecond}}}
+	policy, err := emulator.NewPolicy("none", 0) // not used
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Policy = policy
+	w.NewServer = policy
 	r, err := loadrig.Play(w, loadrig.Options{Dir: t.TempDir(), Log: io.Discard, Command: func(config, deploy string) *exec.Cmd {
 		return command("serve", "--config", config, "--deploy", deploy)
 	}})
@@ -30,11 +30,11 @@
 		t.Fatal(err)
 	}
 	for i, c := range r.Classes {
-		if sum := c.InAim + c.Late + c.Refused + c.Failed + c.Expired; sum != c.Offered || c.InAim+c.Late == 0 || c.Tries < c.Offered {
-			t.Errorf("class %d: %d offered, %d ended, %d served in time, %d tries", i, c.Offered, sum, c.InAim, c.Tries)
+		if sum := c.WithinObjective + c.Late + c.Rejected + c.Failed + c.TimedOut; sum != c.Offered || c.WithinObjective+c.Late == 0 || c.Attempts < c.Offered {
+			t.Errorf("class %d: %d offered, %d ended, %d served in time, %d tries", i, c.Offered, sum, c.WithinObjective, c.Attempts)
 		}
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		if b.Rule == "rerun" || b.Rule == "duplicate" {
 			t.Error(b)
 		}
--- a/internal/emulator/deployments_test.go
+++ b/internal/emulator/deployments_test.go
@@ -11,23 +11,23 @@
 func drawn(seed uint64) World {
 	r := rand.New(rand.NewPCG(seed, 24))
 	between := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
-	w := World{Seed: seed, Length: 12 * time.Second, WarmUp: 3 * time.Second, Nodes: 1 + r.IntN(4), Cores: 1 + r.IntN(8), Speed: between(0.5, 1.5),
-		Thrash: between(0, 0.5), ThrashAt: between(2, 5), Crowd: between(4, 10), MemoryKB: 1e5, Hop: time.Millisecond,
-		Read: between(0, 0.3), Grace: time.Duration(between(1, 3) * 1e9), Load: between(0.5, 1.6), Burst: between(0, 0.4), Every: 4 * time.Second,
-		Balancers: 1 + r.IntN(4), Habit: []Habit{RoundRobin, LeastOpen, TwoChoices, Random}[r.IntN(4)], Away: between(0, 1),
-		Unhinted: r.IntN(2) == 0, TellsWait: r.IntN(2) == 0}
+	w := World{Seed: seed, Duration: 12 * time.Second, WarmUp: 3 * time.Second, Nodes: 1 + r.IntN(4), Cores: 1 + r.IntN(8), Speed: between(0.5, 1.5),
+		Thrash: between(0, 0.5), ThrashThreshold: between(2, 5), MaxConcurrencyPerCore: between(4, 10), MemoryKB: 1e5, NetworkDelay: time.Millisecond,
+		ReadCost: between(0, 0.3), DrainGrace: time.Duration(between(1, 3) * 1e9), Load: between(0.5, 1.6), BurstAmplitude: between(0, 0.4), BurstPeriod: 4 * time.Second,
+		Balancers: 1 + r.IntN(4), Balancing: []BalancingMethod{RoundRobin, LeastRequests, PowerOfTwoChoices, Random}[r.IntN(4)], RetryAfterShare: between(0, 1),
+		NoWorkHints: r.IntN(2) == 0, DeadlinePropagated: r.IntN(2) == 0}
 	if r.IntN(2) == 0 {
-		w.Walk = true
+		w.TryAllNodes = true
 	} else {
-		w.Retries, w.Backoff, w.Heed = r.IntN(3), 20*time.Millisecond, r.IntN(2) == 0
+		w.MaxRetries, w.Backoff, w.HonorRetryAfter = r.IntN(3), 20*time.Millisecond, r.IntN(2) == 0
 	}
 	for i := range 1 + r.IntN(3) {
 		work := 0.02 * between(1, 5)
 		aim := time.Duration(work / w.Speed * between(6, 25) * 1e9)
-		c := Class{Name: fmt.Sprint("c", i), Share: between(0.2, 1), Work: Sizes{Mean: work, CV: between(0.3, 1), Kind: "lognormal"}, Aim: aim,
-			Deadline: time.Duration(float64(aim) * between(1.2, 4)), Worth: between(0.5, 4), HintCV: between(0, 0.6)}
-		if c.Keyed = r.IntN(3) == 0; c.Keyed {
-			c.Window = time.Duration(between(1, 30) * 1e9)
+		c := Class{Name: fmt.Sprint("c", i), Share: between(0.2, 1), Work: Distribution{Mean: work, CV: between(0.3, 1), Kind: "lognormal"}, LatencyObjective: aim,
+			ClientTimeout: time.Duration(float64(aim) * between(1.2, 4)), PriorityWeight: between(0.5, 4), WorkHintCV: between(0, 0.6)}
+		if c.HasIdempotencyKey = r.IntN(3) == 0; c.HasIdempotencyKey {
+			c.IdempotencyWindow = time.Duration(between(1, 30) * 1e9)
 		}
 		w.Classes = append(w.Classes, c)
 	}
@@ -44,17 +44,17 @@
 		worlds = 60
 	}
 	play := func(w World, policy string, parameter float64) float64 {
-		make, err := Policies(policy, parameter)
+		make, err := NewPolicy(policy, parameter)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Policy = make
-		r, err := Play(w)
+		w.NewServer = make
+		r, err := Run(w)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Broken) > 0 && policy == "sloehitch" {
-			t.Fatal(r.Broken[0])
+		if len(r.Violations) > 0 && policy == "sloehitch" {
+			t.Fatal(r.Violations[0])
 		}
 		return r.Goodput(&w)
 	}
@@ -66,7 +66,7 @@
 			plain := play(w, "fixed", runs)
 			gain += (ours - plain) / float64(worlds) / 2
 			if ours < plain-noise {
-				t.Errorf("seed %d: goodput %.3f, a plain limit of %v runs a core has %.3f: load %.2f, %d nodes of %d cores, reading %.2f", seed, ours, runs, plain, w.Load, w.Nodes, w.Cores, w.Read)
+				t.Errorf("seed %d: goodput %.3f, a plain limit of %v runs a core has %.3f: load %.2f, %d nodes of %d cores, reading %.2f", seed, ours, runs, plain, w.Load, w.Nodes, w.Cores, w.ReadCost)
 			}
 		}
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -13,13 +13,13 @@
 )
 
 // queueing is one node whose callers never give up: a model of queueing theory.
-func queueing(cores int, load float64, sizes Sizes, policy string, length time.Duration) World {
-	make, err := Policies(policy, 0)
+func queueing(cores int, load float64, sizes Distribution, policy string, length time.Duration) World {
+	make, err := NewPolicy(policy, 0)
 	if err != nil {
 		panic(err)
 	}
-	return World{Seed: 1, Length: length, WarmUp: length / 100, Nodes: 1, Cores: cores, Speed: 1, Load: load, Balancers: 1, Habit: RoundRobin,
-		MemoryKB: 1e9, Crowd: 1e6, Policy: make, Classes: []Class{{Name: "x", Share: 1, Work: sizes, Aim: length, Deadline: length, Worth: 1}}}
+	return World{Seed: 1, Duration: length, WarmUp: length / 100, Nodes: 1, Cores: cores, Speed: 1, Load: load, Balancers: 1, Balancing: RoundRobin,
+		MemoryKB: 1e9, MaxConcurrencyPerCore: 1e6, NewServer: make, Classes: []Class{{Name: "x", Share: 1, Work: sizes, LatencyObjective: length, ClientTimeout: length, PriorityWeight: 1}}}
 }
 
 // erlangC is the chance that who comes has to wait (M/M/c).
@@ -43,8 +43,8 @@
 	if *long {
 		length, seeds, within = 20000*time.Second, 4, 0.02
 	}
-	exp := Sizes{Mean: 0.01, Kind: "exponential"}
-	wide := Sizes{Mean: 0.01, CV: 1.5, Kind: "lognormal"}
+	exp := Distribution{Mean: 0.01, Kind: "exponential"}
+	wide := Distribution{Mean: 0.01, CV: 1.5, Kind: "lognormal"}
 	for _, c := range []struct {
 		name string
 		w    World
@@ -56,14 +56,14 @@
 		{"M/M/1 shared at 60%", queueing(1, 0.6, exp, "none", length), 0.01 / (1 - 0.6)},
 		{"M/G/1 shared at 60%", queueing(1, 0.6, wide, "none", length), 0.01 / (1 - 0.6)},
 		{"M/G/1 at 50% (Pollaczek-Khinchine)", queueing(1, 0.5, wide, "fifo", length), 0.01 + 0.5*0.01*(1+wide.squaredCV())/(2*(1-0.5))},
-		{"M/D/1 at 60% (Pollaczek-Khinchine)", queueing(1, 0.6, Sizes{Mean: 0.01}, "fifo", length), 0.01 + 0.6*0.01/(2*(1-0.6))},
+		{"M/D/1 at 60% (Pollaczek-Khinchine)", queueing(1, 0.6, Distribution{Mean: 0.01}, "fifo", length), 0.01 + 0.6*0.01/(2*(1-0.6))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			got := 0.0
 			for seed := range seeds {
 				c.w.Seed = seed + 1
-				r, err := Play(c.w)
+				r, err := Run(c.w)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -71,8 +71,8 @@
 				if math.Abs(r.Utilization/c.w.Load-1) > within {
 					t.Errorf("%.3f of the cores used at a load of %.2f", r.Utilization, c.w.Load)
 				}
-				if math.Abs(r.Mean/r.Little-1) > 1e-6 {
-					t.Errorf("%.6f in the system by the clock, %.6f by Little's law", r.Mean, r.Little)
+				if math.Abs(r.MeanInSystem/r.MeanByLittlesLaw-1) > 1e-6 {
+					t.Errorf("%.6f in the system by the clock, %.6f by Little's law", r.MeanInSystem, r.MeanByLittlesLaw)
 				}
 			}
 			off := got/c.want - 1
@@ -86,23 +86,23 @@
 
 // clinic is a small fleet like the brief's.
 func clinic(seed uint64, load float64, policy string) World {
-	make, err := Policies(policy, 2)
+	make, err := NewPolicy(policy, 2)
 	if err != nil {
 		panic(err)
 	}
-	return World{Seed: seed, Length: 30 * time.Second, WarmUp: 5 * time.Second, Nodes: 4, Cores: 6, Speed: 1, Thrash: 0.3, ThrashAt: 3, Crowd: 5,
-		MemoryKB: 1e5, Hop: 500 * time.Microsecond, Load: load, Burst: 0.4, Every: 4 * time.Second, Balancers: 3, Habit: LeastOpen, Retries: 1,
-		Backoff: 20 * time.Millisecond, Heed: true, Policy: make, Classes: []Class{
-			{Name: "slot-search", Share: 0.66, Work: Sizes{0.05, 1, "lognormal"}, Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1, HintCV: 0.3},
-			{Name: "book", Share: 0.34, Work: Sizes{0.08, 1, "lognormal"}, Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Worth: 3, Keyed: true, Window: 10 * time.Second, HintCV: 0.3}}}
+	return World{Seed: seed, Duration: 30 * time.Second, WarmUp: 5 * time.Second, Nodes: 4, Cores: 6, Speed: 1, Thrash: 0.3, ThrashThreshold: 3, MaxConcurrencyPerCore: 5,
+		MemoryKB: 1e5, NetworkDelay: 500 * time.Microsecond, Load: load, BurstAmplitude: 0.4, BurstPeriod: 4 * time.Second, Balancers: 3, Balancing: LeastRequests, MaxRetries: 1,
+		Backoff: 20 * time.Millisecond, HonorRetryAfter: true, NewServer: make, Classes: []Class{
+			{Name: "slot-search", Share: 0.66, Work: Distribution{0.05, 1, "lognormal"}, LatencyObjective: 800 * time.Millisecond, ClientTimeout: 3 * time.Second, PriorityWeight: 1, WorkHintCV: 0.3},
+			{Name: "book", Share: 0.34, Work: Distribution{0.08, 1, "lognormal"}, LatencyObjective: 1200 * time.Millisecond, ClientTimeout: 3 * time.Second, PriorityWeight: 3, HasIdempotencyKey: true, IdempotencyWindow: 10 * time.Second, WorkHintCV: 0.3}}}
 }
 
 // row is all that a run comes to, as text.
 func row(r *Result) string {
 	var b strings.Builder
-	fmt.Fprint(&b, r.Events, r.Utilization, r.Mean, r.Little)
+	fmt.Fprint(&b, r.Events, r.Utilization, r.MeanInSystem, r.MeanByLittlesLaw)
 	for _, c := range r.Classes {
-		fmt.Fprint(&b, " ", c.Offered, c.InAim, c.Late, c.Refused, c.Failed, c.Expired, c.Tries, c.Worth, c.Latency.Mean(), c.Latency.ValueAtQuantile(99))
+		fmt.Fprint(&b, " ", c.Offered, c.WithinObjective, c.Late, c.Rejected, c.Failed, c.TimedOut, c.Attempts, c.WeightWithinObjective, c.Latency.Mean(), c.Latency.ValueAtQuantile(99))
 	}
 	return b.String()
 }
@@ -111,8 +111,8 @@
 // requests; all that came is accounted for, and no rule is broken, on a calm, in overload and with faults.
 func TestSameSeed(t *testing.T) {
 	var faulty []Fault
-	for i, kind := range []Kind{Stall, Slow, Lossy, Leave, Die} {
-		faulty = append(faulty, Fault{At: time.Duration(6+2*i) * time.Second, Node: i % 4, Kind: kind, Length: 2 * time.Second, Factor: 0.3, Return: time.Second})
+	for i, kind := range []FaultKind{FaultStall, FaultSlow, FaultMessageLoss, FaultDrain, FaultCrash} {
+		faulty = append(faulty, Fault{At: time.Duration(6+2*i) * time.Second, Node: i % 4, Kind: kind, Duration: 2 * time.Second, Factor: 0.3, RestartDelay: time.Second})
 	}
 	for _, load := range []float64{0.6, 1.2, 10} {
 		offered := ""
@@ -121,26 +121,26 @@
 				continue
 			}
 			w := clinic(7, load, policy)
-			w.Faults, w.Length = faulty, 16*time.Second
-			w.Notice, w.ColdFrom, w.ColdFor, w.Budget = 700*time.Millisecond, 0.2, 3*time.Second, 0.1
+			w.Faults, w.Duration = faulty, 16*time.Second
+			w.DiscoveryDelay, w.SlowStartCapacity, w.SlowStartDuration, w.RetryBudget = 700*time.Millisecond, 0.2, 3*time.Second, 0.1
 			if load == 10 {
-				w.Length = 9 * time.Second
+				w.Duration = 9 * time.Second
 			}
 			rows, came := make(chan string, 2), make(chan string, 2)
 			for range 2 {
 				go func() {
-					r, err := Play(w)
+					r, err := Run(w)
 					if err != nil {
 						t.Error(err)
 					}
-					for _, b := range r.Broken {
+					for _, b := range r.Violations {
 						if policy == "sloehitch" { // the others keep no rules
 							t.Error(b)
 							break
 						}
 					}
 					for _, c := range r.Classes {
-						if sum := c.InAim + c.Late + c.Refused + c.Failed + c.Expired; sum != c.Offered {
+						if sum := c.WithinObjective + c.Late + c.Rejected + c.Failed + c.TimedOut; sum != c.Offered {
 							t.Errorf("%s at %.1f: %d offered, %d ended", policy, load, c.Offered, sum)
 						}
 					}
@@ -164,12 +164,12 @@
 // spoilt is a server that breaks a rule.
 type spoilt struct {
 	Server
-	site Site
+	site Environment
 	rule string
-	seen []*Try
+	seen []*Attempt
 }
 
-func (s *spoilt) Offer(t *Try, answer func(node.Response)) {
+func (s *spoilt) Submit(t *Attempt, answer func(node.Response)) {
 	s.seen = append(s.seen, t)
 	switch s.rule {
 	case "lost":
@@ -182,22 +182,22 @@
 			answer = func(a node.Response) { first(a); first(a) }
 		}
 	case "rerun":
-		if t.Key != "" {
-			s.site.Clock.AfterFunc(time.Millisecond, func() { s.site.Ran(t) })
+		if t.IdempotencyKey != "" {
+			s.site.Clock.AfterFunc(time.Millisecond, func() { s.site.OnRunStarted(t) })
 		}
 	case "refused":
-		if t.Key != "" {
-			s.site.Ran(t)
+		if t.IdempotencyKey != "" {
+			s.site.OnRunStarted(t)
 			answer(node.Response{Status: node.StatusRejected})
 			return
 		}
 	}
-	s.Server.Offer(t, answer)
+	s.Server.Submit(t, answer)
 }
 
-func (s *spoilt) Leave(left time.Duration) {
+func (s *spoilt) Drain(left time.Duration) {
 	if s.rule != "drain" {
-		s.Server.Leave(left)
+		s.Server.Drain(left)
 	}
 }
 
@@ -205,19 +205,19 @@
 func TestRulesCatch(t *testing.T) {
 	for _, rule := range []string{"lost", "duplicate", "rerun", "refused", "drain"} {
 		w := clinic(3, 0.5, "sloehitch")
-		w.Length, w.WarmUp, w.Notice = 8*time.Second, 0, 4*time.Second
-		w.Faults = []Fault{{At: 2 * time.Second, Node: 0, Kind: Leave, Length: 5 * time.Second}}
-		make := w.Policy
-		w.Policy = func(s Site) Server { return &spoilt{Server: make(s), site: s, rule: rule} }
-		r, err := Play(w)
+		w.Duration, w.WarmUp, w.DiscoveryDelay = 8*time.Second, 0, 4*time.Second
+		w.Faults = []Fault{{At: 2 * time.Second, Node: 0, Kind: FaultDrain, Duration: 5 * time.Second}}
+		make := w.NewServer
+		w.NewServer = func(s Environment) Server { return &spoilt{Server: make(s), site: s, rule: rule} }
+		r, err := Run(w)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Broken) == 0 {
+		if len(r.Violations) == 0 {
 			t.Errorf("%s: not caught", rule)
 			continue
 		}
-		if b := r.Broken[0]; b.Rule != rule || b.Seed != 3 || b.At <= 0 || len(b.Before) == 0 || !strings.Contains(b.Error(), "seed 3") {
+		if b := r.Violations[0]; b.Rule != rule || b.Seed != 3 || b.At <= 0 || len(b.RecentEvents) == 0 || !strings.Contains(b.Error(), "seed 3") {
 			t.Errorf("%s: caught as %v", rule, b)
 		}
 	}
@@ -229,21 +229,21 @@
 		want   string
 	}{
 		{func(w *World) { w.Nodes = 0 }, "nodes"},
-		{func(w *World) { w.Rate = 5 }, "one of rate and load"},
-		{func(w *World) { w.Habit = "best" }, `no habit "best"`},
-		{func(w *World) { w.Classes[1].Window = 0 }, "window"},
-		{func(w *World) { w.Classes[0].Deadline = 1 }, "deadline"},
+		{func(w *World) { w.ArrivalRate = 5 }, "one of rate and load"},
+		{func(w *World) { w.Balancing = "best" }, `no habit "best"`},
+		{func(w *World) { w.Classes[1].IdempotencyWindow = 0 }, "window"},
+		{func(w *World) { w.Classes[0].ClientTimeout = 1 }, "deadline"},
 		{func(w *World) { w.Faults = []Fault{{Node: 9, Kind: "stall"}} }, "node 9"},
 		{func(w *World) { w.Faults = []Fault{{Kind: "melt"}} }, `no fault "melt"`},
 		{func(w *World) { w.WarmUp = time.Hour }, "warm-up"},
 	} {
 		w := clinic(1, 0.5, "fixed")
 		c.change(&w)
-		if _, err := Play(w); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Run(w); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want a word on %s", err, c.want)
 		}
 	}
-	if _, err := Policies("best", 0); err == nil || !strings.Contains(err.Error(), "sloehitch, none") {
+	if _, err := NewPolicy("best", 0); err == nil || !strings.Contains(err.Error(), "sloehitch, none") {
 		t.Errorf("%v", err)
 	}
 }
@@ -253,18 +253,18 @@
 	play := func(change func(*World)) (goodput, tries float64, r *Result) {
 		t.Helper()
 		w := clinic(5, 0.7, "sloehitch")
-		w.Length, w.WarmUp, w.Burst, w.Retries = 20*time.Second, 2*time.Second, 0, 3
+		w.Duration, w.WarmUp, w.BurstAmplitude, w.MaxRetries = 20*time.Second, 2*time.Second, 0, 3
 		change(&w)
-		r, err := Play(w)
+		r, err := Run(w)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Broken) > 0 {
-			t.Fatal(r.Broken[0])
+		if len(r.Violations) > 0 {
+			t.Fatal(r.Violations[0])
 		}
 		n, offered := 0, 0
 		for _, c := range r.Classes {
-			n, offered = n+c.Tries, offered+c.Offered
+			n, offered = n+c.Attempts, offered+c.Offered
 		}
 		return r.Goodput(&w), float64(n) / float64(offered), r
 	}
@@ -277,23 +277,23 @@
 		fault       Fault
 		least, most float64 // goodput
 	}{
-		{"a node stands still for 3 of 18 s", Fault{Kind: Stall, Length: 3 * time.Second}, 0.9, 0.999},
-		{"a node goes at half speed for 3 s", Fault{Kind: Slow, Length: 3 * time.Second, Factor: 0.5}, 0.93, 0.9999},
-		{"a tenth of a node's messages is lost for 5 s", Fault{Kind: Lossy, Length: 5 * time.Second, Factor: 0.1}, 0.97, 0.9995},
-		{"a node dies for good: the others are near full", Fault{Kind: Die}, 0.95, 0.9999},
-		{"a node leaves and comes back", Fault{Kind: Leave, Length: 3 * time.Second, Return: time.Second}, 0.93, 0.9999},
+		{"a node stands still for 3 of 18 s", Fault{Kind: FaultStall, Duration: 3 * time.Second}, 0.9, 0.999},
+		{"a node goes at half speed for 3 s", Fault{Kind: FaultSlow, Duration: 3 * time.Second, Factor: 0.5}, 0.93, 0.9999},
+		{"a tenth of a node's messages is lost for 5 s", Fault{Kind: FaultMessageLoss, Duration: 5 * time.Second, Factor: 0.1}, 0.97, 0.9995},
+		{"a node dies for good: the others are near full", Fault{Kind: FaultCrash}, 0.95, 0.9999},
+		{"a node leaves and comes back", Fault{Kind: FaultDrain, Duration: 3 * time.Second, RestartDelay: time.Second}, 0.93, 0.9999},
 	} {
 		c.fault.At = 6 * time.Second
 		got, _, _ := play(func(w *World) {
-			w.Faults, w.Notice, w.ColdFrom, w.ColdFor = []Fault{c.fault}, time.Second, 0.3, 2*time.Second
+			w.Faults, w.DiscoveryDelay, w.SlowStartCapacity, w.SlowStartDuration = []Fault{c.fault}, time.Second, 0.3, 2*time.Second
 		})
 		if got < c.least || got > c.most {
 			t.Errorf("%s: goodput %.4f, want %.3f to %.4f", c.name, got, c.least, c.most)
 		}
 	}
-	storm := func(w *World) { w.Load, w.Heed = 1.5, false }
+	storm := func(w *World) { w.Load, w.HonorRetryAfter = 1.5, false }
 	_, unbound, _ := play(storm)
-	_, bound, _ := play(func(w *World) { storm(w); w.Budget = 0.1 })
+	_, bound, _ := play(func(w *World) { storm(w); w.RetryBudget = 0.1 })
 	if unbound < 1.3 || bound > 1.12 {
 		t.Errorf("%.2f tries a request without a budget, %.2f with one of 0.1", unbound, bound)
 	}
@@ -304,8 +304,8 @@
 	got := map[string]*Result{}
 	for _, policy := range []string{"fixed", "codel", "worth", "gradient"} {
 		w := clinic(9, 1.5, policy)
-		w.Retries, w.Burst = 0, 0
-		r, err := Play(w)
+		w.MaxRetries, w.BurstAmplitude = 0, 0
+		r, err := Run(w)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -313,7 +313,7 @@
 	}
 	share := func(policy string, class int) float64 {
 		c := got[policy].Classes[class]
-		return float64(c.InAim) / float64(c.Offered)
+		return float64(c.WithinObjective) / float64(c.Offered)
 	}
 	if b, s := share("worth", 1), share("worth", 0); b < 0.9 || b < s+0.3 {
 		t.Errorf("by worth: %.2f of bookings and %.2f of searches served", b, s)
@@ -321,8 +321,8 @@
 	if b, s := share("fixed", 1), share("fixed", 0); math.Abs(b-s) > 0.12 {
 		t.Errorf("first come, first served: %.2f of bookings and %.2f of searches", b, s)
 	}
-	if p99 := got["codel"].Classes[0].Latency.ValueAtQuantile(50); p99 > 1_500_000 || got["codel"].Classes[0].Refused == 0 {
-		t.Errorf("codel: half wait longer than %d us, %d refused", p99, got["codel"].Classes[0].Refused)
+	if p99 := got["codel"].Classes[0].Latency.ValueAtQuantile(50); p99 > 1_500_000 || got["codel"].Classes[0].Rejected == 0 {
+		t.Errorf("codel: half wait longer than %d us, %d refused", p99, got["codel"].Classes[0].Rejected)
 	}
 	if u := got["gradient"].Utilization; u < 0.9 {
 		t.Errorf("gradient: %.2f of the cores used", u)
@@ -335,21 +335,21 @@
 	play := func(policy string, slots int, faults ...Fault) (*Result, float64) {
 		t.Helper()
 		w := clinic(4, 0.6, policy)
-		w.Length, w.WarmUp, w.Burst, w.Faults = 20*time.Second, 2*time.Second, 0, faults
-		w.Below = &Dependency{Slots: slots, Service: Sizes{Mean: 0.03, CV: 0.5, Kind: "lognormal"}, Waiting: 2 * slots}
+		w.Duration, w.WarmUp, w.BurstAmplitude, w.Faults = 20*time.Second, 2*time.Second, 0, faults
+		w.Dependency = &Dependency{Slots: slots, ServiceTime: Distribution{Mean: 0.03, CV: 0.5, Kind: "lognormal"}, MaxQueued: 2 * slots}
 		for i := range w.Classes {
-			w.Classes[i].Calls = true
+			w.Classes[i].CallsDependency = true
 		}
-		r, err := Play(w)
+		r, err := Run(w)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, c := range r.Classes {
-			if sum := c.InAim + c.Late + c.Refused + c.Failed + c.Expired; sum != c.Offered {
+			if sum := c.WithinObjective + c.Late + c.Rejected + c.Failed + c.TimedOut; sum != c.Offered {
 				t.Errorf("%s, %d slots: %d offered, %d ended", policy, slots, c.Offered, sum)
 			}
 		}
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			if policy == "sloehitch" {
 				t.Fatalf("%s, %d slots: %v", policy, slots, b)
 			}
@@ -367,7 +367,7 @@
 	if _, few := play("sloehitch", 4); few < 0.3 || few > 0.8 {
 		t.Errorf("half of the slots that are wanted: goodput %.3f", few)
 	}
-	if _, slow := play("sloehitch", 60, Fault{At: 6 * time.Second, Kind: Below, Length: 4 * time.Second, Factor: 0.05}); slow < 0.7 || slow >= all {
+	if _, slow := play("sloehitch", 60, Fault{At: 6 * time.Second, Kind: FaultSlowDependency, Duration: 4 * time.Second, Factor: 0.05}); slow < 0.7 || slow >= all {
 		t.Errorf("slow for 4 of 18 s: goodput %.3f", slow)
 	}
 }
@@ -375,21 +375,21 @@
 // TestTenants: a tenant beyond its share gives way to those within theirs.
 func TestTenants(t *testing.T) {
 	w := clinic(6, 1.5, "sloehitch")
-	w.Burst, w.Retries = 0, 0
-	rate := w.rate()
-	w.Tenants = []Tenant{{Name: "greedy", Share: 3, Quota: rate / 6}, {Name: "modest", Share: 1, Quota: rate / 2}}
+	w.BurstAmplitude, w.MaxRetries = 0, 0
+	rate := w.arrivalRate()
+	w.Tenants = []Tenant{{Name: "greedy", Share: 3, QuotaPerSecond: rate / 6}, {Name: "modest", Share: 1, QuotaPerSecond: rate / 2}}
 	served, offered := [2]int{}, [2]int{}
 	whose := map[string]int{}
-	w.Watch = func(s Step) {
+	w.OnStep = func(s Step) {
 		switch {
-		case s.What == "come":
-			whose[s.Request] = strings.Count(s.More, "modest")
+		case s.Event == "come":
+			whose[s.Request] = strings.Count(s.Detail, "modest")
 			offered[whose[s.Request]]++
-		case s.What == "ended" && strings.HasPrefix(s.More, "in aim"):
+		case s.Event == "ended" && strings.HasPrefix(s.Detail, "in aim"):
 			served[whose[s.Request]]++
 		}
 	}
-	if _, err := Play(w); err != nil {
+	if _, err := Run(w); err != nil {
 		t.Fatal(err)
 	}
 	greedy, modest := float64(served[0])/float64(offered[0]), float64(served[1])/float64(offered[1])
@@ -401,15 +401,15 @@
 // TestTrace: the steps of one request tell where it was when, and all of them make a file that a viewer reads.
 func TestTrace(t *testing.T) {
 	w := clinic(2, 1.5, "sloehitch")
-	w.Length, w.WarmUp = 3*time.Second, 0
+	w.Duration, w.WarmUp = 3*time.Second, 0
 	var steps []Step
-	w.Watch = func(s Step) { steps = append(steps, s) }
-	r, err := Play(w)
+	w.OnStep = func(s Step) { steps = append(steps, s) }
+	r, err := Run(w)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var life, file strings.Builder
-	if err := Life(&life, steps, "r5"); err != nil {
+	if err := WriteTimeline(&life, steps, "r5"); err != nil {
 		t.Fatal(err)
 	}
 	at := 0
@@ -420,10 +420,10 @@
 		}
 		at += i
 	}
-	if err := Life(&life, steps, "r999999"); err == nil {
+	if err := WriteTimeline(&life, steps, "r999999"); err == nil {
 		t.Error("a request that never came: no error")
 	}
-	if err := Trace(&file, steps); err != nil {
+	if err := WriteTrace(&file, steps); err != nil {
 		t.Fatal(err)
 	}
 	var read struct {
@@ -453,12 +453,12 @@
 			events, length := uint64(0), 60*time.Second
 			for range b.N {
 				w := clinic(1, 0.93, "sloehitch")
-				w.Speed = 230 / (w.rate() / float64(w.Nodes) * float64(nodes))
+				w.Speed = 230 / (w.arrivalRate() / float64(w.Nodes) * float64(nodes))
 				for i := range w.Classes { // as slow as the cores are, as patient are the callers
-					w.Classes[i].Aim, w.Classes[i].Deadline = time.Duration(float64(w.Classes[i].Aim)/w.Speed), time.Duration(float64(w.Classes[i].Deadline)/w.Speed)
+					w.Classes[i].LatencyObjective, w.Classes[i].ClientTimeout = time.Duration(float64(w.Classes[i].LatencyObjective)/w.Speed), time.Duration(float64(w.Classes[i].ClientTimeout)/w.Speed)
 				}
-				w.Nodes, w.Length = nodes, length
-				r, err := Play(w)
+				w.Nodes, w.Duration = nodes, length
+				r, err := Run(w)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/emulator/experiment/experiment_test.go
+++ b/internal/emulator/experiment/experiment_test.go
@@ -73,7 +73,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := Read(path)
+		_, err := ReadFile(path)
 		if err == nil || !strings.Contains(err.Error(), path+":") || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
@@ -106,7 +106,7 @@
 			if err == nil || !strings.Contains(err.Error(), "call it again") {
 				t.Fatalf("cut short: %v", err)
 			}
-			if _, err := Rows(dir); err == nil {
+			if _, err := ReadRows(dir); err == nil {
 				t.Error("rows before all runs are done")
 			}
 		}
@@ -125,13 +125,13 @@
 		}
 		other := parse(t)
 		other.text = append(other.text, '#')
-		if err := other.Run(context.Background(), Options{Dir: dir}); !errors.Is(err, ErrOther) {
+		if err := other.Run(context.Background(), Options{Dir: dir}); !errors.Is(err, ErrOtherExperiment) {
 			t.Errorf("another experiment: %v", err)
 		}
 		if i < 2 {
 			continue
 		}
-		table, err := Report(dir)
+		table, err := WriteReport(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -154,7 +154,7 @@
 func TestDiff(t *testing.T) {
 	rows := func(by ...float64) (rows []Row) {
 		for i, b := range by {
-			rows = append(rows, Row{Arm: "a", Point: Point{1, 2, 0}, Seed: uint64(i), Offer: 100, Worth: 80 + b})
+			rows = append(rows, Row{Arm: "a", Point: Point{1, 2, 0}, Seed: uint64(i), WeightOffered: 100, WeightWithinObjective: 80 + b})
 		}
 		return rows
 	}
@@ -173,7 +173,7 @@
 		if err != nil || len(changes) != 1 {
 			t.Fatalf("%s: %+v, %v", c.name, changes, err)
 		}
-		if d := changes[0]; math.Abs(d.By.Mean-c.by) > 1e-3 || d.Beyond != c.beyond {
+		if d := changes[0]; math.Abs(d.Difference.Mean-c.by) > 1e-3 || d.Significant != c.beyond {
 			t.Errorf("%s: %+v", c.name, d)
 		}
 	}
--- a/internal/emulator/experiment/file.go
+++ b/internal/emulator/experiment/file.go
@@ -17,28 +17,28 @@
 	"sloehitch/internal/emulator"
 )
 
-// Span is a length of time, written with its unit: "250ms", "1m30s".
-type Span struct{ time.Duration } // a struct, so that a bare number is an error
+// Duration is a length of time, written with its unit: "250ms", "1m30s".
+type Duration struct{ time.Duration } // a struct, so that a bare number is an error
 
 // UnmarshalText reads one. It errs on a number without a unit, on other units, and below 0.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
-		return &badSpan{string(text)}
+		return &durationError{string(text)}
 	}
 	s.Duration = d
 	return nil
 }
 
-// badSpan says that a value is no span of time.
-type badSpan struct{ text string }
+// durationError says that a value is no span of time.
+type durationError struct{ text string }
 
-func (e *badSpan) Error() string {
+func (e *durationError) Error() string {
 	return fmt.Sprintf("%q is no span of time: write a number and ns, us, ms, s, m or h, such as \"250ms\"", e.text)
 }
 
 // line is the first line of text with that value: the decoder does not tell where it stands.
-func (e *badSpan) line(text []byte) int {
+func (e *durationError) line(text []byte) int {
 	for i, line := range strings.Split(string(text), "\n") {
 		_, value, _ := strings.Cut(line, "=")
 		value, _, _ = strings.Cut(value, "#")
@@ -51,110 +51,110 @@
 
 // File is an experiment as written.
 type File struct {
-	Name   string `toml:"name"`
-	What   string `toml:"what"`   // the question
-	Seeds  int    `toml:"seeds"`  // 1 to so many
-	Length Span   `toml:"length"` // of arrivals
-	WarmUp Span   `toml:"warmup"` // of them, that count for nothing
+	Name     string   `toml:"name"`
+	Question string   `toml:"what"`   // the question
+	Seeds    int      `toml:"seeds"`  // 1 to so many
+	Duration Duration `toml:"length"` // of arrivals
+	WarmUp   Duration `toml:"warmup"` // of them, that count for nothing
 
-	World   World    `toml:"world"`
-	Callers Callers  `toml:"callers"`
-	Classes []Class  `toml:"class"`
-	Below   *Below   `toml:"below"`
-	Tenants []Tenant `toml:"tenant"`
-	Faults  []Fault  `toml:"fault"`
-	Release *Release `toml:"release"`
-	Sweep   Sweep    `toml:"sweep"`
-	Arms    []Arm    `toml:"arm"`
+	World      World       `toml:"world"`
+	Callers    Callers     `toml:"callers"`
+	Classes    []Class     `toml:"class"`
+	Dependency *Dependency `toml:"below"`
+	Tenants    []Tenant    `toml:"tenant"`
+	Faults     []Fault     `toml:"fault"`
+	Release    *Release    `toml:"release"`
+	Sweep      Sweep       `toml:"sweep"`
+	Arms       []Arm       `toml:"arm"`
 
 	text []byte
 }
 
 // World is the machines.
 type World struct {
-	Nodes    int     `toml:"nodes"`
-	Cores    int     `toml:"cores"`
-	Speed    float64 `toml:"speed"`
-	Thrash   float64 `toml:"thrash"`
-	ThrashAt float64 `toml:"thrash_at"`
-	Crowd    float64 `toml:"crowd"`
-	MemoryMB float64 `toml:"memory_mb"`
-	Hop      Span    `toml:"hop"`
-	Read     float64 `toml:"read"`
-	Grace    Span    `toml:"grace"`
-	Burst    float64 `toml:"burst"`
-	Every    Span    `toml:"every"`
-	ColdFrom float64 `toml:"cold_from"`
-	ColdFor  Span    `toml:"cold_for"`
+	Nodes                 int      `toml:"nodes"`
+	Cores                 int      `toml:"cores"`
+	Speed                 float64  `toml:"speed"`
+	Thrash                float64  `toml:"thrash"`
+	ThrashThreshold       float64  `toml:"thrash_at"`
+	MaxConcurrencyPerCore float64  `toml:"crowd"`
+	MemoryMB              float64  `toml:"memory_mb"`
+	NetworkDelay          Duration `toml:"hop"`
+	ReadCost              float64  `toml:"read"`
+	DrainGrace            Duration `toml:"grace"`
+	BurstAmplitude        float64  `toml:"burst"`
+	BurstPeriod           Duration `toml:"every"`
+	SlowStartCapacity     float64  `toml:"cold_from"`
+	SlowStartDuration     Duration `toml:"cold_for"`
 }
 
 // Callers are the balancers.
 type Callers struct {
-	Count    int     `toml:"count"`
-	Habit    string  `toml:"habit"`
-	Retries  int     `toml:"retries"`
-	Backoff  Span    `toml:"backoff"`
-	Heed     bool    `toml:"heed"`
-	Away     float64 `toml:"away"`
-	Walk     bool    `toml:"walk"`
-	NoHints  bool    `toml:"no_hints"`
-	ToldWait bool    `toml:"told_wait"`
-	Budget   float64 `toml:"budget"`
-	Notice   Span    `toml:"notice"`
+	Count              int      `toml:"count"`
+	Balancing          string   `toml:"habit"`
+	MaxRetries         int      `toml:"retries"`
+	Backoff            Duration `toml:"backoff"`
+	HonorRetryAfter    bool     `toml:"heed"`
+	RetryAfterShare    float64  `toml:"away"`
+	TryAllNodes        bool     `toml:"walk"`
+	NoWorkHints        bool     `toml:"no_hints"`
+	DeadlinePropagated bool     `toml:"told_wait"`
+	RetryBudget        float64  `toml:"budget"`
+	DiscoveryDelay     Duration `toml:"notice"`
 }
 
 // Class is one class of requests.
 type Class struct {
-	Name     string  `toml:"name"`
-	Share    float64 `toml:"share"`
-	Work     Span    `toml:"work"`
-	CV       float64 `toml:"cv"`
-	Dist     string  `toml:"dist"` // lognormal (by default where there is a cv), exponential or fixed
-	Aim      Span    `toml:"aim"`
-	Deadline Span    `toml:"deadline"`
-	Worth    float64 `toml:"worth"`
-	Keyed    bool    `toml:"keyed"`
-	Window   Span    `toml:"window"`
-	HintCV   float64 `toml:"hint_cv"`
-	Calls    bool    `toml:"calls"`
+	Name              string   `toml:"name"`
+	Share             float64  `toml:"share"`
+	Work              Duration `toml:"work"`
+	CV                float64  `toml:"cv"`
+	Distribution      string   `toml:"dist"` // lognormal (by default where there is a cv), exponential or fixed
+	LatencyObjective  Duration `toml:"aim"`
+	ClientTimeout     Duration `toml:"deadline"`
+	PriorityWeight    float64  `toml:"worth"`
+	HasIdempotencyKey bool     `toml:"keyed"`
+	IdempotencyWindow Duration `toml:"window"`
+	WorkHintCV        float64  `toml:"hint_cv"`
+	CallsDependency   bool     `toml:"calls"`
 }
 
-// Below is the dependency that classes call.
-type Below struct {
-	Slots   int     `toml:"slots"`
-	Service Span    `toml:"service"`
-	CV      float64 `toml:"cv"`
-	Waiting int     `toml:"waiting"`
+// Dependency is the dependency that classes call.
+type Dependency struct {
+	Slots       int      `toml:"slots"`
+	ServiceTime Duration `toml:"service"`
+	CV          float64  `toml:"cv"`
+	MaxQueued   int      `toml:"waiting"`
 }
 
 // Tenant is one customer.
 type Tenant struct {
-	Name  string  `toml:"name"`
-	Share float64 `toml:"share"`
-	Quota float64 `toml:"quota"` // requests a second, over all nodes
+	Name           string  `toml:"name"`
+	Share          float64 `toml:"share"`
+	QuotaPerSecond float64 `toml:"quota"` // requests a second, over all nodes
 }
 
 // Fault is something that happens to a node.
 type Fault struct {
-	At     Span    `toml:"at"`
-	Node   int     `toml:"node"`
-	Kind   string  `toml:"kind"`
-	Length Span    `toml:"length"`
-	Factor float64 `toml:"factor"`
-	Return Span    `toml:"return"`
+	At           Duration `toml:"at"`
+	Node         int      `toml:"node"`
+	Kind         string   `toml:"kind"`
+	Duration     Duration `toml:"length"`
+	Factor       float64  `toml:"factor"`
+	RestartDelay Duration `toml:"return"`
 }
 
 // Release is another version that goes through the fleet, by the arms that have a roll.
 type Release struct {
-	At      Span    `toml:"at"`
-	Zones   int     `toml:"zones"`
-	MostOut float64 `toml:"most_out"` // share of the fleet, where the roll is agreed
-	Batch   float64 `toml:"batch"`    // share of the fleet, where it is batch
-	Settle  Span    `toml:"settle"`
-	Soak    Span    `toml:"soak"`
-	Start   Span    `toml:"start"`
-	Slow    float64 `toml:"slow"`  // the new version's speed as a share of the old one's
-	Fails   float64 `toml:"fails"` // share of its answers that are failures
+	At                  Duration `toml:"at"`
+	Zones               int      `toml:"zones"`
+	MaxUnavailableShare float64  `toml:"most_out"` // share of the fleet, where the roll is agreed
+	BatchShare          float64  `toml:"batch"`    // share of the fleet, where it is batch
+	MinReady            Duration `toml:"settle"`
+	Soak                Duration `toml:"soak"`
+	RestartDuration     Duration `toml:"start"`
+	SpeedFactor         float64  `toml:"slow"`  // the new version's speed as a share of the old one's
+	FailureShare        float64  `toml:"fails"` // share of its answers that are failures
 }
 
 // Sweep is what is tried, each with each; what is empty stays as the world says.
@@ -166,16 +166,16 @@
 
 // Arm is one policy.
 type Arm struct {
-	Name      string  `toml:"name"`
-	Policy    string  `toml:"policy"`
-	Parameter float64 `toml:"parameter"`
-	Roll      string  `toml:"roll"` // how the release goes here: agreed, unbounded or batch; empty: it does not
-	Slow      float64 `toml:"slow"` // of the release, where this arm meets another version than the rest
-	Fails     float64 `toml:"fails"`
+	Name                string  `toml:"name"`
+	Policy              string  `toml:"policy"`
+	Parameter           float64 `toml:"parameter"`
+	ReleaseStrategy     string  `toml:"roll"` // how the release goes here: agreed, unbounded or batch; empty: it does not
+	ReleaseSpeedFactor  float64 `toml:"slow"` // of the release, where this arm meets another version than the rest
+	ReleaseFailureShare float64 `toml:"fails"`
 }
 
-// Read reads an experiment. An error is one line that names the file, the line where there is one, and what to do.
-func Read(path string) (*File, error) {
+// ReadFile reads an experiment. An error is one line that names the file, the line where there is one, and what to do.
+func ReadFile(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -194,7 +194,7 @@
 	if err := d.Decode(f); err != nil {
 		var strict *toml.StrictMissingError
 		var bad *toml.DecodeError
-		var span *badSpan
+		var span *durationError
 		switch {
 		case errors.As(err, &span):
 			return nil, fmt.Errorf("%d: %w", span.line(text), span)
@@ -207,14 +207,14 @@
 		}
 		return nil, fmt.Errorf(" %w", err)
 	}
-	if err := f.check(); err != nil {
+	if err := f.validate(); err != nil {
 		return nil, fmt.Errorf(" %s", strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
 	return f, nil
 }
 
-// check errs on an experiment that can't be run, naming all that is wrong.
-func (f *File) check() error {
+// validate errs on an experiment that can't be run, naming all that is wrong.
+func (f *File) validate() error {
 	var errs []error
 	want := func(ok bool, format string, args ...any) {
 		if !ok {
@@ -236,9 +236,9 @@
 	}
 	for _, p := range f.Points() {
 		for _, a := range f.Arms {
-			w, err := f.world(p, a, 1)
+			w, err := f.emulatorWorld(p, a, 1)
 			if err == nil {
-				err = w.Check()
+				err = w.Validate()
 			}
 			if err != nil {
 				return fmt.Errorf("arm %q, %s: %w", a.Name, p, err)
@@ -269,7 +269,7 @@
 		nodes = []int{f.World.Nodes}
 	}
 	if len(retries) == 0 {
-		retries = []int{f.Callers.Retries}
+		retries = []int{f.Callers.MaxRetries}
 	}
 	for _, n := range nodes {
 		for _, r := range retries {
@@ -281,20 +281,20 @@
 	return points
 }
 
-// world is what one arm meets at a point, under a seed.
-func (f *File) world(p Point, a Arm, seed uint64) (emulator.World, error) {
-	policy, err := emulator.Policies(a.Policy, a.Parameter)
+// emulatorWorld is what one arm meets at a point, under a seed.
+func (f *File) emulatorWorld(p Point, a Arm, seed uint64) (emulator.World, error) {
+	policy, err := emulator.NewPolicy(a.Policy, a.Parameter)
 	if err != nil {
 		return emulator.World{}, err
 	}
-	w := emulator.World{Seed: seed, Length: f.Length.Duration, WarmUp: f.WarmUp.Duration, Nodes: p.Nodes, Cores: f.World.Cores,
-		Speed: f.World.Speed, Thrash: f.World.Thrash, ThrashAt: f.World.ThrashAt, Crowd: f.World.Crowd, MemoryKB: f.World.MemoryMB * 1024,
-		Hop: f.World.Hop.Duration, Read: f.World.Read, Grace: f.World.Grace.Duration, Load: p.Load, Burst: f.World.Burst, Every: f.World.Every.Duration, Balancers: f.Callers.Count,
-		Habit: emulator.Habit(f.Callers.Habit), Retries: p.Retries, Backoff: f.Callers.Backoff.Duration, Heed: f.Callers.Heed, Policy: policy,
-		Away: f.Callers.Away, Walk: f.Callers.Walk, Unhinted: f.Callers.NoHints, TellsWait: f.Callers.ToldWait,
-		Budget: f.Callers.Budget, Notice: f.Callers.Notice.Duration, ColdFrom: f.World.ColdFrom, ColdFor: f.World.ColdFor.Duration}
+	w := emulator.World{Seed: seed, Duration: f.Duration.Duration, WarmUp: f.WarmUp.Duration, Nodes: p.Nodes, Cores: f.World.Cores,
+		Speed: f.World.Speed, Thrash: f.World.Thrash, ThrashThreshold: f.World.ThrashThreshold, MaxConcurrencyPerCore: f.World.MaxConcurrencyPerCore, MemoryKB: f.World.MemoryMB * 1024,
+		NetworkDelay: f.World.NetworkDelay.Duration, ReadCost: f.World.ReadCost, DrainGrace: f.World.DrainGrace.Duration, Load: p.Load, BurstAmplitude: f.World.BurstAmplitude, BurstPeriod: f.World.BurstPeriod.Duration, Balancers: f.Callers.Count,
+		Balancing: emulator.BalancingMethod(f.Callers.Balancing), MaxRetries: p.Retries, Backoff: f.Callers.Backoff.Duration, HonorRetryAfter: f.Callers.HonorRetryAfter, NewServer: policy,
+		RetryAfterShare: f.Callers.RetryAfterShare, TryAllNodes: f.Callers.TryAllNodes, NoWorkHints: f.Callers.NoWorkHints, DeadlinePropagated: f.Callers.DeadlinePropagated,
+		RetryBudget: f.Callers.RetryBudget, DiscoveryDelay: f.Callers.DiscoveryDelay.Duration, SlowStartCapacity: f.World.SlowStartCapacity, SlowStartDuration: f.World.SlowStartDuration.Duration}
 	for _, c := range f.Classes {
-		kind := c.Dist
+		kind := c.Distribution
 		switch {
 		case kind == "" && c.CV > 0:
 			kind = "lognormal"
@@ -303,29 +303,29 @@
 		case kind != "lognormal" && kind != "exponential" && kind != "fixed":
 			return w, fmt.Errorf("class %q: no dist %q: lognormal, exponential or fixed", c.Name, kind)
 		}
-		w.Classes = append(w.Classes, emulator.Class{Name: c.Name, Share: c.Share, Work: emulator.Sizes{Mean: c.Work.Duration.Seconds(), CV: c.CV, Kind: kind},
-			Aim: c.Aim.Duration, Deadline: c.Deadline.Duration, Worth: c.Worth, Keyed: c.Keyed, Window: c.Window.Duration, HintCV: c.HintCV, Calls: c.Calls})
+		w.Classes = append(w.Classes, emulator.Class{Name: c.Name, Share: c.Share, Work: emulator.Distribution{Mean: c.Work.Duration.Seconds(), CV: c.CV, Kind: kind},
+			LatencyObjective: c.LatencyObjective.Duration, ClientTimeout: c.ClientTimeout.Duration, PriorityWeight: c.PriorityWeight, HasIdempotencyKey: c.HasIdempotencyKey, IdempotencyWindow: c.IdempotencyWindow.Duration, WorkHintCV: c.WorkHintCV, CallsDependency: c.CallsDependency})
 	}
-	if b := f.Below; b != nil {
+	if b := f.Dependency; b != nil {
 		kind := "fixed"
 		if b.CV > 0 {
 			kind = "lognormal"
 		}
-		w.Below = &emulator.Dependency{Slots: b.Slots, Waiting: b.Waiting, Service: emulator.Sizes{Mean: b.Service.Seconds(), CV: b.CV, Kind: kind}}
+		w.Dependency = &emulator.Dependency{Slots: b.Slots, MaxQueued: b.MaxQueued, ServiceTime: emulator.Distribution{Mean: b.ServiceTime.Seconds(), CV: b.CV, Kind: kind}}
 	}
 	for _, t := range f.Tenants {
-		w.Tenants = append(w.Tenants, emulator.Tenant{Name: t.Name, Share: t.Share, Quota: t.Quota})
+		w.Tenants = append(w.Tenants, emulator.Tenant{Name: t.Name, Share: t.Share, QuotaPerSecond: t.QuotaPerSecond})
 	}
 	for _, x := range f.Faults {
-		w.Faults = append(w.Faults, emulator.Fault{At: x.At.Duration, Node: x.Node, Kind: emulator.Kind(x.Kind), Length: x.Length.Duration, Factor: x.Factor, Return: x.Return.Duration})
+		w.Faults = append(w.Faults, emulator.Fault{At: x.At.Duration, Node: x.Node, Kind: emulator.FaultKind(x.Kind), Duration: x.Duration.Duration, Factor: x.Factor, RestartDelay: x.RestartDelay.Duration})
 	}
-	if a.Roll != "" {
+	if a.ReleaseStrategy != "" {
 		x := f.Release
 		if x == nil {
-			return w, fmt.Errorf("roll %q: there is no [release] to go by", a.Roll)
+			return w, fmt.Errorf("roll %q: there is no [release] to go by", a.ReleaseStrategy)
 		}
-		w.Release = &emulator.Release{At: x.At.Duration, Roll: emulator.Roll(a.Roll), Zones: x.Zones, MostOut: x.MostOut, Batch: x.Batch, Settle: x.Settle.Duration, Soak: x.Soak.Duration,
-			Start: x.Start.Duration, Slow: cmp.Or(a.Slow, x.Slow), Fails: cmp.Or(a.Fails, x.Fails)}
+		w.Release = &emulator.Release{At: x.At.Duration, Strategy: emulator.ReleaseStrategy(a.ReleaseStrategy), Zones: x.Zones, MaxUnavailableShare: x.MaxUnavailableShare, BatchShare: x.BatchShare, MinReady: x.MinReady.Duration, Soak: x.Soak.Duration,
+			RestartDuration: x.RestartDuration.Duration, SpeedFactor: cmp.Or(a.ReleaseSpeedFactor, x.SpeedFactor), FailureShare: cmp.Or(a.ReleaseFailureShare, x.FailureShare)}
 	}
 	return w, nil
 }
--- a/internal/emulator/experiment/report.go
+++ b/internal/emulator/experiment/report.go
@@ -28,8 +28,8 @@
 	High float64 `json:"high"`
 }
 
-// resamples of a bootstrap: enough that an interval's ends are steady to a hundredth of its width.
-const resamples = 2000
+// bootstrapResamples of a bootstrap: enough that an interval's ends are steady to a hundredth of its width.
+const bootstrapResamples = 2000
 
 // Bootstrap is the mean of values and its percentile bootstrap interval (Efron and Tibshirani, An Introduction to the
 // Bootstrap, 13.3). The same values give the same interval.
@@ -38,7 +38,7 @@
 		return Interval{}
 	}
 	r := rand.New(rand.NewPCG(1, 2))
-	means := make([]float64, resamples)
+	means := make([]float64, bootstrapResamples)
 	for i := range means {
 		sum := 0.0
 		for range values {
@@ -52,32 +52,32 @@
 
 // Cell is what an arm comes to at a point.
 type Cell struct {
-	Arm     string    `json:"arm"`
-	Load    float64   `json:"load"`
-	Nodes   int       `json:"nodes"`
-	Retries int       `json:"retries"`
-	Goodput Interval  `json:"goodput"`           // worth answered in time over worth offered
-	Against *Interval `json:"against,omitempty"` // its goodput less the first arm's, seed by seed
-	P99     Interval  `json:"p99_ms"`            // of the worst class
-	Refused Interval  `json:"refused"`           // share of requests
-	Release *Rolled   `json:"release,omitempty"` // where one went through
+	Arm        string          `json:"arm"`
+	Load       float64         `json:"load"`
+	Nodes      int             `json:"nodes"`
+	Retries    int             `json:"retries"`
+	Goodput    Interval        `json:"goodput"`           // worth answered in time over worth offered
+	Difference *Interval       `json:"against,omitempty"` // its goodput less the first arm's, seed by seed
+	P99        Interval        `json:"p99_ms"`            // of the worst class
+	Rejected   Interval        `json:"refused"`           // share of requests
+	Release    *ReleaseSummary `json:"release,omitempty"` // where one went through
 
 	goodput map[uint64]float64
 }
 
-// Rolled is what became of a release.
-type Rolled struct {
-	Changed Interval `json:"changed"`  // nodes that run the new version at the end
-	MostOut Interval `json:"most_out"` // nodes that were out of service or cold at once
-	Took    Interval `json:"took_s"`   // seconds until it was over or halted by itself, in those seeds where it was
-	Ended   int      `json:"ended"`    // seeds
-	Halted  int      `json:"halted"`   // and of these, where it halted by itself
+// ReleaseSummary is what became of a release.
+type ReleaseSummary struct {
+	NodesChanged   Interval `json:"changed"`  // nodes that run the new version at the end
+	MaxUnavailable Interval `json:"most_out"` // nodes that were out of service or cold at once
+	Seconds        Interval `json:"took_s"`   // seconds until it was over or halted by itself, in those seeds where it was
+	EndedSeeds     int      `json:"ended"`    // seeds
+	HaltedSeeds    int      `json:"halted"`   // and of these, where it halted by itself
 }
 
 func (c Cell) point() Point { return Point{c.Load, c.Nodes, c.Retries} }
 
-// Cells sums rows up, in the order in which arms and points come.
-func Cells(rows []Row) (cells []Cell) {
+// Summarize sums rows up, in the order in which arms and points come.
+func Summarize(rows []Row) (cells []Cell) {
 	type key struct {
 		arm   string
 		point Point
@@ -99,9 +99,9 @@
 			s = &sums{}
 			seeds[k][r.Seed] = s
 		}
-		s.worth, s.offer, s.p99 = s.worth+r.Worth, s.offer+r.Offer, max(s.p99, r.P99MS)
+		s.worth, s.offer, s.p99 = s.worth+r.WeightWithinObjective, s.offer+r.WeightOffered, max(s.p99, r.P99MS)
 		s.last = r
-		s.refused, s.offered = s.refused+float64(r.Refused), s.offered+float64(r.Offered)
+		s.refused, s.offered = s.refused+float64(r.Rejected), s.offered+float64(r.Offered)
 	}
 	first := map[Point]Cell{}
 	for _, k := range order {
@@ -111,15 +111,15 @@
 		for _, seed := range sortedSeeds(seeds[k]) {
 			s := seeds[k][seed]
 			c.goodput[seed] = s.worth / max(1e-9, s.offer)
-			if changed, out = append(changed, float64(s.last.Changed)), append(out, float64(s.last.MostOut)); s.last.Took > 0 {
-				took = append(took, s.last.Took)
+			if changed, out = append(changed, float64(s.last.NodesChanged)), append(out, float64(s.last.MaxUnavailable)); s.last.ReleaseSeconds > 0 {
+				took = append(took, s.last.ReleaseSeconds)
 			}
-			halted += s.last.Halted
+			halted += s.last.HaltedReleases
 			goodput, p99, refused = append(goodput, c.goodput[seed]), append(p99, s.p99), append(refused, s.refused/max(1, s.offered))
 		}
-		c.Goodput, c.P99, c.Refused = Bootstrap(goodput), Bootstrap(p99), Bootstrap(refused)
+		c.Goodput, c.P99, c.Rejected = Bootstrap(goodput), Bootstrap(p99), Bootstrap(refused)
 		if slices.Max(out) > 0 {
-			c.Release = &Rolled{Bootstrap(changed), Bootstrap(out), Bootstrap(took), len(took), halted}
+			c.Release = &ReleaseSummary{Bootstrap(changed), Bootstrap(out), Bootstrap(took), len(took), halted}
 		}
 		if f, ok := first[k.point]; ok {
 			for _, seed := range sortedSeeds(seeds[k]) {
@@ -128,7 +128,7 @@
 				}
 			}
 			i := Bootstrap(against)
-			c.Against = &i
+			c.Difference = &i
 		} else {
 			first[k.point] = c
 		}
@@ -149,8 +149,8 @@
 	return fmt.Sprintf("%.3f [%.3f, %.3f]", i.Mean, i.Low, i.High)
 }
 
-// beyond says whether an interval of differences leaves no place for none.
-func (i Interval) beyond() bool { return i.Low > 0 || i.High < 0 }
+// excludesZero says whether an interval of differences leaves no place for none.
+func (i Interval) excludesZero() bool { return i.Low > 0 || i.High < 0 }
 
 // Table is the cells for people to read.
 func Table(cells []Cell) string {
@@ -159,12 +159,12 @@
 	fmt.Fprintln(w, "load\tnodes\tretries\tarm\tgoodput [95%]\tagainst the first arm\tworst p99, ms\trefused")
 	for _, c := range cells {
 		against := ""
-		if c.Against != nil {
-			if against = c.Against.text(); !c.Against.beyond() {
+		if c.Difference != nil {
+			if against = c.Difference.text(); !c.Difference.excludesZero() {
 				against += " (noise)"
 			}
 		}
-		fmt.Fprintf(w, "%.3g\t%d\t%d\t%s\t%s\t%s\t%.0f\t%.1f%%\n", c.Load, c.Nodes, c.Retries, c.Arm, c.Goodput.text(), against, c.P99.Mean, 100*c.Refused.Mean)
+		fmt.Fprintf(w, "%.3g\t%d\t%d\t%s\t%s\t%s\t%.0f\t%.1f%%\n", c.Load, c.Nodes, c.Retries, c.Arm, c.Goodput.text(), against, c.P99.Mean, 100*c.Rejected.Mean)
 	}
 	_ = w.Flush() // a strings.Builder takes every write
 	rolled := slices.DeleteFunc(slices.Clone(cells), func(c Cell) bool { return c.Release == nil })
@@ -175,7 +175,7 @@
 	fmt.Fprintln(w, "load\tnodes\tarm\tchanged at the end [95%]\tmost out or cold\tseconds until over or halted\tended, halted by itself")
 	for _, c := range rolled {
 		r := c.Release
-		fmt.Fprintf(w, "%.3g\t%d\t%s\t%s\t%s\t%s\t%d, %d\n", c.Load, c.Nodes, c.Arm, r.Changed.text(), r.MostOut.text(), r.Took.text(), r.Ended, r.Halted)
+		fmt.Fprintf(w, "%.3g\t%d\t%s\t%s\t%s\t%s\t%d, %d\n", c.Load, c.Nodes, c.Arm, r.NodesChanged.text(), r.MaxUnavailable.text(), r.Seconds.text(), r.EndedSeeds, r.HaltedSeeds)
 	}
 	_ = w.Flush() // a strings.Builder takes every write
 	return b.String()
@@ -183,18 +183,18 @@
 
 // Change is how a cell differs between two folders of results.
 type Change struct {
-	Cell   Cell // of the second
-	By     Interval
-	Beyond bool // noise
+	Cell        Cell // of the second
+	Difference  Interval
+	Significant bool // noise
 }
 
 // Diff compares two folders' rows, seed by seed. It errs where they have no cell and seed in common.
 func Diff(a, b []Row) (changes []Change, err error) {
 	before := map[string]Cell{}
-	for _, c := range Cells(a) {
+	for _, c := range Summarize(a) {
 		before[c.Arm+c.point().String()] = c
 	}
-	for _, c := range Cells(b) {
+	for _, c := range Summarize(b) {
 		old, ok := before[c.Arm+c.point().String()]
 		if !ok {
 			continue
@@ -207,7 +207,7 @@
 		}
 		if len(by) > 0 {
 			i := Bootstrap(by)
-			changes = append(changes, Change{c, i, i.beyond()})
+			changes = append(changes, Change{c, i, i.excludesZero()})
 		}
 	}
 	if len(changes) == 0 {
@@ -216,8 +216,8 @@
 	return changes, nil
 }
 
-// chart draws one figure of each arm against the load, for the points that differ in nothing else.
-func chart(cells []Cell, title, unit string, value func(Cell) Interval) (string, *plot.Plot, error) {
+// drawChart draws one figure of each arm against the load, for the points that differ in nothing else.
+func drawChart(cells []Cell, title, unit string, value func(Cell) Interval) (string, *plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "offered load, of what all cores can do", unit
 	p.Y.Min = 0
@@ -263,25 +263,25 @@
 	return b.String(), p, nil
 }
 
-var page = template.Must(template.New("report").Parse(`<!DOCTYPE html>
+var reportPage = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}pre{overflow-x:auto}svg{max-width:100%;height:auto}</style></head>
 <body><h1>{{.Name}}</h1><p>{{.What}}</p><p>{{.Seeds}} seeds; every arm meets the same. Intervals hold the mean with 95% (bootstrap over seeds).</p>
 <pre>{{.Table}}</pre>{{range .Charts}}{{.}}{{end}}<h2>The experiment</h2><pre>{{.Text}}</pre></body></html>
 `))
 
-// Report writes summary.json, charts (SVG and PNG) and report.html, one page that needs nothing else, into a folder of
+// WriteReport writes summary.json, charts (SVG and PNG) and report.html, one page that needs nothing else, into a folder of
 // results, and returns the table.
-func Report(dir string) (string, error) {
-	f, err := Read(filepath.Join(dir, "experiment.toml"))
+func WriteReport(dir string) (string, error) {
+	f, err := ReadFile(filepath.Join(dir, "experiment.toml"))
 	if err != nil {
 		return "", err
 	}
-	rows, err := Rows(dir)
+	rows, err := ReadRows(dir)
 	if err != nil {
 		return "", err
 	}
-	cells := Cells(rows)
+	cells := Summarize(rows)
 	summary, err := json.MarshalIndent(cells, "", " ")
 	if err != nil {
 		return "", err
@@ -296,9 +296,9 @@
 	}{
 		{"goodput", "Goodput", "worth answered in time, of that offered", func(c Cell) Interval { return c.Goodput }},
 		{"p99", "Latency of what is served, 99%, worst class", "ms", func(c Cell) Interval { return c.P99 }},
-		{"refused", "Refused", "share of requests", func(c Cell) Interval { return c.Refused }},
+		{"refused", "Refused", "share of requests", func(c Cell) Interval { return c.Rejected }},
 	} {
-		svg, p, err := chart(cells, c.title, c.unit, c.value)
+		svg, p, err := drawChart(cells, c.title, c.unit, c.value)
 		if err != nil {
 			return "", err
 		}
@@ -316,5 +316,5 @@
 	}
 	defer out.Close()
 	table := Table(cells)
-	return table, page.Execute(out, map[string]any{"Name": f.Name, "What": f.What, "Seeds": f.Seeds, "Table": table, "Charts": charts, "Text": string(f.text)})
+	return table, reportPage.Execute(out, map[string]any{"Name": f.Name, "What": f.Question, "Seeds": f.Seeds, "Table": table, "Charts": charts, "Text": string(f.text)})
 }
--- a/internal/emulator/experiment/run.go
+++ b/internal/emulator/experiment/run.go
@@ -17,31 +17,31 @@
 
 // Row is what became of one class in one run.
 type Row struct {
-	Arm                                            string
-	Point                                          Point
-	Seed                                           uint64
-	Class                                          string
-	Offered, InAim, Late, Refused, Failed, Expired int
-	Tries                                          int
-	Worth, Offer                                   float64 // answered in time; offered
-	MeanMS, P50MS, P99MS                           float64 // of those served
-	Utilization                                    float64
-	Changed, MostOut                               int     // of a release: nodes that it had changed at the end, and that were out or cold at once
-	Took                                           float64 // seconds until it was over, or halted by itself; 0: neither
-	Halted                                         int     // 1: it halted by itself
+	Arm                                                        string
+	Point                                                      Point
+	Seed                                                       uint64
+	Class                                                      string
+	Offered, WithinObjective, Late, Rejected, Failed, TimedOut int
+	Attempts                                                   int
+	WeightWithinObjective, WeightOffered                       float64 // answered in time; offered
+	MeanMS, P50MS, P99MS                                       float64 // of those served
+	Utilization                                                float64
+	NodesChanged, MaxUnavailable                               int     // of a release: nodes that it had changed at the end, and that were out or cold at once
+	ReleaseSeconds                                             float64 // seconds until it was over, or halted by itself; 0: neither
+	HaltedReleases                                             int     // 1: it halted by itself
 }
 
-var header = []string{"arm", "load", "nodes", "retries", "seed", "class", "offered", "in_aim", "late", "refused", "failed", "expired", "tries",
+var columns = []string{"arm", "load", "nodes", "retries", "seed", "class", "offered", "in_aim", "late", "refused", "failed", "expired", "tries",
 	"worth", "worth_offered", "mean_ms", "p50_ms", "p99_ms", "utilization", "changed", "most_out", "took_s", "halted"}
 
 // record is a row's fields, with as many digits everywhere.
 func (r Row) record() []string {
 	f := func(x float64) string { return strconv.FormatFloat(x, 'f', 6, 64) }
 	out := []string{r.Arm, f(r.Point.Load), strconv.Itoa(r.Point.Nodes), strconv.Itoa(r.Point.Retries), strconv.FormatUint(r.Seed, 10), r.Class}
-	for _, n := range []int{r.Offered, r.InAim, r.Late, r.Refused, r.Failed, r.Expired, r.Tries} {
+	for _, n := range []int{r.Offered, r.WithinObjective, r.Late, r.Rejected, r.Failed, r.TimedOut, r.Attempts} {
 		out = append(out, strconv.Itoa(n))
 	}
-	for _, x := range []float64{r.Worth, r.Offer, r.MeanMS, r.P50MS, r.P99MS, r.Utilization, float64(r.Changed), float64(r.MostOut), r.Took, float64(r.Halted)} {
+	for _, x := range []float64{r.WeightWithinObjective, r.WeightOffered, r.MeanMS, r.P50MS, r.P99MS, r.Utilization, float64(r.NodesChanged), float64(r.MaxUnavailable), r.ReleaseSeconds, float64(r.HaltedReleases)} {
 		out = append(out, f(x))
 	}
 	return out
@@ -49,8 +49,8 @@
 
 // parseRow reads a row's fields.
 func parseRow(in []string) (r Row, err error) {
-	if len(in) != len(header) {
-		return r, fmt.Errorf("%d fields, %d wanted", len(in), len(header))
+	if len(in) != len(columns) {
+		return r, fmt.Errorf("%d fields, %d wanted", len(in), len(columns))
 	}
 	var errs []error
 	number := func(i int) float64 {
@@ -58,10 +58,10 @@
 		errs = append(errs, err)
 		return x
 	}
-	r = Row{Arm: in[0], Point: Point{number(1), int(number(2)), int(number(3))}, Seed: uint64(number(4)), Class: in[5], Offered: int(number(6)), InAim: int(number(7)),
-		Late: int(number(8)), Refused: int(number(9)), Failed: int(number(10)), Expired: int(number(11)), Tries: int(number(12)), Worth: number(13),
-		Offer: number(14), MeanMS: number(15), P50MS: number(16), P99MS: number(17), Utilization: number(18),
-		Changed: int(number(19)), MostOut: int(number(20)), Took: number(21), Halted: int(number(22))}
+	r = Row{Arm: in[0], Point: Point{number(1), int(number(2)), int(number(3))}, Seed: uint64(number(4)), Class: in[5], Offered: int(number(6)), WithinObjective: int(number(7)),
+		Late: int(number(8)), Rejected: int(number(9)), Failed: int(number(10)), TimedOut: int(number(11)), Attempts: int(number(12)), WeightWithinObjective: number(13),
+		WeightOffered: number(14), MeanMS: number(15), P50MS: number(16), P99MS: number(17), Utilization: number(18),
+		NodesChanged: int(number(19)), MaxUnavailable: int(number(20)), ReleaseSeconds: number(21), HaltedReleases: int(number(22))}
 	return r, errors.Join(errs...)
 }
 
@@ -84,8 +84,8 @@
 	return all
 }
 
-// about is kept with the results.
-type about struct {
+// provenance is kept with the results.
+type provenance struct {
 	Experiment string `json:"experiment"`
 	Digest     string `json:"digest"`
 	Version    string `json:"version"`
@@ -99,8 +99,8 @@
 	Progress func(done, all int)
 }
 
-// ErrOther says that the folder holds another experiment's results.
-var ErrOther = errors.New("the folder holds results of another experiment or version")
+// ErrOtherExperiment says that the folder holds another experiment's results.
+var ErrOtherExperiment = errors.New("the folder holds results of another experiment or version")
 
 // Run plays all runs that the folder does not hold yet, and then writes rows.csv, whose bytes do not depend on the number
 // of workers. Cut short by ctx it keeps what is done, and goes on from there when called again. A broken rule ends it.
@@ -109,7 +109,7 @@
 	if err := os.MkdirAll(runs, 0o755); err != nil {
 		return err
 	}
-	if err := f.claim(o); err != nil {
+	if err := f.claimFolder(o); err != nil {
 		return err
 	}
 	all := f.jobs()
@@ -122,7 +122,7 @@
 	for range max(1, o.Workers) {
 		workers.Go(func() {
 			for i := range next {
-				err := f.keep(filepath.Join(runs, fmt.Sprintf("%06d.csv", i)), all[i])
+				err := f.runAndStore(filepath.Join(runs, fmt.Sprintf("%06d.csv", i)), all[i])
 				mu.Lock()
 				if done++; err != nil {
 					errs = append(errs, err)
@@ -150,13 +150,13 @@
 	if ctx.Err() != nil {
 		return fmt.Errorf("cut short after %d of %d runs: call it again to go on: %w", done, len(all), context.Cause(ctx))
 	}
-	return f.collect(o.Dir, runs, len(all))
+	return f.mergeRows(o.Dir, runs, len(all))
 }
 
-// claim has the folder be this experiment's.
-func (f *File) claim(o Options) error {
+// claimFolder has the folder be this experiment's.
+func (f *File) claimFolder(o Options) error {
 	path := filepath.Join(o.Dir, "about.json")
-	mine := about{f.Name, f.Digest(), o.Version}
+	mine := provenance{f.Name, f.Digest(), o.Version}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		text, err := json.MarshalIndent(mine, "", " ")
@@ -165,19 +165,19 @@
 		}
 		return errors.Join(os.WriteFile(path, append(text, '\n'), 0o644), os.WriteFile(filepath.Join(o.Dir, "experiment.toml"), f.text, 0o644))
 	}
-	var theirs about
+	var theirs provenance
 	if err != nil || json.Unmarshal(text, &theirs) != nil || theirs != mine {
-		return fmt.Errorf("%s: %w: name another folder, or remove this one", o.Dir, ErrOther)
+		return fmt.Errorf("%s: %w: name another folder, or remove this one", o.Dir, ErrOtherExperiment)
 	}
 	return nil
 }
 
-// keep plays one run and keeps its rows, unless they are kept already.
-func (f *File) keep(path string, j job) error {
+// runAndStore plays one run and keeps its rows, unless they are kept already.
+func (f *File) runAndStore(path string, j job) error {
 	if _, err := os.Stat(path); err == nil {
 		return nil
 	}
-	rows, err := f.play(j)
+	rows, err := f.simulate(j)
 	if err != nil {
 		return err
 	}
@@ -196,18 +196,18 @@
 	return os.Rename(path+".part", path) // whole or not at all
 }
 
-// play makes one run.
-func (f *File) play(j job) ([]Row, error) {
-	w, err := f.world(j.point, j.arm, j.seed)
+// simulate makes one run.
+func (f *File) simulate(j job) ([]Row, error) {
+	w, err := f.emulatorWorld(j.point, j.arm, j.seed)
 	if err != nil {
 		return nil, err
 	}
-	r, err := emulator.Play(w)
+	r, err := emulator.Run(w)
 	if err != nil {
 		return nil, err
 	}
-	if len(r.Broken) > 0 && j.arm.Policy == "sloehitch" { // the small policies promise nothing
-		return nil, fmt.Errorf("arm %q, %s: %w", j.arm.Name, j.point, r.Broken[0])
+	if len(r.Violations) > 0 && j.arm.Policy == "sloehitch" { // the small policies promise nothing
+		return nil, fmt.Errorf("arm %q, %s: %w", j.arm.Name, j.point, r.Violations[0])
 	}
 	return j.rows(w, r), nil
 }
@@ -215,31 +215,31 @@
 // rows are what became of a run's classes.
 func (j job) rows(w emulator.World, r *emulator.Result) (rows []Row) {
 	halted := 0
-	if r.Release.Halted != "" {
+	if r.Release.HaltReason != "" {
 		halted = 1
 	}
 	for i, t := range r.Classes {
 		ms := func(us int64) float64 { return float64(us) / 1000 }
-		rows = append(rows, Row{Arm: j.arm.Name, Point: j.point, Seed: j.seed, Class: w.Classes[i].Name, Offered: t.Offered, InAim: t.InAim, Late: t.Late,
-			Refused: t.Refused, Failed: t.Failed, Expired: t.Expired, Tries: t.Tries, Worth: t.Worth, Offer: float64(t.Offered) * w.Classes[i].Worth,
+		rows = append(rows, Row{Arm: j.arm.Name, Point: j.point, Seed: j.seed, Class: w.Classes[i].Name, Offered: t.Offered, WithinObjective: t.WithinObjective, Late: t.Late,
+			Rejected: t.Rejected, Failed: t.Failed, TimedOut: t.TimedOut, Attempts: t.Attempts, WeightWithinObjective: t.WeightWithinObjective, WeightOffered: float64(t.Offered) * w.Classes[i].PriorityWeight,
 			MeanMS: t.Latency.Mean() / 1000, P50MS: ms(t.Latency.ValueAtQuantile(50)), P99MS: ms(t.Latency.ValueAtQuantile(99)), Utilization: r.Utilization,
-			Changed: r.Release.Changed, MostOut: r.Release.MostOut, Took: r.Release.Took.Seconds(), Halted: halted})
+			NodesChanged: r.Release.NodesChanged, MaxUnavailable: r.Release.MaxUnavailable, ReleaseSeconds: r.Release.Duration.Seconds(), HaltedReleases: halted})
 	}
 	return rows
 }
 
-// Watch plays one run and returns all steps of all its requests: of the arm and at the load named, or the first ones.
-func (f *File) Watch(arm string, load float64, seed uint64) (steps []emulator.Step, err error) {
+// Trace plays one run and returns all steps of all its requests: of the arm and at the load named, or the first ones.
+func (f *File) Trace(arm string, load float64, seed uint64) (steps []emulator.Step, err error) {
 	for _, j := range f.jobs() {
 		if arm != "" && j.arm.Name != arm || load != 0 && j.point.Load != load {
 			continue
 		}
-		w, err := f.world(j.point, j.arm, seed)
+		w, err := f.emulatorWorld(j.point, j.arm, seed)
 		if err != nil {
 			return nil, err
 		}
-		w.Watch = func(s emulator.Step) { steps = append(steps, s) }
-		_, err = emulator.Play(w)
+		w.OnStep = func(s emulator.Step) { steps = append(steps, s) }
+		_, err = emulator.Run(w)
 		return steps, err
 	}
 	return nil, fmt.Errorf("the experiment has no arm %q at a load of %v", arm, load)
@@ -248,22 +248,22 @@
 // Compare plays the daemon's decisions twice at each point, on the same seeds: in the emulator, and by real against real
 // daemons, one run after another. The rows, of arms "emulator" and "daemon", are kept in dir for a report. broken is told
 // of rules that the real ones broke: there a slow machine may be at fault.
-func (f *File) Compare(dir string, seeds int, real func(emulator.World) (*emulator.Result, error), broken func(*emulator.Broken)) error {
+func (f *File) Compare(dir string, seeds int, real func(emulator.World) (*emulator.Result, error), broken func(*emulator.Violation)) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	if err := f.claim(Options{Dir: dir, Version: "against real daemons"}); err != nil {
+	if err := f.claimFolder(Options{Dir: dir, Version: "against real daemons"}); err != nil {
 		return err
 	}
-	records := [][]string{header}
+	records := [][]string{columns}
 	for _, p := range f.Points() {
 		for seed := range uint64(seeds) {
 			j := job{p, Arm{Name: "emulator", Policy: "sloehitch"}, seed + 1}
-			rows, err := f.play(j)
+			rows, err := f.simulate(j)
 			if err != nil {
 				return err
 			}
-			w, err := f.world(p, j.arm, j.seed)
+			w, err := f.emulatorWorld(p, j.arm, j.seed)
 			if err != nil {
 				return err
 			}
@@ -271,7 +271,7 @@
 			if err != nil {
 				return fmt.Errorf("%s, seed %d: %w", p, j.seed, err)
 			}
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				broken(b)
 			}
 			j.arm.Name = "daemon"
@@ -287,16 +287,16 @@
 	return errors.Join(csv.NewWriter(out).WriteAll(records), out.Close())
 }
 
-// collect puts the runs' rows together.
-func (f *File) collect(dir, runs string, n int) error {
+// mergeRows puts the runs' rows together.
+func (f *File) mergeRows(dir, runs string, n int) error {
 	out, err := os.Create(filepath.Join(dir, "rows.csv.part"))
 	if err != nil {
 		return err
 	}
 	w := csv.NewWriter(out)
-	err = w.Write(header)
+	err = w.Write(columns)
 	for i := range n {
-		rows, e := readRecords(filepath.Join(runs, fmt.Sprintf("%06d.csv", i)))
+		rows, e := readCSV(filepath.Join(runs, fmt.Sprintf("%06d.csv", i)))
 		err = errors.Join(err, e, w.WriteAll(rows))
 	}
 	if err := errors.Join(err, out.Close()); err != nil {
@@ -305,7 +305,7 @@
 	return os.Rename(filepath.Join(dir, "rows.csv.part"), filepath.Join(dir, "rows.csv"))
 }
 
-func readRecords(path string) ([][]string, error) {
+func readCSV(path string) ([][]string, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -318,10 +318,10 @@
 	return records, nil
 }
 
-// Rows reads a folder's rows.
-func Rows(dir string) (rows []Row, err error) {
+// ReadRows reads a folder's rows.
+func ReadRows(dir string) (rows []Row, err error) {
 	path := filepath.Join(dir, "rows.csv")
-	records, err := readRecords(path)
+	records, err := readCSV(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/emulator/intake.go
+++ b/internal/emulator/intake.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// intake is a node's reading of requests: each costs work, one a core at a time; the others stand in line unread, where
+// requestReader is a node's reading of requests: each costs work, one a core at a time; the others stand in line unread, where
 // nobody can choose among them.
-type intake struct {
-	host    *host
-	work    float64 // of reading one
-	cores   int
-	reading int
-	line    []*Try // that came and have not been read, those being read first
+type requestReader struct {
+	host           *host
+	costPerRequest float64 // of reading one
+	cores          int
+	reading        int
+	unread         []*Attempt // that came and have not been read, those being read first
 }
 
-// take reads a try, now or as its turn comes, and hands it on.
-func (in *intake) take(t *Try, read func(*Try)) {
-	if in.work == 0 {
+// enqueue reads a try, now or as its turn comes, and hands it on.
+func (in *requestReader) enqueue(t *Attempt, read func(*Attempt)) {
+	if in.costPerRequest == 0 {
 		read(t)
 		return
 	}
-	in.line = append(in.line, t)
-	in.next(read)
+	in.unread = append(in.unread, t)
+	in.startReading(read)
 }
 
-func (in *intake) next(read func(*Try)) {
-	for in.reading < min(in.cores, len(in.line)) {
-		t := in.line[in.reading]
+func (in *requestReader) startReading(read func(*Attempt)) {
+	for in.reading < min(in.cores, len(in.unread)) {
+		t := in.unread[in.reading]
 		in.reading++
-		in.host.machine.Add(in.work, func() {
+		in.host.machine.Add(in.costPerRequest, func() {
 			in.reading--
-			at := slices.Index(in.line, t)
-			in.line = slices.Delete(in.line, at, at+1)
+			at := slices.Index(in.unread, t)
+			in.unread = slices.Delete(in.unread, at, at+1)
 			read(t)
-			in.next(read)
+			in.startReading(read)
 		})
 	}
 }
@@ -49,12 +49,12 @@
 	return work / share
 }
 
-// keepAway has a balancer that heeds advice send a node nothing for as long as it advised.
-func (b *balancer) keepAway(at int, until time.Time) {
-	if b.obeys && until.After(b.away[at]) {
-		b.away[at] = until
+// avoid has a balancer that heeds advice send a node nothing for as long as it advised.
+func (b *balancer) avoid(at int, until time.Time) {
+	if b.honorsRetryAfter && until.After(b.avoidUntil[at]) {
+		b.avoidUntil[at] = until
 	}
 }
 
-// willing says whether a balancer may send to a node now.
-func (b *balancer) willing(at int, now time.Time) bool { return !now.Before(b.away[at]) }
+// mayUse says whether a balancer may send to a node now.
+func (b *balancer) mayUse(at int, now time.Time) bool { return !now.Before(b.avoidUntil[at]) }
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -17,14 +17,14 @@
 	thrash   float64 // how much slower each doubling of the crowd beyond thrashAt makes all of it
 	thrashAt float64 // works for each core from which they hinder each other
 
-	served float64 // what each piece of work that has always been here has had, in work
-	last   time.Time
-	works  heap.Heap[float64, *Work] // by the served at which they are done
-	timer  clock.Timer
-
-	busy  float64 // core-seconds used
-	area  float64 // pieces of work times seconds
-	begun time.Time
+	attained  float64 // what each piece of work that has always been here has had, in work
+	updatedAt time.Time
+	pieces    heap.Heap[float64, *Work] // by the served at which they are done
+	timer     clock.Timer
+
+	busyCoreSeconds float64 // core-seconds used
+	area            float64 // pieces of work times seconds
+	startedAt       time.Time
 }
 
 // Work is one piece on a machine.
@@ -36,12 +36,12 @@
 
 // NewMachine returns an idle machine.
 func NewMachine(c *clock.Virtual, cores int, speed, thrash, thrashAt float64) *Machine {
-	return &Machine{clock: c, cores: float64(cores), speed: speed, thrash: thrash, thrashAt: max(1, thrashAt), last: c.Now(), begun: c.Now()}
+	return &Machine{clock: c, cores: float64(cores), speed: speed, thrash: thrash, thrashAt: max(1, thrashAt), updatedAt: c.Now(), startedAt: c.Now()}
 }
 
 // rate is the work that each piece is done a second.
 func (m *Machine) rate() float64 {
-	n := float64(m.works.Len())
+	n := float64(m.pieces.Len())
 	if n == 0 {
 		return 0
 	}
@@ -55,20 +55,20 @@
 // advance accounts for the time since the last change.
 func (m *Machine) advance() {
 	now := m.clock.Now()
-	span := now.Sub(m.last).Seconds()
-	m.last = now
-	n := float64(m.works.Len())
-	m.served += m.rate() * span
-	m.busy += min(n, m.cores) * span
+	span := now.Sub(m.updatedAt).Seconds()
+	m.updatedAt = now
+	n := float64(m.pieces.Len())
+	m.attained += m.rate() * span
+	m.busyCoreSeconds += min(n, m.cores) * span
 	m.area += n * span
 }
 
 // Add puts work on the cores; done is called when it has been done.
 func (m *Machine) Add(work float64, done func()) *Work {
 	m.advance()
-	w := &Work{finish: m.served + work, done: done}
-	m.works.Push(w.finish, w)
-	m.arm()
+	w := &Work{finish: m.attained + work, done: done}
+	m.pieces.Push(w.finish, w)
+	m.scheduleCompletion()
 	return w
 }
 
@@ -78,31 +78,31 @@
 		return 0
 	}
 	m.advance()
-	m.works.Remove(w.index)
-	m.arm()
-	return max(0, w.finish-m.served)
+	m.pieces.Remove(w.index)
+	m.scheduleCompletion()
+	return max(0, w.finish-m.attained)
 }
 
-// Speed changes how fast the cores are; 0: they stand still.
-func (m *Machine) Speed(speed float64) {
+// SetSpeed changes how fast the cores are; 0: they stand still.
+func (m *Machine) SetSpeed(speed float64) {
 	m.advance()
 	m.speed = speed
-	m.arm()
+	m.scheduleCompletion()
 }
 
 // Running is how many pieces are on the cores.
-func (m *Machine) Running() int { return m.works.Len() }
+func (m *Machine) Running() int { return m.pieces.Len() }
 
 // Utilization is the share of the cores used since the beginning.
 func (m *Machine) Utilization() float64 {
 	m.advance()
-	return m.busy / (m.cores * max(1e-9, m.clock.Now().Sub(m.begun).Seconds()))
+	return m.busyCoreSeconds / (m.cores * max(1e-9, m.clock.Now().Sub(m.startedAt).Seconds()))
 }
 
-// tiny is work that counts as none: what a nanosecond of rounding comes to.
-const tiny = 1e-9
+// workTolerance is work that counts as none: what a nanosecond of rounding comes to.
+const workTolerance = 1e-9
 
-func (m *Machine) arm() {
+func (m *Machine) scheduleCompletion() {
 	if m.timer != nil {
 		m.timer.Stop()
 	}
@@ -110,24 +110,24 @@
 	if rate == 0 {
 		return
 	}
-	finish, _ := m.works.First()
-	left := max(0, finish-m.served) / rate
-	m.timer = m.clock.AfterFunc(time.Duration(math.Ceil(left*1e9)), m.due)
+	finish, _ := m.pieces.First()
+	left := max(0, finish-m.attained) / rate
+	m.timer = m.clock.AfterFunc(time.Duration(math.Ceil(left*1e9)), m.completeFinished)
 }
 
-// due ends all that has been done.
-func (m *Machine) due() {
+// completeFinished ends all that has been done.
+func (m *Machine) completeFinished() {
 	m.advance()
 	var over []*Work
-	for m.works.Len() > 0 {
-		finish, w := m.works.First()
-		if finish > m.served+tiny {
+	for m.pieces.Len() > 0 {
+		finish, w := m.pieces.First()
+		if finish > m.attained+workTolerance {
 			break
 		}
-		m.works.Pop()
+		m.pieces.Pop()
 		over = append(over, w)
 	}
-	m.arm()
+	m.scheduleCompletion()
 	for _, w := range over {
 		w.done()
 	}
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -22,15 +22,15 @@
 	return rand.New(rand.NewPCG(s.Seed, h.Sum64()))
 }
 
-// Sizes draws amounts of work.
-type Sizes struct {
+// Distribution draws amounts of work.
+type Distribution struct {
 	Mean float64
 	CV   float64 // standard deviation over the mean; 0: all alike
 	Kind string  // "exponential" (its CV is 1), "lognormal" or "fixed"
 }
 
-// Draw is one amount.
-func (s Sizes) Draw(r *rand.Rand) float64 {
+// Sample is one amount.
+func (s Distribution) Sample(r *rand.Rand) float64 {
 	switch s.Kind {
 	case "exponential":
 		return distuv.Exponential{Rate: 1 / s.Mean, Src: r}.Rand()
@@ -43,7 +43,7 @@
 }
 
 // squaredCV is the variance over the squared mean.
-func (s Sizes) squaredCV() float64 {
+func (s Distribution) squaredCV() float64 {
 	switch s.Kind {
 	case "exponential":
 		return 1
--- a/internal/testing/loadrig/remote.go
+++ b/internal/testing/loadrig/remote.go
@@ -18,7 +18,7 @@
 // remote is a real daemon as an emulator.Server: what it is offered goes to it as balancers send it.
 type remote struct {
 	in      inbox
-	site    emulator.Site
+	site    emulator.Environment
 	address string
 	classes []string
 	failed  func(error)
@@ -27,13 +27,13 @@
 	// Of the goroutine that moves the clock:
 	ids   int
 	open  map[string]*open // by the id of the try
-	tries map[*emulator.Try]*open
+	tries map[*emulator.Attempt]*open
 	conns map[int][]*conn // by the balancer
 }
 
 type open struct {
 	id     string
-	try    *emulator.Try
+	try    *emulator.Attempt
 	answer func(node.Response)
 	conn   *conn
 	tag    int
@@ -52,10 +52,10 @@
 
 var errConn = errors.New("a connection to the daemon ended")
 
-func (r *remote) Offer(t *emulator.Try, answer func(node.Response)) {
+func (r *remote) Submit(t *emulator.Attempt, answer func(node.Response)) {
 	r.ids++
 	o := &open{id: fmt.Sprintf("%016x", r.ids), try: t, answer: answer}
-	c, err := r.connection(t.Source)
+	c, err := r.connection(t.CallerID)
 	if err != nil { // refused: nothing ran
 		answer(node.Response{Status: node.StatusRejected})
 		return
@@ -63,22 +63,22 @@
 	c.last++
 	o.conn, o.tag = c, c.last
 	c.tags[o.tag], r.open[o.id], r.tries[t] = o, o, o
-	fields := fmt.Sprintf("req=%s,ts=%d,via=%d,owner=lab,need=%.1f,level=0.5,ms=%.2f", o.id, time.Now().UnixMilli(), t.Source, t.KB, float64(t.Hint)/1e6)
+	fields := fmt.Sprintf("req=%s,ts=%d,via=%d,owner=lab,need=%.1f,level=0.5,ms=%.2f", o.id, time.Now().UnixMilli(), t.CallerID, t.MemoryKB, float64(t.WorkHint)/1e6)
 	if r.site.Settings.DeadlinePropagated {
-		fields += fmt.Sprintf(",timeout=%d", max(1, time.Until(t.Due).Milliseconds()))
+		fields += fmt.Sprintf(",timeout=%d", max(1, time.Until(t.Deadline).Milliseconds()))
 	}
-	if t.Retry {
+	if t.IsRetry {
 		fields += ",resent=1"
 	}
 	body := o.id
-	if t.Key != "" {
-		fields += fmt.Sprintf(",opkey=%x", sha256.Sum256([]byte(t.Key)))[:len(",opkey=")+32]
-		body = t.Key
+	if t.IdempotencyKey != "" {
+		fields += fmt.Sprintf(",opkey=%x", sha256.Sum256([]byte(t.IdempotencyKey)))[:len(",opkey=")+32]
+		body = t.IdempotencyKey
 	}
 	r.write(c, "DO", strconv.Itoa(o.tag), r.classes[t.Class], fields, body)
 }
 
-func (r *remote) Gone(t *emulator.Try) {
+func (r *remote) Cancel(t *emulator.Attempt) {
 	if o := r.tries[t]; o != nil {
 		r.forget(o)
 		r.write(o.conn, "UNDO", strconv.Itoa(o.tag))
@@ -95,16 +95,16 @@
 }
 
 // find is the try of an id that a run is started for.
-func (r *remote) find(id string) *emulator.Try {
+func (r *remote) find(id string) *emulator.Attempt {
 	if o := r.open[id]; o != nil {
 		return o.try
 	}
 	return nil
 }
 
-func (r *remote) Leave(time.Duration) { r.leave() }
+func (r *remote) Drain(time.Duration) { r.leave() }
 
-func (r *remote) Counts() (running, held int) { return r.site.Machine.Running(), len(r.tries) }
+func (r *remote) InFlight() (running, held int) { return r.site.Machine.Running(), len(r.tries) }
 
 // connection is one of a balancer's that has room.
 func (r *remote) connection(source int) (*conn, error) {
--- a/internal/testing/loadrig/rig.go
+++ b/internal/testing/loadrig/rig.go
@@ -42,11 +42,11 @@
 // nodes can stand still, go slower and leave, but not die or lose messages. It errs where the world can't be played, a
 // daemon does not start, or a connection breaks that should not.
 func Play(w emulator.World, o Options) (*emulator.Result, error) {
-	if w.Nodes > MostNodes || w.Length > Longest {
-		return nil, fmt.Errorf("%d nodes for %v: %d and %v at most against real daemons", w.Nodes, w.Length, MostNodes, Longest)
+	if w.Nodes > MostNodes || w.Duration > Longest {
+		return nil, fmt.Errorf("%d nodes for %v: %d and %v at most against real daemons", w.Nodes, w.Duration, MostNodes, Longest)
 	}
 	for _, f := range w.Faults {
-		if f.Kind == emulator.Die || f.Kind == emulator.Lossy || f.Return > 0 {
+		if f.Kind == emulator.FaultCrash || f.Kind == emulator.FaultMessageLoss || f.RestartDelay > 0 {
 			return nil, fmt.Errorf("a fault %q, or a node that returns, can't be played against real daemons", f.Kind)
 		}
 	}
@@ -84,16 +84,16 @@
 		classes = append(classes, c.Name)
 	}
 	next := 0
-	w.Policy = func(s emulator.Site) emulator.Server {
+	w.NewServer = func(s emulator.Environment) emulator.Server {
 		d := daemons[next]
 		next++
-		r := &remote{in: in, site: s, address: d.address, classes: classes, failed: failed, open: map[string]*open{}, tries: map[*emulator.Try]*open{}, conns: map[int][]*conn{},
+		r := &remote{in: in, site: s, address: d.address, classes: classes, failed: failed, open: map[string]*open{}, tries: map[*emulator.Attempt]*open{}, conns: map[int][]*conn{},
 			leave: func() { _ = d.cmd.Process.Signal(syscall.SIGTERM) }}
 		d.runtime.site, d.runtime.find = s, r.find
 		return r
 	}
-	w.Begin, w.Drive = time.Now(), in.pace
-	result, err := emulator.Play(w)
+	w.StartTime, w.Drive = time.Now(), in.pace
+	result, err := emulator.Run(w)
 	mu.Lock()
 	defer mu.Unlock()
 	return result, errors.Join(append(errs, err)...)
--- a/internal/testing/loadrig/runtime.go
+++ b/internal/testing/loadrig/runtime.go
@@ -17,8 +17,8 @@
 	ready chan struct{} // closed at the first sync
 
 	// Of the goroutine that moves the clock:
-	site emulator.Site
-	find func(id string) *emulator.Try
+	site emulator.Environment
+	find func(id string) *emulator.Attempt
 	conn net.Conn
 	pos  uint64
 	runs map[string]*work
@@ -80,7 +80,7 @@
 		if t == nil || r.runs[id] != nil {
 			return
 		}
-		r.site.Ran(t)
+		r.site.OnRunStarted(t)
 		w := &work{since: r.site.Clock.Now()}
 		r.runs[id] = w
 		w.work = r.site.Machine.Add(t.Work, func() { r.end(id, "OK") })
