--- /dev/null
+++ b/internal/testing/fleetrig/faultcoverage.go
@@ -0,0 +1,64 @@
+package fleetrig
+
+import (
+	"fmt"
+
+	"sloehitch/internal/control/lease"
+)
+
+// The states of a node in a drain and the roles of a holder, as Drained.Met names them, by the events and leases that say so.
+var (
+	drainStates = map[string]string{"begins out": "out", "goes on out": "out", "replaced": "replaced", "enters": "back", "warm": "", "late": ""}
+	leaseRoles  = map[string]string{"permits": "who grants permits", "release": "who releases", "store": "the store's leader"}
+)
+
+// met counts the hard cases that a run has met: processes that were killed, stopped, told to leave or isolated in the midst of a drain, or
+// while they held a lease or led the store. A fault of a process that had another already counts for nothing.
+func met(all []told, calls []called) map[string]int {
+	count := map[string]int{}
+	held := spans(all)
+	for i, c := range calls {
+		switch c.Kind {
+		case Kill, Stop, Leave, Isolate:
+		default:
+			continue
+		}
+		if overlapped(calls, i) {
+			continue
+		}
+		if state := drainState(all, c.Nodes[0], c.from); state != "" {
+			count[fmt.Sprintf("%s while %s", c.Kind, state)]++
+		}
+		for _, s := range held {
+			if role := leaseRoles[s.What]; role != "" && s.Node == c.Nodes[0] && s.From <= c.from && c.from < s.To {
+				count[fmt.Sprintf("%s of %s", c.Kind, role)]++
+			}
+		}
+	}
+	return count
+}
+
+// overlapped says whether another process fault of the same node was on when the fault with this index began.
+func overlapped(calls []called, index int) bool {
+	c := calls[index]
+	for i, other := range calls {
+		isProcessFault := other.Kind == Kill || other.Kind == Stop || other.Kind == Leave
+		if i != index && other.Nodes[0] == c.Nodes[0] && isProcessFault && other.from <= c.from && c.from < other.to {
+			return true
+		}
+	}
+	return false
+}
+
+// drainState is where a node's drain stood at a time; empty: it was in service.
+func drainState(all []told, node int, at lease.Instant) (state string) {
+	for _, e := range all {
+		if e.Node != node || e.At > at {
+			continue
+		}
+		if to, changes := drainStates[e.What]; changes {
+			state = to
+		}
+	}
+	return state
+}
--- a/internal/testing/fleetrig/outage.go
+++ b/internal/testing/fleetrig/outage.go
@@ -31,7 +31,7 @@
 		}
 		time.Sleep(time.Duration(i%10) * o.Lease / 10) // at any time between two jobs
 		from := lease.Now()
-		over := f.faulty(Fault{Kind: kind, Nodes: []int{owner}})
+		over := f.injectFault(Fault{Kind: kind, Nodes: []int{owner}})
 		var at lease.Instant
 		found := f.until(time.Now().Add(o.Recovery), func() bool {
 			_, at, err = f.sweeper(owner, from)
--- /dev/null
+++ b/internal/testing/fleetrig/spans.go
@@ -0,0 +1,87 @@
+package fleetrig
+
+import (
+	"sloehitch/internal/control/lease"
+)
+
+// span is a stretch of time in which a node believed or did something.
+type span struct {
+	Node     int
+	What     string // duty a node holds, or "store" where it leads
+	Token    uint64
+	From, To lease.Instant
+}
+
+// spans are the stretches that events tell of; what has no end reaches to the last event.
+func spans(all []told) []span {
+	list := spanList{latest: map[spanKey]int{}}
+	var last lease.Instant
+	for _, e := range all {
+		last = max(last, e.At)
+		list.add(e)
+	}
+	for i := range list.spans {
+		if list.spans[i].To == 0 {
+			list.spans[i].To = last
+		}
+	}
+	return list.spans
+}
+
+// spanKey is what a node does at most once at a time.
+type spanKey struct {
+	node int
+	duty string // empty: leading the store
+}
+
+// spanList builds spans from events in the order of their time.
+type spanList struct {
+	spans  []span
+	latest map[spanKey]int // index in spans
+}
+
+func (l *spanList) add(e told) {
+	key := spanKey{e.Node, e.Duty}
+	at, known := l.latest[key]
+	switch e.What {
+	case "starts":
+		l.endAll(e)
+	case "holds":
+		if e.Until > e.At { // else the answer came after the lease's end: nothing is believed
+			l.hold(key, e)
+		}
+	case "gives":
+		if known && l.spans[at].Token == e.N {
+			l.spans[at].To = min(l.spans[at].To, e.At)
+		}
+	case "leads":
+		l.open(key, span{e.Node, "store", e.N, e.At, 0})
+	case "follows":
+		if known && l.spans[at].To == 0 {
+			l.spans[at].To = e.At
+		}
+	}
+}
+
+func (l *spanList) open(key spanKey, s span) {
+	l.latest[key] = len(l.spans)
+	l.spans = append(l.spans, s)
+}
+
+// hold begins a span, or extends the latest one where its lease was renewed in time.
+func (l *spanList) hold(key spanKey, e told) {
+	if at, known := l.latest[key]; known && l.spans[at].Token == e.N && l.spans[at].To >= e.At {
+		l.spans[at].To = max(l.spans[at].To, e.Until)
+		return
+	}
+	l.open(key, span{e.Node, e.Duty, e.N, e.At, e.Until})
+}
+
+// endAll ends what the node's process before this start believed.
+func (l *spanList) endAll(start told) {
+	for i := range l.spans {
+		if s := &l.spans[i]; s.Node == start.Node && (s.To == 0 || s.To > start.At) {
+			s.To = start.At
+		}
+	}
+}
--- /dev/null
+++ b/internal/testing/soak/timeline.go
@@ -0,0 +1,25 @@
+package soak
+
+import (
+	"fmt"
+	"io"
+	"strings"
+)
+
+// WriteTimelines writes, for up to most breaches, all that is on record of the requests concerned.
+func (r *Report) WriteTimelines(w io.Writer, most int) {
+	for _, b := range r.Breaches[:min(most, len(r.Breaches))] {
+		fmt.Fprintf(w, "seed %d: %s: %s\n", r.Plan.Seed, b.Rule, b.What)
+		r.Record.Timeline(w, b.Names...)
+		for _, text := range r.Logs {
+			for line := range strings.SplitSeq(text, "\n") {
+				for _, name := range b.Names {
+					if name != "" && strings.Contains(line, name) {
+						fmt.Fprintln(w, "  ", line)
+						break
+					}
+				}
+			}
+		}
+	}
+}
--- a/internal/testing/standin/echo.go
+++ b/internal/testing/standin/echo.go
@@ -123,39 +123,16 @@
 	return b
 }
 
+// body reads a request's body as the mutant does.
 func (e *Echo) body(in *bufio.Reader, vars packet.Vars) ([]byte, error) {
-	kind, err := packet.RequestFraming(vars)
-	length := vars.Get("CONTENT_LENGTH")
-	coding := vars.Get("HTTP_TRANSFER_ENCODING")
-	switch {
-	case e.mutant == "takes a length and chunks" && err != nil && length != "" && strings.EqualFold(coding, "chunked"):
-		kind, err = packet.Framing{Length: -1, Chunked: true}, nil
-	case e.mutant == "takes any coding" && err != nil && coding != "" && length == "":
-		kind, err = packet.Framing{Length: -1, Chunked: true}, nil
-	case e.mutant == "takes signs in lengths" && err != nil:
-		n, numErr := strconv.Atoi(length)
-		if numErr != nil || n < 0 {
-			return nil, err
-		}
-		kind, err = packet.Framing{Length: int64(n)}, nil
-	}
+	framing, err := e.framing(vars)
 	if err != nil {
 		return nil, err
 	}
-	if kind.Chunked {
-		if e.mutant == "takes line feeds in chunks" {
-			raw, err := io.ReadAll(in)
-			if err != nil {
-				return nil, err
-			}
-			if !bytes.Contains(raw, []byte("\r")) {
-				raw = bytes.ReplaceAll(raw, []byte("\n"), []byte("\r\n"))
-			}
-			return e.chunks(bufio.NewReader(bytes.NewReader(raw)))
-		}
-		return e.chunks(in)
+	if framing.Chunked {
+		return e.chunkedBody(in)
 	}
-	body := make([]byte, kind.Length)
+	body := make([]byte, framing.Length)
 	n, err := io.ReadFull(in, body)
 	if e.mutant == "takes short bodies" {
 		return body[:n], nil
@@ -171,6 +148,42 @@
 	return body, err
 }
 
+// framing is how the mutant finds a body's end; some take what the protocol has rejected.
+func (e *Echo) framing(vars packet.Vars) (packet.Framing, error) {
+	framing, err := packet.RequestFraming(vars)
+	if err == nil {
+		return framing, nil
+	}
+	length := vars.Get("CONTENT_LENGTH")
+	coding := vars.Get("HTTP_TRANSFER_ENCODING")
+	chunked := packet.Framing{Length: -1, Chunked: true}
+	switch {
+	case e.mutant == "takes a length and chunks" && length != "" && strings.EqualFold(coding, "chunked"):
+		return chunked, nil
+	case e.mutant == "takes any coding" && coding != "" && length == "":
+		return chunked, nil
+	case e.mutant == "takes signs in lengths":
+		if n, numErr := strconv.Atoi(length); numErr == nil && n >= 0 {
+			return packet.Framing{Length: int64(n)}, nil
+		}
+	}
+	return packet.Framing{}, err
+}
+
+func (e *Echo) chunkedBody(in *bufio.Reader) ([]byte, error) {
+	if e.mutant != "takes line feeds in chunks" {
+		return e.chunks(in)
+	}
+	raw, err := io.ReadAll(in)
+	if err != nil {
+		return nil, err
+	}
+	if !bytes.Contains(raw, []byte("\r")) {
+		raw = bytes.ReplaceAll(raw, []byte("\n"), []byte("\r\n"))
+	}
+	return e.chunks(bufio.NewReader(bytes.NewReader(raw)))
+}
+
 // chunks reads a chunked body and takes its framing off.
 func (e *Echo) chunks(in *bufio.Reader) ([]byte, error) {
 	var scan packet.ChunkScanner
