--- a/cmd/sloehitch-lab/soak.go
+++ b/cmd/sloehitch-lab/soak.go
@@ -51,7 +51,7 @@
 		}}
 	err = seeds.Run(func(r *soak.Report) {
 		table.Add(r)
-		fmt.Printf("seed %d: %d requests, %d runs, %d processes, %d breaches\n", r.Plan.Seed, r.Requests, r.Runs, r.Lives, len(r.Breaches))
+		fmt.Printf("seed %d: %d requests, %d runs, %d processes, %d breaches\n", r.Plan.Seed, r.Requests, r.Runs, r.Processes, len(r.Breaches))
 		if len(r.Breaches) == 0 {
 			return
 		}
--- a/internal/testing/soak/catalogue.go
+++ b/internal/testing/soak/catalogue.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// catalogue is the stand-in for the tier below: it answers calls late, in any order, and turns some away.
+// catalogue is a stand-in for the downstream service: it answers calls with random delays, out of order, and rejects some.
 type catalogue struct {
 	listener net.Listener
 	record   *Record
 
 	mu     sync.Mutex
 	random *rand.Rand
-	made   map[string]int // calls by body
+	calls  map[string]int // calls by body
 }
 
 func newCatalogue(record *Record, seed uint64) (*catalogue, error) {
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &catalogue{listener: listener, record: record, random: rand.New(rand.NewPCG(seed, 11)), made: map[string]int{}}
+	c := &catalogue{listener: listener, record: record, random: rand.New(rand.NewPCG(seed, 11)), calls: map[string]int{}}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -70,7 +70,7 @@
 	word := []string{"DATA", "DATA", "DATA", "DATA", "DATA", "DATA", "LATER", "FAULT", "TOOSLOW", "NOUSE"}[c.random.IntN(10)]
 	wait := time.Duration(c.random.ExpFloat64() * float64(20*time.Millisecond))
 	if word != "LATER" && word != "NOUSE" {
-		c.made[body]++
+		c.calls[body]++
 	}
 	c.mu.Unlock()
 	c.record.add("catalogue", "call", id, "", body+" "+word)
--- a/internal/testing/soak/check_calls.go
+++ b/internal/testing/soak/check_calls.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// judgeCalls: a call of a request that may run once is made once, unless it was turned away.
-func (p *play) judgeCalls(r *Report) {
-	p.catalogue.mu.Lock()
-	defer p.catalogue.mu.Unlock()
-	for _, body := range slices.Sorted(maps.Keys(p.catalogue.made)) {
+// checkCalls checks that each downstream call of a request that is not idempotent was made at most once, rejected calls not counted.
+func (run *testRun) checkCalls(r *Report) {
+	run.catalogue.mu.Lock()
+	defer run.catalogue.mu.Unlock()
+	for _, body := range slices.Sorted(maps.Keys(run.catalogue.calls)) {
 		id, _, _ := strings.Cut(body, "/")
-		if q := p.requests.byID[id]; p.catalogue.made[body] > 1 && q != nil && q.class != "read" {
-			r.breach(RuleDuplicate, fmt.Sprintf("call %s of a %s was made %d times", body, q.class, p.catalogue.made[body]), id)
+		if q := run.requests.byID[id]; run.catalogue.calls[body] > 1 && q != nil && q.class != "read" {
+			r.breach(RuleDuplicate, fmt.Sprintf("call %s of a %s was made %d times", body, q.class, run.catalogue.calls[body]), id)
 		}
 	}
 }
--- a/internal/testing/soak/check_pauses.go
+++ b/internal/testing/soak/check_pauses.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// paused is how long the process stood still between two times.
-func (p *play) paused(from, to time.Duration) (sum time.Duration) {
-	for _, x := range slices.Concat(p.pauses, p.lags) {
+// pausedBetween returns for how long the node's process, or the machine, was paused between two times.
+func (run *testRun) pausedBetween(from, to time.Duration) (sum time.Duration) {
+	for _, x := range slices.Concat(run.pauses, run.schedulingDelays) {
 		if x.to >= from && x.from <= to+sum+time.Second {
 			sum += x.to - x.from
 		}
@@ -15,16 +15,16 @@
 	return sum
 }
 
-// turnLeast is how long a process must go on between two pauses to have had a turn on a busy machine.
-const turnLeast = 5 * time.Millisecond
+// minSchedulingTurn is the shortest time between two pauses in which a process on a busy machine has certainly run.
+const minSchedulingTurn = 5 * time.Millisecond
 
-// noticed is when a process could first notice that it is to leave: a signal that comes while it stands still waits, also for a pause that
-// follows before the process can have had a turn.
-func (p *play) noticed(l *life) time.Duration {
-	at, waits := l.told, false
-	for _, x := range p.pauses {
+// signalSeenAt returns when a process could first see its SIGTERM: a signal that arrives during a pause waits for its end, and for a further
+// pause that begins before the process has run.
+func (run *testRun) signalSeenAt(proc *process) time.Duration {
+	at, waits := proc.terminatedAt, false
+	for _, x := range run.pauses {
 		within := x.from <= at && at < x.to
-		if within || waits && x.from >= at && x.from-at < turnLeast {
+		if within || waits && x.from >= at && x.from-at < minSchedulingTurn {
 			at, waits = x.to, true
 		}
 	}
--- a/internal/testing/soak/directory.go
+++ b/internal/testing/soak/directory.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// directory is the stand-in that hears the node's reports.
+// directory is a stand-in for the service directory: it records when the node's load reports arrive.
 type directory struct {
-	record *Record
-	mu     sync.Mutex
-	conn   *net.UDPConn
-	addr   *net.UDPAddr // fixed once the first socket is open
-	heard  []time.Duration
-	down   []pause
+	record  *Record
+	mu      sync.Mutex
+	conn    *net.UDPConn
+	addr    *net.UDPAddr // fixed once the first socket is open
+	reports []time.Duration
+	outages []pause
 }
 
 func newDirectory(record *Record) (*directory, error) {
@@ -23,22 +23,22 @@
 		return nil, err
 	}
 	d := &directory{record: record, addr: conn.LocalAddr().(*net.UDPAddr)}
-	d.hear(conn)
+	d.receive(conn)
 	return d, nil
 }
 
-// up opens the directory's socket again, at the address that it had.
-func (d *directory) up() error {
+// reopen opens the directory's socket again at its address.
+func (d *directory) reopen() error {
 	conn, err := net.ListenUDP("udp4", d.addr)
 	if err != nil {
 		return err
 	}
-	d.hear(conn)
+	d.receive(conn)
 	return nil
 }
 
-// hear takes reports from a socket until it is closed.
-func (d *directory) hear(conn *net.UDPConn) {
+// receive starts recording the load reports that arrive on a socket, until it is closed.
+func (d *directory) receive(conn *net.UDPConn) {
 	d.mu.Lock()
 	d.conn = conn
 	d.mu.Unlock()
@@ -51,7 +51,7 @@
 			}
 			if strings.HasPrefix(string(text[:n]), "PULSE n1 ") {
 				d.mu.Lock()
-				d.heard = append(d.heard, d.record.now())
+				d.reports = append(d.reports, d.record.now())
 				d.mu.Unlock()
 			}
 		}
@@ -66,15 +66,15 @@
 	_ = d.conn.Close()
 }
 
-// silent has the directory be away for a while.
-func (d *directory) silent(span time.Duration) {
+// takeDown closes the directory's socket for a time, and blocks until it is open again.
+func (d *directory) takeDown(span time.Duration) {
 	from := d.record.now()
 	d.close()
 	time.Sleep(span)
-	for d.up() != nil {
+	for d.reopen() != nil {
 		time.Sleep(time.Millisecond)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down = append(d.down, pause{from, d.record.now()})
+	d.outages = append(d.outages, pause{from, d.record.now()})
 }
--- a/internal/testing/soak/faults.go
+++ b/internal/testing/soak/faults.go
@@ -10,68 +10,68 @@
 	"sloehitch/internal/testing/faults/linkproxy"
 )
 
-// faults carries out the plan's troubles, one after the other.
-func (p *play) faults() {
-	for _, f := range p.plan.Faults {
-		p.sleepUntil(f.At)
-		if !p.sending() {
+// injectFaults injects the plan's faults one after the other.
+func (run *testRun) injectFaults() {
+	for _, f := range run.plan.Faults {
+		run.sleepUntil(f.At)
+		if !run.trafficOn() {
 			return
 		}
-		p.record.add("fault", string(f.Kind), "", "", fmt.Sprint("for ", f.For))
-		p.mu.Lock()
-		p.counts[string(f.Kind)]++
-		p.mu.Unlock()
-		p.carryOut(f)
+		run.record.add("fault", string(f.Kind), "", "", fmt.Sprint("for ", f.For))
+		run.mu.Lock()
+		run.counts[string(f.Kind)]++
+		run.mu.Unlock()
+		run.injectFault(f)
 	}
 }
 
-func (p *play) carryOut(f Fault) {
+func (run *testRun) injectFault(f Fault) {
 	switch f.Kind {
 	case ResetRuntime:
-		for _, l := range p.runtimeLinks() {
+		for _, l := range run.runtimeProxies() {
 			l.Reset()
 		}
 	case StallToRuntime:
-		p.stall(linkproxy.ToServer, f.For)
+		run.stallRuntimeLinks(linkproxy.ToServer, f.For)
 	case StallToNode:
-		p.stall(linkproxy.ToClient, f.For)
+		run.stallRuntimeLinks(linkproxy.ToClient, f.For)
 	case ResetClients:
-		at := p.record.now()
-		p.mu.Lock()
-		p.resets = append(p.resets, at)
-		p.mu.Unlock()
-		p.clientLink.Reset()
+		at := run.record.now()
+		run.mu.Lock()
+		run.resets = append(run.resets, at)
+		run.mu.Unlock()
+		run.clientProxy.Reset()
 	case ResetCatalogue:
-		p.callLink.Reset()
+		run.catalogueProxy.Reset()
 	case CatalogueDown:
-		p.callLink.Refuse(true)
-		p.callLink.Reset()
+		run.catalogueProxy.Refuse(true)
+		run.catalogueProxy.Reset()
 		time.Sleep(f.For)
-		p.callLink.Refuse(false)
+		run.catalogueProxy.Refuse(false)
 	case Pause:
-		p.pause(f.For)
+		run.pause(f.For)
 	case Reload:
-		p.reload()
+		run.reload()
 	case StepWallClock:
 		// A file that is replaced whole: the process looks at it at any moment.
-		path := filepath.Join(p.trialDir, "clock")
+		path := filepath.Join(run.hookDir, "clock")
 		if os.WriteFile(path+".new", fmt.Appendf(nil, "%v 1", f.Step), 0o600) == nil {
 			_ = os.Rename(path+".new", path)
 		}
 	case DirectorySilent:
-		p.directory.silent(f.For)
+		run.directory.takeDown(f.For)
 	}
 }
 
-// stall holds back one direction of the links to the runtime.
-func (p *play) stall(d linkproxy.Direction, span time.Duration) {
-	conditions := p.plan.Links["runtime"].ToServer
+// stallRuntimeLinks holds back one direction of the links to the runtimes for a time.
+func (run *testRun) stallRuntimeLinks(d linkproxy.Direction, span time.Duration) {
+	conditions := run.plan.Links["runtime"].ToServer
 	if d == linkproxy.ToClient {
-		conditions = p.plan.Links["runtime"].ToClient
+		conditions = run.plan.Links["runtime"].ToClient
 	}
 	stalled := conditions
 	stalled.Stalled = true
-	held := p.runtimeLinks()
+	held := run.runtimeProxies()
 	for _, l := range held {
 		l.Set(d, stalled)
 	}
@@ -81,36 +81,36 @@
 	}
 }
 
-// pause has the process stand still.
-func (p *play) pause(span time.Duration) {
-	l := p.current()
+// pause stops the process with SIGSTOP for a time.
+func (run *testRun) pause(span time.Duration) {
+	l := run.runningProcess()
 	if l == nil {
 		return
 	}
-	from := p.record.now()
-	p.mu.Lock()
-	index := len(p.pauses)
-	p.pauses = append(p.pauses, pause{from, from + span}) // known at once: a kill that comes due in it waits
-	p.mu.Unlock()
-	p.signal(l, syscall.SIGSTOP)
+	from := run.record.now()
+	run.mu.Lock()
+	index := len(run.pauses)
+	run.pauses = append(run.pauses, pause{from, from + span}) // known at once: a kill that comes due in it waits
+	run.mu.Unlock()
+	run.signal(l, syscall.SIGSTOP)
 	time.Sleep(span)
-	p.signal(l, syscall.SIGCONT)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pauses[index].to = p.record.now()
+	run.signal(l, syscall.SIGCONT)
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.pauses[index].to = run.record.now()
 }
 
-// reload has the process read a configuration that names another way to the runtime.
-func (p *play) reload() {
-	l := p.current()
+// reload has the process reload its configuration, which names the other address of its runtime.
+func (run *testRun) reload() {
+	l := run.runningProcess()
 	if l == nil {
 		return
 	}
-	p.mu.Lock()
-	l.link = 1 - l.link
-	ready := l.ready > 0 // before that the signal would end it
-	p.mu.Unlock()
-	if p.configure(l) == nil && ready {
-		p.signal(l, syscall.SIGHUP)
+	run.mu.Lock()
+	l.activeProxy = 1 - l.activeProxy
+	ready := l.readyAt > 0 // before that the signal would end it
+	run.mu.Unlock()
+	if run.configure(l) == nil && ready {
+		run.signal(l, syscall.SIGHUP)
 	}
 }
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/testing/faults/linkproxy"
 )
 
-// Plan is all that a seed determines.
+// Plan is one scenario, determined by its seed.
 type Plan struct {
 	Seed     uint64
 	Length   time.Duration // of traffic
@@ -19,7 +19,7 @@
 	Restarts []Restart
 }
 
-// Site is the settings that the node is given.
+// Site is the node's settings.
 type Site struct {
 	Cores           int
 	ReadDeadline    time.Duration
@@ -34,18 +34,18 @@
 	Shared          bool // clients come from a listener that all processes of the node inherit, and each process replaces the one before in service
 }
 
-// killSpare is by how much the kill comes after the longest deadline, and killDeadlineMost the most of a deadline that it waits for.
+// The time from SIGTERM to SIGKILL: the longest deadline, at most maxDeadlineBeforeKill, plus killMargin.
 const (
-	killSpare        = 700 * time.Millisecond
-	killDeadlineMost = 3 * time.Second
+	killMargin            = 700 * time.Millisecond
+	maxDeadlineBeforeKill = 3 * time.Second
 )
 
-// Stop is how long after SIGTERM the process is killed: the earliest that the protocol's pages allow.
+// Stop returns how long after SIGTERM the process is killed: the earliest that the protocol allows.
 func (s Site) Stop() time.Duration {
-	return min(max(s.ReadDeadline, s.BookDeadline), killDeadlineMost) + killSpare
+	return min(max(s.ReadDeadline, s.BookDeadline), maxDeadlineBeforeKill) + killMargin
 }
 
-// Clients is how many there are of each habit, and how often each sends.
+// Clients is the number of clients of each behavior, and how often each sends.
 type Clients struct {
 	Steady   int // close a connection when asked to
 	Stubborn int // use a connection until it ends
@@ -58,18 +58,18 @@
 	CallPart float64       // of the runs make a call; half of them a second one
 }
 
-// Link is what lies on the way to a stand-in, each way.
+// Link is the network conditions of a connection's two directions.
 type Link struct{ ToServer, ToClient linkproxy.Conditions }
 
-// delay is the most that the link holds a byte back, both ways together.
+// delay returns the longest round-trip delay that the link adds.
 func (l Link) delay() time.Duration {
 	return l.ToServer.Delay + l.ToServer.Jitter + l.ToClient.Delay + l.ToClient.Jitter
 }
 
-// FaultKind is one kind of trouble.
+// FaultKind is one kind of fault.
 type FaultKind string
 
-// The kinds of trouble.
+// The kinds of fault.
 const (
 	ResetRuntime    FaultKind = "reset-runtime"
 	StallToRuntime  FaultKind = "stall-to-runtime"
@@ -83,25 +83,26 @@
 	DirectorySilent FaultKind = "directory-silent"
 )
 
-// Kinds are all kinds of trouble.
+// Kinds lists all kinds of fault.
 var Kinds = []FaultKind{ResetRuntime, StallToRuntime, StallToNode, ResetClients, ResetCatalogue, CatalogueDown, Pause, Reload, StepWallClock, DirectorySilent}
 
-// Fault is one trouble at one time.
+// Fault is one fault, since the start of the run. For is its length, and Step what it changes the wall clock by.
 type Fault struct {
 	At   time.Duration
 	Kind FaultKind
 	For  time.Duration
-	Step time.Duration // of the wall clock
+	Step time.Duration
 }
 
-// Restart ends the process and starts the next.
+// Restart is the end of a process and the start of the next.
 type Restart struct {
 	At      time.Duration
-	Kill    bool // without notice
+	Kill    bool // with SIGKILL and no SIGTERM before
 	Signals int  // SIGTERMs in a row, and SIGHUPs between them
 }
 
-// Draw derives the plan of a seed. Of the kinds of trouble only those given occur; none given: all.
+// Draw derives the plan of a seed; its traffic goes on for length. Only the given kinds of fault occur; none given: all. The order of the
+// draws is part of a seed's meaning.
 func Draw(seed uint64, length time.Duration, kinds []FaultKind) Plan {
 	r := rand.New(rand.NewPCG(seed, 0x5e0a))
 	if len(kinds) == 0 {
@@ -114,7 +115,7 @@
 	}
 	quiet := time.Duration(0)
 	if r.IntN(4) == 0 {
-		quiet = length / 3 // trouble begins after a long quiet time
+		quiet = length / 3 // fault begins after a long quiet time
 	}
 	for at := quiet + between(r, 100*time.Millisecond, time.Second); at < length; at += between(r, 50*time.Millisecond, 1500*time.Millisecond) {
 		f := Fault{At: at, Kind: kinds[r.IntN(len(kinds))], For: between(r, 20*time.Millisecond, 600*time.Millisecond)}
@@ -164,7 +165,7 @@
 	return least + time.Duration(r.Int64N(int64(max(1, most-least))))
 }
 
-// settings is the settings object that the node finds in its configuration.
+// settings returns the JSON settings object for the node's configuration.
 func (s Site) settings() string {
 	book := 0.0
 	if s.BookMayOmitCall {
@@ -184,7 +185,7 @@
 		s.BookDeadline.Microseconds()*2/3, s.BookDeadline.Microseconds(), s.Cores, book, s.TellsWait, s.StopMode, s.DrainGrace.Microseconds())
 }
 
-// deadline is the longest that a request of a class may wait for its answer.
+// deadline returns how long a request of a class may wait for its answer.
 func (s Site) deadline(class string) time.Duration {
 	if class == "read" {
 		return s.ReadDeadline
--- a/internal/testing/soak/process.go
+++ b/internal/testing/soak/process.go
@@ -16,161 +16,162 @@
 	"sloehitch/internal/testing/faults/linkproxy"
 )
 
-// life is one process of the node, with the runtime that belongs to it. Times are since the play began.
-type life struct {
-	number  int
-	command *exec.Cmd
-	config  string
-	links   []*linkproxy.Proxy // ways to its runtime; the configuration names one of them
-	link    int                // that one
-	runtime *runtime
-	log     logFile
-
-	started time.Duration
-	ready   time.Duration // when its link to the runtime was up; 0: never
-	told    time.Duration // when it was first told to leave; 0: it was not
-	killed  bool          // without notice
-	ended   time.Duration // 0: it is up
-	failure string        // how it ended where that was wrong
-	done    chan struct{}
+// process is a process of the node, with its runtime. Times are since the test run began.
+type process struct {
+	number      int
+	command     *exec.Cmd
+	config      string
+	proxies     []*linkproxy.Proxy // ways to its runtime; the configuration names one of them
+	activeProxy int                // that one
+	runtime     *runtime
+	log         processLog
+
+	startedAt    time.Duration
+	readyAt      time.Duration // when its link to the runtime was up; 0: never
+	terminatedAt time.Duration // when it was first sent SIGTERM; 0: it was not
+	killed       bool          // with SIGKILL and no SIGTERM before
+	endedAt      time.Duration // 0: it is up
+	failure      string        // how it ended where that was wrong
+	done         chan struct{}
 }
 
-// logFile collects what a process writes.
-type logFile struct {
+// processLog collects what a process writes.
+type processLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write appends to the log.
-func (l *logFile) Write(b []byte) (int, error) {
+func (l *processLog) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logFile) String() string {
+func (l *processLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// Command makes the command that serves with a configuration; the rig adds to its environment.
+// Command returns the command that serves with a configuration file; the rig adds to its environment.
 type Command func(config string) *exec.Cmd
 
 // startProcess starts the node's next process.
-func (p *play) startProcess() (*life, error) {
-	p.mu.Lock()
-	number := len(p.lives) + 1
-	p.mu.Unlock()
-	rt, err := newRuntime(p.record, p.requests, p.plan.Clients, p.plan.Seed+uint64(number))
+func (run *testRun) startProcess() (*process, error) {
+	run.mu.Lock()
+	number := len(run.processes) + 1
+	run.mu.Unlock()
+	rt, err := newRuntime(run.record, run.requests, run.plan.Clients, run.plan.Seed+uint64(number))
 	if err != nil {
 		return nil, err
 	}
-	rt.life = number
-	l := &life{number: number, runtime: rt, done: make(chan struct{}), config: filepath.Join(p.dir, fmt.Sprintf("config-%d.json", number))}
+	rt.process = number
+	proc := &process{number: number, runtime: rt, done: make(chan struct{}), config: filepath.Join(run.dir, fmt.Sprintf("config-%d.json", number))}
 	for range 2 {
-		link, err := p.link("runtime", rt.listener.Addr().String())
+		link, err := run.newProxy("runtime", rt.listener.Addr().String())
 		if err != nil {
 			return nil, err
 		}
-		l.links = append(l.links, link)
+		proc.proxies = append(proc.proxies, link)
 	}
-	if err := p.configure(l); err != nil {
+	if err := run.configure(proc); err != nil {
 		return nil, err
 	}
-	l.command = p.command(l.config)
-	if p.listener != nil {
-		l.command.ExtraFiles = []*os.File{p.listener}
-		l.command.Env = append(l.command.Env, "GW_ACCEPT_FD=3")
+	proc.command = run.command(proc.config)
+	if run.listener != nil {
+		proc.command.ExtraFiles = []*os.File{run.listener}
+		proc.command.Env = append(proc.command.Env, "GW_ACCEPT_FD=3")
 	}
-	l.command.Env = append(l.command.Env, faulthooks.Variable+"="+p.trialDir, "SLOEHITCH_LOG_LEVEL=debug", "TMPDIR="+p.dir)
-	l.command.Stdout, l.command.Stderr = &l.log, &l.log
-	l.started = p.record.add("process", "start", "", "", fmt.Sprint(number))
-	if err := l.command.Start(); err != nil {
+	proc.command.Env = append(proc.command.Env, faulthooks.Variable+"="+run.hookDir, "SLOEHITCH_LOG_LEVEL=debug", "TMPDIR="+run.dir)
+	proc.command.Stdout, proc.command.Stderr = &proc.log, &proc.log
+	proc.startedAt = run.record.add("process", "start", "", "", fmt.Sprint(number))
+	if err := proc.command.Start(); err != nil {
 		return nil, err
 	}
-	p.mu.Lock()
-	p.lives = append(p.lives, l)
-	p.mu.Unlock()
-	go p.awaitEnd(l)
-	go p.awaitReady(l)
-	return l, nil
+	run.mu.Lock()
+	run.processes = append(run.processes, proc)
+	run.mu.Unlock()
+	go run.awaitEnd(proc)
+	go run.awaitReady(proc)
+	return proc, nil
 }
 
-// awaitEnd notes the end of a process; its runtime ends with it.
-func (p *play) awaitEnd(l *life) {
-	err := l.command.Wait()
-	at := p.record.add("process", "end", "", "", fmt.Sprint(l.number, " ", err))
-	l.runtime.close()
-	p.mu.Lock()
-	l.ended = at
-	asked := l.told > 0 || l.killed
+// awaitEnd waits for the end of a process, records it and closes its runtime.
+func (run *testRun) awaitEnd(proc *process) {
+	err := proc.command.Wait()
+	at := run.record.add("process", "end", "", "", fmt.Sprint(proc.number, " ", err))
+	proc.runtime.close()
+	run.mu.Lock()
+	proc.endedAt = at
+	asked := proc.terminatedAt > 0 || proc.killed
 	if err != nil && !asked {
-		l.failure = fmt.Sprint("it ended by itself: ", err)
+		proc.failure = fmt.Sprint("it ended by itself: ", err)
 	}
-	p.mu.Unlock()
-	close(l.done)
+	run.mu.Unlock()
+	close(proc.done)
 }
 
-// awaitReady notes when the process has its link to the runtime and takes connections.
-func (p *play) awaitReady(l *life) {
+// awaitReady waits until the process is connected to its runtime and accepts connections, and records when.
+func (run *testRun) awaitReady(proc *process) {
 	for {
 		select {
-		case <-l.done:
+		case <-proc.done:
 			return
 		case <-time.After(2 * time.Millisecond):
 		}
-		l.runtime.mu.Lock()
-		linked := l.runtime.conn != nil
-		l.runtime.mu.Unlock()
-		if linked && strings.Contains(l.log.String(), "msg=serving") {
+		proc.runtime.mu.Lock()
+		linked := proc.runtime.conn != nil
+		proc.runtime.mu.Unlock()
+		if linked && strings.Contains(proc.log.String(), "msg=serving") {
 			break
 		}
 	}
-	at := p.record.add("process", "ready", "", "", fmt.Sprint(l.number))
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l.ready = at
+	at := run.record.add("process", "ready", "", "", fmt.Sprint(proc.number))
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	proc.readyAt = at
 }
 
-// leave tells a process to leave, in a series of signals, and kills it at the earliest that the protocol allows.
-func (p *play) leave(l *life, signals int) {
-	kill := p.plan.Site.Stop()
-	at := p.record.add("process", "SIGTERM", "", "", fmt.Sprint(l.number))
-	p.mu.Lock()
-	l.told = at
-	p.mu.Unlock()
-	p.signal(l, syscall.SIGTERM)
+// shutDown sends SIGTERM, repeated with SIGHUP in between where signals is more than 1, and kills a process that has not exited by then at
+// the earliest that the protocol allows. It blocks until the process has ended.
+func (run *testRun) shutDown(proc *process, signals int) {
+	kill := run.plan.Site.Stop()
+	at := run.record.add("process", "SIGTERM", "", "", fmt.Sprint(proc.number))
+	run.mu.Lock()
+	proc.terminatedAt = at
+	run.mu.Unlock()
+	run.signal(proc, syscall.SIGTERM)
 	for range signals - 1 {
 		time.Sleep(20 * time.Millisecond)
-		p.signal(l, syscall.SIGHUP)
-		p.signal(l, syscall.SIGTERM)
+		run.signal(proc, syscall.SIGHUP)
+		run.signal(proc, syscall.SIGTERM)
 	}
 	for end := at + kill; ; {
-		left := end + p.pausedSince(at) - p.record.now() // time in which the machine stands still does not count
+		left := end + run.pausedSince(at) - run.record.now() // time in which the machine is paused does not count
 		if left <= 0 {
 			break
 		}
 		select {
-		case <-l.done:
+		case <-proc.done:
 			return
 		case <-time.After(left):
 		}
 	}
 	select {
-	case <-l.done:
+	case <-proc.done:
 	default:
-		p.record.add("process", "SIGKILL", "", "", fmt.Sprint(l.number, " at its time"))
-		p.signal(l, syscall.SIGKILL)
-		<-l.done
+		run.record.add("process", "SIGKILL", "", "", fmt.Sprint(proc.number, " at its time"))
+		run.signal(proc, syscall.SIGKILL)
+		<-proc.done
 	}
 }
 
-// pausedSince is how long the process has stood still since a time.
-func (p *play) pausedSince(from time.Duration) (sum time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, x := range p.pauses {
+// pausedSince returns for how long the process was paused after a time.
+func (run *testRun) pausedSince(from time.Duration) (sum time.Duration) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for _, x := range run.pauses {
 		if x.to > from {
 			sum += x.to - max(from, x.from)
 		}
@@ -178,24 +179,24 @@
 	return sum
 }
 
-// kill kills a process without notice.
-func (p *play) kill(l *life) {
-	p.mu.Lock()
-	l.killed = true
-	p.mu.Unlock()
-	p.record.add("process", "SIGKILL", "", "", fmt.Sprint(l.number, " without notice"))
-	p.signal(l, syscall.SIGKILL)
-	<-l.done
+// kill kills a process without SIGTERM and waits for its end.
+func (run *testRun) kill(proc *process) {
+	run.mu.Lock()
+	proc.killed = true
+	run.mu.Unlock()
+	run.record.add("process", "SIGKILL", "", "", fmt.Sprint(proc.number, " without notice"))
+	run.signal(proc, syscall.SIGKILL)
+	<-proc.done
 }
 
-func (p *play) signal(l *life, s syscall.Signal) {
-	_ = l.command.Process.Signal(s) // it may have ended
+func (run *testRun) signal(proc *process, s syscall.Signal) {
+	_ = proc.command.Process.Signal(s) // it may have ended
 }
 
-// usage is what a process takes: its resident memory in MB and its descriptors.
-func (l *life) usage() (megabytes float64, descriptors int, err error) {
-	proc := filepath.Join("/proc", strconv.Itoa(l.command.Process.Pid))
-	status, err := os.ReadFile(filepath.Join(proc, "status"))
+// usage returns a process's resident memory in MB and its number of open descriptors.
+func (proc *process) usage() (megabytes float64, descriptors int, err error) {
+	dir := filepath.Join("/proc", strconv.Itoa(proc.command.Process.Pid))
+	status, err := os.ReadFile(filepath.Join(dir, "status"))
 	if err != nil {
 		return 0, 0, err
 	}
@@ -204,6 +205,6 @@
 	if _, err := fmt.Sscan(rest, &kilobytes); err != nil {
 		return 0, 0, err
 	}
-	files, err := os.ReadDir(filepath.Join(proc, "fd"))
+	files, err := os.ReadDir(filepath.Join(dir, "fd"))
 	return kilobytes / 1024, len(files), err
 }
--- a/internal/testing/soak/record.go
+++ b/internal/testing/soak/record.go
@@ -1,6 +1,9 @@
-// Package soak plays a node of the built program, as a real process, against stand-ins of everything that it talks to, with faults between
-// them drawn by seed, and judges from the stand-ins' records alone whether the protocol's rules held. Traffic stays on loopback, and all that
-// it starts it ends.
+// Package soak runs a node of the built program, as a real process, against stand-ins of everything that it talks to, with faults drawn by
+// seed, and checks by the stand-ins' records alone whether the protocol's rules held. Traffic stays on loopback; all processes that a run
+// starts are ended by it.
+//
+// Draw derives a Plan from a seed; Run carries it out and returns a Report; Seeds runs many. Each rule is a check_*.go file. The stand-ins
+// are client.go, runtime.go, catalogue.go and directory.go.
 package soak
 
 import (
@@ -11,12 +14,12 @@
 	"time"
 )
 
-// Event is one thing that a stand-in saw or did.
+// Event is something that a stand-in or the rig observed or did.
 type Event struct {
-	At      time.Duration // since the play began, by the monotonic clock
+	At      time.Duration // since the test run began, by the monotonic clock
 	Who     string        // client, runtime, catalogue, process or fault
 	What    string
-	Request string // the id of the try; empty where it is about none
+	Request string // the id of the attempt; empty where it is about none
 	Key     string
 	Detail  string
 }
@@ -31,7 +34,7 @@
 
 func newRecord() *Record { return &Record{began: time.Now()} }
 
-// now is the time since the play began.
+// now returns the time since the test run began.
 func (r *Record) now() time.Duration { return time.Since(r.began) }
 
 func (r *Record) add(who, what, request, key, detail string) time.Duration {
--- a/internal/testing/soak/runtime.go
+++ b/internal/testing/soak/runtime.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// hangOneIn is how many runs there are to one that hangs.
-const hangOneIn = 60
+// runsPerHang: one run in so many hangs.
+const runsPerHang = 60
 
-// noticesKept is how many notices the runtime keeps.
-const noticesKept = 4000
+// maxNotices is how many notices the runtime retains for a node that connects again.
+const maxNotices = 4000
 
-// runtime is the stand-in for the process that does the work of one process of the node. It keeps nothing of a run that is over.
+// runtime is a stand-in for the application runtime of one process of the node. It retains nothing of a run that has ended but its notices.
 type runtime struct {
 	listener net.Listener
 	record   *Record
-	requests *requests
+	requests *requestTable
 	clients  Clients
-	life     int // the process that it works for
+	process  int // the process that it works for
 
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -34,7 +34,7 @@
 	closed  bool
 }
 
-// notice is one numbered message.
+// notice is a numbered message to the node; its fields are those of the runtime's wire.
 type notice struct {
 	Action  string `json:"action"`
 	Pos     uint64 `json:"pos,omitempty"`
@@ -44,24 +44,24 @@
 	Content string `json:"content,omitempty"`
 }
 
-// workCommand is a command of the node.
+// workCommand is a command of the node; its fields are those of the runtime's wire.
 type workCommand struct {
 	Action, UID, Lane, Echo string
 	Content                 []byte
 	Pos                     uint64
 }
 
-// workRun is one run that is on.
+// workRun is a run in progress.
 type workRun struct {
-	id      string
-	began   time.Time
-	call    uint64 // the notice of the call that it stands at; 0: none
-	want    string // the reply to that call
-	replies chan string
-	over    chan struct{}
+	id        string
+	began     time.Time
+	call      uint64 // the notice of the call that it stands at; 0: none
+	wantReply string // the reply to that call
+	replies   chan string
+	ended     chan struct{}
 }
 
-func newRuntime(record *Record, all *requests, clients Clients, seed uint64) (*runtime, error) {
+func newRuntime(record *Record, all *requestTable, clients Clients, seed uint64) (*runtime, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -79,14 +79,14 @@
 	return rt, nil
 }
 
-// close ends the runtime and all that it runs, as it ends with the node's process.
+// close closes the runtime and ends its runs, as with the end of the node's process.
 func (rt *runtime) close() {
 	rt.listener.Close()
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.closed = true
 	for _, r := range rt.runs {
-		close(r.over)
+		close(r.ended)
 	}
 	clear(rt.runs)
 	if rt.conn != nil {
@@ -104,14 +104,14 @@
 			rt.record.add("runtime", "not a command", "", "", fmt.Sprintf("%.60q", in.Bytes()))
 			return
 		}
-		if !rt.take(c, m) {
+		if !rt.handle(c, m) {
 			return
 		}
 	}
 }
 
-// take carries out a command. It returns false where the link is not the present one.
-func (rt *runtime) take(c net.Conn, m workCommand) bool {
+// handle carries out a command. It returns false where c is no longer the current connection.
+func (rt *runtime) handle(c net.Conn, m workCommand) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	if rt.closed || m.Action != "sync" && c != rt.conn {
@@ -126,27 +126,27 @@
 	case "start":
 		rt.start(m, r)
 	case "give":
-		rt.give(m, r)
+		rt.handleReply(m, r)
 	case "omit":
 		if r != nil && r.call == m.Pos {
 			r.call = 0
 			r.replies <- ""
 		}
 	case "stop":
-		if r != nil && rt.requests.isOver(m.UID) {
+		if r != nil && rt.requests.isSettled(m.UID) {
 			rt.finish(r, "STOPPED", "")
 		}
 	}
 	return true
 }
 
-// sync makes c the present link; the caller holds mu.
+// sync makes c the current connection and sends the notices after read again; the caller holds mu.
 func (rt *runtime) sync(c net.Conn, read uint64) {
 	if rt.conn != nil && rt.conn != c {
 		rt.conn.Close()
 	}
 	rt.conn = c
-	rt.record.add("runtime", "link", "", "", fmt.Sprint(rt.life, " from ", read))
+	rt.record.add("runtime", "link", "", "", fmt.Sprint(rt.process, " from ", read))
 	rt.write(map[string]any{"action": "ready", "code": "WARM", "wall_ms": 5000})
 	for _, n := range rt.notices {
 		if n.Pos > read {
@@ -155,7 +155,7 @@
 	}
 }
 
-// start begins a run, unless it is on; the caller holds mu.
+// start starts a run unless it is in progress; the caller holds mu.
 func (rt *runtime) start(m workCommand, on *workRun) {
 	if on != nil {
 		return
@@ -166,17 +166,17 @@
 		rt.write(map[string]any{"action": "nack", "code": "start", "uid": m.UID})
 		return
 	}
-	if rt.requests.isOver(m.UID) {
+	if rt.requests.isSettled(m.UID) {
 		rt.record.add("runtime", "moot", m.UID, q.key, "")
-		rt.tell(notice{Action: "end", UID: m.UID, Code: "MOOT"})
+		rt.sendNotice(notice{Action: "end", UID: m.UID, Code: "MOOT"})
 		return
 	}
 	at := rt.record.add("runtime", "start", m.UID, q.key, m.Lane)
-	rt.requests.started(m.UID, start{at, rt.life})
-	r := &workRun{id: m.UID, began: time.Now(), replies: make(chan string, 4), over: make(chan struct{})}
+	rt.requests.addRun(m.UID, runStart{at, rt.process})
+	r := &workRun{id: m.UID, began: time.Now(), replies: make(chan string, 4), ended: make(chan struct{})}
 	rt.runs[m.UID] = r
 	work := time.Duration(rt.random.ExpFloat64() * float64(rt.clients.Work))
-	if rt.random.IntN(hangOneIn) == 0 {
+	if rt.random.IntN(runsPerHang) == 0 {
 		work += time.Minute // it hangs: its request is to be answered when it is due
 	}
 	calls := 0
@@ -186,11 +186,11 @@
 	go rt.run(r, q, work, calls)
 }
 
-// run does the work of a request.
+// run does the work of a request, with calls at even distances.
 func (rt *runtime) run(r *workRun, q *request, work time.Duration, calls int) {
 	part := work / time.Duration(calls+1)
 	for n := range calls {
-		if !r.work(part) || !rt.atCall(r, n) {
+		if !r.work(part) || !rt.awaitReply(r, n) {
 			return
 		}
 	}
@@ -202,39 +202,39 @@
 	rt.finish(r, "OK", result(q.id))
 }
 
-// work takes time. It returns false where the run is over before.
+// work blocks for span. It returns false where the run ended before.
 func (r *workRun) work(span time.Duration) bool {
 	select {
-	case <-r.over:
+	case <-r.ended:
 		return false
 	case <-time.After(span):
 		return true
 	}
 }
 
-// atCall has a run stand at a call until it is answered. It returns false where the run is over.
-func (rt *runtime) atCall(r *workRun, n int) bool {
+// awaitReply requests a downstream call and blocks until its reply. It returns false where the run ended before.
+func (rt *runtime) awaitReply(r *workRun, n int) bool {
 	rt.mu.Lock()
 	if rt.runs[r.id] != r {
 		rt.mu.Unlock()
 		return false
 	}
 	body := fmt.Sprintf("%s/%d", r.id, n)
-	r.want = callReply(body)
-	r.call = rt.next()
+	r.wantReply = callReply(body)
+	r.call = rt.nextNotice()
 	rt.record.add("runtime", "wants", r.id, "", body)
-	rt.tell(notice{Action: "wants", UID: r.id, Content: base64.StdEncoding.EncodeToString([]byte(body))})
+	rt.sendNotice(notice{Action: "wants", UID: r.id, Content: base64.StdEncoding.EncodeToString([]byte(body))})
 	rt.mu.Unlock()
 	look := time.NewTicker(20 * time.Millisecond)
 	defer look.Stop()
 	for {
 		select {
-		case <-r.over:
+		case <-r.ended:
 			return false
 		case <-r.replies:
 			return true
 		case <-look.C:
-			if rt.requests.isOver(r.id) {
+			if rt.requests.isSettled(r.id) {
 				rt.mu.Lock()
 				rt.finish(r, "STOPPED", "")
 				rt.mu.Unlock()
@@ -244,38 +244,38 @@
 	}
 }
 
-// give takes the reply to a call; the caller holds mu.
-func (rt *runtime) give(m workCommand, r *workRun) {
+// handleReply handles the reply to a call; the caller holds mu.
+func (rt *runtime) handleReply(m workCommand, r *workRun) {
 	if r == nil || r.call == 0 {
 		return
 	}
-	if string(m.Content) != r.want {
-		rt.record.add("runtime", "wrong reply", m.UID, "", fmt.Sprintf("%.60q, want %.60q", m.Content, r.want))
-		rt.requests.wrongReply(m.UID)
+	if string(m.Content) != r.wantReply {
+		rt.record.add("runtime", "wrong reply", m.UID, "", fmt.Sprintf("%.60q, want %.60q", m.Content, r.wantReply))
+		rt.requests.addWrongReply(m.UID)
 	}
 	r.call = 0
 	r.replies <- string(m.Content)
 }
 
-// finish ends a run, if it is on; the caller holds mu.
+// finish ends a run that is in progress; the caller holds mu.
 func (rt *runtime) finish(r *workRun, code, result string) {
 	if rt.runs[r.id] != r {
 		return
 	}
 	delete(rt.runs, r.id)
-	close(r.over)
-	rt.record.add("runtime", "end", r.id, "", fmt.Sprint(code, " notice ", rt.next()))
-	rt.tell(notice{Action: "end", UID: r.id, Code: code, WallMS: time.Since(r.began).Milliseconds(), Content: base64.StdEncoding.EncodeToString([]byte(result))})
+	close(r.ended)
+	rt.record.add("runtime", "end", r.id, "", fmt.Sprint(code, " notice ", rt.nextNotice()))
+	rt.sendNotice(notice{Action: "end", UID: r.id, Code: code, WallMS: time.Since(r.began).Milliseconds(), Content: base64.StdEncoding.EncodeToString([]byte(result))})
 }
 
-// next is the number of the next notice.
-func (rt *runtime) next() uint64 { return rt.first + uint64(len(rt.notices)) }
+// nextNotice returns the position of the next notice; the caller holds mu.
+func (rt *runtime) nextNotice() uint64 { return rt.first + uint64(len(rt.notices)) }
 
-// tell numbers and sends a notice; the caller holds mu.
-func (rt *runtime) tell(n notice) {
-	n.Pos = rt.next()
+// sendNotice numbers and sends a notice; the caller holds mu.
+func (rt *runtime) sendNotice(n notice) {
+	n.Pos = rt.nextNotice()
 	rt.notices = append(rt.notices, n)
-	if len(rt.notices) > noticesKept {
+	if len(rt.notices) > maxNotices {
 		rt.notices = rt.notices[1:]
 		rt.first++
 	}
@@ -296,8 +296,8 @@
 	}
 }
 
-// result is what a run of a request makes.
+// result returns the result of a request's run.
 func result(id string) string { return "result of " + id }
 
-// callReply is what the catalogue answers to a call.
+// callReply returns the catalogue's reply to a call.
 func callReply(body string) string { return "reply to " + body }
--- a/internal/testing/soak/many.go
+++ b/internal/testing/soak/series.go
@@ -12,17 +12,18 @@
 	"time"
 )
 
-// Seeds is a series of plays.
+// Seeds is a series of runs, from the first seed to the last.
 type Seeds struct {
 	First, Last uint64
 	Length      time.Duration
 	Kinds       []FaultKind // none: all
 	Beside      int         // plays at the same time
 	Command     Command
-	Dir         string // for the files of each play
+	Dir         string // for the files of each test run
 }
 
-// Run plays all seeds and tells each play's report as it ends, one at a time. It errs where the rig could not do its work.
+// Run carries out the plans of all seeds and blocks until the last is done. It calls each with every report, one at a time. It returns the
+// last error of the rig itself.
 func (s Seeds) Run(each func(*Report)) error {
 	seeds := make(chan uint64)
 	go func() {
@@ -56,19 +57,19 @@
 	return failed
 }
 
-// Table is the sum of many plays.
+// Table sums up the reports of many runs.
 type Table struct {
-	plays, clean int
-	requests     int
-	runs, lives  int
-	crossed      int
-	unconfirmed  int
-	writtenOff   int
-	lag          time.Duration
-	answers      map[string]int
-	faults       map[string]int
-	rules        map[string]int // plays in which a rule was broken
-	broken       map[string]int // breaches, by rule
+	runsPlayed, clean int
+	requests          int
+	runs, processes   int
+	crossed           int
+	unconfirmed       int
+	abandoned         int
+	schedulingDelay   time.Duration
+	answers           map[string]int
+	faults            map[string]int
+	rules             map[string]int // test runs in which a rule was broken
+	broken            map[string]int // breaches, by rule
 }
 
 // NewTable returns an empty table.
@@ -76,16 +77,16 @@
 	return &Table{answers: map[string]int{}, faults: map[string]int{}, rules: map[string]int{}, broken: map[string]int{}}
 }
 
-// Add adds a play.
+// Add adds a report.
 func (t *Table) Add(r *Report) {
-	t.plays++
+	t.runsPlayed++
 	t.requests += r.Requests
 	t.runs += r.Runs
-	t.lives += r.Lives
+	t.processes += r.Processes
 	t.crossed += r.Crossed
 	t.unconfirmed += r.Unconfirmed
-	t.writtenOff += r.WrittenOff
-	t.lag += r.Lag
+	t.abandoned += r.Abandoned
+	t.schedulingDelay += r.SchedulingDelay
 	for word, n := range r.Answers {
 		t.answers[word] += n
 	}
@@ -107,9 +108,9 @@
 
 // Write prints the table.
 func (t *Table) Write(w io.Writer) {
-	fmt.Fprintf(w, "%d plays, %d without a breach; %d processes, %d requests, %d runs, %d requests that crossed an end; the rig itself got no turn for %v\n", t.plays, t.clean, t.lives, t.requests, t.runs, t.crossed, t.lag.Round(time.Millisecond))
+	fmt.Fprintf(w, "%d plays, %d without a breach; %d processes, %d requests, %d runs, %d requests that crossed an end; the rig itself got no turn for %v\n", t.runsPlayed, t.clean, t.processes, t.requests, t.runs, t.crossed, t.schedulingDelay.Round(time.Millisecond))
 	fmt.Fprintf(w, "answers: %s\nfaults: %s\n", counts(t.answers), counts(t.faults))
-	fmt.Fprintf(w, "starts and replies that nobody could confirm: %d; runs written off: %d\n", t.unconfirmed, t.writtenOff)
+	fmt.Fprintf(w, "starts and replies that nobody could confirm: %d; runs written off: %d\n", t.unconfirmed, t.abandoned)
 	for _, rule := range []string{RuleLost, RuleDuplicate, RuleDrain, RuleProcess} {
 		fmt.Fprintf(w, "%-9s broken in %d plays, %d times\n", rule, t.rules[rule], t.broken[rule])
 	}
--- a/internal/testing/soak/timeline.go
+++ b/internal/testing/soak/timeline.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// WriteTimelines writes, for up to most breaches, all that is on record of the requests concerned.
+// WriteTimelines writes up to most breaches, each with the events and log lines of the requests concerned.
 func (r *Report) WriteTimelines(w io.Writer, most int) {
 	for _, b := range r.Breaches[:min(most, len(r.Breaches))] {
 		fmt.Fprintf(w, "seed %d: %s: %s\n", r.Plan.Seed, b.Rule, b.What)
