--- /dev/null
+++ b/internal/testing/soak/check_pauses.go
@@ -0,0 +1,32 @@
+package soak
+
+import (
+	"slices"
+	"time"
+)
+
+// pausedBetween returns for how long the node's process, or the machine, was paused between two times.
+func (run *testRun) pausedBetween(from, to time.Duration) (sum time.Duration) {
+	for _, x := range slices.Concat(run.pauses, run.schedulingDelays) {
+		if x.to >= from && x.from <= to+sum+time.Second {
+			sum += x.to - x.from
+		}
+	}
+	return sum
+}
+
+// minSchedulingTurn is the shortest time between two pauses in which a process on a busy machine has certainly run.
+const minSchedulingTurn = 5 * time.Millisecond
+
+// signalSeenAt returns when a process could first see its SIGTERM: a signal that arrives during a pause waits for its end, and for a further
+// pause that begins before the process has run.
+func (run *testRun) signalSeenAt(proc *process) time.Duration {
+	at, waits := proc.terminatedAt, false
+	for _, x := range run.pauses {
+		within := x.from <= at && at < x.to
+		if within || waits && x.from >= at && x.from-at < minSchedulingTurn {
+			at, waits = x.to, true
+		}
+	}
+	return at
+}
