--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -94,7 +94,7 @@
 	for _, key := range []string{"a", "b"} {
 		recordStart(t, l, key)
 	}
-	fs.Room = 1
+	fs.CapacityBytes = 1
 	done := make(chan error, 1)
 	if err := l.RecordStart(runRecord("c"), func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 	l.Withdraw(runRecord("a"))
 	l.Withdraw(runRecord("b"))
 	standin.WaitFor(t, "both have failed", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(l.failedWrites) == 2 })
-	fs.Room = 0
+	fs.CapacityBytes = 0
 	recordStart(t, l, "b")
 	l.RetryFailed()
 	if err := s.Sync(); err != nil {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -414,7 +414,7 @@
 			back++
 		}
 	}
-	fs = simdisk.Of(now)
+	fs = simdisk.FromFiles(now)
 	s = mustOpen(t, fs, options())
 	if got := content(t, s); back == 0 || len(got) != 1 || got["k29"] == "" {
 		t.Errorf("with %d old segments back: %v", back, got)
@@ -444,13 +444,13 @@
 		files := fs.Files()
 		files[name] = bytes.Clone(b)
 		files[name][4]++
-		_, err := Open(simdisk.Of(files), options())
+		_, err := Open(simdisk.FromFiles(files), options())
 		var v format.VersionError
 		var d *DamageError
 		if !errors.As(err, &v) || errors.As(err, &d) || !strings.Contains(err.Error(), "version 2") {
 			t.Errorf("%s: %v", name, err)
 		}
-		if _, err := Repair(simdisk.Of(files), simdisk.New(1), options()); name == manifestName && !errors.As(err, &v) {
+		if _, err := Repair(simdisk.FromFiles(files), simdisk.New(1), options()); name == manifestName && !errors.As(err, &v) {
 			t.Errorf("repair of a later version: %v", err)
 		}
 	}
--- a/internal/ledger/torture_test.go
+++ b/internal/ledger/torture_test.go
@@ -114,7 +114,7 @@
 			if err := workload(fs, seed, 45, &history{}); err != nil {
 				t.Fatal(err)
 			}
-			return fs.Ops
+			return fs.OperationCount
 		}()
 		if total < 120 {
 			t.Fatalf("only %d operations", total)
@@ -124,9 +124,9 @@
 			fs := simdisk.New(seed)
 			fs.Decide = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
 				if n == at {
-					return simdisk.Cut
+					return simdisk.FaultPowerLoss
 				}
-				return simdisk.None
+				return simdisk.FaultNone
 			}
 			h := &history{}
 			if err := workload(fs, seed, 45, h); err == nil {
@@ -135,17 +135,17 @@
 			for state := range uint64(5) {
 				what := fmt.Sprintf("seed %d, cut at operation %d of %d, state %d", seed, at, total, state)
 				left := fs.Cut(state).Files()
-				want := reopen(t, what, simdisk.Of(left), h)
+				want := reopen(t, what, simdisk.FromFiles(left), h)
 				if state != uint64(at)%5 {
 					continue
 				}
 				for again := 1; ; again++ { // cut the recovery itself
-					fs := simdisk.Of(left)
+					fs := simdisk.FromFiles(left)
 					fs.Decide = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
 						if n == again {
-							return simdisk.Cut
+							return simdisk.FaultPowerLoss
 						}
-						return simdisk.None
+						return simdisk.FaultNone
 					}
 					s, err := Open(fs, options())
 					if err == nil {
@@ -195,7 +195,7 @@
 		}
 		steps = append(steps, step{s.active.name, s.active.size, maps.Clone(h.acked)})
 	}
-	files := fs.Kill().Files() // before Close writes its last group
+	files := fs.KillProcess().Files() // before Close writes its last group
 	active := s.active.name
 	if len(files) < 4 {
 		t.Fatalf("only %d files", len(files))
@@ -210,7 +210,7 @@
 		for k := range len(b) {
 			cut := maps.Clone(files)
 			cut[name] = b[:k]
-			s, err := Open(simdisk.Of(cut), o)
+			s, err := Open(simdisk.FromFiles(cut), o)
 			if name != active {
 				var d *DamageError
 				if errors.As(err, &d) {
@@ -267,7 +267,7 @@
 	}
 	last, active := s.writer.flushedOffset, s.active.name
 	last -= int64(len(s.writer.buf)) // where the last group begins
-	files := fs.Kill().Files()
+	files := fs.KillProcess().Files()
 	repaired := 0
 	for name, b := range files {
 		end := len(b)
@@ -278,7 +278,7 @@
 			cut := maps.Clone(files)
 			cut[name] = append([]byte(nil), b...)
 			cut[name][i] ^= 1 << (i % 8)
-			s, err := Open(simdisk.Of(cut), o)
+			s, err := Open(simdisk.FromFiles(cut), o)
 			if err == nil {
 				s.Close()
 				t.Fatalf("%s: a flipped bit at %d was not noticed", name, i)
@@ -291,7 +291,7 @@
 				continue
 			}
 			to := simdisk.New(2)
-			v, err := Repair(simdisk.Of(cut), to, o)
+			v, err := Repair(simdisk.FromFiles(cut), to, o)
 			if err != nil {
 				var version format.VersionError
 				if name == manifestName && errors.As(err, &version) {
@@ -324,7 +324,7 @@
 		if _, ok := segmentNumber(name); ok && name != active {
 			delete(cut, name)
 			var d *DamageError
-			if _, err := Open(simdisk.Of(cut), o); !errors.As(err, &d) || d.File != name {
+			if _, err := Open(simdisk.FromFiles(cut), o); !errors.As(err, &d) || d.File != name {
 				t.Errorf("without %s: %v", name, err)
 			}
 			cut[name] = files[name]
@@ -332,7 +332,7 @@
 	}
 	delete(cut, manifestName)
 	var d *DamageError
-	if _, err := Open(simdisk.Of(cut), o); !errors.As(err, &d) || d.File != manifestName {
+	if _, err := Open(simdisk.FromFiles(cut), o); !errors.As(err, &d) || d.File != manifestName {
 		t.Errorf("without a manifest: %v", err)
 	}
 }
@@ -340,7 +340,7 @@
 // TestFaults fails operations by seed: nothing that was acknowledged is lost, nothing refused comes back, and after a failed
 // flush nothing is acknowledged any more, also if the disk claims success from then on.
 func TestFaults(t *testing.T) {
-	kinds := []simdisk.Fault{simdisk.EIO, simdisk.ENOSPC, simdisk.ShortHalf}
+	kinds := []simdisk.Fault{simdisk.FaultIO, simdisk.ENOSPC, simdisk.FaultShortWrite}
 	failed := map[simdisk.Op]int{}
 	for seed := range uint64(300 * *long) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -350,7 +350,7 @@
 		var file string
 		fs.Decide = func(n int, o simdisk.Op, name string) simdisk.Fault {
 			if n != at {
-				return simdisk.None
+				return simdisk.FaultNone
 			}
 			op, file = o, name
 			failed[o]++
@@ -382,13 +382,13 @@
 				_, _ = s.Compact() // may be what fails
 			}
 		}
-		if op == simdisk.Sync && s.Err() == nil && listed(s, file) {
+		if op == simdisk.OpSync && s.Err() == nil && listed(s, file) {
 			t.Errorf("seed %d: the flush of %s failed, and it is still in use", seed, file)
 		}
-		left := fs.Kill()
+		left := fs.KillProcess()
 		s.Close()
 		for state := range uint64(3) { // the process ends, is started again, and then the power goes
-			alive := left.Kill()
+			alive := left.KillProcess()
 			s, err := Open(alive, options())
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
@@ -405,7 +405,7 @@
 			s.Close()
 		}
 	}
-	for _, op := range []simdisk.Op{simdisk.Write, simdisk.Sync, simdisk.Create, simdisk.Rename, simdisk.SyncDir} {
+	for _, op := range []simdisk.Op{simdisk.OpWrite, simdisk.OpSync, simdisk.OpCreate, simdisk.OpRename, simdisk.OpSyncDir} {
 		if failed[op] == 0 {
 			t.Errorf("no %s failed", op)
 		}
@@ -420,7 +420,7 @@
 	if err := h.apply(s, map[string]string{"a": "1"}); err != nil {
 		t.Fatal(err)
 	}
-	fs.Room = 1
+	fs.CapacityBytes = 1
 	for range 3 {
 		if err := h.apply(s, map[string]string{"b": strings.Repeat("x", 700)}); !errors.Is(err, ErrFull) || !errors.Is(err, ErrNotWritten) {
 			t.Fatalf("on a full disk: %v", err)
@@ -429,7 +429,7 @@
 			t.Fatalf("%v", got)
 		}
 	}
-	fs.Room = 0
+	fs.CapacityBytes = 0
 	for i := range 5 { // beyond a segment
 		if err := h.apply(s, map[string]string{"b": strings.Repeat("x", 300+i)}); err != nil {
 			t.Fatal(err)
@@ -452,9 +452,9 @@
 		to := simdisk.New(uint64(at))
 		to.Decide = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
 			if n == at {
-				return simdisk.Cut
+				return simdisk.FaultPowerLoss
 			}
-			return simdisk.None
+			return simdisk.FaultNone
 		}
 		_, err := s.Backup(to)
 		for state := range uint64(4) {
@@ -708,7 +708,7 @@
 			}
 			g = s.sealed[0]
 		}
-		at := fs.Flip(g.name, format.SegmentHeaderSize, int(g.size), seed)
+		at := fs.FlipBit(g.name, format.SegmentHeaderSize, int(g.size), seed)
 		damaged := 0
 		for i := range 6 {
 			v, err := s.Get([]byte(fmt.Sprint("k", i)))
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -200,12 +200,12 @@
 	r := rand.New(rand.NewPCG(seed, 5))
 	fs := simdisk.New(seed)
 	l := openWith(t, fs, o)
-	cut := fs.Ops + 1 + r.IntN(60)
+	cut := fs.OperationCount + 1 + r.IntN(60)
 	fs.Decide = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
 		if n == cut {
-			return simdisk.Cut
+			return simdisk.FaultPowerLoss
 		}
-		return simdisk.None
+		return simdisk.FaultNone
 	}
 	var first, last, term uint64 // acknowledged
 	low, high, goesTo := uint64(0), uint64(0), uint64(0)
