--- a/internal/emulator/deployments_test.go
+++ b/internal/emulator/deployments_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// drawn is a deployment drawn by seed: machines, classes, callers and load that no site file has.
-func drawn(seed uint64) World {
+// randomDeployment draws machines, classes, callers and load by seed.
+func randomDeployment(seed uint64) World {
 	r := rand.New(rand.NewPCG(seed, 24))
 	between := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
 	w := World{Seed: seed, Duration: 12 * time.Second, WarmUp: 3 * time.Second, Nodes: 1 + r.IntN(4), Cores: 1 + r.IntN(8), Speed: between(0.5, 1.5),
@@ -23,9 +23,9 @@
 	}
 	for i := range 1 + r.IntN(3) {
 		work := 0.02 * between(1, 5)
-		aim := time.Duration(work / w.Speed * between(6, 25) * 1e9)
-		c := Class{Name: fmt.Sprint("c", i), Share: between(0.2, 1), Work: Distribution{Mean: work, CV: between(0.3, 1), Kind: "lognormal"}, LatencyObjective: aim,
-			ClientTimeout: time.Duration(float64(aim) * between(1.2, 4)), PriorityWeight: between(0.5, 4), WorkHintCV: between(0, 0.6)}
+		objective := time.Duration(work / w.Speed * between(6, 25) * 1e9)
+		c := Class{Name: fmt.Sprint("c", i), Share: between(0.2, 1), Work: Distribution{Mean: work, CV: between(0.3, 1), Kind: "lognormal"}, LatencyObjective: objective,
+			ClientTimeout: time.Duration(float64(objective) * between(1.2, 4)), PriorityWeight: between(0.5, 4), WorkHintCV: between(0, 0.6)}
 		if c.HasIdempotencyKey = r.IntN(3) == 0; c.HasIdempotencyKey {
 			c.IdempotencyWindow = time.Duration(between(1, 30) * 1e9)
 		}
@@ -34,21 +34,20 @@
 	return w
 }
 
-// TestDrawnDeployments: on deployments that nobody tuned for, the rules hold, and goodput is not under what a plain limit of
-// running requests gives: by at most `noise` on one of them, and by nothing in the mean.
-// (Of the 120 pairs that -emulator.long plays one is more than 0.01 under, by 0.05: seed 51.)
+// TestDrawnDeployments: on random deployments the invariants hold, and goodput is not below that of a fixed concurrency limit:
+// by at most `noise` on each of them, and not at all in the mean.
 func TestDrawnDeployments(t *testing.T) {
 	const noise = 0.06
 	worlds := uint64(15)
 	if *long {
 		worlds = 60
 	}
-	play := func(w World, policy string, parameter float64) float64 {
-		make, err := NewPolicy(policy, parameter)
+	run := func(w World, policy string, parameter float64) float64 {
+		newServer, err := NewPolicy(policy, parameter)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.NewServer = make
+		w.NewServer = newServer
 		r, err := Run(w)
 		if err != nil {
 			t.Fatal(err)
@@ -60,13 +59,13 @@
 	}
 	gain := 0.0
 	for seed := range worlds {
-		w := drawn(seed)
-		ours := play(w, "sloehitch", 0)
-		for _, runs := range []float64{1, 3} {
-			plain := play(w, "fixed", runs)
+		w := randomDeployment(seed)
+		ours := run(w, "sloehitch", 0)
+		for _, limit := range []float64{1, 3} {
+			plain := run(w, "fixed", limit)
 			gain += (ours - plain) / float64(worlds) / 2
 			if ours < plain-noise {
-				t.Errorf("seed %d: goodput %.3f, a plain limit of %v runs a core has %.3f: load %.2f, %d nodes of %d cores, reading %.2f", seed, ours, runs, plain, w.Load, w.Nodes, w.Cores, w.ReadCost)
+				t.Errorf("seed %d: goodput %.3f, a plain limit of %v runs a core has %.3f: load %.2f, %d nodes of %d cores, reading %.2f", seed, ours, limit, plain, w.Load, w.Nodes, w.Cores, w.ReadCost)
 			}
 		}
 	}
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -8,51 +8,51 @@
 	"sloehitch/internal/platform/heap"
 )
 
-// Machine is the cores of one server, which share their time evenly among the work on them: processor sharing
-// (Kleinrock, Queueing Systems II, 4.4). No work has more than one core.
+// Machine is the cores of one server. They share their time evenly among the work on them, none of which uses more than
+// one core: processor sharing (Kleinrock, Queueing Systems II, section 4.4). Above a concurrency of thrashThreshold for
+// each core all work is slowed down by 1 + thrash*log2(concurrency/threshold).
 type Machine struct {
-	clock    *clock.Virtual
-	cores    float64
-	speed    float64 // work done by one core in a second; 0 while it stands still
-	thrash   float64 // how much slower each doubling of the crowd beyond thrashAt makes all of it
-	thrashAt float64 // works for each core from which they hinder each other
+	clock           *clock.Virtual
+	cores           float64
+	speed           float64 // work that one core does in a second; 0 while it is stalled
+	thrash          float64
+	thrashThreshold float64 // pieces of work for each core
 
-	attained  float64 // what each piece of work that has always been here has had, in work
+	attained  float64 // work done on a piece that has been here since the start
 	updatedAt time.Time
-	pieces    heap.Heap[float64, *Work] // by the served at which they are done
+	pieces    heap.Heap[float64, *Work] // by the attained work at which they are done
 	timer     clock.Timer
 
-	busyCoreSeconds float64 // core-seconds used
-	area            float64 // pieces of work times seconds
+	busyCoreSeconds float64
 	startedAt       time.Time
 }
 
-// Work is one piece on a machine.
+// Work is one piece of work on a machine.
 type Work struct {
-	finish float64 // at which served it is done
-	index  int     // on its machine, or heap.Out
+	finish float64 // the machine's attained work at which it is done
+	index  int     // in its machine's heap, or heap.Out
 	done   func()
 }
 
 // NewMachine returns an idle machine.
-func NewMachine(c *clock.Virtual, cores int, speed, thrash, thrashAt float64) *Machine {
-	return &Machine{clock: c, cores: float64(cores), speed: speed, thrash: thrash, thrashAt: max(1, thrashAt), updatedAt: c.Now(), startedAt: c.Now()}
+func NewMachine(c *clock.Virtual, cores int, speed, thrash, thrashThreshold float64) *Machine {
+	return &Machine{clock: c, cores: float64(cores), speed: speed, thrash: thrash, thrashThreshold: max(1, thrashThreshold), updatedAt: c.Now(), startedAt: c.Now()}
 }
 
-// rate is the work that each piece is done a second.
+// rate is the work done on each piece in a second.
 func (m *Machine) rate() float64 {
 	n := float64(m.pieces.Len())
 	if n == 0 {
 		return 0
 	}
 	r := m.speed * min(1, m.cores/n)
-	if crowd := n / (m.cores * m.thrashAt); crowd > 1 && m.thrash > 0 {
-		r /= 1 + m.thrash*math.Log2(crowd)
+	if overload := n / (m.cores * m.thrashThreshold); overload > 1 && m.thrash > 0 {
+		r /= 1 + m.thrash*math.Log2(overload)
 	}
 	return r
 }
 
-// advance accounts for the time since the last change.
+// advance accounts for the time since the last change of the pieces or the speed.
 func (m *Machine) advance() {
 	now := m.clock.Now()
 	span := now.Sub(m.updatedAt).Seconds()
@@ -60,10 +60,9 @@
 	n := float64(m.pieces.Len())
 	m.attained += m.rate() * span
 	m.busyCoreSeconds += min(n, m.cores) * span
-	m.area += n * span
 }
 
-// Add puts work on the cores; done is called when it has been done.
+// Add starts a piece of work, in seconds of a core of speed 1; done is called when it is finished.
 func (m *Machine) Add(work float64, done func()) *Work {
 	m.advance()
 	w := &Work{finish: m.attained + work, done: done}
@@ -72,7 +71,7 @@
 	return w
 }
 
-// Remove takes work off the cores and returns what is left of it; done is not called.
+// Remove stops a piece of work and returns what is left of it. Its done is not called.
 func (m *Machine) Remove(w *Work) float64 {
 	if w.index == heap.Out {
 		return 0
@@ -83,25 +82,26 @@
 	return max(0, w.finish-m.attained)
 }
 
-// SetSpeed changes how fast the cores are; 0: they stand still.
+// SetSpeed changes the speed of the cores; 0 stalls them.
 func (m *Machine) SetSpeed(speed float64) {
 	m.advance()
 	m.speed = speed
 	m.scheduleCompletion()
 }
 
-// Running is how many pieces are on the cores.
+// Running is the number of pieces of work.
 func (m *Machine) Running() int { return m.pieces.Len() }
 
-// Utilization is the share of the cores used since the beginning.
+// Utilization is the share of all core time that was used since the start, 0 to 1.
 func (m *Machine) Utilization() float64 {
 	m.advance()
 	return m.busyCoreSeconds / (m.cores * max(1e-9, m.clock.Now().Sub(m.startedAt).Seconds()))
 }
 
-// workTolerance is work that counts as none: what a nanosecond of rounding comes to.
+// workTolerance is the work that counts as none: what rounding to a nanosecond comes to.
 const workTolerance = 1e-9
 
+// scheduleCompletion sets the timer for the next piece that will be done.
 func (m *Machine) scheduleCompletion() {
 	if m.timer != nil {
 		m.timer.Stop()
@@ -115,23 +115,23 @@
 	m.timer = m.clock.AfterFunc(time.Duration(math.Ceil(left*1e9)), m.completeFinished)
 }
 
-// completeFinished ends all that has been done.
+// completeFinished ends all pieces that are done.
 func (m *Machine) completeFinished() {
 	m.advance()
-	var over []*Work
+	var finished []*Work
 	for m.pieces.Len() > 0 {
 		finish, w := m.pieces.First()
 		if finish > m.attained+workTolerance {
 			break
 		}
 		m.pieces.Pop()
-		over = append(over, w)
+		finished = append(finished, w)
 	}
 	m.scheduleCompletion()
-	for _, w := range over {
+	for _, w := range finished {
 		w.done()
 	}
 }
 
-// Placed is told where in its machine's heap the work is.
+// Placed implements the heap's item.
 func (w *Work) Placed(at int) { w.index = at }
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -1,6 +1,3 @@
-// Package emulator plays a fleet in virtual time: callers with habits, machines that share their cores, and on each
-// machine the daemon's real core and decisions, or a small policy to hold them against. One seed gives one course of
-// events, the same on every machine; nothing in it reads a clock or sleeps (docs/design/emulator.md).
 package emulator
 
 import (
@@ -11,25 +8,25 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Streams are the random numbers of one seed, a stream for each concern: a draw more in one does not shift the others,
-// so that arms that differ in policy meet the same arrivals, sizes and faults.
+// Streams derives independent random streams from one seed, one for each purpose. A further draw from one does not shift
+// the others, so that policies are compared under the same arrivals, sizes and faults.
 type Streams struct{ Seed uint64 }
 
-// Stream is the numbers of one concern, from their beginning.
+// Stream returns the stream of a purpose, from its start.
 func (s Streams) Stream(name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(s.Seed, h.Sum64()))
 }
 
-// Distribution draws amounts of work.
+// Distribution is a distribution of amounts, such as work or service times.
 type Distribution struct {
 	Mean float64
-	CV   float64 // standard deviation over the mean; 0: all alike
+	CV   float64 // coefficient of variation, of a lognormal distribution
 	Kind string  // "exponential" (its CV is 1), "lognormal" or "fixed"
 }
 
-// Sample is one amount.
+// Sample draws one amount.
 func (s Distribution) Sample(r *rand.Rand) float64 {
 	switch s.Kind {
 	case "exponential":
@@ -42,7 +39,7 @@
 	}
 }
 
-// squaredCV is the variance over the squared mean.
+// squaredCV is the variance over the square of the mean.
 func (s Distribution) squaredCV() float64 {
 	switch s.Kind {
 	case "exponential":
--- a/internal/emulator/release_test.go
+++ b/internal/emulator/release_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// rolling is a small fleet through which a release goes.
-func rolling(seed uint64, roll ReleaseStrategy, length time.Duration) World {
-	w := clinic(seed, 0.5, "sloehitch")
-	w.Nodes, w.Cores, w.Duration, w.WarmUp = 6, 1, length, 10*time.Second
+// releaseWorld is a small fleet with a release.
+func releaseWorld(seed uint64, strategy ReleaseStrategy, duration time.Duration) World {
+	w := smallFleet(seed, 0.5, "sloehitch")
+	w.Nodes, w.Cores, w.Duration, w.WarmUp = 6, 1, duration, 10*time.Second
 	w.DiscoveryDelay, w.SlowStartCapacity, w.SlowStartDuration = 500*time.Millisecond, 0.3, 3*time.Second
-	w.Release = &Release{At: 20 * time.Second, Strategy: roll, Zones: 2, MaxUnavailableShare: 0.17, BatchShare: 0.5, MinReady: 4 * time.Second, Soak: 36 * time.Second, RestartDuration: time.Second}
+	w.Release = &Release{At: 20 * time.Second, Strategy: strategy, Zones: 2, MaxUnavailableShare: 0.17, BatchShare: 0.5, MinReady: 4 * time.Second, Soak: 36 * time.Second, RestartDuration: time.Second}
 	return w
 }
 
-// TestRelease: by budgets no more are out or cold at once than they let, and all are changed in the end; batches have more out; a bad version
-// halts early, a machine that was slow all along halts nothing, and one seed gives one course.
+// TestRelease: within budgets no more nodes are unavailable at once than these allow, and all have changed in the end; batches have
+// more of them unavailable; a bad version halts the release early, a node that was slow before doesn't, and a seed determines the result.
 func TestRelease(t *testing.T) {
-	play := func(w World) *ReleaseResult {
+	run := func(w World) *ReleaseResult {
 		t.Helper()
 		r, err := Run(w)
 		if err != nil {
@@ -29,27 +29,27 @@
 		}
 		return r.Release
 	}
-	good := play(rolling(1, BudgetedWaves, 500*time.Second))
+	good := run(releaseWorld(1, BudgetedWaves, 500*time.Second))
 	if good.MaxUnavailable != 1 || good.NodesChanged != 6 || good.Duration == 0 || good.HaltReason != "" {
 		t.Errorf("by budgets: %+v", good)
 	}
-	if once, again := play(rolling(2, BudgetedWaves, 100*time.Second)), play(rolling(2, BudgetedWaves, 100*time.Second)); *again != *once || once.NodesChanged == 0 {
+	if once, again := run(releaseWorld(2, BudgetedWaves, 100*time.Second)), run(releaseWorld(2, BudgetedWaves, 100*time.Second)); *again != *once || once.NodesChanged == 0 {
 		t.Errorf("%+v, and the same seed again %+v", once, again)
 	}
-	if r := play(rolling(1, FixedBatches, 60*time.Second)); r.MaxUnavailable < 3 || r.NodesChanged != 6 {
+	if r := run(releaseWorld(1, FixedBatches, 60*time.Second)); r.MaxUnavailable < 3 || r.NodesChanged != 6 {
 		t.Errorf("in batches: %+v", r)
 	}
-	if r := play(rolling(1, UnboundedWaves, 400*time.Second)); r.MaxUnavailable < 2 || r.NodesChanged != 6 || r.HaltReason != "" {
+	if r := run(releaseWorld(1, UnboundedWaves, 400*time.Second)); r.MaxUnavailable < 2 || r.NodesChanged != 6 || r.HaltReason != "" {
 		t.Errorf("without budgets: %+v", r)
 	}
-	slow := rolling(1, BudgetedWaves, 200*time.Second)
+	slow := releaseWorld(1, BudgetedWaves, 200*time.Second)
 	slow.Faults = []Fault{{At: time.Second, Node: 0, Kind: FaultSlow, Duration: time.Hour, Factor: 0.8}}
-	if r := play(slow); r.HaltReason != "" {
+	if r := run(slow); r.HaltReason != "" {
 		t.Errorf("with one slow machine: %+v", r)
 	}
-	bad := rolling(1, BudgetedWaves, 200*time.Second)
+	bad := releaseWorld(1, BudgetedWaves, 200*time.Second)
 	bad.Release.FailureShare = 0.1
-	if r := play(bad); r.NodesChanged > 2 || !strings.Contains(r.HaltReason, "failed share") {
+	if r := run(bad); r.NodesChanged > 2 || !strings.Contains(r.HaltReason, "failed share") {
 		t.Errorf("a bad version: %+v", r)
 	}
 	for _, c := range []struct {
@@ -61,7 +61,7 @@
 		{func(r *Release) { r.Zones = 0 }, "zones"},
 		{func(r *Release) { r.FailureShare = 2 }, "fails"},
 	} {
-		w := rolling(1, BudgetedWaves, 100*time.Second)
+		w := releaseWorld(1, BudgetedWaves, 100*time.Second)
 		c.change(w.Release)
 		if err := w.Validate(); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
--- /dev/null
+++ b/internal/emulator/rollout_node.go
@@ -0,0 +1,145 @@
+package emulator
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"sloehitch/internal/control/drainpermit"
+	"sloehitch/internal/control/fleetstate"
+	"sloehitch/internal/node"
+	"sloehitch/internal/platform/latency"
+)
+
+// maxReplaceAttempts is how many replacements of a process may fail before its drain request fails.
+const maxReplaceAttempts = 2
+
+// version is the process of a node in a world with a release, and what it has done.
+type version struct {
+	label          string
+	startedAt      time.Time
+	inServiceSince time.Time
+
+	served, rejected, failed uint64 // responses
+	failureRandom            *rand.Rand
+	latencies                *latency.Window
+	p99MS                    float64 // as last reported
+
+	agent        *drainpermit.Agent
+	outOfService bool
+}
+
+// startVersion marks a node's process as one of a version.
+func (o *rollout) startVersion(h *host, label string) {
+	now := o.clock.Now()
+	agent := drainpermit.NewAgent(drainpermit.AgentOptions{DeployedVersion: label, Terms: leaseTerms, MinReady: o.MinReady, MaxReplaceAttempts: maxReplaceAttempts})
+	h.version = &version{label: label, startedAt: now, inServiceSince: now, latencies: latency.New(now),
+		failureRandom: o.streams.Stream(fmt.Sprint("luck ", h.name, " ", h.incarnation)), agent: agent}
+	h.speedFactor = 1
+	if label == newVersion && o.SpeedFactor > 0 {
+		h.speedFactor = o.SpeedFactor
+	}
+	h.machine.SetSpeed(o.warmSpeed(h))
+}
+
+// startNextVersion marks a process that has just started as one of the version that the node was to change to, or of the
+// one before.
+func (o *rollout) startNextVersion(h *host) {
+	label := h.version.label
+	if next, changes := o.nextVersion[h]; changes {
+		label = next
+		delete(o.nextVersion, h)
+	}
+	o.startVersion(h, label)
+}
+
+// recordResponse counts a response. A bad version's may become a failure.
+func (o *rollout) recordResponse(h *host, a *Attempt, response *node.Response) {
+	v := h.version
+	if response.Status == node.StatusServed && v.label == newVersion && o.FailureShare > 0 && v.failureRandom.Float64() < o.FailureShare {
+		response.Status = node.StatusFailed
+	}
+	switch response.Status {
+	case node.StatusServed:
+		v.served++
+		v.latencies.Add(o.clock.Now().Sub(a.ArrivedAt))
+	case node.StatusRejected:
+		v.rejected++
+	default:
+		v.failed++
+	}
+}
+
+// nodeReport is what a node reports of itself.
+func (o *rollout) nodeReport(h *host, zone int) fleetstate.NodeReport {
+	v := h.version
+	report := fleetstate.NodeReport{State: "ready", Healthy: true, Zone: fmt.Sprint("z", zone), DeployedVersion: v.label,
+		ProcessStartMS: v.startedAt.UnixMilli(), Served: v.served, Rejected: v.rejected, Failed: v.failed, P99MS: v.p99MS,
+		InServiceMS: o.clock.Now().Sub(v.inServiceSince).Milliseconds()}
+	switch {
+	case h.down:
+		report.State, report.InServiceMS = "starting", 0
+	case v.outOfService:
+		report.State, report.InServiceMS = "out of service", 0
+	}
+	return report
+}
+
+// stepAgent lets a node's drain agent act.
+func (o *rollout) stepAgent(h *host) {
+	agent, now := h.version.agent, o.now()
+	observed := o.observeNode(h)
+	switch action := agent.NextAction(observed, now); action.Kind {
+	case drainpermit.ActionStart:
+		result := o.store.Apply(drainpermit.StartTransaction(h.name, observed, action.Permit, o.transactionID()), now)
+		if agent.HandleStartResult(result.Committed, result.Revision, now) {
+			o.leaveService(h)
+		}
+	case drainpermit.ActionLeaveService:
+		o.leaveService(h)
+	case drainpermit.ActionEnterService:
+		agent.EnteredService()
+		h.version.outOfService, h.version.inServiceSince = false, o.clock.Now()
+		o.announce(h, true)
+	case drainpermit.ActionReplaceProcess:
+		result := o.store.Apply(drainpermit.ActionTransaction(h.name, observed, action, o.transactionID()), now)
+		if result.Committed {
+			o.replaceProcess(h, observed.Request.TargetVersion)
+		} else {
+			agent.HandleWriteResult(false, 0)
+		}
+	case drainpermit.ActionUpdatePermit, drainpermit.ActionReturnPermit, drainpermit.ActionFailRequest:
+		result := o.store.Apply(drainpermit.ActionTransaction(h.name, observed, action, o.transactionID()), now)
+		agent.HandleWriteResult(result.Committed, result.Revision)
+	}
+}
+
+// observeNode is what a node's drain agent sees.
+func (o *rollout) observeNode(h *host) drainpermit.Observation {
+	running, queued := h.invariants.InFlight()
+	observed := drainpermit.Observation{Revision: o.store.Revision(), InFlight: running + queued + len(h.reader.unread), Healthy: true}
+	if d := o.store.Get(fleetstate.RequestKey(h.name)); d.Version > 0 {
+		if request, err := fleetstate.Decode[fleetstate.DrainRequest](d.Value); err == nil {
+			observed.Request, observed.RequestVersion = &request, d.Version
+		}
+	}
+	if d := o.store.Get(fleetstate.PermitKey(h.name)); d.Version > 0 {
+		if permit, err := fleetstate.Decode[fleetstate.Permit](d.Value); err == nil {
+			observed.Permit, observed.PermitVersion = &permit, d.Version
+		}
+	}
+	return observed
+}
+
+// leaveService takes a node out of the balancers' lists. It goes on with what is in flight.
+func (o *rollout) leaveService(h *host) {
+	h.version.agent.LeftService(o.now())
+	h.version.outOfService = true
+	o.announce(h, false)
+}
+
+// replaceProcess ends a node's process; its next one is of a version.
+func (o *rollout) replaceProcess(h *host, label string) {
+	o.nextVersion[h] = label
+	o.stopNode(h, o.RestartDuration)
+}
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// WriteTimeline writes the steps of one request, as people read them.
+// WriteTimeline writes the steps of one request as a table. It returns an error where there are none.
 func WriteTimeline(w io.Writer, steps []Step, request string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "at\twith\ttry\twhat\t")
@@ -18,15 +18,15 @@
 		if s.Request != request {
 			continue
 		}
-		with, after := s.Node, ""
-		if with == "" {
-			with = "caller"
+		location, sinceLast := s.Node, ""
+		if location == "" {
+			location = "caller"
 		}
 		if last >= 0 {
-			after = fmt.Sprintf("+%v ", s.At-last)
+			sinceLast = fmt.Sprintf("+%v ", s.At-last)
 		}
 		last = s.At
-		fmt.Fprintf(t, "%v\t%s\t%s\t%s\t%s%s\n", s.At, with, s.Attempt, s.Event, after, s.Detail)
+		fmt.Fprintf(t, "%v\t%s\t%s\t%s\t%s%s\n", s.At, location, s.Attempt, s.Event, sinceLast, s.Detail)
 	}
 	if last < 0 {
 		return fmt.Errorf("no request %s came", request)
@@ -36,46 +36,68 @@
 
 // traceEvent is an event of the Trace Event Format that trace viewers read.
 type traceEvent struct {
-	Name  string            `json:"name"`
-	Phase string            `json:"ph"`
-	At    float64           `json:"ts"` // microseconds
-	Span  float64           `json:"dur,omitempty"`
-	Node  string            `json:"pid"`
-	Lane  string            `json:"tid"`
-	Args  map[string]string `json:"args,omitempty"`
+	Name     string            `json:"name"`
+	Phase    string            `json:"ph"`
+	At       float64           `json:"ts"` // microseconds
+	Duration float64           `json:"dur,omitempty"`
+	Process  string            `json:"pid"`
+	Thread   string            `json:"tid"`
+	Args     map[string]string `json:"args,omitempty"`
 }
 
-// WriteTrace writes all steps for a trace viewer: each try on its node from when it was offered until it was answered, how
-// it ended, and its run within.
+// traceFile is a file in the Trace Event Format.
+type traceFile struct {
+	DisplayTimeUnit string       `json:"displayTimeUnit"`
+	TraceEvents     []traceEvent `json:"traceEvents"`
+}
+
+// The phases of trace events.
+const (
+	phaseComplete = "X"
+	phaseInstant  = "i"
+)
+
+// nodeSpan is an attempt on a node: when it was submitted, and when its run started; -1: it has not.
+type nodeSpan struct{ submitted, runStarted time.Duration }
+
+// WriteTrace writes all steps for a trace viewer: each attempt on its node from submission to response, the run within
+// it, and the outcome of each request.
 func WriteTrace(w io.Writer, steps []Step) error {
-	type span struct{ offered, ran time.Duration }
-	open := map[string]span{}
+	spans := map[string]nodeSpan{}
 	var events []traceEvent
-	us := func(d time.Duration) float64 { return float64(d) / 1000 }
 	for _, s := range steps {
 		key := s.Node + " " + s.Attempt
 		switch s.Event {
-		case "offered":
-			open[key] = span{s.At, -1}
-		case "run":
-			if o, ok := open[key]; ok {
-				o.ran = s.At
-				open[key] = o
+		case EventOffered:
+			spans[key] = nodeSpan{s.At, -1}
+		case EventRun:
+			if span, ok := spans[key]; ok {
+				span.runStarted = s.At
+				spans[key] = span
 			}
-		case "served", "refused", "failed", "gone":
-			o, ok := open[key]
-			if !ok || s.Node == "" {
-				continue
+		case EventServed, EventRejected, EventFailed, EventCanceled:
+			if span, ok := spans[key]; ok && s.Node != "" {
+				delete(spans, key)
+				events = append(events, span.events(s)...)
 			}
-			delete(open, key)
-			events = append(events, traceEvent{Name: s.Attempt + " " + s.Event, Phase: "X", At: us(o.offered), Span: us(s.At - o.offered), Node: s.Node, Lane: s.Attempt,
-				Args: map[string]string{"request": s.Request}})
-			if o.ran >= 0 {
-				events = append(events, traceEvent{Name: "run", Phase: "X", At: us(o.ran), Span: us(s.At - o.ran), Node: s.Node, Lane: s.Attempt})
-			}
-		case "ended":
-			events = append(events, traceEvent{Name: s.Request + " " + strings.SplitN(s.Detail, ",", 2)[0], Phase: "i", At: us(s.At), Node: "callers", Lane: s.Request})
+		case EventEnded:
+			outcome, _, _ := strings.Cut(s.Detail, ",")
+			events = append(events, traceEvent{Name: s.Request + " " + outcome, Phase: phaseInstant, At: micro(s.At), Process: "callers", Thread: s.Request})
 		}
 	}
-	return json.NewEncoder(w).Encode(map[string]any{"traceEvents": events, "displayTimeUnit": "ms"})
+	return json.NewEncoder(w).Encode(traceFile{DisplayTimeUnit: "ms", TraceEvents: events})
 }
+
+// events are the trace events of a span that a step ends.
+func (n nodeSpan) events(end Step) []traceEvent {
+	events := []traceEvent{{Name: end.Attempt + " " + string(end.Event), Phase: phaseComplete, At: micro(n.submitted), Duration: micro(end.At - n.submitted),
+		Process: end.Node, Thread: end.Attempt, Args: map[string]string{"request": end.Request}}}
+	if n.runStarted >= 0 {
+		events = append(events, traceEvent{Name: "run", Phase: phaseComplete, At: micro(n.runStarted), Duration: micro(end.At - n.runStarted),
+			Process: end.Node, Thread: end.Attempt})
+	}
+	return events
+}
+
+// micro is a duration in the unit of trace events.
+func micro(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
