--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,7 +64,7 @@
 	admission *admission.Controller
 	node      *node.Node
 	runtime   *runtime.Link     // nil without a runtime
-	catalogue *catalogue.Client // nil in the last tier
+	catalogue *catalogue.Client // nil where the configuration names none
 	directory *directory.Reporter
 	resp      *resp.Front
 	uwsgi     *uwsgi.Front // nil where it is off
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -5,7 +5,7 @@
 	"sloehitch/internal/handover"
 )
 
-// updateQuota takes this process's quota of the node's resources while other processes of the node live, as handover.Share computes it.
+// updateQuota takes this process's quota of the node's resources while other processes of the node live, as handover.ComputeQuota computes it.
 func (d *Daemon) updateQuota() {
 	if d.journals.keys == nil {
 		return
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -49,7 +49,7 @@
 	p, old := l.Platform, d.platform
 	if p.Name != old.Name || p.Listen != old.Listen || p.OperatorAddress != old.OperatorAddress || p.Limits != old.Limits ||
 		l.Deploy.Uwsgi.Listen != d.deploy.Load().Uwsgi.Listen || (p.Runtime == "") != (old.Runtime == "") || (p.Catalogue == "") != (old.Catalogue == "") {
-		d.log.Warn("name, addresses to listen on, limits, settings and which links there are take a restart")
+		d.log.Warn("name, addresses to listen on, limits and which links there are take a restart")
 	}
 	if was, is := d.deploy.Load().Uwsgi, l.Deploy.Uwsgi; was.TLS != is.TLS || was.ServersTLS != is.ServersTLS {
 		d.log.Warn("which files hold the TLS keys takes a restart; what is in them is read again")
