--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -1,7 +1,6 @@
 package ledger
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"maps"
@@ -12,7 +11,6 @@
 	"time"
 
 	"sloehitch/internal/ledger/disk"
-	"sloehitch/internal/ledger/format"
 	"sloehitch/internal/ledger/simdisk"
 	"sloehitch/internal/platform/limits"
 )
@@ -31,6 +29,7 @@
 }
 
 func (c *clock) Now() time.Time { c.mu.Lock(); defer c.mu.Unlock(); return c.now }
+
 func (c *clock) add(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -342,116 +341,3 @@
 	s.writer.queuedBytes = 0
 	s.writer.mu.Unlock()
 }
-
-// TestCompact: garbage goes, what counts stays, records are packed; it happens by itself at the share that the limits say.
-func TestCompact(t *testing.T) {
-	fs := simdisk.New(1)
-	s := mustOpen(t, fs, options())
-	want := map[string]string{}
-	for i := range 300 {
-		k, v := fmt.Sprintf("key%02d", i%30), strings.Repeat(fmt.Sprint(i), 10)
-		want[k] = v
-		put(t, s, k, v)
-	}
-	before := s.Stats()
-	if err := s.compactWhileDue(); err != nil {
-		t.Fatal(err)
-	}
-	if st := s.Stats(); st.Compactions == 0 || float64(st.Garbage) > 0.45*float64(st.Records) {
-		t.Errorf("after compactions by themselves:\n%v", st)
-	}
-	c, err := s.Compact()
-	if err != nil {
-		t.Fatal(err)
-	}
-	st := s.Stats()
-	if st.Garbage != 0 || st.Cold == 0 || st.Disk >= before.Disk/4 || c.RecordsKept != 30 {
-		t.Errorf("%+v\n%v", c, st)
-	}
-	if got := content(t, s); !maps.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
-	}
-	s.Close()
-	s = mustOpen(t, fs, options())
-	if got := content(t, s); !maps.Equal(got, want) {
-		t.Errorf("after a restart %v", got)
-	}
-	for range 20 { // short lives leave small segments behind
-		put(t, s, "one", "more")
-		s.Close()
-		s = mustOpen(t, fs, options())
-	}
-	if err := s.compactWhileDue(); err != nil {
-		t.Fatal(err)
-	}
-	if st := s.Stats(); st.Segments > 11 {
-		t.Errorf("small segments were left:\n%v", st)
-	}
-}
-
-// TestOldSegmentComesBack: a removed segment that reappears, its removal not durable, brings nothing back.
-func TestOldSegmentComesBack(t *testing.T) {
-	fs := simdisk.New(1)
-	s := mustOpen(t, fs, options())
-	for i := range 30 {
-		put(t, s, fmt.Sprint("k", i), strings.Repeat("v", 40))
-	}
-	old := fs.Files()
-	for i := range 29 {
-		if err := s.Delete([]byte(fmt.Sprint("k", i))); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if _, err := s.Compact(); err != nil {
-		t.Fatal(err)
-	}
-	s.Close()
-	now := fs.Files()
-	back := 0
-	for name, b := range old {
-		if _, ok := segmentNumber(name); ok && now[name] == nil {
-			now[name] = b
-			back++
-		}
-	}
-	fs = simdisk.FromFiles(now)
-	s = mustOpen(t, fs, options())
-	if got := content(t, s); back == 0 || len(got) != 1 || got["k29"] == "" {
-		t.Errorf("with %d old segments back: %v", back, got)
-	}
-	if r := s.Recovery(); r.StrayFiles < back {
-		t.Errorf("%d stray files swept, want %d at least", r.StrayFiles, back)
-	}
-	for name := range old {
-		if _, ok := segmentNumber(name); ok && fs.Files()[name] != nil && now[name] != nil && !listed(s, name) {
-			t.Errorf("%s was not swept", name)
-		}
-	}
-}
-
-func listed(s *Store, name string) bool {
-	n, _ := segmentNumber(name)
-	return slices.ContainsFunc(s.manifest.Segments, func(e format.SegmentEntry) bool { return e.Number == n })
-}
-
-// TestLaterVersion: files of a later version are refused by name, not taken for damage.
-func TestLaterVersion(t *testing.T) {
-	fs := simdisk.New(1)
-	s := mustOpen(t, fs, options())
-	put(t, s, "k", "v")
-	s.Close()
-	for name, b := range fs.Files() {
-		files := fs.Files()
-		files[name] = bytes.Clone(b)
-		files[name][4]++
-		_, err := Open(simdisk.FromFiles(files), options())
-		var v format.VersionError
-		var d *DamageError
-		if !errors.As(err, &v) || errors.As(err, &d) || !strings.Contains(err.Error(), "version 2") {
-			t.Errorf("%s: %v", name, err)
-		}
-		if _, err := Repair(simdisk.FromFiles(files), simdisk.New(1), options()); name == manifestName && !errors.As(err, &v) {
-			t.Errorf("repair of a later version: %v", err)
-		}
-	}
-}
