--- a/internal/ledger/backup_test.go
+++ b/internal/ledger/backup_test.go
@@ -10,7 +10,7 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestBackup: a backup is whole, and one that is cut short is no store and leaves the other alone.
+// TestBackup checks that a backup is complete, and that an interrupted one is no store and leaves the source alone.
 func TestBackup(t *testing.T) {
 	fs := simdisk.New(1)
 	h := &history{}
--- a/internal/ledger/cold_segment.go
+++ b/internal/ledger/cold_segment.go
@@ -102,8 +102,12 @@
 	rawOffset  int64 // of the next record, decompressed
 }
 
+// newColdWriter creates a segment. afterBlock is called after each block was written.
 func newColdWriter(fs disk.FS, store format.ID, number uint64, blockBytes int, afterBlock func() error) (*coldWriter, error) {
-	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(zstdWindowBytes))
+	enc, err := zstd.NewWriter(nil,
+		zstd.WithEncoderConcurrency(1),
+		zstd.WithEncoderLevel(zstd.SpeedFastest),
+		zstd.WithWindowSize(zstdWindowBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -141,7 +145,8 @@
 		stored = p.block
 	}
 	first := p.rawOffset - int64(len(p.block))
-	b := format.AppendBlock(p.out[:0], p.salt, p.size, format.BlockHeader{RawBytes: len(p.block), Compressed: smaller, RawOffset: first}, stored)
+	header := format.BlockHeader{RawBytes: len(p.block), Compressed: smaller, RawOffset: first}
+	b := format.AppendBlock(p.out[:0], p.salt, p.size, header, stored)
 	if _, err := p.file.WriteAt(b, p.size); err != nil {
 		return err
 	}
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -53,7 +53,8 @@
 	nextExpiry := s.nextExpiry
 	s.mu.RUnlock()
 	now := s.opts.Now().UnixMilli()
-	if nextExpiry != 0 && nextExpiry <= now && now >= s.writer.writtenMark+s.opts.Limits.ClockMarkInterval.Milliseconds() && !s.opts.Manual {
+	markDue := now >= s.writer.writtenMark+s.opts.Limits.ClockMarkInterval.Milliseconds()
+	if nextExpiry != 0 && nextExpiry <= now && markDue && !s.opts.Manual {
 		s.commit(nil)
 	} else {
 		_ = s.flush() // fail keeps the error, and the writers get it
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestCompactOnlySome: a compaction that leaves older segments alone keeps the deletions, and what has expired as deletions, that
-// hold back what stands there.
+// TestCompactOnlySome checks that a compaction that leaves older segments alone keeps tombstones, also of expired records, for
+// the records there.
 func TestCompactOnlySome(t *testing.T) {
 	fs := simdisk.New(1)
 	c := &clock{now: start}
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestCompactBeforeFlush: a compaction lets an old value go for a newer one only once that is durable.
+// TestCompactBeforeFlush checks that a compaction drops an old value for a newer one only once that is durable.
 func TestCompactBeforeFlush(t *testing.T) {
 	o := options()
 	o.Flush = time.Hour
@@ -78,7 +78,8 @@
 	}
 }
 
-// TestCompact: garbage goes, what counts stays, records are packed; it happens by itself at the share that the limits say.
+// TestCompact checks that garbage goes, current records stay and are compressed, and that compactions start by themselves at
+// the garbage share of the limits.
 func TestCompact(t *testing.T) {
 	fs := simdisk.New(1)
 	s := mustOpen(t, fs, options())
@@ -124,7 +125,7 @@
 	}
 }
 
-// TestOldSegmentComesBack: a removed segment that reappears, its removal not durable, brings nothing back.
+// TestOldSegmentComesBack checks that a removed segment that reappears after a power loss brings nothing back.
 func TestOldSegmentComesBack(t *testing.T) {
 	fs := simdisk.New(1)
 	s := mustOpen(t, fs, options())
--- a/internal/ledger/crash_test.go
+++ b/internal/ledger/crash_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestIntervalFlush: with a flush every now and then a cut takes at most the end of what was acknowledged, in order.
+// TestIntervalFlush checks that with flushes at intervals a power loss takes only the newest acknowledged batches.
 func TestIntervalFlush(t *testing.T) {
 	o := options()
 	o.Flush = time.Hour // not within this test
--- a/internal/ledger/damage_test.go
+++ b/internal/ledger/damage_test.go
@@ -12,8 +12,8 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestTruncate cuts every file at every byte. At offset k of the last segment every batch whose records lie wholly before k is
-// there and no other; any other file that is cut is damage, told with the file and the offset, or harmless.
+// TestTruncate cuts every file at every byte. At offset k of the last segment every batch whose records end before k is
+// there and no other; any other file that is cut is damage, reported with the file and the offset, or harmless.
 func TestTruncate(t *testing.T) {
 	fs := simdisk.New(1)
 	o := options()
@@ -88,7 +88,7 @@
 }
 
 // TestDamage flips each bit, in turn, of all files but the last group of the active segment: it is noticed when the folder is
-// opened, never passed off as data, and what Repair saves is right.
+// opened, never returned as data, and what Repair saves is right.
 func TestDamage(t *testing.T) {
 	fs := simdisk.New(1)
 	h := &history{}
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestFlippedUnderneath: a bit that flips while the store is open is told by the read that meets it, hot or cold, and
-// is never passed off as a value.
+// TestFlippedUnderneath checks that a bit that flips while the store is open fails the read that meets it, hot or cold, and is
+// never returned as a value.
 func TestFlippedUnderneath(t *testing.T) {
 	for seed := range uint64(60) {
 		fs := simdisk.New(seed)
@@ -218,7 +218,7 @@
 	}
 }
 
-// TestLaterVersion: files of a later version are refused by name, not taken for damage.
+// TestLaterVersion checks that files of a later version are rejected as such, not taken for damage.
 func TestLaterVersion(t *testing.T) {
 	fs := simdisk.New(1)
 	s := mustOpen(t, fs, options())
--- a/internal/ledger/fault_test.go
+++ b/internal/ledger/fault_test.go
@@ -14,7 +14,7 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestFaults fails operations by seed: nothing that was acknowledged is lost, nothing refused comes back, and after a failed
+// TestFaults fails operations by seed: nothing that was acknowledged is lost, nothing rejected comes back, and after a failed
 // flush nothing is acknowledged any more, also if the disk claims success from then on.
 func TestFaults(t *testing.T) {
 	kinds := []simdisk.Fault{simdisk.FaultIO, simdisk.ENOSPC, simdisk.FaultShortWrite}
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestFull: a full disk refuses writes with the word for it, serves reads, and takes writes again when there is room.
+// TestFull checks that a full disk rejects writes with ErrFull, serves reads, and takes writes again once there is space.
 func TestFull(t *testing.T) {
 	fs := simdisk.New(1)
 	s := mustOpen(t, fs, options())
--- a/internal/ledger/format/block.go
+++ b/internal/ledger/format/block.go
@@ -60,8 +60,15 @@
 		return BlockHeader{}, ErrShort
 	}
 	le := binary.LittleEndian
-	header := BlockHeader{int(le.Uint32(b[4:])), int(le.Uint32(b[8:])), le.Uint32(b[12:]) == compressionZstd, int64(le.Uint64(b[16:]))}
-	if le.Uint32(b[12:]) > compressionZstd || !header.Compressed && header.CompressedBytes != header.RawBytes || header.RawBytes == 0 || header.RawOffset < SegmentHeaderSize {
+	header := BlockHeader{
+		CompressedBytes: int(le.Uint32(b[4:])),
+		RawBytes:        int(le.Uint32(b[8:])),
+		Compressed:      le.Uint32(b[12:]) == compressionZstd,
+		RawOffset:       int64(le.Uint64(b[16:])),
+	}
+	known := le.Uint32(b[12:]) <= compressionZstd
+	sizesMatch := header.Compressed || header.CompressedBytes == header.RawBytes
+	if !known || !sizesMatch || header.RawBytes == 0 || header.RawOffset < SegmentHeaderSize {
 		return BlockHeader{}, ErrInvalid
 	}
 	return header, nil
--- a/internal/ledger/format/manifest.go
+++ b/internal/ledger/format/manifest.go
@@ -82,7 +82,12 @@
 	m = &Manifest{Store: ID(b[8:24]), Generation: le.Uint64(b[24:]), NextSegment: le.Uint64(b[32:]), LastSequence: le.Uint64(b[40:]),
 		ClockMark: int64(le.Uint64(b[48:]))}
 	for e := b[manifestHeaderSize:end]; len(e) > 0; e = e[segmentEntrySize:] {
-		m.Segments = append(m.Segments, SegmentEntry{le.Uint64(e), int64(le.Uint64(e[8:])), le.Uint64(e[16:]), le.Uint64(e[24:])&flagCold != 0})
+		m.Segments = append(m.Segments, SegmentEntry{
+			Number:      le.Uint64(e),
+			Size:        int64(le.Uint64(e[8:])),
+			MinSequence: le.Uint64(e[16:]),
+			Cold:        le.Uint64(e[24:])&flagCold != 0,
+		})
 	}
 	return m, 0, nil
 }
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -14,10 +14,10 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// long makes the torture tests run for as many rounds; the README has the command.
+// long is for how many rounds the crash and fault tests run; the README has the command.
 var long = flag.Int("ledger.rounds", 1, "rounds of the ledger's torture tests")
 
-// history is what a sequential workload did: the state after all that was acknowledged, and after what was under way.
+// history is what a sequential workload did: the state after all acknowledged changes, and after the one in progress.
 type history struct {
 	acked, next map[string]string
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestSnapshot: what a snapshot sees stays, whatever is written, deleted and compacted.
+// TestSnapshot checks that a snapshot stays the same, whatever is written, deleted and compacted.
 func TestSnapshot(t *testing.T) {
 	s := mustOpen(t, simdisk.New(1), options())
 	for i := range 40 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// TestBatch: all or nothing, last one wins, and a batch that doesn't fit leaves nothing.
+// TestBatch checks that batches are atomic, that the last change of a key wins, and that a rejected batch leaves nothing.
 func TestBatch(t *testing.T) {
 	s := mustOpen(t, simdisk.New(1), options())
 	var b Batch
@@ -270,7 +270,7 @@
 	}
 }
 
-// TestManyWriters: ten thousand at once share few flushes, and all of them are there afterwards.
+// TestManyWriters checks that ten thousand concurrent writers share few flushes, and that all their records are there.
 func TestManyWriters(t *testing.T) {
 	const writers = 10000
 	dir := disk.Dir(t.TempDir())
@@ -301,7 +301,7 @@
 	}
 }
 
-// TestGo: callbacks come in order, may call the store, and a full queue is told at once.
+// TestGo checks that callbacks come in order and may call the store, and that a full queue is reported at once.
 func TestGo(t *testing.T) {
 	o := options()
 	s := mustOpen(t, simdisk.New(1), o)
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -127,7 +127,8 @@
 		}
 		inBatch = r.BatchContinues
 		g.countRecord(r.Sequence, r.Size())
-		list = append(list, loadedRecord{string(r.Key), r.Kind == format.KindPut, location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(r.Size())}})
+		at := location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(r.Size())}
+		list = append(list, loadedRecord{string(r.Key), r.Kind == format.KindPut, at})
 		return nil
 	})
 	switch {
--- a/internal/ledger/manifest.go
+++ b/internal/ledger/manifest.go
@@ -30,7 +30,8 @@
 		m.LastSequence = max(m.LastSequence, g.maxSequence)
 	}
 	if active != nil {
-		m.Segments = append(m.Segments, format.SegmentEntry{Number: active.number, Size: format.ActiveSegmentSize, MinSequence: active.minSequence})
+		entry := format.SegmentEntry{Number: active.number, Size: format.ActiveSegmentSize, MinSequence: active.minSequence}
+		m.Segments = append(m.Segments, entry)
 		m.LastSequence = max(m.LastSequence, active.maxSequence)
 	}
 	return m
--- a/internal/ledger/recover.go
+++ b/internal/ledger/recover.go
@@ -119,7 +119,8 @@
 	}
 	for _, name := range names {
 		n, ok := segmentNumber(name)
-		if name != manifestTempName && (!ok || slices.ContainsFunc(s.manifest.Segments, func(e format.SegmentEntry) bool { return e.Number == n })) {
+		listed := slices.ContainsFunc(s.manifest.Segments, func(e format.SegmentEntry) bool { return e.Number == n })
+		if name != manifestTempName && (!ok || listed) {
 			continue
 		}
 		if err := s.fs.Remove(name); err != nil {
--- a/internal/ledger/repair.go
+++ b/internal/ledger/repair.go
@@ -214,7 +214,8 @@
 			mark, skip, batch = max(mark, m), false, batch[:0]
 			return nil
 		}
-		batch = append(batch, loadedRecord{string(r.Key), r.Kind == format.KindPut, location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(r.Size())}})
+		at := location{g, r.Sequence, r.ExpiryMillis, uint32(off), uint32(r.Size())}
+		batch = append(batch, loadedRecord{string(r.Key), r.Kind == format.KindPut, at})
 		if r.BatchContinues {
 			return nil
 		}
--- a/internal/ledger/simdisk/file.go
+++ b/internal/ledger/simdisk/file.go
@@ -43,7 +43,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	fault, err := d.startOperation(OpWrite, f.name)
-	if grow := off + int64(len(p)) - int64(len(f.node.cached)); err == nil && d.CapacityBytes > 0 && grow > 0 && d.usedBytes()+grow > d.CapacityBytes {
+	growth := off + int64(len(p)) - int64(len(f.node.cached))
+	if err == nil && d.CapacityBytes > 0 && growth > 0 && d.usedBytes()+growth > d.CapacityBytes {
 		fault, err = FaultShortWrite, &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 	}
 	n := len(p)
