--- a/internal/emulator/experiment/experiment_test.go
+++ b/internal/emulator/experiment/experiment_test.go
@@ -47,7 +47,7 @@
 parameter = 1
 `
 
-// TestFaultyFiles: each draws one line that says where and what to do.
+// TestFaultyFiles: each error is one line that says where it is and what to do.
 func TestFaultyFiles(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"an unknown key", `hop = "500us"`, `hops = "500us"`, `12: no key "world.hops" here`},
@@ -89,8 +89,8 @@
 	return f
 }
 
-// TestSameBytes: the rows do not depend on the number of workers, nor on a run that was cut short and gone on with; a
-// folder of another experiment's results is left alone.
+// TestSameBytes: the rows don't depend on the number of workers, nor on an interruption; a folder with another
+// experiment's results is left alone.
 func TestSameBytes(t *testing.T) {
 	f := parse(t)
 	var first []byte
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestDiff: the same rows are the same; a loss of every seed is beyond noise, one that goes either way is not.
+// TestDiff: equal rows have no difference; one with the same sign in nearly every seed is significant, one with either sign isn't.
 func TestDiff(t *testing.T) {
 	rows := func(by ...float64) (rows []Row) {
 		for i, b := range by {
@@ -182,8 +182,7 @@
 	}
 }
 
-// TestBootstrap: an interval holds the mean that values were drawn round, is as wide as theory has it for many, and none
-// for one value.
+// TestBootstrap: an interval contains the mean, has the width that theory gives for many values, and none for one.
 func TestBootstrap(t *testing.T) {
 	var values []float64
 	for i := range 400 {
