--- a/internal/testing/fleetrig/chart.go
+++ b/internal/testing/fleetrig/chart.go
@@ -10,15 +10,15 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Span is a stretch of a run, for people and charts.
+// Span is a period of a run, for charts.
 type Span struct {
-	Row      string        `json:"row"`  // a node and what it holds, or a fault
-	Kind     string        `json:"kind"` // "duty", "lead", "fault", "out" (of service by a permit), "back" (in again and not yet warm) or "release"
-	From, To time.Duration // since the first of them
+	Row      string        `json:"row"`  // such as "n1 sweep" or "cut n0 n2"
+	Kind     string        `json:"kind"` // "duty", "lead", "fault", "out" (of service by a drain permit), "back" (in service, warming up) or "release"
+	From, To time.Duration // since the first event
 }
 
-// charted is who held what when, and the faults, since the first of them.
-func (f *processes) charted(all []told) (list []Span) {
+// chart returns the periods in which nodes held leases, led or were out of service, and the faults, sorted by kind, row and start.
+func (f *testFleet) chart(all []processEvent) (list []Span) {
 	begun := lease.Instant(0)
 	if len(all) > 0 {
 		begun = all[0].At
@@ -31,12 +31,12 @@
 		}
 		list = append(list, Span{row, kind, since(s.From), since(s.To)})
 	}
-	for _, s := range outs(all) {
+	for _, s := range outOfService(all) {
 		list = append(list, Span{s.Row, s.Kind, since(lease.Instant(s.From)), since(lease.Instant(s.To))})
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, c := range f.calls {
+	for _, c := range f.injected {
 		words := strings.Fields(c.Fault.String())
 		list = append(list, Span{strings.Join(words[1:2+kinds[c.Kind]], " "), "fault", since(c.from), since(c.to)})
 	}
@@ -46,9 +46,9 @@
 	return list
 }
 
-// outs are the stretches in which nodes were out by permits or on their way back, and each state and wave of each release. Their instants are
-// those of the events; what has no end reaches to the last one.
-func outs(all []told) (list []Span) {
+// outOfService returns the periods in which nodes were out of service by a drain permit or warming up after it, and each state and wave of
+// each release. From and To are instants of the events' clock; a period without an end reaches to the last event.
+func outOfService(all []processEvent) (list []Span) {
 	open := map[string]int{}
 	end := func(row string, at lease.Instant) {
 		if i, is := open[row]; is {
--- a/internal/testing/fleetrig/draincheck.go
+++ b/internal/testing/fleetrig/check_drains.go
@@ -7,10 +7,10 @@
 	"sloehitch/internal/control/fleetstate"
 )
 
-// checkDrains holds what the processes told to what was promised: at no instant are more out by choice than the budgets let, from when a node
-// begins to go out until it is in service and well for long enough; and nothing begins between a halt's acknowledgement and its being
-// taken back.
-func checkDrains(all []told, halts []halt, count *Drained) (wrong []string) {
+// checkDrains checks by the processes' events that at no instant more nodes were drained than the disruption budgets allow, counted from a
+// drain's start until the node has been healthy for settleTime, and that no drain began while an acknowledged halt was in force. It counts
+// into count.
+func checkDrains(all []processEvent, halts []halt, count *Drained) (wrong []string) {
 	out := map[int]bool{}
 	for _, e := range all {
 		switch e.What {
@@ -23,11 +23,11 @@
 			}
 			count.Most = max(count.Most, len(out))
 			for zone, n := range zones {
-				if n > zoneOut {
+				if n > maxUnavailablePerZone {
 					wrong = append(wrong, fmt.Sprintf("at %d %d nodes of zone %s are out by choice, n%d last", e.At, n, zone, e.Node))
 				}
 			}
-			if len(out) > mostOut {
+			if len(out) > maxUnavailable {
 				wrong = append(wrong, fmt.Sprintf("at %d %d nodes are out by choice, n%d last", e.At, len(out), e.Node))
 			}
 			for _, h := range halts {
--- a/internal/testing/fleetrig/eventcheck.go
+++ b/internal/testing/fleetrig/check_events.go
@@ -8,23 +8,23 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// checkTold holds what the processes told to what was promised, once the last wishes had time to be applied.
-func (f *processes) checkTold(r *Report, w *work) {
-	var most time.Duration // one believes while another does: not at all, where clocks are wrong by no more than was allowed for
+// checkProcessEvents checks the processes' events, waiting up to the recovery time for the last desired states to be applied.
+func (f *testFleet) checkProcessEvents(r *Report, w *workload) {
+	var most time.Duration // overlap of two holders' beliefs: none while clocks stay within the allowed drift
 	if f.Schedule.Has(Skew, Jump) {
-		// The store's clock may have run ahead and the lease been granted anew. The holder asked last before that, since a renewal asked
-		// for later is refused, and counts for one hold from then on, on its own clock: sooner by true time where that one runs fast.
+		// The store's clock may have run ahead and the lease been granted to another. The old holder's last renewal was before that, since a
+		// later one is rejected, and it believes in it for one holder duration on its own clock, which is shorter where that runs fast.
 		most = store.DefaultLeaseTerms.WithDuration(f.Lease).HolderDuration()
 	}
-	var all []told
+	var all []processEvent
 	var wrong []string
-	f.until(time.Now().Add(f.Recovery), func() bool {
+	f.waitUntil(time.Now().Add(f.Recovery), func() bool {
 		var err error
 		if all, err = f.events(); err != nil {
 			wrong = []string{err.Error()}
 			return true
 		}
-		wrong = checkEvents(all, w.wanted, most)
+		wrong = checkEvents(all, w.desired, most)
 		return len(wrong) == 0
 	})
 	r.Wrong = append(r.Wrong, wrong...)
@@ -33,12 +33,12 @@
 			r.Wishes++
 		}
 	}
-	r.Spans = f.charted(all)
+	r.Spans = f.chart(all)
 }
 
-// checkEvents holds what the processes told to what was promised: nobody goes on believing that it holds a duty for longer than most
-// after another began to under a later token, what is wanted of a node is applied in order only, and the last of it is.
-func checkEvents(all []told, wanted map[int]wish, most time.Duration) (wrong []string) {
+// checkEvents checks that no process believes that it holds a leased task for longer than most after another one began to under a later
+// token, that each node applies its desired states in the order of their revisions, and that it has applied the last.
+func checkEvents(all []processEvent, wanted map[int]desiredState, most time.Duration) (wrong []string) {
 	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
 	held := spans(all)
 	for _, a := range held {
--- a/internal/testing/fleetrig/historycheck.go
+++ b/internal/testing/fleetrig/check_history.go
@@ -14,13 +14,13 @@
 	"sloehitch/internal/store/document"
 )
 
-// check holds what happened, by the store's history and the clients', to what was promised.
-func (f *processes) check(r *Report, w *work) {
-	if !porcupine.CheckOperations(register, w.history) {
-		r.Wrong = append(r.Wrong, fmt.Sprintf("no order of %d operations fits their times", len(w.history)))
+// checkHistory checks that the clients' operations are linearizable, and the store's history by Check.
+func (f *testFleet) checkHistory(r *Report, w *workload) {
+	if !porcupine.CheckOperations(registerModel, w.history) {
+		r.Wrong = append(r.Wrong, fmt.Sprintf("%d operations are not linearizable", len(w.history)))
 	}
 	var changes []document.Change
-	if !f.until(time.Now().Add(f.Recovery), func() bool {
+	if !f.waitUntil(time.Now().Add(f.Recovery), func() bool {
 		var seen store.ReadStatus
 		var forgotten bool
 		var err error
--- a/internal/testing/fleetrig/rollbackcheck.go
+++ b/internal/testing/fleetrig/check_rollback.go
@@ -11,16 +11,16 @@
 )
 
 // copyStore kills a process, copies its store folder, and starts it again. It returns "" where the process has another fault already.
-func (f *processes) copyStore(i int) string {
+func (f *testFleet) copyStore(i int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.procs[i] == nil || f.still[i] {
+	if f.procs[i] == nil || f.faulted[i] {
 		return ""
 	}
-	f.still[i] = true // no other fault until the node is back in the store
-	to := filepath.Join(f.folder(i), "older")
-	f.end(i)
-	err := os.CopyFS(to, os.DirFS(f.store(i)))
+	f.faulted[i] = true // no other fault until the node is back in the store
+	to := filepath.Join(f.nodeDir(i), "older")
+	f.kill(i)
+	err := os.CopyFS(to, os.DirFS(f.storeDir(i)))
 	if err == nil {
 		err = f.start(i)
 	}
@@ -32,16 +32,16 @@
 }
 
 // restoreStore puts a process back on an older copy of its store folder. The store must exclude a member that has lost what it acknowledged;
-// once excluded the member is removed and added anew, as an operator would. The check goes on in the background: wait for f.mends.
-func (f *processes) restoreStore(i int, copied string) {
+// once excluded the member is removed and added anew, as an operator would. The check goes on in the background: wait for f.repairs.
+func (f *testFleet) restoreStore(i int, copied string) {
 	if err := f.replaceStore(i, copied, false); err != nil {
-		f.blame("n%d: %v", i, err)
+		f.addFailure("n%d: %v", i, err)
 		return
 	}
-	f.mends.Go(func() {
+	f.repairs.Go(func() {
 		defer func() {
 			f.mu.Lock()
-			f.still[i] = false
+			f.faulted[i] = false
 			f.mu.Unlock()
 		}()
 		end := time.Now().Add(f.Recovery)
@@ -52,71 +52,71 @@
 }
 
 // replaceStore kills a process and starts it on another store folder; from is moved there, and empty for a new one.
-func (f *processes) replaceStore(i int, from string, join bool) error {
+func (f *testFleet) replaceStore(i int, from string, join bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.end(i)
-	if err := os.RemoveAll(f.store(i)); err != nil {
+	f.kill(i)
+	if err := os.RemoveAll(f.storeDir(i)); err != nil {
 		return err
 	}
 	if from != "" {
-		if err := os.Rename(from, f.store(i)); err != nil {
+		if err := os.Rename(from, f.storeDir(i)); err != nil {
 			return err
 		}
 	}
-	if err := f.write[i](join); err != nil {
+	if err := f.writeDeploy[i](join); err != nil {
 		return err
 	}
 	return f.start(i)
 }
 
-// excluded waits until a restored member is either in the store again or excluded from it, and says whether it is excluded. It may go on
+// excluded waits until a restored member is either in the store again or excluded from it, and reports whether it is excluded. It may go on
 // where it had acknowledged nothing since the copy.
-func (f *processes) excluded(i int, end time.Time) bool {
+func (f *testFleet) excluded(i int, end time.Time) bool {
 	reason := ""
-	known := f.until(end, func() bool {
+	known := f.waitUntil(end, func() bool {
 		m, err := f.client(i).Members(true)
 		reason = m.ExclusionReason
 		return err == nil && (m.ExclusionReason == "" || strings.Contains(m.ExclusionReason, "remove it"))
 	})
 	switch {
 	case !known:
-		f.blame("n%d is neither in the store nor excluded: %s", i, reason)
+		f.addFailure("n%d is neither in the store nor excluded: %s", i, reason)
 		return false
 	case reason == "":
-		f.say("n%d goes on from the older copy: no member remembers more", i)
+		f.logf("n%d goes on from the older copy: no member remembers more", i)
 		return false
 	}
-	f.say("n%d is excluded: %s", i, reason)
+	f.logf("n%d is excluded: %s", i, reason)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.kept++
+	f.exclusions++
 	return true
 }
 
 // addAnew removes an excluded member and adds it again with an empty store.
-func (f *processes) addAnew(i int, end time.Time) {
+func (f *testFleet) addAnew(i int, end time.Time) {
 	if !f.changeMembers(i, "remove", end) {
-		f.blame("n%d could not be removed", i)
+		f.addFailure("n%d could not be removed", i)
 		return
 	}
 	if err := f.replaceStore(i, "", true); err != nil {
-		f.blame("n%d: %v", i, err)
+		f.addFailure("n%d: %v", i, err)
 		return
 	}
 	if !f.changeMembers(i, "add", end) || !f.changeMembers(i, "promote", end) {
-		f.blame("n%d could not be added anew", i)
+		f.addFailure("n%d could not be added anew", i)
 	}
 }
 
-// changeMembers asks the other members in turn for a membership change of node i, and says whether one made it by the end.
-func (f *processes) changeMembers(i int, action string, end time.Time) bool {
+// changeMembers asks the other members in turn for a membership change of node i, and reports whether one made it by the end.
+func (f *testFleet) changeMembers(i int, action string, end time.Time) bool {
 	change := store.MembershipChange{Action: action, Name: fmt.Sprint("n", i), Author: "rig", Reason: "an older copy"}
 	if action == "add" {
 		change.RaftAddress, change.AdminAddress = f.rafts[i], f.admins[i]
 	}
 	attempt := 0
-	return f.until(end, func() bool {
+	return f.waitUntil(end, func() bool {
 		attempt++
 		_, err := f.client(i + attempt%(f.Members-1) + 1).ChangeMembers(change)
 		return err == nil
--- a/internal/testing/fleetrig/faultcoverage.go
+++ b/internal/testing/fleetrig/coverage.go
@@ -12,9 +12,9 @@
 	leaseRoles  = map[string]string{"permits": "who grants permits", "release": "who releases", "store": "the store's leader"}
 )
 
-// met counts the hard cases that a run has met: processes that were killed, stopped, told to leave or isolated in the midst of a drain, or
-// while they held a lease or led the store. A fault of a process that had another already counts for nothing.
-func met(all []told, calls []called) map[string]int {
+// faultCoverage counts the hard cases that a run has met: processes that were killed, stopped, shut down or isolated during a drain, or while they
+// held a lease or led the store. A fault of a process that had another already counts for nothing.
+func faultCoverage(all []processEvent, calls []injectedFault) map[string]int {
 	count := map[string]int{}
 	held := spans(all)
 	for i, c := range calls {
@@ -38,8 +38,8 @@
 	return count
 }
 
-// overlapped says whether another process fault of the same node was on when the fault with this index began.
-func overlapped(calls []called, index int) bool {
+// overlapped reports whether another process fault of the same node was on when the fault with this index began.
+func overlapped(calls []injectedFault, index int) bool {
 	c := calls[index]
 	for i, other := range calls {
 		isProcessFault := other.Kind == Kill || other.Kind == Stop || other.Kind == Leave
@@ -50,8 +50,8 @@
 	return false
 }
 
-// drainState is where a node's drain stood at a time; empty: it was in service.
-func drainState(all []told, node int, at lease.Instant) (state string) {
+// drainState returns the state of a node's drain at a time; empty: it was in service.
+func drainState(all []processEvent, node int, at lease.Instant) (state string) {
 	for _, e := range all {
 		if e.Node != node || e.At > at {
 			continue
--- a/internal/testing/fleetrig/drains.go
+++ b/internal/testing/fleetrig/drains.go
@@ -18,62 +18,63 @@
 )
 
 const (
-	replaced = 75                     // the code that a process ends with to be started again as what it was replaced by
-	settle   = 300 * time.Millisecond // in and well, before a node counts as in
-	mostOut  = 2                      // nodes of the fleet
-	zoneOut  = 1                      // and of a zone
+	exitReplaced          = 75                     // exit code of a process that asks to be started again as its new release
+	settleTime            = 300 * time.Millisecond // for which a node must be healthy before it counts as in service
+	maxUnavailable        = 2                      // nodes of the fleet, by its disruption budget
+	maxUnavailablePerZone = 1                      // nodes of a zone
 )
 
-// zoneOf is the zone that a node is in.
+// zoneOf returns a node's zone.
 func zoneOf(i int) string { return string(rune('a' + i%2)) }
 
-// Drained is how nodes went out and came back in a run.
+// Drained counts the drains, halts and releases of a run, and the hard cases that it met.
 type Drained struct {
 	Asked, Begun, Replaced, Halts, Keepers int
-	Killed                                 int            // while out
-	Late                                   int            // that had their beginning agreed on and did not go out, or were freed
-	Most                                   int            // out at once
-	Over, Undone, Backs, ByItself          int            // releases that went through or back; asked to go back, and halted by themselves
-	Met                                    map[string]int // hard cases, by fault and what its node was at: "kill while out", "stop of who releases"
+	Killed                                 int            // while drained
+	Late                                   int            // whose permit expired before they drained, or that were released from it
+	Most                                   int            // drained at once
+	Over, Undone, Backs, ByItself          int            // releases completed and rolled back; rollbacks requested, and halts by the release itself
+	Met                                    map[string]int // hard cases, by fault and its node's state or role: "kill while out", "stop of who releases"
 }
 
-// rules are the budgets of a run.
-func rules() disruption.Budgets {
-	fleet, zone := mostOut, zoneOut
+// disruptionBudgets returns the budgets of a run.
+func disruptionBudgets() disruption.Budgets {
+	fleet, zone := maxUnavailable, maxUnavailablePerZone
 	return disruption.Budgets{{Scope: "fleet", MaxUnavailable: &fleet}, {Scope: "zone", MaxUnavailable: &zone}}
 }
 
-// halt is a stretch in which nothing may begin.
+// halt is a period in which no drain of its scope may begin.
 type halt struct {
 	what     string
-	from, to lease.Instant // from when it was acknowledged, to before it was taken back; 0: it was not
+	from, to lease.Instant // from its acknowledgement to just before it was lifted; to is 0 where it was not
 }
 
-// drains is operators, and what starts processes again that end to be replaced.
-type drains struct {
-	*processes
-	report *Report
-	r      *rand.Rand
-	n      int
-	halts  []halt
+// drainOperator plays the operators of drains, halts and a release, and the supervisor that starts replaced processes again. Its actions
+// are drawn by the run's seed.
+type drainOperator struct {
+	*testFleet
+	report   *Report
+	random   *rand.Rand
+	sequence int
+	halts    []halt
 }
 
-func (f *processes) drains(r *Report) *drains {
-	d := &drains{processes: f, report: r, r: rand.New(rand.NewPCG(f.Seed, 26))}
+func (f *testFleet) newDrainOperator(r *Report) *drainOperator {
+	d := &drainOperator{testFleet: f, report: r, random: rand.New(rand.NewPCG(f.Seed, 26))}
 	go d.supervise()
 	return d
 }
 
-// supervise starts processes again that ended to be replaced, until the run ends.
-func (d *drains) supervise() {
+// supervise starts processes again that exited to be replaced, until the fleet is closed.
+func (d *drainOperator) supervise() {
 	for range time.Tick(10 * time.Millisecond) {
 		d.mu.Lock()
-		if d.ended {
+		if d.closed {
 			d.mu.Unlock()
 			return
 		}
 		for i, p := range d.procs {
-			if p != nil && !d.still[i] && p.code() == replaced {
+			if p != nil && !d.faulted[i] && p.exitCode() == exitReplaced {
 				if err := d.start(i); err != nil {
 					d.wrong = append(d.wrong, err.Error())
 				}
@@ -83,90 +84,91 @@
 	}
 }
 
-// put has a document set, or deleted where the value is empty, through whichever member takes it, by a time.
-func (d *drains) put(key, value string, by time.Time) bool {
-	d.n++
-	t := document.Transaction{ID: fmt.Sprint("drains ", d.n), Author: "rig", Reason: "drains", Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}}
-	turn := d.n
-	return d.until(by, func() bool {
+// commit sets a document, or deletes it where the value is empty, through the first member that accepts it. It reports whether one did by
+// the given time.
+func (d *drainOperator) commit(key, value string, by time.Time) bool {
+	d.sequence++
+	t := document.Transaction{ID: fmt.Sprint("drains ", d.sequence), Author: "rig", Reason: "drains", Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}}
+	turn := d.sequence
+	return d.waitUntil(by, func() bool {
 		turn++
 		_, err := d.client(turn).Commit(t)
 		return err == nil
 	})
 }
 
-// operate asks, takes back, halts and resumes until the end.
-func (d *drains) operate(end time.Time) {
+// operate requests and cancels drains, and halts and resumes them, until the end.
+func (d *drainOperator) operate(end time.Time) {
 	by := end.Add(d.Recovery)
-	if !d.put(fleetstate.BudgetsKey, fleetstate.Encode(rules()), by) {
-		d.blame("the budgets were not agreed on")
+	if !d.commit(fleetstate.BudgetsKey, fleetstate.Encode(disruptionBudgets()), by) {
+		d.addFailure("the disruption budgets were not committed")
 		return
 	}
-	if d.n++; !d.begins(by) {
+	if d.sequence++; !d.startRelease(by) {
 		return
 	}
 	asked := map[int]bool{}
 	for time.Now().Before(end) {
-		node := d.r.IntN(d.Nodes)
+		node := d.random.IntN(d.Nodes)
 		key := fleetstate.RequestKey(fmt.Sprint("n", node))
-		switch x := d.r.IntN(12); {
+		switch x := d.random.IntN(12); {
 		case x < 6 && !asked[node]:
-			d.n++
-			a := fleetstate.DrainRequest{ID: fmt.Sprint("ask ", d.n), RequestedBy: "rig", Reason: "drains", Urgent: x == 0}
+			d.sequence++
+			a := fleetstate.DrainRequest{ID: fmt.Sprint("ask ", d.sequence), RequestedBy: "rig", Reason: "drains", Urgent: x == 0}
 			if x < 3 {
-				a.ReleaseName, a.TargetVersion = "r", fmt.Sprint("v", 1+d.r.IntN(3))
+				a.ReleaseName, a.TargetVersion = "r", fmt.Sprint("v", 1+d.random.IntN(3))
 			}
-			asked[node] = d.put(key, fleetstate.Encode(a), by)
+			asked[node] = d.commit(key, fleetstate.Encode(a), by)
 			d.report.Drains.Asked++
 		case x < 9 && asked[node]:
-			asked[node] = !d.put(key, "", by)
+			asked[node] = !d.commit(key, "", by)
 		case x == 9:
-			d.halt([]string{fleetstate.HaltAll, "r"}[d.r.IntN(2)], by)
+			d.halt([]string{fleetstate.HaltAll, "r"}[d.random.IntN(2)], by)
 		case x > 9:
 			d.resume(by)
-			if d.r.IntN(24) == 0 {
-				d.back(by)
+			if d.random.IntN(24) == 0 {
+				d.rollBackRelease(by)
 			}
 		}
-		time.Sleep(time.Duration(50+d.r.IntN(150)) * time.Millisecond)
+		time.Sleep(time.Duration(50+d.random.IntN(150)) * time.Millisecond)
 	}
 }
 
-func (d *drains) halt(what string, by time.Time) {
+func (d *drainOperator) halt(what string, by time.Time) {
 	for _, h := range d.halts {
 		if h.what == what && h.to == 0 {
 			return
 		}
 	}
 	turn := 0
-	if d.until(by, func() bool {
+	if d.waitUntil(by, func() bool {
 		turn++
 		_, err := fleet.Halt(d.client(turn), what, "rig", "drains")
 		return err == nil
 	}) {
 		d.halts = append(d.halts, halt{what: what, from: lease.Now()})
-		d.say("halted: %s", what)
+		d.logf("halted: %s", what)
 	}
 }
 
-func (d *drains) resume(by time.Time) {
+func (d *drainOperator) resume(by time.Time) {
 	for i := range d.halts {
 		if h := &d.halts[i]; h.to == 0 {
 			h.to = lease.Now()
-			d.put(fleetstate.HaltKeyPrefix+h.what, "", by)
-			d.say("resumed: %s", h.what)
+			d.commit(fleetstate.HaltKeyPrefix+h.what, "", by)
+			d.logf("resumed: %s", h.what)
 		}
 	}
 }
 
-// begins begins a release of all nodes; one seed in four has it to what can't be put in place.
-func (d *drains) begins(by time.Time) bool {
+// startRelease starts a release to all nodes; one seed in four takes a version that can't be installed.
+func (d *drainOperator) startRelease(by time.Time) bool {
 	to := "w1"
-	if d.r.IntN(4) == 0 {
+	if d.random.IntN(4) == 0 {
 		to = "broken"
 	}
 	turn := 0
-	begun := d.until(by, func() bool {
+	begun := d.waitUntil(by, func() bool {
 		turn++
 		docs, _, err := d.client(turn).Documents("node/", false)
 		if err != nil {
@@ -184,29 +186,29 @@
 		return err == nil || errors.Is(err, store.ErrConflict)
 	})
 	if !begun {
-		d.blame("no release was begun")
+		d.addFailure("no release was started")
 	}
 	return begun
 }
 
-// back has that release go back.
-func (d *drains) back(by time.Time) {
+// rollBackRelease requests that release's rollback.
+func (d *drainOperator) rollBackRelease(by time.Time) {
 	turn := 0
-	if !d.until(by, func() bool {
+	if !d.waitUntil(by, func() bool {
 		turn++
 		err := fleet.RollBackRelease(d.client(turn), "s", "rig", "drains")
 		return err == nil || strings.Contains(err.Error(), "gone back already")
 	}) {
-		d.blame("a release could not be had go back")
+		d.addFailure("a release could not be rolled back")
 	}
 	d.report.Drains.Backs++
 }
 
-// ends waits until that release is through or has gone back; it is had go back where it halts by itself.
-func (d *drains) ends(by time.Time) {
+// awaitRelease waits until that release is completed or rolled back; it requests the rollback where the release has halted by itself.
+func (d *drainOperator) awaitRelease(by time.Time) {
 	last := "nothing was read"
 	turn := 0
-	if !d.until(by, func() bool {
+	if !d.waitUntil(by, func() bool {
 		turn++
 		doc, _, err := d.client(turn).Document(release.KeyPrefix+"s", false)
 		if err != nil {
@@ -221,9 +223,9 @@
 		last = doc.Value
 		halted, _, err := d.client(turn).Document(fleetstate.HaltKeyPrefix+"s", false)
 		if err == nil && halted.Version > 0 {
-			d.say("the release halted by itself: %s", r.Note)
+			d.logf("the release halted by itself: %s", r.Note)
 			d.report.Drains.ByItself++
-			d.back(by)
+			d.rollBackRelease(by)
 			return false
 		}
 		switch r.State {
@@ -236,50 +238,49 @@
 		}
 		return true
 	}) {
-		d.blame("%v after the last fault the release is %s", d.Recovery, last)
+		d.addFailure("%v after the last fault the release is %s", d.Recovery, last)
 	}
 }
 
-// finish takes drains back and lets releases end; by the end of the recovery nobody is out, and what the processes told is held to what
-// was promised.
-func (d *drains) finish() {
+// finish cancels drain requests and waits for the release and all drains to end within the recovery time, then checks the events.
+func (d *drainOperator) finish() {
 	by := time.Now().Add(d.Recovery)
 	d.resume(by)
-	for i := range d.Nodes { // drains and asks of people would keep it waiting
-		d.put(fleetstate.RequestKey(fmt.Sprint("n", i)), "", by)
+	for i := range d.Nodes { // operators' drains would block the release
+		d.commit(fleetstate.RequestKey(fmt.Sprint("n", i)), "", by)
 	}
-	d.ends(by)
+	d.awaitRelease(by)
 	left := ""
-	if !d.until(by, func() bool {
-		docs, _, err := d.client(d.n).Documents(fleetstate.DrainKeyPrefix, false)
+	if !d.waitUntil(by, func() bool {
+		docs, _, err := d.client(d.sequence).Documents(fleetstate.DrainKeyPrefix, false)
 		if err != nil {
-			d.n++
+			d.sequence++
 			left = err.Error()
 			return false
 		}
 		left = ""
 		for _, doc := range docs {
 			if a, err := fleetstate.Decode[fleetstate.DrainRequest](doc.Value); err == nil && strings.HasSuffix(doc.Key, "/ask") && (a.ReleaseName == "" || a.FailureReason != "") {
-				d.put(doc.Key, "", by)
+				d.commit(doc.Key, "", by)
 			}
 			left += " " + doc.Key + " = " + doc.Value
 		}
 		return left == ""
 	}) {
-		d.blame("%v after the last fault nodes are out or wait:%s", d.Recovery, left)
+		d.addFailure("%v after the last fault nodes are drained or wait:%s", d.Recovery, left)
 	}
 	all, err := d.events()
 	if err != nil {
-		d.blame("%v", err)
+		d.addFailure("%v", err)
 		return
 	}
 	d.mu.Lock()
-	d.report.Drains.Met = met(all, d.calls)
+	d.report.Drains.Met = faultCoverage(all, d.injected)
 	d.mu.Unlock()
 	wrong := checkDrains(all, d.halts, &d.report.Drains)
 	if len(wrong) > 0 {
 		d.mu.Lock()
-		wrong = append(wrong, "what the processes told of it:\n"+timeline(all, d.calls))
+		wrong = append(wrong, "the processes' events:\n"+eventLog(all, d.injected))
 		d.mu.Unlock()
 	}
 	d.report.Wrong = append(d.report.Wrong, wrong...)
--- a/internal/testing/fleetrig/timeline.go
+++ b/internal/testing/fleetrig/eventlog.go
@@ -9,9 +9,8 @@
 	"sloehitch/internal/control/lease"
 )
 
-// timeline is what the processes told of going out and coming back, with the faults between, a line each; times are in milliseconds since the
-// first event.
-func timeline(all []told, calls []called) string {
+// eventLog formats the processes' events about drains, and the faults, a line each; times are in milliseconds since the first.
+func eventLog(all []processEvent, calls []injectedFault) string {
 	type line struct {
 		at   lease.Instant
 		text string
--- a/internal/testing/fleetrig/events.go
+++ b/internal/testing/fleetrig/events.go
@@ -12,17 +12,16 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// told is an event with the node that told it.
-type told struct {
+// processEvent is an event that a node's process wrote.
+type processEvent struct {
 	Node int
 	faulthooks.Event
 }
 
-// events reads what all processes have told, in the order of the machine's clock. A last line that a killed process left unfinished
-// is passed over.
-func (f *processes) events() (all []told, err error) {
+// events reads the events of all processes, sorted by the machine's clock. An incomplete last line of a killed process is ignored.
+func (f *testFleet) events() (all []processEvent, err error) {
 	for i := range f.Nodes {
-		file, err := os.Open(filepath.Join(f.trial(i), "events"))
+		file, err := os.Open(filepath.Join(f.hookDir(i), "events"))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
@@ -31,7 +30,7 @@
 		}
 		lines := bufio.NewScanner(file)
 		for lines.Scan() {
-			e := told{Node: i}
+			e := processEvent{Node: i}
 			if json.Unmarshal(lines.Bytes(), &e.Event) == nil {
 				all = append(all, e)
 			}
@@ -40,6 +39,6 @@
 			return nil, err
 		}
 	}
-	slices.SortStableFunc(all, func(a, b told) int { return int(a.At - b.At) })
+	slices.SortStableFunc(all, func(a, b processEvent) int { return int(a.At - b.At) })
 	return all, nil
 }
--- a/internal/testing/fleetrig/faults.go
+++ b/internal/testing/fleetrig/faults.go
@@ -8,15 +8,15 @@
 
 // Sizes of the injected faults.
 const (
-	linkDelay     = 100 * time.Millisecond // that a slow link adds to each direction
+	linkDelay     = 100 * time.Millisecond // added to each direction of a slow link
 	clockJump     = time.Hour              // that a jumping clock goes ahead by
 	fastClockRate = 1.05                   // seconds that a fast clock counts in a second
 )
 
 // injectFault begins a fault and returns the function that ends it. A process fault on a node whose process is already down or stopped does
 // nothing.
-func (f *processes) injectFault(x Fault) (end func()) {
-	f.say("%v", x)
+func (f *testFleet) injectFault(x Fault) (end func()) {
+	f.logf("%v", x)
 	switch x.Kind {
 	case Cut, Deaf, Mute, Slow, Twice, Reset, Isolate:
 		return f.injectLinkFault(x)
@@ -41,25 +41,25 @@
 
 // linkFaults is what each kind of fault does to a link; an isolated node is one with all its links cut.
 var linkFaults = map[Kind]linkFault{
-	Cut:     {func(l *link) { l.cut++ }, func(l *link) { l.cut-- }},
-	Isolate: {func(l *link) { l.cut++ }, func(l *link) { l.cut-- }},
-	Deaf:    {func(l *link) { l.back++ }, func(l *link) { l.back-- }},
-	Mute:    {func(l *link) { l.there++ }, func(l *link) { l.there-- }},
+	Cut:     {func(l *link) { l.cutFaults++ }, func(l *link) { l.cutFaults-- }},
+	Isolate: {func(l *link) { l.cutFaults++ }, func(l *link) { l.cutFaults-- }},
+	Deaf:    {func(l *link) { l.deafFaults++ }, func(l *link) { l.deafFaults-- }},
+	Mute:    {func(l *link) { l.muteFaults++ }, func(l *link) { l.muteFaults-- }},
 	Slow:    {func(l *link) { l.delay += linkDelay }, func(l *link) { l.delay -= linkDelay }},
-	Twice:   {func(l *link) { l.twice++ }, func(l *link) { l.twice-- }},
+	Twice:   {func(l *link) { l.duplicateFaults++ }, func(l *link) { l.duplicateFaults-- }},
 	Reset:   {func(l *link) { l.reset() }, func(*link) {}},
 }
 
-func (f *processes) injectLinkFault(x Fault) (end func()) {
+func (f *testFleet) injectLinkFault(x Fault) (end func()) {
 	var links []*link
 	if x.Kind == Isolate {
 		for i := range f.Nodes {
 			if i != x.Nodes[0] {
-				links = append(append(links, f.linked(i, x.Nodes[0])...), f.linked(x.Nodes[0], i)...)
+				links = append(append(links, f.linksBetween(i, x.Nodes[0])...), f.linksBetween(x.Nodes[0], i)...)
 			}
 		}
 	} else {
-		links = f.linked(x.Nodes[0], x.Nodes[1])
+		links = f.linksBetween(x.Nodes[0], x.Nodes[1])
 	}
 	fault := linkFaults[x.Kind]
 	for _, l := range links {
@@ -72,62 +72,62 @@
 	}
 }
 
-func (f *processes) injectDiskFault(x Fault) (end func()) {
+func (f *testFleet) injectDiskFault(x Fault) (end func()) {
 	node := x.Nodes[0]
 	if x.Kind == Drag {
-		f.tellDisk(node, "slow 50ms")
-		return func() { f.tellDisk(node, "") }
+		f.setDisk(node, "slow 50ms")
+		return func() { f.setDisk(node, "") }
 	}
 	f.addFullDisk(node, 1)
-	f.tellDisk(node, "full")
+	f.setDisk(node, "full")
 	return func() {
-		f.tellDisk(node, "")
+		f.setDisk(node, "")
 		f.addFullDisk(node, -1)
 		f.restart(node) // its ledger takes no writes since one failed
 	}
 }
 
 // injectClockFault has a clock run fast until the end of the fault, or jump ahead for good.
-func (f *processes) injectClockFault(x Fault) (end func()) {
+func (f *testFleet) injectClockFault(x Fault) (end func()) {
 	node := x.Nodes[0]
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := &f.clocks[node]
 	if x.Kind == Jump {
-		c.ahead += clockJump
-		f.tellClock(node, *c)
+		c.offset += clockJump
+		f.setClock(node, *c)
 		return func() {}
 	}
-	c.fast++
-	f.tellClock(node, *c)
+	c.fastFaults++
+	f.setClock(node, *c)
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.clocks[node].fast--
-		f.tellClock(node, f.clocks[node])
+		f.clocks[node].fastFaults--
+		f.setClock(node, f.clocks[node])
 	}
 }
 
-func (f *processes) injectProcessFault(x Fault) (end func()) {
+func (f *testFleet) injectProcessFault(x Fault) (end func()) {
 	node := x.Nodes[0]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.procs[node] == nil || f.still[node] {
-		return func() {} // it has its fault already
+	if f.procs[node] == nil || f.faulted[node] {
+		return func() {} // it has a process fault already
 	}
-	f.still[node] = true
+	f.faulted[node] = true
 	switch x.Kind {
 	case Kill:
-		f.end(node)
+		f.kill(node)
 	case Leave:
-		f.leave(node)
+		f.shutDown(node)
 	default:
 		f.procs[node].signal(syscall.SIGSTOP)
 	}
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.still[node] = false
+		f.faulted[node] = false
 		if x.Kind == Stop {
 			f.procs[node].signal(syscall.SIGCONT)
 		} else if err := f.start(node); err != nil {
@@ -137,31 +137,31 @@
 }
 
 // addFullDisk adds to the number of faults that have a node's disk full.
-func (f *processes) addFullDisk(i, more int) {
+func (f *testFleet) addFullDisk(i, more int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.full[i] += more
+	f.fullDisks[i] += more
 }
 
-// tellClock has a process see its clocks so; the caller holds mu.
-func (f *processes) tellClock(i int, c clock) {
+// setClock sets a process's clock offset and rate; the caller holds mu.
+func (f *testFleet) setClock(i int, c clock) {
 	rate := 1.0
-	if c.fast > 0 {
+	if c.fastFaults > 0 {
 		rate = fastClockRate
 	}
-	if err := f.put(i, "clock", fmt.Sprintf("%v %v", c.ahead, rate)); err != nil {
+	if err := f.writeHook(i, "clock", fmt.Sprintf("%v %v", c.offset, rate)); err != nil {
 		f.wrong = append(f.wrong, err.Error())
 	}
 }
 
-// restart kills a process and starts it on its folder, unless it has another fault already.
-func (f *processes) restart(i int) {
+// restart kills a process and starts it again, unless it has another fault already.
+func (f *testFleet) restart(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.procs[i] == nil || f.still[i] {
+	if f.procs[i] == nil || f.faulted[i] {
 		return
 	}
-	f.end(i)
+	f.kill(i)
 	if err := f.start(i); err != nil {
 		f.wrong = append(f.wrong, err.Error())
 	}
--- a/internal/testing/fleetrig/link.go
+++ b/internal/testing/fleetrig/link.go
@@ -1,6 +1,8 @@
-// Package fleetrig starts store members and nodes of a fleet as real processes of the built program, puts faults between
-// them, and checks by the store's own word that what was agreed on held. Traffic stays on loopback, and everything that it
-// starts it ends.
+// Package fleetrig runs the store members and nodes of a fleet as real processes of the built program, injects faults into processes, disks,
+// clocks and links, and checks the store's history, the clients' operations and the processes' events. Traffic stays on loopback; all
+// processes that a run starts are ended by it.
+//
+// Draw derives a Schedule of faults from a seed; Play runs a fleet under one and returns a Report. The checks are the check_*.go files.
 package fleetrig
 
 import (
@@ -10,24 +12,23 @@
 	"time"
 )
 
-// link is what stands between one process and an address of another: connections made to it go on there, as long as and
-// as fast as it lets them.
+// link is a TCP proxy between one process and an address of another, with faults.
 type link struct {
 	ln net.Listener
 	to string
 
-	mu    sync.Mutex
-	cond  *sync.Cond
-	cut   int // faults that cut it now: connections end, and new ones are closed at once
-	there int // that hold back what goes there
-	back  int // and what comes back
-	twice int // that have connections made twice
-	delay time.Duration
-	conns map[net.Conn]bool
-	over  bool
+	mu              sync.Mutex
+	cond            *sync.Cond
+	cutFaults       int // active faults that cut it: connections end, and new ones are closed at once
+	muteFaults      int // that hold back bytes to the server
+	deafFaults      int // that hold back bytes from the server
+	duplicateFaults int // that duplicate new connections
+	delay           time.Duration
+	conns           map[net.Conn]bool
+	closed          bool
 }
 
-// newLink listens for the one side. It errs where there is no port.
+// newLink listens on a free port and forwards connections to the address.
 func newLink(to string) (*link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,52 +48,52 @@
 		if err != nil {
 			return
 		}
-		go l.pass(in)
+		go l.forward(in)
 	}
 }
 
-// keep has a connection end with the link; false: it is cut.
-func (l *link) keep(c net.Conn) bool {
+// track adds a connection to those that end with the link. It returns false where the link is cut or closed.
+func (l *link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over || l.cut > 0 {
+	if l.closed || l.cutFaults > 0 {
 		return false
 	}
 	l.conns[c] = true
 	return true
 }
 
-func (l *link) drop(c net.Conn) {
+func (l *link) closeConn(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 	c.Close()
 }
 
-func (l *link) pass(in net.Conn) {
-	defer l.drop(in)
-	if !l.keep(in) {
+func (l *link) forward(in net.Conn) {
+	defer l.closeConn(in)
+	if !l.track(in) {
 		return
 	}
 	out, err := net.DialTimeout("tcp", l.to, time.Second)
 	if err != nil {
 		return
 	}
-	defer l.drop(out)
-	if !l.keep(out) {
+	defer l.closeConn(out)
+	if !l.track(out) {
 		return
 	}
 	to := net.Conn(out)
 	l.mu.Lock()
-	twice := l.twice > 0
+	twice := l.duplicateFaults > 0
 	l.mu.Unlock()
 	if twice {
 		second, err := net.DialTimeout("tcp", l.to, time.Second)
 		if err == nil {
-			defer l.drop(second)
-			if l.keep(second) {
+			defer l.closeConn(second)
+			if l.track(second) {
 				go func() { _, _ = io.Copy(io.Discard, second) }() // until it is closed
-				to = both{out, second}
+				to = teeConn{out, second}
 			}
 		}
 	}
@@ -100,41 +101,41 @@
 	wg.Add(2)
 	go func() {
 		defer wg.Done()
-		l.copy(to, in, &l.there)
+		l.copy(to, in, &l.muteFaults)
 	}()
 	go func() {
 		defer wg.Done()
-		l.copy(in, out, &l.back)
+		l.copy(in, out, &l.deafFaults)
 	}()
 	wg.Wait()
 }
 
-// both is a connection whose bytes arrive at the other side by another one too. That the second fails is no matter.
-type both struct {
+// teeConn is a connection that duplicates what is written to it on a second one, whose errors are ignored.
+type teeConn struct {
 	net.Conn
 	second net.Conn
 }
 
 // Write writes to both.
-func (b both) Write(p []byte) (int, error) {
+func (b teeConn) Write(p []byte) (int, error) {
 	_ = b.second.SetWriteDeadline(time.Now().Add(time.Second))
 	_, _ = b.second.Write(p)
 	return b.Conn.Write(p)
 }
 
 // Close closes both.
-func (b both) Close() error {
+func (b teeConn) Close() error {
 	b.second.Close()
 	return b.Conn.Close()
 }
 
-// copy passes bytes on, waiting while they are held back; then the other way ends too.
+// copy forwards one direction, waiting while it is held back, until either side ends; then it closes both.
 func (l *link) copy(to, from net.Conn, held *int) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		l.mu.Lock()
-		for *held > 0 && !l.over {
+		for *held > 0 && !l.closed {
 			l.cond.Wait()
 		}
 		delay := l.delay
@@ -155,18 +156,18 @@
 	from.Close()
 }
 
-// change changes what the link lets through.
+// change calls what, which may change the link's faults, with the link locked.
 func (l *link) change(what func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	what()
-	if l.cut > 0 {
+	if l.cutFaults > 0 {
 		l.reset()
 	}
 	l.cond.Broadcast()
 }
 
-// reset ends all connections, midway in whatever they carry; the caller holds mu.
+// reset resets all connections; the caller holds mu.
 func (l *link) reset() {
 	for c := range l.conns {
 		if t, ok := c.(*net.TCPConn); ok {
@@ -178,5 +179,5 @@
 
 func (l *link) close() {
 	l.ln.Close()
-	l.change(func() { l.over, l.cut = true, 1 })
+	l.change(func() { l.closed, l.cutFaults = true, 1 })
 }
--- a/internal/testing/fleetrig/process.go
+++ b/internal/testing/fleetrig/process.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// process is one that was started, and whose end is noticed when it comes.
+// process is a started process.
 type process struct {
-	cmd   *exec.Cmd
-	words *lastWords
-	done  chan struct{} // closed when it has ended
-	err   error         // how, once it has
+	cmd    *exec.Cmd
+	output *tailBuffer
+	done   chan struct{} // closed when it has ended
+	err    error         // of its exit, once done is closed
 }
 
-// begin starts a command; what it says goes to log as well, which may be nil.
-func begin(cmd *exec.Cmd, log io.Writer) (*process, error) {
-	p := &process{cmd: cmd, words: &lastWords{log: log}, done: make(chan struct{})}
-	cmd.Stderr = p.words
+// startProcess starts a command; its output also goes to log, which may be nil.
+func startProcess(cmd *exec.Cmd, log io.Writer) (*process, error) {
+	p := &process{cmd: cmd, output: &tailBuffer{log: log}, done: make(chan struct{})}
+	cmd.Stderr = p.output
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -32,8 +32,8 @@
 	return p, nil
 }
 
-// over says whether it has ended.
-func (p *process) over() bool {
+// ended reports whether the process has ended.
+func (p *process) ended() bool {
 	select {
 	case <-p.done:
 		return true
@@ -42,31 +42,31 @@
 	}
 }
 
-// code is the one that it ended with; -1: it has not, or was killed.
-func (p *process) code() int {
-	if !p.over() {
+// exitCode returns the process's exit code; -1: it runs or was killed by a signal.
+func (p *process) exitCode() int {
+	if !p.ended() {
 		return -1
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// unborn says whether it was ended by SIGTERM before it had said a word: on a busy machine one that has just been started is not yet as far
-// as to listen for signals, and has promised nothing to anybody.
-func (p *process) unborn() bool {
+// terminatedBeforeOutput reports whether SIGTERM ended the process before it had written any output: on a busy machine one that has just
+// started may not yet handle signals, and has acknowledged nothing.
+func (p *process) terminatedBeforeOutput() bool {
 	status, ok := p.cmd.ProcessState.Sys().(syscall.WaitStatus)
-	return ok && status.Signaled() && status.Signal() == syscall.SIGTERM && p.words.String() == ""
+	return ok && status.Signaled() && status.Signal() == syscall.SIGTERM && p.output.String() == ""
 }
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // it may be over
 
-// kill ends it and waits for that.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// leave tells it to leave and waits until it has; it is killed where it takes longer than most, and that is an error.
-func (p *process) leave(most time.Duration) error {
+// shutDown sends SIGTERM and waits for the exit. A process that takes longer than most is killed, which is an error.
+func (p *process) shutDown(most time.Duration) error {
 	p.signal(syscall.SIGTERM)
 	late := time.NewTimer(most)
 	defer late.Stop()
@@ -79,34 +79,34 @@
 	}
 }
 
-// shared is one log of several processes.
-type shared struct {
+// lockedWriter serializes the writes of several processes.
+type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
 }
 
-func (s *shared) Write(p []byte) (int, error) {
+func (s *lockedWriter) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.w.Write(p)
 }
 
-// mostWords is how many bytes of what a process said last are kept.
-const mostWords = 2 << 10
+// maxTailBytes is how many bytes of a process's last output are retained.
+const maxTailBytes = 2 << 10
 
-// lastWords keeps the end of what is written to it.
-type lastWords struct {
+// tailBuffer retains the end of what is written to it.
+type tailBuffer struct {
 	log io.Writer // gets all of it; may be nil
 
 	mu   sync.Mutex
 	text []byte
 }
 
-// Write never errs for its own part.
-func (w *lastWords) Write(p []byte) (int, error) {
+// Write returns only errors of the log.
+func (w *tailBuffer) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	w.text = append(w.text, p...)
-	w.text = w.text[max(0, len(w.text)-mostWords):]
+	w.text = w.text[max(0, len(w.text)-maxTailBytes):]
 	w.mu.Unlock()
 	if w.log != nil {
 		return w.log.Write(p)
@@ -114,7 +114,7 @@
 	return len(p), nil
 }
 
-func (w *lastWords) String() string {
+func (w *tailBuffer) String() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return string(bytes.TrimSpace(w.text))
--- a/internal/testing/fleetrig/process_test.go
+++ b/internal/testing/fleetrig/process_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// TestFallenProcess: a daemon that ends by itself ends the run at once, with its last words, instead of being waited for.
+// TestFallenProcess: a daemon that exits unexpectedly ends the run at once, with its last output, instead of being waited for.
 func TestFallenProcess(t *testing.T) {
 	var log bytes.Buffer
 	_, err := Play(Options{Nodes: 3, Lease: time.Second, Length: time.Second, Recovery: time.Hour, Dir: t.TempDir(), Log: &log,
 		Command: func(string, string) *exec.Cmd {
 			return exec.Command("sh", "-c", "echo the address is taken >&2; exit 3")
 		}})
-	if err == nil || !strings.Contains(err.Error(), "ended by itself: exit status 3; its last words: the address is taken") {
+	if err == nil || !strings.Contains(err.Error(), "exited unexpectedly: exit status 3; its last output: the address is taken") {
 		t.Errorf("%v", err)
 	}
 	if !strings.Contains(log.String(), "taken") {
@@ -25,12 +25,12 @@
 
 // TestLastWords: the end of what was said is kept, however much that was.
 func TestLastWords(t *testing.T) {
-	w := &lastWords{}
+	w := &tailBuffer{}
 	for range 100 {
 		w.Write(bytes.Repeat([]byte("x"), 100))
 	}
 	w.Write([]byte("end\n"))
-	if got := w.String(); len(got) != mostWords-1 || !strings.HasSuffix(got, "xend") {
+	if got := w.String(); len(got) != maxTailBytes-1 || !strings.HasSuffix(got, "xend") {
 		t.Errorf("%d bytes, %q", len(got), got[len(got)-8:])
 	}
 }
--- a/internal/testing/fleetrig/schedule.go
+++ b/internal/testing/fleetrig/schedule.go
@@ -14,35 +14,35 @@
 
 // The faults. Those of a link take two nodes, the one that makes the connections first.
 const (
-	Cut     Kind = "cut"     // the link ends what it carries and takes nothing
-	Deaf    Kind = "deaf"    // what the first sends arrives; it hears nothing back
-	Mute    Kind = "mute"    // what the first sends does not arrive
-	Slow    Kind = "slow"    // everything takes 0.1 s longer each way
-	Reset   Kind = "reset"   // connections end midway; new ones are taken
+	Cut     Kind = "cut"     // the link's connections end, and new ones are closed
+	Deaf    Kind = "deaf"    // bytes to the first node are held back
+	Mute    Kind = "mute"    // bytes from the first node are held back
+	Slow    Kind = "slow"    // 0.1 s of delay in each direction
+	Reset   Kind = "reset"   // connections are reset; new ones are accepted
 	Isolate Kind = "isolate" // all links of one node are cut, both ways
-	Stop    Kind = "stop"    // a process stands still, and goes on
-	Kill    Kind = "kill"    // a process is killed, and started again on its folder
-	Leave   Kind = "leave"   // a process is told to leave, goes by itself, and is started again
-	Twice   Kind = "twice"   // connections that are made meanwhile reach the second twice; the answers of one of them count
+	Stop    Kind = "stop"    // a process is stopped by SIGSTOP, and continued
+	Kill    Kind = "kill"    // a process is killed, and started again
+	Leave   Kind = "leave"   // a process gets SIGTERM, exits, and is started again
+	Twice   Kind = "twice"   // new connections reach the second node twice; only the answers of one count
 	Drag    Kind = "drag"    // each flush of a node's disk takes 50 ms longer
-	Full    Kind = "full"    // a node's disk takes no more writes; it is killed and started again with room after it
+	Full    Kind = "full"    // a node's disk is full; after that it is killed and started again
 	Skew    Kind = "skew"    // a node's clocks run 5% fast
 	Jump    Kind = "jump"    // a node's clocks are an hour ahead from then on
-	Older   Kind = "older"   // a node is killed, and started on a copy of its folder from before; then it is added anew
+	Older   Kind = "older"   // a member is killed and started on an older copy of its store; once excluded it is added anew
 )
 
-// kinds says how many nodes each takes.
+// kinds maps each kind of fault to the number of nodes that it takes.
 var kinds = map[Kind]int{Cut: 2, Deaf: 2, Mute: 2, Slow: 2, Reset: 2, Isolate: 1, Stop: 1, Kill: 1, Leave: 1,
 	Twice: 2, Drag: 1, Full: 1, Skew: 1, Jump: 1, Older: 1}
 
-// Fault is one thing that goes wrong.
+// Fault is one fault, at a time since the run's start. A link's Nodes are the one that connects and its peer.
 type Fault struct {
 	At, Length time.Duration
 	Kind       Kind
 	Nodes      []int
 }
 
-// String is the fault as it stands in a file: "1.2s stop n1 for 2s".
+// String returns the fault as it is written in a schedule file: "1.2s stop n1 for 2s".
 func (f Fault) String() string {
 	s := fmt.Sprintf("%v %s", f.At, f.Kind)
 	for _, n := range f.Nodes {
@@ -51,7 +51,7 @@
 	return s + fmt.Sprintf(" for %v", f.Length)
 }
 
-// Schedule is what goes wrong, in time.
+// Schedule is a list of faults in the order of their start.
 type Schedule []Fault
 
 func (s Schedule) String() string {
@@ -62,11 +62,11 @@
 	return b.String()
 }
 
-// Longest bounds a schedule.
+// Longest is the longest run.
 const Longest = 10 * time.Minute
 
-// ParseSchedule reads a schedule as it is printed, for so many nodes; lines that begin with # are passed over. An error
-// names the line and what it should be.
+// ParseSchedule parses a schedule as String prints it, for the given number of nodes; lines that begin with # are comments. An error names
+// the line and the expected form.
 func ParseSchedule(text string, nodes int) (s Schedule, err error) {
 	lines := bufio.NewScanner(strings.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
@@ -118,13 +118,14 @@
 	return f, nil
 }
 
-// Has says whether a kind of fault is in a schedule.
+// Has reports whether a schedule has a fault of one of the kinds.
 func (s Schedule) Has(k ...Kind) bool {
 	return slices.ContainsFunc(s, func(f Fault) bool { return slices.Contains(k, f.Kind) })
 }
 
-// Draw draws a schedule by seed, for nodes of which the first so many are members of the store: about two faults a second of it, some of them longer than a lease. One in four has a node put back to
-// an older copy of its folder; nobody is killed beside it, since nobody would be left that remembers (docs/design/fleet.md).
+// Draw derives a schedule from a seed: about two faults a second, some of them longer than a lease. The first nodes are the store's members.
+// One schedule in four rolls a member's store back to an older copy; no other process is killed in it, since no member would be left that
+// remembers (docs/design/fleet.md). The order of the draws is part of a seed's meaning.
 func Draw(seed uint64, nodes, members int, length, lease time.Duration) (s Schedule) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	all := []Kind{Cut, Deaf, Mute, Slow, Reset, Isolate, Stop, Kill, Leave, Twice, Drag, Full, Skew, Jump}
--- a/internal/testing/fleetrig/schedule_test.go
+++ b/internal/testing/fleetrig/schedule_test.go
@@ -77,7 +77,7 @@
 	if err := echo(c, standin.Patience); err != nil {
 		t.Fatal(err)
 	}
-	for _, held := range []*int{&l.there, &l.back} {
+	for _, held := range []*int{&l.muteFaults, &l.deafFaults} {
 		l.change(func() { *held++ })
 		if err := echo(c, 50*time.Millisecond); err == nil {
 			t.Error("what is held back came")
@@ -97,11 +97,11 @@
 	if err := echo(dial(), standin.Patience); err != nil {
 		t.Errorf("a new connection after a reset: %v", err)
 	}
-	l.change(func() { l.cut++ })
+	l.change(func() { l.cutFaults++ })
 	if err := echo(dial(), standin.Patience); err == nil {
 		t.Error("a new connection through a cut link")
 	}
-	l.change(func() { l.cut-- })
+	l.change(func() { l.cutFaults-- })
 	if err := echo(dial(), standin.Patience); err != nil {
 		t.Errorf("a new connection once the cut is over: %v", err)
 	}
--- a/internal/testing/fleetrig/spans.go
+++ b/internal/testing/fleetrig/spans.go
@@ -4,16 +4,16 @@
 	"sloehitch/internal/control/lease"
 )
 
-// span is a stretch of time in which a node believed or did something.
+// span is a period in which a node believed that it held a lease or led the store.
 type span struct {
 	Node     int
-	What     string // duty a node holds, or "store" where it leads
+	What     string // the leased task, or "store" where it led
 	Token    uint64
 	From, To lease.Instant
 }
 
-// spans are the stretches that events tell of; what has no end reaches to the last event.
-func spans(all []told) []span {
+// spans returns the periods by the processes' events; one without an end reaches to the last event.
+func spans(all []processEvent) []span {
 	list := spanList{latest: map[spanKey]int{}}
 	var last lease.Instant
 	for _, e := range all {
@@ -40,7 +40,7 @@
 	latest map[spanKey]int // index in spans
 }
 
-func (l *spanList) add(e told) {
+func (l *spanList) add(e processEvent) {
 	key := spanKey{e.Node, e.Duty}
 	at, known := l.latest[key]
 	switch e.What {
@@ -69,7 +69,7 @@
 }
 
 // hold begins a span, or extends the latest one where its lease was renewed in time.
-func (l *spanList) hold(key spanKey, e told) {
+func (l *spanList) hold(key spanKey, e processEvent) {
 	if at, known := l.latest[key]; known && l.spans[at].Token == e.N && l.spans[at].To >= e.At {
 		l.spans[at].To = max(l.spans[at].To, e.Until)
 		return
@@ -78,7 +78,7 @@
 }
 
 // endAll ends what the node's process before this start believed.
-func (l *spanList) endAll(start told) {
+func (l *spanList) endAll(start processEvent) {
 	for i := range l.spans {
 		if s := &l.spans[i]; s.Node == start.Node && (s.To == 0 || s.To > start.At) {
 			s.To = start.At
--- a/internal/testing/fleetrig/workload.go
+++ b/internal/testing/fleetrig/workload.go
@@ -12,30 +12,30 @@
 	"sloehitch/internal/store/document"
 )
 
-// work is clients that write to and read from one document while the faults come.
-type work struct {
-	*processes
+// workload is the clients that write and read one document during the faults.
+type workload struct {
+	*testFleet
 	report *Report
 	end    time.Time
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
 	history []porcupine.Operation
-	acked   map[string]uint64 // the revision that each id was acknowledged with
-	wanted  map[int]wish      // of each node, last
+	acked   map[string]uint64    // the revision that each id was acknowledged with
+	desired map[int]desiredState // of each node, last
 }
 
-// asked is one operation on the document.
-type asked struct {
+// operation is one operation on the document.
+type operation struct {
 	write bool
 	value string
 }
 
-// register is what the document is to be like: each read sees the last write.
-var register = porcupine.Model{
+// registerModel is the document's sequential specification: each read returns the last write.
+var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
-		if a := in.(asked); a.write {
+		if a := in.(operation); a.write {
 			return true, a.value
 		}
 		return out.(string) == state.(string), state
@@ -44,20 +44,20 @@
 
 const writers = 4
 
-// least is how many operations each of them brings to an answer at any rate, in turn writes and reads: where the faults and a slow machine
-// let too few through, it goes on after the faults.
-const least = 4
+// minOperations is how many operations each client completes at least, alternately writes and reads; it goes on after the faults where
+// too few completed during them.
+const minOperations = 4
 
-func (w *work) begin() {
+func (w *workload) begin() {
 	w.acked = map[string]uint64{}
-	if !w.Drains { // it would take nodes out past all budgets
-		w.wg.Go(w.wish)
+	if !w.Drains { // desired states take nodes out regardless of the budgets
+		w.wg.Go(w.writeDesiredStates)
 	}
 	for c := range writers {
 		w.wg.Add(1)
 		go func() {
 			defer w.wg.Done()
-			for i := 0; i < least || time.Now().Before(w.end); i++ {
+			for i := 0; i < minOperations || time.Now().Before(w.end); i++ {
 				w.operate(c, i)
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -65,11 +65,11 @@
 	}
 }
 
-// operate asks one member after another, a write under one id, until one says what came of it. What nobody answers by the
-// end of the recovery is wrong.
-func (w *work) operate(c, i int) {
-	a := asked{write: i%2 == 0, value: fmt.Sprintf("c%d-%d", c, i)}
-	op := porcupine.Operation{ClientId: c, Input: a, Call: time.Since(w.begun).Nanoseconds()}
+// operate carries out client c's i-th operation: it asks one member after another, a write under the same id, until one answers. An
+// operation without an answer by the end of the recovery time is a failure.
+func (w *workload) operate(c, i int) {
+	a := operation{write: i%2 == 0, value: fmt.Sprintf("c%d-%d", c, i)}
+	op := porcupine.Operation{ClientId: c, Input: a, Call: time.Since(w.startedAt).Nanoseconds()}
 	tries := 0
 	for ; ; tries++ {
 		var err error
@@ -106,7 +106,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	op.Return = time.Since(w.begun).Nanoseconds()
+	op.Return = time.Since(w.startedAt).Nanoseconds()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history = append(w.history, op)
