--- a/cmd/sloehitch-lab/experiment.go
+++ b/cmd/sloehitch-lab/experiment.go
@@ -26,7 +26,7 @@
 	Workers int    `help:"Runs at once; by default one for each core."`
 }
 
-// Run plays an experiment and reports it.
+// Run runs an experiment and reports it.
 func (c *runCmd) Run() error {
 	f, err := experiment.Read(c.File)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return (&reportCmd{Dir: c.Out}).Run()
 }
 
-// revision is what this program was built from: results of another one are not gone on with.
+// revision returns the revision that this program was built from: results of another one are not continued.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -79,7 +79,7 @@
 	Out     string  `type:"path" help:"A file for all requests, in the Trace Event Format of trace viewers."`
 }
 
-// Run plays one run and tells the life of one of its requests.
+// Run runs one emulation and prints the trace of one of its requests.
 func (c *traceCmd) Run() error {
 	f, err := experiment.Read(c.File)
 	if err != nil {
@@ -106,7 +106,7 @@
 	Seeds   int    `default:"1" help:"1 to so many: each run takes its length in real time."`
 }
 
-// Run plays the same load against the model and against real daemons on loopback.
+// Run runs the same load against the model and against real daemons on loopback.
 func (c *loadCmd) Run() error {
 	f, err := experiment.Read(c.File)
 	if err != nil {
@@ -163,10 +163,10 @@
 	B string `arg:"" type:"existingdir" help:"Results after."`
 }
 
-// errWorse says that something is worse beyond noise; it has been told.
+// errWorse reports that a result is worse beyond noise; the output has said which.
 var errWorse = errors.New("worse, beyond noise")
 
-// Run tells what changed from A to B; it errs where something is worse beyond noise.
+// Run prints what changed from A to B; it returns errWorse where something is worse beyond noise.
 func (c *diffCmd) Run() error {
 	a, err := experiment.Rows(c.A)
 	if err != nil {
--- a/cmd/sloehitch-lab/fleet.go
+++ b/cmd/sloehitch-lab/fleet.go
@@ -10,7 +10,7 @@
 	"sloehitch/internal/testing/fleetrig"
 )
 
-// fleetCmd plays faults between real processes of a fleet.
+// fleetCmd runs a fleet of real processes under faults.
 type fleetCmd struct {
 	Daemon   string        `default:"bin/sloehitch" help:"The program to start." type:"existingfile"`
 	Nodes    int           `default:"3" help:"Processes, up to 16."`
@@ -39,7 +39,7 @@
 	}
 	if broken > 0 {
 		fmt.Printf("%d of %d broken\n", broken, c.Seeds)
-		return errFailed
+		return errCheckFailed
 	}
 	return nil
 }
--- a/cmd/sloehitch-lab/fleetload.go
+++ b/cmd/sloehitch-lab/loadreports.go
@@ -5,11 +5,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net"
-	"net/http"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
@@ -18,42 +14,9 @@
 
 	"sloehitch/internal/control/fleet"
 	"sloehitch/internal/store"
-	"sloehitch/internal/testing/fleetrig"
-	"sloehitch/internal/testing/loopback"
 )
 
-// outageCmd measures for how long a duty is at nobody's hands.
-type outageCmd struct {
-	Daemon  string        `default:"bin/sloehitch" help:"The program to start." type:"existingfile"`
-	Kind    string        `arg:"" enum:"kill,stop,leave,isolate" help:"What befalls the node that does the duty: kill, stop, leave or isolate."`
-	Repeats int           `default:"20" help:"How often."`
-	Lease   time.Duration `default:"1s" help:"Of the duties."`
-	Quiet   bool          `help:"Only the result."`
-}
-
-func (c *outageCmd) Run() (err error) {
-	o := fleetrig.Options{Nodes: 3, Lease: c.Lease, Recovery: 60 * time.Second, Command: daemonCommand(c.Daemon)}
-	if !c.Quiet {
-		o.Say = os.Stdout
-	}
-	if o.Dir, err = os.MkdirTemp("", "sloehitch-fleet-*"); err != nil {
-		return err
-	}
-	defer func() { err = errors.Join(err, os.RemoveAll(o.Dir)) }()
-	took, err := fleetrig.Outages(o, fleetrig.Kind(c.Kind), c.Repeats)
-	if len(took) > 0 {
-		fmt.Printf("%s, lease %v, %d times: until another was at the duty p50 %v, p99 %v\n", c.Kind, c.Lease, len(took), took[len(took)/2].Round(time.Millisecond), took[len(took)*99/100].Round(time.Millisecond))
-	}
-	return err
-}
-
-func daemonCommand(daemon string) func(config, deploy string) *exec.Cmd {
-	return func(config, deploy string) *exec.Cmd {
-		return exec.Command(daemon, "serve", "--config", config, "--deploy", deploy)
-	}
-}
-
-// reportsCmd measures what many nodes' reports cost the store: members and nodes in this one process, on loopback.
+// reportsCmd measures what many nodes' load reports cost the store, with members and nodes in this process, on loopback.
 type reportsCmd struct {
 	Nodes   int           `default:"100" help:"Nodes that report."`
 	Members int           `default:"3" help:"Members of the store."`
@@ -151,64 +114,7 @@
 	}
 }
 
-// storeGroup is the members of a store in this process, and their operators' addresses.
-type storeGroup struct {
-	stores  []*store.Store
-	servers []*http.Server
-	admins  []string
-}
-
-// startStoreGroup starts members of a store with folders in dir. What it returns is to be closed also on an error.
-func startStoreGroup(dir string, n int) (*storeGroup, error) {
-	g := &storeGroup{}
-	addresses, err := loopback.Addresses(2 * n)
-	if err != nil {
-		return g, err
-	}
-	var members []store.Member
-	for i := range n {
-		members = append(members, store.Member{Name: fmt.Sprint("m", i), RaftAddress: addresses[2*i], AdminAddress: addresses[2*i+1]})
-		g.admins = append(g.admins, addresses[2*i+1])
-	}
-	for _, m := range members {
-		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), CommitTimeout: 5 * time.Second,
-			ElectionTimeout: time.Second, Logger: slog.New(slog.DiscardHandler)})
-		if err != nil {
-			return g, err
-		}
-		g.stores = append(g.stores, s)
-		ln, err := net.Listen("tcp", m.AdminAddress)
-		if err != nil {
-			return g, err
-		}
-		server := &http.Server{Handler: s.Handler()}
-		g.servers = append(g.servers, server)
-		go func() { _ = server.Serve(ln) }() // until it is closed
-	}
-	return g, nil
-}
-
-// awaitLeader blocks until a leader is elected, for 30 s at most.
-func (g *storeGroup) awaitLeader() error {
-	for end := time.Now().Add(30 * time.Second); g.stores[0].Members().Leader == ""; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			return errors.New("the store has no leader after 30 s")
-		}
-	}
-	return nil
-}
-
-func (g *storeGroup) close() (err error) {
-	for _, server := range g.servers {
-		err = errors.Join(err, server.Close())
-	}
-	for _, s := range g.stores {
-		err = errors.Join(err, s.Close())
-	}
-	return err
-}
-
-// used is the processor time of this process.
+// used returns the processor time that this process has used.
 func used() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/cmd/sloehitch-lab/walk.go
+++ b/cmd/sloehitch-lab/modelcheck.go
@@ -15,8 +15,8 @@
 	members "sloehitch/internal/store/quorum/modelcheck"
 )
 
-// walkCmd plays many seeds of the models of leases, duties, the store's members, permits and releases.
-type walkCmd struct {
+// modelCheckCmd runs the model checks of leases, leased tasks, the store's membership, drain permits and releases for many seeds.
+type modelCheckCmd struct {
 	What   string  `arg:"" enum:"leases,duties,members,permits,releases" help:"leases, duties, members, permits or releases."`
 	First  uint64  `default:"0" help:"The first seed."`
 	Seeds  uint64  `default:"100000" help:"How many."`
@@ -25,7 +25,7 @@
 	Drift  float64 `default:"0.05" help:"Of leases: how wrong clocks really go; 0.05 is allowed for."`
 }
 
-func (c *walkCmd) Run() error {
+func (c *modelCheckCmd) Run() error {
 	mutants, play := c.model()
 	if c.Mutant != "" && !slices.Contains(mutants, c.Mutant) {
 		return fmt.Errorf("--mutant %q: one of %q is wanted", c.Mutant, mutants)
@@ -41,14 +41,14 @@
 	workers.Wait()
 	if run.violation != "" {
 		fmt.Printf("seed %d: %s\n", run.end, run.violation)
-		return errFailed
+		return errCheckFailed
 	}
 	fmt.Printf("%d seeds held\n", run.played.Load())
 	return nil
 }
 
-// model returns the mutants of the model that was asked for, and what runs one seed of it and says which rule broke.
-func (c *walkCmd) model() (mutants []string, play func(seed uint64) string) {
+// model returns the mutants of the chosen model, and a function that runs one seed and returns the violated rule, or "".
+func (c *modelCheckCmd) model() (mutants []string, play func(seed uint64) string) {
 	switch c.What {
 	case "members":
 		return members.Mutants, func(seed uint64) string {
--- a/cmd/sloehitch-lab/soak.go
+++ b/cmd/sloehitch-lab/soak.go
@@ -10,7 +10,7 @@
 	"sloehitch/internal/testing/soak"
 )
 
-// soakCmd plays the daemon under faults by seed.
+// soakCmd runs the daemon under faults by seed.
 type soakCmd struct {
 	First   uint64        `default:"1" help:"The first seed."`
 	Last    uint64        `default:"50" help:"The last seed."`
@@ -61,7 +61,7 @@
 	})
 	table.Write(os.Stdout)
 	if err == nil && broken > 0 {
-		err = errFailed
+		err = errCheckFailed
 	}
 	return err
 }
--- a/cmd/sloehitch-lab/faulty.go
+++ b/cmd/sloehitch-lab/systemcallfaults.go
@@ -11,26 +11,26 @@
 	"sloehitch/internal/testing/faults/systemcalls"
 )
 
-// faultyCmd runs a program whose system calls fail.
-type faultyCmd struct {
+// systemCallFaultsCmd runs a program and injects faults into its system calls.
+type systemCallFaultsCmd struct {
 	Seed    uint64   `default:"1" help:"Determines which calls fail, as far as the program makes the same ones."`
 	Rate    float64  `default:"0.005" help:"Of the calls on sockets that fail, and of reads and writes that come to less than asked for."`
 	Program string   `arg:"" type:"existingfile"`
 	Args    []string `arg:"" optional:"" passthrough:""`
 }
 
-// faultyEnded is the exit status of the program.
-type faultyEnded int
+// programExit is the exit status of the program.
+type programExit int
 
-func (e faultyEnded) Error() string { return fmt.Sprint("the program ended with status ", int(e)) }
+func (e programExit) Error() string { return fmt.Sprint("the program ended with status ", int(e)) }
 
-func (c *faultyCmd) Run() error {
+func (c *systemCallFaultsCmd) Run() error {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT)
 	passOn := func(pid int) {
 		go func() {
 			for s := range signals {
-				_ = syscall.Kill(pid, s.(syscall.Signal)) // it may have ended
+				_ = syscall.Kill(pid, s.(syscall.Signal)) // the process may have ended
 			}
 		}()
 	}
@@ -42,7 +42,7 @@
 		fmt.Fprintf(os.Stderr, "system calls that failed: %s %d\n", name, counts[name])
 	}
 	if status != 0 {
-		return faultyEnded(status)
+		return programExit(status)
 	}
 	return nil
 }
--- a/cmd/sloehitch-lab/timeline.go
+++ b/cmd/sloehitch-lab/timeline.go
@@ -11,7 +11,7 @@
 	"sloehitch/internal/testing/fleetrig"
 )
 
-// timeline draws who held what when, and the faults, a row each, to a file whose ending says the format (svg, png, pdf).
+// timeline draws leases, leaders, drains and faults, a row each, to a file whose extension is the format (svg, png, pdf).
 func timeline(spans []fleetrig.Span, title, file string) error {
 	colours := map[string]color.Color{"duty": color.RGBA{R: 31, G: 119, B: 180, A: 255}, "lead": color.RGBA{R: 44, G: 160, B: 44, A: 255}, "fault": color.RGBA{R: 214, G: 39, B: 40, A: 255},
 		"out": color.RGBA{R: 255, G: 127, B: 14, A: 255}, "back": color.RGBA{R: 255, G: 187, B: 120, A: 255}, "release": color.RGBA{R: 148, G: 103, B: 189, A: 255}}
--- a/internal/testing/conformance/conformance.go
+++ b/internal/testing/conformance/conformance.go
@@ -1,5 +1,5 @@
-// Package conformance checks speakers of the uwsgi protocol from outside: what is sent byte by byte, and what may come back. Each
-// case names the part of the published protocol, or of HTTP's gateway interface, that it comes from.
+// Package conformance is a black-box test suite for servers of the uwsgi protocol. Each case is a script of bytes to send and the permitted
+// answers, and names the part of the published protocol, or of CGI, that requires it.
 package conformance
 
 import (
@@ -21,22 +21,22 @@
 	"sloehitch/internal/testing/scriptedpeer"
 )
 
-// Want is what a speaker may answer.
+// Want is the class of answers that a case permits.
 type Want string
 
-// What a speaker may answer.
+// The classes of answers.
 const (
-	Served  Want = "served"  // a sound response with the application's status and, if it echoes, the body
-	Refused Want = "refused" // a sound response of 400 and above, or the end of the connection without a byte
-	Either  Want = "either"  // one of the two: the protocol leaves it open, or asks for what not all do
+	Served  Want = "served"  // a well-formed response with the application's status and, if it echoes, the body
+	Refused Want = "refused" // a well-formed response of 400 and above, or the end of the connection without a byte
+	Either  Want = "either"  // one of the two: the protocol leaves it open, or not all servers do what it requires
 	Pong    Want = "pong"    // the answer to a ping, or the end without a byte
 	Quiet   Want = "quiet"   // the end of the connection without a byte, or a refusal
 )
 
-// Case is one exchange.
+// Case is one test case.
 type Case struct {
 	Name  string              `json:"name"` // group/what
-	From  string              `json:"from"` // where it comes from
+	From  string              `json:"from"` // the part of the specification
 	Steps scriptedpeer.Script `json:"-"`
 	Want  Want                `json:"want"`
 	Echo  string              `json:"-"` // the body that the application got, if it was served
@@ -44,15 +44,15 @@
 	Times int                 `json:"-"` // played so often at once; 0: once
 }
 
-// Target is what is checked.
+// Target is the server under test.
 type Target struct {
 	Address  endpoint.Endpoint
 	Path     string        // of an application that answers 200 to all methods
 	Echo     bool          // it answers with the body that it got
-	Patience time.Duration // for a case; a speaker that answers nothing by then has failed it
+	Patience time.Duration // timeout of a case; a server that has not answered by then fails it
 }
 
-// Result is how a case ended.
+// Result is the result of a case.
 type Result struct {
 	Case
 	Passed bool          `json:"passed"`
@@ -61,8 +61,7 @@
 	Took   time.Duration `json:"took_ns"`
 }
 
-// Reach asks the application once as an ordinary client does, so that what is wrong with the address or the path is told as that, and not
-// as two hundred failed cases.
+// Reach sends one ordinary request, so that a wrong address or path is reported as such, and not as two hundred failed cases.
 func (t Target) Reach(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, t.Patience)
 	defer cancel()
@@ -79,7 +78,7 @@
 	return err
 }
 
-// Run plays the cases whose names match, some at once, and returns the results in the cases' order.
+// Run runs the cases whose names match, atOnce concurrently, and returns the results in the cases' order; run may be nil: all.
 func Run(t Target, run *regexp.Regexp, atOnce int) []Result {
 	var list []Case
 	for _, c := range Cases(t.Path) {
@@ -94,14 +93,14 @@
 		wait.Go(func() {
 			gate <- struct{}{}
 			defer func() { <-gate }()
-			results[i] = t.play(c)
+			results[i] = t.runCase(c)
 		})
 	}
 	wait.Wait()
 	return results
 }
 
-func (t Target) play(c Case) Result {
+func (t Target) runCase(c Case) Result {
 	began := time.Now()
 	r := Result{Case: c}
 	errs := make(chan error, max(1, c.Times))
@@ -109,7 +108,7 @@
 	var mu sync.Mutex
 	for range cap(errs) {
 		go func() {
-			b, err := t.once(c)
+			b, err := t.exchange(c)
 			if err != nil {
 				mu.Lock()
 				got = b
@@ -129,8 +128,8 @@
 	return r
 }
 
-// once plays a case on one connection, and judges what came back.
-func (t Target) once(c Case) (got []byte, err error) {
+// exchange runs a case on one connection and checks the answer.
+func (t Target) exchange(c Case) (got []byte, err error) {
 	conn, err := net.DialTimeout(t.Address.Network, t.Address.Address, t.Patience)
 	if err != nil {
 		return nil, err
@@ -140,7 +139,7 @@
 		return nil, err
 	}
 	done := make(chan struct{})
-	go func() { // a speaker may answer before all is sent
+	go func() { // a server may answer before all is sent
 		defer close(done)
 		_, _ = c.Steps.Play(conn) // that it has hung up shows when its answer is read
 	}()
@@ -154,11 +153,11 @@
 	if readErr != nil && !reset {
 		return got, readErr
 	}
-	return got, t.judge(c, got, reset)
+	return got, t.check(c, got, reset)
 }
 
-// judge says what is wrong with an answer.
-func (t Target) judge(c Case, got []byte, reset bool) error {
+// check returns what is wrong with an answer, or nil.
+func (t Target) check(c Case, got []byte, reset bool) error {
 	if len(got) == 0 {
 		if c.Want == Served {
 			return errors.New("it hung up without an answer")
@@ -171,7 +170,7 @@
 		}
 		return nil
 	}
-	head, body, err := whole(got, c.Head, reset)
+	head, body, err := readResponse(got, c.Head, reset)
 	if err != nil {
 		return err
 	}
@@ -192,8 +191,8 @@
 	return nil
 }
 
-// whole reads one sound response and its body, chunks undone, and refuses what follows it.
-func whole(b []byte, headOnly, reset bool) (head packet.ResponseHead, body []byte, err error) {
+// readResponse parses one complete response and decodes its body. Bytes after it are an error.
+func readResponse(b []byte, headOnly, reset bool) (head packet.ResponseHead, body []byte, err error) {
 	for {
 		if head, err = packet.ReadResponseHead(b, headOnly, 64<<10); err != nil {
 			return head, nil, err
@@ -216,13 +215,13 @@
 		return head, nil, fmt.Errorf("%d bytes follow its answer", len(b)-n)
 	}
 	if body = b[:n]; head.Body.Chunked {
-		body, err = unchunk(body)
+		body, err = decodeChunks(body)
 	}
 	return head, body, err
 }
 
-// unchunk takes the framing off a chunked body that was found sound.
-func unchunk(b []byte) (data []byte, err error) {
+// decodeChunks decodes a chunked body that was scanned without an error.
+func decodeChunks(b []byte) (data []byte, err error) {
 	for {
 		line, rest, _ := bytes.Cut(b, []byte("\r\n"))
 		digits, _, _ := bytes.Cut(line, []byte(";"))
--- a/internal/testing/conformance/report.go
+++ b/internal/testing/conformance/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Failed is how many results did not pass.
+// Failed returns how many results did not pass.
 func Failed(results []Result) (n int) {
 	for _, r := range results {
 		if !r.Passed {
--- a/internal/testing/loadrig/pace.go
+++ b/internal/testing/loadrig/pace.go
@@ -1,6 +1,6 @@
-// Package loadrig plays an emulated world's callers, load and machines against real daemons on loopback: the daemon is a
-// process, its sockets and clock are real, and what it talks to (balancers, runtime) is the emulator's, moved in step with
-// the machine's clock. The same experiment file so drives both, and shows where the model is off.
+// Package loadrig runs an emulated experiment's callers, load and machines against real daemons on loopback: the daemon is a process with
+// real sockets and a real clock, and its peers (load balancers, runtime) are the emulator's, paced by the machine's clock. The same experiment
+// file drives the model and the real daemons, so that their results can be compared.
 package loadrig
 
 import (
@@ -9,11 +9,11 @@
 	"sloehitch/internal/platform/clock"
 )
 
-// inbox is what comes from sockets, to be done on the goroutine that moves the clock.
+// inbox carries events from sockets to the goroutine that advances the clock.
 type inbox chan func()
 
-// pace moves a clock in step with the machine's until the given time. A call is made at its time or a little later, but finds
-// the clock at its own time: load keeps its pace whatever the daemon does (no coordinated omission).
+// pace advances a virtual clock with the machine's until the given time. A timer fires at its time or a little later, but sees the clock at
+// its own time, so that the offered load does not depend on the daemon (no coordinated omission).
 func (in inbox) pace(v *clock.Virtual, until time.Time) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/testing/loadrig/remote.go
+++ b/internal/testing/loadrig/remote.go
@@ -15,54 +15,54 @@
 	"sloehitch/internal/node"
 )
 
-// remote is a real daemon as an emulator.Server: what it is offered goes to it as balancers send it.
+// remote is a real daemon as an emulator.Server: it sends offered requests as a load balancer does.
 type remote struct {
-	in      inbox
-	site    emulator.Site
-	address string
-	classes []string
-	failed  func(error)
-	leave   func()
-
-	// Of the goroutine that moves the clock:
-	ids   int
-	open  map[string]*open // by the id of the try
-	tries map[*emulator.Try]*open
-	conns map[int][]*conn // by the balancer
+	in       inbox
+	site     emulator.Site
+	address  string
+	classes  []string
+	failed   func(error)
+	shutDown func()
+
+	// Owned by the goroutine that advances the clock:
+	ids       int
+	byID      map[string]*inFlight // by request id
+	byAttempt map[*emulator.Try]*inFlight
+	conns     map[int][]*conn // by load balancer
 }
 
-type open struct {
-	id     string
-	try    *emulator.Try
-	answer func(node.Response)
-	conn   *conn
-	tag    int
+type inFlight struct {
+	id      string
+	attempt *emulator.Try
+	answer  func(node.Response)
+	conn    *conn
+	tag     int
 }
 
-// conn is one of a balancer's connections.
+// conn is a connection of a load balancer.
 type conn struct {
-	net  net.Conn
-	tags map[int]*open
-	last int
-	fin  bool // the node asked for nothing more
+	net      net.Conn
+	byTag    map[int]*inFlight
+	lastTag  int
+	draining bool // the node sent FIN: no more requests on it
 }
 
-// most is how many requests may be open on a connection.
-const most = 32
+// maxInFlight is how many requests may be in flight on a connection.
+const maxInFlight = 32
 
-var errConn = errors.New("a connection to the daemon ended")
+var errConnectionEnded = errors.New("a connection to the daemon ended")
 
 func (r *remote) Offer(t *emulator.Try, answer func(node.Response)) {
 	r.ids++
-	o := &open{id: fmt.Sprintf("%016x", r.ids), try: t, answer: answer}
+	o := &inFlight{id: fmt.Sprintf("%016x", r.ids), attempt: t, answer: answer}
 	c, err := r.connection(t.Source)
-	if err != nil { // refused: nothing ran
+	if err != nil { // the connection was refused: nothing ran
 		answer(node.Response{Status: node.StatusRejected})
 		return
 	}
-	c.last++
-	o.conn, o.tag = c, c.last
-	c.tags[o.tag], r.open[o.id], r.tries[t] = o, o, o
+	c.lastTag++
+	o.conn, o.tag = c, c.lastTag
+	c.byTag[o.tag], r.byID[o.id], r.byAttempt[t] = o, o, o
 	fields := fmt.Sprintf("req=%s,ts=%d,via=%d,owner=lab,need=%.1f,level=0.5,ms=%.2f", o.id, time.Now().UnixMilli(), t.Source, t.KB, float64(t.Hint)/1e6)
 	if r.site.Settings.DeadlinePropagated {
 		fields += fmt.Sprintf(",timeout=%d", max(1, time.Until(t.Due).Milliseconds()))
@@ -79,37 +79,37 @@
 }
 
 func (r *remote) Gone(t *emulator.Try) {
-	if o := r.tries[t]; o != nil {
+	if o := r.byAttempt[t]; o != nil {
 		r.forget(o)
 		r.write(o.conn, "UNDO", strconv.Itoa(o.tag))
 	}
 }
 
-// forget drops a try that is over; its run may go on.
-func (r *remote) forget(o *open) {
-	delete(o.conn.tags, o.tag)
-	delete(r.tries, o.try)
-	if o.conn.fin && len(o.conn.tags) == 0 {
+// forget removes an attempt that is over; its run may continue.
+func (r *remote) forget(o *inFlight) {
+	delete(o.conn.byTag, o.tag)
+	delete(r.byAttempt, o.attempt)
+	if o.conn.draining && len(o.conn.byTag) == 0 {
 		o.conn.net.Close()
 	}
 }
 
-// find is the try of an id that a run is started for.
+// find returns the attempt with a request id, or nil.
 func (r *remote) find(id string) *emulator.Try {
-	if o := r.open[id]; o != nil {
-		return o.try
+	if o := r.byID[id]; o != nil {
+		return o.attempt
 	}
 	return nil
 }
 
-func (r *remote) Leave(time.Duration) { r.leave() }
+func (r *remote) Leave(time.Duration) { r.shutDown() }
 
-func (r *remote) Counts() (running, held int) { return r.site.Machine.Running(), len(r.tries) }
+func (r *remote) Counts() (running, held int) { return r.site.Machine.Running(), len(r.byAttempt) }
 
-// connection is one of a balancer's that has room.
+// connection returns a connection of a load balancer with capacity for another request; it may dial.
 func (r *remote) connection(source int) (*conn, error) {
 	for _, c := range r.conns[source] {
-		if !c.fin && len(c.tags) < most {
+		if !c.draining && len(c.byTag) < maxInFlight {
 			return c, nil
 		}
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{net: dialled, tags: map[int]*open{}}
+	c := &conn{net: dialled, byTag: map[int]*inFlight{}}
 	r.conns[source] = append(r.conns[source], c)
 	go r.read(c)
 	return c, nil
@@ -129,36 +129,36 @@
 		b = redcon.AppendBulkString(b, p)
 	}
 	if _, err := c.net.Write(b); err != nil {
-		c.net.Close() // the reader notices
+		c.net.Close() // the reader gets the error
 	}
 }
 
-// read takes what a connection brings to the goroutine that moves the clock.
+// read passes a connection's messages to the goroutine that advances the clock.
 func (r *remote) read(c *conn) {
 	in := redcon.NewReader(c.net)
 	for {
 		m, err := in.ReadCommand()
 		if err != nil {
-			r.in <- func() { r.broke(c) }
+			r.in <- func() { r.connectionEnded(c) }
 			return
 		}
 		var parts []string
 		for _, a := range m.Args {
 			parts = append(parts, string(a))
 		}
-		r.in <- func() { r.answered(c, parts) }
+		r.in <- func() { r.handleAnswer(c, parts) }
 	}
 }
 
-// broke has the callers of what was open on a connection hear that it ended.
-func (r *remote) broke(c *conn) {
-	c.fin = true
-	for _, o := range c.tags {
-		delete(r.tries, o.try)
+// connectionEnded fails the requests that were in flight on a connection.
+func (r *remote) connectionEnded(c *conn) {
+	c.draining = true
+	for _, o := range c.byTag {
+		delete(r.byAttempt, o.attempt)
 		o.answer(node.Response{Status: node.StatusFailed})
-		r.failed(errConn)
+		r.failed(errConnectionEnded)
 	}
-	clear(c.tags)
+	clear(c.byTag)
 	var left []*conn
 	for source, conns := range r.conns {
 		left = nil
@@ -171,8 +171,8 @@
 	}
 }
 
-// answered takes one answer: tag, word, fields, body.
-func (r *remote) answered(c *conn, parts []string) {
+// handleAnswer handles one answer: tag, status word, fields, body.
+func (r *remote) handleAnswer(c *conn, parts []string) {
 	if len(parts) < 2 {
 		r.failed(fmt.Errorf("an answer of %d parts", len(parts)))
 		return
@@ -183,14 +183,14 @@
 		return
 	}
 	if tag == 0 {
-		if c.fin = true; len(c.tags) == 0 {
+		if c.draining = true; len(c.byTag) == 0 {
 			c.net.Close()
 		}
 		return
 	}
-	o := c.tags[tag]
+	o := c.byTag[tag]
 	if o == nil {
-		return // taken back: one answer does no harm
+		return // canceled: one answer may still arrive
 	}
 	a := node.Response{Status: node.StatusFailed}
 	switch parts[1] {
--- a/internal/testing/loadrig/rig.go
+++ b/internal/testing/loadrig/rig.go
@@ -18,29 +18,29 @@
 	"sloehitch/logic"
 )
 
-// Options say what is played against.
+// Options say how daemons are started.
 type Options struct {
 	Command func(config, deploy string) *exec.Cmd // starts a daemon
-	Dir     string                                // for its configuration; empty at first
-	Log     io.Writer                             // what the daemons say
+	Dir     string                                // for configuration files; must be empty
+	Log     io.Writer                             // gets the daemons' output
 }
 
-// MostNodes and Longest bound what a rig may take of a machine.
+// MostNodes and Longest limit what a run may use of a machine.
 const (
 	MostNodes = 16
 	Longest   = 10 * time.Minute
 )
 
-// daemon is a process and what stands round it.
+// daemon is a process and its runtime.
 type daemon struct {
 	cmd     *exec.Cmd
 	runtime *runtime
 	address string
 }
 
-// Play plays a world against daemons on this machine's loopback, in real time. The world's policy is not used, and its
-// nodes can stand still, go slower and leave, but not die or lose messages. It errs where the world can't be played, a
-// daemon does not start, or a connection breaks that should not.
+// Play runs an experiment against daemons on this machine's loopback, in real time, and blocks until its end. The world's policy is not
+// used; its nodes can pause, slow down and shut down, but not die or lose messages. It returns an error where the world can't be run, a daemon
+// does not start, or a connection ends unexpectedly.
 func Play(w emulator.World, o Options) (*emulator.Result, error) {
 	if w.Nodes > MostNodes || w.Length > Longest {
 		return nil, fmt.Errorf("%d nodes for %v: %d and %v at most against real daemons", w.Nodes, w.Length, MostNodes, Longest)
@@ -87,8 +87,8 @@
 	w.Policy = func(s emulator.Site) emulator.Server {
 		d := daemons[next]
 		next++
-		r := &remote{in: in, site: s, address: d.address, classes: classes, failed: failed, open: map[string]*open{}, tries: map[*emulator.Try]*open{}, conns: map[int][]*conn{},
-			leave: func() { _ = d.cmd.Process.Signal(syscall.SIGTERM) }}
+		r := &remote{in: in, site: s, address: d.address, classes: classes, failed: failed, byID: map[string]*inFlight{}, byAttempt: map[*emulator.Try]*inFlight{}, conns: map[int][]*conn{},
+			shutDown: func() { _ = d.cmd.Process.Signal(syscall.SIGTERM) }}
 		d.runtime.site, d.runtime.find = s, r.find
 		return r
 	}
@@ -99,7 +99,7 @@
 	return result, errors.Join(append(errs, err)...)
 }
 
-// start starts a daemon with a runtime of its own and waits until it takes callers.
+// start starts a daemon with its own runtime and waits until it accepts connections.
 func start(in inbox, s logic.Settings, i int, o Options) (*daemon, error) {
 	rt, err := newRuntime(in)
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-// stop ends what was started.
+// stop ends the daemon and its runtime.
 func (d *daemon) stop() {
 	if d.cmd != nil && d.cmd.Process != nil {
 		_ = d.cmd.Process.Kill()
@@ -150,7 +150,7 @@
 	d.runtime.ln.Close()
 }
 
-// configuration is the platform's file for a node with these settings.
+// configuration returns the platform's configuration file for a node with these settings.
 func configuration(name, listen, runtime string, s logic.Settings) map[string]any {
 	var classes []map[string]any
 	for _, c := range s.Classes {
--- a/internal/testing/loadrig/runtime.go
+++ b/internal/testing/loadrig/runtime.go
@@ -9,22 +9,22 @@
 	"sloehitch/internal/emulator"
 )
 
-// runtime stands in for the process that does a node's work: its cores are an emulated machine. It speaks the platform's
-// protocol as far as a link that never breaks needs it.
+// runtime is a stand-in for a node's application runtime, whose cores are an emulated machine. It implements what the protocol requires on
+// a connection that never breaks.
 type runtime struct {
 	in    inbox
 	ln    net.Listener
 	ready chan struct{} // closed at the first sync
 
-	// Of the goroutine that moves the clock:
-	site emulator.Site
-	find func(id string) *emulator.Try
-	conn net.Conn
-	pos  uint64
-	runs map[string]*work
+	// Owned by the goroutine that advances the clock:
+	site     emulator.Site
+	find     func(id string) *emulator.Try
+	conn     net.Conn
+	position uint64
+	runs     map[string]*run
 }
 
-type work struct {
+type run struct {
 	work  *emulator.Work
 	since time.Time
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &runtime{in: in, ln: ln, ready: make(chan struct{}), runs: map[string]*work{}}
+	r := &runtime{in: in, ln: ln, ready: make(chan struct{}), runs: map[string]*run{}}
 	go r.accept()
 	return r, nil
 }
@@ -61,27 +61,27 @@
 		if m.Action == "sync" && first {
 			// Before the clock moves: the node is being started.
 			r.conn = conn
-			r.tell(map[string]any{"action": "ready", "code": "WARM", "wall_ms": 1})
+			r.send(map[string]any{"action": "ready", "code": "WARM", "wall_ms": 1})
 			close(r.ready)
 			continue
 		}
-		r.in <- func() { r.command(m.Action, m.UID, m.Echo) }
+		r.in <- func() { r.handle(m.Action, m.UID, m.Echo) }
 	}
 }
 
-// command carries out what the node asked for.
-func (r *runtime) command(action, id, echo string) {
+// handle handles a command of the node.
+func (r *runtime) handle(action, id, echo string) {
 	switch action {
 	case "gauges":
 		on := float64(r.site.Machine.Running())
-		r.tell(map[string]any{"action": "load", "echo": echo, "meters": []float64{min(1, on/float64(r.site.Settings.Cores)), on, 0, 0}})
+		r.send(map[string]any{"action": "load", "echo": echo, "meters": []float64{min(1, on/float64(r.site.Settings.Cores)), on, 0, 0}})
 	case "start":
 		t := r.find(id)
 		if t == nil || r.runs[id] != nil {
 			return
 		}
 		r.site.Ran(t)
-		w := &work{since: r.site.Clock.Now()}
+		w := &run{since: r.site.Clock.Now()}
 		r.runs[id] = w
 		w.work = r.site.Machine.Add(t.Work, func() { r.end(id, "OK") })
 	case "stop":
@@ -95,13 +95,13 @@
 func (r *runtime) end(id, code string) {
 	took := r.site.Clock.Now().Sub(r.runs[id].since)
 	delete(r.runs, id)
-	r.pos++
-	r.tell(map[string]any{"action": "end", "pos": r.pos, "uid": id, "code": code, "wall_ms": took.Seconds() * 1000, "content": "b2s="})
+	r.position++
+	r.send(map[string]any{"action": "end", "pos": r.position, "uid": id, "code": code, "wall_ms": took.Seconds() * 1000, "content": "b2s="})
 }
 
-func (r *runtime) tell(m map[string]any) {
+func (r *runtime) send(m map[string]any) {
 	line, err := json.Marshal(m)
 	if err == nil && r.conn != nil {
-		_, _ = r.conn.Write(append(line, '\n')) // a node that is gone hears nothing
+		_, _ = r.conn.Write(append(line, '\n')) // the node may have exited
 	}
 }
--- a/internal/testing/scriptedpeer/script.go
+++ b/internal/testing/scriptedpeer/script.go
@@ -1,4 +1,4 @@
-// Package scriptedpeer plays what a peer does on one connection, step by step: for stand-ins, and for the conformance suite.
+// Package scriptedpeer plays scripts of a peer's actions on a connection, for stand-ins and for the conformance suite.
 package scriptedpeer
 
 import (
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Script is what a scripted peer does on one connection, in order.
+// Script is a peer's actions on one connection, in order.
 type Script []Step
 
-// Step is one thing that a peer does.
+// Step is one action; the first of its fields that is set, of Wait, Pause, Half, Reset, Flood, Split, Send, Until and Read, says which.
 type Step struct {
-	Send  string        // these bytes
-	Split bool          // each in a segment of its own
-	Read  int           // so many bytes
+	Send  string        // sends these bytes
+	Split bool          // sends each byte of Send by a write of its own
+	Read  int           // reads so many bytes
 	Until string        // reads up to these bytes
-	Wait  chan struct{} // until this is closed
-	Half  bool          // shuts its sending side
-	Reset bool          // ends the connection by a reset
-	Flood int           // sends so many bytes of nothing
-	Pause time.Duration // does nothing for so long
+	Wait  chan struct{} // waits until this is closed
+	Half  bool          // shuts down its sending side
+	Reset bool          // has the connection closed by a reset; ends the script
+	Flood int           // sends so many zero bytes
+	Pause time.Duration // waits for so long
 }
 
-// Play plays a script and returns all that was read, up to where an operation failed.
+// Play plays a script on a connection, and blocks until its end or the first error. It returns all bytes that were read.
 func (s Script) Play(c net.Conn) (read []byte, err error) {
 	buf := make([]byte, 1)
 	take := func() error {
--- a/internal/testing/standin/authority.go
+++ b/internal/testing/standin/authority.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Authority signs certificates for tests.
+// Authority is a certificate authority for tests.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -23,7 +23,7 @@
 	next int64
 }
 
-// NewAuthority makes one.
+// NewAuthority creates a certificate authority.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{next: 1}
--- a/internal/testing/standin/echo.go
+++ b/internal/testing/standin/echo.go
@@ -16,20 +16,20 @@
 	"sloehitch/internal/frontend/uwsgi/packet"
 )
 
-// Echo is a uwsgi server that answers with the body that it got, and follows the protocol; or one that is wrong in one way, for tests of
-// what is to notice it.
+// Echo is a uwsgi server that answers with the request's body. A mutant violates the protocol in one way, for tests of the checks that must
+// detect it.
 type Echo struct {
 	Address string
 	mutant  string
 }
 
-// Mutants are the ways in which an Echo can be wrong.
+// Mutants lists the ways in which an Echo can violate the protocol.
 var Mutants = []string{"length too large", "length too small", "closes early", "answers twice", "swallows the body", "takes names twice",
 	"takes a length and chunks", "takes signs in lengths", "takes line feeds in chunks", "takes no pings", "wrong answer to pings", "takes all modifiers",
 	"takes line ends in values", "cuts bodies at 4096", "hangs on what is bad", "takes short bodies", "body to HEAD", "echoes the framing", "reads past the body",
 	"garbage for a head", "takes any coding"}
 
-// NewEcho starts one; mutant is empty or one of Mutants.
+// NewEcho starts an echo server; mutant is empty or one of Mutants.
 func NewEcho(t testing.TB, mutant string) *Echo {
 	ln := Listen(t)
 	e := &Echo{ln.Addr().String(), mutant}
@@ -71,7 +71,7 @@
 	}
 }
 
-// read reads a request as the mutant does.
+// read reads a request; some mutants accept malformed ones.
 func (e *Echo) read(in *bufio.Reader) (vars packet.Vars, body []byte, err error) {
 	first := make([]byte, packet.HeaderSize)
 	if _, err := io.ReadFull(in, first); err != nil {
@@ -92,7 +92,7 @@
 		block = bytes.ReplaceAll(block, []byte("\r\n"), []byte("  "))
 	}
 	if e.mutant == "takes names twice" {
-		block = once(block)
+		block = renameDuplicates(block)
 	}
 	if vars, err = packet.ReadVars(block, 2000); err != nil {
 		return vars, nil, err
@@ -101,8 +101,8 @@
 	return vars, body, err
 }
 
-// once makes the second of two equal names another one.
-func once(block []byte) []byte {
+// renameDuplicates changes the names of variables that occurred before.
+func renameDuplicates(block []byte) []byte {
 	seen, b := map[string]bool{}, bytes.Clone(block)
 	for rest := b; len(rest) >= 2; {
 		n := int(rest[0]) | int(rest[1])<<8
@@ -123,7 +123,7 @@
 	return b
 }
 
-// body reads a request's body as the mutant does.
+// body reads a request's body; some mutants accept malformed ones.
 func (e *Echo) body(in *bufio.Reader, vars packet.Vars) ([]byte, error) {
 	framing, err := e.framing(vars)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return body, err
 }
 
-// framing is how the mutant finds a body's end; some take what the protocol has rejected.
+// framing returns a body's framing; some mutants accept what the protocol rejects.
 func (e *Echo) framing(vars packet.Vars) (packet.Framing, error) {
 	framing, err := packet.RequestFraming(vars)
 	if err == nil {
@@ -184,7 +184,7 @@
 	return e.chunks(bufio.NewReader(bytes.NewReader(raw)))
 }
 
-// chunks reads a chunked body and takes its framing off.
+// chunks reads and decodes a chunked body.
 func (e *Echo) chunks(in *bufio.Reader) ([]byte, error) {
 	var scan packet.ChunkScanner
 	var raw []byte
@@ -206,7 +206,7 @@
 	return io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(raw)))
 }
 
-// errPing says that the request was a ping.
+// errPing reports that the request is a ping.
 var errPing = errors.New("ping")
 
 func (e *Echo) answer(c net.Conn, method string, body []byte) {
@@ -238,5 +238,5 @@
 	case "closes early":
 		text = text[:len(text)/2]
 	}
-	_, _ = c.Write(text) // a client may have gone
+	_, _ = c.Write(text) // the client may have disconnected
 }
--- a/internal/testing/standin/uwsgi.go
+++ b/internal/testing/standin/scripted.go
@@ -17,7 +17,7 @@
 	Step = scriptedpeer.Step
 )
 
-// Scripted is a uwsgi server whose connections follow scripts: the n-th connection the n-th one, later ones the last.
+// Scripted is a uwsgi server whose n-th connection plays the n-th script, and later ones the last.
 type Scripted struct {
 	Address string
 
@@ -27,7 +27,7 @@
 	got  []string
 }
 
-// NewScripted starts one.
+// NewScripted starts a scripted server.
 func NewScripted(t testing.TB, scripts ...Script) *Scripted {
 	ln := Listen(t)
 	s := &Scripted{Address: ln.Addr().String()}
@@ -55,14 +55,14 @@
 	return s
 }
 
-// Connections is how many there were.
+// Connections returns the number of connections so far.
 func (s *Scripted) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.n
 }
 
-// Got is what each connection that is over has read.
+// Got returns what each closed connection has read.
 func (s *Scripted) Got() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +109,7 @@
 	return string(b) + body
 }
 
-// WaitFor waits for what other goroutines are to do.
+// WaitFor polls a condition and fails the test where it does not hold in time.
 func WaitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
 	for until := time.Now().Add(Patience); !done(); time.Sleep(time.Millisecond) {
