--- a/internal/testing/faults/linkproxy/linkproxy.go
+++ b/internal/testing/faults/linkproxy/linkproxy.go
@@ -1,6 +1,6 @@
-// Package linkproxy is a TCP proxy that puts faults between two processes: delay and jitter each way, messages in small pieces, one
-// direction that stands still, resets that lose what is in flight, and silence without a close. It serves tests and soak runs; the
-// program itself does not import it.
+// Package linkproxy is a TCP proxy that injects network faults between two processes: delay and jitter in each direction, fragmented writes,
+// stalls of one direction, resets that lose the bytes in flight, and lost bytes on an open connection. It is for tests and soak runs; the
+// daemon does not import it.
 package linkproxy
 
 import (
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Direction is the way that bytes take through the proxy.
+// Direction is a direction of a connection through the proxy.
 type Direction int
 
 // The two directions.
 const (
-	ToServer Direction = iota // from who dialled the proxy to the address behind it
+	ToServer Direction = iota // from the client of the proxy to the server
 	ToClient                  // and back
 	directions
 )
 
-// Conditions are what bytes meet in one direction. The zero value passes everything on at once.
+// Conditions are the network conditions of one direction. The zero value forwards everything immediately.
 type Conditions struct {
 	Delay   time.Duration // from the arrival of a byte to its delivery; the order of bytes is kept
-	Jitter  time.Duration // up to this much more, drawn anew for each chunk that arrives
-	Piece   int           // bytes delivered in one write; 0: as they came
-	Stalled bool          // nothing is delivered; what arrives is kept until the stall ends or the connection does
-	Lost    bool          // what arrives is read and never delivered, the connection stays open
+	Jitter  time.Duration // up to this much more, drawn for each chunk that arrives
+	Piece   int           // largest write in bytes; 0: chunks are written as they arrived
+	Stalled bool          // nothing is delivered; what arrives is queued until the stall or the connection ends
+	Lost    bool          // what arrives is read and discarded; the connection stays open
 }
 
 const (
@@ -37,7 +37,7 @@
 	stallLook   = 2 * time.Millisecond
 )
 
-// Proxy listens on a loopback address and connects each of its clients to the server behind it. Its methods may be called from any
+// Proxy listens on a loopback address and forwards each connection to a server. Its methods may be called from any
 // goroutine.
 type Proxy struct {
 	listener net.Listener
@@ -52,7 +52,7 @@
 	opened     int
 }
 
-// New listens on an address of the system's choice and passes connections on to the server.
+// New listens on a free address and forwards connections to the server.
 func New(server string, seed uint64) (*Proxy, error) { return Listen("127.0.0.1:0", server, seed) }
 
 // Listen is New on a given address. The seed determines all jitter.
@@ -66,43 +66,43 @@
 	return p, nil
 }
 
-// Address is where clients connect.
+// Address returns the address that clients connect to.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes what bytes meet in one direction, on open connections too.
+// Set changes the conditions of one direction, also of open connections.
 func (p *Proxy) Set(d Direction, c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conditions[d] = c
 }
 
-// Refuse has new connections reset at once, or not.
+// Refuse sets whether new connections are reset immediately.
 func (p *Proxy) Refuse(refuse bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refusing = refuse
 }
 
-// Redirect has new connections go to another server.
+// Redirect has new connections forwarded to another server.
 func (p *Proxy) Redirect(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.server = server
 }
 
-// Opened is how many connections clients have made so far.
+// Opened returns how many connections clients have opened so far.
 func (p *Proxy) Opened() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Reset resets all connections on both sides. What is in flight is lost. It returns how many there were.
+// Reset resets all connections on both sides and returns their number. Bytes in flight are lost.
 func (p *Proxy) Reset() int {
 	return p.each(func(pr *pair) { pr.end(true) })
 }
 
-// HalfClose ends the given direction of all connections, as a peer does that has nothing more to say: what is in flight arrives first.
+// HalfClose closes the given direction of all connections once the bytes in flight have been delivered.
 func (p *Proxy) HalfClose(d Direction) {
 	p.each(func(pr *pair) { pr.flows[d].finish() })
 }
@@ -143,7 +143,7 @@
 	}
 }
 
-// connect joins a client with a new connection to the server.
+// connect pairs a client's connection with a new one to the server.
 func (p *Proxy) connect(client net.Conn) {
 	p.mu.Lock()
 	refusing, target := p.refusing || p.closed, p.server
@@ -175,7 +175,7 @@
 	}
 }
 
-// current is what bytes meet now in a direction, with the jitter of one chunk drawn.
+// current returns the present conditions of a direction, and the jitter drawn for one chunk.
 func (p *Proxy) current(d Direction) (c Conditions, jitter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +213,7 @@
 	})
 }
 
-// delivered notes that a direction has passed on its end; after both the pair is over.
+// delivered records that a direction has delivered its end; after both the pair is closed.
 func (pr *pair) delivered(d Direction) {
 	pr.proxy.mu.Lock()
 	pr.ended[d] = true
@@ -224,7 +224,7 @@
 	}
 }
 
-// chunk is bytes that arrived together. An empty one is the end of its direction, or a reset of the connection.
+// chunk is bytes that arrived in one read. An empty one is the end of its direction, or a reset of the connection.
 type chunk struct {
 	bytes []byte
 	reset bool
@@ -246,10 +246,10 @@
 	return &flow{pair: pr, direction: d, from: from, to: to, queue: make(chan chunk, queueLength)}
 }
 
-// finish has the direction end once what has arrived so far is delivered.
+// finish ends the direction once what has arrived so far is delivered.
 func (f *flow) finish() { go f.enqueue(nil) }
 
-// receive queues what arrives, each chunk with the time at which it is due on the other side.
+// receive queues what arrives, each chunk with its delivery time.
 func (f *flow) receive() {
 	for {
 		bytes := make([]byte, chunkSize)
@@ -264,7 +264,7 @@
 	}
 }
 
-// receivedEnd passes on how the sender ended, behind what is in flight: a network keeps the order of what one side sends, its reset included.
+// receivedEnd queues the sender's end or reset behind the bytes in flight, as a network keeps the order of what one side sends.
 func (f *flow) receivedEnd(err error) {
 	if isEOF(err) {
 		f.enqueue(nil)
@@ -275,7 +275,7 @@
 
 func (f *flow) enqueue(bytes []byte) bool { return f.pass(chunk{bytes: bytes}) }
 
-// pass queues a chunk, which is due after the direction's delay.
+// pass queues a chunk for delivery after the direction's delay.
 func (f *flow) pass(next chunk) bool {
 	c, jitter := f.pair.proxy.current(f.direction)
 	if c.Lost && len(next.bytes) > 0 {
@@ -296,7 +296,7 @@
 	}
 }
 
-// deliver writes chunks when they are due.
+// deliver writes chunks at their delivery time.
 func (f *flow) deliver() {
 	for {
 		select {
@@ -322,7 +322,7 @@
 	}
 }
 
-// waitUntil waits for the time, and on for as long as the direction is stalled. It returns false where the connection has ended.
+// waitUntil blocks until the time, and while the direction is stalled. It returns false where the connection has ended.
 func (f *flow) waitUntil(due time.Time) bool {
 	for {
 		wait := time.Until(due)
--- a/internal/testing/faults/linkproxy/socket.go
+++ b/internal/testing/faults/linkproxy/socket.go
@@ -6,7 +6,7 @@
 	"net"
 )
 
-// reset closes a connection so that its peer meets a reset, not an end.
+// reset closes a connection with a TCP reset instead of a FIN.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // it fails only where the connection has ended already
@@ -14,7 +14,7 @@
 	c.Close()
 }
 
-// closeWrite tells the peer that nothing more comes.
+// closeWrite shuts down the sending side of a connection.
 func closeWrite(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.CloseWrite() // it fails only where the connection has ended already
--- a/internal/testing/faults/systemcalls/choose.go
+++ b/internal/testing/faults/systemcalls/choose.go
@@ -1,6 +1,6 @@
-// Package systemcalls has the system calls of a program fail now and then, in the ways that Linux documents: the program runs as a traced
-// child (ptrace(2)), and calls on its sockets come back with an error, or with fewer bytes than asked for, at rates drawn by seed. It serves
-// soak runs on Linux and amd64; the program itself does not import it.
+// Package systemcalls injects faults into the system calls of a program, in the ways that Linux documents: the program runs as a traced child
+// (ptrace(2)), and calls on its sockets return errors or transfer fewer bytes than requested, as drawn by a seed. It is for soak tests on
+// Linux and amd64; the daemon does not import it.
 package systemcalls
 
 import (
@@ -21,25 +21,25 @@
 	Wait
 )
 
-// Peer is who is at the other end of a socket, as far as it can be told from how it was made.
+// Peer is the kind of a socket's peer, by how the socket was created.
 type Peer int
 
 // The peers.
 const (
-	NoSocket Peer = iota // not a socket that was seen to be made
-	Caller               // accepted
-	Server               // a stream that the program connects
+	NoSocket Peer = iota // not a socket whose creation was traced
+	Caller               // of an accepted connection
+	Server               // of a stream socket that the program connects
 	Datagram
 )
 
-// Outcome is what a call comes to.
+// Outcome is the result of a call.
 type Outcome struct {
 	Errno syscall.Errno // 0: the call is made
-	Bytes uint64        // of a read or write at the most; 0: as asked
+	Bytes uint64        // limit of a read or write; 0: none
 }
 
-// errnos are the errors that each call may come back with. On callers' connections only those that pass by themselves: after any other the
-// connection is as good as gone, and so is what its caller is owed.
+// errnos lists the errors that each call may return. On callers' connections only transient ones: any other ends the connection, and with it
+// what the protocol promises the caller.
 var errnos = map[Call]map[Peer][]syscall.Errno{
 	Accept: {NoSocket: {syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO, syscall.EHOSTUNREACH, syscall.ENETUNREACH}},
 	Socket: {NoSocket: {syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM}},
@@ -53,18 +53,18 @@
 	Wait: {NoSocket: {syscall.EINTR}},
 }
 
-// Choice draws what calls come to. It is for one goroutine.
+// Choice draws the outcomes of calls. It is not safe for concurrent use.
 type Choice struct {
 	random *rand.Rand
 	rate   float64
 }
 
-// NewChoice returns a choice of the seed that has a call fail at the given rate, from 0 to 1, and shortens as many reads and writes again.
+// NewChoice returns a choice by seed in which calls fail at the given rate, from 0 to 1, and reads and writes are short at the same rate.
 func NewChoice(seed uint64, rate float64) *Choice {
 	return &Choice{random: rand.New(rand.NewPCG(seed, 0xca11)), rate: rate}
 }
 
-// Draw says what a call on a socket comes to that asks for so many bytes.
+// Draw draws the outcome of a call on a socket that requests so many bytes.
 func (c *Choice) Draw(call Call, peer Peer, bytes uint64) Outcome {
 	possible := errnos[call][peer]
 	if len(possible) == 0 {
--- a/internal/testing/faults/systemcalls/trace_linux_amd64.go
+++ b/internal/testing/faults/systemcalls/trace_linux_amd64.go
@@ -13,7 +13,7 @@
 // syscallStop marks the stops at system calls (PTRACE_O_TRACESYSGOOD).
 const syscallStop = syscall.SIGTRAP | 0x80
 
-// noCall in the place of a call's number has the kernel make none.
+// noCall as the number of a call has the kernel skip it.
 const noCall = ^uint64(0)
 
 // tracer is one traced program.
@@ -27,17 +27,17 @@
 
 // thread is one traced thread.
 type thread struct {
-	inside bool // it stopped at the beginning of a call
+	inside bool // it is stopped at the entry of a call, or in it
 	nr     uint64
 	fd     uint64        // the call's first argument
-	kind   uint64        // of a socket that is made
-	errno  syscall.Errno // what the call is to come back with; 0: what it does
+	kind   uint64        // type of a socket that is created
+	errno  syscall.Errno // what the call is to return; 0: its own result
 }
 
-// Run runs a program with failing system calls until it ends, and returns its exit status, or 128 and the signal that ended it. started is
-// told its process id: whoever signals this process passes the signal on. counts are the calls that failed, by name and error.
+// Run runs a program with injected faults until it exits, and returns its exit status, or 128 plus the signal that ended it. started is
+// called with its process id, so that the caller can forward signals. counts has the number of failed calls by name and error.
 func Run(path string, args []string, choice *Choice, started func(pid int)) (status int, counts map[string]int, err error) {
-	runtime.LockOSThread() // a traced process answers to one thread
+	runtime.LockOSThread() // ptrace requests must come from one thread
 	defer runtime.UnlockOSThread()
 	pid, err := syscall.ForkExec(path, append([]string{path}, args...), &syscall.ProcAttr{Env: os.Environ(), Files: []uintptr{0, 1, 2},
 		Sys: &syscall.SysProcAttr{Ptrace: true, Pdeathsig: syscall.SIGKILL}})
@@ -61,7 +61,7 @@
 	return status, t.counts, err
 }
 
-// loop follows all threads until the program has ended.
+// loop traces all threads until the program has exited.
 func (t *tracer) loop() (status int, err error) {
 	for {
 		var ws syscall.WaitStatus
@@ -96,13 +96,13 @@
 	return ws.ExitStatus()
 }
 
-// stopped handles one stop and returns the signal that the thread is to get, 0: none.
+// stopped handles one stop and returns the signal to deliver to the thread; 0: none.
 func (t *tracer) stopped(id int, ws syscall.WaitStatus) syscall.Signal {
 	th, known := t.threads[id]
 	if !known {
 		th = &thread{}
 		t.threads[id] = th
-		if ws.StopSignal() == syscall.SIGSTOP { // a new thread begins so
+		if ws.StopSignal() == syscall.SIGSTOP { // a new thread starts with it
 			return 0
 		}
 	}
@@ -110,14 +110,14 @@
 	case syscallStop:
 		t.atCall(id, th)
 		return 0
-	case syscall.SIGTRAP: // a thread was made
+	case syscall.SIGTRAP: // a thread was created
 		return 0
 	default:
 		return signal
 	}
 }
 
-// atCall handles the beginning or the end of a system call. What can't be read of a thread that was killed meanwhile does not matter.
+// atCall handles the entry or the exit of a system call. Errors of a thread that was killed meanwhile are ignored.
 func (t *tracer) atCall(id int, th *thread) {
 	var regs syscall.PtraceRegs
 	if syscall.PtraceGetRegs(id, &regs) != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// begin decides what a call comes to. It returns true where the registers were changed.
+// begin draws the outcome of a call. It returns true where it changed the registers.
 func (t *tracer) begin(th *thread, regs *syscall.PtraceRegs) bool {
 	th.nr, th.fd, th.errno = regs.Orig_rax, regs.Rdi, 0
 	call, peer, name := Call(0), t.peers[regs.Rdi], ""
@@ -173,7 +173,7 @@
 	return true
 }
 
-// end has a call come back with its error, and keeps track of sockets. It returns true where the registers were changed.
+// end sets the drawn error of a call, and tracks sockets. It returns true where it changed the registers.
 func (t *tracer) end(th *thread, regs *syscall.PtraceRegs) bool {
 	if th.errno != 0 {
 		regs.Rax = uint64(-int64(th.errno))
--- a/internal/testing/knownred/main.go
+++ b/internal/testing/knownred/main.go
@@ -1,5 +1,5 @@
-// Command knownred runs the tests with those of KNOWN-RED.txt apart. A line there names a test that fails for a real fault which
-// is not mended yet, its cause and its issue:
+// Command knownred runs the tests, with those listed in KNOWN-RED.txt apart. A line there names a test that fails because of a real fault
+// which is not fixed yet, its cause and its issue:
 //
 //	cmd/sloehitch.TestDrains/seed_7 | a permit is given twice | 26
 //
@@ -22,22 +22,22 @@
 	"strings"
 )
 
-// most is how many tests may be known to fail.
-const most = 3
+// maxKnownFailures is how many tests the list may have.
+const maxKnownFailures = 3
 
-// red is a test that is known to fail.
-type red struct {
+// knownFailure is a test that is known to fail.
+type knownFailure struct {
 	folder, test string // the package's folder in the module, and the test with the subtests under it, as go test prints it
 	cause, issue string
 }
 
 var (
-	named  = regexp.MustCompile(`^([\w./-]+)\.(Test\w*(?:/[^/|\s]+)*)$`)
-	number = regexp.MustCompile(`^[0-9]+$`)
+	testPattern  = regexp.MustCompile(`^([\w./-]+)\.(Test\w*(?:/[^/|\s]+)*)$`)
+	issuePattern = regexp.MustCompile(`^[0-9]+$`)
 )
 
 // parse reads the list. Its error names the file, the line and what is wrong there.
-func parse(file, text string) (list []red, err error) {
+func parse(file, text string) (list []knownFailure, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
@@ -52,34 +52,34 @@
 		if len(fields) != 3 {
 			return nil, wrong("%d fields, want 3: test | cause | issue", len(fields))
 		}
-		m := named.FindStringSubmatch(fields[0])
+		m := testPattern.FindStringSubmatch(fields[0])
 		switch {
 		case m == nil:
 			return nil, wrong("test: %q is no test: want a package's folder, a point and a test, as in cmd/sloehitch.TestDrains/seed_7", fields[0])
 		case fields[1] == "":
 			return nil, wrong("cause: missing")
-		case !number.MatchString(fields[2]):
+		case !issuePattern.MatchString(fields[2]):
 			return nil, wrong("issue: %q is no number", fields[2])
-		case slices.ContainsFunc(list, func(r red) bool { return r.folder == m[1] && r.test == m[2] }):
+		case slices.ContainsFunc(list, func(r knownFailure) bool { return r.folder == m[1] && r.test == m[2] }):
 			return nil, wrong("test: %s is listed twice", fields[0])
-		case len(list) == most:
-			return nil, wrong("%d tests are known to fail already, that is the most", most)
+		case len(list) == maxKnownFailures:
+			return nil, wrong("%d tests are known to fail already, that is the most", maxKnownFailures)
 		}
-		list = append(list, red{m[1], m[2], fields[1], fields[2]})
+		list = append(list, knownFailure{m[1], m[2], fields[1], fields[2]})
 	}
 	return list, nil
 }
 
-// pattern is the test, and nothing else, for -run and -skip.
-func (r red) pattern() string {
-	parts := strings.Split(r.test, "/")
+// pattern returns the expression for -run and -skip that matches this test only.
+func (f knownFailure) pattern() string {
+	parts := strings.Split(f.test, "/")
 	for i, p := range parts {
 		parts[i] = "^" + regexp.QuoteMeta(p) + "$"
 	}
 	return strings.Join(parts, "/")
 }
 
-// goTest runs a go command with the tests' output on out, and what it printed.
+// goTest runs a go command with its output copied to out, and returns the output.
 func goTest(out io.Writer, args ...string) (string, error) {
 	var printed bytes.Buffer
 	c := exec.Command(args[0], args[1:]...)
@@ -89,8 +89,8 @@
 	return printed.String(), err
 }
 
-// others are the packages of the module without those in which a test is known to fail.
-func others(list []red) (rest []string, err error) {
+// otherPackages returns the module's packages in which no test is known to fail.
+func otherPackages(list []knownFailure) (rest []string, err error) {
 	listed, err := exec.Command("go", "list", "-f", "{{.ImportPath}} {{.Module.Path}}", "./...").Output()
 	if err != nil {
 		return nil, err
@@ -116,8 +116,8 @@
 	return rest, nil
 }
 
-// run runs the command, which ends in ./..., without what is listed, then that.
-func run(out io.Writer, list []red, command []string) error {
+// run runs the command, whose last argument is ./..., first without the listed tests, then each of them by itself.
+func run(out io.Writer, list []knownFailure, command []string) error {
 	if len(list) == 0 {
 		_, err := goTest(out, command...)
 		return err
@@ -126,7 +126,7 @@
 		return errors.New("the command does not end in ./... as it must")
 	}
 	flags := command[:len(command)-1]
-	rest, err := others(list)
+	rest, err := otherPackages(list)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/knownred/main_test.go
+++ b/internal/testing/knownred/main_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	list, err := parse("list", fine)
-	if err != nil || !slices.Equal(list, []red{{"cmd/x", "TestA/seed_7", "a permit is given twice", "26"}}) || list[0].pattern() != "^TestA$/^seed_7$" {
+	if err != nil || !slices.Equal(list, []knownFailure{{"cmd/x", "TestA/seed_7", "a permit is given twice", "26"}}) || list[0].pattern() != "^TestA$/^seed_7$" {
 		t.Errorf("%+v, %v", list, err)
 	}
 }
