--- a/internal/backend/runtime/commands.go
+++ b/internal/backend/runtime/commands.go
@@ -18,7 +18,7 @@
 // enqueueForRun queues a command that a run waits for; the caller holds mu.
 func (l *Link) enqueueForRun(r *runState, line []byte) {
 	if r != nil {
-		r.line, r.writtenOn, r.ackTag = line, 0, l.gaugesRequested+1
+		r.line, r.writtenOnGeneration, r.readByGauges = line, 0, l.gaugesRequested+1
 	}
 	l.queue = append(l.queue, queuedCommand{line, r})
 	l.cond.Broadcast()
@@ -46,7 +46,7 @@
 func (l *Link) Start(id, class string, body []byte, once bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := &runState{idempotent: !once, kind: redelivery.Start, lastNoticeOn: l.generation}
+	r := &runState{idempotent: !once, kind: redelivery.Start, lastNoticeGeneration: l.generation}
 	l.enqueueForRun(r, encodeStart(id, class, body))
 	l.runs[id] = r
 }
--- a/internal/backend/runtime/reconnect_test.go
+++ b/internal/backend/runtime/reconnect_test.go
@@ -158,7 +158,7 @@
 	for i := range starts { // far more than the sockets hold
 		l.Start(fmt.Sprint(i), "book", body, once)
 	}
-	waitFor(t, l, func() bool { return len(l.queue) == 0 || l.runs["0"].writtenOn == 1 })
+	waitFor(t, l, func() bool { return len(l.queue) == 0 || l.runs["0"].writtenOnGeneration == 1 })
 	if err := p.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/runtime/resume.go
+++ b/internal/backend/runtime/resume.go
@@ -31,9 +31,10 @@
 	}
 	l.redeliveryDecided = true
 	for id, run := range l.runs {
-		noticesLost := l.noticesLost && run.lastNoticeOn < l.generation
-		inFlight := run.line == nil || run.writtenOn == 0 || run.writtenOn == l.generation
-		if inFlight && !noticesLost {
+		noticesLost := l.noticesLost && run.lastNoticeGeneration < l.generation
+		// Acknowledged (or reported as unconfirmed), still queued, or written on this connection.
+		notLost := run.line == nil || run.writtenOnGeneration == 0 || run.writtenOnGeneration == l.generation
+		if notLost && !noticesLost {
 			continue
 		}
 		l.applyDecision(id, run, noticesLost, &r)
@@ -47,18 +48,18 @@
 // applyDecision carries out what package redelivery decides about one run; the caller holds mu.
 func (l *Link) applyDecision(id string, run *runState, noticesLost bool, r *resumeOutcome) {
 	action := redelivery.Decide(redelivery.Command{Kind: run.kind, Idempotent: run.idempotent, NoticesLost: noticesLost})
-	read := run.ackTag <= l.gaugesReceived
+	read := run.readByGauges <= l.gaugesReceived
 	switch {
 	case action == redelivery.Abandon:
 		delete(l.runs, id)
 		r.abandoned = append(r.abandoned, id)
 	case action == redelivery.Redeliver:
-		run.ackTag = l.gaugesRequested + 1
+		run.readByGauges = l.gaugesRequested + 1
 		l.queue = append(l.queue, queuedCommand{run.line, run})
-	case !read:
-		run.line = nil // reported once
+	case !read: // Await: report it once, unless an echo proves that the runtime read it
+		run.line = nil
 		r.unconfirmed = append(r.unconfirmed, unconfirmedCommand{id, run.answeredCall()})
 	}
-	l.opts.Log.Info("command written to a broken link has no answer yet", "request", id, "kind", run.kind, "written_on_link", run.writtenOn,
+	l.opts.Log.Info("command written to a broken link has no answer yet", "request", id, "kind", run.kind, "written_on_link", run.writtenOnGeneration,
 		"link", l.generation, "last_notice", l.lastNotice, "known_read", read, "action", action)
 }
--- a/internal/backend/runtime/writer.go
+++ b/internal/backend/runtime/writer.go
@@ -58,14 +58,14 @@
 	l.queue = nil
 	for _, q := range commands {
 		if q.run != nil {
-			q.run.writtenOn = l.generation
+			q.run.writtenOnGeneration = l.generation
 		}
 	}
 	return commands
 }
 
-// requeueUnwritten queues again what a connection that broke after n bytes can't have taken: the lines of
-// which some of the object was not written. The others may have been carried out, also one that lacks only
+// requeueUnwritten queues again what a connection that broke after n bytes can't have taken: the commands
+// whose JSON object was not written completely. The others may have been carried out, also one that lacks only
 // its newline: the end of a stream ends a line too.
 func (l *Link) requeueUnwritten(commands []queuedCommand, n int) {
 	l.mu.Lock()
@@ -77,7 +77,7 @@
 		unwritten := commands[i:]
 		for _, q := range unwritten {
 			if q.run != nil {
-				q.run.writtenOn = 0
+				q.run.writtenOnGeneration = 0
 			}
 		}
 		l.queue = append(slices.Clone(unwritten), l.queue...)
--- a/internal/control/disruption/decide.go
+++ b/internal/control/disruption/decide.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Which requests to go out of service are granted.
+// Which drain requests (to go out of service) are granted. In this package a request is always a drain request.
 //
 // Inputs: the budgets, the members with their availability, and the requests. Requests are taken urgent
 // first, then by Order. A request is granted if in every group of its member
@@ -25,7 +25,7 @@
 // must not starve it. A request that waits for silent or unhealthy members reserves nothing: they may never
 // come back, and others would wait with it for ever.
 
-// Request asks that a member go out of service.
+// Request is a drain request: it asks that a member go out of service.
 type Request struct {
 	Member      string
 	RequestedBy string // for the record
--- a/internal/control/drainpermit/agent.go
+++ b/internal/control/drainpermit/agent.go
@@ -10,12 +10,12 @@
 // Observation is what a node knows when it decides what to do next: what it read from the store, which may be
 // old, and its own condition.
 type Observation struct {
-	Request        *fleetstate.DrainRequest // nil: there is none
+	Request        *fleetstate.DrainRequest // the node's drain request; nil: there is none
 	RequestVersion uint64
 	Permit         *fleetstate.Permit // nil: there is none
 	PermitVersion  uint64
 	Revision       uint64 // of the store, as of which the documents were read
-	InFlight       int    // requests running and queued
+	InFlight       int    // callers' requests, running and queued
 	Healthy        bool   // ready and healthy, if it is in service
 }
 
@@ -23,7 +23,7 @@
 type ActionKind int
 
 // The kinds of action. ActionStart, ActionUpdatePermit, ActionReplaceProcess, ActionReturnPermit and
-// ActionFailRequest are transactions, which must be committed only if the request and the permit have the
+// ActionFailRequest are transactions, which must be committed only if the drain request and the permit have the
 // observed versions (StartTransaction, ActionTransaction).
 const (
 	ActionNone           ActionKind = iota
@@ -32,8 +32,8 @@
 	ActionEnterService              // go into service now; report EnteredService
 	ActionUpdatePermit              // write the permit's new state; report HandleWriteResult
 	ActionReplaceProcess            // write the permit, then replace the process; report HandleReplaceFailure if that fails
-	ActionReturnPermit              // delete the permit, and the request with RequestDone; report HandleWriteResult
-	ActionFailRequest               // write the request as failed; report HandleWriteResult
+	ActionReturnPermit              // delete the permit, and the drain request with RequestDone; report HandleWriteResult
+	ActionFailRequest               // write the drain request as failed; report HandleWriteResult
 )
 
 // Action is what a node is to do.
@@ -41,7 +41,7 @@
 	Kind        ActionKind
 	Permit      fleetstate.Permit       // as it is to be written
 	Request     fleetstate.DrainRequest // of ActionFailRequest: as it is to be written
-	RequestDone bool                    // of ActionReturnPermit: the request is done and is to be deleted
+	RequestDone bool                    // of ActionReturnPermit: the drain request is done and is to be deleted
 	NeverUsed   bool                    // of ActionReturnPermit: the node has not gone out of service by the permit
 }
 
@@ -50,7 +50,7 @@
 	DeployedVersion    string
 	Terms              lease.Terms   // of the start window
 	MinReady           time.Duration // in service and healthy, before the permit is returned
-	MaxReplaceAttempts int           // after which a request fails
+	MaxReplaceAttempts int           // after which a release's drain request fails
 }
 
 // Agent decides what one process of a node does with the node's permits. Whoever drives it carries out what
@@ -65,8 +65,8 @@
 
 	startRequestedAt lease.Instant
 	permitID         string // of the permit that this process started, or adopted from the process before it
-	mustStay         bool   // the process before this one may have gone out by the permit; this one may not
-	startedLate      bool   // the permit was started, and this process may not go out by it because the answer came too late
+	mustStay         bool   // this process may not go out by the permit: adopted as started by an earlier process, or its start was confirmed too late
+	startedLate      bool   // the start of the permit was confirmed too late, or not at all
 
 	healthy        bool // in service and healthy
 	healthySince   lease.Instant
@@ -79,7 +79,7 @@
 // OutOfService says whether the process is out of service by a permit.
 func (a *Agent) OutOfService() bool { return a.outOfService }
 
-// DrainOverdue says whether the node still has requests after the drain timeout of its request.
+// DrainOverdue says whether the node still has callers' requests after the drain timeout of its drain request.
 func (a *Agent) DrainOverdue(o Observation, now lease.Instant) bool {
 	if !a.outOfService || o.Request == nil || o.Request.DrainTimeoutMS <= 0 || o.InFlight <= 0 {
 		return false
--- a/internal/control/drainpermit/agent_transactions.go
+++ b/internal/control/drainpermit/agent_transactions.go
@@ -6,7 +6,7 @@
 )
 
 // StartTransaction returns the transaction of an ActionStart, which starts the permit. It is committed only
-// if the request and the permit are as observed, and neither everything nor the request's release is halted.
+// if the drain request and the permit are as observed, and neither everything nor its release is halted.
 func StartTransaction(node string, o Observation, started fleetstate.Permit, id string) document.Transaction {
 	permitKey := fleetstate.PermitKey(node)
 	t := document.Transaction{ID: id, Author: node, Reason: "begins to go out: " + o.Request.Reason,
--- a/internal/control/drainpermit/controller.go
+++ b/internal/control/drainpermit/controller.go
@@ -23,12 +23,12 @@
 // Decision is what a controller changes, by member name. Each list is sorted and becomes transactions
 // (Decision.Transactions).
 type Decision struct {
-	Grant         []string // members whose request gets a permit
+	Grant         []string // members whose drain request gets a permit
 	Remove        []string // members whose permit ends
 	MarkReturning []string // upstream servers whose permit becomes PermitReturning
-	Requeue       []string // members whose permit ends and whose request goes to the end of the queue
-	Expire        []string // members whose request expires
-	// Rejected says why other requests get no permit now.
+	Requeue       []string // members whose permit ends and whose drain request goes to the end of the queue
+	Expire        []string // members whose drain request expires
+	// Rejected says why other drain requests get no permit now.
 	Rejected []disruption.Rejection
 	// BudgetMembers are the members as the budgets counted them, sorted by name.
 	BudgetMembers []disruption.Member
@@ -40,7 +40,7 @@
 }
 
 // Decide returns what is to be changed by a view, which a majority must have confirmed. What is removed
-// counts as out until the next call.
+// counts as out until the next call: its removal may not commit.
 func (c *Controller) Decide(view fleetstate.View, now lease.Instant) (d Decision) {
 	c.decidePermits(view, now, &d)
 	requests := decideRequests(view, &d)
--- a/internal/control/drainpermit/controller_transactions.go
+++ b/internal/control/drainpermit/controller_transactions.go
@@ -47,7 +47,7 @@
 		Conditions: []document.Condition{w.lease, w.versions.Unchanged(key)}, Operations: operations}
 }
 
-// remove deletes a permit; requeue also writes its request anew, which gives it a later version.
+// remove deletes a permit; requeue also writes its drain request anew, which gives it a later version.
 func (w decisionWriter) remove(name string, requeue bool) document.Transaction {
 	permitKey, requestKey := fleetstate.PermitKey(name), fleetstate.RequestKey(name)
 	t := w.transaction("a permit ends", permitKey, document.Operation{Key: permitKey, Delete: true})
@@ -71,7 +71,7 @@
 }
 
 // grant writes the permits of all names. Its conditions cover everything that the budgets were decided on:
-// the grants before it, the budgets, the halt of everything, and each member's request and permit.
+// the grants before it, the budgets, the halt of everything, and each member's drain request and permit.
 func (w decisionWriter) grant(names []string) document.Transaction {
 	t := w.transaction("granted", fleetstate.LastGrantKey, document.Operation{Key: fleetstate.LastGrantKey, Value: strings.Join(names, " ")})
 	t.Conditions = append(t.Conditions, w.versions.Unchanged(fleetstate.BudgetsKey), w.versions.Unchanged(fleetstate.HaltKeyPrefix+fleetstate.HaltAll))
--- a/internal/control/drainpermit/doc.go
+++ b/internal/control/drainpermit/doc.go
@@ -12,7 +12,7 @@
 //
 // The rules are
 //
-//   - grant.go: which requests get a permit, and which expire;
+//   - grant.go: which drain requests get a permit, and which expire;
 //   - remove.go: when the controller removes a permit;
 //   - next_action.go: when a node starts its permit, goes out of service, is replaced, comes back and returns
 //     the permit.
--- a/internal/control/drainpermit/grant.go
+++ b/internal/control/drainpermit/grant.go
@@ -5,9 +5,9 @@
 	"sloehitch/internal/control/fleetstate"
 )
 
-// Which requests get a permit, and which expire.
+// Which drain requests get a permit, and which expire.
 //
-// Inputs: requests without a permit, halts, the liveness of nodes, and the budgets with the members as they
+// Inputs: drain requests without a permit, halts, the liveness of nodes, and the budgets with the members as they
 // count (View.BudgetMembers). A request expires at its ExpiresAtMS by the reader's clock. One that has
 // failed, is halted, or whose node does not report (it could not start its permit) is not considered. The
 // others are granted as far as the budgets allow (package disruption), at most MaxGrantsPerTransaction at a
@@ -17,7 +17,7 @@
 // store's limits (document.Limits.MaxOperations).
 const MaxGrantsPerTransaction = 24
 
-// decideRequests expires and rejects requests, and returns those that the budgets decide on.
+// decideRequests expires and rejects drain requests, and returns those that the budgets decide on.
 func decideRequests(view fleetstate.View, d *Decision) (requests []disruption.Request) {
 	liveness := map[string]disruption.Availability{}
 	for _, m := range view.Members {
@@ -32,6 +32,7 @@
 		case view.IsHalted(request):
 			d.reject(name, request, "halted")
 		case liveness[name] != disruption.Available:
+			// Operators read this text: "begin" means that the node would start its permit.
 			d.reject(name, request, "it is "+string(liveness[name])+" and could not begin")
 		default:
 			requests = append(requests, disruption.Request{
@@ -41,7 +42,7 @@
 	return requests
 }
 
-// reject records why a request is not considered.
+// reject records why a drain request is not considered.
 func (d *Decision) reject(name string, request fleetstate.DrainRequest, reason string) {
 	d.Rejected = append(d.Rejected, disruption.Rejection{
 		Request: disruption.Request{Member: name, RequestedBy: request.RequestedBy}, Reason: reason})
--- a/internal/control/drainpermit/next_action.go
+++ b/internal/control/drainpermit/next_action.go
@@ -10,16 +10,16 @@
 
 // When a node starts its permit, goes out of service, is replaced, comes back and returns the permit.
 //
-// Inputs: the node's request and permit, its requests in flight, its health, and since when it has been in
+// Inputs: the node's drain request and permit, its callers' requests in flight, its health, and since when it has been in
 // service and healthy.
 //
 //   - No permit: it is in service.
-//   - Granted: it starts the permit if the request still wants it out, and returns it otherwise.
+//   - Granted: it starts the permit if the drain request still wants it out, and returns it otherwise.
 //   - Started, by this process: it goes out of service within HolderDuration (package lease) of having asked.
 //     Started by the process before it: this one may not go out, because the window may be over, and comes
 //     back instead.
-//   - Out of service: for a release, once no request is in flight, its process is replaced, at most
-//     MaxReplaceAttempts times; then the request fails. It enters service once the request is gone, or when
+//   - Out of service: for a release, once no caller's request is in flight, its process is replaced, at most
+//     MaxReplaceAttempts times; then the drain request fails. It enters service once the drain request is gone, or when
 //     it runs the release's target version.
 //   - Returning: it returns the permit once it has been in service and healthy for MinReady.
 //
@@ -71,7 +71,7 @@
 	return Action{}
 }
 
-// startOrReturn starts a granted permit, or returns it if the request no longer wants the node out.
+// startOrReturn starts a granted permit, or returns it if the drain request no longer wants the node out.
 func (a *Agent) startOrReturn(permit fleetstate.Permit, wanted bool, now lease.Instant) Action {
 	if !wanted {
 		return a.awaitWrite(Action{Kind: ActionReturnPermit, NeverUsed: true})
@@ -89,7 +89,7 @@
 	}
 }
 
-// leaveOrFail goes out of service, or fails the request of a release after too many replacements.
+// leaveOrFail goes out of service, or fails the drain request of a release after too many replacements.
 func (a *Agent) leaveOrFail(o Observation) Action {
 	if o.Request.ReleaseName == "" || o.Permit.ReplaceAttempts < a.options.MaxReplaceAttempts {
 		return Action{Kind: ActionLeaveService}
@@ -103,8 +103,8 @@
 	return a.awaitWrite(Action{Kind: ActionFailRequest, Request: failed})
 }
 
-// whileOutOfService writes down that the node is out, and replaces the process of a release once no request
-// is in flight.
+// whileOutOfService writes down that the node is out, and replaces the process of a release once no caller's
+// request is in flight.
 func (a *Agent) whileOutOfService(o Observation) Action {
 	permit := *o.Permit
 	switch {
--- a/internal/control/drainpermit/remove.go
+++ b/internal/control/drainpermit/remove.go
@@ -10,13 +10,13 @@
 
 // When the controller removes a permit.
 //
-// Inputs: permits and requests, halts, the start window (lease.Terms.Duration), and since when this
+// Inputs: permits and drain requests, halts, the start window (lease.Terms.Duration), and since when this
 // controller has seen a permit.
 //
-//   - A node's permit that is granted and not started is removed if its request is gone, replaced by another,
+//   - A node's permit that is granted and not started is removed if its drain request is gone, replaced by another,
 //     failed or halted; and if it has not been started for a whole start window. In that last case its
-//     request goes to the end of the queue.
-//   - An upstream server's permit becomes PermitReturning once its request is gone or replaced, and is
+//     drain request goes to the end of the queue.
+//   - An upstream server's permit becomes PermitReturning once its drain request is gone or replaced, and is
 //     removed once every node that reports has used the server, and found it healthy, for MinReady.
 //
 // Why: the transaction that removes a permit is made only if the permit is unchanged, and so is the one that
@@ -48,12 +48,12 @@
 
 // decideNotStarted decides on a node's permit that is granted and not started.
 func (r permitReview) decideNotStarted(name string, permit fleetstate.Permit) {
-	seenFor := r.seenFor(permit)
+	observedFor := r.observedFor(permit)
 	request, requested := r.view.Requests[name]
 	switch {
 	case !requested || request.ID != permit.RequestID || request.FailureReason != "" || r.view.IsHalted(request):
 		r.decision.Remove = append(r.decision.Remove, name)
-	case seenFor >= r.Terms.Duration:
+	case observedFor >= r.Terms.Duration:
 		r.decision.Remove = append(r.decision.Remove, name)
 		r.decision.Requeue = append(r.decision.Requeue, name)
 	}
@@ -69,15 +69,16 @@
 			r.decision.MarkReturning = append(r.decision.MarkReturning, name)
 		}
 	case r.upstreamInUse(name):
-		if r.seenFor(permit) >= r.MinReady {
+		if r.observedFor(permit) >= r.MinReady {
 			r.decision.Remove = append(r.decision.Remove, name)
 		}
 	}
 }
 
-// seenFor returns for how long the controller has seen the condition that would remove a permit, without a
-// break until now.
-func (r permitReview) seenFor(permit fleetstate.Permit) time.Duration {
+// observedFor returns for how long the controller has looked at the permit in the branch that calls this
+// (granted and not started, or its upstream server in use again) without a break, and notes that it does so
+// now. A look that takes another branch begins the time anew.
+func (r permitReview) observedFor(permit fleetstate.Permit) time.Duration {
 	first, seen := r.Controller.firstSeen[permit.ID]
 	if !seen {
 		first = r.now
--- a/internal/frontend/resp/closing.go
+++ b/internal/frontend/resp/closing.go
@@ -35,7 +35,7 @@
 )
 
 func endCauseOf(err error) endCause {
-	for _, bad := range []error{errFraming, errMessageTimeout, errNoTag, errDuplicateTag, errTooManyBadMessages} {
+	for _, bad := range []error{errFraming, errMessageTimeout, errNoTag, errDuplicateTag, errTooManyOpen, errTooManyBadMessages} {
 		if errors.Is(err, bad) {
 			return endedByBadInput
 		}
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -33,9 +33,12 @@
 	closing          bool      // its socket is closed, or soon will be
 }
 
-// Errors of messages after which a connection takes nothing more.
+// Errors of messages after which a connection takes nothing more. A message with errDuplicateTag or
+// errTooManyOpen gets no answer of its own; the connection's open requests are answered at once, without
+// waiting for their runs, and it closes (endReading).
 var (
-	errDuplicateTag       = errors.New("the tag of an open request, or too many open requests")
+	errDuplicateTag       = errors.New("the tag of an open request")
+	errTooManyOpen        = errors.New("too many open requests")
 	errTooManyBadMessages = errors.New("too many malformed messages")
 	errAborted            = errors.New("the message came as the connection was aborted")
 )
@@ -88,11 +91,14 @@
 		return false, errAborted
 	}
 	// An answer with the tag of an open request would be taken for the answer to that one.
-	_, duplicate := c.openRequests[tag]
-	if duplicate || submit != nil && len(c.openRequests) >= c.front.opts.Limits.RequestsPerConnection {
+	if _, duplicate := c.openRequests[tag]; duplicate {
 		c.mu.Unlock()
 		return false, errDuplicateTag
 	}
+	if submit != nil && len(c.openRequests) >= c.front.opts.Limits.RequestsPerConnection {
+		c.mu.Unlock()
+		return false, errTooManyOpen
+	}
 	c.lastUsed = time.Now()
 	c.messagesRead++
 	var timeout time.Duration
--- a/internal/frontend/resp/eviction.go
+++ b/internal/frontend/resp/eviction.go
@@ -30,7 +30,7 @@
 	list []*framedConn // the longest waiting first
 }
 
-// add has an evicted connection end, and blocks while there are too many, for patience at most.
+// add has an evicted connection end, and blocks while there are too many, for maxWait at most.
 func (e *evictionList) add(c *framedConn, maxWait time.Duration) {
 	e.mu.Lock()
 	e.list = append(e.list, c)
--- a/internal/frontend/uwsgi/balancer/balancer.go
+++ b/internal/frontend/uwsgi/balancer/balancer.go
@@ -71,7 +71,8 @@
 	StateDraining        // no longer listed; requests in flight go on
 )
 
-// String returns the state's name as metrics show it.
+// String returns the value of the metric label that shows the state. Dashboards name these values ("in" for StateHealthy, "out"
+// for StateEjected), so they keep their text.
 func (s State) String() string {
 	return [...]string{"in", "warming", "out", "probing", "draining"}[s]
 }
--- a/internal/frontend/uwsgi/balancer/retry.go
+++ b/internal/frontend/uwsgi/balancer/retry.go
@@ -11,7 +11,9 @@
 //
 // Inputs: what is known of the failed attempt (FailedAttempt), and the retry budget.
 // A request is sent to another server if nothing of a response has reached the client, it can't have run or is idempotent, its
-// body can be sent once more, fewer than Config.MaxAttempts were made, and more time is left than an attempt takes.
+// body can be sent once more, fewer than Config.MaxAttempts were made, and more than ExpectedDuration is left before the deadline.
+// The pool does not estimate how long an attempt takes and leaves ExpectedDuration 0, so that last condition says there that the
+// deadline has not passed.
 // A retry that may repeat work takes a token of the budget. Each first attempt adds Config.RetryRatio tokens and each second
 // Config.MinRetriesPerSecond, up to max(10 × MinRetriesPerSecond, 20). An attempt that never got a connection cost the servers
 // nothing, so its retry takes none.
@@ -43,7 +45,7 @@
 	ResponseStarted  bool          // part of the response was sent to the client
 	Attempts         int           // so far, this one included
 	TimeLeft         time.Duration // until the deadline
-	ExpectedDuration time.Duration // of another attempt; 0: unknown
+	ExpectedDuration time.Duration // of another attempt; 0: unknown, as the pool always leaves it
 }
 
 // AllowRetry returns nil if the request may be sent to another server, which takes a token of the retry budget, or the reason
--- a/internal/frontend/uwsgi/balancer/slowstart.go
+++ b/internal/frontend/uwsgi/balancer/slowstart.go
@@ -15,6 +15,8 @@
 //	turnRateFactor × fraction(t) × sendRate / servers,   fraction(t) = max(MinSlowStartFraction, t / SlowStart)
 //
 // A turn that is not used within turnValidSpans of a span expires, so that no process saves turns up for a burst.
+// Beside the turns, the server's capacity is ceil(limit × fraction(t)) requests in flight (selection.go, capacity). While no
+// server is warm, turns are not asked for and that bound stands alone.
 
 const (
 	// turnRateFactor leaves room for turns that were begun before a span and are used within it.
--- a/internal/frontend/uwsgi/reject.go
+++ b/internal/frontend/uwsgi/reject.go
@@ -45,6 +45,6 @@
 // rejectEvicted answers a request whose connection has lost its slot.
 func (f *Front) rejectEvicted(conn net.Conn) {
 	f.count(func(n *Counts) { n.Crowded++ })
-	f.write(conn, statusResponse(http.StatusServiceUnavailable, f.opts.Limits.RecordRetryAfter))
+	f.write(conn, statusResponse(http.StatusServiceUnavailable, f.opts.Limits.RejectedRetryAfter))
 	gracefulClose(conn, f.opts.Limits.CloseTimeout/evictedCloseDivisor)
 }
--- a/internal/frontend/uwsgi/serve.go
+++ b/internal/frontend/uwsgi/serve.go
@@ -121,7 +121,7 @@
 	}
 	if !f.reserveBody(reserved) { // rejected while the body is still with the client
 		f.count(func(n *Counts) { n.Crowded++ })
-		f.writeResponse(conn, nil, statusResponse(http.StatusServiceUnavailable, lim.RecordRetryAfter))
+		f.writeResponse(conn, nil, statusResponse(http.StatusServiceUnavailable, lim.RejectedRetryAfter))
 		return
 	}
 	defer f.reserveBody(-reserved)
--- a/internal/node/deadline.go
+++ b/internal/node/deadline.go
@@ -45,7 +45,7 @@
 // answerUndecided answers a request without a decision of admission, and reports that.
 func (n *Node) answerUndecided(r *request) {
 	if r.stage == stageRecording {
-		n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RecordRetryAfter})
+		n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RejectedRetryAfter})
 		return
 	}
 	status := StatusFailed
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -122,7 +122,7 @@
 func (n *Node) recordFailed(r *request, err error) {
 	n.counts.RecordFailures++
 	n.log.Warn("keyed request rejected: its start could not be recorded", err)
-	n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RecordRetryAfter})
+	n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RejectedRetryAfter})
 }
 
 // withdrawStart answers a request whose start is being recorded, and releases its key: nothing of it has run, and
--- a/internal/platform/limits/limits.go
+++ b/internal/platform/limits/limits.go
@@ -84,7 +84,7 @@
 
 	// Journals of keyed runs, and the other processes of this node.
 	RecordTimeout      time.Duration // for a start to be recorded before its request is rejected
-	RecordRetryAfter   time.Duration // Retry-After of that rejection
+	RejectedRetryAfter time.Duration // Retry-After of rejections that logic did not decide: for want of a recorded start, a slot or body memory
 	QuotaInterval      time.Duration // between looks at what the node's other processes have in flight
 	MaxSnapshotAge     time.Duration // of an earlier process's learned state, to start from it
 	ProcessListTimeout time.Duration // for a look at which other processes of this node live
@@ -150,7 +150,7 @@
 		ElectionTimeout: time.Second,
 
 		RecordTimeout:      time.Second,
-		RecordRetryAfter:   time.Second,
+		RejectedRetryAfter: time.Second,
 		QuotaInterval:      50 * time.Millisecond,
 		MaxSnapshotAge:     10 * time.Second,
 		ProcessListTimeout: 200 * time.Millisecond,
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -8,7 +8,8 @@
 	"sloehitch/internal/store/document"
 )
 
-// Actions of a LeaseRequest.
+// Actions of a LeaseRequest, with their encoded values: "take" acquires a lease. The action's encoded name is "ask", which errors
+// quote (docs/glossary.md).
 const (
 	LeaseAcquire  = "take"
 	LeaseRenew    = "renew"
--- a/internal/store/memberchange.go
+++ b/internal/store/memberchange.go
@@ -16,7 +16,8 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// Actions of a MembershipChange.
+// Actions of a MembershipChange, with their encoded values. The action's encoded name is "do", which errors quote
+// (docs/glossary.md).
 const (
 	MemberAdd     = "add"     // as a learner without a vote
 	MemberPromote = "promote" // give a learner a vote
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -20,7 +20,7 @@
 	Restore     *restorePart          `json:"Restore,omitempty"`
 }
 
-// Errors of transactions that callers may not commit.
+// errLeaseInTransaction means that a transaction of Commit has an operation on a lease. "do" is the encoded name of the operations.
 var errLeaseInTransaction = errors.New("do: leases are asked for by their own call")
 
 // Commit commits a transaction on all members, once for its id. It blocks until a majority has it. It returns ErrNotLeader on
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,8 +13,8 @@
 //   - recover.go: how one member goes on alone after the majority was lost for good.
 //   - api.go, documentapi.go, memberapi.go: HTTP for operators and for the other members; client.go: its client.
 //
-// The rules by which members are changed, and may take part again, are in package quorum; those of leases in package lease; those
-// of transactions in package document.
+// The rules by which members are changed, and may take part again, are in package quorum; those of leases in package
+// internal/control/lease; those of transactions in package document.
 package store
 
 import (
