--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,7 +1,6 @@
-// Package admission serializes access to the decision module (package logic), which is a state machine without I/O or
-// locks. A Controller collects events (Report), steps the module on a goroutine of its own, and hands out its
-// decisions (Next). It also keeps the module's clock: a timer that the module has set is delivered together with the
-// server's gauges.
+// Package admission serializes access to the logic.Server, a state machine without I/O or locks. A Controller collects
+// events (Report), steps logic on a goroutine of its own, and hands out its decisions (Next). It also keeps logic's
+// clock: a timer that logic has set is delivered together with the server's gauges.
 package admission
 
 import (
@@ -14,7 +13,7 @@
 	"sloehitch/logic"
 )
 
-// Options are what a Controller needs beside the module's settings.
+// Options are what a Controller needs beside logic's settings.
 type Options struct {
 	Seed  uint64
 	Clock clock.Clock
@@ -25,14 +24,15 @@
 	// RequestGauges asks for the server's gauges; they are to be passed to ReportGauges. It must not block. Nil:
 	// there are none.
 	RequestGauges func()
-	// GaugesTimeout is how long a due timer waits for the gauges. While the machine stands still none come, and a
-	// module that was stepped then would take its runs for stalled.
+	// GaugesTimeout is how long a due timer waits for the gauges. While the machine stands still none come, and
+	// logic, stepped then, would take the runs for stalled.
 	GaugesTimeout time.Duration
 	LearnedState  *logic.LearnedState // of an earlier process of this node, to begin with; nil: none
 }
 
-// Controller owns one decision module. New makes one and Close ends it. Its methods may be called from any goroutine
-// and, but for Next and LearnedState, never block. The module and the timer belong to the goroutine that runs loop.
+// Controller owns one logic.Server. New makes one and Close ends it. Its methods may be called from any goroutine
+// and, but for Next and LearnedState, never block. The logic.Server and the timer belong to the goroutine that runs
+// loop.
 type Controller struct {
 	server *logic.Server
 	opts   Options
@@ -51,19 +51,19 @@
 	timerDue        chan uint64 // numbers of timers
 	timer           clock.Timer
 	timerNumber     uint64 // of the newest timer; older ones are void
-	timerID         uint64 // the module's name for it
-	stepScheduled   bool   // with OnDecision: a callback that steps the module is set
+	timerID         uint64 // logic's name for it
+	stepScheduled   bool   // with OnDecision: a callback that steps logic is set
 	done            chan struct{}
 	gaugesRequested bool // the timer is due and waits for gauges
 	lastStepAt      logic.Micros
 	lastGauges      Gauges
 
-	loadSignal  atomic.Uint64 // bits of a float64; NaN until the module sets it
+	loadSignal  atomic.Uint64 // bits of a float64; NaN until logic sets it
 	unhealthy   atomic.Bool
 	idleTimeout atomic.Int64 // nanoseconds
 }
 
-// New starts a Controller of a module with these settings.
+// New starts a Controller of a logic.Server with these settings.
 func New(cfg logic.Settings, opts Options) (*Controller, error) {
 	server, err := logic.New(cfg, opts.Seed)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return c, nil
 }
 
-// Report passes events on to the module.
+// Report passes events on to logic.
 func (c *Controller) Report(events ...Event) {
 	c.mu.Lock()
 	for _, e := range events {
@@ -116,7 +116,7 @@
 	}
 }
 
-// Reconfigure has the module use new settings before any event reported after this call. cfg must have passed
+// Reconfigure has logic use new settings before any event reported after this call. cfg must have passed
 // logic.New's checks and keep the classes and tenants in their places (logic.Server.Reconfigure).
 func (c *Controller) Reconfigure(cfg logic.Settings) {
 	c.mu.Lock()
@@ -125,7 +125,7 @@
 	c.scheduleStep()
 }
 
-// SetResourceShare has the module use a fraction of the cores and the memory, above 0 and at most 1: another process
+// SetResourceShare has logic use a fraction of the cores and the memory, above 0 and at most 1: another process
 // of this node has the rest.
 func (c *Controller) SetResourceShare(fraction float64) {
 	c.mu.Lock()
@@ -134,7 +134,7 @@
 	c.scheduleStep()
 }
 
-// LearnedState returns what the module has learned so far. It waits for the module's next step, which is short. It
+// LearnedState returns what logic has learned so far. It waits for logic's next step, which is short. It
 // returns false if the controller is closed.
 func (c *Controller) LearnedState() (logic.LearnedState, bool) {
 	if c.opts.OnDecision != nil {
@@ -182,13 +182,13 @@
 	}
 }
 
-// LoadSignal returns the load signal for callers; false until the module sets one.
+// LoadSignal returns the load signal for callers; false until logic sets one.
 func (c *Controller) LoadSignal() (float64, bool) {
 	v := math.Float64frombits(c.loadSignal.Load())
 	return v, !math.IsNaN(v)
 }
 
-// Healthy is the module's answer to health checks.
+// Healthy is logic's answer to health checks.
 func (c *Controller) Healthy() bool { return !c.unhealthy.Load() }
 
 // IdleTimeout is how long an unused connection may stay open; 0: as long as its caller likes.
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -35,7 +35,7 @@
 	if v, set := c.LoadSignal(); !set || v != 0 || !c.Healthy() {
 		t.Errorf("signal %v %v, healthy %v", v, set, c.Healthy())
 	}
-	<-requested // the module sets a timer while it has work, and waits for the gauges
+	<-requested // logic sets a timer while it has work, and waits for the gauges
 	c.Report(Arrived(3, Arrival{Tenant: -1, MemoryKB: 10}))
 	c.ReportGauges(Gauges{RunQueueLength: 0, CPUUtilization: 0})
 	if d, ok := c.Next(); !ok || d.Kind != Run || d.ID != 3 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestTimerWithoutGauges: a runtime that reports no gauges must not stop the module's clock, by which it answers.
+// TestTimerWithoutGauges: a runtime that reports no gauges must not stop logic's clock, by which it answers.
 func TestTimerWithoutGauges(t *testing.T) {
 	c := open(t, Options{GaugesTimeout: time.Millisecond, RequestGauges: func() {}})
 	timeout := settings.Classes[0].ClientTimeout
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -23,7 +23,7 @@
 	SkipCall                      // continue its run without that call
 )
 
-// Decision is one thing that the module decided about one request.
+// Decision is one thing that logic decided about one request.
 type Decision struct {
 	Kind       DecisionKind
 	ID         uint64
--- a/internal/admission/loop.go
+++ b/internal/admission/loop.go
@@ -6,7 +6,7 @@
 	"sloehitch/logic"
 )
 
-// scheduleStep has the module stepped soon.
+// scheduleStep has logic stepped soon.
 func (c *Controller) scheduleStep() {
 	if c.opts.OnDecision == nil {
 		select {
@@ -24,7 +24,7 @@
 	}
 }
 
-// loop steps the module until Close.
+// loop steps logic until Close.
 func (c *Controller) loop() {
 	for {
 		select {
@@ -79,7 +79,7 @@
 	c.step(c.gaugesRequested)
 }
 
-// step applies what was asked of the module since the last step, steps it on the events since then and, if timerDue
+// step applies what was asked of logic since the last step, steps it on the events since then and, if timerDue
 // is set, on its timer, and hands out its decisions.
 func (c *Controller) step(timerDue bool) {
 	c.mu.Lock()
@@ -107,7 +107,7 @@
 	if len(events) == 0 && share == 0 {
 		return
 	}
-	// The module's clock never goes back, whatever is done to the system's.
+	// The clock of logic never goes back, whatever is done to the system's.
 	c.lastStepAt = max(c.lastStepAt, logic.Micros(c.opts.Clock.Now().UnixMicro()))
 	c.handOut(c.server.Step(c.lastStepAt, events))
 }
--- a/internal/idempotency/keystore/bounds_test.go
+++ b/internal/idempotency/keystore/bounds_test.go
@@ -119,3 +119,18 @@
 		t.Errorf("without a folder: %v", err)
 	}
 }
+
+// TestStartAfterClose: a Store that was closed takes no start, and says so.
+func TestStartAfterClose(t *testing.T) {
+	c := open(t, t.TempDir(), (&clock{now: start}).Now, nil)
+	if err := c.Close(); err != nil {
+		t.Fatal(err)
+	}
+	called := make(chan error, 1)
+	if err := c.RecordStart(runRecord("a"), func(err error) { called <- err }); !errors.Is(err, ErrClosed) {
+		t.Errorf("a start after Close got %v, want ErrClosed", err)
+	}
+	if len(called) > 0 {
+		t.Error("a start that was not taken was reported as done")
+	}
+}
--- a/internal/idempotency/keystore/claim.go
+++ b/internal/idempotency/keystore/claim.go
@@ -14,19 +14,22 @@
 // limits.KeyStore.TotalBytes:
 //
 //	start, another process holds the key   node.ErrKeyHeld, until arrival + window + RetentionMargin or withdrawal
-//	start, B >= Bmax                       ErrFull: the node rejects the request
+//	start, B >= Bmax                       ErrFull, until Sweep drops expired segments: the node rejects the request
 //	start otherwise                        written: this process holds the key
 //	end or withdrawal of a key held here   written, whatever B is
 //	result, B >= 0.75 * Bmax               left out: room for claims goes first, as without one a request can't run
 //
 // A start counts once its record is complete in the file; one that was cut by a full disk does not.
 
-// ErrFull is reported for a start while the folder holds as many bytes as it may.
+// ErrFull is reported for a start while the folder holds as many bytes as it may, until Sweep drops expired segments.
 var ErrFull = errors.New("keystore: the folder is full")
 
-// ErrQueueFull is returned for a start while too many records wait to be written, and after Close.
+// ErrQueueFull is returned for a start while too many records wait to be written.
 var ErrQueueFull = errors.New("keystore: too many records are queued")
 
+// ErrClosed is returned for a start after Close.
+var ErrClosed = errors.New("keystore: closed")
+
 // errNotHeld is the result of an end or withdrawal of a key that this process does not hold.
 var errNotHeld = errors.New("keystore: the key is not held by this process")
 
@@ -43,8 +46,8 @@
 }
 
 // RecordStart claims record's key. It calls done from another goroutine: with nil once this process holds the key,
-// with node.ErrKeyHeld if another one does, and with another error if that is unknown. It returns ErrQueueFull,
-// and does not call done, if too many records are queued.
+// with node.ErrKeyHeld if another one does, and with another error if that is unknown. It returns ErrQueueFull
+// if too many records are queued and ErrClosed after Close, and does not call done then.
 func (s *Store) RecordStart(record node.RunRecord, done func(error)) error {
 	return s.enqueue(pendingWrite{format.Record{
 		Kind:        format.KindStarted,
@@ -84,7 +87,10 @@
 func (s *Store) enqueue(w pendingWrite) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || w.done != nil && len(s.queue) >= s.opts.Limits.QueuedRecords {
+	if s.closed {
+		return ErrClosed
+	}
+	if w.done != nil && len(s.queue) >= s.opts.Limits.QueuedRecords {
 		return ErrQueueFull
 	}
 	s.queue = append(s.queue, w)
@@ -190,7 +196,7 @@
 			seg.expiresAt = max(seg.expiresAt, r.ExpiresAt)
 		} else {
 			results[i] = err
-			s.setRunning(r, r.Kind != format.KindStarted) // to the others, a key that could not be released stays held
+			s.undoRunning(r)
 		}
 	}
 	if err != nil {
@@ -202,7 +208,7 @@
 // admitWrites decides which records are written. It numbers those, sets the results of the others, and returns the
 // number of those that are written.
 func (s *Store) admitWrites(writes []pendingWrite, results []error, now time.Time) (admitted int) {
-	seq, bytes := s.table.LastSeq(), s.totalBytes()
+	seq, bytes := s.peers.table.LastSeq(), s.totalBytes()
 	for i := range writes {
 		r := &writes[i].record
 		if results[i] = s.checkWrite(r, bytes, now); results[i] != nil {
@@ -215,10 +221,10 @@
 		r.Seq = seq
 		bytes += int64(len(r.Result)) + recordOverhead
 		admitted++
-		s.setRunning(r, r.Kind == format.KindStarted) // at once: the next record may be of the same key
+		s.noteRunning(r) // at once: the next record may be of the same key
 		s.longestRetention = max(s.longestRetention, time.Duration(r.ExpiresAt-now.UnixNano()))
 	}
-	s.table.ObserveSeq(seq)
+	s.peers.table.ObserveSeq(seq)
 	return admitted
 }
 
@@ -230,7 +236,7 @@
 		}
 		return nil
 	}
-	if _, held := s.table.Lookup(r.ID, now.UnixNano()); held {
+	if _, held := s.peers.table.Lookup(r.ID, now.UnixNano()); held {
 		return node.ErrKeyHeld
 	}
 	if bytes >= s.opts.Limits.TotalBytes {
@@ -239,15 +245,26 @@
 	return nil
 }
 
-// setRunning notes whether this process holds a key whose run has not ended.
-func (s *Store) setRunning(r *format.Record, running bool) {
-	if running {
+// noteRunning notes what a record that is to be written says of its key: whether this process holds it and its run
+// has not ended.
+func (s *Store) noteRunning(r *format.Record) {
+	if r.Kind == format.KindStarted {
 		s.runningKeys[r.ID] = true
 	} else {
 		delete(s.runningKeys, r.ID)
 	}
 }
 
+// undoRunning undoes noteRunning for a record that was not written: a key that could not be released stays held,
+// as the other processes see it.
+func (s *Store) undoRunning(r *format.Record) {
+	if r.Kind == format.KindStarted {
+		delete(s.runningKeys, r.ID)
+	} else {
+		s.runningKeys[r.ID] = true
+	}
+}
+
 // segmentAgeDivisor is the part of the longest retention for which a segment is written to at least.
 const segmentAgeDivisor = 16
 
--- a/internal/idempotency/keystore/folder.go
+++ b/internal/idempotency/keystore/folder.go
@@ -20,9 +20,9 @@
 type folder struct {
 	dir        string
 	owner      string   // the name of this process
-	lock       *os.File // its first 8 bytes are the generation, which counts processes and segments
+	lock       *os.File // its first 8 bytes are the generation
 	alive      *os.File
-	generation uint64 // as last seen
+	generation uint64 // as last seen; it changes with each new process or segment; others list the folder only then
 }
 
 // Files are named lock, OWNER.alive and OWNER.ORDER.log.
--- a/internal/idempotency/keystore/keystore.go
+++ b/internal/idempotency/keystore/keystore.go
@@ -21,7 +21,6 @@
 	"time"
 
 	"sloehitch/internal/idempotency/keystore/format"
-	"sloehitch/internal/idempotency/keystore/keystate"
 	"sloehitch/internal/node"
 	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/platform/lograte"
@@ -50,14 +49,9 @@
 	mu               sync.Mutex
 	queue            []pendingWrite
 	closed           bool
-	table            *keystate.Table // keys of the other processes
-	processes        map[string]int  // numbers of the other processes, by name
-	dead             map[int]bool    // which of them have exited
-	peerSegments     map[int]*segment
-	knownPaths       map[string]bool // of the others' segments, expired ones included while their files exist
-	ownSegments      []*segment      // the last one is written to
-	lastOrder        int             // of the own segments
-	lastNumber       int             // given to a process or segment
+	peers            peers
+	ownSegments      []*segment // the last one is written to
+	lastOrder        int        // of the own segments
 	runningKeys      map[format.ID]bool
 	longestRetention time.Duration // of any record, when it was written
 	newestCreatedAt  time.Time     // of the last own segment
@@ -70,19 +64,15 @@
 func Open(o Options) (*Store, error) {
 	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatUint(rand.Uint64(), 36)
 	s := &Store{
-		opts:         o,
-		log:          lograte.New(o.Log, o.Limits.LogInterval),
-		wake:         make(chan struct{}, 1),
-		stop:         make(chan struct{}),
-		writerDone:   make(chan struct{}),
-		sweeps:       make(chan chan struct{}, 1),
-		table:        keystate.New(),
-		processes:    map[string]int{},
-		dead:         map[int]bool{},
-		peerSegments: map[int]*segment{},
-		knownPaths:   map[string]bool{},
-		runningKeys:  map[format.ID]bool{},
-		watchers:     map[format.ID][]func(){},
+		opts:        o,
+		log:         lograte.New(o.Log, o.Limits.LogInterval),
+		wake:        make(chan struct{}, 1),
+		stop:        make(chan struct{}),
+		writerDone:  make(chan struct{}),
+		sweeps:      make(chan chan struct{}, 1),
+		peers:       newPeers(),
+		runningKeys: map[format.ID]bool{},
+		watchers:    map[format.ID][]func(){},
 	}
 	var err error
 	if s.folder, err = openFolder(o.Dir, name); err != nil {
@@ -123,7 +113,7 @@
 	for _, seg := range s.ownSegments {
 		seg.closeFile()
 	}
-	for _, seg := range s.peerSegments {
+	for _, seg := range s.peers.segments {
 		seg.closeFile()
 	}
 	s.folder.removeAliveFile(s.folder.owner)
@@ -146,8 +136,8 @@
 	defer s.mu.Unlock()
 	return Stats{
 		OwnSegments:  len(s.ownSegments),
-		PeerSegments: len(s.peerSegments),
-		PeerKeys:     s.table.Len(),
+		PeerSegments: len(s.peers.segments),
+		PeerKeys:     s.peers.table.Len(),
 		RunningKeys:  len(s.runningKeys),
 		Bytes:        s.totalBytes(),
 		WatchedKeys:  len(s.watchers),
@@ -159,7 +149,7 @@
 	for _, seg := range s.ownSegments {
 		sum += seg.size
 	}
-	for _, seg := range s.peerSegments {
+	for _, seg := range s.peers.segments {
 		sum += seg.size
 	}
 	return sum
--- a/internal/idempotency/keystore/lookup.go
+++ b/internal/idempotency/keystore/lookup.go
@@ -17,7 +17,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh()
-	claim, ok := s.table.Lookup(key, s.opts.Now().UnixNano())
+	claim, ok := s.peers.table.Lookup(key, s.opts.Now().UnixNano())
 	if !ok {
 		return node.RunRecord{}, false
 	}
@@ -25,12 +25,12 @@
 		Key:         record.Key,
 		Class:       record.Class,
 		Fingerprint: claim.Fingerprint,
-		Ended:       claim.Kind == format.KindEnded || s.dead[claim.Owner],
+		Ended:       claim.Kind == format.KindEnded || s.peers.dead[claim.Owner],
 	}
 	if claim.Kind != format.KindEnded {
 		return found, true
 	}
-	seg := s.peerSegments[claim.Location.Segment]
+	seg := s.peers.segments[claim.Location.Segment]
 	r, err := seg.readRecord(claim.Location.Offset, claim.Location.Size)
 	if err != nil || r.ID != key {
 		s.log.Warn("result recorded by another process can't be read", fmt.Errorf("%s: %w", seg.path, err))
@@ -47,11 +47,11 @@
 	key := keyID(record)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	claim, ok := s.table.Lookup(key, s.opts.Now().UnixNano())
+	claim, ok := s.peers.table.Lookup(key, s.opts.Now().UnixNano())
 	if s.closed {
 		return // this process is about to end
 	}
-	if !ok || claim.Kind == format.KindEnded || s.dead[claim.Owner] {
+	if !ok || claim.Kind == format.KindEnded || s.peers.dead[claim.Owner] {
 		go done()
 		return
 	}
@@ -84,7 +84,7 @@
 			return err
 		}
 	}
-	for _, seg := range s.peerSegments {
+	for _, seg := range s.peers.segments {
 		if seg.file == nil && seg.size > 0 {
 			continue // read to its end
 		}
@@ -100,41 +100,33 @@
 		return err
 	}
 	for _, name := range owners {
-		s.registerProcess(name)
+		s.peers.registerProcess(name)
 	}
 	paths := map[string]bool{}
 	for _, seg := range found {
 		paths[seg.path] = true
-		if !s.knownPaths[seg.path] {
-			s.lastNumber++
-			seg.number = s.lastNumber
-			s.peerSegments[seg.number] = seg
-			s.registerProcess(seg.owner)
+		if !s.peers.knownPaths[seg.path] {
+			s.peers.lastNumber++
+			seg.number = s.peers.lastNumber
+			s.peers.segments[seg.number] = seg
+			s.peers.registerProcess(seg.owner)
 		}
 	}
-	s.knownPaths = paths
+	s.peers.knownPaths = paths
 	return nil
 }
 
-// registerProcess gives another process a number.
-func (s *Store) registerProcess(name string) {
-	if _, known := s.processes[name]; !known {
-		s.lastNumber++
-		s.processes[name] = s.lastNumber
-	}
-}
-
 // readSegment takes in what a segment has more than when it was last read.
 func (s *Store) readSegment(seg *segment) error {
 	if s.readBuffer == nil {
 		s.readBuffer = make([]byte, readBufferSize)
 	}
-	owner := s.processes[seg.owner]
-	last := s.superseded(seg) || s.dead[owner] // as of before it is read: nothing is added to it any more
+	owner := s.peers.processes[seg.owner]
+	last := s.peers.superseded(seg) || s.peers.dead[owner] // as of before it is read: nothing is added to it any more
 	skippedBefore := seg.skippedBytes
 	err := seg.read(s.readBuffer, last, func(r format.Record, at, size int64) {
 		seg.expiresAt = max(seg.expiresAt, r.ExpiresAt)
-		if s.table.Apply(owner, r, keystate.Location{
+		if s.peers.table.Apply(owner, r, keystate.Location{
 			Segment: seg.number,
 			Offset:  at,
 			Size:    size,
@@ -151,13 +143,3 @@
 	}
 	return err
 }
-
-// superseded reports whether the owner of a segment has begun a later one.
-func (s *Store) superseded(seg *segment) bool {
-	for _, other := range s.peerSegments {
-		if other.owner == seg.owner && other.order > seg.order {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/idempotency/keystore/processes.go
+++ b/internal/idempotency/keystore/processes.go
@@ -19,8 +19,8 @@
 		s.log.Warn("note to the node's other processes was not written", err)
 	}
 	s.refresh()
-	for name, number := range s.processes {
-		if s.dead[number] {
+	for name, number := range s.peers.processes {
+		if s.peers.dead[number] {
 			continue
 		}
 		text, err := os.ReadFile(filepath.Join(s.folder.dir, name+aliveSuffix))
@@ -48,8 +48,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, number := range s.processes {
-		if !s.dead[number] {
+	for _, number := range s.peers.processes {
+		if !s.peers.dead[number] {
 			n++
 		}
 	}
--- a/internal/idempotency/keystore/sweep.go
+++ b/internal/idempotency/keystore/sweep.go
@@ -17,9 +17,9 @@
 // sweep does what Sweep asks for. The caller holds both locks.
 func (s *Store) sweep() {
 	now := s.opts.Now().UnixNano()
-	for name, number := range s.processes {
-		if !s.dead[number] && s.folder.hasExited(name) {
-			s.dead[number] = true
+	for name, number := range s.peers.processes {
+		if !s.peers.dead[number] && s.folder.hasExited(name) {
+			s.peers.dead[number] = true
 		}
 	}
 	s.ownSegments = slices.DeleteFunc(s.ownSegments, func(seg *segment) bool {
@@ -32,11 +32,11 @@
 	})
 	s.forgetProcesses(s.dropPeerSegments(now))
 	for key := range s.watchers {
-		if claim, ok := s.table.Lookup(key, now); !ok || s.dead[claim.Owner] {
+		if claim, ok := s.peers.table.Lookup(key, now); !ok || s.peers.dead[claim.Owner] {
 			s.notifyWatchers(key)
 		}
 	}
-	if len(s.peerSegments) == 0 {
+	if len(s.peers.segments) == 0 {
 		s.readBuffer = nil
 	}
 }
@@ -45,20 +45,20 @@
 // of those whose process has exited. It returns the names of the processes that have segments left.
 func (s *Store) dropPeerSegments(now int64) (remaining map[string]bool) {
 	remaining = map[string]bool{}
-	for number, seg := range s.peerSegments {
-		dead := s.dead[s.processes[seg.owner]]
+	for number, seg := range s.peers.segments {
+		dead := s.peers.dead[s.peers.processes[seg.owner]]
 		if dead && seg.file != nil { // a record that was cut by the process's end stays cut
 			if err := s.readSegment(seg); err != nil {
 				s.log.Warn("key records of another process can't be read", err)
 			}
 		}
-		if seg.expiresAt >= now || seg.foreignVersion || !dead && !s.superseded(seg) && seg.exists() {
+		if seg.expiresAt >= now || seg.foreignVersion || !dead && !s.peers.superseded(seg) && seg.exists() {
 			remaining[seg.owner] = true
 			continue
 		}
 		seg.closeFile()
-		s.table.ForgetSegment(number)
-		delete(s.peerSegments, number)
+		s.peers.table.ForgetSegment(number)
+		delete(s.peers.segments, number)
 		if dead {
 			_ = os.Remove(seg.path)
 		}
@@ -68,11 +68,11 @@
 
 // forgetProcesses forgets the exited processes that have no segments left.
 func (s *Store) forgetProcesses(remaining map[string]bool) {
-	for name, number := range s.processes {
-		if s.dead[number] && !remaining[name] {
+	for name, number := range s.peers.processes {
+		if s.peers.dead[number] && !remaining[name] {
 			s.folder.removeAliveFile(name)
-			delete(s.processes, name)
-			delete(s.dead, number)
+			delete(s.peers.processes, name)
+			delete(s.peers.dead, number)
 		}
 	}
 }
--- a/internal/node/deadline.go
+++ b/internal/node/deadline.go
@@ -14,7 +14,8 @@
 // deadline is the sooner of the class's timeout and the caller's, counted from the arrival; ResponseGrace is how long
 // after the deadline a response still counts. Admission answers first where it can: the guard leaves it
 // DeadlineGuardShare (0 to 1) of the grace. What the guard answers is rejected if nothing of it ran and failed
-// otherwise. Its run goes on unless admission stops it; the result of a keyed run is stored for retries.
+// otherwise; one that waits for another's run may have run: failed. Its run goes on unless admission stops it; the
+// result of a keyed run is stored for retries.
 
 // guardDelay is how long after the deadline the guard answers.
 func (n *Node) guardDelay() time.Duration {
@@ -48,7 +49,7 @@
 		n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RecordRetryAfter})
 		return
 	}
-	status := StatusFailed
+	status := StatusFailed // coalesced or elsewhere: the run that it waits for may have run
 	if r.stage == stageQueued {
 		status = StatusRejected
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,9 +9,9 @@
 // Draining, from the notice of shutdown on:
 //
 //	read until notice + settings.DrainGrace             as without a shutdown
-//	read later                                          rejected; answered as its key's run if there was one
+//	read after the grace                                rejected; answered as its key's run if there was one
 //	at notice + stop - limits.KillMargin                all that is unanswered is answered
-//	read later                                          rejected
+//	read after that answer                              rejected
 //
 // The times count from the notice, however late Drain is called. A request counts as read when its last byte has
 // come: its caller's stamp says when the first one did.
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// rejectUnrun rejects a request that was to be started and may not be.
+// rejectUnrun rejects a request that was to be started and may not be. It names no Retry-After: logic computes that
+// from its backlog when it rejects, and it had admitted this request. The caller may try another server at once.
 func (n *Node) rejectUnrun(r *request) {
 	n.respond(r, Response{Status: StatusRejected})
 	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -23,7 +23,9 @@
 	if r.IdempotencyKey != "" && n.answerFromKeyTable(r) {
 		return
 	}
-	if n.answeredForKill(now) || n.pastDrainGrace(r) && !n.keyMayHaveRun(r) {
+	// Past the grace a repeat of a run is answered from it even now.
+	tooLate := n.answeredForKill(now) || (n.pastDrainGrace(r) && !n.keyMayHaveRun(r))
+	if tooLate {
 		n.respond(r, Response{Status: StatusRejected, RetryAfter: duration(n.opts.Settings.MaxRetryAfter)})
 		return
 	}
--- a/logic/callbudget.go
+++ b/logic/callbudget.go
@@ -6,10 +6,13 @@
 )
 
 // Budget for calls to a shared dependency that sustains a mean of L calls in flight from this server
-// (CallConcurrencyLimit) over a window W. Calls are admitted by weight density, highest first, if both hold:
+// (CallConcurrencyLimit) over a window W (CallConcurrencyWindow, µs). Calls are admitted by weight density,
+// highest first, if both hold, in microseconds of call time:
 //
 //	hard: call time that ended within W + longest time that the calls in flight can take <= L·W
-//	pace: credit >= call time of the calls ahead and in flight + reserve of up to 4 calls for higher weights
+//	pace: credit >= call time of the calls ahead and in flight + reserve
+//
+//	reserve = 4·(1 - weight/max weight)·mean call time, left to calls of higher weight
 //
 // The credit, in microseconds of call time, accrues at the planned concurrency
 //
--- a/logic/calls.go
+++ b/logic/calls.go
@@ -1,14 +1,21 @@
 package logic
 
-// Outcome of a call to the dependency. A call that never ran is made again: under a shared limit all calls
-// wait 6 mean call times first, else this request's waits half a mean call time for each of its failed calls.
-// One of an idempotent request is made once more where there is no shared limit, since only its reply may be
-// lost. Otherwise the run goes on without the call where its class allows that; a request that is not
-// idempotent fails.
+// Outcome of a call to the dependency. The first row that fits a call that did not succeed decides:
+//
+//	first failure, idempotent, no shared limit   stays pending
+//	its class may degrade                        skipped: the run goes on without the call
+//	may have run, not idempotent                 the request fails
+//	all else                                     stays pending
+//
+// A pending call is made again once its backoff has passed and the budget admits it, until it can't end
+// before D2 (callbudget.go). So a request that is idempotent and may not degrade has its call made again
+// after the second and each later failure too, until D2, and is rejected then. Only calls that never ran back
+// off: under a shared limit all calls wait 6 mean call times, else this request's waits half a mean call time
+// for each of its failed calls. After a timeout there is no backoff of its own.
 const (
-	maxCallRetries   = 1
-	callRetryBackoff = 0.5 // mean call times, for each call that did not succeed
-	callSampleWeight = 0.15
+	maxCallRetries   = 1     // calls made again per run before a class that may degrade skips the call
+	callRetryBackoff = 0.5   // mean call times, for each call that did not succeed
+	callSampleWeight = 0.15  // share of a new sample in the mean call time
 	slowCallFactor   = 2     // mean over least call time from which calls count as slow
 	minCallTimeDrift = 0.002 // weight with which the least call time follows the mean: it may be out of date
 )
@@ -50,7 +57,7 @@
 	}
 	switch {
 	case !shared && c.Idempotency == Idempotent && r.failedCalls <= maxCallRetries:
-		// It is made again.
+		// It stays pending.
 	case c.DegradedWeightShare > 0:
 		s.skipCall(r)
 	case !neverRan && c.Idempotency != Idempotent:
--- a/logic/deadline.go
+++ b/logic/deadline.go
@@ -9,6 +9,7 @@
 //
 // Idempotent runs whose request is answered are stopped while others wait. That harms where such a run is
 // nearly done and its result would answer repeats.
+
 // answerExpired answers what reaches its deadline, and everything just before the kill.
 func (s *Server) answerExpired() {
 	margin := max(2*s.cfg.StepInterval, s.cfg.ResponseGrace)
--- a/logic/doc.go
+++ b/logic/doc.go
@@ -14,7 +14,17 @@
 // a Retry-After.
 //
 // A step handles the events and then applies the rules in this order (Server.Step). Each rule stands in one
-// file, with its inputs, formula, source and constants:
+// file, with its inputs, formula, source and constants. The terms that they share, with
+// times in microseconds:
+//
+//	T_m                a request's expected run time (estimate.go)
+//	D1, D2             bounds of the new-request and the old-request queue: points in time before which
+//	                   a request of the queue must be expected to end (admission.go)
+//	new-request queue  queued requests that can still meet D1
+//	old-request queue  queued requests that could not meet D1 at some time; started while they meet D2
+//	call delay         time that a request's call waits for the budget (callbudget.go)
+//
+// The files:
 //
 //	logic.go       the state machine: events, steps, life of a request
 //	queue.go       order of the queue: new before old, then by weight for core time
--- a/logic/limit.go
+++ b/logic/limit.go
@@ -10,8 +10,8 @@
 //	C     = cores·(1 + (MaxConcurrencyPerCore - 1)·speed)
 //	slots = min(max(1, N - reading), max(1, 0.75·C - waiting at calls/2), C - waiting at calls)
 //
-// with N and C times the share of the machine that this process has. The speed rises evenly from
-// SlowStartCapacity to 1 during slow start.
+// with N and C times the share of the machine that this process has. With Settings.SlowStart the speed rises
+// linearly from SlowStartCapacity to 1 within SlowStartDuration (µs) of the first Step; else it is 1.
 //
 // Runs that wait at calls may all come back at once. Requests that are being read take the place of runs
 // beyond half of the cores, since unread requests are not ordered by weight. C does not count waits for
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -13,6 +13,7 @@
 //
 // A request over its tenant's quota has only OverQuotaWeightShare of its weight, and a retry 0.3 of it. With
 // WeightPerWork the weight is not divided. Both queues stand in one slice, the new-request queue first.
+
 // retryWeightShare is the share of its weight that a retry or hedged request has: part of its latency
 // objective is spent, and how much is not told.
 const retryWeightShare = 0.3
--- a/logic/shedding.go
+++ b/logic/shedding.go
@@ -6,7 +6,18 @@
 //	now + call delay + Σ T_m ahead / run limit + T_m >= D2
 //
 // so that its caller has time to try another server. A short burst rejects nobody. Where a run may have had
-// an effect that must not be repeated, the answer is an error in place of a rejection.
+// an effect that must not be repeated, the answer is an error in place of a rejection. The callers of
+// rejectOrFail and their reasons:
+//
+//	handleArrival    it arrived after the drain grace, or memory has no room for the key entry that it needs
+//	handleRepeat     its repeat takes over its place in the queue and its key entry
+//	handleRunEnded   the host stopped its run unasked
+//	handleCallEnded  its call may have run and must not be made again
+//	admitCalls       its call can't end before D2 and may not be skipped
+//	startNext        it is the next to start and can't meet D2
+//	shedHopeless     the work ahead of it keeps it from meeting D2, or the server is faulty
+//	shedForMemory    it is at the end of the queue and the memory in use is above its bound
+//	answerExpired    its deadline has come, or the process is about to be killed
 //
 //	Retry-After = (time to start what is queued + time to read what is unread) / 3
 //
