--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -53,8 +53,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if r := s.Recovery(); r.Torn > 0 && !readOnly {
-		log.Warn("a torn tail was cut off; it was never acknowledged", "file", r.TornFile, "offset", r.TornOffset, "bytes", r.Torn)
+	if r := s.Recovery(); r.TornBytes > 0 && !readOnly {
+		log.Warn("a torn tail was cut off; it was never acknowledged", "file", r.TornFile, "offset", r.TornOffset, "bytes", r.TornBytes)
 	}
 	return s, nil
 }
@@ -277,7 +277,7 @@
 	return c.show(struct {
 		ledger.Stats
 		Found ledger.Recovery `json:"found"`
-	}{stats, r}, fmt.Sprintf("%vread in        %v, %d records\n", stats, r.Took.Round(time.Millisecond), r.Records))
+	}{stats, r}, fmt.Sprintf("%vread in        %v, %d records\n", stats, r.Duration.Round(time.Millisecond), r.Records))
 }
 
 type ledgerVerifyCmd struct{ ledgerFlags }
@@ -292,13 +292,13 @@
 	if v.File != "" {
 		text += fmt.Sprintf(": %s at offset %d: %s", v.File, v.Offset, v.What)
 	}
-	if v.State != ledger.Damaged {
+	if v.State != ledger.StateDamaged {
 		text += fmt.Sprintf("; %d keys, %d records in %d segments", v.Recovery.Keys, v.Recovery.Records, v.Recovery.Segments)
 	}
 	if err := c.show(v, text+"\n"); err != nil {
 		return err
 	}
-	if code := map[string]daemon.ExitCode{ledger.Torn: 1, ledger.Damaged: 2}[v.State]; code != 0 {
+	if code := map[string]daemon.ExitCode{ledger.StateTorn: 1, ledger.StateDamaged: 2}[v.State]; code != 0 {
 		return code
 	}
 	return nil
@@ -312,7 +312,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, s.Close()) }()
-	s.Sweep()
+	s.RemoveExpired()
 	r, err := s.Compact()
 	if err != nil {
 		return err
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	v, err := ledger.Verify(left, ledger.Options{Limits: limits.ForLedger(1 << 20)})
-	if err != nil || v.State != ledger.Torn || v.File != active || v.Offset != 36 {
+	if err != nil || v.State != ledger.StateTorn || v.File != active || v.Offset != 36 {
 		t.Fatalf("%+v, %v", v, err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -102,7 +102,7 @@
 		if err != nil {
 			return fmt.Errorf("ledger: %w", err)
 		}
-		if state = fmt.Sprintf("%s, %d keys", v.State, v.Recovery.Keys); v.State == ledger.Damaged {
+		if state = fmt.Sprintf("%s, %d keys", v.State, v.Recovery.Keys); v.State == ledger.StateDamaged {
 			return fmt.Errorf("ledger: %s: %s at offset %d: %s; see `sloehitch ledger repair`", l.Dir, v.File, v.Offset, v.What)
 		}
 	}
--- a/internal/control/fencing/guard_test.go
+++ b/internal/control/fencing/guard_test.go
@@ -46,7 +46,7 @@
 	if err := g.Do("another", 1, func() error { return nil }); err != nil {
 		t.Errorf("another task's first token: %v", err)
 	}
-	_ = g.Do("release", 9, func() error { disk = disk.Cut(1); return errors.New("the power is gone") })
+	_ = g.Do("release", 9, func() error { disk = disk.LosePower(1); return errors.New("the power is gone") })
 	s = open(t, disk)
 	t.Cleanup(func() {
 		if err := s.Close(); err != nil {
--- a/internal/control/fleet/state_applier_test.go
+++ b/internal/control/fleet/state_applier_test.go
@@ -50,11 +50,11 @@
 			t.Errorf("%s at %d: %v, %v", c.text, c.version, ok, err)
 		}
 	}
-	disk.Decide = func(int, simdisk.Op, string) simdisk.Fault { return simdisk.ENOSPC }
+	disk.InjectFault = func(int, simdisk.Op, string) simdisk.Fault { return simdisk.FaultNoSpace }
 	if ok, err := applier.observe(`{"out":false,"by":"ann"}`, 8, 8); ok || !errors.Is(err, errNotPersisted) || applier.follower.LastApplied().Version != 7 {
 		t.Errorf("a full disk: %v, %v, %+v", ok, err, applier.follower.LastApplied())
 	}
-	disk = disk.Cut(1)
+	disk = disk.LosePower(1)
 	_ = l.Close() // its disk is gone
 	applier, l = open()
 	defer func() {
@@ -91,7 +91,7 @@
 		if !ok || err != nil {
 			t.Errorf("token %d after a cut: %v, %v: the mutant is not one", token, ok, err)
 		}
-		disk = disk.Cut(1)
+		disk = disk.LosePower(1)
 		_ = l.Close() // its disk is gone
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -163,7 +163,7 @@
 	}
 	if d.journals.ledger.Load() != nil {
 		t := d.ledgerStats()
-		args = append(args, "ledger_keys", t.Keys, "ledger_bytes", t.Disk, "ledger_flushes", t.Flushes, "ledger_broken", t.Broken)
+		args = append(args, "ledger_keys", t.Keys, "ledger_bytes", t.DiskBytes, "ledger_flushes", t.Flushes, "ledger_broken", t.Broken)
 	}
 	d.log.Info("totals", args...)
 }
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -123,7 +123,7 @@
 	}
 	r := s.Recovery()
 	d.log.Info("ledger opened", "folder", d.deploy.Load().Ledger.Dir, "keys", r.Keys, "records", r.Records, "segments", r.Segments,
-		"torn_bytes", r.Torn, "took", r.Took, "backlog", backlog)
+		"torn_bytes", r.TornBytes, "took", r.Duration, "backlog", backlog)
 }
 
 // restoreRuns gives the core what ran before a restart, one run after another: their results together may exceed the memory.
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -80,7 +80,7 @@
 	if err := s.Put([]byte("other/x"), []byte("not ours"), time.Time{}); err != nil { // in order, so all before is durable
 		t.Fatal(err)
 	}
-	_, l = open(t, fs.Cut(1))
+	_, l = open(t, fs.LosePower(1))
 	const want = `"a" true true true "\x00r\xff", "b\x00\xff" false false false "", "d" true false false "", `
 	if got := readAll(t, l); got != want {
 		t.Errorf("%s, want %s", got, want)
--- a/internal/ledger/backup_test.go
+++ b/internal/ledger/backup_test.go
@@ -22,7 +22,7 @@
 	}
 	for at := 1; ; at++ {
 		to := simdisk.New(uint64(at))
-		to.Decide = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
+		to.InjectFault = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
 			if n == at {
 				return simdisk.FaultPowerLoss
 			}
@@ -30,7 +30,7 @@
 		}
 		_, err := s.Backup(to)
 		for state := range uint64(4) {
-			left := to.Cut(state)
+			left := to.LosePower(state)
 			b, openErr := Open(left, options())
 			var d *DamageError
 			switch {
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -280,7 +280,7 @@
 		}
 	}
 	b.ReportMetric(float64(heap()-before)/n, "B/key-written")
-	counted := s.Stats().Index / n
+	counted := s.Stats().IndexBytes / n
 	s.Close()
 	s.index.Clear() // the benchmark's clean-up still holds the store
 	before = heap()
--- a/internal/ledger/compact.go
+++ b/internal/ledger/compact.go
@@ -31,7 +31,7 @@
 		case <-s.compactionDue:
 		case <-ticker.C:
 		}
-		s.Sweep()
+		s.RemoveExpired()
 		if err := s.compactWhileDue(); err != nil && !errors.Is(err, ErrClosed) {
 			s.opts.Log.Warn("a compaction failed; nothing is lost", "folder", s.fs.String(), "error", err)
 		}
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -39,7 +39,7 @@
 	if err := s.Mark(); err != nil {
 		t.Fatal(err)
 	}
-	s.Sweep()
+	s.RemoveExpired()
 	newer := s.sealed[len(s.sealed)-1].number
 	got, err := s.compact([]uint64{newer}, false)
 	if err != nil || got.TombstonesWritten != 2 {
@@ -71,7 +71,7 @@
 		if c, err := s.compact([]uint64{s.sealed[0].number}, false); err != nil || c.RecordsDropped != 1 {
 			t.Fatalf("%+v, %v", c, err)
 		}
-		s2 := mustOpen(t, fs.Cut(state), o)
+		s2 := mustOpen(t, fs.LosePower(state), o)
 		if got := content(t, s2); got["k"] == "" {
 			t.Fatalf("state %d: %v", state, got)
 		}
@@ -93,7 +93,7 @@
 	if err := s.compactWhileDue(); err != nil {
 		t.Fatal(err)
 	}
-	if st := s.Stats(); st.Compactions == 0 || float64(st.Garbage) > 0.45*float64(st.Records) {
+	if st := s.Stats(); st.Compactions == 0 || float64(st.GarbageBytes) > 0.45*float64(st.RecordBytes) {
 		t.Errorf("after compactions by themselves:\n%v", st)
 	}
 	c, err := s.Compact()
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	st := s.Stats()
-	if st.Garbage != 0 || st.Cold == 0 || st.Disk >= before.Disk/4 || c.RecordsKept != 30 {
+	if st.GarbageBytes != 0 || st.ColdSegments == 0 || st.DiskBytes >= before.DiskBytes/4 || c.RecordsKept != 30 {
 		t.Errorf("%+v\n%v", c, st)
 	}
 	if got := content(t, s); !maps.Equal(got, want) {
--- a/internal/ledger/crash_test.go
+++ b/internal/ledger/crash_test.go
@@ -28,7 +28,7 @@
 		cuts := 0
 		for at := 1; at <= total; at++ {
 			fs := simdisk.New(seed)
-			fs.Decide = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
+			fs.InjectFault = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
 				if n == at {
 					return simdisk.FaultPowerLoss
 				}
@@ -40,14 +40,14 @@
 			}
 			for state := range uint64(5) {
 				what := fmt.Sprintf("seed %d, cut at operation %d of %d, state %d", seed, at, total, state)
-				left := fs.Cut(state).Files()
+				left := fs.LosePower(state).Files()
 				want := reopen(t, what, simdisk.FromFiles(left), h)
 				if state != uint64(at)%5 {
 					continue
 				}
 				for again := 1; ; again++ { // cut the recovery itself
 					fs := simdisk.FromFiles(left)
-					fs.Decide = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
+					fs.InjectFault = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
 						if n == again {
 							return simdisk.FaultPowerLoss
 						}
@@ -58,7 +58,7 @@
 						s.Close()
 						break
 					}
-					after := reopen(t, fmt.Sprintf("%s, then at operation %d of the recovery", what, again), fs.Cut(uint64(again)), h)
+					after := reopen(t, fmt.Sprintf("%s, then at operation %d of the recovery", what, again), fs.LosePower(uint64(again)), h)
 					if !maps.Equal(after, want) {
 						t.Fatalf("%s: a recovery cut at %d ends with %v, one that isn't with %v", what, again, after, want)
 					}
@@ -91,7 +91,7 @@
 				}
 			}
 		}
-		left := fs.Cut(state)
+		left := fs.LosePower(state)
 		s2, err := Open(left, o)
 		if err != nil {
 			t.Fatalf("state %d: %v", state, err)
--- a/internal/ledger/expire.go
+++ b/internal/ledger/expire.go
@@ -15,9 +15,9 @@
 // expired reports whether a record has expired by the store's clock, in Unix milliseconds.
 func expired(p location, mark int64) bool { return p.expiryMillis != 0 && p.expiryMillis <= mark }
 
-// Sweep removes expired keys from memory. Readers don't see them before that either. It holds up readers and writers only
+// RemoveExpired removes expired keys from memory. Readers don't see them before that either. It holds up readers and writers only
 // for short moments.
-func (s *Store) Sweep() {
+func (s *Store) RemoveExpired() {
 	s.mu.Lock()
 	if s.nextExpiry == 0 || s.nextExpiry > s.clockMark {
 		s.mu.Unlock()
--- a/internal/ledger/fault_test.go
+++ b/internal/ledger/fault_test.go
@@ -17,7 +17,7 @@
 // TestFaults fails operations by seed: nothing that was acknowledged is lost, nothing rejected comes back, and after a failed
 // flush nothing is acknowledged any more, also if the disk claims success from then on.
 func TestFaults(t *testing.T) {
-	kinds := []simdisk.Fault{simdisk.FaultIO, simdisk.ENOSPC, simdisk.FaultShortWrite}
+	kinds := []simdisk.Fault{simdisk.FaultIO, simdisk.FaultNoSpace, simdisk.FaultShortWrite}
 	failed := map[simdisk.Op]int{}
 	for seed := range uint64(300 * *long) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -25,7 +25,7 @@
 		at := 26 + rng.IntN(110)
 		var op simdisk.Op
 		var file string
-		fs.Decide = func(n int, o simdisk.Op, name string) simdisk.Fault {
+		fs.InjectFault = func(n int, o simdisk.Op, name string) simdisk.Fault {
 			if n != at {
 				return simdisk.FaultNone
 			}
@@ -78,7 +78,7 @@
 			if err := seen.apply(s, map[string]string{"after": "1"}); err != nil {
 				t.Fatal(err)
 			}
-			reopen(t, fmt.Sprintf("seed %d (%s failed), state %d after a restart", seed, op, state), alive.Cut(state), seen)
+			reopen(t, fmt.Sprintf("seed %d (%s failed), state %d after a restart", seed, op, state), alive.LosePower(state), seen)
 			s.Close()
 		}
 	}
@@ -112,7 +112,7 @@
 			t.Fatal(err)
 		}
 	}
-	reopen(t, "after a full disk", fs.Cut(1), h)
+	reopen(t, "after a full disk", fs.LosePower(1), h)
 }
 
 func listed(s *Store, name string) bool {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -49,11 +49,11 @@
 	Records    int           `json:"records"` // read
 	Keys       int           `json:"keys"`
 	Bytes      int64         `json:"bytes"`
-	Torn       int64         `json:"torn_bytes"` // cut off at the end of the active segment: never acknowledged
+	TornBytes  int64         `json:"torn_bytes"` // cut off at the end of the active segment: never acknowledged
 	TornFile   string        `json:"torn_file,omitempty"`
 	TornOffset int64         `json:"torn_at,omitempty"`
 	StrayFiles int           `json:"stray_files"` // removed files that no manifest lists
-	Took       time.Duration `json:"took_ns"`
+	Duration   time.Duration `json:"took_ns"`
 }
 
 // location is where the newest record of a key stands.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -138,7 +138,7 @@
 	if got := content(t, s); !maps.Equal(got, want) {
 		t.Errorf("after a restart %d keys, want %d", len(got), len(want))
 	}
-	if r := s.Recovery(); r.Torn != 0 || r.Keys != len(want) || r.Fresh {
+	if r := s.Recovery(); r.TornBytes != 0 || r.Keys != len(want) || r.Fresh {
 		t.Errorf("recovery %+v", r)
 	}
 }
@@ -173,8 +173,8 @@
 	if len(content(t, s)) != 0 || s.Stats().Keys != 0 {
 		t.Error("deleted keys are still there")
 	}
-	if st := s.Stats(); st.Records != 0 {
-		t.Errorf("a compaction of nothing but deleted keys left %d bytes:\n%v", st.Records, st)
+	if st := s.Stats(); st.RecordBytes != 0 {
+		t.Errorf("a compaction of nothing but deleted keys left %d bytes:\n%v", st.RecordBytes, st)
 	}
 }
 
@@ -255,7 +255,7 @@
 	check("after its time")
 	c.add(-time.Hour)
 	check("the clock set back")
-	s.Sweep()
+	s.RemoveExpired()
 	if s.Stats().Keys != 1 {
 		t.Error("what is gone is still in memory after a sweep")
 	}
--- a/internal/ledger/load_active.go
+++ b/internal/ledger/load_active.go
@@ -107,7 +107,7 @@
 		return damage(g.name, end, "%v, though %d bytes were durable", scanErr, flushed)
 	}
 	recovery := &a.store.recovery
-	recovery.Torn, recovery.TornFile, recovery.TornOffset = g.size-a.completeEnd, g.name, a.completeEnd
+	recovery.TornBytes, recovery.TornFile, recovery.TornOffset = g.size-a.completeEnd, g.name, a.completeEnd
 	g.size = a.completeEnd
 	return nil
 }
--- a/internal/ledger/model_test.go
+++ b/internal/ledger/model_test.go
@@ -84,7 +84,7 @@
 				follow(t)
 			},
 			"tend": func(t *rapid.T) {
-				s.Sweep()
+				s.RemoveExpired()
 				if err := s.compactWhileDue(); err != nil {
 					t.Fatal(err)
 				}
@@ -92,7 +92,7 @@
 			},
 			"restart": func(t *rapid.T) {
 				if rapid.Bool().Draw(t, "cut") {
-					fs = fs.Cut(rapid.Uint64().Draw(t, "state"))
+					fs = fs.LosePower(rapid.Uint64().Draw(t, "state"))
 				}
 				s.Close()
 				if s, err = Open(fs, o); err != nil {
--- a/internal/ledger/recover.go
+++ b/internal/ledger/recover.go
@@ -30,7 +30,7 @@
 		return err
 	}
 	s.removeUnlistedFiles()
-	s.recovery.Took = time.Since(began)
+	s.recovery.Duration = time.Since(began)
 	return nil
 }
 
@@ -52,7 +52,7 @@
 		var tail *activeTail
 		if tail, err = s.loadSegments(); err == nil {
 			s.active = tail.seg
-			s.recovery.Took = time.Since(began)
+			s.recovery.Duration = time.Since(began)
 			return nil
 		}
 		s.releaseSegments()
--- a/internal/ledger/simdisk/file.go
+++ b/internal/ledger/simdisk/file.go
@@ -49,7 +49,7 @@
 	}
 	n := len(p)
 	switch fault {
-	case FaultIO, ENOSPC:
+	case FaultIO, FaultNoSpace:
 		return 0, err
 	case FaultShortWrite:
 		n /= 2
@@ -105,7 +105,7 @@
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
 	fault, err := f.fs.startOperation(OpSync, f.name)
-	if fault == FaultIO || fault == ENOSPC {
+	if fault == FaultIO || fault == FaultNoSpace {
 		// As on Linux the pages are now clean: the cache has them, the disk some of them, and the next flush succeeds.
 		f.node.durable = f.fs.drawContent(f.node)
 		f.node.pending, f.node.writebackFailed = nil, true
--- a/internal/ledger/simdisk/power_loss.go
+++ b/internal/ledger/simdisk/power_loss.go
@@ -68,9 +68,9 @@
 	return max(n, 0)
 }
 
-// Cut cuts the power, if that has not happened, and returns the disk as it is found afterwards. It may be called again for
+// LosePower cuts the power, if that has not happened, and returns the disk as it is found afterwards. It may be called again for
 // another possible state after the same power loss.
-func (d *FS) Cut(seed uint64) *FS {
+func (d *FS) LosePower(seed uint64) *FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.poweredOff = true
--- a/internal/ledger/simdisk/simdisk.go
+++ b/internal/ledger/simdisk/simdisk.go
@@ -45,7 +45,7 @@
 	FaultNone       Fault = iota
 	FaultPowerLoss        // the power is lost during the operation
 	FaultIO               // EIO, and nothing is done; a flush that fails loses what it should have flushed, as on Linux
-	ENOSPC                // no space left, and nothing is done
+	FaultNoSpace          // no space left, and nothing is done
 	FaultShortWrite       // half of a write is done, then ENOSPC
 )
 
@@ -81,8 +81,8 @@
 	poweredOff bool
 	rng        *rand.Rand
 
-	// Decide is called before each operation that changes something; n counts them from 1. nil: no faults.
-	Decide         func(n int, op Op, name string) Fault
+	// InjectFault is called before each operation that changes something; n counts them from 1. nil: no faults.
+	InjectFault    func(n int, op Op, name string) Fault
 	OperationCount int // operations so far that change something
 	OperationLog   []string
 	LogOperations  bool  // keep OperationLog
@@ -106,8 +106,8 @@
 		d.OperationLog = append(d.OperationLog, fmt.Sprintf("%d %s %s", d.OperationCount, op, name))
 	}
 	f := FaultNone
-	if d.Decide != nil {
-		f = d.Decide(d.OperationCount, op, name)
+	if d.InjectFault != nil {
+		f = d.InjectFault(d.OperationCount, op, name)
 	}
 	switch f {
 	case FaultPowerLoss:
@@ -115,7 +115,7 @@
 		return f, ErrPowerLoss
 	case FaultIO:
 		return f, &fs.PathError{Op: string(op), Path: name, Err: syscall.EIO}
-	case ENOSPC, FaultShortWrite:
+	case FaultNoSpace, FaultShortWrite:
 		return f, &fs.PathError{Op: string(op), Path: name, Err: syscall.ENOSPC}
 	}
 	return f, nil
--- a/internal/ledger/verify.go
+++ b/internal/ledger/verify.go
@@ -6,8 +6,8 @@
 	"sloehitch/internal/ledger/disk"
 )
 
-// Verdict reports the state of a folder's files.
-type Verdict struct {
+// VerifyResult reports the state of a folder's files.
+type VerifyResult struct {
 	State    string   `json:"state"` // whole, torn or damaged
 	File     string   `json:"file,omitempty"`
 	Offset   int64    `json:"offset,omitempty"`
@@ -17,14 +17,14 @@
 
 // The states of a folder.
 const (
-	Whole   = "whole"
-	Torn    = "torn"    // the end of the active segment was never acknowledged; Open truncates it
-	Damaged = "damaged" // Open returns a *DamageError
+	StateIntact  = "whole"
+	StateTorn    = "torn"    // the end of the active segment was never acknowledged; Open truncates it
+	StateDamaged = "damaged" // Open returns a *DamageError
 )
 
 // Verify reads all that a folder holds without changing it, and blocks until then. The error says what could not be read, not
 // what was found. A folder that a process is writing to may look torn.
-func Verify(fs disk.FS, o Options) (Verdict, error) {
+func Verify(fs disk.FS, o Options) (VerifyResult, error) {
 	o.ReadOnly = true
 	s, err := Open(fs, o)
 	if s != nil {
@@ -33,13 +33,13 @@
 	var d *DamageError
 	switch {
 	case errors.As(err, &d):
-		return Verdict{State: Damaged, File: d.File, Offset: d.Offset, What: d.Reason}, nil
+		return VerifyResult{State: StateDamaged, File: d.File, Offset: d.Offset, What: d.Reason}, nil
 	case err != nil:
-		return Verdict{}, err
+		return VerifyResult{}, err
 	}
-	v := Verdict{State: Whole, Recovery: s.Recovery()}
-	if r := v.Recovery; r.Torn > 0 {
-		v.State, v.File, v.Offset = Torn, r.TornFile, r.TornOffset
+	v := VerifyResult{State: StateIntact, Recovery: s.Recovery()}
+	if r := v.Recovery; r.TornBytes > 0 {
+		v.State, v.File, v.Offset = StateTorn, r.TornFile, r.TornOffset
 		v.What = "the segment ends in bytes that were never acknowledged"
 	}
 	return v, nil
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -233,12 +233,12 @@
 func (c *collector) ledger(s sender) {
 	t := c.from.Ledger()
 	s.gauge(ledgerKeys, t.Keys)
-	s.gauge(ledgerIndex, int(t.Index))
-	s.gauge(ledgerIndexLimit, int(t.IndexLimit))
-	s.gauge(ledgerDisk, int(t.Disk))
-	s.gauge(ledgerGarbage, int(t.Garbage))
-	s.counter(ledgerWritten, int(t.Written), "writers")
-	s.counter(ledgerWritten, int(t.Packed), "compactions")
+	s.gauge(ledgerIndex, int(t.IndexBytes))
+	s.gauge(ledgerIndexLimit, int(t.IndexLimitBytes))
+	s.gauge(ledgerDisk, int(t.DiskBytes))
+	s.gauge(ledgerGarbage, int(t.GarbageBytes))
+	s.counter(ledgerWritten, int(t.WrittenBytes), "writers")
+	s.counter(ledgerWritten, int(t.CompactedBytes), "compactions")
 	s.counter(ledgerFlushes, int(t.Flushes))
 	s.flag(ledgerBroken, t.Broken != "")
 }
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -201,7 +201,7 @@
 	fs := simdisk.New(seed)
 	l := openWith(t, fs, o)
 	cut := fs.OperationCount + 1 + r.IntN(60)
-	fs.Decide = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
+	fs.InjectFault = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
 		if n == cut {
 			return simdisk.FaultPowerLoss
 		}
@@ -242,7 +242,7 @@
 		}
 	}
 	_ = l.Close() // fails after a power cut
-	l = openWith(t, fs.Cut(seed), o)
+	l = openWith(t, fs.LosePower(seed), o)
 	defer func() { _ = l.Close() }() // a folder that is not used again
 	f, _ := l.FirstIndex()
 	n, _ := l.LastIndex()
