--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -70,7 +70,7 @@
 	work := r.class.Work.Sample(sizes)
 	hint := work
 	if r.class.WorkHintCV > 0 {
-		hint *= Distribution{Mean: 1, CV: r.class.WorkHintCV, Kind: "lognormal"}.Sample(hints)
+		hint *= Distribution{Mean: 1, CV: r.class.WorkHintCV, Kind: Lognormal}.Sample(hints)
 	}
 	id := "r" + strconv.Itoa(s.requestCount)
 	a := Attempt{ID: id, RequestID: id, Class: class, Tenant: s.drawTenant(sizes), MemoryKB: requestMemoryKB, Work: work,
--- a/internal/emulator/experiment/world.go
+++ b/internal/emulator/experiment/world.go
@@ -38,13 +38,6 @@
 	return points
 }
 
-// The kinds of distributions.
-const (
-	lognormal   = "lognormal"
-	exponential = "exponential"
-	fixed       = "fixed"
-)
-
 // emulatorWorld is the world that an arm meets at a point, under a seed.
 func (f *File) emulatorWorld(p Point, a Arm, seed uint64) (emulator.World, error) {
 	newServer, err := emulator.NewPolicy(a.Policy, a.Parameter)
@@ -114,15 +107,18 @@
 
 // emulatorClass returns an error for an unknown distribution.
 func (c Class) emulatorClass() (emulator.Class, error) {
-	switch c.Distribution {
-	case "", lognormal, exponential, fixed:
+	kind := emulator.DistributionKind(c.Distribution)
+	switch kind {
+	case "":
+		kind = defaultDistribution(c.CV)
+	case emulator.Lognormal, emulator.Exponential, emulator.Fixed:
 	default:
 		return emulator.Class{}, fmt.Errorf("class %q: no dist %q: lognormal, exponential or fixed", c.Name, c.Distribution)
 	}
 	return emulator.Class{
 		Name:              c.Name,
 		Share:             c.Share,
-		Work:              emulator.Distribution{Mean: c.Work.Seconds(), CV: c.CV, Kind: cmp.Or(c.Distribution, defaultDistribution(c.CV))},
+		Work:              emulator.Distribution{Mean: c.Work.Seconds(), CV: c.CV, Kind: kind},
 		LatencyObjective:  c.LatencyObjective.Duration,
 		ClientTimeout:     c.ClientTimeout.Duration,
 		PriorityWeight:    c.PriorityWeight,
@@ -134,11 +130,11 @@
 }
 
 // defaultDistribution is the kind of a distribution for which only a coefficient of variation is given.
-func defaultDistribution(cv float64) string {
+func defaultDistribution(cv float64) emulator.DistributionKind {
 	if cv > 0 {
-		return lognormal
+		return emulator.Lognormal
 	}
-	return fixed
+	return emulator.Fixed
 }
 
 func (d Dependency) emulatorDependency() *emulator.Dependency {
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -23,29 +23,28 @@
 type Distribution struct {
 	Mean float64
 	CV   float64 // coefficient of variation, of a lognormal distribution
-	Kind string  // "exponential" (its CV is 1), "lognormal" or "fixed"
+	Kind DistributionKind
 }
 
+// DistributionKind is the family of a distribution. Its values are the words of experiment files.
+type DistributionKind string
+
+// The kinds of distributions.
+const (
+	Exponential DistributionKind = "exponential" // its CV is 1
+	Lognormal   DistributionKind = "lognormal"
+	Fixed       DistributionKind = "fixed" // always the mean; any other kind counts as this one
+)
+
 // Sample draws one amount.
-func (s Distribution) Sample(r *rand.Rand) float64 {
-	switch s.Kind {
-	case "exponential":
-		return distuv.Exponential{Rate: 1 / s.Mean, Src: r}.Rand()
-	case "lognormal":
-		variance := math.Log(1 + s.CV*s.CV)
-		return distuv.LogNormal{Mu: math.Log(s.Mean) - variance/2, Sigma: math.Sqrt(variance), Src: r}.Rand()
+func (d Distribution) Sample(r *rand.Rand) float64 {
+	switch d.Kind {
+	case Exponential:
+		return distuv.Exponential{Rate: 1 / d.Mean, Src: r}.Rand()
+	case Lognormal:
+		variance := math.Log(1 + d.CV*d.CV)
+		return distuv.LogNormal{Mu: math.Log(d.Mean) - variance/2, Sigma: math.Sqrt(variance), Src: r}.Rand()
 	default:
-		return s.Mean
-	}
-}
-
-// squaredCV is the variance over the square of the mean.
-func (s Distribution) squaredCV() float64 {
-	switch s.Kind {
-	case "exponential":
-		return 1
-	case "lognormal":
-		return s.CV * s.CV
+		return d.Mean
 	}
-	return 0
 }
--- a/internal/emulator/theory_test.go
+++ b/internal/emulator/theory_test.go
@@ -78,3 +78,14 @@
 		})
 	}
 }
+
+// squaredCV is the variance over the square of the mean.
+func (d Distribution) squaredCV() float64 {
+	switch d.Kind {
+	case Exponential:
+		return 1
+	case Lognormal:
+		return d.CV * d.CV
+	}
+	return 0
+}
