--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -12,66 +13,100 @@
 	"sloehitch/internal/ledger"
 	"sloehitch/internal/ledger/disk"
 	"sloehitch/internal/platform/clock"
+	"sloehitch/internal/platform/config"
 	"sloehitch/internal/platform/limits"
 	"sloehitch/internal/store"
 )
 
-// startFleet has this node take part in the fleet where the deployment file says so. It never delays the node: its end is asked for at shutdown, and
+// defaultBackupsKept is how many backups of the store are kept where the deployment file does not say.
+const defaultBackupsKept = 24
+
+// fleetLedgerBytes is the memory for the keys of the ledger that remembers fencing tokens and the applied state.
+const fleetLedgerBytes = 1 << 20
+
+// startFleet has this node take part in the fleet where the deployment file says so. It never delays the node: its end is requested at shutdown, and
 // nothing waits for it.
-func (d *Daemon) startFleet(l *Config) error {
-	c := l.Deploy.Fleet
-	if len(c.Members) == 0 {
+func (d *Daemon) startFleet(c *Config) error {
+	settings := c.Deploy.Fleet
+	if len(settings.Members) == 0 {
 		return nil
 	}
-	spans, err := c.Durations()
+	options, err := d.fleetOptions(settings)
 	if err != nil {
 		return err
 	}
-	o := fleet.Options{Name: d.name, Version: d.version, StoreMembers: c.Members, ReportInterval: spans.ReportInterval, SilentAfter: spans.SilentAfter, RequestTimeout: min(d.limits.CommitTimeout, spans.Lease/4),
-		RetryDelay: spans.Lease / 10, LeaseTerms: store.DefaultLeaseTerms.WithDuration(spans.Lease), NodeState: d.fleetReport,
-		Clock: d.faultHooks.Clock(lease.Now), Now: d.faultHooks.Now, OnEvent: d.faultHooks.Record, BackupDir: c.Backups, BackupsKept: c.BackupsKept, Log: d.log}
-	if o.BackupDir != "" {
-		o.BackupInterval = spans.BackupInterval
+	if options.Ledger, err = d.openFleetLedger(settings.Dir); err != nil {
+		return err
+	}
+	participant, err := fleet.New(options)
+	if err != nil {
+		return errors.Join(err, closeLedger(options.Ledger))
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	d.leaveFleet, d.fleet = cancel, participant
+	go func() {
+		participant.Serve(ctx)
+		_ = closeLedger(options.Ledger) // each write was flushed before it was acknowledged
+	}()
+	return nil
+}
+
+// fleetOptions are the options of this node's part in the fleet, but for its ledger.
+func (d *Daemon) fleetOptions(settings config.Fleet) (fleet.Options, error) {
+	durations, err := settings.Durations()
+	if err != nil {
+		return fleet.Options{}, err
 	}
-	if o.BackupsKept == 0 {
-		o.BackupsKept = 24
+	o := fleet.Options{
+		Name:           d.name,
+		Version:        d.version,
+		StoreMembers:   settings.Members,
+		ReportInterval: durations.ReportInterval,
+		SilentAfter:    durations.SilentAfter,
+		RequestTimeout: min(d.limits.CommitTimeout, durations.Lease/4),
+		RetryDelay:     durations.Lease / 10,
+		LeaseTerms:     store.DefaultLeaseTerms.WithDuration(durations.Lease),
+		NodeState:      d.fleetReport,
+		Clock:          d.faultHooks.Clock(lease.Now),
+		Now:            d.faultHooks.Now,
+		OnEvent:        d.faultHooks.Record,
+		BackupDir:      settings.Backups,
+		BackupsKept:    cmp.Or(settings.BackupsKept, defaultBackupsKept),
+		Log:            d.log,
 	}
-	if c.Dir != "" {
-		dir, err := disk.MakeDir(c.Dir)
-		if err != nil {
-			return fmt.Errorf("fleet: dir: %w", err)
-		}
-		if o.Ledger, err = ledger.Open(d.faultHooks.Disk(dir), ledger.Options{Limits: limits.ForLedger(1 << 20), Log: d.log}); err != nil {
-			return fmt.Errorf("fleet: dir: %w", err)
-		}
+	if o.BackupDir != "" {
+		o.BackupInterval = durations.BackupInterval
 	}
 	o.ApplyDesiredState = func(s desiredstate.State) {
 		d.service.outByDesired.Store(s.OutOfService)
 		d.advertise()
 	}
-	o.Drain, err = d.drainOptions(c, spans)
+	o.Drain, err = d.drainOptions(settings, durations)
+	return o, err
+}
+
+// openFleetLedger opens the ledger in dir; nil without a dir.
+func (d *Daemon) openFleetLedger(dir string) (*ledger.Store, error) {
+	if dir == "" {
+		return nil, nil
+	}
+	folder, err := disk.MakeDir(dir)
 	if err != nil {
-		if o.Ledger != nil {
-			err = errors.Join(err, o.Ledger.Close())
-		}
-		return err
+		return nil, fmt.Errorf("fleet: dir: %w", err)
 	}
-	f, err := fleet.New(o)
+	opened, err := ledger.Open(d.faultHooks.Disk(folder), ledger.Options{Limits: limits.ForLedger(fleetLedgerBytes), Log: d.log})
 	if err != nil {
-		if o.Ledger != nil {
-			err = errors.Join(err, o.Ledger.Close())
-		}
-		return err
+		return nil, fmt.Errorf("fleet: dir: %w", err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	d.leaveFleet, d.fleet = cancel, f
-	go func() {
-		f.Serve(ctx)
-		if o.Ledger != nil {
-			_ = o.Ledger.Close() // each write was flushed before it was acknowledged
-		}
-	}()
-	return nil
+	return opened, nil
+}
+
+// closeLedger closes a ledger that may be nil.
+func closeLedger(l *ledger.Store) error {
+	if l == nil {
+		return nil
+	}
+	return l.Close()
 }
 
 // fleetReport is what the node reports of itself. Its keys are part of the stored document.
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -67,8 +67,7 @@
 		p.Logic, p.Names = old.Logic, old.Names
 		return nil
 	}
-	running, next, err := flatten(old.RawSettings), flatten(p.RawSettings), error(nil)
-	if err = reconfigure.CheckFile(p.RawSettings, running, next); err != nil {
+	if err := reconfigure.CheckFile(p.RawSettings, flatten(old.RawSettings), flatten(p.RawSettings)); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	plan, err := reconfigure.Merge(old.Logic, p.Logic)
