--- a/client/uwsgi/client_test.go
+++ b/client/uwsgi/client_test.go
@@ -66,7 +66,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := standin.NewScripted(t, c.scripts...)
 			client := uwsgi.Client{Address: s.Address, Backoff: time.Millisecond}
-			ctx, cancel := context.WithTimeout(context.Background(), standin.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), standin.WaitTimeout)
 			defer cancel()
 			resp, err := client.Do(ctx, &c.r)
 			var got string
@@ -112,7 +112,7 @@
 	}
 	down.Close()
 	client = uwsgi.Client{Address: down.Addr().String(), Backoff: time.Hour}
-	ctx, cancel = context.WithTimeout(context.Background(), standin.Patience)
+	ctx, cancel = context.WithTimeout(context.Background(), standin.WaitTimeout)
 	defer cancel()
 	var d *uwsgi.DialError
 	if _, err := client.Do(ctx, &uwsgi.Request{}); !errors.As(err, &d) {
--- a/cmd/sloehitch-lab/fleet.go
+++ b/cmd/sloehitch-lab/fleet.go
@@ -57,7 +57,7 @@
 		}
 	}
 	if !c.Quiet {
-		o.Say = os.Stdout
+		o.Progress = os.Stdout
 	}
 	if o.Dir, err = os.MkdirTemp("", "sloehitch-fleet-*"); err != nil {
 		return false, err
@@ -68,7 +68,7 @@
 		return false, fmt.Errorf("seed %d: %w", seed, err)
 	}
 	fmt.Printf("seed %d: %d faults, %d writes, %d reads in %d tries, %d changes of owner, %d jobs, %d wishes applied, %d older copies kept out, at work again after %v\n",
-		seed, len(o.Schedule), r.Writes, r.Reads, r.Tries, r.Owners, r.Jobs, r.Wishes, r.KeptOut, r.Recovered.Round(time.Millisecond))
+		seed, len(o.Schedule), r.Writes, r.Reads, r.Attempts, r.OwnerChanges, r.Jobs, r.DesiredStates, r.Exclusions, r.Recovered.Round(time.Millisecond))
 	if c.Drains {
 		fmt.Printf("drains: %+v\n", r.Drains)
 	}
@@ -77,11 +77,11 @@
 			return false, err
 		}
 	}
-	for _, w := range r.Wrong {
+	for _, w := range r.Violations {
 		fmt.Println("WRONG:", w)
 	}
-	if len(r.Wrong) > 0 {
+	if len(r.Violations) > 0 {
 		fmt.Printf("the schedule, to be kept in a file and shortened by hand:\n%s", o.Schedule)
 	}
-	return len(r.Wrong) > 0, nil
+	return len(r.Violations) > 0, nil
 }
--- a/cmd/sloehitch-lab/outage.go
+++ b/cmd/sloehitch-lab/outage.go
@@ -22,7 +22,7 @@
 func (c *outageCmd) Run() (err error) {
 	o := fleetrig.Options{Nodes: 3, Lease: c.Lease, Recovery: 60 * time.Second, Command: daemonCommand(c.Daemon)}
 	if !c.Quiet {
-		o.Say = os.Stdout
+		o.Progress = os.Stdout
 	}
 	if o.Dir, err = os.MkdirTemp("", "sloehitch-fleet-*"); err != nil {
 		return err
--- a/cmd/sloehitch-lab/soak.go
+++ b/cmd/sloehitch-lab/soak.go
@@ -39,7 +39,7 @@
 	}
 	table := soak.NewTable()
 	broken := 0
-	seeds := soak.Seeds{First: c.First, Last: c.Last, Length: c.For, Kinds: kinds, Beside: c.Jobs, Dir: dir,
+	seeds := soak.Seeds{First: c.First, Last: c.Last, Length: c.For, Kinds: kinds, Parallel: c.Jobs, Dir: dir,
 		Command: func(config string) *exec.Cmd {
 			command := exec.Command(c.Program, "serve", "--config", config, "--deploy", filepath.Join(dir, "none.toml"))
 			if c.Calls > 0 {
@@ -51,8 +51,8 @@
 		}}
 	err = seeds.Run(func(r *soak.Report) {
 		table.Add(r)
-		fmt.Printf("seed %d: %d requests, %d runs, %d processes, %d breaches\n", r.Plan.Seed, r.Requests, r.Runs, r.Processes, len(r.Breaches))
-		if len(r.Breaches) == 0 {
+		fmt.Printf("seed %d: %d requests, %d runs, %d processes, %d breaches\n", r.Plan.Seed, r.Requests, r.Runs, r.Processes, len(r.Violations))
+		if len(r.Violations) == 0 {
 			return
 		}
 		broken++
--- a/cmd/sloehitch-lab/uwsgi.go
+++ b/cmd/sloehitch-lab/uwsgi.go
@@ -51,7 +51,7 @@
 			return 0, fmt.Errorf("--run: %w", err)
 		}
 	}
-	target := conformance.Target{Address: e, Path: c.Path, Echo: c.Echo, Patience: c.Timeout}
+	target := conformance.Target{Address: e, Path: c.Path, Echo: c.Echo, Timeout: c.Timeout}
 	if err := target.Reach(context.Background()); err != nil {
 		return 0, err
 	}
--- a/cmd/sloehitch/crossings_test.go
+++ b/cmd/sloehitch/crossings_test.go
@@ -22,7 +22,7 @@
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
 			rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", string(j.Call("call")) })
 			catalog := standin.NewCatalogue(t, func(id string, c net.Conn) { fmt.Fprintf(c, "%s DATA 5\r\nreply\r\n", id) })
-			address, operators, lookup := standin.Free(t), standin.Free(t), standin.Free(t)
+			address, operators, lookup := standin.FreeAddress(t), standin.FreeAddress(t), standin.FreeAddress(t)
 			var object map[string]any
 			if err := json.Unmarshal([]byte(standin.Config(address, rt.Address, catalog, ample)), &object); err != nil {
 				t.Fatal(err)
@@ -46,7 +46,7 @@
 			t.Cleanup(k.kill)
 			select {
 			case <-rt.Syncs:
-			case <-time.After(standin.Patience):
+			case <-time.After(standin.WaitTimeout):
 				k.kill()
 				t.Fatalf("it does not serve:\n%s", k.log.String())
 			}
@@ -86,10 +86,10 @@
 					fail("readyz %d: %q, %v", i, answer, err)
 				}
 			}
-			rt.Cut() // the link that comes next needs a descriptor too
+			rt.Disconnect() // the link that comes next needs a descriptor too
 			select {
 			case <-rt.Syncs:
-			case <-time.After(standin.Patience):
+			case <-time.After(standin.WaitTimeout):
 				fail("no new link")
 			}
 		})
--- a/cmd/sloehitch/fleet_test.go
+++ b/cmd/sloehitch/fleet_test.go
@@ -12,7 +12,7 @@
 
 // TestFleetCommands tries the sub-commands as a person would, against a store that is alone.
 func TestFleetCommands(t *testing.T) {
-	s, err := store.Open(store.Options{Name: "n1", CommitTimeout: time.Second, Logger: standin.Quiet, LeaseTerms: store.DefaultLeaseTerms.WithDuration(time.Hour)}) // no machine is so slow
+	s, err := store.Open(store.Options{Name: "n1", CommitTimeout: time.Second, Logger: standin.DiscardLogger, LeaseTerms: store.DefaultLeaseTerms.WithDuration(time.Hour)}) // no machine is so slow
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sloehitch/handover_test.go
+++ b/cmd/sloehitch/handover_test.go
@@ -67,7 +67,7 @@
 	s.t.Cleanup(k.kill)
 	select {
 	case <-rt.Syncs:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		k.kill()
 		s.t.Fatalf("it does not serve:\n%s", k.log.String())
 	}
@@ -148,7 +148,7 @@
 		for range random.IntN(conns * perConn / 2) { // the moment
 			select {
 			case <-answers:
-			case <-time.After(standin.Patience):
+			case <-time.After(standin.WaitTimeout):
 				t.Fatalf("round %d: no answers come", round)
 			}
 		}
@@ -185,7 +185,7 @@
 // answers their repeats.
 func TestHandOverWithLedger(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "ledger")
-	figures := standin.Free(t) // only one process at a time can have it
+	figures := standin.FreeAddress(t) // only one process at a time can have it
 	s := newSharing(t, fmt.Sprintf("[ledger]\ndir = %q\n[metrics]\nlisten = %q\n", folder, figures))
 	id := 0
 	ask := func(body string) string {
@@ -205,7 +205,7 @@
 	}
 	onRecord := func(body string) {
 		t.Helper()
-		for until := time.Now().Add(standin.Patience); ; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) {
 			l, err := ledger.Open(disk.Dir(folder), ledger.Options{Limits: limits.ForLedger(1 << 20), ReadOnly: true})
 			if err == nil {
 				has := l.Has([]byte("booking/" + body))
@@ -246,7 +246,7 @@
 		t.Fatalf("%v:\n%s", err, old.log.String())
 	}
 	results["after"] = ask("after")
-	for until := time.Now().Add(standin.Patience); ; time.Sleep(time.Millisecond) { // the new process takes the address over
+	for until := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) { // the new process takes the address over
 		got, err := http.Get("http://" + figures + "/metrics")
 		if err == nil {
 			got.Body.Close()
--- a/cmd/sloehitch/incident_test.go
+++ b/cmd/sloehitch/incident_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(link.Close)
-	address := standin.Free(t)
+	address := standin.FreeAddress(t)
 	config := filepath.Join(t.TempDir(), "config.json")
 	text := strings.Replace(standin.Config(address, link.Address(), "", deadline), `"cores":2`, `"cores":64`, 1)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -81,7 +81,7 @@
 	for range runs {
 		select {
 		case <-begun:
-		case <-time.After(standin.Patience):
+		case <-time.After(standin.WaitTimeout):
 			t.Fatalf("not all runs began:\n%s", n.log.String())
 		}
 	}
@@ -172,7 +172,7 @@
 	program := built(t)
 	for play := range 20 {
 		rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
-		address := standin.Free(t)
+		address := standin.FreeAddress(t)
 		config := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(config, []byte(standin.Config(address, rt.Address, "", ample)), 0o600); err != nil {
 			t.Fatal(err)
@@ -196,7 +196,7 @@
 		}
 		select {
 		case <-rt.Syncs:
-		case <-time.After(standin.Patience):
+		case <-time.After(standin.WaitTimeout):
 			k.kill()
 			t.Fatalf("play %d: it does not serve:\n%s", play, k.log.String())
 		}
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -181,7 +181,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { k.kill() })
-	for until := time.Now().Add(standin.Patience); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) {
 		conn, err := net.Dial("tcp", address)
 		if err == nil {
 			conn.Close()
@@ -207,7 +207,7 @@
 	folder := filepath.Join(dir, "ledger")
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", "done " + string(j.Body) })
 	rt.Syncs = make(chan uint64, 100)
-	address := standin.Free(t)
+	address := standin.FreeAddress(t)
 	config, deploy := filepath.Join(dir, "config.json"), filepath.Join(dir, "deploy.toml")
 	write := func(path, text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -230,7 +230,7 @@
 		}
 		defer s.Close()
 		done := make(chan error, 1)
-		if err := runlog.New(s, time.Second, time.Second, standin.Quiet).RecordStart(ghost, func(err error) { done <- err }); err != nil {
+		if err := runlog.New(s, time.Second, time.Second, standin.DiscardLogger).RecordStart(ghost, func(err error) { done <- err }); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-done; err != nil {
--- a/cmd/sloehitch/members_test.go
+++ b/cmd/sloehitch/members_test.go
@@ -20,11 +20,11 @@
 	for _, name := range []string{"n0", "n1"} {
 		a := httptest.NewUnstartedServer(nil)
 		admins = append(admins, a)
-		members = append(members, store.Member{Name: name, RaftAddress: standin.Free(t), AdminAddress: a.Listener.Addr().String()})
+		members = append(members, store.Member{Name: name, RaftAddress: standin.FreeAddress(t), AdminAddress: a.Listener.Addr().String()})
 	}
 	var stores []*store.Store
 	for i, m := range members {
-		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), CommitTimeout: 10 * time.Second, ElectionTimeout: 500 * time.Millisecond, Logger: standin.Quiet})
+		s, err := store.Open(store.Options{Name: m.Name, Members: members, Dir: filepath.Join(dir, m.Name), CommitTimeout: 10 * time.Second, ElectionTimeout: 500 * time.Millisecond, Logger: standin.DiscardLogger})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/sloehitch/reload_test.go
+++ b/cmd/sloehitch/reload_test.go
@@ -14,7 +14,7 @@
 func TestReload(t *testing.T) {
 	hold, started := make(chan struct{}), make(chan struct{}, 1)
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
-	address := standin.Free(t)
+	address := standin.FreeAddress(t)
 	c := serveCmd{files: files{Config: filepath.Join(t.TempDir(), "config.json"), Deploy: "none.toml"}}
 	configure := func(text string) {
 		if err := os.WriteFile(c.Config, []byte(text), 0o600); err != nil {
@@ -23,7 +23,7 @@
 	}
 	configure(standin.Config(address, rt.Address, "", ample))
 	stopped := make(chan error, 1)
-	go func() { stopped <- c.Run(standin.Quiet, new(slog.LevelVar)) }()
+	go func() { stopped <- c.Run(standin.DiscardLogger, new(slog.LevelVar)) }()
 	signalSelf := func(sig syscall.Signal) {
 		if err := syscall.Kill(os.Getpid(), sig); err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 	configure("{")
 	signalSelf(syscall.SIGHUP)
 	only(t, b, "9")
-	configure(standin.Config(address, rt.Another(t), "", ample))
+	configure(standin.Config(address, rt.ListenAgain(t), "", ample))
 	signalSelf(syscall.SIGHUP)
 	<-rt.Syncs // the link is up at the new address
 	close(hold)
--- a/cmd/sloehitch/soak_test.go
+++ b/cmd/sloehitch/soak_test.go
@@ -96,10 +96,10 @@
 	}}
 	err := seeds.Run(func(r *soak.Report) {
 		table.Add(r)
-		if len(r.Breaches) > 0 {
+		if len(r.Violations) > 0 {
 			var text strings.Builder
 			r.WriteTimelines(&text, 2)
-			t.Errorf("seed %d: %d breaches:\n%s", r.Plan.Seed, len(r.Breaches), text.String())
+			t.Errorf("seed %d: %d breaches:\n%s", r.Plan.Seed, len(r.Violations), text.String())
 		}
 		if r.Requests < 50 || r.Runs < 10 {
 			t.Errorf("seed %d: %d requests, %d runs: it has shown little", r.Plan.Seed, r.Requests, r.Runs)
--- a/cmd/sloehitch/torture_test.go
+++ b/cmd/sloehitch/torture_test.go
@@ -53,11 +53,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, w := range r.Wrong {
+	for _, w := range r.Violations {
 		t.Error(w)
 	}
-	if r.Marks < 2 || r.Owners < 2 || r.Jobs < 2 || r.Wishes < 10 || r.KeptOut != 1 {
-		t.Errorf("%d marks on silent nodes, %d changes of owner, %d jobs, %d wishes applied, %d older copies kept out; want 2, 2, 2, 10 or more and 1", r.Marks, r.Owners, r.Jobs, r.Wishes, r.KeptOut)
+	if r.SilenceMarks < 2 || r.OwnerChanges < 2 || r.Jobs < 2 || r.DesiredStates < 10 || r.Exclusions != 1 {
+		t.Errorf("%d marks on silent nodes, %d changes of owner, %d jobs, %d wishes applied, %d older copies kept out; want 2, 2, 2, 10 or more and 1", r.SilenceMarks, r.OwnerChanges, r.Jobs, r.DesiredStates, r.Exclusions)
 	}
 }
 
@@ -78,8 +78,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%d faults: %d writes, %d reads, %d tries; %d changes of owner, %d jobs, %d wishes, %d older copies kept out; at work again after %v", len(o.Schedule), r.Writes, r.Reads, r.Tries, r.Owners, r.Jobs, r.Wishes, r.KeptOut, r.Recovered.Round(time.Millisecond))
-			for _, w := range r.Wrong {
+			t.Logf("%d faults: %d writes, %d reads, %d tries; %d changes of owner, %d jobs, %d wishes, %d older copies kept out; at work again after %v", len(o.Schedule), r.Writes, r.Reads, r.Attempts, r.OwnerChanges, r.Jobs, r.DesiredStates, r.Exclusions, r.Recovered.Round(time.Millisecond))
+			for _, w := range r.Violations {
 				t.Error(w)
 			}
 			if r.Writes == 0 || r.Reads == 0 {
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d faults: %+v; at work again after %v", len(o.Schedule), r.Drains, r.Recovered.Round(time.Millisecond))
-	for _, w := range r.Wrong {
+	for _, w := range r.Violations {
 		t.Error(w)
 	}
 	if t.Failed() {
@@ -161,12 +161,12 @@
 		t.Fatal(err)
 	}
 	o := fleetOptions(t, 3*time.Second)
-	o.Schedule, o.Careless = schedule, true
+	o.Schedule, o.UnconfirmedReads = schedule, true
 	r, err := fleetrig.Play(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Wrong) == 0 {
+	if len(r.Violations) == 0 {
 		t.Error("stale reads were not seen")
 	}
 }
--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -111,7 +111,7 @@
 		}
 		return id + " " + strings.ToUpper(body) + "\r\n"
 	})
-	down := standin.Free(t)
+	down := standin.FreeAddress(t)
 	for _, c := range []struct {
 		address, body string
 		want          admission.Outcome
@@ -127,7 +127,7 @@
 		{address, "", logic.OutcomeTimedOut, false}, // no reply at all
 		{down, "data", logic.OutcomeUnreachable, true},
 	} {
-		client := New(c.address, limits.For(64, 256), standin.Quiet)
+		client := New(c.address, limits.For(64, 256), standin.DiscardLogger)
 		type result struct {
 			o     admission.Outcome
 			reply string
@@ -149,7 +149,7 @@
 	ln := standin.Listen(t)
 	lim := limits.For(64, 256)
 	lim.CatalogueIdleTimeout = time.Millisecond
-	client := New(ln.Addr().String(), lim, standin.Quiet)
+	client := New(ln.Addr().String(), lim, standin.DiscardLogger)
 	done := make(chan admission.Outcome, 1)
 	client.Call("ab", time.Minute, nil, false, func(o admission.Outcome, _ time.Duration, _ []byte) { done <- o })
 	conn, err := ln.Accept()
@@ -165,7 +165,7 @@
 	if o := <-done; o != logic.OutcomeRejected {
 		t.Errorf("outcome %v", o)
 	}
-	if err := conn.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(conn); err != nil {
@@ -207,7 +207,7 @@
 	})
 	lim := limits.For(64, 256)
 	lim.ReplyTimeout = 30 * time.Millisecond
-	client := New(address, lim, standin.Quiet)
+	client := New(address, lim, standin.DiscardLogger)
 	defer client.Close()
 	held := begin(client, "a", "held")
 	for i, c := range []struct {
@@ -252,7 +252,7 @@
 	}
 	lim := limits.For(64, 256)
 	lim.CatalogueConnections = 2
-	client := New(addresses[0], lim, standin.Quiet)
+	client := New(addresses[0], lim, standin.DiscardLogger)
 	defer client.Close()
 	var calls []<-chan ended
 	for i := range 10 {
@@ -276,7 +276,7 @@
 // call whose connection breaks then it is not known whether it ran.
 func TestSetAddressWithPartialReply(t *testing.T) {
 	old, next := standin.Listen(t), standin.Listen(t)
-	client := New(old.Addr().String(), limits.For(64, 256), standin.Quiet)
+	client := New(old.Addr().String(), limits.For(64, 256), standin.DiscardLogger)
 	defer client.Close()
 	acceptCall := func(ln net.Listener, id string) net.Conn {
 		t.Helper()
@@ -324,7 +324,7 @@
 	if got := <-after; got != (ended{logic.OutcomeOK, "new"}) {
 		t.Errorf("at the new address: %+v", got)
 	}
-	if err := first.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := first.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := io.ReadAll(first); err != nil || len(rest) > 0 {
@@ -336,7 +336,7 @@
 // request's next call.
 func TestCancelRacesReply(t *testing.T) {
 	ln := standin.Listen(t)
-	client := New(ln.Addr().String(), limits.For(64, 256), standin.Quiet)
+	client := New(ln.Addr().String(), limits.For(64, 256), standin.DiscardLogger)
 	defer client.Close()
 	go func() {
 		for {
--- a/internal/backend/directory/reporter_test.go
+++ b/internal/backend/directory/reporter_test.go
@@ -14,7 +14,7 @@
 func newTestReporter(address string) *Reporter {
 	lim := limits.For(64, 256)
 	lim.ReportInterval = time.Millisecond
-	return New("n3", address, lim, standin.Quiet)
+	return New("n3", address, lim, standin.DiscardLogger)
 }
 
 // TestReportIntervalToleratesLoss: a node is removed from the endpoint list 3 s after its last report, and a
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	p := newTestReporter(conn.LocalAddr().String())
@@ -63,7 +63,7 @@
 	}
 	defer func() { _ = next.Close() }()
 	p.SetAddress(next.LocalAddr().String())
-	if err := next.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := next.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := next.ReadFrom(make([]byte, 100)); err != nil {
@@ -90,7 +90,7 @@
 		t.Skip("the port was taken meanwhile")
 	}
 	defer func() { _ = again.Close() }()
-	if err := again.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := again.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := again.ReadFrom(make([]byte, 100)); err != nil {
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -53,7 +53,7 @@
 func open(t *testing.T, rt *standin.Runtime) (*Link, *events) {
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
 	l := New(Options{Address: rt.Address, GaugeNames: []string{"core_use", "on_cores"}, Limits: limits.For(64, 256),
-		Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
+		Log: standin.DiscardLogger, OnGauges: func(admission.Gauges) {}})
 	go l.Serve(e)
 	t.Cleanup(l.Close)
 	return l, e
@@ -98,7 +98,7 @@
 	for rt.Runs("a")+rt.Runs("b") < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	rt.Cut()
+	rt.Disconnect()
 	close(hold)
 	<-rt.Syncs
 	l.Start("c", "book", []byte("c"), true)
@@ -111,7 +111,7 @@
 			t.Errorf("%s: ended %d times, ran %d times", id, seen[id], rt.Runs(id))
 		}
 	}
-	rt.Cut()
+	rt.Disconnect()
 	if pos := <-rt.Syncs; pos != 3 {
 		t.Errorf("resumed from %d, want 3", pos)
 	}
@@ -127,12 +127,12 @@
 	l, e := open(t, rt)
 	<-rt.Syncs
 	lose := func(command func()) {
-		n := rt.Swallow()
+		n := rt.DropCommands()
 		command()
-		for rt.Swallowed() == n {
+		for rt.DroppedCommands() == n {
 			time.Sleep(time.Millisecond)
 		}
-		rt.Cut()
+		rt.Disconnect()
 		<-rt.Syncs
 	}
 	unconfirmed := func(want ...unconfirmedCommand) {
@@ -212,7 +212,7 @@
 // reported as unconfirmed, unless an answer shows that it was read.
 func TestRedeliveredCommands(t *testing.T) {
 	for _, c := range redeliveryCases {
-		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
+		l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 		l.generation = 1
 		c.prepare(l)
 		l.takeQueue()
@@ -244,7 +244,7 @@
 	l, e := open(t, rt)
 	<-rt.Syncs
 	l.Start("a", "book", []byte("a"), true)
-	l.SetAddress(rt.Another(t))
+	l.SetAddress(rt.ListenAgain(t))
 	l.Start("b", "book", []byte("b"), true)
 	close(hold)
 	<-rt.Syncs
@@ -254,19 +254,19 @@
 			t.Errorf("%+v, ran %d times", got, rt.Runs(got.id))
 		}
 	}
-	l.SetAddress(rt.Another(t))
+	l.SetAddress(rt.ListenAgain(t))
 	if pos := <-rt.Syncs; pos != 2 {
 		t.Errorf("resumed from %d, want 2", pos)
 	}
 }
 
 func TestMalformedNotices(t *testing.T) {
-	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
+	l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	if err := l.handleNotice([]byte(`{"action":"info","pos":1,"code":{"a":[1]},"uid":7}`)); err != nil || l.lastNotice != 1 {
 		t.Errorf("a remark ends the connection: %v", err)
 	}
 	for _, line := range []string{"", "{", "[]", `{"action":"wants","pos":1,"content":"%"}`, `{"pos":-1}`} {
-		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
+		l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 		l.events = &events{}
 		if l.handleNotice([]byte(line)) == nil {
 			t.Errorf("%q was accepted", line)
@@ -281,7 +281,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
+	l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger, OnGauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
 	l.events, l.writable = e, true
 	l.queue = append(l.queue, queuedCommand{line: encodeSync(7)})
@@ -323,7 +323,7 @@
 		{0, "abc\nde\nf\nlater\n"}, {2, "abc\nde\nf\nlater\n"}, {3, "de\nf\nlater\n"}, {4, "de\nf\nlater\n"}, {5, "de\nf\nlater\n"},
 		{6, "f\nlater\n"}, {7, "f\nlater\n"}, {8, "later\n"}, {9, "later\n"},
 	} {
-		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet})
+		l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 		l.queue = []queuedCommand{{line: []byte("later\n")}}
 		l.requeueUnwritten(lines, c.written)
 		var got string
@@ -340,7 +340,7 @@
 // has no later notice counts as failed, since its end may be among them; it is not started again.
 func TestLostNotices(t *testing.T) {
 	resume := func(first uint64, once bool) (ended []end, queued int) {
-		l := New(Options{Limits: limits.For(64, 256), Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
+		l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger, OnGauges: func(admission.Gauges) {}})
 		e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
 		l.events, l.writable, l.generation = e, true, 1
 		for _, id := range []string{"a", "b", "c"} {
--- a/internal/backend/runtime/reconnect_test.go
+++ b/internal/backend/runtime/reconnect_test.go
@@ -36,7 +36,7 @@
 // nextPeer waits for the next connection and its sync, which it returns.
 func nextPeer(t *testing.T, ln net.Listener) (*peer, command) {
 	t.Helper()
-	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	conn, err := ln.Accept()
@@ -50,7 +50,7 @@
 
 func (p *peer) read() (c command) {
 	p.t.Helper()
-	if err := p.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := p.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		p.t.Fatal(err)
 	}
 	line, err := p.in.ReadBytes('\n')
@@ -78,7 +78,7 @@
 	if change != nil {
 		change(&lim)
 	}
-	l := New(Options{Address: ln.Addr().String(), Limits: lim, Log: standin.Quiet, OnGauges: func(admission.Gauges) {}})
+	l := New(Options{Address: ln.Addr().String(), Limits: lim, Log: standin.DiscardLogger, OnGauges: func(admission.Gauges) {}})
 	e := &events{ends: make(chan end, 4096), wants: make(chan uint64, 16)}
 	go l.Serve(e)
 	t.Cleanup(l.Close)
@@ -88,7 +88,7 @@
 // waitFor waits for a condition that holds under the link's lock.
 func waitFor(t *testing.T, l *Link, what func() bool) {
 	t.Helper()
-	for end := time.Now().Add(standin.Patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
 		done := what()
 		l.mu.Unlock()
@@ -279,7 +279,7 @@
 			if got != (end{"a", logic.OutcomeOK, "a"}) {
 				t.Errorf("%.30q: %+v", malformed, got)
 			}
-		case <-time.After(standin.Patience):
+		case <-time.After(standin.WaitTimeout):
 			t.Fatalf("%.30q: nothing behind it is read", malformed)
 		}
 		l.Close()
--- a/internal/control/fleet/desired_state_test.go
+++ b/internal/control/fleet/desired_state_test.go
@@ -17,7 +17,7 @@
 // TestFollowDesiredState: a node applies its own desired state and no other node's, and keeps it while the
 // store cannot be reached.
 func TestFollowDesiredState(t *testing.T) {
-	s, err := store.Open(store.Options{Name: "s", CommitTimeout: time.Second, Logger: standin.Quiet})
+	s, err := store.Open(store.Options{Name: "s", CommitTimeout: time.Second, Logger: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	defer admin.Close()
 	applied := make(chan bool, 10)
 	p, err := New(Options{Name: "n1", StoreMembers: []string{admin.Listener.Addr().String()}, ReportInterval: 50 * time.Millisecond, SilentAfter: time.Hour, RequestTimeout: 200 * time.Millisecond,
-		RetryDelay: 10 * time.Millisecond, LeaseTerms: store.DefaultLeaseTerms, ApplyDesiredState: func(s desiredstate.State) { applied <- s.OutOfService }, Log: standin.Quiet})
+		RetryDelay: 10 * time.Millisecond, LeaseTerms: store.DefaultLeaseTerms, ApplyDesiredState: func(s desiredstate.State) { applied <- s.OutOfService }, Log: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 			if got != out {
 				t.Errorf("out: %v, want %v", got, out)
 			}
-		case <-time.After(standin.Patience):
+		case <-time.After(standin.WaitTimeout):
 			t.Fatal("nothing was applied")
 		}
 	}
--- a/internal/control/fleet/options_test.go
+++ b/internal/control/fleet/options_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestOptionsValidate(t *testing.T) {
-	valid := Options{Name: "n1", StoreMembers: []string{"127.0.0.1:1"}, ReportInterval: time.Second, SilentAfter: 5 * time.Second, LeaseTerms: lease.Terms{Duration: 10 * time.Second}, Log: standin.Quiet}
+	valid := Options{Name: "n1", StoreMembers: []string{"127.0.0.1:1"}, ReportInterval: time.Second, SilentAfter: 5 * time.Second, LeaseTerms: lease.Terms{Duration: 10 * time.Second}, Log: standin.DiscardLogger}
 	for _, c := range []struct {
 		change func(*Options)
 		want   string
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -18,14 +18,14 @@
 // serveChanged is a node whose configuration a test changes before it starts.
 func serveChanged(t *testing.T, rt *standin.Runtime, catalog string, change func(*config.Platform)) *served {
 	t.Helper()
-	p, err := config.Parse([]byte(standin.Config(standin.Free(t), rt.Address, catalog, ample)))
+	p, err := config.Parse([]byte(standin.Config(standin.FreeAddress(t), rt.Address, catalog, ample)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(p)
 	}
-	d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(64, 256), Log: standin.Quiet})
+	d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 
 func (s *served) until(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(standin.Patience); !done(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("it did not come to it: %s", what)
 		}
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("not stopped")
 	}
 }
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/crowd_test.go
@@ -33,7 +33,7 @@
 		})
 	}
 	wg.Wait()
-	if most := rt.Most(); most > 10 {
+	if most := rt.MaxConcurrent(); most > 10 {
 		t.Errorf("%d runs at once on 2 cores that survive 10", most)
 	}
 	if got := s.resp.OpenConnections(); got > conns {
--- a/internal/daemon/deployments_test.go
+++ b/internal/daemon/deployments_test.go
@@ -65,11 +65,11 @@
 				caps = `{"cores":1,"memory_mb":64,"sockets":256}`
 			}
 			rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", "done" })
-			p, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"stop_ms":3000,"limits":%s,"settings":%s}`, standin.Free(t), rt.Address, caps, settings)))
+			p, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"stop_ms":3000,"limits":%s,"settings":%s}`, standin.FreeAddress(t), rt.Address, caps, settings)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(p.Limits.MemoryMB, p.Limits.Sockets), Log: standin.Quiet})
+			d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(p.Limits.MemoryMB, p.Limits.Sockets), Log: standin.DiscardLogger})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -23,7 +23,7 @@
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	first := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nfirst" })
 	second := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nsecond" })
-	admin := standin.Free(t)
+	admin := standin.FreeAddress(t)
 	s := serveDeployed(t, limits.For(64, 256), ample, rt, func(d *config.Deploy) {
 		d.Store = config.Store{Admin: admin, LeaseDuration: "1s"}
 		d.Fleet = config.Fleet{Members: []string{admin}, ReportInterval: "100ms", SilentAfter: "30s", LeaseDuration: "1s", MinReady: "100ms", Zone: "a"}
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		t.Setenv("GW_ACCEPT_FD", fmt.Sprint(inherited))
-		d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(64, 256), Log: standin.Quiet})
+		d, err := Start(&Config{Platform: p, Deploy: &config.Deploy{}}, Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -38,7 +38,7 @@
 // serveDeployed is a node with more in its deployment file.
 func serveDeployed(t testing.TB, lim limits.Limits, deadline time.Duration, rt *standin.Runtime, more func(*config.Deploy), servers ...string) *served {
 	t.Helper()
-	own, ownUwsgi := standin.Free(t), standin.Free(t)
+	own, ownUwsgi := standin.FreeAddress(t), standin.FreeAddress(t)
 	p, err := config.Parse([]byte(standin.Config(own, rt.Address, "", deadline)))
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 		}
 	}
 	more(l.Deploy)
-	d, err := Start(l, Options{Limits: lim, Log: standin.Quiet})
+	d, err := Start(l, Options{Limits: lim, Log: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/journal_test.go
+++ b/internal/daemon/journal_test.go
@@ -38,7 +38,7 @@
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("ledger=%v", on), func(b *testing.B) {
 			rt := standin.NewRuntime(b, func(*standin.Job) (string, string) { return "OK", "r" })
-			p, err := config.Parse([]byte(standin.Config(standin.Free(b), rt.Address, "", ample)))
+			p, err := config.Parse([]byte(standin.Config(standin.FreeAddress(b), rt.Address, "", ample)))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -51,7 +51,7 @@
 				defer os.RemoveAll(dir)
 				l.Deploy.Ledger.Dir = dir
 			}
-			d, err := Start(l, Options{Limits: limits.For(192, 256), Log: standin.Quiet})
+			d, err := Start(l, Options{Limits: limits.For(192, 256), Log: standin.DiscardLogger})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -41,7 +41,7 @@
 // TestOpsCalls: on the operators' address the figures match what was served, evacuate turns health checks bad while
 // requests are still served, and activate turns them good again.
 func TestOpsCalls(t *testing.T) {
-	operators := standin.Free(t)
+	operators := standin.FreeAddress(t)
 	t.Setenv("GW_OPS", operators)
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	s := serveNode(t, ample, rt)
@@ -110,7 +110,7 @@
 // request, more than it has seats for, the operators' calls are answered, and a true request on a new connection
 // is still served.
 func TestOpsInACrowd(t *testing.T) {
-	operators := standin.Free(t)
+	operators := standin.FreeAddress(t)
 	t.Setenv("GW_OPS", operators)
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	lim := limits.For(32, 192)
--- a/internal/daemon/requests_test.go
+++ b/internal/daemon/requests_test.go
@@ -94,7 +94,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Error("not stopped")
 	}
 }
--- a/internal/daemon/uwsgi_test.go
+++ b/internal/daemon/uwsgi_test.go
@@ -79,7 +79,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			if err := conn.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
+			if err := conn.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			got, err := standin.Script{{Send: standin.Packet(t, "", get("/slots")...)}, {Until: "first"}}.Play(conn)
@@ -119,7 +119,7 @@
 			t.Error(err)
 		}
 	}
-	if err := conn.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Error(err)
 	}
 	response, err := io.ReadAll(conn)
--- a/internal/frontend/gracefulclose/read_test.go
+++ b/internal/frontend/gracefulclose/read_test.go
@@ -48,7 +48,7 @@
 	defer func() { readDescriptor = unix.Read }()
 	b := make([]byte, 64)
 	n, err := ReadAvailable(ours, b, false)
-	for end := time.Now().Add(standin.Patience); errors.Is(err, ErrNoData) && time.Now().Before(end); {
+	for end := time.Now().Add(standin.WaitTimeout); errors.Is(err, ErrNoData) && time.Now().Before(end); {
 		n, err = ReadAvailable(ours, b, false)
 	}
 	if err != nil || string(b[:n]) != "request" {
@@ -75,7 +75,7 @@
 	}
 	_ = peer.Close()
 	_, err := ReadAvailable(ours, b, true)
-	for end := time.Now().Add(standin.Patience); errors.Is(err, ErrNoData) && time.Now().Before(end); {
+	for end := time.Now().Add(standin.WaitTimeout); errors.Is(err, ErrNoData) && time.Now().Before(end); {
 		_, err = ReadAvailable(ours, b, true)
 	}
 	if !errors.Is(err, io.EOF) {
--- a/internal/frontend/resp/closing_test.go
+++ b/internal/frontend/resp/closing_test.go
@@ -55,7 +55,7 @@
 		go func() {
 			defer close(finished)
 			time.Sleep(time.Duration(attempt) * time.Microsecond)
-			f.Shutdown(standin.Patience)
+			f.Shutdown(standin.WaitTimeout)
 		}()
 		fresh.Do(7, "book", "9b1f03aa5c7e2d41", time.Now(), "body", "")
 		idleConn.Do(7, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "")
@@ -127,7 +127,7 @@
 	})
 	ended := make(chan struct{})
 	go func() {
-		f.Shutdown(standin.Patience)
+		f.Shutdown(standin.WaitTimeout)
 		close(ended)
 	}()
 	idleConn.Do(8, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "") // too late to be read
@@ -151,12 +151,12 @@
 	b := standin.Dial(t, ln.Addr().String())
 	b.Do(7, "book", "9b1f03aa5c7e2d41", time.Now(), "body", "")
 	<-d.submitted
-	go f.Shutdown(standin.Patience)
+	go f.Shutdown(standin.WaitTimeout)
 	time.Sleep(50 * time.Millisecond)
 	b.Do(8, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "")
 	select {
 	case <-d.submitted:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("the second request is not read")
 	}
 	for _, id := range []string{"9b1f03aa5c7e2d42", "9b1f03aa5c7e2d41"} {
--- a/internal/frontend/resp/conn_test.go
+++ b/internal/frontend/resp/conn_test.go
@@ -42,7 +42,7 @@
 // submitted, and the connection's end cancels no request: the id may be another caller's.
 func TestMessageAfterEviction(t *testing.T) {
 	c := &recordingCore{}
-	f := New(Options{Core: c, Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: c, Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	k := &conn{front: f, socket: &framedConn{Conn: ours}, slot: f.slots.Acquire(func() {}), openRequests: map[string]string{}}
--- a/internal/frontend/resp/description_test.go
+++ b/internal/frontend/resp/description_test.go
@@ -106,7 +106,7 @@
 		{node.Response{Status: node.StatusRejected}, fakeStatus{}, "7 NAK"},
 		{node.Response{Status: node.StatusFailed, RetryAfter: time.Second, NoFailover: true}, fakeStatus{}, "7 FAIL"},
 	} {
-		f := New(Options{Status: c.m, Limits: limits.For(64, 256), Log: standin.Quiet})
+		f := New(Options{Status: c.m, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 		k := &conn{front: f, slot: f.slots.Acquire(nil), openRequests: map[string]string{"7": "id"}, flushing: true} // nothing is flushed
 		k.sendAnswer("7", c.a)
 		k.sendAnswer("7", c.a) // a second answer must not be written
--- a/internal/frontend/resp/eviction_test.go
+++ b/internal/frontend/resp/eviction_test.go
@@ -135,7 +135,7 @@
 	}
 	select {
 	case <-evicted:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Error("evict does not return")
 	}
 }
--- a/internal/frontend/resp/framed_conn_test.go
+++ b/internal/frontend/resp/framed_conn_test.go
@@ -111,7 +111,7 @@
 	if got, err := io.ReadAll(g); err != nil || string(got) != text {
 		t.Errorf("read %q, %v", got, err)
 	}
-	k := &conn{front: New(Options{Limits: lim, Log: standin.Quiet}), socket: g}
+	k := &conn{front: New(Options{Limits: lim, Log: standin.DiscardLogger}), socket: g}
 	if err := k.writeAll([]byte("an answer")); err != nil || string(s.out) != "an answer" {
 		t.Errorf("wrote %q, %v", s.out, err)
 	}
--- a/internal/frontend/resp/helpers_test.go
+++ b/internal/frontend/resp/helpers_test.go
@@ -65,7 +65,7 @@
 		change(&lim)
 	}
 	d := newFakeCore()
-	f := New(Options{Core: d, Status: s, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.Quiet})
+	f := New(Options{Core: d, Status: s, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.DiscardLogger})
 	ln := f.Listen(standin.Listen(t), false)
 	go func() { _ = f.Serve(ln) }()
 	t.Cleanup(f.Close)
@@ -76,7 +76,7 @@
 // readToEnd reads what is left of a connection; the test fails if it ends with a reset.
 func readToEnd(t *testing.T, b *standin.Balancer) string {
 	t.Helper()
-	if err := b.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := b.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	all, err := io.ReadAll(b.Conn)
@@ -88,7 +88,7 @@
 
 func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(standin.Patience); !done(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -25,7 +25,7 @@
 // are served, with whole requests and halves; then it closes. The front does not count as free before that.
 func TestListenerServesItsQueueBeforeItCloses(t *testing.T) {
 	d := newFakeCore()
-	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	gate := make(chan struct{})
 	under := standin.Listen(t).(*net.TCPListener)
 	ln := f.Listen(&gatedListener{under, gate}, false)
@@ -61,7 +61,7 @@
 // TestSharedListenerClosesAtOnce: the connections in a shared listener's accept queue are left to the other
 // process.
 func TestSharedListenerClosesAtOnce(t *testing.T) {
-	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	gate := make(chan struct{})
 	under := standin.Listen(t).(*net.TCPListener)
 	own, err := under.File()
@@ -105,7 +105,7 @@
 // is over by the clock, without a look at the queue: that would reset them.
 func TestListenerClosesOnlyWithEmptyQueue(t *testing.T) {
 	d := newFakeCore()
-	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	ln := f.Listen(pausedListener{standin.Listen(t).(*net.TCPListener)}, false)
 	go func() { _ = f.Serve(ln) }()
 	t.Cleanup(f.Close)
--- a/internal/frontend/resp/output_test.go
+++ b/internal/frontend/resp/output_test.go
@@ -36,7 +36,7 @@
 
 // TestSlowReader: a peer that reads slowly gets all of its answer; one that reads nothing is given up.
 func TestSlowReader(t *testing.T) {
-	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.Quiet})
+	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	peer := &slowPeer{}
 	k := &conn{front: f, socket: &framedConn{Conn: peer}}
 	if err := k.writeAll([]byte("an answer of some length")); err != nil || string(peer.got) != "an answer of some length" {
@@ -52,7 +52,7 @@
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	lim := limits.For(64, 256)
 	lim.TotalUnreadAnswerBytes = 1 << 20
-	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: lim, Log: standin.Quiet})
+	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: lim, Log: standin.DiscardLogger})
 	const peers = 40
 	limit := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
 	var conns []*conn
@@ -98,7 +98,7 @@
 	lim := limits.For(64, 256)
 	lim.TotalUnreadAnswerBytes, lim.WriteTimeout = 128<<10, time.Hour
 	d := newFakeCore()
-	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.Quiet})
+	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.DiscardLogger})
 	ln := f.Listen(narrowListener{standin.Listen(t).(*net.TCPListener)}, false)
 	go func() { _ = f.Serve(ln) }()
 	t.Cleanup(f.Close)
@@ -113,7 +113,7 @@
 		}
 		flooding.Go(func() {
 			flood := []byte(strings.Repeat(standin.Array("PING", "1"), 1024))
-			_ = b.SetWriteDeadline(time.Now().Add(standin.Patience))
+			_ = b.SetWriteDeadline(time.Now().Add(standin.WaitTimeout))
 			for range 40 { // 1 MB of answers, unless it is aborted before
 				if _, err := b.Write(flood); err != nil {
 					return
--- a/internal/frontend/resp/unadmitted_test.go
+++ b/internal/frontend/resp/unadmitted_test.go
@@ -92,7 +92,7 @@
 	_ = idle[0].Close()
 	select {
 	case <-d.submitted:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("not submitted though a slot is free")
 	}
 	d.answer(testRequestID, node.Response{Status: node.StatusServed})
--- a/internal/frontend/uwsgi/clientconn_test.go
+++ b/internal/frontend/uwsgi/clientconn_test.go
@@ -25,7 +25,7 @@
 		{"half of one", whole[:len(whole)/2], ""},
 		{"nothing", "", ""},
 	} {
-		r := newHarness(t, nil, func(o *Options, p *PoolOptions) { o.Limits.MessageTimeout = standin.Patience })
+		r := newHarness(t, nil, func(o *Options, p *PoolOptions) { o.Limits.MessageTimeout = standin.WaitTimeout })
 		ln := standin.Listen(t)
 		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -49,7 +49,7 @@
 			defer ours.Close()
 			r.serveConnection(k, seat, "")
 		}()
-		if err := client.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+		if err := client.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		got, err := io.ReadAll(client)
--- a/internal/frontend/uwsgi/conformance_test.go
+++ b/internal/frontend/uwsgi/conformance_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	results := conformance.Run(conformance.Target{Address: e, Path: "/", Echo: true, Patience: standin.Patience}, nil, 4)
+	results := conformance.Run(conformance.Target{Address: e, Path: "/", Echo: true, Timeout: standin.WaitTimeout}, nil, 4)
 	if conformance.Failed(results) > 0 {
 		var b bytes.Buffer
 		if err := conformance.Table(&b, results, false); err != nil {
--- a/internal/frontend/uwsgi/faults_test.go
+++ b/internal/frontend/uwsgi/faults_test.go
@@ -76,7 +76,7 @@
 	}
 	standin.WaitFor(t, "all is over", func() bool {
 		_, hand, _ := r.node.Totals()
-		return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && hand == 0 && len(s.Got()) == s.Connections()
+		return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && hand == 0 && len(s.Received()) == s.Connections()
 	})
 	standin.WaitFor(t, "nothing is left", func() bool { return runtime.NumGoroutine() <= goroutines && openFiles(t) <= descriptors })
 	if got, err := r.request(t, standin.Script{{Send: standin.Packet(t, "", at("/")...)}}); got != fine || err != nil {
@@ -123,8 +123,8 @@
 		if seed%2 == 0 {
 			response = fine
 		}
-		a := standin.NewScripted(t, standin.Faulty(seed, "hello", response))
-		b := standin.NewScripted(t, standin.Faulty(seed+1000, "hello", response))
+		a := standin.NewScripted(t, standin.FaultyScript(seed, "hello", response))
+		b := standin.NewScripted(t, standin.FaultyScript(seed+1000, "hello", response))
 		r := newHarness(t, []string{a.Address, b.Address}, nil)
 		got, err := r.request(t, standin.Script{{Send: standin.Packet(t, "hello", at(path, length(5), key)...), Split: seed%5 == 0}})
 		switch whole := got == response && err == nil; {
--- a/internal/frontend/uwsgi/front_test.go
+++ b/internal/frontend/uwsgi/front_test.go
@@ -104,8 +104,8 @@
 	standin.WaitFor(t, "all are gone", func() bool {
 		return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && r.Totals().Left == len(whole)
 	})
-	standin.WaitFor(t, "the servers' connections are over", func() bool { return len(s.Got()) == s.Connections() })
-	for _, got := range s.Got() {
+	standin.WaitFor(t, "the servers' connections are over", func() bool { return len(s.Received()) == s.Connections() })
+	for _, got := range s.Received() {
 		if strings.HasSuffix(got, "hello") {
 			t.Errorf("a server got the whole of a request of which no client sent it: %q", got)
 		}
--- a/internal/frontend/uwsgi/harness_test.go
+++ b/internal/frontend/uwsgi/harness_test.go
@@ -65,8 +65,8 @@
 		{Name: "read", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 1},
 		{Name: "book", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.IdempotentByKey, IdempotencyWindow: 60e6},
 		{Name: "write", LatencyObjective: 20e6, ClientTimeout: 60e6, PriorityWeight: 3, Idempotency: logic.NonIdempotent}}}
-	o := Options{Mapper: mapper{}, Idempotent: func(class int) bool { return class == read }, MaxBodyBytes: 1 << 20, Limits: lim, Log: standin.Quiet}
-	po := PoolOptions{Balancer: balancer.DefaultConfig(), Limits: lim, Log: standin.Quiet}
+	o := Options{Mapper: mapper{}, Idempotent: func(class int) bool { return class == read }, MaxBodyBytes: 1 << 20, Limits: lim, Log: standin.DiscardLogger}
+	po := PoolOptions{Balancer: balancer.DefaultConfig(), Limits: lim, Log: standin.DiscardLogger}
 	if change != nil {
 		change(&o, &po)
 	}
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := node.New(node.Options{Settings: cfg, Admission: g, Clock: clock.System{}, Limits: o.Limits, Log: standin.Quiet})
+	n := node.New(node.Options{Settings: cfg, Admission: g, Clock: clock.System{}, Limits: o.Limits, Log: standin.DiscardLogger})
 	go n.Run()
 	t.Cleanup(g.Close)
 	po.Limits = o.Limits
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return c
--- a/internal/frontend/uwsgi/pool_test.go
+++ b/internal/frontend/uwsgi/pool_test.go
@@ -83,7 +83,7 @@
 
 // TestPool: requests queue for a server in order, avoid those that are down, and fail where none is left.
 func TestPool(t *testing.T) {
-	down := standin.Free(t)
+	down := standin.FreeAddress(t)
 	s := standin.NewScripted(t, reply("/", fine))
 	get := standin.Script{{Send: standin.Packet(t, "", at("/write")...)}}
 	r := newHarness(t, []string{down, s.Address}, nil)
@@ -182,7 +182,7 @@
 	}
 	select {
 	case <-read:
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("the server got nothing")
 	}
 	standin.WaitFor(t, "it runs", func() bool { return len(r.runs()) == 1 })
@@ -197,7 +197,7 @@
 
 // TestProbe: a server that was down is pinged, and gets requests again once it answers.
 func TestProbe(t *testing.T) {
-	address := standin.Free(t)
+	address := standin.FreeAddress(t)
 	other := standin.NewScripted(t, reply("/", fine))
 	r := newHarness(t, []string{address, other.Address}, func(_ *Options, p *PoolOptions) {
 		p.Balancer.FailureThreshold, p.Balancer.BaseEjectionTime = 1, time.Millisecond
@@ -246,7 +246,7 @@
 	dir := t.TempDir()
 	a := standin.NewAuthority(t)
 	cert, key, ca := a.Issue(t, dir, "node", "node.test", time.Now().Add(100*time.Hour))
-	keys, err := tlskeys.Load(tlskeys.Files{Cert: cert, Key: key, CA: ca}, standin.Quiet)
+	keys, err := tlskeys.Load(tlskeys.Files{Cert: cert, Key: key, CA: ca}, standin.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/uwsgi/stream_test.go
+++ b/internal/frontend/uwsgi/stream_test.go
@@ -68,8 +68,8 @@
 		if err != nil || got != head+body {
 			t.Errorf("%s: %d bytes, %v", c.name, len(got), err)
 		}
-		standin.WaitFor(t, "the server is done", func() bool { return len(s.Got()) == 1 })
-		if got := s.Got()[0]; got != c.sent {
+		standin.WaitFor(t, "the server is done", func() bool { return len(s.Received()) == 1 })
+		if got := s.Received()[0]; got != c.sent {
 			t.Errorf("%s: the server got %d bytes, want %d", c.name, len(got), len(c.sent))
 		}
 	}
@@ -87,7 +87,7 @@
 	if !errors.Is(err, syscall.ECONNRESET) || !strings.HasPrefix(got, "HTTP/1.1 200 ") || r.Totals().Broken != 1 {
 		t.Errorf("%d bytes, %v; %+v", len(got), err, r.Totals())
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && len(s.Got()) == 1 })
+	standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && len(s.Received()) == 1 })
 }
 
 // TestSlowReader: a client that reads nothing of a large response is reset in time, and its server is released.
@@ -98,7 +98,7 @@
 	if _, err := io.WriteString(c, standin.Packet(t, "", at("/")...)); err != nil {
 		t.Fatal(err)
 	}
-	standin.WaitFor(t, "it is broken off", func() bool { return r.Totals().Broken == 1 && r.OpenConnections() == 0 && len(s.Got()) == 1 })
+	standin.WaitFor(t, "it is broken off", func() bool { return r.Totals().Broken == 1 && r.OpenConnections() == 0 && len(s.Received()) == 1 })
 	if e := r.pool.Servers()[0]; e.ConsecutiveFailures != 0 || e.InFlight != 0 {
 		t.Errorf("counted against the server: %+v", e)
 	}
--- a/internal/idempotency/compositejournal/compositejournal_test.go
+++ b/internal/idempotency/compositejournal/compositejournal_test.go
@@ -110,7 +110,7 @@
 	for _, c := range journalCases {
 		var told []string
 		shared, log := &fakeJournal{name: "s", told: &told}, &fakeJournal{name: "r", told: &told}
-		j := New(shared, time.Second, standin.Quiet)
+		j := New(shared, time.Second, standin.DiscardLogger)
 		result := ""
 		c.play(j, shared, log, func() {
 			if err := j.RecordStart(started, func(err error) { result = fmt.Sprint(err) }); err != nil {
@@ -129,7 +129,7 @@
 // result of.
 func TestShouldRestore(t *testing.T) {
 	var told []string
-	j := New(&fakeJournal{told: &told, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.Quiet)
+	j := New(&fakeJournal{told: &told, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.DiscardLogger)
 	for key, want := range map[string]bool{"runs": false, "served": false, "lost": true, "unknown": true} {
 		if got := j.ShouldRestore(node.RunRecord{Key: key}); got != want {
 			t.Errorf("%s: %v", key, got)
--- a/internal/idempotency/keystore/bounds_test.go
+++ b/internal/idempotency/keystore/bounds_test.go
@@ -38,7 +38,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now.Now, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
+		c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now.Now, Limits: limits.ForKeyStore(64), Log: standin.DiscardLogger})
 		if err != nil {
 			if len(text) >= 16 && string(text[:8]) == string(intact[:8]) {
 				t.Fatalf("%s: %v", what, err)
--- a/internal/idempotency/keystore/keystore_test.go
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -38,7 +38,7 @@
 	if change != nil {
 		change(&lim)
 	}
-	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: lim, Log: standin.Quiet})
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: lim, Log: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("nothing came")
 		panic("unreached")
 	}
@@ -151,7 +151,7 @@
 func TestExchangeNotes(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
-	if n := old.LiveProcesses(standin.Patience); n != 1 {
+	if n := old.LiveProcesses(standin.WaitTimeout); n != 1 {
 		t.Errorf("the old process sees %d others", n)
 	}
 	if notes := old.ExchangeNotes([]byte("from old")); len(notes) != 1 || len(notes[0]) != 0 {
--- a/internal/idempotency/keystore/processes_test.go
+++ b/internal/idempotency/keystore/processes_test.go
@@ -50,7 +50,7 @@
 // that it "runs", and the result of each that another process ran, until it is killed.
 func claimUntilKilled(dir, log string, seed uint64) {
 	now := func() time.Time { return start }
-	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: limits.ForKeyStore(64), Log: standin.DiscardLogger})
 	if err != nil {
 		panic(err)
 	}
@@ -91,7 +91,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 1000, Max: 1000}); err != nil {
 		panic(err)
 	}
-	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: func() time.Time { return start }, Limits: limits.ForKeyStore(64), Log: standin.Quiet})
+	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: func() time.Time { return start }, Limits: limits.ForKeyStore(64), Log: standin.DiscardLogger})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -28,7 +28,7 @@
 			t.Error(err)
 		}
 	})
-	return s, New(s, time.Second, 0, standin.Quiet)
+	return s, New(s, time.Second, 0, standin.DiscardLogger)
 }
 
 func runRecord(key string) node.RunRecord {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -64,7 +64,7 @@
 	}
 	controller.Close()
 	r := &recorder{}
-	return &harness{New(Options{Settings: cfg, Admission: controller, Dependency: r, Clock: clock, Limits: limits.For(64, 256), Log: standin.Quiet}), clock, r, map[string][]string{}}
+	return &harness{New(Options{Settings: cfg, Admission: controller, Dependency: r, Clock: clock, Limits: limits.For(64, 256), Log: standin.DiscardLogger}), clock, r, map[string][]string{}}
 }
 
 // submit submits a request that arrives at the given time from now.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -68,7 +68,7 @@
 			var d admission.Decision
 			select {
 			case d = <-picked:
-			case <-time.After(standin.Patience):
+			case <-time.After(standin.WaitTimeout):
 				t.Fatalf("request %d is not started: the ones before it still count", i)
 			}
 			if d.Kind != admission.Run {
--- a/internal/operatorapi/server_test.go
+++ b/internal/operatorapi/server_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	h := &node{}
-	s := New(h, lim, standin.Quiet)
+	s := New(h, lim, standin.DiscardLogger)
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ln) }()
 	t.Cleanup(func() {
@@ -200,7 +200,7 @@
 		if _, err := c.Write([]byte(call)); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		answer, err := io.ReadAll(c)
--- a/internal/platform/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -113,7 +113,7 @@
 	e.Address = ln.Addr().String()
 	client := func(a *standin.Authority, prefix string) *tlskeys.Keys {
 		cert, key, ca := a.Issue(t, dir, prefix, "client.test", far)
-		k, err := tlskeys.Load(tlskeys.Files{Cert: cert, Key: key, CA: ca}, standin.Quiet)
+		k, err := tlskeys.Load(tlskeys.Files{Cert: cert, Key: key, CA: ca}, standin.DiscardLogger)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		if err := conn.SetDeadline(time.Now().Add(standin.Patience)); err != nil {
+		if err := conn.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 			return err
 		}
 		if _, err := conn.Write([]byte("x")); err != nil {
@@ -191,7 +191,7 @@
 	_, _, _ = first.Issue(t, dir, "dead", "x", time.Now().Add(-time.Minute))
 	for _, f := range []tlskeys.Files{{Cert: cert}, {Cert: cert, Key: filepath.Join(dir, "c1.key")}, {CA: key}, {CA: filepath.Join(dir, "none")},
 		{Cert: filepath.Join(dir, "dead.pem"), Key: filepath.Join(dir, "dead.key")}} {
-		if _, err := tlskeys.Load(f, standin.Quiet); err == nil || !strings.Contains(err.Error(), "tls") {
+		if _, err := tlskeys.Load(f, standin.DiscardLogger); err == nil || !strings.Contains(err.Error(), "tls") {
 			t.Errorf("%s: %v", fmt.Sprint(f), err)
 		}
 	}
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -25,7 +25,7 @@
 		t.Helper()
 		ln := standin.Listen(t)
 		m := New(s)
-		go m.Serve(ln, limits.For(64, 256), standin.Quiet)
+		go m.Serve(ln, limits.For(64, 256), standin.DiscardLogger)
 		for _, r := range runs {
 			m.ObserveRun(r)
 		}
--- a/internal/platform/traces/traces_test.go
+++ b/internal/platform/traces/traces_test.go
@@ -49,7 +49,7 @@
 	at := func(ms int) time.Time { return time.UnixMilli(1764576000000 + int64(ms)) }
 	path := filepath.Join(t.TempDir(), "spans")
 	for range 2 { // the second one appends
-		tr, err := Open(path, "n1", 0, limits.For(64, 256), standin.Quiet)
+		tr, err := Open(path, "n1", 0, limits.For(64, 256), standin.DiscardLogger)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,7 +106,7 @@
 
 // BenchmarkRequest is what a traced request costs, apart from the writing.
 func BenchmarkRequest(b *testing.B) {
-	tr, err := Open(os.DevNull, "n1", 1, limits.For(64, 256), standin.Quiet)
+	tr, err := Open(os.DevNull, "n1", 1, limits.For(64, 256), standin.DiscardLogger)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -14,7 +14,7 @@
 
 func waitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(standin.Patience); !done(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("waited in vain for " + what)
 		}
@@ -31,7 +31,7 @@
 
 func (cluster *testCluster) open(t testing.TB, name, dir string) *Store {
 	t.Helper()
-	s, err := Open(Options{Name: name, Members: cluster.members, Dir: dir, CommitTimeout: standin.Patience, ElectionTimeout: 200 * time.Millisecond, Logger: standin.Quiet, LeaseTerms: cluster.terms})
+	s, err := Open(Options{Name: name, Members: cluster.members, Dir: dir, CommitTimeout: standin.WaitTimeout, ElectionTimeout: 200 * time.Millisecond, Logger: standin.DiscardLogger, LeaseTerms: cluster.terms})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	for i := range size {
 		admin := httptest.NewUnstartedServer(nil)
 		admins = append(admins, admin)
-		cluster.members = append(cluster.members, Member{fmt.Sprint("n", i), standin.Free(t), admin.Listener.Addr().String()})
+		cluster.members = append(cluster.members, Member{fmt.Sprint("n", i), standin.FreeAddress(t), admin.Listener.Addr().String()})
 	}
 	for i, m := range cluster.members {
 		admins[i].Config.Handler = cluster.open(t, m.Name, dir()).Handler()
@@ -97,7 +97,7 @@
 
 // client returns a client of one member.
 func (cluster *testCluster) client(i int) Client {
-	return Client{cluster.members[i].AdminAddress, standin.Patience}
+	return Client{cluster.members[i].AdminAddress, standin.WaitTimeout}
 }
 
 // stop closes a member.
--- a/internal/store/diskcluster_test.go
+++ b/internal/store/diskcluster_test.go
@@ -62,7 +62,7 @@
 		s.Handler().ServeHTTP(w, r)
 	}))
 	cluster.t.Cleanup(admin.Close)
-	return Member{name, standin.Free(cluster.t), admin.Listener.Addr().String()}
+	return Member{name, standin.FreeAddress(cluster.t), admin.Listener.Addr().String()}
 }
 
 func (cluster *diskCluster) startMember(name string, join bool, more ...Member) *Store {
@@ -72,7 +72,7 @@
 		Members:         append(append([]Member(nil), cluster.members...), more...),
 		Dir:             cluster.dirs[name],
 		Join:            join,
-		Logger:          standin.Quiet,
+		Logger:          standin.DiscardLogger,
 		CommitTimeout:   5 * time.Second,
 		ElectionTimeout: cluster.electionTimeout,
 	})
@@ -158,7 +158,7 @@
 func (cluster *diskCluster) expectExclusion(name, reason string) {
 	cluster.t.Helper()
 	var last string
-	for end := time.Now().Add(standin.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(standin.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if last = cluster.stores[name].Members().ExclusionReason; strings.Contains(last, reason) {
 			return
 		}
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -37,7 +37,7 @@
 	cluster.checkRejected(t)
 	watched := make(chan []document.Change, 1)
 	go func() {
-		changes, _, _, _ := cluster.client(2).Changes("", first.Revision, standin.Patience)
+		changes, _, _, _ := cluster.client(2).Changes("", first.Revision, standin.WaitTimeout)
 		watched <- changes
 	}()
 	next := tx("t4", "release", "v2", document.Condition{Key: "release", Version: first.Revision})
@@ -52,7 +52,7 @@
 	cluster.stop(t, leader.Name)
 	leader = cluster.awaitLeader(t)
 	waitFor(t, "a repeat after the leader died", func() bool {
-		again, err := Client{leader.AdminAddress, standin.Patience}.Commit(next)
+		again, err := Client{leader.AdminAddress, standin.WaitTimeout}.Commit(next)
 		return err == nil && again.Duplicate && again.Revision == second.Revision
 	})
 }
@@ -87,7 +87,7 @@
 }
 
 func TestDocumentsOutliveARestartAndASnapshot(t *testing.T) {
-	cluster := &testCluster{members: []Member{{Name: "n0", RaftAddress: standin.Free(t)}}, stores: map[string]*Store{}}
+	cluster := &testCluster{members: []Member{{Name: "n0", RaftAddress: standin.FreeAddress(t)}}, stores: map[string]*Store{}}
 	dir := t.TempDir()
 	s := cluster.open(t, "n0", dir)
 	cluster.awaitLeader(t)
@@ -124,7 +124,7 @@
 // TestAWatchOnAMemberThatIsBehind: a watcher resumes on a member that has not yet applied what the watcher has seen on another. The
 // member waits until it has caught up, and returns what changes then; it does not return at once as if no change were remembered.
 func TestAWatchOnAMemberThatIsBehind(t *testing.T) {
-	s, err := Open(Options{Name: "n0", Logger: standin.Quiet})
+	s, err := Open(Options{Name: "n0", Logger: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	}
 	watched := make(chan result, 1)
 	go func() {
-		changes, _, ok := s.Changes("", first.Revision+1, standin.Patience)
+		changes, _, ok := s.Changes("", first.Revision+1, standin.WaitTimeout)
 		watched <- result{changes, ok}
 	}()
 	time.Sleep(20 * time.Millisecond)
--- a/internal/store/leases_test.go
+++ b/internal/store/leases_test.go
@@ -28,7 +28,7 @@
 	// A new leader can't know when the lease began: it counts anew, and nobody else gets it before.
 	cluster.stop(t, leader.Name)
 	next := cluster.awaitLeader(t)
-	client := Client{next.AdminAddress, standin.Patience}
+	client := Client{next.AdminAddress, standin.WaitTimeout}
 	began := time.Now()
 	var b lease.Record
 	waitFor(t, "the lease to lapse", func() bool {
--- a/internal/store/recover_test.go
+++ b/internal/store/recover_test.go
@@ -47,17 +47,17 @@
 func (cluster *diskCluster) recoverMember(storeID string) {
 	t := cluster.t
 	t.Helper()
-	if _, err := Recover(t.TempDir(), cluster.members[0], standin.Quiet); err == nil || !strings.Contains(err.Error(), "empty") {
+	if _, err := Recover(t.TempDir(), cluster.members[0], standin.DiscardLogger); err == nil || !strings.Contains(err.Error(), "empty") {
 		t.Errorf("an empty directory was recovered: %v", err)
 	}
 	dir := cluster.dirs["n0"]
-	if _, err := Recover(dir, cluster.members[1], standin.Quiet); err == nil || !strings.Contains(err.Error(), "member n0's") {
+	if _, err := Recover(dir, cluster.members[1], standin.DiscardLogger); err == nil || !strings.Contains(err.Error(), "member n0's") {
 		t.Errorf("another member's directory was recovered: %v", err)
 	}
-	if d, err := InspectDataDir(dir, "n0", standin.Quiet); err != nil || d.Name != "n0" || d.StoreID != storeID || d.Voters != 3 || d.Progress.Index == 0 {
+	if d, err := InspectDataDir(dir, "n0", standin.DiscardLogger); err != nil || d.Name != "n0" || d.StoreID != storeID || d.Voters != 3 || d.Progress.Index == 0 {
 		t.Errorf("%+v, %v", d, err)
 	}
-	before, err := Recover(dir, cluster.members[0], standin.Quiet)
+	before, err := Recover(dir, cluster.members[0], standin.DiscardLogger)
 	if err != nil || before.StoreID != storeID {
 		t.Fatalf("%+v, %v", before, err)
 	}
--- a/internal/store/start_test.go
+++ b/internal/store/start_test.go
@@ -31,7 +31,7 @@
 	cluster.startMember("n2", false)
 	cluster.expectExclusion("n2", "it is empty")
 	cluster.stopMember("n2")
-	if _, err := Open(Options{Name: "n1", Members: cluster.members, Dir: own, ElectionTimeout: time.Second, Logger: standin.Quiet}); err == nil || !strings.Contains(err.Error(), "member n2's, and this is member n1") {
+	if _, err := Open(Options{Name: "n1", Members: cluster.members, Dir: own, ElectionTimeout: time.Second, Logger: standin.DiscardLogger}); err == nil || !strings.Contains(err.Error(), "member n2's, and this is member n1") {
 		t.Errorf("another member's directory: %v", err)
 	}
 	cluster.checkOtherStore()
@@ -92,9 +92,9 @@
 
 // TestOlderVersionsCountEach: members whose version does not know the question have answered each for itself.
 func TestOlderVersionsCountEach(t *testing.T) {
-	members := []Member{{Name: "n0", RaftAddress: standin.Free(t)}}
+	members := []Member{{Name: "n0", RaftAddress: standin.FreeAddress(t)}}
 	for i := range 4 {
-		m := Member{Name: fmt.Sprint("n", i+1), RaftAddress: standin.Free(t), AdminAddress: standin.Free(t)}
+		m := Member{Name: fmt.Sprint("n", i+1), RaftAddress: standin.FreeAddress(t), AdminAddress: standin.FreeAddress(t)}
 		if i < 2 {
 			old := httptest.NewServer(http.NotFoundHandler())
 			defer old.Close()
@@ -102,7 +102,7 @@
 		}
 		members = append(members, m)
 	}
-	s, err := Open(Options{Name: "n0", Members: members, Dir: t.TempDir(), CommitTimeout: time.Second, ElectionTimeout: 200 * time.Millisecond, Logger: standin.Quiet})
+	s, err := Open(Options{Name: "n0", Members: members, Dir: t.TempDir(), CommitTimeout: time.Second, ElectionTimeout: 200 * time.Millisecond, Logger: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,7 @@
 	cluster.awaitLeader(t)
 	for i, m := range cluster.members { // asked of any member, a change reaches the leader
 		value := fmt.Sprintf("127.0.0.1:%d", 3000+i)
-		waitFor(t, "a change through "+m.Name, func() bool { return Client{m.AdminAddress, standin.Patience}.Set(KeyUwsgiServers, value) == nil })
+		waitFor(t, "a change through "+m.Name, func() bool { return Client{m.AdminAddress, standin.WaitTimeout}.Set(KeyUwsgiServers, value) == nil })
 		cluster.expectValue(t, KeyUwsgiServers, value)
 	}
 	old := cluster.awaitLeader(t)
@@ -24,13 +24,13 @@
 	next := cluster.awaitLeader(t)
 	waitFor(t, "a change after the leader died", func() bool { return cluster.stores[next.Name].Set(KeyClosedNodes, "n1") == nil })
 	cluster.expectValue(t, KeyClosedNodes, "n1")
-	if got, err := (Client{next.AdminAddress, standin.Patience}).All(); err != nil || got[KeyClosedNodes] != "n1" || len(got) != 2 {
+	if got, err := (Client{next.AdminAddress, standin.WaitTimeout}).All(); err != nil || got[KeyClosedNodes] != "n1" || len(got) != 2 {
 		t.Errorf("state %v, %v", got, err)
 	}
 }
 
 func TestStateOutlivesARestart(t *testing.T) {
-	cluster := &testCluster{members: []Member{{Name: "n0", RaftAddress: standin.Free(t)}}, stores: map[string]*Store{}}
+	cluster := &testCluster{members: []Member{{Name: "n0", RaftAddress: standin.FreeAddress(t)}}, stores: map[string]*Store{}}
 	dir := t.TempDir()
 	s := cluster.open(t, "n0", dir)
 	cluster.awaitLeader(t)
@@ -51,7 +51,7 @@
 }
 
 func TestAlone(t *testing.T) {
-	s, err := Open(Options{Name: "n0", Logger: standin.Quiet})
+	s, err := Open(Options{Name: "n0", Logger: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	if got := strings.Join(seen, " "); got != "closed=n1,n2 closed= uwsgi-servers=127.0.0.1:1, 127.0.0.1:2" {
 		t.Errorf("watched %s", got)
 	}
-	if _, err := Open(Options{Name: "n9", Members: []Member{{Name: "n0", RaftAddress: "127.0.0.1:0"}}, Logger: standin.Quiet}); err == nil {
+	if _, err := Open(Options{Name: "n9", Members: []Member{{Name: "n0", RaftAddress: "127.0.0.1:0"}}, Logger: standin.DiscardLogger}); err == nil {
 		t.Error("opened by no member")
 	}
 }
--- a/internal/store/transport_test.go
+++ b/internal/store/transport_test.go
@@ -14,12 +14,12 @@
 // TestNewFoldersDoNotVote: a member that has joined grants no vote until it has anything; then it is raft's to answer.
 func TestNewFoldersDoNotVote(t *testing.T) {
 	at := func() (*transport, raft.ServerAddress) {
-		address := standin.Free(t)
+		address := standin.FreeAddress(t)
 		l, err := listen(transportOptions{
 			address:    address,
 			timeout:    time.Second,
 			maxPool:    3,
-			logger:     standin.Quiet,
+			logger:     standin.DiscardLogger,
 			addressOf:  func(id raft.ServerID) (raft.ServerAddress, error) { return raft.ServerAddress(id), nil },
 			verify:     func(raft.ServerAddress, time.Duration) error { return nil },
 			onProgress: func(string, quorum.Progress) {},
--- a/internal/testing/conformance/conformance.go
+++ b/internal/testing/conformance/conformance.go
@@ -46,10 +46,10 @@
 
 // Target is the server under test.
 type Target struct {
-	Address  endpoint.Endpoint
-	Path     string        // of an application that answers 200 to all methods
-	Echo     bool          // it answers with the body that it got
-	Patience time.Duration // timeout of a case; a server that has not answered by then fails it
+	Address endpoint.Endpoint
+	Path    string        // of an application that answers 200 to all methods
+	Echo    bool          // it answers with the body that it got
+	Timeout time.Duration // timeout of a case; a server that has not answered by then fails it
 }
 
 // Result is the result of a case.
@@ -63,7 +63,7 @@
 
 // Reach sends one ordinary request, so that a wrong address or path is reported as such, and not as two hundred failed cases.
 func (t Target) Reach(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, t.Patience)
+	ctx, cancel := context.WithTimeout(ctx, t.Timeout)
 	defer cancel()
 	c := client.Client{Address: t.Address.String(), MaxAttempts: 1}
 	resp, err := c.Do(ctx, &client.Request{Path: t.Path, Host: "localhost"})
@@ -130,12 +130,12 @@
 
 // exchange runs a case on one connection and checks the answer.
 func (t Target) exchange(c Case) (got []byte, err error) {
-	conn, err := net.DialTimeout(t.Address.Network, t.Address.Address, t.Patience)
+	conn, err := net.DialTimeout(t.Address.Network, t.Address.Address, t.Timeout)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(t.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(t.Timeout)); err != nil {
 		return nil, err
 	}
 	done := make(chan struct{})
--- a/internal/testing/conformance/conformance_test.go
+++ b/internal/testing/conformance/conformance_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return conformance.Run(conformance.Target{Address: e, Path: "/", Echo: true, Patience: standin.Patience}, nil, 8)
+	return conformance.Run(conformance.Target{Address: e, Path: "/", Echo: true, Timeout: standin.WaitTimeout}, nil, 8)
 }
 
 // TestCases: each has a name of its own and a source, and there are enough.
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := (conformance.Target{Address: e, Path: "/", Patience: standin.Patience}).Reach(context.Background()); (err == nil) != (mutant == "") {
+		if err := (conformance.Target{Address: e, Path: "/", Timeout: standin.WaitTimeout}).Reach(context.Background()); (err == nil) != (mutant == "") {
 			t.Errorf("%q: %v", mutant, err)
 		}
 	}
@@ -84,9 +84,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			target := conformance.Target{Address: e, Path: "/", Echo: true, Patience: standin.Patience}
+			target := conformance.Target{Address: e, Path: "/", Echo: true, Timeout: standin.WaitTimeout}
 			if strings.HasPrefix(mutant, "hangs") {
-				target.Patience = 100 * time.Millisecond
+				target.Timeout = 100 * time.Millisecond
 			}
 			results := conformance.Run(target, regexp.MustCompile("^"+name+"$"), 1)
 			if len(results) != 1 || results[0].Passed != (mutant == "") {
--- a/internal/testing/fleetrig/check_events.go
+++ b/internal/testing/fleetrig/check_events.go
@@ -27,10 +27,10 @@
 		wrong = checkEvents(all, w.desired, most)
 		return len(wrong) == 0
 	})
-	r.Wrong = append(r.Wrong, wrong...)
+	r.Violations = append(r.Violations, wrong...)
 	for _, e := range all {
 		if e.What == "applied" {
-			r.Wishes++
+			r.DesiredStates++
 		}
 	}
 	r.Spans = f.chart(all)
--- a/internal/testing/fleetrig/check_history.go
+++ b/internal/testing/fleetrig/check_history.go
@@ -17,7 +17,7 @@
 // checkHistory checks that the clients' operations are linearizable, and the store's history by Check.
 func (f *testFleet) checkHistory(r *Report, w *workload) {
 	if !porcupine.CheckOperations(registerModel, w.history) {
-		r.Wrong = append(r.Wrong, fmt.Sprintf("%d operations are not linearizable", len(w.history)))
+		r.Violations = append(r.Violations, fmt.Sprintf("%d operations are not linearizable", len(w.history)))
 	}
 	var changes []document.Change
 	if !f.waitUntil(time.Now().Add(f.Recovery), func() bool {
@@ -28,10 +28,10 @@
 		changes, seen, forgotten, err = f.client(0).Changes("", 0, 0)
 		return err == nil && err1 == nil && !forgotten && seen.Revision >= now.Revision
 	}) {
-		r.Wrong = append(r.Wrong, "no history, or not all of it is remembered: play a shorter one")
+		r.Violations = append(r.Violations, "no history, or not all of it is remembered: play a shorter one")
 		return
 	}
-	r.Wrong = append(r.Wrong, Check(changes, w.acked, r)...)
+	r.Violations = append(r.Violations, Check(changes, w.acked, r)...)
 }
 
 // Check holds a store's history to its promises: tokens of a leased task only grow, its jobs and steps come in order, and what was
@@ -46,7 +46,7 @@
 		case isJob:
 			c.job(x, task)
 		case strings.HasPrefix(x.Key, "silent/") && !x.Deleted:
-			r.Marks++
+			r.SilenceMarks++
 		case x.Key == "x":
 			if was, twice := c.written[x.Value]; twice {
 				c.fail("%s was made twice, as revisions %d and %d", x.Value, was, x.Revision)
@@ -100,7 +100,7 @@
 	}
 	if x.Lease.Token > t.token {
 		if t.owner != x.Lease.Holder {
-			c.report.Owners++
+			c.report.OwnerChanges++
 		}
 		t.owner = x.Lease.Holder
 	}
--- a/internal/testing/fleetrig/drains.go
+++ b/internal/testing/fleetrig/drains.go
@@ -198,5 +198,5 @@
 		wrong = append(wrong, "the processes' events:\n"+eventLog(all, d.injected))
 		d.mu.Unlock()
 	}
-	d.report.Wrong = append(d.report.Wrong, wrong...)
+	d.report.Violations = append(d.report.Violations, wrong...)
 }
--- a/internal/testing/fleetrig/fleet.go
+++ b/internal/testing/fleetrig/fleet.go
@@ -21,19 +21,19 @@
 
 // Options configure a run.
 type Options struct {
-	Command  func(config, deploy string) *exec.Cmd // starts a daemon
-	Dir      string                                // for the processes' folders; must be empty
-	Nodes    int
-	Members  int  // the first so many nodes are members of the store: 3 or 5; 0: all
-	Drains   bool // drains and releases, drawn by Seed, go on during the faults
-	Seed     uint64
-	Lease    time.Duration
-	Schedule Schedule
-	Length   time.Duration // of the clients' operations and the faults
-	Recovery time.Duration // after the last fault, within which the fleet must be healthy again
-	Log      io.Writer     // gets the daemons' output
-	Say      io.Writer     // gets progress lines; may be nil
-	Careless bool          // reads are local and not confirmed by a quorum: a mutant that the checks must detect
+	Command          func(config, deploy string) *exec.Cmd // starts a daemon
+	Dir              string                                // for the processes' folders; must be empty
+	Nodes            int
+	Members          int  // the first so many nodes are members of the store: 3 or 5; 0: all
+	Drains           bool // drains and releases, drawn by Seed, go on during the faults
+	Seed             uint64
+	Lease            time.Duration
+	Schedule         Schedule
+	Length           time.Duration // of the clients' operations and the faults
+	Recovery         time.Duration // after the last fault, within which the fleet must be healthy again
+	Log              io.Writer     // gets the daemons' output
+	Progress         io.Writer     // gets progress lines; may be nil
+	UnconfirmedReads bool          // reads are local and not confirmed by a quorum: a mutant that the checks must detect
 }
 
 // testFleet is the processes of one run and the links between them.
@@ -234,8 +234,8 @@
 }
 
 func (f *testFleet) logf(format string, args ...any) {
-	if f.Say != nil {
-		fmt.Fprintf(f.Say, "%6.2fs  %s\n", time.Since(f.startedAt).Seconds(), fmt.Sprintf(format, args...))
+	if f.Progress != nil {
+		fmt.Fprintf(f.Progress, "%6.2fs  %s\n", time.Since(f.startedAt).Seconds(), fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/testing/fleetrig/link_test.go
+++ b/internal/testing/fleetrig/link_test.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	c := dial()
-	if err := echo(c, standin.Patience); err != nil {
+	if err := echo(c, standin.WaitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	for _, held := range []*int{&l.muteFaults, &l.deafFaults} {
@@ -54,7 +54,7 @@
 			t.Error("what is held back came")
 		}
 		l.change(func() { *held-- })
-		if err := c.SetReadDeadline(time.Now().Add(standin.Patience)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
@@ -62,18 +62,18 @@
 		}
 	}
 	l.change(func() { l.reset() })
-	if err := echo(c, standin.Patience); err == nil {
+	if err := echo(c, standin.WaitTimeout); err == nil {
 		t.Error("a connection outlived a reset")
 	}
-	if err := echo(dial(), standin.Patience); err != nil {
+	if err := echo(dial(), standin.WaitTimeout); err != nil {
 		t.Errorf("a new connection after a reset: %v", err)
 	}
 	l.change(func() { l.cutFaults++ })
-	if err := echo(dial(), standin.Patience); err == nil {
+	if err := echo(dial(), standin.WaitTimeout); err == nil {
 		t.Error("a new connection through a cut link")
 	}
 	l.change(func() { l.cutFaults-- })
-	if err := echo(dial(), standin.Patience); err != nil {
+	if err := echo(dial(), standin.WaitTimeout); err != nil {
 		t.Errorf("a new connection once the cut is over: %v", err)
 	}
 }
--- a/internal/testing/fleetrig/run.go
+++ b/internal/testing/fleetrig/run.go
@@ -14,16 +14,16 @@
 // Report is the result of a run.
 type Report struct {
 	Writes, Reads int           // answered
-	Tries         int           // all attempts, those without an answer included
+	Attempts      int           // all attempts, those without an answer included
 	Recovered     time.Duration // time from the last fault until the fleet was healthy again
-	Owners        int           // lease grants to another holder than before
+	OwnerChanges  int           // lease grants to another holder than before
 	Jobs          int           // leased tasks' jobs that ended
-	Marks         int           // set on nodes whose reports were missing
-	Wishes        int           // desired states applied by nodes
-	KeptOut       int           // members excluded after a rollback of their store
+	SilenceMarks  int           // set on nodes whose reports were missing
+	DesiredStates int           // desired states applied by nodes
+	Exclusions    int           // members excluded after a rollback of their store
 	Drains        Drained       // drains and releases
 	Spans         []Span        // for charts
-	Wrong         []string      // violations and failures of the rig; empty: none
+	Violations    []string      // violations and failures of the rig; empty: none
 }
 
 // Play runs a fleet under a schedule of faults, blocks until it has recovered, and checks it. It returns an error where the options are
@@ -60,7 +60,7 @@
 	w.wg.Wait()
 	f.repairs.Wait()
 	if !f.waitUntil(time.Now().Add(o.Recovery), f.healthy) {
-		r.Wrong = append(r.Wrong, fmt.Sprintf("not healthy again %v after the last fault: %s", o.Recovery, f.unhealthyReason()))
+		r.Violations = append(r.Violations, fmt.Sprintf("not healthy again %v after the last fault: %s", o.Recovery, f.unhealthyReason()))
 	}
 	r.Recovered = time.Since(calm)
 	if d != nil {
@@ -68,8 +68,8 @@
 	}
 	f.checkHistory(r, w)
 	f.checkProcessEvents(r, w)
-	r.KeptOut = f.exclusions
-	r.Wrong = append(append(r.Wrong, f.wrong...), f.unexpectedExits()...)
+	r.Exclusions = f.exclusions
+	r.Violations = append(append(r.Violations, f.wrong...), f.unexpectedExits()...)
 	return r, nil
 }
 
--- a/internal/testing/fleetrig/workload.go
+++ b/internal/testing/fleetrig/workload.go
@@ -79,7 +79,7 @@
 			if r, err = client.Commit(document.Transaction{ID: a.value, Author: "rig", Operations: []document.Operation{{Key: "x", Value: a.value}}}); err == nil {
 				w.mu.Lock()
 				if was, before := w.acked[a.value]; before && was != r.Revision {
-					w.report.Wrong = append(w.report.Wrong, fmt.Sprintf("%s was made as revision %d and as %d", a.value, was, r.Revision))
+					w.report.Violations = append(w.report.Violations, fmt.Sprintf("%s was made as revision %d and as %d", a.value, was, r.Revision))
 				}
 				w.acked[a.value] = r.Revision
 				w.mu.Unlock()
@@ -87,7 +87,7 @@
 		} else {
 			var docs []document.Document
 			var seen store.ReadStatus
-			if docs, seen, err = client.Documents("x", w.Careless); err == nil && !seen.Confirmed && !w.Careless {
+			if docs, seen, err = client.Documents("x", w.UnconfirmedReads); err == nil && !seen.Confirmed && !w.UnconfirmedReads {
 				err = errors.New("not confirmed")
 			}
 			op.Output = ""
@@ -100,7 +100,7 @@
 		}
 		if errors.Is(err, store.ErrConflict) || time.Now().After(w.end.Add(w.Recovery)) {
 			w.mu.Lock()
-			w.report.Wrong = append(w.report.Wrong, fmt.Sprintf("%+v: %v", a, err))
+			w.report.Violations = append(w.report.Violations, fmt.Sprintf("%+v: %v", a, err))
 			w.mu.Unlock()
 			return
 		}
@@ -110,7 +110,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history = append(w.history, op)
-	if w.report.Tries += tries + 1; a.write {
+	if w.report.Attempts += tries + 1; a.write {
 		w.report.Writes++
 	} else {
 		w.report.Reads++
--- a/internal/testing/soak/checker_test.go
+++ b/internal/testing/soak/checker_test.go
@@ -21,7 +21,7 @@
 		run.requests.list = append(run.requests.list, q)
 	}
 	var rules []string
-	for _, b := range run.check().Breaches {
+	for _, b := range run.check().Violations {
 		rules = append(rules, b.Rule)
 	}
 	return rules
--- a/internal/testing/soak/report.go
+++ b/internal/testing/soak/report.go
@@ -25,21 +25,21 @@
 	maxReportGap = 3 * time.Second
 )
 
-// Breach is one violation of a rule.
-type Breach struct {
+// Violation is one violation of a rule.
+type Violation struct {
 	Rule, What string
 	Names      []string // of the requests and keys concerned
 }
 
 // Report is the result of a run.
 type Report struct {
-	Plan      Plan
-	Breaches  []Breach
-	Counts    map[string]int // faults by kind
-	Requests  int            // written completely
-	Answers   map[string]int // by word
-	Runs      int
-	Processes int
+	Plan       Plan
+	Violations []Violation
+	Counts     map[string]int // faults by kind
+	Requests   int            // written completely
+	Answers    map[string]int // by word
+	Runs       int
+	Processes  int
 	// By the node's logs, after broken runtime links: starts and replies that could not be confirmed, and runs abandoned at their deadline
 	// without a reported end.
 	Unconfirmed, Abandoned int
@@ -90,5 +90,5 @@
 }
 
 func (r *Report) breach(rule, what string, names ...string) {
-	r.Breaches = append(r.Breaches, Breach{rule, what, names})
+	r.Violations = append(r.Violations, Violation{rule, what, names})
 }
--- a/internal/testing/soak/series.go
+++ b/internal/testing/soak/series.go
@@ -17,7 +17,7 @@
 	First, Last uint64
 	Length      time.Duration
 	Kinds       []FaultKind // none: all
-	Beside      int         // plays at the same time
+	Parallel    int         // plays at the same time
 	Command     Command
 	Dir         string // for the files of each test run
 }
@@ -35,7 +35,7 @@
 	var mu sync.Mutex
 	var failed error
 	var players sync.WaitGroup
-	for range max(1, s.Beside) {
+	for range max(1, s.Parallel) {
 		players.Add(1)
 		go func() {
 			defer players.Done()
@@ -94,14 +94,14 @@
 		t.faults[kind] += n
 	}
 	seen := map[string]bool{}
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		t.broken[b.Rule]++
 		if !seen[b.Rule] {
 			seen[b.Rule] = true
 			t.rules[b.Rule]++
 		}
 	}
-	if len(r.Breaches) == 0 {
+	if len(r.Violations) == 0 {
 		t.clean++
 	}
 }
--- a/internal/testing/soak/timeline.go
+++ b/internal/testing/soak/timeline.go
@@ -8,7 +8,7 @@
 
 // WriteTimelines writes up to most breaches, each with the events and log lines of the requests concerned.
 func (r *Report) WriteTimelines(w io.Writer, most int) {
-	for _, b := range r.Breaches[:min(most, len(r.Breaches))] {
+	for _, b := range r.Violations[:min(most, len(r.Violations))] {
 		fmt.Fprintf(w, "seed %d: %s: %s\n", r.Plan.Seed, b.Rule, b.What)
 		r.Record.Timeline(w, b.Names...)
 		for _, text := range r.Logs {
--- a/internal/testing/standin/balancer.go
+++ b/internal/testing/standin/balancer.go
@@ -60,7 +60,7 @@
 // Read reads one answer and returns its parts, or nil at the end of the connection.
 func (b *Balancer) Read() []string {
 	b.t.Helper()
-	if err := b.SetReadDeadline(time.Now().Add(Patience)); err != nil {
+	if err := b.SetReadDeadline(time.Now().Add(WaitTimeout)); err != nil {
 		b.t.Fatal(err)
 	}
 	cmd, err := b.in.ReadCommand()
--- a/internal/testing/standin/echo.go
+++ b/internal/testing/standin/echo.go
@@ -47,7 +47,7 @@
 
 func (e *Echo) serve(c net.Conn) {
 	defer c.Close()
-	if c.SetDeadline(time.Now().Add(Patience)) != nil {
+	if c.SetDeadline(time.Now().Add(WaitTimeout)) != nil {
 		return
 	}
 	in := bufio.NewReaderSize(c, 64<<10)
@@ -61,7 +61,7 @@
 		e.answer(c, vars.Get("REQUEST_METHOD"), body)
 	case e.mutant == "hangs on what is bad":
 		_, _ = io.Copy(io.Discard, in)
-		time.Sleep(Patience / 2)
+		time.Sleep(WaitTimeout / 2)
 	case !errors.Is(err, io.EOF):
 		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 	}
--- a/internal/testing/standin/runtime.go
+++ b/internal/testing/standin/runtime.go
@@ -19,7 +19,7 @@
 
 // Call requests a downstream call and blocks until its reply.
 func (j *Job) Call(body string) []byte {
-	j.rt.Tell(map[string]any{"action": "wants", "uid": j.UID, "content": base64.StdEncoding.EncodeToString([]byte(body))})
+	j.rt.SendNotice(map[string]any{"action": "wants", "uid": j.UID, "content": base64.StdEncoding.EncodeToString([]byte(body))})
 	return <-j.Replies
 }
 
@@ -44,13 +44,13 @@
 // NewRuntime starts a runtime whose runs do the given work and end with its code and result.
 func NewRuntime(t testing.TB, work func(j *Job) (code, result string)) *Runtime {
 	rt := &Runtime{Syncs: make(chan uint64, 16), jobs: map[string]*Job{}, runs: map[string]int{}, work: work}
-	rt.Address = rt.Another(t)
-	t.Cleanup(rt.Cut)
+	rt.Address = rt.ListenAgain(t)
+	t.Cleanup(rt.Disconnect)
 	return rt
 }
 
-// Another listens on a further address of the same runtime and returns it.
-func (rt *Runtime) Another(t testing.TB) string {
+// ListenAgain listens on a further address of the same runtime and returns it.
+func (rt *Runtime) ListenAgain(t testing.TB) string {
 	ln := Listen(t)
 	go func() {
 		for {
@@ -109,12 +109,12 @@
 	rt.running--
 	delete(rt.jobs, j.UID) // nothing of an ended run is retained: a second start runs it again
 	rt.mu.Unlock()
-	rt.Tell(map[string]any{"action": "end", "uid": j.UID, "code": code, "wall_ms": 1,
+	rt.SendNotice(map[string]any{"action": "end", "uid": j.UID, "code": code, "wall_ms": 1,
 		"content": base64.StdEncoding.EncodeToString([]byte(result))})
 }
 
-// Tell numbers and sends a notice, or retains it until the node connects.
-func (rt *Runtime) Tell(m map[string]any) {
+// SendNotice numbers and sends a notice, or retains it until the node connects.
+func (rt *Runtime) SendNotice(m map[string]any) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.position++
@@ -129,23 +129,23 @@
 	}
 }
 
-// Swallow has the runtime drop all commands until the next connection, and returns how many it has dropped before.
-func (rt *Runtime) Swallow() int {
+// DropCommands has the runtime drop all commands until the next connection, and returns how many it has dropped before.
+func (rt *Runtime) DropCommands() int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.dropping = true
 	return rt.dropped
 }
 
-// Swallowed returns how many commands were dropped.
-func (rt *Runtime) Swallowed() int {
+// DroppedCommands returns how many commands were dropped.
+func (rt *Runtime) DroppedCommands() int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	return rt.dropped
 }
 
-// Cut closes the connection to the node.
-func (rt *Runtime) Cut() {
+// Disconnect closes the connection to the node.
+func (rt *Runtime) Disconnect() {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	if rt.conn != nil {
@@ -161,8 +161,8 @@
 	return rt.runs[body]
 }
 
-// Most returns the largest number of concurrent runs.
-func (rt *Runtime) Most() int {
+// MaxConcurrent returns the largest number of concurrent runs.
+func (rt *Runtime) MaxConcurrent() int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	return rt.maxRunning
--- a/internal/testing/standin/scripted.go
+++ b/internal/testing/standin/scripted.go
@@ -62,15 +62,15 @@
 	return s.n
 }
 
-// Got returns what each closed connection has read.
-func (s *Scripted) Got() []string {
+// Received returns what each closed connection has read.
+func (s *Scripted) Received() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.got...)
 }
 
-// Faulty is a server's script by seed: it reads up to end, or less, and answers well or in one of the ways that servers fail.
-func Faulty(seed uint64, end, response string) Script {
+// FaultyScript is a server's script by seed: it reads up to end, or less, and answers well or in one of the ways that servers fail.
+func FaultyScript(seed uint64, end, response string) Script {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	cut := rng.IntN(len(response))
 	pause := Step{Pause: time.Duration(rng.IntN(4)) * time.Millisecond}
@@ -112,7 +112,7 @@
 // WaitFor polls a condition and fails the test where it does not hold in time.
 func WaitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for until := time.Now().Add(Patience); !done(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(WaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatalf("it did not come about: %s", what)
 		}
--- a/internal/testing/standin/standin.go
+++ b/internal/testing/standin/standin.go
@@ -11,11 +11,11 @@
 	"sloehitch/internal/testing/loopback"
 )
 
-// Patience is the timeout of a test's waits; only a failing test waits that long.
-const Patience = 20 * time.Second
+// WaitTimeout is the timeout of a test's waits; only a failing test waits that long.
+const WaitTimeout = 20 * time.Second
 
-// Quiet is a logger that discards everything.
-var Quiet = slog.New(slog.DiscardHandler)
+// DiscardLogger is a logger that discards everything.
+var DiscardLogger = slog.New(slog.DiscardHandler)
 
 // Listen listens on a free port until the end of the test.
 func Listen(t testing.TB) net.Listener {
@@ -28,8 +28,8 @@
 	return ln
 }
 
-// Free returns a free address for a server that is started, or started again, later in the test; it is reserved until then.
-func Free(t testing.TB) string {
+// FreeAddress returns a free address for a server that is started, or started again, later in the test; it is reserved until then.
+func FreeAddress(t testing.TB) string {
 	t.Helper()
 	found, err := loopback.Addresses(1)
 	if err != nil {
