--- a/internal/platform/apispec/asyncapi.go
+++ b/internal/platform/apispec/asyncapi.go
@@ -23,10 +23,10 @@
 	schema   *jsonschema.Schema
 }
 
-// Validate returns an error if a payload doesn't match the message's schema.
+// Validate returns an error if payload does not match the message's schema.
 func (m *Message) Validate(payload any) error { return m.schema.Validate(payload) }
 
-// document is the part of an AsyncAPI document that is read; payloads are JSON Schemas.
+// document holds the parts of an AsyncAPI document that Messages reads. Payloads are JSON Schemas.
 type document struct {
 	AsyncAPI   string `yaml:"asyncapi"`
 	Components struct {
@@ -38,14 +38,14 @@
 	}
 }
 
-// Messages reads the messages of an AsyncAPI document by name, and checks its examples against its schemas.
+// Messages parses an AsyncAPI document and returns its messages by name. It validates each example against its message's schema.
 func Messages(text []byte) (map[string]*Message, error) {
 	var doc document
 	if err := yaml.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
 	if doc.AsyncAPI != "3.0.0" {
-		return nil, fmt.Errorf("asyncapi %q is not 3.0.0", doc.AsyncAPI)
+		return nil, fmt.Errorf("AsyncAPI version %q is not supported, only 3.0.0", doc.AsyncAPI)
 	}
 	messages := map[string]*Message{}
 	for _, name := range slices.Sorted(maps.Keys(doc.Components.Messages)) {
@@ -69,7 +69,7 @@
 		messages[name] = m
 	}
 	if len(messages) == 0 {
-		return nil, errors.New("no messages")
+		return nil, errors.New("AsyncAPI document has no messages")
 	}
 	return messages, nil
 }
--- a/internal/platform/apispec/asyncapi_test.go
+++ b/internal/platform/apispec/asyncapi_test.go
@@ -17,8 +17,8 @@
 	}
 	for _, c := range []struct{ name, old, new, wrong string }{
 		{"another version", "asyncapi: 3.0.0", "asyncapi: 2.6.0", "3.0.0"},
-		{"an example that does not fit", "{verb: QUIT, id: 9b1f03aa5c7e2d41}", "{verb: HALT, id: 1}", "example"},
-		{"no schema", "type: object", "type: objekt", "message"},
+		{"example does not match its schema", "{verb: QUIT, id: 9b1f03aa5c7e2d41}", "{verb: HALT, id: 1}", "example"},
+		{"invalid schema", "type: object", "type: objekt", "message"},
 		{"no messages", "components:", "other:", "no messages"},
 		{"not YAML", "channels:", "\t:", ""},
 	} {
--- a/internal/platform/apispec/openapi.go
+++ b/internal/platform/apispec/openapi.go
@@ -1,5 +1,5 @@
-// Package apispec reads the descriptions of the APIs: an OpenAPI document maps uwsgi requests to the classes of the settings, and an
-// AsyncAPI document describes the platform's messages.
+// Package apispec reads API descriptions: an OpenAPI document that maps uwsgi requests to the classes in the settings, and an
+// AsyncAPI document that describes the platform's messages.
 package apispec
 
 import (
@@ -22,20 +22,20 @@
 	"sloehitch/logic"
 )
 
-// extension is the name of the OpenAPI extension that an operation must carry to be served.
+// extension is the name of the OpenAPI extension that an operation must have to be served.
 const extension = "x-sloehitch"
 
-// maxKeyBytes is the largest length of an idempotency key.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 256
 
-// operation is what the extension says of an operation. The tags are the extension's names.
+// operation is the content of the extension of one operation. The JSON names are part of the document format.
 type operation struct {
-	Class          string   `json:"class"`     // a class of the settings
-	Semantics      string   `json:"semantics"` // retryable, dedup or fragile; must be the class's
+	Class          string   `json:"class"`     // a class in the settings
+	Semantics      string   `json:"semantics"` // retryable, dedup or fragile; must match the class
 	Key            string   `json:"key"`       // dedup: header:NAME or query:NAME of the idempotency key
 	PriorityWeight *float64 `json:"worth"`     // replaces the class's weight
 	WorkMS         float64  `json:"work-ms"`   // expected work on one core, in milliseconds; 0: unknown
-	MemoryKB       float64  `json:"kb"`        // memory while in flight; 0: what the front buffers of it
+	MemoryKB       float64  `json:"kb"`        // memory while in flight; 0: the bytes that the front buffers
 	Tenant         string   `json:"tenant"`    // header:NAME or query:NAME of the tenant
 	RetryMarker    string   `json:"retry"`     // header:NAME or query:NAME that is present on retries
 
@@ -53,7 +53,7 @@
 // Load reads an OpenAPI document and checks it against the settings. It sets the priority weights of classes in cfg where the document
 // gives them.
 func Load(text []byte, cfg *logic.Settings, classes, tenants map[string]int) (*Operations, error) {
-	loader := openapi3.NewLoader() // external references stay off
+	loader := openapi3.NewLoader() // external references are disabled by default
 	doc, err := loader.LoadFromData(text)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	if err := doc.Validate(context.Background()); err != nil {
 		return nil, err
 	}
-	doc.Servers = nil // paths match whatever the server's address is
+	doc.Servers = nil // match paths independent of the server's address
 	o := &Operations{operations: map[*openapi3.Operation]*operation{}, tenants: tenants}
 	if o.router, err = gorillamux.NewRouter(doc); err != nil {
 		return nil, err
@@ -78,14 +78,14 @@
 		}
 	}
 	if len(o.operations) == 0 {
-		return nil, fmt.Errorf("no operation carries %s", extension)
+		return nil, fmt.Errorf("no operation has the extension %s", extension)
 	}
 	o.setRanks(cfg.Classes)
 	return o, nil
 }
 
-// setRanks divides 0 to 1 into equal portions, one for each class in ascending order of priority weight, and gives each class the middle
-// of its portion.
+// setRanks divides the interval from 0 to 1 into equal parts, one per class in ascending order of priority weight, and sets the rank of
+// each class to the middle of its part.
 func (o *Operations) setRanks(classes []logic.Class) {
 	o.priorityRanks = make([]float64, len(classes))
 	for i, c := range classes {
@@ -99,7 +99,7 @@
 	}
 }
 
-// readOperation reads an operation's extension. It returns nil if the operation has none.
+// readOperation parses an operation's extension. It returns nil if the operation has none.
 func readOperation(from *openapi3.Operation, cfg *logic.Settings, classes map[string]int) (*operation, error) {
 	value, found := from.Extensions[extension]
 	if !found {
@@ -111,7 +111,7 @@
 	}
 	op := &operation{}
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
-	decoder.DisallowUnknownFields() // a misspelt name would silently have no effect
+	decoder.DisallowUnknownFields() // otherwise a misspelt name would be ignored silently
 	if err := decoder.Decode(op); err != nil {
 		return nil, fmt.Errorf("%s: %w", extension, err)
 	}
@@ -122,18 +122,18 @@
 	return op, op.check(&cfg.Classes[op.class])
 }
 
-// check checks the extension against its class, whose priority weight it may set.
+// check validates the extension against its class. If the extension has a priority weight, check sets it in the class.
 func (op *operation) check(class *logic.Class) error {
 	idempotency, known := settings.ParseIdempotency(op.Semantics)
 	switch {
 	case !known:
-		return fmt.Errorf("%s: semantics %q is none of retryable, dedup, fragile", extension, op.Semantics)
+		return fmt.Errorf("%s: unknown semantics %q: must be one of retryable, dedup, fragile", extension, op.Semantics)
 	case idempotency != class.Idempotency:
-		return fmt.Errorf("%s: semantics %q is not that of class %s in the settings", extension, op.Semantics, op.Class)
+		return fmt.Errorf("%s: semantics %q differs from that of class %s in the settings", extension, op.Semantics, op.Class)
 	case idempotency == logic.IdempotentByKey && op.Key == "":
-		return fmt.Errorf("%s: dedup needs a key", extension)
+		return fmt.Errorf("%s: semantics dedup requires key", extension)
 	case op.WorkMS < 0 || op.MemoryKB < 0 || op.PriorityWeight != nil && *op.PriorityWeight < 0:
-		return fmt.Errorf("%s: negative figure", extension)
+		return fmt.Errorf("%s: work-ms, kb and worth must not be negative", extension)
 	}
 	for _, from := range []string{op.Key, op.Tenant, op.RetryMarker} {
 		if place, name, _ := strings.Cut(from, ":"); from != "" && (name == "" || !slices.Contains([]string{"header", "query"}, place)) {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// Map classifies a request by its operation and fills in q. It returns 0, or the status of the rejection: 400 for a request without
-// its key, 404 and 405 for what is not described.
+// Map classifies a request by its operation and fills in q. It returns 0, or the HTTP status of the rejection: 400 for a missing or too
+// long idempotency key, 404 for an unknown path and for an operation without the extension, 405 for an unknown method.
 func (o *Operations) Map(get func(name string) string, q *node.Request) int {
 	at := &url.URL{Scheme: "http", Host: "localhost", Path: get("PATH_INFO"), RawQuery: get("QUERY_STRING")}
 	if at.Path == "" {
@@ -179,7 +179,7 @@
 	return 0
 }
 
-// findValue returns the value at a place such as header:Idempotency-Key, or "".
+// findValue returns the value of the header or query parameter that from names, such as header:Idempotency-Key, or "".
 func findValue(from string, get func(string) string, query url.Values) string {
 	place, name, _ := strings.Cut(from, ":")
 	switch place {
--- a/internal/platform/apispec/openapi_test.go
+++ b/internal/platform/apispec/openapi_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if c.Classes[1].PriorityWeight != 5 || c.Classes[0].PriorityWeight != 1 {
-		t.Errorf("worth %v and %v, want 1 and 5", c.Classes[0].PriorityWeight, c.Classes[1].PriorityWeight)
+		t.Errorf("priority weights %v and %v, want 1 and 5", c.Classes[0].PriorityWeight, c.Classes[1].PriorityWeight)
 	}
 	for _, tc := range []struct {
 		name   string
@@ -55,10 +55,10 @@
 			node.Request{Class: 1, Tenant: -1, MemoryKB: 1, PriorityRank: 0.75, IdempotencyKey: "k"}},
 		{"booking without its key", map[string]string{"REQUEST_METHOD": "POST", "PATH_INFO": "/book"}, 400, node.Request{}},
 		{"key too long", map[string]string{"REQUEST_METHOD": "POST", "PATH_INFO": "/book", "QUERY_STRING": "opkey=" + strings.Repeat("k", 257)}, 400, node.Request{}},
-		{"no terms", map[string]string{"REQUEST_METHOD": "GET", "PATH_INFO": "/book"}, 404, node.Request{}},
+		{"operation without the extension", map[string]string{"REQUEST_METHOD": "GET", "PATH_INFO": "/book"}, 404, node.Request{}},
 		{"no such path", map[string]string{"REQUEST_METHOD": "GET", "PATH_INFO": "/x"}, 404, node.Request{}},
 		{"no such method", map[string]string{"REQUEST_METHOD": "DELETE", "PATH_INFO": "/book"}, 405, node.Request{}},
-		{"nothing", map[string]string{}, 404, node.Request{}},
+		{"no variables", map[string]string{}, 404, node.Request{}},
 	} {
 		q := node.Request{Tenant: -1, MemoryKB: 1}
 		status := o.Map(func(name string) string { return tc.vars[name] }, &q)
@@ -76,15 +76,15 @@
 func TestLoadRefuses(t *testing.T) {
 	for _, c := range []struct{ name, old, new, wrong string }{
 		{"unknown class", "class: book", "class: cook", "not in the settings"},
-		{"wrong semantics", "semantics: dedup", "semantics: retryable", "not that of class"},
-		{"unknown semantics", "semantics: dedup", "semantics: once", "none of"},
-		{"no key", `key: "query:opkey", `, "", "needs a key"},
-		{"bad place", "query:opkey", "cookie:opkey", "neither"},
-		{"nameless", "query:opkey", "query:", "neither"},
+		{"wrong semantics", "semantics: dedup", "semantics: retryable", "differs from that of class"},
+		{"unknown semantics", "semantics: dedup", "semantics: once", "must be one of"},
+		{"no key", `key: "query:opkey", `, "", "requires key"},
+		{"neither header nor query", "query:opkey", "cookie:opkey", "neither"},
+		{"query without a name", "query:opkey", "query:", "neither"},
 		{"negative worth", "worth: 5", "worth: -5", "negative"},
-		{"misspelt term", "work-ms", "work_ms", "unknown field"},
+		{"misspelt name", "work-ms", "work_ms", "unknown field"},
 		{"not OpenAPI", "openapi: 3.0.3", "swagger: 2", ""},
-		{"nothing to serve", "x-sloehitch", "x-other", "no operation"},
+		{"no operation with the extension", "x-sloehitch", "x-other", "no operation"},
 	} {
 		text := strings.ReplaceAll(api, c.old, c.new)
 		if _, err := Load([]byte(text), cfg(), classes, nil); err == nil || !strings.Contains(err.Error(), c.wrong) {
--- a/internal/platform/clock/clock_test.go
+++ b/internal/platform/clock/clock_test.go
@@ -11,8 +11,8 @@
 
 var start = time.UnixMilli(1764576000000)
 
-// TestOrder: calls come by time, those of one instant as they were asked for; one asked for 0 from within a call comes
-// after those that stand at that instant.
+// TestOrder checks that calls run in order of time, and in the order of scheduling at the same instant. A call scheduled from within
+// another with a delay of 0 runs after those already scheduled for that instant.
 func TestOrder(t *testing.T) {
 	v := NewVirtual(start)
 	var got []string
@@ -29,14 +29,14 @@
 	late := v.AfterFunc(time.Second, say("late"))
 	off := v.AfterFunc(time.Second, say("off"))
 	if !off.Stop() || off.Stop() || !late.Reset(2*time.Second) {
-		t.Error("a call that was to come")
+		t.Error("Stop or Reset of a pending call returned the wrong value")
 	}
 	v.Run(start.Add(time.Second))
 	if b.Stop() || v.Pending() != 2 {
-		t.Errorf("a call that came can't be stopped; %d pending", v.Pending())
+		t.Errorf("Stop returned true for a call that was made, or wrong number of pending calls: %d", v.Pending())
 	}
 	if b.Reset(3 * time.Second) {
-		t.Error("it was active")
+		t.Error("Reset returned true for a call that was made")
 	}
 	v.Run(start.Add(time.Minute))
 	want := []string{"a 1s", "b 1s", "a2 1s", "a3 1s", "c 2s", "late 2s", "b 4s"}
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestManyStopped: ten thousand calls taken back at once are gone, and none of the others.
+// TestManyStopped checks that stopping ten thousand of 20,000 calls at once removes them from the queue and keeps all others.
 func TestManyStopped(t *testing.T) {
 	v := NewVirtual(start)
 	came := 0
@@ -60,16 +60,16 @@
 		c.Stop()
 	}
 	if v.Pending() != 10000 || v.calls.Len() > 15000 {
-		t.Errorf("%d pending, %d kept", v.Pending(), v.calls.Len())
+		t.Errorf("%d calls pending, %d in the queue", v.Pending(), v.calls.Len())
 	}
 	for v.Step() {
 	}
 	if came != 10000 {
-		t.Errorf("%d came", came)
+		t.Errorf("%d calls were made, want 10000", came)
 	}
 }
 
-// TestModel: whatever is asked for, taken back and put off, what comes is what a plain list says.
+// TestModel checks random sequences of AfterFunc, Stop and Reset against a sorted list.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewVirtual(start)
@@ -90,7 +90,7 @@
 				plan = append(plan, planned{at: d, order: order})
 			} else if rapid.Bool().Draw(t, "off") {
 				if timers[i].Stop() == plan[i].off {
-					t.Fatal("Stop")
+					t.Fatal("Stop returned the wrong value")
 				}
 				plan[i].off = true
 			} else {
@@ -116,7 +116,7 @@
 		for v.Step() {
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("came %v, want %v", got, want)
+			t.Fatalf("calls made: %v, want %v", got, want)
 		}
 	})
 }
--- a/internal/platform/clock/shared.go
+++ b/internal/platform/clock/shared.go
@@ -13,17 +13,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile identifies the present boot of the machine (random(4)): monotonic readings of different boots cannot be compared.
+// bootIDFile identifies the current boot of the machine (random(4)). Monotonic readings of different boots cannot be compared.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// sharedReference relates steady time to the machine's monotonic clock, for several processes.
+// sharedReference maps the machine's monotonic clock to steady time, for all processes that share it.
 type sharedReference struct {
 	boot  string
-	ahead time.Duration // steady time, since the Unix epoch, less the monotonic clock's reading
+	ahead time.Duration // steady time since the Unix epoch minus the monotonic reading
 }
 
-// ShareReference makes steady time the same in all processes that share the file at path: the first of them writes its reference to the machine's monotonic
-// clock, and the others adopt it, whatever the wall clock was when they started. It has to be called before any instant is read.
+// ShareReference makes steady time identical in all processes that share the file at path. The first process writes its reference, relative to the
+// machine's monotonic clock, and the others adopt it, whatever the wall clock was when they started. It must be called before any instant is read.
 func ShareReference(path string) error {
 	boot, err := os.ReadFile(bootIDFile)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return time.Now(), time.Duration(t.Nano()), nil
 }
 
-// agreeOn returns the reference in the file, which it writes where there is none of this boot.
+// agreeOn returns the reference in the file. If there is none of the current boot, it writes own and returns it.
 func agreeOn(path string, own sharedReference) (sharedReference, error) {
 	line, err := readReference(path)
 	if err == nil && line.boot == own.boot {
@@ -64,11 +64,11 @@
 	if err := os.WriteFile(temporary, own.bytes(), 0o600); err != nil {
 		return sharedReference{}, errors.Join(err, removeIfThere(temporary))
 	}
-	defer func() { _ = os.Remove(temporary) }() // one that stays does no harm
-	if err == nil {                             // of an earlier boot
+	defer func() { _ = os.Remove(temporary) }() // a file left behind is harmless
+	if err == nil {                             // the file is from an earlier boot
 		return own, os.Rename(temporary, path)
 	}
-	if err := os.Link(temporary, path); errors.Is(err, fs.ErrExist) { // another process was first
+	if err := os.Link(temporary, path); errors.Is(err, fs.ErrExist) { // another process created it first
 		return readReference(path)
 	} else if err != nil {
 		return sharedReference{}, err
@@ -85,7 +85,7 @@
 
 func (l sharedReference) bytes() []byte { return fmt.Appendf(nil, "%s %d\n", l.boot, l.ahead) }
 
-// readReference reads the file. It errs on a line that is incomplete.
+// readReference reads the file. It returns an error if the line is incomplete.
 func readReference(path string) (sharedReference, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -94,7 +94,7 @@
 	boot, ahead, _ := strings.Cut(string(bytes.TrimSuffix(text, []byte("\n"))), " ")
 	nanoseconds, err := strconv.ParseInt(ahead, 10, 64)
 	if err != nil || !bytes.HasSuffix(text, []byte("\n")) {
-		return sharedReference{}, fmt.Errorf("%.60q is no boot and offset", text)
+		return sharedReference{}, fmt.Errorf("malformed clock reference %.60q: expected a boot ID, an offset and a newline", text)
 	}
 	return sharedReference{boot: boot, ahead: time.Duration(nanoseconds)}, nil
 }
--- a/internal/platform/clock/shared_test.go
+++ b/internal/platform/clock/shared_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestShare: a process that starts after the wall clock was stepped reads the same instants as the one before it.
+// TestShare checks that a process that starts after a step of the wall clock reads the same steady time as the one before it.
 func TestShare(t *testing.T) {
 	before := processReference.Load()
 	defer processReference.Store(before)
@@ -17,23 +17,24 @@
 		t.Fatal(err)
 	}
 	first := System{}.Now()
-	setReference(time.Now(), time.Hour) // as a process would that starts an hour ahead
+	setReference(time.Now(), time.Hour) // as in a process that starts with its wall clock an hour ahead
 	if (System{}).Now().Sub(first) < 59*time.Minute {
-		t.Fatal("not stepped: the test shows nothing")
+		t.Fatal("steady time was not stepped, so the test proves nothing")
 	}
 	if err := ShareReference(path); err != nil {
 		t.Fatal(err)
 	}
 	if apart := (System{}).Now().Sub(first); apart < 0 || apart > time.Minute {
-		t.Errorf("%v apart", apart)
+		t.Errorf("steady time differs by %v between the processes", apart)
 	}
 	left, err := os.ReadDir(filepath.Dir(path))
 	if err != nil || len(left) != 1 {
-		t.Errorf("%v, %v: only the file is to stay", left, err)
+		t.Errorf("files in the folder: %v, %v; want the clock file only", left, err)
 	}
 }
 
-// TestShareWhatIsThere: a line of an earlier boot is replaced, one that is not whole errs and leaves steady time as it is.
+// TestShareWhatIsThere checks that a reference of an earlier boot is replaced, and that a malformed one is an error and does not change
+// steady time.
 func TestShareWhatIsThere(t *testing.T) {
 	before := processReference.Load()
 	defer processReference.Store(before)
@@ -46,10 +47,10 @@
 	write("another-boot 5\n")
 	at := System{}.Now()
 	if err := ShareReference(path); err != nil || (System{}).Now().Sub(at).Abs() > time.Minute {
-		t.Errorf("%v: taken from an earlier boot", err)
+		t.Errorf("%v, or a reference of an earlier boot was adopted", err)
 	}
 	if line, err := readReference(path); err != nil || line.boot == "another-boot" {
-		t.Errorf("%+v, %v: not replaced", line, err)
+		t.Errorf("reference of an earlier boot was not replaced: %+v, %v", line, err)
 	}
 	for _, text := range []string{"", "boot", "boot 5", "boot x\n"} {
 		write(text)
--- a/internal/platform/clock/sources_test.go
+++ b/internal/platform/clock/sources_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// wallReading is what reads the wall clock, or compares an instant of steady time with it.
+// wallReading matches expressions that read the wall clock, or that compare an instant of steady time with it.
 var wallReading = regexp.MustCompile(`time\.Now\(\)\.(Round|Unix|UTC|Format|Truncate)|time\.Until\(`)
 
-// root is the top folder of the module, from this package's.
+// root is the module's root, relative to this package's folder.
 const root = "../../.."
 
-// TestNoWallClockInTheCore: the packages through which requests go read the steady clock; only this package reads the wall clock.
+// TestNoWallClockInTheCore checks that the packages on the path of a request read the steady clock. Only this package may read the wall clock.
 func TestNoWallClockInTheCore(t *testing.T) {
 	for _, folder := range []string{
 		"internal/node", "internal/admission", "internal/frontend/resp", "internal/backend/runtime", "internal/backend/runtime/redelivery", "internal/backend/catalogue",
@@ -27,7 +27,7 @@
 			t.Fatalf("%s: %d files, %v", folder, len(files), err)
 		}
 		for _, file := range files {
-			if strings.HasSuffix(file, "_test.go") || strings.HasSuffix(file, "cmd/sloehitch/drain.go") { // the latter is an operator's command, not the daemon
+			if strings.HasSuffix(file, "_test.go") || strings.HasSuffix(file, "cmd/sloehitch/drain.go") { // drain.go is an operator's command, not part of the daemon
 				continue
 			}
 			text, err := os.ReadFile(file)
@@ -36,7 +36,7 @@
 			}
 			for i, line := range strings.Split(string(text), "\n") {
 				if found := wallReading.FindString(line); found != "" {
-					t.Errorf("%s:%d: %s reads the wall clock, which may be stepped: take clock.System", file, i+1, found)
+					t.Errorf("%s:%d: %s reads the wall clock, which may be stepped; use clock.System", file, i+1, found)
 				}
 			}
 		}
--- a/internal/platform/clock/timestamps.go
+++ b/internal/platform/clock/timestamps.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Timestamps turns time stamps of the wall clock into instants of steady time. It knows the offset of the wall clock from steady time now and before each
-// step that it has observed. A stamp is read by the offset that makes it the most recent: whoever stamped a message may have done so just
-// before a step, or by a clock that was not stepped at all.
+// Timestamps converts wall clock time stamps to instants of steady time. It records the current offset of the wall clock from steady time and those before
+// each step that it has observed. A stamp is interpreted with the offset that makes it the most recent, because the sender may have made it just
+// before a step, or with a clock that was not stepped at all.
 //
-// Its methods may be called from any goroutine.
+// It is safe for concurrent use.
 type Timestamps struct {
 	maxAhead, maxBehind time.Duration
 	now                 func() (steady, wall time.Time)
 
 	mu             sync.Mutex
-	offsets        []time.Duration // of the wall clock from steady time, the present one first
-	rejectedOffset time.Duration   // the offset by which the last stamp out of bounds would be from now
-	haveRejected   bool            // there was such a stamp
+	offsets        []time.Duration // of the wall clock from steady time, the current one first
+	rejectedOffset time.Duration   // the clock offset implied by the last rejected stamp if it was made just now
+	haveRejected   bool            // a stamp was rejected
 }
 
 const (
-	// minStep is the least change of the offset that counts as a step; a smaller one is slewing.
+	// minStep is the smallest change of the offset that counts as a step; smaller changes are slewing.
 	minStep = 100 * time.Millisecond
-	// stampRounding is how far in the future a correct stamp may lie: it is rounded, and read on another core.
+	// stampRounding is how far in the future a correct stamp may lie, since it is rounded and the clock is read on another core.
 	stampRounding = 50 * time.Millisecond
-	// maxOffsets bounds the offsets that are remembered.
+	// maxOffsets bounds the number of recorded offsets.
 	maxOffsets = 8
-	// sameClockTolerance is how far apart two observed offsets of one clock may be.
+	// sameClockTolerance is the largest difference between two observed offsets of the same clock.
 	sameClockTolerance = time.Second
 )
 
-// NewTimestamps returns a reader of stamps that accepts those up to ahead in the future and behind in the past, by any offset that it knows.
-// wrong, if not nil, returns an error to add to the wall clock: tests step it so.
+// NewTimestamps returns a converter that accepts stamps up to ahead in the future and behind in the past by any recorded offset.
+// wrong, if not nil, returns an offset to add to the wall clock, so that tests can step it.
 func NewTimestamps(ahead, behind time.Duration, wrong func() time.Duration) *Timestamps {
 	return &Timestamps{maxAhead: ahead, maxBehind: behind, now: func() (steady, wall time.Time) {
 		read := time.Now()
@@ -46,8 +46,8 @@
 	}}
 }
 
-// Instant returns when a stamp was made. It errs on a stamp that is out of bounds by every known offset. Where the next such stamp agrees with the last
-// one, their clock is taken to be right, and its offset is known from then on.
+// Instant returns when a stamp was made. It returns an error if the stamp is out of bounds by every recorded offset. If the next rejected stamp implies
+// the same offset as the last one, their clock is assumed to be correct and its offset is recorded.
 func (s *Timestamps) Instant(stamp time.Time) (time.Time, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,13 +60,13 @@
 	agrees := s.haveRejected && (offset-s.rejectedOffset).Abs() < sameClockTolerance
 	s.rejectedOffset, s.haveRejected = offset, true
 	if !agrees {
-		return time.Time{}, fmt.Errorf("a time stamp %v from now", stamp.Sub(wall))
+		return time.Time{}, fmt.Errorf("time stamp out of bounds: %v from the wall clock", stamp.Sub(wall))
 	}
 	s.addOffset(offset)
 	return steady, nil
 }
 
-// ageOf returns the least age of a stamp by any offset; one in the future only where no offset has it in the past.
+// ageOf returns the smallest age of a stamp by any offset. It returns an age in the future only if no offset puts the stamp in the past.
 func (s *Timestamps) ageOf(stamp, steady time.Time) (least time.Duration, known bool) {
 	for _, offset := range s.offsets {
 		age := steady.Add(offset).Sub(stamp)
@@ -80,7 +80,7 @@
 	return least, known
 }
 
-// preferable reports whether an age is preferred to another: the lesser one is, unless it lies in the future.
+// preferable reports whether age is preferred to other: the smaller one is, unless it lies in the future.
 func preferable(age, other time.Duration) bool {
 	if past, otherPast := age >= -stampRounding, other >= -stampRounding; past != otherPast {
 		return past
@@ -88,7 +88,7 @@
 	return age.Abs() < other.Abs()
 }
 
-// observeOffset records the present offset.
+// observeOffset records the current offset of the wall clock.
 func (s *Timestamps) observeOffset(offset time.Duration) {
 	if len(s.offsets) > 0 && (offset-s.offsets[0]).Abs() < minStep {
 		s.offsets[0] = offset
@@ -99,7 +99,7 @@
 	s.offsets = s.offsets[:min(len(s.offsets), maxOffsets)]
 }
 
-// addOffset records the offset of a peer's clock. The present one stays first.
+// addOffset records the offset of a peer's clock. The current offset stays first.
 func (s *Timestamps) addOffset(offset time.Duration) {
 	s.offsets = slices.Insert(s.offsets, 1, offset)
 	s.offsets = s.offsets[:min(len(s.offsets), maxOffsets)]
--- a/internal/platform/clock/virtual.go
+++ b/internal/platform/clock/virtual.go
@@ -6,31 +6,31 @@
 	"sloehitch/internal/platform/heap"
 )
 
-// Virtual is a clock that stands until it is moved, by Step or Run. Calls at the same instant come in the order in which
-// they were asked for, so the same calls in the same order give the same course every time. It is for one goroutine: the one
-// that moves it, from which all calls come and which alone may ask for more.
+// Virtual is a clock that advances only by Step or Run. Calls scheduled for the same instant run in the order in which they were
+// scheduled, so every run is deterministic. It is not safe for concurrent use: the goroutine that advances the clock runs all calls, and
+// only it may schedule more.
 type Virtual struct {
 	startedAt time.Time
-	now       int64                   // nanoseconds since then
-	calls     heap.Heap[int64, *call] // by nanoseconds since the clock's beginning
-	stopped   int                     // of calls: taken back
+	now       int64                   // nanoseconds since startedAt
+	calls     heap.Heap[int64, *call] // by nanoseconds since startedAt
+	stopped   int                     // number of stopped calls that are still in calls
 }
 
-// NewVirtual returns a clock that stands at the given time.
+// NewVirtual returns a clock that is set to the given time.
 func NewVirtual(now time.Time) *Virtual { return &Virtual{startedAt: now.Round(0)} }
 
-// call is one call that is to come.
+// call is a scheduled call. It implements Timer.
 type call struct {
 	clock *Virtual
 	f     func()
-	index int // in the queue, or heap.Out
+	index int // in calls, or heap.Out
 	off   bool
 }
 
-// Now is the time at which the clock stands.
+// Now implements Clock.
 func (v *Virtual) Now() time.Time { return v.startedAt.Add(time.Duration(v.now)) }
 
-// AfterFunc has f called when the clock has been moved d further: not before the caller returns, even for a d of 0.
+// AfterFunc implements Clock. f is never called before AfterFunc's caller returns, even if d is 0.
 func (v *Virtual) AfterFunc(d time.Duration, f func()) Timer {
 	c := &call{clock: v, f: f, index: heap.Out}
 	c.ask(d)
@@ -42,7 +42,7 @@
 	c.clock.calls.Push(c.clock.now+int64(max(0, d)), c)
 }
 
-// Stop takes the call back. It costs nothing but a mark: ten thousand at once are swept out together.
+// Stop implements Timer. It only marks the call; marked calls are removed together, so that stopping ten thousand at once is cheap.
 func (c *call) Stop() bool {
 	if c.index == heap.Out || c.off {
 		return false
@@ -53,10 +53,10 @@
 	return true
 }
 
-// Reset has the call come at another time; among those of that instant it is the last.
+// Reset implements Timer. The call runs after those already scheduled for the same instant.
 func (c *call) Reset(d time.Duration) bool {
 	active := c.Stop()
-	if c.index != heap.Out { // marked, and still in the queue
+	if c.index != heap.Out { // marked as stopped, but still in the queue
 		c.clock.calls.Remove(c.index)
 		c.clock.stopped--
 	}
@@ -64,7 +64,7 @@
 	return active
 }
 
-// dropStopped drops calls that were taken back once they are more than those that stand.
+// dropStopped removes stopped calls once there are at least 64 and they are at least half of all calls in the queue.
 func (v *Virtual) dropStopped() {
 	if v.stopped < 64 || v.stopped*2 < v.calls.Len() {
 		return
@@ -73,7 +73,7 @@
 	v.stopped = 0
 }
 
-// Step moves the clock to the next call and makes it. It returns false where none is to come.
+// Step advances the clock to the next call and makes it. It returns false if no call is pending.
 func (v *Virtual) Step() bool {
 	for v.calls.Len() > 0 {
 		at, c := v.calls.Pop()
@@ -88,7 +88,7 @@
 	return false
 }
 
-// Next is when the next call is to come; false: none is.
+// Next returns the time of the next call; false if no call is pending.
 func (v *Virtual) Next() (time.Time, bool) {
 	for v.calls.Len() > 0 {
 		at, c := v.calls.First()
@@ -101,7 +101,7 @@
 	return time.Time{}, false
 }
 
-// Run moves the clock to the given time and makes all calls until then, those of that instant included.
+// Run advances the clock to the given time and makes all calls that are due until then, inclusively.
 func (v *Virtual) Run(until time.Time) {
 	for {
 		at, any := v.Next()
@@ -113,8 +113,8 @@
 	v.now = max(v.now, int64(until.Sub(v.startedAt)))
 }
 
-// Pending is the number of calls that are to come.
+// Pending returns the number of pending calls.
 func (v *Virtual) Pending() int { return v.calls.Len() - v.stopped }
 
-// Placed is told where in the queue the call is.
+// Placed implements heap.Element.
 func (c *call) Placed(at int) { c.index = at }
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what the platform tells a node at its start.
+// Package config reads the configuration that the platform gives a node at its start, and the deployment file.
 package config
 
 import (
@@ -14,7 +14,7 @@
 	"sloehitch/logic"
 )
 
-// Limits are the platform's limits on the program.
+// Limits are the resource limits that the platform sets for the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -25,7 +25,7 @@
 type Platform struct {
 	Name            string          `json:"name"`
 	Listen          string          `json:"listen"`
-	OperatorAddress string          `json:"ops"` // the operators' calls; empty: none. $GW_OPS takes its place where set
+	OperatorAddress string          `json:"ops"` // address for operators' calls; empty: none. Overridden by $GW_OPS if that is set
 	Runtime         string          `json:"runtime"`
 	Directory       string          `json:"lookup"`
 	Catalogue       string          `json:"catalog"` // empty in the last tier
@@ -57,7 +57,7 @@
 	if err := json.Unmarshal(text, p); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) && wrong.Field != "" {
-			return nil, settings.FieldErrors{{Path: wrong.Field, Value: "a JSON " + wrong.Value, Expected: "a value of type " + wrong.Type.String() + " is wanted"}}
+			return nil, settings.FieldErrors{{Path: wrong.Field, Value: "a JSON " + wrong.Value, Expected: "a value of type " + wrong.Type.String() + " is required"}}
 		}
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 	faults := p.check()
 	var object map[string]any
 	if err := json.Unmarshal(p.RawSettings, &object); err != nil || object == nil {
-		faults = append(faults, settings.FieldError{Path: "settings", Expected: "an object as the platform gives it is needed"})
+		faults = append(faults, settings.FieldError{Path: "settings", Expected: "must be the JSON object that the platform provides"})
 		return nil, faults
 	}
 	var err error
@@ -85,10 +85,10 @@
 	return p, err
 }
 
-// check returns all that is wrong beside the settings.
+// check validates all fields except the settings and returns all errors.
 func (p *Platform) check() (faults settings.FieldErrors) {
 	if p.Name == "" {
-		faults = append(faults, settings.FieldError{Path: "name", Expected: "the node's name is needed: the directory lists it"})
+		faults = append(faults, settings.FieldError{Path: "name", Expected: "must be the node's name, under which the directory lists it"})
 	}
 	for _, a := range []struct {
 		field, address string
@@ -98,7 +98,7 @@
 			continue
 		}
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			faults = append(faults, settings.FieldError{Path: a.field, Value: a.address, Expected: "host and port are wanted, such as 127.0.0.1:4100"})
+			faults = append(faults, settings.FieldError{Path: a.field, Value: a.address, Expected: "must be host:port, such as 127.0.0.1:4100"})
 		}
 	}
 	for _, n := range []struct {
@@ -106,25 +106,24 @@
 		value, from, most float64
 		why               string
 	}{
-		{"stop_ms", float64(p.StopMS), 1, 3600000, "milliseconds from the notice to leave to the kill"},
-		{"limits.cores", p.Limits.Cores, 0.01, 4096, "the program's share of cores"},
-		{"limits.memory_mb", float64(p.Limits.MemoryMB), 1, 1 << 20, "megabytes over which the program is killed"},
-		{"limits.sockets", float64(p.Limits.Sockets), 16, 1 << 20, "descriptors: fewer leave no room for links and callers"},
+		{"stop_ms", float64(p.StopMS), 1, 3600000, "milliseconds from the shutdown signal to the kill"},
+		{"limits.cores", p.Limits.Cores, 0.01, 4096, "cores that the process may use"},
+		{"limits.memory_mb", float64(p.Limits.MemoryMB), 1, 1 << 20, "megabytes above which the process is killed"},
+		{"limits.sockets", float64(p.Limits.Sockets), 16, 1 << 20, "descriptors; fewer do not suffice for links and callers"},
 	} {
 		if !(n.value >= n.from && n.value <= n.most) {
 			faults = append(faults, settings.FieldError{Path: n.field, Value: fmt.Sprint(n.value),
-				Expected: fmt.Sprintf("a number from %v to %v is wanted (%s)", n.from, strconv.FormatFloat(n.most, 'f', -1, 64), n.why)})
+				Expected: fmt.Sprintf("must be a number from %v to %v (%s)", n.from, strconv.FormatFloat(n.most, 'f', -1, 64), n.why)})
 		}
 	}
 	return faults
 }
 
-// KillAfter is the time from the notice to leave to the kill.
+// KillAfter returns the time from the shutdown signal to the kill.
 func (p *Platform) KillAfter() time.Duration { return time.Duration(p.StopMS) * time.Millisecond }
 
-// KillAfterReplaced is that time where a new process replaces this one (the operators' page of days, "Replacing the
-// process"): the kill comes after the longest deadline of the classes, taken as 3 s where it is longer, and 0.7 s,
-// or after Stop if that is sooner.
+// KillAfterReplaced returns the time from the shutdown signal to the kill when a new process replaces this one: the longest client
+// timeout of the classes, at most 3 s, plus 0.7 s, but no more than KillAfter (the operators' page of days, "Replacing the process").
 func (p *Platform) KillAfterReplaced() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range p.Logic.Classes {
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -16,20 +16,20 @@
 	fine := standin.Config("127.0.0.1:4100", "127.0.0.1:6100", "", time.Second)
 	for _, c := range []struct{ name, text, wrong string }{
 		{"fine", fine, ""},
-		{"unknown members", strings.Replace(fine, `"name"`, `"new":{"a":[1]},"name"`, 1), ""},
+		{"unknown keys", strings.Replace(fine, `"name"`, `"new":{"a":[1]},"name"`, 1), ""},
 		{"not JSON", "{", "unexpected end"},
 		{"no settings", `{"name":"n1","listen":"127.0.0.1:1"}`, "settings"},
 		{"no name", strings.Replace(fine, `"n1"`, `""`, 1), "name"},
 		{"no port", strings.Replace(fine, ":4100", "", 1), "listen"},
-		{"bad runtime", strings.Replace(fine, ":6100", "", 1), "runtime"},
+		{"runtime without a port", strings.Replace(fine, ":6100", "", 1), "runtime"},
 		{"no memory", strings.Replace(fine, `"memory_mb":64`, `"memory_mb":0`, 1), "memory_mb"},
 		{"no cores", strings.Replace(fine, `"cores":2`, `"cores":0`, 1), "cores"},
 		{"unknown semantics", strings.Replace(fine, "dedup", "maybe", 1), "semantics"},
-		{"a share below 0", strings.Replace(fine, `"cores":2`, `"cores":2,"calls-out":-1`, 1), `settings.domain.calls-out is "-1"`},
-		{"several at once", strings.Replace(strings.Replace(fine, `"n1"`, `""`, 1), `"stop_ms":3000`, `"stop_ms":0`, 1), `name is missing: the node's name is needed: the directory lists it; stop_ms is "0"`},
-		{"a word for a number", strings.Replace(fine, `"stop_ms":3000`, `"stop_ms":"soon"`, 1), "stop_ms is \"a JSON string\""},
-		{"settings that are none", `{"name":"n1","listen":"127.0.0.1:1","settings":[1]}`, "settings is missing"},
-		{"few descriptors", strings.Replace(fine, `"sockets":256`, `"sockets":3`, 1), "16 to 1048576"},
+		{"calls-out below 0", strings.Replace(fine, `"cores":2`, `"cores":2,"calls-out":-1`, 1), `settings.domain.calls-out is "-1"`},
+		{"several at once", strings.Replace(strings.Replace(fine, `"n1"`, `""`, 1), `"stop_ms":3000`, `"stop_ms":0`, 1), `name is missing: must be the node's name, under which the directory lists it; stop_ms is "0"`},
+		{"string for a number", strings.Replace(fine, `"stop_ms":3000`, `"stop_ms":"soon"`, 1), "stop_ms is \"a JSON string\""},
+		{"settings are no object", `{"name":"n1","listen":"127.0.0.1:1","settings":[1]}`, "settings is missing"},
+		{"too few descriptors", strings.Replace(fine, `"sockets":256`, `"sockets":3`, 1), "16 to 1048576"},
 		{"negative stop", strings.Replace(fine, `"stop_ms":3000`, `"stop_ms":-1`, 1), "stop_ms"},
 	} {
 		p, err := Parse([]byte(c.text))
@@ -52,26 +52,26 @@
 		{"not TOML", "[uwsgi", "toml"},
 		{"no servers", strings.Replace(on, "[\"127.0.0.1:3031\"]", "[]", 1), "servers"},
 		{"no description", strings.Replace(on, "api.yaml", "", 1), "openapi"},
-		{"members", "[store]\nadmin = \"127.0.0.1:1\"\n[[store.members]]\nname = \"n1\"\nraft = \"127.0.0.1:2\"\n", ""},
-		{"nameless member", "[[store.members]]\nraft = \"127.0.0.1:2\"\n", "name"},
-		{"bad admin", "[store]\nadmin = \"127.0.0.1\"\n", "port"},
-		{"a Unix socket and TLS below", strings.Replace(strings.Replace(on, "127.0.0.1:3030", "unix:/run/s", 1), "\"127", "\"suwsgi://127", 1) + "mode = \"0600\"\nmodifiers = [0, 5]\nhalf_close = \"leaves\"\n", ""},
-		{"a bad mode", on + "mode = \"rw\"\n", "octal"},
-		{"a modifier of management", on + "modifiers = [100]\n", "modifier 100"},
-		{"a half close that is none", on + "half_close = \"maybe\"\n", "leaves"},
-		{"a negative bound", on + "per_source = -1\n", "per_source"},
+		{"store members", "[store]\nadmin = \"127.0.0.1:1\"\n[[store.members]]\nname = \"n1\"\nraft = \"127.0.0.1:2\"\n", ""},
+		{"member without a name", "[[store.members]]\nraft = \"127.0.0.1:2\"\n", "name"},
+		{"admin without a port", "[store]\nadmin = \"127.0.0.1\"\n", "port"},
+		{"Unix socket and TLS servers", strings.Replace(strings.Replace(on, "127.0.0.1:3030", "unix:/run/s", 1), "\"127", "\"suwsgi://127", 1) + "mode = \"0600\"\nmodifiers = [0, 5]\nhalf_close = \"leaves\"\n", ""},
+		{"invalid mode", on + "mode = \"rw\"\n", "octal"},
+		{"reserved modifier", on + "modifiers = [100]\n", "modifier 100"},
+		{"invalid half_close", on + "half_close = \"maybe\"\n", "leaves"},
+		{"negative bound", on + "per_source = -1\n", "per_source"},
 		{"TLS without keys", strings.Replace(on, "127.0.0.1:3030", "suwsgi://127.0.0.1:3030", 1), "tls.cert"},
-		{"a certificate without its key", on + "[uwsgi.servers_tls]\ncert = \"a\"\n", "together"},
-		{"a scheme that is none", strings.Replace(on, "127.0.0.1:3031", "http://127.0.0.1:3031", 1), "scheme"},
+		{"certificate without its key", on + "[uwsgi.servers_tls]\ncert = \"a\"\n", "together"},
+		{"unknown scheme", strings.Replace(on, "127.0.0.1:3031", "http://127.0.0.1:3031", 1), "scheme"},
 		{"traces", "[traces]\nfile = \"t\"\nshare = 0.1\n", ""},
-		{"more traces than requests", "[traces]\nshare = 2.0\n", "0 to 1"},
-		{"a ledger", "[ledger]\ndir = \"d\"\nflush = \"20ms\"\nmemory_mb = 8\n", ""},
-		{"a ledger by default", "[ledger]\ndir = \"d\"\n", ""},
-		{"a ledger without a folder", "[ledger]\nflush = \"each\"\n", "dir"},
-		{"flushes without a unit", "[ledger]\ndir = \"d\"\nflush = \"20\"\n", "1ms"},
-		{"flushes too seldom", "[ledger]\ndir = \"d\"\nflush = \"1h\"\n", "10s"},
-		{"memory below nothing", "[ledger]\ndir = \"d\"\nmemory_mb = -1\n", "memory_mb"},
-		{"bad server", strings.Replace(on, ":3031", "", 1), "port"},
+		{"trace share above 1", "[traces]\nshare = 2.0\n", "0 to 1"},
+		{"ledger", "[ledger]\ndir = \"d\"\nflush = \"20ms\"\nmemory_mb = 8\n", ""},
+		{"ledger with defaults", "[ledger]\ndir = \"d\"\n", ""},
+		{"ledger without a folder", "[ledger]\nflush = \"each\"\n", "dir"},
+		{"flush interval without a unit", "[ledger]\ndir = \"d\"\nflush = \"20\"\n", "1ms"},
+		{"flush interval too long", "[ledger]\ndir = \"d\"\nflush = \"1h\"\n", "10s"},
+		{"negative memory", "[ledger]\ndir = \"d\"\nmemory_mb = -1\n", "memory_mb"},
+		{"server without a port", strings.Replace(on, ":3031", "", 1), "port"},
 	} {
 		if _, err := ParseDeploy([]byte(c.text)); (err == nil) != (c.wrong == "") || err != nil && !strings.Contains(err.Error(), c.wrong) {
 			t.Errorf("%s: %v, want an error on %q", c.name, err, c.wrong)
@@ -83,14 +83,14 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "sloehitch.toml")
 	if d, err := LoadDeploy(path); err != nil || d.Uwsgi.Listen != "" {
-		t.Errorf("no file: %+v, %v; want everything off", d, err)
+		t.Errorf("no file: %+v, %v; want uwsgi off", d, err)
 	}
 	text := "[uwsgi]\nlisten = \"127.0.0.1:3030\"\nservers = [\"127.0.0.1:3031\"]\nopenapi = \"api.yaml\"\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := LoadDeploy(path); err == nil {
-		t.Error("no error though the description is missing")
+		t.Error("no error for a missing OpenAPI document")
 	}
 	if err := os.WriteFile(filepath.Join(dir, "api.yaml"), []byte("openapi"), 0o600); err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 	if d, err := LoadDeploy(path); err != nil || string(d.OpenAPI) != "openapi" {
 		t.Errorf("%+v, %v", d, err)
 	}
-	// What stands in the repository must keep the second front off on the platform.
+	// The deployment file in the repository must keep the uwsgi front off on the platform.
 	if d, err := LoadDeploy("../../../deploy/sloehitch.toml"); err != nil || d.Uwsgi.Listen != "" {
 		t.Errorf("deploy/sloehitch.toml: %+v, %v", d, err)
 	}
--- a/internal/platform/config/deploy.go
+++ b/internal/platform/config/deploy.go
@@ -18,34 +18,34 @@
 	"sloehitch/internal/store"
 )
 
-// Uwsgi says where the uwsgi front listens and what stands below it.
+// Uwsgi configures the uwsgi front and the uwsgi servers that it sends requests to.
 type Uwsgi struct {
 	Listen               string   `toml:"listen"`      // host:port, suwsgi://host:port or unix:/path; empty: off
-	Mode                 string   `toml:"mode"`        // of a Unix socket, octal; by default 0660
-	Servers              []string `toml:"servers"`     // addresses of uwsgi servers, of the same forms
-	OpenAPI              string   `toml:"openapi"`     // the description of what is served, beside this file
-	Modifiers            []int    `toml:"modifiers"`   // modifier1 of applications that are served; by default [0]
-	HalfClose            string   `toml:"half_close"`  // "stays" (by default) or "leaves": what a client does that shuts its sending side
-	Deadline             string   `toml:"deadline"`    // the variable by which clients tell how many milliseconds they wait
-	ConnectionsPerSource int      `toml:"per_source"`  // connections from one host; 0: no bound of its own
-	BodyMB               int      `toml:"body_mb"`     // the largest body of a request without a key; by default 64
-	MaxPerServer         int      `toml:"server_most"` // requests on one server at once; 0: as its latency allows
-	TLS                  TLS      `toml:"tls"`         // of the front
-	ServersTLS           TLS      `toml:"servers_tls"` // towards the servers
+	Mode                 string   `toml:"mode"`        // mode of a Unix socket, octal; default 0660
+	Servers              []string `toml:"servers"`     // addresses of uwsgi servers, in the same forms
+	OpenAPI              string   `toml:"openapi"`     // path of the OpenAPI document, relative to this file
+	Modifiers            []int    `toml:"modifiers"`   // modifier1 of the applications that are served; default [0]
+	HalfClose            string   `toml:"half_close"`  // whether a client that shuts down its sending side "stays" (default) or "leaves"
+	Deadline             string   `toml:"deadline"`    // name of the variable with the milliseconds that a client waits
+	ConnectionsPerSource int      `toml:"per_source"`  // maximum connections from one host; 0: no separate limit
+	BodyMB               int      `toml:"body_mb"`     // maximum body of a request without an idempotency key; default 64
+	MaxPerServer         int      `toml:"server_most"` // maximum concurrent requests on one server; 0: limited by its latency only
+	TLS                  TLS      `toml:"tls"`         // keys of the front
+	ServersTLS           TLS      `toml:"servers_tls"` // keys for connections to the servers
 }
 
-// TLS names the files of one end's keys.
+// TLS names the TLS files of one end of a connection.
 type TLS struct {
 	Cert string `toml:"cert"`
 	Key  string `toml:"key"`
-	CA   string `toml:"ca"`   // that the other end's certificate must lead to
-	Name string `toml:"name"` // servers only: that their certificates must have
+	CA   string `toml:"ca"`   // authorities that must have issued the other end's certificate
+	Name string `toml:"name"` // servers_tls only: the name that a server's certificate must have
 }
 
-// Files are the names of the keys' files.
+// Files returns the file names as tlskeys takes them.
 func (t TLS) Files() tlskeys.Files { return tlskeys.Files{Cert: t.Cert, Key: t.Key, CA: t.CA} }
 
-// FileMode is a Unix socket's mode.
+// FileMode returns the mode of a Unix socket.
 func (u Uwsgi) FileMode() (fs.FileMode, error) {
 	if u.Mode == "" {
 		return 0o660, nil
@@ -57,7 +57,7 @@
 	return fs.FileMode(n), nil
 }
 
-// ModifierBytes are the modifiers of applications.
+// ModifierBytes returns the modifier1 values of the applications that are served.
 func (u Uwsgi) ModifierBytes() []byte {
 	b := []byte{}
 	for _, m := range u.Modifiers {
@@ -69,7 +69,7 @@
 	return b
 }
 
-// MaxBodyBytes is the largest body in bytes.
+// MaxBodyBytes returns the maximum body size in bytes.
 func (u Uwsgi) MaxBodyBytes() int64 {
 	if u.BodyMB == 0 {
 		return 64 << 20
@@ -77,7 +77,8 @@
 	return int64(u.BodyMB) << 20
 }
 
-// firstReservedModifier and above are modifiers that ask for more than an application: pings, spooling, reloads, caches, RPC, signals and the like.
+// firstReservedModifier is the lowest modifier1 value that is not an application's: from it on uWSGI uses them for pings, spooling, reloads, caches,
+// RPC, signals and the like.
 const firstReservedModifier = 17
 
 func (u Uwsgi) check() error {
@@ -85,7 +86,7 @@
 		return nil
 	}
 	if u.OpenAPI == "" || len(u.Servers) == 0 {
-		return errors.New("uwsgi: openapi and servers are needed where listen is set")
+		return errors.New("uwsgi: listen is set, so openapi and servers must be set too")
 	}
 	if _, err := u.FileMode(); err != nil {
 		return err
@@ -96,34 +97,34 @@
 	}
 	for _, m := range u.Modifiers {
 		if m < 0 || m >= firstReservedModifier {
-			return fmt.Errorf("uwsgi: modifier %d is no application's; write 0 to %d", m, firstReservedModifier-1)
+			return fmt.Errorf("uwsgi: modifier %d is not an application's; write 0 to %d", m, firstReservedModifier-1)
 		}
 	}
 	if u.HalfClose != "" && u.HalfClose != halfCloseStays && u.HalfClose != halfCloseLeaves {
 		return fmt.Errorf("uwsgi: half_close is %q; write \"stays\" or \"leaves\"", u.HalfClose)
 	}
 	if u.ConnectionsPerSource < 0 || u.BodyMB < 0 || u.MaxPerServer < 0 {
-		return errors.New("uwsgi: per_source, body_mb and server_most are 0 or more")
+		return errors.New("uwsgi: per_source, body_mb and server_most must not be negative")
 	}
 	if listenTLS && (u.TLS.Cert == "" || u.TLS.Key == "") {
-		return errors.New("uwsgi: listening on suwsgi:// needs tls.cert and tls.key")
+		return errors.New("uwsgi: listening on suwsgi:// requires tls.cert and tls.key")
 	}
 	if !u.TLS.paired() || !u.ServersTLS.paired() {
-		return errors.New("uwsgi: cert and key belong together")
+		return errors.New("uwsgi: tls: cert and key must be given together")
 	}
 	return nil
 }
 
-// What a client does that shuts its sending side.
+// The values of half_close: whether a client that shuts down its sending side still waits for the response.
 const (
 	halfCloseStays  = "stays"
 	halfCloseLeaves = "leaves"
 )
 
-// ClientsLeave reports whether a client that shuts its sending side has left.
+// ClientsLeave reports whether a client that shuts down its sending side no longer waits for its response.
 func (u Uwsgi) ClientsLeave() bool { return u.HalfClose == halfCloseLeaves }
 
-// checkAddresses checks where the front listens and its servers, and reports whether the front speaks TLS.
+// checkAddresses validates the addresses of the front and of the servers, and reports whether the front uses TLS.
 func (u Uwsgi) checkAddresses() (listenTLS bool, err error) {
 	listen, err := endpoint.Parse(u.Listen)
 	if err != nil {
@@ -137,32 +138,32 @@
 	return listen.TLS, nil
 }
 
-// paired reports whether certificate and key are both there, or neither.
+// paired reports whether certificate and key are both set or both empty.
 func (t TLS) paired() bool { return (t.Cert == "") == (t.Key == "") }
 
-// Store says who holds the replicated store, and where operators reach this daemon's copy.
+// Store configures the replicated store: its members, and the address at which operators reach this daemon's copy.
 type Store struct {
 	Admin         string         `toml:"admin"`   // address for operators; empty: none
-	Dir           string         `toml:"dir"`     // where it outlives a restart; empty: in memory
+	Dir           string         `toml:"dir"`     // folder of the durable copy; empty: in memory only
 	Members       []store.Member `toml:"members"` // none: this daemon alone
-	LeaseDuration string         `toml:"lease"`   // for which a duty is kept from others; by default 10s. The same on all members
-	Join          bool           `toml:"join"`    // with an empty dir: wait to be added to a store that is there
+	LeaseDuration string         `toml:"lease"`   // duration of leases on duties; default 10s. Must be the same on all members
+	Join          bool           `toml:"join"`    // with an empty dir: wait to be added to an existing store
 }
 
-// Lease is for how long a duty is kept from others.
+// Lease returns the duration of leases on duties.
 func (s Store) Lease() (time.Duration, error) {
 	return duration("store: lease", s.LeaseDuration, store.DefaultLeaseTerms.Duration)
 }
 
 func (s Store) check() error {
 	if s.Join && (len(s.Members) < 2 || s.Dir == "") {
-		return errors.New("store: join needs a dir, and members: this one and those that are there")
+		return errors.New("store: join requires dir, and members: this one and those of the existing store")
 	}
 	_, err := s.Lease()
 	return err
 }
 
-// duration reads a time; absent stands for none.
+// duration parses the duration of a key. It returns absent if text is empty.
 func duration(key, text string, absent time.Duration) (time.Duration, error) {
 	if text == "" {
 		return absent, nil
@@ -174,29 +175,29 @@
 	return d, nil
 }
 
-// Fleet says how this node takes part in the fleet.
+// Fleet configures this node's part in the fleet.
 type Fleet struct {
-	Members        []string `toml:"members"`     // addresses that members of the store have for operators; none: off
-	Dir            string   `toml:"dir"`         // where this node keeps what the fleet wants of it; empty: it forgets with the process
-	ReportInterval string   `toml:"report"`      // between reports; by default 2s
-	SilentAfter    string   `toml:"silent"`      // without one, after which a node is marked; by default 10s
-	Backups        string   `toml:"backups"`     // a folder for backups of the store; empty: this node takes none
-	BackupInterval string   `toml:"backup_each"` // between two; by default 1h
-	BackupsKept    int      `toml:"backup_keep"` // the latest so many stay; by default 24
-	LeaseDuration  string   `toml:"lease"`       // of the duties, as the store has it; by default 10s
-
-	Zone        string   `toml:"zone"` // groups that this node is in, for budgets
+	Members        []string `toml:"members"`     // operator addresses of the store's members; none: off
+	Dir            string   `toml:"dir"`         // folder for this node's desired state; empty: it is lost when the process ends
+	ReportInterval string   `toml:"report"`      // time between reports; default 2s
+	SilentAfter    string   `toml:"silent"`      // time without a report after which a node is marked silent; default 10s
+	Backups        string   `toml:"backups"`     // folder for backups of the store; empty: this node takes none
+	BackupInterval string   `toml:"backup_each"` // time between backups; default 1h
+	BackupsKept    int      `toml:"backup_keep"` // number of latest backups to keep; default 24
+	LeaseDuration  string   `toml:"lease"`       // duration of leases on duties, as configured for the store; default 10s
+
+	Zone        string   `toml:"zone"` // groups of this node, for budgets
 	Kind        string   `toml:"kind"`
-	MinReady    string   `toml:"settle"`       // in service and well, before this node counts as in; by default 10s. The same on all nodes
-	ReleaseFile string   `toml:"release_file"` // its first line says what is deployed on this node; empty: the program's version is
-	Replace     []string `toml:"replace"`      // a command that puts another release in place, which it finds in $SLOEHITCH_RELEASE; then the process ends
-	ReplaceExit int      `toml:"replace_exit"` // the code that it ends with, for what starts it again; by default 75
+	MinReady    string   `toml:"settle"`       // time in service and healthy before this node counts as available; default 10s. Must be the same on all nodes
+	ReleaseFile string   `toml:"release_file"` // file whose first line names the release on this node; empty: the program's version is the release
+	Replace     []string `toml:"replace"`      // command that installs the release named in $SLOEHITCH_RELEASE; after it the process exits
+	ReplaceExit int      `toml:"replace_exit"` // exit code of the process then, for its supervisor; default 75
 }
 
-// Durations are the times of a fleet's settings.
+// Durations are the parsed durations of Fleet.
 type Durations struct{ ReportInterval, SilentAfter, BackupInterval, Lease, MinReady time.Duration }
 
-// Durations reads the times, with what stands for those left out.
+// Durations parses the durations and sets the defaults of those that are absent.
 func (f Fleet) Durations() (s Durations, err error) {
 	for _, x := range []struct {
 		key, text string
@@ -209,7 +210,7 @@
 		}
 	}
 	if s.SilentAfter < 2*s.ReportInterval {
-		return s, fmt.Errorf("fleet: silent is %v and report %v: a node would be marked for one late report; write silent at least twice as long", s.SilentAfter, s.ReportInterval)
+		return s, fmt.Errorf("fleet: silent is %v and report is %v: one late report would mark a node silent; silent must be at least twice report", s.SilentAfter, s.ReportInterval)
 	}
 	return s, nil
 }
@@ -222,25 +223,25 @@
 		return fmt.Errorf("fleet: replace_exit is %d; write 1 to 255", f.ReplaceExit)
 	}
 	if len(f.Replace) > 0 && f.ReleaseFile == "" {
-		return errors.New("fleet: replace needs release_file: a release has to see what has become of this node")
+		return errors.New("fleet: replace requires release_file, from which a release learns what is deployed on this node")
 	}
 	for _, a := range f.Members {
 		if _, _, err := net.SplitHostPort(a); err != nil {
-			return fmt.Errorf("fleet: member %q: host and port are wanted, such as 127.0.0.1:7070", a)
+			return fmt.Errorf("fleet: member %q must be host:port, such as 127.0.0.1:7070", a)
 		}
 	}
 	_, err := f.Durations()
 	return err
 }
 
-// Ledger says where the record of bookings is kept across restarts.
+// Ledger configures the ledger, which keeps the records of bookings across restarts.
 type Ledger struct {
-	Dir      string `toml:"dir"`       // on a disk that lasts; empty: off
-	Flush    string `toml:"flush"`     // "each": before a booking's start is known to be recorded; or a time such as "20ms"
-	MemoryMB int    `toml:"memory_mb"` // for the keys
+	Dir      string `toml:"dir"`       // folder on a persistent disk; empty: off
+	Flush    string `toml:"flush"`     // "each": flush before a booking's start is acknowledged as recorded; or an interval such as "20ms"
+	MemoryMB int    `toml:"memory_mb"` // maximum memory for the keys
 }
 
-// The defaults and bounds of a ledger's settings.
+// Defaults and bounds of the ledger's settings.
 const (
 	flushEach             = "each"
 	maxFlushInterval      = 10 * time.Second
@@ -248,19 +249,19 @@
 	maxLedgerMemoryGB     = 64
 )
 
-// FlushInterval is the time between flushes; 0: each before it is acknowledged.
+// FlushInterval returns the time between flushes; 0: each record is flushed before it is acknowledged.
 func (l Ledger) FlushInterval() (time.Duration, error) {
 	if l.Flush == "" || l.Flush == flushEach {
 		return 0, nil
 	}
 	every, err := time.ParseDuration(l.Flush)
 	if err != nil || every < time.Millisecond || every > maxFlushInterval {
-		return 0, fmt.Errorf("ledger: flush is %q; write \"each\", or a time from \"1ms\" to %q", l.Flush, maxFlushInterval)
+		return 0, fmt.Errorf("ledger: flush is %q; write \"each\", or an interval from \"1ms\" to %q", l.Flush, maxFlushInterval)
 	}
 	return every, nil
 }
 
-// IndexBytes is the memory for the keys.
+// IndexBytes returns the maximum memory for the keys in bytes.
 func (l Ledger) IndexBytes() int64 {
 	if l.MemoryMB == 0 {
 		return defaultLedgerMemoryMB << 20
@@ -270,7 +271,7 @@
 
 func (l Ledger) check() error {
 	if l.Dir == "" && (l.Flush != "" || l.MemoryMB != 0) {
-		return errors.New("ledger: flush and memory_mb need dir, the folder on a disk that lasts")
+		return errors.New("ledger: flush and memory_mb require dir, a folder on a persistent disk")
 	}
 	if l.MemoryMB < 0 || l.MemoryMB > maxLedgerMemoryGB<<10 {
 		return fmt.Errorf("ledger: memory_mb is %d; write 1 to %d", l.MemoryMB, maxLedgerMemoryGB<<10)
@@ -279,18 +280,18 @@
 	return err
 }
 
-// Metrics says where Prometheus finds the figures.
+// Metrics configures the metrics for Prometheus.
 type Metrics struct {
 	Listen string `toml:"listen"` // host:port of a private network; empty: off
 }
 
-// Traces says where spans of uwsgi requests are written.
+// Traces configures the file to which spans of uwsgi requests are written.
 type Traces struct {
 	File        string   `toml:"file"`  // empty: off
-	SampleShare *float64 `toml:"share"` // of requests, 0 to 1; by default 1. Those whose client traces them are written in any case
+	SampleShare *float64 `toml:"share"` // fraction of requests that are traced, 0 to 1; default 1. Those that their client samples are always traced
 }
 
-// SampleRate is the share of requests that are traced.
+// SampleRate returns the fraction of requests that are traced.
 func (t Traces) SampleRate() float64 {
 	if t.SampleShare == nil {
 		return 1
@@ -305,7 +306,7 @@
 	return nil
 }
 
-// Deploy is our own file of deployment settings.
+// Deploy is the content of the deployment file.
 type Deploy struct {
 	Uwsgi  Uwsgi  `toml:"uwsgi"`
 	Store  Store  `toml:"store"`
@@ -315,10 +316,10 @@
 	Metrics Metrics `toml:"metrics"`
 	Traces  Traces  `toml:"traces"`
 
-	OpenAPI []byte `toml:"-"` // the text of the description
+	OpenAPI []byte `toml:"-"` // text of the OpenAPI document
 }
 
-// LoadDeploy reads and checks our deployment file. Without a file everything in it is off.
+// LoadDeploy reads and validates the deployment file. If there is none, all that it configures is off.
 func LoadDeploy(path string) (*Deploy, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -340,7 +341,7 @@
 	return d, nil
 }
 
-// ParseDeploy reads and checks a deployment file's text.
+// ParseDeploy parses and validates the text of a deployment file.
 func ParseDeploy(text []byte) (*Deploy, error) {
 	d := &Deploy{}
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -353,7 +354,7 @@
 	addresses := []string{d.Store.Admin, d.Metrics.Listen}
 	for _, m := range d.Store.Members {
 		if m.Name == "" || m.RaftAddress == "" {
-			return nil, errors.New("store: a member needs a name and a raft address")
+			return nil, errors.New("store: each member must have a name and a raft address")
 		}
 		addresses = append(addresses, m.RaftAddress, m.AdminAddress)
 	}
--- a/internal/platform/endpoint/endpoint.go
+++ b/internal/platform/endpoint/endpoint.go
@@ -1,4 +1,4 @@
-// Package endpoint parses the addresses of the uwsgi side, and listens on and dials them: TCP or Unix sockets, plain or TLS.
+// Package endpoint parses, listens on and dials the addresses of the uwsgi front and servers: TCP or Unix sockets, plain or TLS.
 package endpoint
 
 import (
@@ -24,14 +24,14 @@
 	TLS     bool
 }
 
-// maxUnixPathBytes is the longest path of a Unix socket.
+// maxUnixPathBytes is the maximum length of a Unix socket's path.
 const maxUnixPathBytes = 100
 
 // Parse parses an address in one of the forms of Endpoint.
 func Parse(text string) (Endpoint, error) {
 	if path, ok := strings.CutPrefix(text, "unix:"); ok {
 		if path == "" || len(path) > maxUnixPathBytes {
-			return Endpoint{}, fmt.Errorf("address %q: a Unix socket's path has 1 to %d bytes", text, maxUnixPathBytes)
+			return Endpoint{}, fmt.Errorf("address %q: a Unix socket's path must have 1 to %d bytes", text, maxUnixPathBytes)
 		}
 		return Endpoint{Network: "unix", Address: path}, nil
 	}
@@ -41,7 +41,7 @@
 	} else if rest, ok := strings.CutPrefix(text, "uwsgi://"); ok {
 		e.Address = rest
 	} else if scheme, _, ok := strings.Cut(text, "://"); ok {
-		return Endpoint{}, fmt.Errorf("address %q: scheme %q is none of uwsgi, suwsgi", text, scheme)
+		return Endpoint{}, fmt.Errorf("address %q: unknown scheme %q: must be uwsgi or suwsgi", text, scheme)
 	}
 	if _, port, err := net.SplitHostPort(e.Address); err != nil || port == "" {
 		return Endpoint{}, fmt.Errorf("address %q: write host:port, suwsgi://host:port or unix:/path", text)
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// Listen listens on the address. mode is that of a Unix socket; TLS needs keys with a certificate. The Unix socket of a process that
-// has ended is replaced, that of one that still serves is an error.
+// Listen listens on the address. mode is the mode of a Unix socket; TLS requires keys with a certificate. A Unix socket left by a process
+// that has ended is replaced; it is an error if another process still serves it.
 func (e Endpoint) Listen(mode fs.FileMode, keys *tlskeys.Keys) (net.Listener, error) {
 	if e.Network == "unix" {
 		return listenUnix(e.Address, mode)
@@ -87,7 +87,7 @@
 	}
 	if keys == nil || !keys.HasCert() {
 		ln.Close()
-		return nil, fmt.Errorf("address %s: TLS needs a certificate and its key", e)
+		return nil, fmt.Errorf("address %s: TLS requires a certificate and its key", e)
 	}
 	return tls.NewListener(ln, keys.ServerConfig()), nil
 }
@@ -108,10 +108,10 @@
 	return err
 }
 
-// unixDialTimeout bounds the check whether another process serves a Unix socket.
+// unixDialTimeout is the timeout of the check whether another process serves a Unix socket.
 const unixDialTimeout = time.Second
 
-// listenUnix makes the socket under a temporary name and renames it once it has its mode, so that nobody can connect before.
+// listenUnix creates the socket under a temporary name and renames it after setting its mode, so that nobody can connect before then.
 func listenUnix(path string, mode fs.FileMode) (net.Listener, error) {
 	if err := checkUnused(path); err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 	return &unixListener{ln, path, info}, nil
 }
 
-// checkUnused returns an error if there is something at a path that must not be replaced by a socket.
+// checkUnused returns an error if the path exists and must not be replaced by a socket.
 func checkUnused(path string) error {
 	info, err := os.Lstat(path)
 	switch {
@@ -147,15 +147,15 @@
 	case err != nil:
 		return err
 	case info.Mode()&fs.ModeSocket == 0:
-		return fmt.Errorf("%s: there is a file that is no socket", path)
+		return fmt.Errorf("%s: file exists and is not a socket", path)
 	}
 	conn, err := net.DialTimeout("unix", path, unixDialTimeout)
 	if err == nil {
 		conn.Close()
-		return fmt.Errorf("%s: another process serves there", path)
+		return fmt.Errorf("%s: another process is listening on this socket", path)
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("%s: it can't be told whether another process serves there: %w", path, err)
+		return fmt.Errorf("%s: cannot determine whether another process is listening on this socket: %w", path, err)
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 		return conn, err
 	}
 	if name == "" {
-		name, _, _ = net.SplitHostPort(e.Address) // read by Parse
+		name, _, _ = net.SplitHostPort(e.Address) // validated by Parse
 	}
 	config := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: name}
 	if keys != nil {
@@ -183,7 +183,7 @@
 	return t, nil
 }
 
-// HandshakeError is a failed TLS handshake: nothing of a request was sent.
+// HandshakeError is the error of a failed TLS handshake. No part of a request was sent.
 type HandshakeError struct{ error }
 
 // Unwrap returns the cause.
--- a/internal/platform/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestUnix: a socket has its mode from the start, a stale one is replaced, one that serves and a file that is no socket are not.
+// TestUnix checks that a Unix socket has its mode, that a stale socket is replaced, and that a socket in use and a file that is not a
+// socket are not replaced.
 func TestUnix(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	e, err := Parse("unix:" + path)
@@ -54,9 +55,9 @@
 		t.Errorf("%v, %v", info.Mode(), err)
 	}
 	if _, err := e.Listen(0o600, nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("listening on a socket in use: %v", err)
 	}
-	ln.(*unixListener).UnixListener.Close() // as a killed process leaves it
+	ln.(*unixListener).UnixListener.Close() // leaves the file, as a killed process does
 	if _, err := os.Stat(path); err != nil {
 		t.Fatal(err)
 	}
@@ -67,18 +68,18 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(path); err == nil {
-		t.Error("the name is still there")
+		t.Error("Close did not remove the socket file")
 	}
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := e.Listen(0o600, nil); err == nil || !strings.Contains(err.Error(), "no socket") {
-		t.Errorf("over a file: %v", err)
+	if _, err := e.Listen(0o600, nil); err == nil || !strings.Contains(err.Error(), "not a socket") {
+		t.Errorf("listening on a path with a regular file: %v", err)
 	}
 }
 
-// TestKeysChange: new keys are reloaded in service, a bad or incomplete pair is not, open connections go on, and each end
-// refuses another authority's certificate.
+// TestKeysChange checks that new keys are reloaded while serving, that an invalid or incomplete pair is not, that open connections
+// stay open, and that each end rejects a certificate of another authority.
 func TestKeysChange(t *testing.T) {
 	dir := t.TempDir()
 	first, second := standin.NewAuthority(t), standin.NewAuthority(t)
@@ -94,7 +95,7 @@
 		t.Fatal(err)
 	}
 	if _, err := e.Listen(0, nil); err == nil {
-		t.Error("TLS without keys")
+		t.Error("listening with TLS succeeded without keys")
 	}
 	ln, err := e.Listen(0, keys)
 	if err != nil {
@@ -142,21 +143,21 @@
 	for _, c := range []struct {
 		name string
 		err  error
-	}{{"another authority's client", talk(dial(of2, ""))}, {"another name", talk(dial(of1, "other.test"))}} {
+	}{{"another authority's client", talk(dial(of2, ""))}, {"a server with another name", talk(dial(of1, "other.test"))}} {
 		if c.err == nil {
-			t.Errorf("%s was let in", c.name)
+			t.Errorf("%s was accepted", c.name)
 		}
 	}
 	plain, err := tls.Dial("tcp", e.Address, &tls.Config{InsecureSkipVerify: true})
 	if talk(plain, err) == nil {
-		t.Error("a client without a certificate was let in")
+		t.Error("a client without a certificate was accepted")
 	}
 	old, err := tls.Dial("tcp", e.Address, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS11})
 	if talk(old, err) == nil {
-		t.Error("TLS 1.1 was taken")
+		t.Error("TLS 1.1 was accepted")
 	}
 
-	// A key without its certificate: the old pair stays in force, and is still there after it.
+	// With an invalid key file the current pair stays in use, and the error is logged once.
 	good, err := os.ReadFile(key)
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +168,7 @@
 	keys.Check()
 	keys.Check()
 	if err := talk(dial(of1, "")); err != nil || strings.Count(log.String(), "the current ones stay in use") != 1 {
-		t.Errorf("with a bad key in the file: %v; log %s", err, log.String())
+		t.Errorf("with an invalid key file: %v; log %s", err, log.String())
 	}
 	if err := os.WriteFile(key, append(good, '\n'), 0o600); err != nil {
 		t.Fatal(err)
@@ -180,10 +181,10 @@
 		t.Errorf("with the new keys: %v", err)
 	}
 	if talk(dial(of1, "")) == nil {
-		t.Error("the old authority's client was let in after the change")
+		t.Error("a client of the old authority was accepted after the reload")
 	}
 	if err := talk(open, nil); err != nil {
-		t.Errorf("a connection that was open: %v", err)
+		t.Errorf("connection opened before the reload: %v", err)
 	}
 	if !strings.Contains(log.String(), "expires soon") || keys.Expires().After(far.Add(-time.Hour)) {
 		t.Errorf("no warning before expiry at %v: %s", keys.Expires(), log.String())
--- a/internal/platform/heap/heap.go
+++ b/internal/platform/heap/heap.go
@@ -1,19 +1,19 @@
-// Package heap keeps elements of which the one with the least key is wanted, those of equal keys as they came, and that
-// know their place, so that any of them can be taken out. It is a binary heap like container/heap's, with the keys beside
-// one another in it: the comparisons that are nearly all of its work follow no pointer and call nothing.
+// Package heap implements a priority queue: a binary heap ordered by key, and by insertion among equal keys. Elements are told
+// their index, so that any of them can be removed. Unlike container/heap it stores the keys in the heap itself, so that the
+// comparisons, which are nearly all of its work, follow no pointers and call no functions.
 package heap
 
 import "cmp"
 
-// Element is what a heap holds, by pointer.
+// Element is an element of a heap, usually a pointer.
 type Element interface {
-	Placed(at int) // told where it is now; Out: it is in none
+	Placed(at int) // sets the element's index in the heap, or Out after its removal
 }
 
-// Out is the place of what is in no heap.
+// Out is the index of an element that is in no heap.
 const Out = -1
 
-// Heap holds elements by their keys. Its zero value is empty and ready. It is not safe for concurrent use.
+// Heap is a priority queue of elements. Its zero value is an empty heap. It is not safe for concurrent use.
 type Heap[K cmp.Ordered, E Element] struct {
 	all    []entry[K, E]
 	pushed uint64
@@ -29,27 +29,27 @@
 	return a.key < b.key || a.key == b.key && a.order < b.order
 }
 
-// Len is how many there are.
+// Len returns the number of elements.
 func (h *Heap[K, E]) Len() int { return len(h.all) }
 
-// First is the one with the least key, and that key; there must be one.
+// First returns the element with the smallest key, and that key. The heap must not be empty.
 func (h *Heap[K, E]) First() (K, E) { return h.all[0].key, h.all[0].element }
 
-// Push puts an element in, after those of the same key.
+// Push adds an element after those with the same key.
 func (h *Heap[K, E]) Push(key K, e E) {
 	h.pushed++
 	h.all = append(h.all, entry[K, E]{key, h.pushed, e})
 	h.up(len(h.all) - 1)
 }
 
-// Pop takes the first out.
+// Pop removes the first element and returns it with its key. The heap must not be empty.
 func (h *Heap[K, E]) Pop() (K, E) {
 	key, e := h.First()
 	h.Remove(0)
 	return key, e
 }
 
-// Remove takes out the element that was told to be at a place.
+// Remove removes the element at an index.
 func (h *Heap[K, E]) Remove(at int) {
 	out := h.all[at].element
 	last := len(h.all) - 1
@@ -58,12 +58,12 @@
 	if h.all = h.all[:last]; at < last {
 		h.all[at] = moved
 		h.down(at)
-		h.up(at) // one of the two does nothing
+		h.up(at) // at most one of the two moves it
 	}
 	out.Placed(Out)
 }
 
-// Keep takes out all that keep does not want, in one pass.
+// Keep removes all elements for which keep returns false, in one pass.
 func (h *Heap[K, E]) Keep(keep func(E) bool) {
 	kept := h.all[:0]
 	for _, x := range h.all {
@@ -80,7 +80,7 @@
 	}
 }
 
-// up moves what is at a place towards the first as far as it belongs.
+// up moves the entry at an index towards the root to its position.
 func (h *Heap[K, E]) up(at int) {
 	x := h.all[at]
 	for at > 0 {
@@ -94,7 +94,7 @@
 	h.put(at, x)
 }
 
-// down moves what is at a place away from the first as far as it belongs.
+// down moves the entry at an index away from the root to its position.
 func (h *Heap[K, E]) down(at int) {
 	x := h.all[at]
 	for {
--- a/internal/platform/heap/heap_test.go
+++ b/internal/platform/heap/heap_test.go
@@ -11,7 +11,7 @@
 
 func (t *thing) Placed(at int) { t.at = at }
 
-// TestModel: whatever is put in, taken out and left out, what comes is what a sorted list says, and each knows its place.
+// TestModel checks random sequences of Push, Remove, Pop and Keep against a sorted list, and the index that each element was told.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Heap[int, *thing]
@@ -32,7 +32,7 @@
 				i := rapid.IntRange(0, len(in)-1).Draw(t, "which")
 				h.Remove(in[i].at)
 				if in[i].at != Out {
-					t.Fatal("what was taken out has a place")
+					t.Fatal("a removed element was not told the index Out")
 				}
 				in = slices.Delete(in, i, i+1)
 			case what == 8:
@@ -47,11 +47,11 @@
 				in = slices.DeleteFunc(in, func(x *thing) bool { return !odd(x) })
 			}
 			if h.Len() != len(in) {
-				t.Fatalf("%d in it, want %d", h.Len(), len(in))
+				t.Fatalf("%d elements, want %d", h.Len(), len(in))
 			}
 			for _, x := range in {
 				if h.all[x.at].element != x {
-					t.Fatalf("%+v is not where it was told", x)
+					t.Fatalf("%+v is not at the index that it was told", x)
 				}
 			}
 		}
--- a/internal/platform/latency/latency.go
+++ b/internal/platform/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency keeps how long requests took lately, in histograms of bounded size.
+// Package latency measures recent request latencies in histograms of bounded size.
 package latency
 
 import (
@@ -8,23 +8,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// histogramPeriod is the stretch that one histogram is of; a window is the one that goes on and the one before.
+// histogramPeriod is the period that one histogram covers. A window consists of the current histogram and the previous one.
 const histogramPeriod = 10 * time.Second
 
-// MaxWindow is over how much time a quantile may be taken: values closer to one another than that have requests in common.
+// MaxWindow is the longest period that a quantile covers. Quantiles taken less than MaxWindow apart may include the same requests.
 const MaxWindow = 2 * histogramPeriod
 
-// Bounds of what is told apart: 100 us to a minute, to two digits (some 20 KB a histogram).
+// Range and precision of the histograms: 100 us to a minute with two significant digits, which takes about 20 KB per histogram.
 const (
 	minMicros         = int64(100)              // microseconds
-	maxMicros         = int64(60 * 1000 * 1000) // and what takes longer counts as this
+	maxMicros         = int64(60 * 1000 * 1000) // longer requests are recorded as this
 	significantDigits = 2
 )
 
-// minSamples is how many requests a quantile is taken of, at the least.
+// minSamples is the minimum number of requests for a quantile.
 const minSamples = 20
 
-// Window is the last 10 to 20 s. It is safe for concurrent use, and never blocks for long.
+// Window holds the latencies of the last 10 to 20 s. It is safe for concurrent use and does not block for long.
 type Window struct {
 	mu        sync.Mutex
 	current   *hdrhistogram.Histogram
@@ -32,20 +32,20 @@
 	startedAt time.Time
 }
 
-// New returns an empty window that begins now.
+// New returns an empty window that starts at now.
 func New(now time.Time) *Window {
 	return &Window{current: hdrhistogram.New(minMicros, maxMicros, significantDigits), previous: hdrhistogram.New(minMicros, maxMicros, significantDigits), startedAt: now}
 }
 
-// Add takes in one request.
+// Add records the latency of one request.
 func (w *Window) Add(took time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_ = w.current.RecordValue(min(max(took.Microseconds(), minMicros), maxMicros)) // it is within the bounds
+	_ = w.current.RecordValue(min(max(took.Microseconds(), minMicros), maxMicros)) // never fails: the value is within the histogram's range
 }
 
-// Quantile is the latency that a share q of the window's requests stayed within; 0 where there were too few to say. It is to be asked for
-// every few seconds: the window moves on with it.
+// Quantile returns the latency that the fraction q of the window's requests did not exceed; 0 if there were fewer than minSamples requests.
+// It must be called every few seconds, since only this call advances the window.
 func (w *Window) Quantile(q float64, now time.Time) time.Duration {
 	if w == nil {
 		return 0
--- a/internal/platform/limits/limits.go
+++ b/internal/platform/limits/limits.go
@@ -1,106 +1,106 @@
-// Package limits holds every bound on sizes, counts and times in one type, filled once at start.
+// Package limits defines all bounds on sizes, counts and times.
 package limits
 
 import "time"
 
-// Limits bounds what the program takes, keeps and waits for. For fills it once at start.
+// Limits bounds the resources that the program uses and the times that it waits. For sets it once at start.
 type Limits struct {
 	// Memory of the process, in bytes.
 	MemoryBytes    int64 // soft limit of the Go heap, below the platform's cap
-	MinMemoryBytes int64 // the limit's lower bound, however many processes share the cap: below it the collector would use the core
+	MinMemoryBytes int64 // lower bound of that limit, however many processes share the cap: below it garbage collection would use the core
 
 	// Requests and keys.
-	MaxInFlight            int // requests that are queued or run
-	MaxKeys                int // entries of the table of idempotency keys
-	StoredResultBytes      int // a result that is kept for repeats
-	TotalStoredResultBytes int // all of them together
+	MaxInFlight            int // queued and running requests
+	MaxKeys                int // entries in the table of idempotency keys
+	StoredResultBytes      int // size of a result that is kept for repeated requests
+	TotalStoredResultBytes int // size of all kept results
 
 	// Connections of the platform's front.
 	MaxConnections           int           // open at once
 	RequestsPerConnection    int           // in flight on one connection
-	BadMessagesPerConnection int           // messages that are not valid before the connection is closed
-	UnadmittedConnections    int           // connections without a slot that are read, rejected and closed, at once
-	EvictedConnections       int           // connections that gave up their slots and are still to end, at once
+	BadMessagesPerConnection int           // invalid messages before the connection is closed
+	UnadmittedConnections    int           // concurrent connections without a slot, which are read, rejected and closed
+	EvictedConnections       int           // concurrent connections that lost their slots and are not closed yet
 	NewConnectionGrace       time.Duration // silence before a new connection may be evicted
 	IdleConnectionGrace      time.Duration // idle time before any other connection may be evicted
-	PeerCloseTimeout         time.Duration // for a peer to close a connection after it was asked to
-	CloseTimeout             time.Duration // for a peer to end a connection that this side has ended
+	PeerCloseTimeout         time.Duration // for a peer to close a connection when asked to
+	CloseTimeout             time.Duration // for a peer to close its side of a connection after this side was closed
 
 	// Messages of the platform's front, in bytes unless said otherwise.
-	BodyBytes                     int           // of a request
-	ResultBytes                   int           // of a result, or of a reply to a call
-	FieldListBytes                int           // of a field list
-	FrameBytes                    int           // of one framed message
-	FrameParts                    int           // parts of one framed message
-	UnreadAnswerBytes             int           // that a peer may leave unread
-	TotalUnreadAnswerBytes        int           // of all peers together; beyond it a peer that leaves over a sixteenth of its own bound is aborted
-	MessageTimeout                time.Duration // for a message to arrive whole, and for the first one of a connection
-	MaxClockAhead, MaxClockBehind time.Duration // how far a request's time stamp may be from this node's clock
+	BodyBytes                     int           // body of a request
+	ResultBytes                   int           // a result, or a reply to a call
+	FieldListBytes                int           // a field list
+	FrameBytes                    int           // one framed message
+	FrameParts                    int           // number of parts of one framed message
+	UnreadAnswerBytes             int           // answers that one peer may leave unread
+	TotalUnreadAnswerBytes        int           // unread answers of all peers; above it, peers with more than a sixteenth of UnreadAnswerBytes unread are aborted
+	MessageTimeout                time.Duration // for a message to arrive completely, and for the first message of a connection
+	MaxClockAhead, MaxClockBehind time.Duration // maximum difference between a request's time stamp and this node's clock
 
 	// Deadlines and drain.
-	DeadlineGuardShare float64       // share of the grace after a deadline at which the core answers by itself
-	KeyWindowSlack     time.Duration // added to a key's window, since clocks and sockets are not exact
-	DrainGraceMargin   time.Duration // before the end of the drain grace, when callers are sent to other nodes
-	KillMargin         time.Duration // before the kill, when all that is left is answered
-	OrphanTimeout      time.Duration // after its deadline, when a run that never reported is abandoned
+	DeadlineGuardShare float64       // share of the response grace after which the core answers a request past its deadline itself
+	KeyWindowSlack     time.Duration // added to a key's idempotency window to allow for inexact clocks and delays of sockets
+	DrainGraceMargin   time.Duration // how long before the end of the drain grace callers are sent to other nodes
+	KillMargin         time.Duration // how long before the kill all remaining requests are answered
+	OrphanTimeout      time.Duration // how long after its deadline a run that never reported is abandoned
 
 	// The link to the runtime.
-	NoticeBytes            int           // one line from the runtime
+	NoticeBytes            int           // size of one line from the runtime
 	MinBackoff, MaxBackoff time.Duration // between attempts to connect
-	RuntimeSilence         time.Duration // after which the runtime is asked for an echo, and once more after which the link is given up
-	RuntimeReadyTimeout    time.Duration // for a runtime to say that it is up before it is dialed anew
-	LinkSwitchTimeout      time.Duration // for the runtime to take what was written before the link moves to another address
-	GaugesTimeout          time.Duration // for the gauges before a step goes without
+	RuntimeSilence         time.Duration // silence after which the runtime is asked for an echo; after as long again the link is closed
+	RuntimeReadyTimeout    time.Duration // for a runtime to report that it is up before it is dialed again
+	LinkSwitchTimeout      time.Duration // for the runtime to read what was written before the link moves to another address
+	GaugesTimeout          time.Duration // for the gauges before a step proceeds without them
 	ReportInterval         time.Duration // between load reports to the directory
 
 	// Calls through the catalogue.
 	CatalogueConnections int           // open at once
 	CatalogueIdleTimeout time.Duration // after which an unused connection is closed
-	ReplyTimeout         time.Duration // for the rest of a reply once it has begun
-	CallTimeoutSlack     time.Duration // past a call's own time before it is given up here
+	ReplyTimeout         time.Duration // for the rest of a reply after its first byte
+	CallTimeoutSlack     time.Duration // added to a call's own timeout before this node abandons the call
 
 	// The uwsgi front and its pool, in bytes unless said otherwise.
-	UwsgiConnections      int           // open at once, on either side
-	UwsgiVarBytes         int           // of a packet's variables
+	UwsgiConnections      int           // number of open connections on either side
+	UwsgiVarBytes         int           // variables of a packet
 	UwsgiVars             int           // number of variables
-	BufferedBodyBytes     int           // of a request body that is held whole
-	BodyWindowBytes       int           // of a streamed request body that is held while it waits or is passed on
-	TotalBodyWindowBytes  int           // of all of them together
-	BufferedResponseBytes int           // of a response that is held whole
-	ResponseHeadBytes     int           // of a response's head
-	UpstreamTimeout       time.Duration // for a server to begin its answer, and between pieces of it
-	BodyIdleTimeout       time.Duration // between pieces of a request body
+	BufferedBodyBytes     int           // a request body that is buffered completely
+	BodyWindowBytes       int           // buffer of a streamed request body while it is queued or forwarded
+	TotalBodyWindowBytes  int           // all those buffers together
+	BufferedResponseBytes int           // a response that is buffered completely
+	ResponseHeadBytes     int           // the head of a response
+	UpstreamTimeout       time.Duration // for the start of a server's response, and between parts of it
+	BodyIdleTimeout       time.Duration // between parts of a request body
 	PoolInterval          time.Duration // between checks of waiting requests and ejected servers
-	TLSKeyPollInterval    time.Duration // between checks of the files of TLS keys
-	QueuedSpans           int           // spans that wait to be written
+	TLSKeyPollInterval    time.Duration // between checks of the TLS key files
+	QueuedSpans           int           // number of spans queued for writing
 
 	// Any peer.
-	WriteTimeout time.Duration // of one write
-	DialTimeout  time.Duration // of one connection attempt
+	WriteTimeout time.Duration // for one write
+	DialTimeout  time.Duration // for one connection attempt
 
 	// The replicated store.
-	CommitTimeout   time.Duration // for a change of the store, and for an operator's request
-	ElectionTimeout time.Duration // silence after which the members elect a leader
+	CommitTimeout   time.Duration // for a write to the store, and for an operator's request
+	ElectionTimeout time.Duration // silence of the leader after which the members elect another
 
 	// Journals of keyed runs, and the other processes of this node.
 	RecordTimeout      time.Duration // for a start to be recorded before its request is rejected
-	RejectedRetryAfter time.Duration // Retry-After of rejections that logic did not decide: for want of a recorded start, a slot or body memory
-	QuotaInterval      time.Duration // between looks at what the node's other processes have in flight
-	MaxSnapshotAge     time.Duration // of an earlier process's learned state, to start from it
-	ProcessListTimeout time.Duration // for a look at which other processes of this node live
+	RejectedRetryAfter time.Duration // Retry-After of rejections outside package logic: the start was not recorded, or there was no slot or body memory
+	QuotaInterval      time.Duration // between reads of the load of the node's other processes
+	MaxSnapshotAge     time.Duration // maximum age of an earlier process's learned state that this one may start from
+	ProcessListTimeout time.Duration // for listing the other live processes of this node
 
 	// Housekeeping.
-	SweepInterval  time.Duration // between sweeps of what has expired
-	TotalsInterval time.Duration // between log lines with the counts
-	LogInterval    time.Duration // between log lines about one kind of fault
+	SweepInterval  time.Duration // between removals of expired entries
+	TotalsInterval time.Duration // between log lines with the totals
+	LogInterval    time.Duration // between log lines about the same kind of error
 
 	// The operators' address.
-	OperatorCallTimeout time.Duration // for a call to arrive whole on its connection
-	OperatorConnections int           // at once; a connection beyond them is answered NAK
-	OperatorCallBytes   int           // of a call, its newline included
+	OperatorCallTimeout time.Duration // for a call to arrive completely on its connection
+	OperatorConnections int           // concurrent connections; those above it are answered NAK
+	OperatorCallBytes   int           // size of a call, including its newline
 }
 
-// RejectedOperatorConnections is how many connections beyond OperatorConnections are answered at once, with time to read the answer.
+// RejectedOperatorConnections returns how many connections above OperatorConnections may be rejected at once, each with time to read the answer.
 func (l Limits) RejectedOperatorConnections() int { return max(1, l.OperatorConnections/4) }
 
 // For derives the limits from the platform's caps on memory, in MB, and on descriptors.
@@ -115,7 +115,7 @@
 		StoredResultBytes:      16 << 10,
 		TotalStoredResultBytes: int(memory / 8),
 
-		// Balancers use half of the descriptors. With all parts in use some 7 in 100 are left for links and files.
+		// Balancers may use half of the descriptors. When all parts are at their limits, about 7 in 100 remain for links and files.
 		MaxConnections:           max(16, sockets*9/16),
 		RequestsPerConnection:    32,
 		BadMessagesPerConnection: 4,
@@ -168,7 +168,7 @@
 	return l
 }
 
-// setLinkLimits sets the limits of the links to runtime, directory and catalogue.
+// setLinkLimits sets the limits of the links to the runtime, the directory and the catalogue.
 func (l *Limits) setLinkLimits(sockets int) {
 	l.NoticeBytes = 64 << 10
 	l.MinBackoff = 20 * time.Millisecond
@@ -202,5 +202,5 @@
 	l.QueuedSpans = 2048
 }
 
-// ReplaceTimeout bounds the command that installs another release.
+// ReplaceTimeout is the timeout of the command that installs another release.
 const ReplaceTimeout = 2 * time.Minute
--- a/internal/platform/limits/storage.go
+++ b/internal/platform/limits/storage.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// Ledger bounds one store on disk.
+// Ledger holds the limits of one ledger.
 type Ledger struct {
 	KeyBytes, ValueBytes int
-	BatchBytes           int   // of one batch's records
-	GroupBytes           int   // of the batches that share a flush
+	BatchBytes           int   // records of one batch
+	GroupBytes           int   // batches that share a flush
 	GroupBatches         int   // number of batches that share a flush
-	QueueBytes           int   // of the batches that wait for a flush
-	SegmentBytes         int64 // after which a segment is sealed
+	QueueBytes           int   // batches that wait for a flush
+	SegmentBytes         int64 // size at which a segment is sealed
 	IndexBytes           int64 // memory for the keys
-	BlockBytes           int   // that are compressed together
-	CompactionBytes      int64 // that one compaction reads at most
-	CompactionFlushBytes int   // that a compaction writes between two flushes
-	MaxSmallSegments     int   // small segments that are left alone
+	BlockBytes           int   // data that is compressed together
+	CompactionBytes      int64 // maximum that one compaction reads
+	CompactionFlushBytes int   // what a compaction writes between two flushes
+	MaxSmallSegments     int   // number of small segments that are not compacted
 
 	GarbageShare      float64       // share of obsolete bytes above which a compaction runs
-	GroupDelay        time.Duration // the longest that a batch waits for others to share its flush
-	ClockMarkInterval time.Duration // between marks of the clock; an expired record may stay for as long
-	SweepInterval     time.Duration // between sweeps of expired records
-	CompactionPause   time.Duration // between a compaction's flushes
+	GroupDelay        time.Duration // maximum time that a batch waits for others to share its flush
+	ClockMarkInterval time.Duration // between marks of the clock; an expired record may stay this long
+	SweepInterval     time.Duration // between removals of expired records
+	CompactionPause   time.Duration // between the flushes of a compaction
 }
 
-// RaftLog bounds what a member of the store writes to its folder at once.
+// RaftLog holds the limits of what a member of the store writes to its folder at once.
 type RaftLog struct {
-	BatchBytes        int // of entries that share a flush, unless one alone is larger
-	DeletionsPerFlush int // entries that are deleted with one flush
-	SnapshotPartBytes int // of a snapshot that are written at once
-	SnapshotsKept     int // the newest
-	EntryBytes        int // of one entry
+	BatchBytes        int // entries that share a flush, unless a single one is larger
+	DeletionsPerFlush int // number of entries that are deleted with one flush
+	SnapshotPartBytes int // part of a snapshot that is written at once
+	SnapshotsKept     int // number of newest snapshots that are kept
+	EntryBytes        int // one entry
 }
 
-// KeyStore bounds what the processes of one node tell each other of idempotency keys.
+// KeyStore holds the limits of the idempotency keys that the processes of one node share.
 type KeyStore struct {
-	TotalBytes    int64         // of all segments together; beyond three quarters of it results are left out
-	SegmentBytes  int64         // after which a segment is followed by a new one
-	MaxSegmentAge time.Duration // after which it is too, or a sixteenth of the longest window where that is longer
-	ResultBytes   int           // of a result that is stored
-	QueuedRecords int           // records that wait to be written
-	NoteBytes     int           // of what each process says of itself
-	PollInterval  time.Duration // between looks at what others wrote, while somebody waits for it
-	LogInterval   time.Duration // between log lines about one kind of fault
+	TotalBytes    int64         // all segments together; above three quarters of it results are not stored
+	SegmentBytes  int64         // size at which a new segment is started
+	MaxSegmentAge time.Duration // age at which a new segment is started, or a sixteenth of the longest idempotency window if that is longer
+	ResultBytes   int           // size of a stored result
+	QueuedRecords int           // number of records queued for writing
+	NoteBytes     int           // size of the note in which each process publishes its load
+	PollInterval  time.Duration // between reads of the records of other processes while a request waits for one
+	LogInterval   time.Duration // between log lines about the same kind of error
 }
 
-// ForRaftLog are the bounds of a member's folder. A transaction of 1 MiB may take six times that on record, where every byte
-// has to be escaped.
+// ForRaftLog are the limits of a member's folder. A transaction of 1 MiB may take six times as much in the log, if every byte has to
+// be escaped.
 var ForRaftLog = RaftLog{BatchBytes: 1 << 20, DeletionsPerFlush: 4096, SnapshotPartBytes: 512 << 10, SnapshotsKept: 2, EntryBytes: 7 << 20}
 
-// Ledger returns the bounds of the ledger that holds the log.
+// Ledger returns the limits of the ledger that stores the log.
 func (r RaftLog) Ledger() Ledger {
 	l := ForLedger(32 << 20)
 	l.ValueBytes = r.EntryBytes + 1024
@@ -56,10 +56,11 @@
 	return l
 }
 
-// LostChanges is more than the changes made, and the leases granted, by members of the store that are then lost for good.
+// LostChanges exceeds the number of changes and of granted leases that permanently lost members of the store can have made. A recovered store skips as
+// many revisions and fencing tokens, so that none is used twice.
 const LostChanges = 1 << 32
 
-// ForKeyStore derives the limits from the platform's cap on memory, in MB: $TMPDIR counts as memory.
+// ForKeyStore derives the limits from the platform's cap on memory, in MB, since files in $TMPDIR count as memory.
 func ForKeyStore(memoryMB int) KeyStore {
 	memory := int64(max(memoryMB, 32)) << 20
 	return KeyStore{
@@ -74,7 +75,7 @@
 	}
 }
 
-// ForLedger derives a ledger's limits from the memory that its keys may take, in bytes.
+// ForLedger returns the limits of a ledger whose keys may use index bytes of memory.
 func ForLedger(index int64) Ledger {
 	return Ledger{
 		KeyBytes:             4 << 10,
--- a/internal/platform/lograte/lograte.go
+++ b/internal/platform/lograte/lograte.go
@@ -1,4 +1,4 @@
-// Package lograte limits the rate of log lines that a peer can provoke at will.
+// Package lograte limits the rate of log lines that peers can trigger.
 package lograte
 
 import (
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// Logger writes one line of each message in an interval and counts those that it leaves out. Its methods may
-// be called from any goroutine.
+// Logger writes at most one line per message and interval and counts the suppressed ones. It is safe for concurrent use.
 type Logger struct {
 	log      *slog.Logger
 	interval time.Duration
 
 	mu         sync.Mutex
 	lastLogged map[string]time.Time
-	suppressed map[string]int // since the last line, by message
+	suppressed map[string]int // by message, since its last line
 }
 
-// New returns a logger that writes at most one line of each message in an interval.
+// New returns a logger that writes at most one line per message and interval.
 func New(log *slog.Logger, interval time.Duration) *Logger {
 	return &Logger{log: log, interval: interval, lastLogged: map[string]time.Time{}, suppressed: map[string]int{}}
 }
 
-// Warn logs a message with the error that it is about, unless the same message was logged within the
-// interval. The message must be a constant: each one is counted by itself, for good.
+// Warn logs a message with an error, unless the same message was logged within the interval. The message must be a constant, since
+// an entry for each distinct message is kept forever.
 func (l *Logger) Warn(message string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -1,7 +1,7 @@
 // Package metrics exposes the daemon's metrics in Prometheus' text format. Values are read from their sources at each scrape, so that
-// nothing is counted twice and nothing costs anything between scrapes; only the times of uwsgi runs are collected here.
+// nothing is counted twice and metrics cost nothing between scrapes; only the durations of uwsgi runs are collected here.
 //
-// The metrics' names and labels are an interface: they stay as they are, whatever the code calls things.
+// The names and labels of metrics are a public interface and must not change when identifiers in the code do.
 package metrics
 
 import (
@@ -23,7 +23,7 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// Sources are the functions that metrics are read from; nil where a part is off. They are called from the goroutines of scrapes.
+// Sources are the functions that return the values of metrics; nil if a part is off. They are called from the goroutines of scrapes.
 type Sources struct {
 	Core    func() (c node.Counts, inFlight, keys int)
 	Resp    func() int // open connections
@@ -32,7 +32,7 @@
 	Ledger  func() ledger.Stats
 	Classes func() map[string]node.ClassCounts // by class name
 	Fleet   func() fleet.Stats
-	Config  func() (applied, rejected int) // configuration files at SIGHUP
+	Config  func() (applied, rejected int) // configuration files read at SIGHUP
 }
 
 // Metrics is the registry of the daemon's metrics. It is safe for concurrent use.
@@ -44,7 +44,7 @@
 // buckets are the upper bounds of histograms in seconds, from a millisecond to beyond any deadline.
 var buckets = prometheus.ExponentialBuckets(0.001, 2, 16)
 
-// New returns the metrics of these sources.
+// New returns metrics that read from the given sources.
 func New(s Sources) *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(), runs: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "sloehitch_uwsgi_run_seconds", Help: "Of runs on uwsgi servers, by the stage that was reached and how the run ended.", Buckets: buckets}, []string{"stage", "outcome"})}
@@ -52,7 +52,7 @@
 	return m
 }
 
-// ObserveRun records the times of a uwsgi run that has ended. A stage that was not reached is not counted.
+// ObserveRun records the durations of a uwsgi run that has ended. Stages that were not reached are not counted.
 func (m *Metrics) ObserveRun(r uwsgi.RunTimes) {
 	last, _ := r.LastAttempt()
 	for _, stage := range []struct {
@@ -120,10 +120,10 @@
 	reloads             = desc("config_reloads_total", "Configuration files at SIGHUP, taken (applied) or turned down (rejected).", "result")
 )
 
-// Describe sends no descriptions: servers come and go, so the set of metrics is not fixed.
+// Describe implements prometheus.Collector. It sends no descriptions, because servers are added and removed and so the set of metrics is not fixed.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads all sources and sends their metrics.
+// Collect implements prometheus.Collector. It reads all sources and sends their metrics.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	s := sender(ch)
 	if c.from.Core != nil {
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -19,7 +19,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestMetrics: what is asked for over a socket has the figures of all sources, and only those of parts that are on.
+// TestMetrics checks that a scrape over a socket returns the metrics of all sources, and none of sources that are nil.
 func TestMetrics(t *testing.T) {
 	get := func(s Sources, runs ...uwsgi.RunTimes) string {
 		t.Helper()
@@ -71,13 +71,13 @@
 		`sloehitch_fleet_permits_total{what="granted"} 6`, `sloehitch_fleet_permits_total{what="begun"} 0`, `sloehitch_fleet_asks_waiting 3`, `sloehitch_fleet_permits{state="begun"} 2`, `sloehitch_fleet_counted_out{why="silent"} 5`,
 		`sloehitch_release_nodes{release="r",which="changed"} 7`, `sloehitch_release_wave{release="r",state="running"} 2`, `sloehitch_release_halted{release="r"} 1`, `sloehitch_config_reloads_total{result="rejected"} 1`} {
 		if !strings.Contains(all, "\n"+line) {
-			t.Errorf("no line %q", line)
+			t.Errorf("the response has no line %q", line)
 		}
 	}
 	if strings.Contains(all, `outcome="moot",stage="connected"`) {
 		t.Error("a stage that was not reached is counted")
 	}
 	if few := get(Sources{Core: func() (node.Counts, int, int) { return node.Counts{}, 0, 0 }}); strings.Contains(few, "ledger") || strings.Contains(few, "fleet") || strings.Contains(few, "uwsgi") {
-		t.Errorf("figures of parts that are off:\n%s", few)
+		t.Errorf("metrics of sources that are nil:\n%s", few)
 	}
 }
--- a/internal/platform/reconfigure/keys.go
+++ b/internal/platform/reconfigure/keys.go
@@ -8,7 +8,7 @@
 
 // MissingKeys returns the keys that the running settings have and the new ones lack, sorted. Both are settings by
 // path, as settings.Flatten returns them ("classes.0.hard-limit"). A key of list items, such as a class's
-// "hard-limit", must be on every item of the new list where every item of the running one has it.
+// "hard-limit", is required on every item of the new list if every item of the running list has it.
 func MissingKeys(running, next map[string]string) []string {
 	var missing []string
 	itemKeys := map[listKey]int{} // how many running items have the key
@@ -23,7 +23,7 @@
 	}
 	for key, have := range itemKeys {
 		if items, _ := strconv.Atoi(running[key.list+".count"]); have < items {
-			continue // some running items go without it: it is optional
+			continue // some running items lack it, so it is optional
 		}
 		missing = append(missing, key.missing(next)...)
 	}
@@ -34,7 +34,7 @@
 // listKey is a key that the items of a list have.
 type listKey struct{ list, key string }
 
-// missing returns the items of a list that lack the key; the list itself where there is none.
+// missing returns the paths of the key in the items that lack it, or the path of the list if the list is absent.
 func (k listKey) missing(next map[string]string) []string {
 	items, err := strconv.Atoi(next[k.list+".count"])
 	if err != nil {
--- a/internal/platform/reconfigure/reconfigure.go
+++ b/internal/platform/reconfigure/reconfigure.go
@@ -1,8 +1,8 @@
-// Package reconfigure decides which new settings are taken at SIGHUP while requests are in flight, and how the new
-// classes are merged with the running ones. It has no I/O and no clock.
+// Package reconfigure decides which new settings are applied at SIGHUP while requests are in flight, and merges the
+// new classes with the running ones. It does no I/O and reads no clock.
 //
-// A file is rejected as a whole when it is empty or lacks a key that the running settings have; one that was cut
-// short or holds an invalid value is rejected before, as it is parsed (package settings, logic.New).
+// A file is rejected as a whole if it is empty or lacks a key that the running settings have. A truncated file or an
+// invalid value is rejected earlier, by the parser (package settings, logic.New).
 package reconfigure
 
 import (
@@ -15,18 +15,17 @@
 	"sloehitch/logic"
 )
 
-// MaxClasses is the largest number of classes, those that were removed included: a removed class keeps its index
-// until a restart.
+// MaxClasses is the maximum number of classes. It includes removed ones, which keep their indices until a restart.
 const MaxClasses = settings.MaxClasses
 
-// maxListedKeys is how many missing keys an error lists.
+// maxListedKeys is the maximum number of missing keys that an error lists.
 const maxListedKeys = 5
 
-// errEmptyFile is returned for a file of white space.
+// errEmptyFile is returned for a file that is empty or contains only white space.
 var errEmptyFile = errors.New("the file is empty")
 
-// CheckFile returns an error where a file is empty or lacks a key that the running settings have. text is the
-// file; running and next are settings by path, as settings.Flatten returns them.
+// CheckFile returns an error if a file is empty or lacks a key that the running settings have. text is the content of
+// the file; running and next are settings by path, as settings.Flatten returns them.
 func CheckFile(text []byte, running, next map[string]string) error {
 	if len(strings.TrimSpace(string(text))) == 0 {
 		return errEmptyFile
@@ -46,13 +45,13 @@
 	Settings       logic.Settings // the running classes at their indices with their new values, then the added ones
 	ClassIndex     map[string]int // index of each class by name
 	Added          []string
-	Removed        []string // kept with their running values, for requests in flight and balancers that learn late
-	TenantsChanged bool     // the new tenants differ; the running ones stay until a restart
+	Removed        []string // kept with their running values, for requests in flight and for balancers that still use them
+	TenantsChanged bool     // the new tenants differ from the running ones, which stay until a restart
 }
 
-// Merge merges new settings with the running ones. Classes are matched by name: a class of both takes the new values
-// at its index, an added one comes after all others, and a removed one stays as it was, so that no request in flight
-// loses its class. It returns the error of logic.New where the result is invalid.
+// Merge merges new settings with the running ones. Classes are matched by name: a class in both gets the new values and
+// keeps its index, an added one is appended, and a removed one stays unchanged, so that requests in flight keep their
+// class. It returns the error of logic.New if the result is invalid.
 func Merge(running, next logic.Settings) (Plan, error) {
 	p := Plan{Settings: next, ClassIndex: map[string]int{}}
 	p.Settings.Classes = slices.Clone(running.Classes)
--- a/internal/platform/reconfigure/reconfigure_test.go
+++ b/internal/platform/reconfigure/reconfigure_test.go
@@ -25,7 +25,7 @@
 
 func TestCheckFile(t *testing.T) {
 	for _, c := range []struct{ name, next, err string }{
-		{"same", running, ""},
+		{"unchanged", running, ""},
 		{"a class added", strings.Replace(running, `"window": 1},`, `"window": 1}, {"name": "new", "objective": 1, "hard-limit": 2, "semantics": "retryable"},`, 1), ""},
 		{"a class removed", `{"rules": {"grace-to-answer": 1}, "domain": {"cores": 4, "memory-kb": 1},
 		  "classes": [{"name": "book", "objective": 1, "hard-limit": 2, "semantics": "dedup"}]}`, ""},
@@ -33,7 +33,7 @@
 		{"empty", "  \n", "the file is empty"},
 		{"a class lacks its client timeout", strings.Replace(running, `"hard-limit": 17000000, "semantics": "dedup"`, `"semantics": "dedup"`, 1), "classes.1.hard-limit"},
 		{"a new class lacks a key", strings.Replace(running, `"window": 1},`, `"window": 1}, {"name": "new", "hard-limit": 2, "semantics": "retryable"},`, 1), "classes.1.objective"},
-		{"a setting lacks", strings.Replace(running, `"grace-to-answer": 80000`, ``, 1), "rules.grace-to-answer"},
+		{"a rule is missing", strings.Replace(running, `"grace-to-answer": 80000`, ``, 1), "rules.grace-to-answer"},
 		{"no classes", `{"rules": {"grace-to-answer": 1}, "domain": {"cores": 4, "memory-kb": 1}}`, "keys missing: classes"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -72,10 +72,10 @@
 		t.Errorf("classes %v, added %v, removed %v", names, p.Added, p.Removed)
 	}
 	if p.Settings.Classes[1].ClientTimeout != 9000 || p.Settings.Classes[0].ClientTimeout != 5000 {
-		t.Errorf("b takes the new client timeout, a keeps its own: %+v", p.Settings.Classes)
+		t.Errorf("b must have the new client timeout and a its own: %+v", p.Settings.Classes)
 	}
 	if p.ClassIndex["d"] != 3 || p.ClassIndex["a"] != 0 || len(p.ClassIndex) != 4 {
-		t.Errorf("names %v", p.ClassIndex)
+		t.Errorf("class index %v", p.ClassIndex)
 	}
 	bad := settingsOf("b")
 	bad.Classes[0].ClientTimeout = 0
--- a/internal/platform/settings/errors.go
+++ b/internal/platform/settings/errors.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// maxListedErrors is how many errors FieldErrors.Error spells out.
+// maxListedErrors is the maximum number of errors that FieldErrors.Error lists.
 const maxListedErrors = 20
 
-// FieldError is one invalid value.
+// FieldError describes an invalid or missing value.
 type FieldError struct {
-	Path     string // where it stands, such as "classes[0].objective"
-	Value    string // as given; empty: it is missing
-	Expected string // the valid values with their meaning, and what to write instead
+	Path     string // such as "classes[0].objective"
+	Value    string // the value as given; empty if it is missing
+	Expected string // the valid values and their meaning
 }
 
-// Error names the path, the value and what is expected.
+// Error returns the path, the value and the expected values.
 func (e FieldError) Error() string {
 	if e.Value == "" {
 		return e.Path + " is missing: " + e.Expected
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s is %q: %s", e.Path, e.Value, e.Expected)
 }
 
-// FieldErrors is all that is wrong with settings.
+// FieldErrors lists all invalid and missing values of a settings object.
 type FieldErrors []FieldError
 
 // Error lists the first errors and counts the others.
@@ -40,7 +40,7 @@
 	return strings.Join(messages, "; ")
 }
 
-// WithPrefix returns the errors with their paths as they stand in a file that has the settings under a key.
+// WithPrefix returns the errors with key and a dot before each path, for a file that has the settings under that key.
 func (es FieldErrors) WithPrefix(key string) FieldErrors {
 	prefixed := slices.Clone(es)
 	for i := range prefixed {
--- a/internal/platform/settings/flatten.go
+++ b/internal/platform/settings/flatten.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Flatten turns a JSON object into values by path, as the simulator's wire has them: an item of a list of objects
-// stands under its index, and the list's length under "count"; a list of plain values is joined by commas.
+// Flatten converts a JSON object to values by path, in the form of the simulator's protocol: the path of an item in a list of
+// objects has its index, the list's length is stored under "count", and a list of plain values is joined by commas.
 func Flatten(object map[string]any) map[string]string {
 	values := map[string]string{}
 	flatten(values, "", object)
@@ -37,7 +37,7 @@
 		case map[string]any:
 			values[path+".count"] = strconv.Itoa(len(list))
 			flatten(values, join(path, strconv.Itoa(i)), item)
-		case nil: // a value that is absent keeps its place
+		case nil: // null stays in the list as an empty value
 		default:
 			items[i] = fmt.Sprint(item)
 		}
--- a/internal/platform/settings/parser.go
+++ b/internal/platform/settings/parser.go
@@ -10,16 +10,16 @@
 	"sloehitch/logic"
 )
 
-// maxErrorValue is how many bytes of an invalid value an error shows.
+// maxErrorValue is the maximum number of bytes of an invalid value in an error.
 const maxErrorValue = 64
 
-// parser reads values by path and collects what is wrong with them.
+// parser reads values by path and collects errors.
 type parser struct {
 	values map[string]string
 	errors FieldErrors
 }
 
-// text returns a value; empty where it is absent, which the platform may also write as "-".
+// text returns the value at a path; empty if it is absent, which the platform may also write as "-".
 func (p *parser) text(path string) string {
 	if text := p.values[path]; text != "-" {
 		return text
@@ -27,10 +27,10 @@
 	return ""
 }
 
-// addError reports the value at a path.
+// addError adds an error about the value at a path.
 func (p *parser) addError(path, expected string) { p.addErrorAt(path, p.text(path), expected) }
 
-// addErrorAt reports a value at a path.
+// addErrorAt adds an error about the given value at a path.
 func (p *parser) addErrorAt(path, value, expected string) {
 	if len(value) > maxErrorValue {
 		value = value[:maxErrorValue] + "…"
@@ -38,7 +38,7 @@
 	p.errors = append(p.errors, FieldError{Path: bracketIndices(path), Value: value, Expected: expected})
 }
 
-// bracketIndices returns a path as people write it: "classes[0].name" for "classes.0.name".
+// bracketIndices returns a path with its indices in brackets: "classes[0].name" for "classes.0.name".
 func bracketIndices(path string) string {
 	var b strings.Builder
 	for i, part := range strings.Split(path, ".") {
@@ -55,7 +55,7 @@
 	return b.String()
 }
 
-// number returns a number; the default of its range where it is absent or out of range.
+// number returns the number at a path, or the range's default if it is absent or out of range.
 func (p *parser) number(path string, r numberRange) float64 {
 	text := p.text(path)
 	if text == "" {
@@ -88,30 +88,29 @@
 		return true
 	case "", "-", "false", "0":
 	default:
-		p.addErrorAt(path, text, "true or false is wanted")
+		p.addErrorAt(path, text, "must be true or false")
 	}
 	return false
 }
 
-// oneOf returns the value of one of several names; the zero value where it is absent.
+// oneOf returns the value for the name at a path; the zero value if it is absent or unknown.
 func oneOf[V any](p *parser, path string, byName map[string]V) V {
 	name := p.text(path)
 	v, known := byName[name]
 	if !known && name != "" {
-		p.addError(path, "one of "+strings.Join(slices.Sorted(maps.Keys(byName)), ", ")+" is wanted")
+		p.addError(path, "must be one of ["+strings.Join(slices.Sorted(maps.Keys(byName)), ", ")+"]")
 	}
 	return v
 }
 
-// listLength returns the length of a list of objects: as given under "count", or else as many as follow one another
-// from 0 on.
+// listLength returns the length of a list of objects: the value under "count", or else the number of consecutive indices from 0.
 func (p *parser) listLength(path string, least, most float64) int {
 	if p.text(path+".count") != "" {
 		r := numberRange{min: least, max: most, integer: true, reason: "the length of the list"}
 		return min(int(p.number(path+".count", r)), len(p.values))
 	}
 	if p.text(path) != "" {
-		p.addError(path, "a list of objects is wanted")
+		p.addError(path, "must be a list of objects")
 		return 0
 	}
 	n := 0
@@ -119,13 +118,13 @@
 		n++
 	}
 	if float64(n) < least || float64(n) > most {
-		p.addError(path, fmt.Sprintf("a list of %s to %s objects is wanted", formatNumber(least), formatNumber(most)))
+		p.addError(path, fmt.Sprintf("must be a list of %s to %s objects", formatNumber(least), formatNumber(most)))
 		return 0
 	}
 	return n
 }
 
-// hasPrefix reports whether there are values under a path.
+// hasPrefix reports whether the path of any value starts with prefix.
 func (p *parser) hasPrefix(prefix string) bool {
 	for path := range p.values {
 		if strings.HasPrefix(path, prefix) {
@@ -135,19 +134,19 @@
 	return false
 }
 
-// addName adds the name of a list's item to the index.
+// addName adds the name of a list item to the index.
 func (p *parser) addName(path string, i int, index map[string]int) {
 	name := p.text(path)
 	if _, taken := index[name]; taken {
-		p.addError(path, "another has this name: each needs its own")
+		p.addError(path, "must be unique, but another item has the same name")
 	}
 	if name == "" {
-		p.addError(path, "a name is needed: requests carry it")
+		p.addError(path, "must be the name that requests carry")
 	}
 	index[name] = i
 }
 
-// listItem returns the i-th value of a list of plain values; empty where there is none.
+// listItem returns the i-th value of a list of plain values; empty if there is none.
 func (p *parser) listItem(path string, i int) string {
 	list := strings.Split(p.text(path), ",")
 	if i >= len(list) {
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings maps the settings object that the platform gives a server at its start to logic.Settings. It
-// reads values by path, such as "domain.cores", or nested JSON, and reports all invalid values together.
+// Package settings parses the settings object that the platform gives a server at its start into logic.Settings. It
+// accepts values by path, such as "domain.cores", or nested JSON, and reports all invalid values together.
 //
-// This file is the only one that knows the platform's keys and words.
+// Only this file knows the platform's keys and its names of enumerated values.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"sloehitch/logic"
 )
 
-// The platform's words for enumerated values.
+// The platform's names of enumerated values.
 var (
 	idempotencyByName = map[string]logic.Idempotency{"retryable": logic.Idempotent, "dedup": logic.IdempotentByKey,
 		"fragile": logic.NonIdempotent}
@@ -23,15 +23,15 @@
 	weightPerWorkByName    = map[string]bool{"request": false, "work": true}
 )
 
-// ParseIdempotency returns the idempotency that one of the platform's words for it stands for, and whether the word is known.
+// ParseIdempotency returns the idempotency that the platform calls word, and whether the word is known.
 func ParseIdempotency(word string) (logic.Idempotency, bool) {
 	idempotency, known := idempotencyByName[word]
 	return idempotency, known
 }
 
-// Largest lengths of the lists: every step looks at each entry.
+// Maximum lengths of the lists. They are bounded because every step of package logic reads all entries.
 const (
-	// MaxClasses is the largest number of classes.
+	// MaxClasses is the maximum number of classes.
 	MaxClasses = 256
 	maxTenants = 4096
 )
@@ -43,8 +43,8 @@
 	GaugeNames []string // names of the gauges, in the order in which the platform reports them
 }
 
-// Parse reads settings from values by path. Unknown keys are ignored; the range of each number says what an absent
-// one means. An error is of type FieldErrors and lists everything that is wrong.
+// Parse reads settings from values by path. Unknown keys are ignored, and an absent number gets the default of its
+// range. An error is of type FieldErrors and lists all invalid and missing values.
 func Parse(values map[string]string) (logic.Settings, *NameIndex, error) {
 	p := &parser{values: values}
 	s := logic.Settings{
@@ -93,7 +93,7 @@
 		return 0
 	}
 	if limit > 0 && window == 0 {
-		p.addError("domain.calls-over", "a share of calls needs the span over which it is averaged: write microseconds, such as 5000000")
+		p.addError("domain.calls-over", "a share of calls requires the span over which it is averaged: write microseconds, such as 5000000")
 	}
 	return limit
 }
@@ -121,10 +121,10 @@
 		CallsDependency:   p.parseBoolean("domain.class-calls", p.listItem("domain.class-calls", i)),
 	}
 	if p.text(at+"semantics") == "" {
-		p.addError(at+"semantics", "one of dedup, fragile or retryable is needed: whether a request may run again can't be guessed")
+		p.addError(at+"semantics", "must be dedup, fragile or retryable; there is no safe default for whether a request may run again")
 	}
 	if c.Idempotency == logic.IdempotentByKey && c.IdempotencyWindow == 0 {
-		p.addError(at+"window", "a dedup class needs the time within which a request may come again: write microseconds, such as 60000000")
+		p.addError(at+"window", "a dedup class requires the time within which a request may be repeated: write microseconds, such as 60000000")
 	}
 	if share := p.listItem("domain.degraded-worth", i); share != "" {
 		c.DegradedWeightShare = p.parseNumber("domain.degraded-worth", share, shareRange)
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// minimal is a settings object with the required keys and no others.
+// minimal is a settings object that has only the required keys.
 const minimal = `{"domain":{"cores":2,"memory-kb":20000},"classes":[{"name":"a","objective":1000000,"hard-limit":3000000,"semantics":"retryable"}]}`
 
 func TestAbsentSettingsHaveUsableDefaults(t *testing.T) {
@@ -60,7 +60,7 @@
 	of := func(more string) string { return strings.Replace(minimal, class, class+","+more, 1) }
 	for _, c := range []struct {
 		text  string
-		words []string // all in the error
+		words []string // that the error must contain
 	}{
 		{`{"classes":` + minimal[strings.Index(minimal, "[{"):], []string{"domain.cores is missing", "1 to 4096", "domain.memory-kb is missing"}},
 		{strings.Replace(minimal, `"cores":2`, `"cores":-1`, 1), []string{`domain.cores is "-1"`, "whole number from 1 to 4096"}},
@@ -127,11 +127,11 @@
 		t.Errorf("errors at %v, want %v", paths, want)
 	}
 	if f := fs.WithPrefix("settings"); !strings.HasPrefix(f[0].Path, "settings.") || strings.HasPrefix(fs[0].Path, "settings.") {
-		t.Errorf("under a key: %v", f)
+		t.Errorf("paths with a prefix: %v", f)
 	}
 	many := make(FieldErrors, 50)
 	if text := many.Error(); !strings.HasSuffix(text, "and 30 more") {
-		t.Errorf("fifty errors: %q", text)
+		t.Errorf("text of fifty errors: %q", text)
 	}
 }
 
--- a/internal/platform/sockerr/sockerr.go
+++ b/internal/platform/sockerr/sockerr.go
@@ -1,5 +1,5 @@
-// Package sockerr classifies errors of system calls on sockets: transient ones, after which the same
-// operation may be retried on the same socket, and all others, which end what the operation was for.
+// Package sockerr classifies errors of system calls on sockets as transient, so that the operation may be retried on the
+// same socket, or permanent.
 package sockerr
 
 import (
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// transientErrnos say nothing about the connection or the address: the system was short of a resource, or a
+// transientErrnos are errors that do not concern the connection or the address: the system was short of a resource, or a
 // signal interrupted the call.
 var transientErrnos = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
 
@@ -21,13 +21,13 @@
 	return false
 }
 
-// IsResourceShortage reports whether the system was short of descriptors or memory, which may last.
+// IsResourceShortage reports whether the system was short of descriptors or memory. Such a shortage may last.
 func IsResourceShortage(err error) bool {
 	return IsTransient(err) && !errors.Is(err, syscall.EINTR) && !errors.Is(err, syscall.EAGAIN)
 }
 
-// IsTransientListen reports whether listening on an address may succeed later. Beside transient errors,
-// another process may still hold the address, and the interface that has it may not be up yet.
+// IsTransientListen reports whether listening on an address may succeed later: after a transient error, when another
+// process releases the address, or when the interface with the address is up.
 func IsTransientListen(err error) bool {
 	return IsTransient(err) || errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
--- a/internal/platform/tlskeys/tlskeys.go
+++ b/internal/platform/tlskeys/tlskeys.go
@@ -1,5 +1,5 @@
-// Package tlskeys reloads TLS certificates without a restart. The files of one end are replaced together and atomically, or not at
-// all; open connections keep the keys that they began with.
+// Package tlskeys loads TLS certificates and reloads them without a restart. The files of one end are replaced together and
+// atomically, or not at all; open connections keep the keys that they were established with.
 package tlskeys
 
 import (
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// Files names the PEM files of one end. All are read together.
+// Files names the PEM files of one end of a connection. They are always read together.
 type Files struct {
 	Cert string // this end's certificate chain; empty: none
 	Key  string
-	CA   string // authorities of the other end's certificate; empty: those of the system for a client, none for a server
+	CA   string // authorities for the other end's certificate; empty: the system's for a client, none for a server
 }
 
-// ExpiryWarning is the time before a certificate expires in which the log warns of it, once every warningInterval.
+// ExpiryWarning is how long before the expiry of a certificate warnings are logged, one every warningInterval.
 const (
 	ExpiryWarning   = 14 * 24 * time.Hour
 	warningInterval = 24 * time.Hour
@@ -35,19 +35,19 @@
 
 	current atomic.Pointer[keySet]
 
-	mu            sync.Mutex // guards what follows, and reloading
+	mu            sync.Mutex // guards the fields below, and is held during a reload
 	lastFileState string     // fileState when the files were last read, valid or not
 	warnedAt      time.Time
 }
 
-// keySet is the content of the files.
+// keySet is the parsed content of the files.
 type keySet struct {
 	cert     *tls.Certificate // nil: none
-	peers    *x509.CertPool   // nil: none named
+	peers    *x509.CertPool   // authorities for the other end's certificate; nil if Files.CA is empty
 	notAfter time.Time
 }
 
-// Load reads the files. It returns an error if one is missing or not valid.
+// Load reads the files. It returns an error if one is missing or invalid.
 func Load(files Files, log *slog.Logger) (*Keys, error) {
 	k := &Keys{files: files, log: log, now: time.Now}
 	if (files.Cert == "") != (files.Key == "") {
@@ -83,7 +83,7 @@
 		}
 		p.peers = x509.NewCertPool()
 		if !p.peers.AppendCertsFromPEM(text) {
-			return nil, fmt.Errorf("tls: %s: no certificate in PEM form", k.files.CA)
+			return nil, fmt.Errorf("tls: %s contains no PEM certificate", k.files.CA)
 		}
 	}
 	return p, nil
@@ -96,7 +96,7 @@
 	return k.reload(k.fileState())
 }
 
-// reload is Reload; the caller holds mu.
+// reload implements Reload. The caller must hold mu.
 func (k *Keys) reload(state string) error {
 	k.lastFileState = state
 	p, err := k.read()
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// fileState returns the sizes and times of the files as a string that changes when one of them does.
+// fileState returns a string that changes when the size or modification time of one of the files does.
 func (k *Keys) fileState() (s string) {
 	for _, name := range []string{k.files.Cert, k.files.Key, k.files.CA} {
 		if name == "" {
@@ -126,18 +126,18 @@
 	return s
 }
 
-// Check reloads the files if they have changed since they were last read, and warns of a certificate that expires soon. It must be
-// called at intervals; it blocks on the disk.
+// Check reloads the files if they have changed since they were last read, and logs a warning if the certificate expires soon. It must be
+// called periodically. It blocks on disk reads.
 func (k *Keys) Check() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if state := k.fileState(); state != k.lastFileState {
-		_ = k.reload(state) // logged there
+		_ = k.reload(state) // reload logs its error
 	}
 	k.warnBeforeExpiry(k.current.Load())
 }
 
-// warnBeforeExpiry logs once a day that the current certificate expires soon.
+// warnBeforeExpiry logs once a day that the certificate expires soon.
 func (k *Keys) warnBeforeExpiry(p *keySet) {
 	now := k.now()
 	if p.notAfter.IsZero() || p.notAfter.Sub(now) > ExpiryWarning || now.Sub(k.warnedAt) < warningInterval {
@@ -147,16 +147,16 @@
 	k.log.Warn("a TLS certificate expires soon", "cert", k.files.Cert, "expires", p.notAfter, "left", p.notAfter.Sub(now).Round(time.Hour))
 }
 
-// Expires returns when the current certificate expires; zero without one.
+// Expires returns when the current certificate expires; the zero time if there is none.
 func (k *Keys) Expires() time.Time { return k.current.Load().notAfter }
 
-// ServerConfig returns a configuration for listening that always uses the current keys. Where authorities are named, clients must
-// present a certificate of one of them.
+// ServerConfig returns a configuration for listening that always uses the current keys. If Files.CA is set, clients must present a
+// certificate issued by one of its authorities.
 func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		p := k.current.Load()
 		c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*p.cert},
-			SessionTicketsDisabled: true} // a ticket would outlive the keys that it was issued under
+			SessionTicketsDisabled: true} // a ticket would outlive the keys under which it was issued
 		if p.peers != nil {
 			c.ClientCAs, c.ClientAuth = p.peers, tls.RequireAndVerifyClientCert
 		}
@@ -164,7 +164,7 @@
 	}}
 }
 
-// ClientConfig returns a configuration for one connection to a server of that name, with the current keys.
+// ClientConfig returns a configuration for one connection to the server called name, with the current keys.
 func (k *Keys) ClientConfig(name string) *tls.Config {
 	p := k.current.Load()
 	c := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: p.peers, ServerName: name}
@@ -174,5 +174,5 @@
 	return c
 }
 
-// HasCert says whether there is a certificate; ServerConfig needs one.
+// HasCert reports whether there is a certificate, which ServerConfig requires.
 func (k *Keys) HasCert() bool { return k.current.Load().cert != nil }
--- a/internal/platform/traces/traces.go
+++ b/internal/platform/traces/traces.go
@@ -1,5 +1,5 @@
-// Package traces writes uwsgi requests to a file as OpenTelemetry spans, one JSON object each. Spans are made when a request is done,
-// from the times that were recorded on its way, so that they cost nothing while they are off and little while they are on.
+// Package traces writes uwsgi requests to a file as OpenTelemetry spans, one JSON object each. Spans are created when a request is done,
+// from its recorded times, so that tracing costs nothing when it is off and little when it is on.
 package traces
 
 import (
@@ -30,8 +30,8 @@
 	sampleRate float64
 }
 
-// Open appends to the file at path. sampleRate is the fraction of requests that are traced, 0 to 1; requests that their client samples
-// are traced in any case.
+// Open opens the file at path to append spans to it. sampleRate is the fraction of requests that are traced, 0 to 1; requests that their
+// client samples are always traced.
 func Open(path, node string, sampleRate float64, l limits.Limits, log *slog.Logger) (*Traces, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -44,14 +44,14 @@
 	}
 	t := &Traces{file: f, sampleRate: sampleRate}
 	t.provider = sdktrace.NewTracerProvider(
-		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(l.QueuedSpans)), // what doesn't fit is dropped: a slow disk delays no request
+		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(l.QueuedSpans)), // spans above it are dropped, so that a slow disk delays no request
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "sloehitch"), attribute.String("service.instance.id", node))))
 	t.tracer = t.provider.Tracer("sloehitch/uwsgi")
 	log.Info("writing traces", "file", path, "sample_rate", sampleRate)
 	return t, nil
 }
 
-// Close writes queued spans and closes the file. It blocks at most until the context is done.
+// Close writes the queued spans and closes the file. It blocks at most until the context is done.
 func (t *Traces) Close(ctx context.Context) error {
 	err := t.provider.Shutdown(ctx)
 	if closeErr := t.file.Close(); err == nil {
@@ -60,7 +60,7 @@
 	return err
 }
 
-// carrier is a client's traceparent header (W3C Trace Context, section 3.2) as a propagation.TextMapCarrier.
+// carrier adapts a client's traceparent header (W3C Trace Context, section 3.2) to propagation.TextMapCarrier.
 type carrier string
 
 // Get implements propagation.TextMapCarrier.
@@ -77,14 +77,14 @@
 // Keys implements propagation.TextMapCarrier.
 func (carrier) Keys() []string { return []string{"traceparent"} }
 
-// sampled says whether a request is traced; it depends on the request's id only.
+// sampled reports whether a request is traced. It depends only on the request's ID.
 func (t *Traces) sampled(id string) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return float64(h.Sum32()) < t.sampleRate*(1<<32)
 }
 
-// RecordRequest writes a request that is done: a span for the whole request, one for the time that it was queued, and one for each
+// RecordRequest records the spans of a request that is done: one for the whole request, one for its time in the queue, and one for each
 // attempt on a server.
 func (t *Traces) RecordRequest(r uwsgi.RequestTimes) {
 	ctx := propagation.TraceContext{}.Extract(context.Background(), carrier(r.TraceParent))
@@ -108,10 +108,10 @@
 	}
 }
 
-// recordAttempt writes the span of a request's n-th attempt.
+// recordAttempt records the span of a request's n-th attempt.
 func (t *Traces) recordAttempt(ctx context.Context, n int, attempt uwsgi.AttemptTimes, answeredAt time.Time) {
 	endedAt := attempt.EndedAt
-	if endedAt.IsZero() { // the request was answered while the attempt was under way
+	if endedAt.IsZero() { // the request was answered while the attempt was in progress
 		endedAt = answeredAt
 	}
 	_, span := t.tracer.Start(ctx, fmt.Sprint("try ", n), trace.WithTimestamp(attempt.StartedAt), trace.WithSpanKind(trace.SpanKindClient),
--- a/internal/platform/traces/traces_test.go
+++ b/internal/platform/traces/traces_test.go
@@ -16,7 +16,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// span is the part of a written span that is looked at.
+// span holds the parts of a written span that the tests check.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -44,20 +44,20 @@
 	return spans
 }
 
-// TestRequest: a request with two attempts is traced within the client's own trace.
+// TestRequest checks that a request with two attempts is traced as part of the client's trace.
 func TestRequest(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(1764576000000 + int64(ms)) }
 	path := filepath.Join(t.TempDir(), "spans")
-	for range 2 { // the second one appends
+	for range 2 { // the second time the spans are appended
 		tr, err := Open(path, "n1", 0, limits.For(64, 256), standin.DiscardLogger)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := uwsgi.RequestTimes{ID: "1", ReadAt: at(0), AnsweredAt: at(90), Outcome: "failed", Run: uwsgi.RunTimes{StartedAt: at(20), DoneAt: at(80), Attempts: []uwsgi.AttemptTimes{
 			{Server: "a", StartedAt: at(20), EndedAt: at(30), Failure: "refused"}, {Server: "b", StartedAt: at(30), ConnectedAt: at(31), FirstByteAt: at(70), EndedAt: at(80)}}}}
-		tr.RecordRequest(r) // a share of none: not traced
+		tr.RecordRequest(r) // not traced: the sample rate is 0
 		r.TraceParent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-00"
-		tr.RecordRequest(r) // nor does the client trace it
+		tr.RecordRequest(r) // not traced: the client does not sample it
 		r.TraceParent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 		tr.RecordRequest(r)
 		if err := tr.Close(context.Background()); err != nil {
@@ -73,7 +73,7 @@
 		}
 		got = append(got, fmt.Sprint(s.Name, " ", s.StartTime.Sub(at(0)), " ", s.EndTime.Sub(at(0)), " ", s.Status.Description, events))
 		if s.SpanContext.TraceID != "0af7651916cd43dd8448eb211c80319c" || (s.Name == "request") != (s.Parent.SpanID == "b7ad6b7169203331") {
-			t.Errorf("%s is in trace %s below %s", s.Name, s.SpanContext.TraceID, s.Parent.SpanID)
+			t.Errorf("span %s is in trace %s with parent %s", s.Name, s.SpanContext.TraceID, s.Parent.SpanID)
 		}
 	}
 	const want = "held 0s 20ms []; try 1 20ms 30ms refused[]; try 2 30ms 80ms [connected first byte]; request 0s 90ms failed[]"
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestShare: about the share of requests is traced, the same ones each time.
+// TestShare checks that about the configured fraction of requests is traced, and always the same ones.
 func TestShare(t *testing.T) {
 	tr := &Traces{sampleRate: 0.25}
 	n := 0
@@ -93,18 +93,18 @@
 			n++
 		}
 		if again := tr.sampled(id); again != first {
-			t.Fatal("not the same twice")
+			t.Fatal("sampling of the same request differs between two calls")
 		}
 	}
 	if n < 2000 || n > 3000 {
-		t.Errorf("%d of 10,000", n)
+		t.Errorf("%d of 10,000 requests sampled, want about 2500", n)
 	}
 	if (&Traces{sampleRate: 0}).sampled("x") || !(&Traces{sampleRate: 1}).sampled("x") {
-		t.Error("none and all")
+		t.Error("rate 0 sampled a request, or rate 1 did not")
 	}
 }
 
-// BenchmarkRequest is what a traced request costs, apart from the writing.
+// BenchmarkRequest measures the cost of tracing a request, without writing to a disk.
 func BenchmarkRequest(b *testing.B) {
 	tr, err := Open(os.DevNull, "n1", 1, limits.For(64, 256), standin.DiscardLogger)
 	if err != nil {
