--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -8,14 +8,14 @@
 	"sloehitch/internal/platform/config"
 )
 
-// Config is what the daemon reads from its files.
+// Config is the daemon's configuration, read from its files.
 type Config struct {
 	Platform   *config.Platform
 	Deploy     *config.Deploy
 	Operations *apispec.Operations // nil without a uwsgi front
 }
 
-// Load reads the platform's file and the deployment file. Its error names the file and all that is wrong with it.
+// Load reads the platform's file and the deployment file. Its error names the file and lists all invalid values in it.
 func Load(platformFile, deployFile string) (*Config, error) {
 	p, err := config.Load(platformFile)
 	if err != nil {
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -15,7 +15,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// serveChanged is a node whose configuration a test changes before it starts.
+// serveChanged starts a node with a configuration that change has modified. The caller must call goOn to run it.
 func serveChanged(t *testing.T, rt *standin.Runtime, catalog string, change func(*config.Platform)) *served {
 	t.Helper()
 	p, err := config.Parse([]byte(standin.Config(standin.FreeAddress(t), rt.Address, catalog, ample)))
@@ -33,6 +33,7 @@
 	return &served{d, p.Listen, "", make(chan os.Signal, 1), make(chan error, 1)}
 }
 
+// goOn calls Run in the background, with the test's stop channel as its signals.
 func (s *served) goOn() *served {
 	go func() { s.stopped <- s.Run(ReceivedAt(s.stop)) }()
 	return s
@@ -42,12 +43,12 @@
 	t.Helper()
 	for end := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it did not come to it: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
 
-// over waits for the process to have left.
+// over waits until Run has returned.
 func (s *served) over(t *testing.T) {
 	t.Helper()
 	select {
@@ -56,12 +57,12 @@
 			t.Error(err)
 		}
 	case <-time.After(standin.WaitTimeout):
-		t.Fatal("not stopped")
+		t.Fatal("the node did not stop")
 	}
 }
 
-// TestHalfARequestAtTheNotice: half a line stands with the node as it is told to leave, and the rest comes after the grace, which is
-// nothing here. Whatever its stamp says it is answered, once, and not passed on; what was read before is served.
+// TestHalfARequestAtTheNotice checks a request of which only half has arrived at the shutdown signal and the rest arrives after the drain
+// grace, which is 0 here. It must be answered once and not run, whatever its time stamp, and a request read before must be served.
 func TestHalfARequestAtTheNotice(t *testing.T) {
 	hold, started := make(chan struct{}), make(chan struct{}, 1)
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
@@ -78,23 +79,24 @@
 	}
 	b.Send(late[len(late)/2:])
 	if got := b.Read(); len(got) < 2 || got[0] != "2" || got[1] != "NAK" {
-		t.Errorf("the half: %q", got)
+		t.Errorf("answer to the request completed after the grace: %q, want NAK", got)
 	}
 	close(hold)
 	if got := b.Read(); len(got) < 2 || got[0] != "1" || got[1] != "ACK" {
-		t.Errorf("the whole: %q", got)
+		t.Errorf("answer to the request read before the signal: %q, want ACK", got)
 	}
 	if rt.Runs("half") != 0 {
-		t.Error("ran what was read after the grace")
+		t.Error("the request completed after the grace was run")
 	}
-	if all, err := io.ReadAll(b.Conn); err != nil || len(all) > 0 { // it rests: the node ends it as it ends
-		t.Errorf("%q, %v", all, err)
+	if all, err := io.ReadAll(b.Conn); err != nil || len(all) > 0 { // the connection is idle: the node closes it at its end
+		t.Errorf("read %q, %v after the last answer", all, err)
 	}
 	b.Close()
 	s.over(t)
 }
 
-// TestTheNoticeCountsFromTheSignal, not from when it is looked at, and a second one changes nothing.
+// TestTheNoticeCountsFromTheSignal checks that ReceivedAt reports the time of the first signal, not that of reading the channel, and
+// ignores a second signal.
 func TestTheNoticeCountsFromTheSignal(t *testing.T) {
 	signals := make(chan os.Signal, 1)
 	notice := ReceivedAt(signals)
@@ -106,39 +108,40 @@
 	after := time.Now()
 	signals <- syscall.SIGTERM
 	if at := <-notice; at.Before(before) || at.After(after) {
-		t.Errorf("noticed at %v, sent between %v and %v", at, before, after)
+		t.Errorf("received at %v, but sent between %v and %v", at, before, after)
 	}
 	if len(notice) > 0 {
-		t.Error("noticed twice")
+		t.Error("a second time was sent for the second signal")
 	}
 }
 
-// TestSignalsBesideOneAnother: told to leave before it serves, as it reads a new configuration, and twice. What is in hand is served.
+// TestSignalsBesideOneAnother sends SIGTERM before the node serves, during a reload and twice, and SIGHUP during the shutdown. The
+// request in flight must be served.
 func TestSignalsBesideOneAnother(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play func(s *served, hup chan os.Signal, gate chan struct{}, reading chan struct{})
 	}{
-		{"before it serves", func(s *served, _ chan os.Signal, gate, _ chan struct{}) {
+		{"SIGTERM before Run", func(s *served, _ chan os.Signal, gate, _ chan struct{}) {
 			close(gate)
 			s.stop <- syscall.SIGTERM
 			s.goOn()
 		}},
-		{"twice", func(s *served, _ chan os.Signal, gate, _ chan struct{}) {
+		{"SIGTERM twice", func(s *served, _ chan os.Signal, gate, _ chan struct{}) {
 			close(gate)
 			s.goOn()
 			s.stop <- syscall.SIGTERM
 			s.until(t, "leaving", s.service.draining.Load)
 			s.stop <- syscall.SIGTERM
 		}},
-		{"as it reads a new configuration", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
+		{"SIGTERM during a reload", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
 			s.goOn()
 			hup <- syscall.SIGHUP
 			<-reading
 			s.stop <- syscall.SIGTERM
 			close(gate)
 		}},
-		{"and to read one as it leaves", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
+		{"SIGHUP during the shutdown", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
 			s.goOn()
 			s.stop <- syscall.SIGTERM
 			s.until(t, "leaving", s.service.draining.Load)
@@ -156,7 +159,7 @@
 			s.load = func() (*Config, error) {
 				reading <- struct{}{}
 				<-gate
-				return nil, errors.New("nothing of use")
+				return nil, errors.New("invalid configuration")
 			}
 			b := standin.Dial(t, s.address)
 			b.Do(1, "book", standin.RequestID(1), time.Now(), "a", ",opkey=k1")
@@ -168,7 +171,7 @@
 			for got = b.Read(); len(got) > 1 && got[0] == "0"; got = b.Read() {
 			}
 			if len(got) < 2 || got[0] != "1" || got[1] != "ACK" {
-				t.Errorf("answer %q", got)
+				t.Errorf("answer %q, want ACK", got)
 			}
 			b.Close()
 			s.over(t)
@@ -176,7 +179,8 @@
 	}
 }
 
-// TestUndoBesideTheEndOfItsRun: whichever comes first, there is one answer at most, nothing runs twice, and a repeat has the result.
+// TestUndoBesideTheEndOfItsRun sends an UNDO before, during and after the end of the request's run. In any order there must be at most
+// one answer and one run, and a repeated request must get the result.
 func TestUndoBesideTheEndOfItsRun(t *testing.T) {
 	hold := make(chan chan struct{}, 1)
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-<-hold; return "OK", "of " + string(j.Body) })
@@ -190,13 +194,13 @@
 		tag++
 		undone := fmt.Sprint(tag)
 		b.Do(tag, "book", standin.RequestID(tag), time.Now(), body, key)
-		s.until(t, "it runs", func() bool { return rt.Runs(body) == 1 })
+		s.until(t, "the request runs", func() bool { return rt.Runs(body) == 1 })
 		undo := standin.Array("UNDO", undone)
 		switch i % 3 {
-		case 0: // before it
+		case 0: // before the end of the run
 			b.Send(undo)
 			close(end)
-		case 1: // beside it
+		case 1: // at the same time
 			go close(end)
 			b.Send(undo)
 		default: // after it
@@ -209,24 +213,25 @@
 		for {
 			got := b.Read()
 			if len(got) < 4 || got[1] != "ACK" || got[3] != "of "+body {
-				t.Fatalf("play %d: %q", i, got)
+				t.Fatalf("iteration %d: answer %q, want ACK with the result", i, got)
 			}
 			if got[0] == fmt.Sprint(tag) {
 				break
 			}
 			if answers++; got[0] != undone || answers > 1 {
-				t.Fatalf("play %d: %q after %d answers", i, got, answers)
+				t.Fatalf("iteration %d: answer %q is unexpected after %d answers", i, got, answers)
 			}
 		}
 		if n := rt.Runs(body); n != 1 {
-			t.Fatalf("play %d: ran %d times", i, n)
+			t.Fatalf("iteration %d: ran %d times, want once", i, n)
 		}
 	}
 	tag++
 	only(t, b, fmt.Sprint(tag))
 }
 
-// TestUndoBesideTheStart: both come in one read. What of it runs is up to the module; a repeat is served, and it runs once.
+// TestUndoBesideTheStart sends a request, its UNDO and a repeat of the request in one write. Whether the UNDO takes effect is up to
+// package node, but the repeat must be served and the key must run once.
 func TestUndoBesideTheStart(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", "of " + string(j.Body) })
 	s := serveChanged(t, rt, "", nil).goOn()
@@ -240,13 +245,13 @@
 			got = b.Read()
 		}
 		if len(got) < 4 || got[0] != fmt.Sprint(2*i+2) || got[1] != "ACK" || got[3] != "of "+body || rt.Runs(body) != 1 {
-			t.Fatalf("play %d: %q after %d runs", i, got, rt.Runs(body))
+			t.Fatalf("iteration %d: answer %q after %d runs, want ACK after one run", i, got, rt.Runs(body))
 		}
 	}
 	only(t, b, "1000")
 }
 
-// TestARequestInPieces: each byte by itself, and in the forms that the protocol allows. A body holds any bytes.
+// TestARequestInPieces sends requests byte by byte, with arbitrary bytes in their bodies and in all forms that the protocol allows.
 func TestARequestInPieces(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", string(j.Body) })
 	s := serveChanged(t, rt, "", nil).goOn()
@@ -256,7 +261,7 @@
 	}
 	for i, body := range []string{"plain", "", "\r\n*3\r\n$2\r\nDO\r\n", "\x00\xff,=\n", strings.Repeat("b", 2048)} {
 		text := standin.Array("DO", fmt.Sprint(i+1), "slot-search", fields(i+1), body)
-		if body == "" { // absent
+		if body == "" { // leave the body out
 			text = standin.Array("DO", fmt.Sprint(i+1), "slot-search", fields(i+1))
 		}
 		for k := range text {
@@ -264,13 +269,13 @@
 		}
 		got := b.Read()
 		if len(got) < 2 || got[0] != fmt.Sprint(i+1) || got[1] != "ACK" || len(got) == 4 && got[3] != body || len(got) < 4 && body != "" {
-			t.Errorf("%.20q: %.60q", body, got)
+			t.Errorf("body %.20q: answer %.60q", body, got)
 		}
 	}
 	b.Send(standin.Array("PING", "90") + standin.Array("PING", "91", "") + standin.Array("UNDO", "90") + standin.Array("UNDO", "1", "") + standin.Array("PING", "92"))
 	for _, tag := range []string{"90", "91", "92"} {
 		if got := b.Read(); len(got) < 2 || got[0] != tag || got[1] != "GREEN" {
-			t.Errorf("check %s: %q", tag, got)
+			t.Errorf("health check %s: %q, want GREEN", tag, got)
 		}
 	}
 }
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/crowd_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// TestCrowd sends requests on 20 connections at once and checks that each is answered once and that the concurrency limit holds.
 func TestCrowd(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { time.Sleep(time.Millisecond); return "OK", "r" })
 	s := serveNode(t, ample, rt)
@@ -24,7 +25,7 @@
 			for range each {
 				got := b.Read()
 				if len(got) < 2 || seen[got[0]] {
-					t.Errorf("answer %q, seen before %v", got, len(got) > 0)
+					t.Errorf("answer %q is malformed or repeated (anything received: %v)", got, len(got) > 0)
 					return
 				}
 				seen[got[0]] = true
@@ -34,16 +35,17 @@
 	}
 	wg.Wait()
 	if most := rt.MaxConcurrent(); most > 10 {
-		t.Errorf("%d runs at once on 2 cores that survive 10", most)
+		t.Errorf("%d concurrent runs on 2 cores that sustain at most 10", most)
 	}
 	if got := s.resp.OpenConnections(); got > conns {
 		t.Errorf("%d connections open", got)
 	}
 }
 
-// TestMixedSurge sends both protocols at 120% of what the stand-ins can do.
+// TestMixedSurge sends requests by both protocols at 120% of the capacity of the stand-ins. Each must be answered, neither protocol may
+// be starved, and no key may run twice.
 func TestMixedSurge(t *testing.T) {
-	const work, asked = 10 * time.Millisecond, 240 // two cores do 200 a second; 240 come in a second
+	const work, asked = 10 * time.Millisecond, 240 // two cores serve 200 requests per second; 240 arrive within a second
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { time.Sleep(work); return "OK", string(j.Body) })
 	server := standin.NewServer(t, func(body string) string {
 		time.Sleep(work)
@@ -82,7 +84,7 @@
 	total := words["ACK"] + words["NAK"] + words["FAIL"] + words["HTTP/1.1 200 OK"] +
 		words["HTTP/1.1 503 Service Unavailable"] + words["HTTP/1.1 502 Bad Gateway"] + words["HTTP/1.1 504 Gateway Timeout"]
 	if total != asked {
-		t.Errorf("%d of %d answered: %v", total, asked, words)
+		t.Errorf("%d of %d requests answered: %v", total, asked, words)
 	}
 	if words["ACK"] == 0 || words["HTTP/1.1 200 OK"] == 0 {
 		t.Errorf("a protocol was starved: %v", words)
@@ -95,7 +97,7 @@
 	}
 }
 
-// surgeKey asks for each booking twice by one protocol, and for every eighth by both: still it may run only once.
+// surgeKey returns the key of the i-th request. Each key is sent twice by one protocol, and every eighth key by both; it may run only once.
 func surgeKey(i int) string {
 	if i/4%8 == 0 {
 		return fmt.Sprintf("both%d", i/4)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,11 +1,11 @@
-// Package daemon runs one node: it opens the parts, serves until it is told to stop, reloads its configuration and shuts down.
+// Package daemon runs one node: it starts the components, serves until shutdown, reloads the configuration and shuts down gracefully.
 //
-// Start opens the parts in an order that lets each find what it needs: the decisions (admission), the journals of keyed runs, the core (node), the
-// fronts, the replicated store with this node's part in the fleet, and the addresses for metrics and operators. Run is the one goroutine that
-// reloads, sweeps and shuts down. Every other goroutine reports a failure that ends the process by Daemon.failed.
+// Start opens the components in order of their dependencies: admission, the journals of keyed runs, the core (package node), the
+// fronts, the replicated store with this node's part in the fleet, and the addresses for metrics and operators. A single goroutine, the
+// one that calls Run, reloads, sweeps and shuts down. All other goroutines report fatal failures to Daemon.failed.
 //
-// A file for each concern: config.go (files), start.go (the order of the start), service.go (whether callers are taken), upstreams.go (uwsgi
-// servers), journal.go, store.go, fleet.go, drain.go, metrics.go, operators.go, snapshot.go (what a process leaves for the next one),
+// There is one file per concern: config.go (files), start.go (start order), service.go (whether the node accepts callers), upstreams.go
+// (uwsgi servers), journal.go, store.go, fleet.go, drain.go, metrics.go, operators.go, snapshot.go (state for the next process),
 // quota.go, listeners.go, reload.go and shutdown.go.
 package daemon
 
@@ -37,22 +37,22 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// Options are what a daemon is started with, beside its configuration.
+// Options are the parameters of Start in addition to the configuration.
 type Options struct {
-	Version string // of the program, as the node reports it
+	Version string // the program's version, as the node reports it
 	Limits  limits.Limits
 	Log     *slog.Logger
-	Reload  <-chan os.Signal        // asks for the configuration to be read again
-	Load    func() (*Config, error) // reads it
+	Reload  <-chan os.Signal        // triggers a reload of the configuration
+	Load    func() (*Config, error) // reads the configuration for a reload
 }
 
-// Daemon is a running node. Start makes one, and Run serves until it ends.
+// Daemon is a running node. Start returns one, and Run serves until it ends.
 type Daemon struct {
 	name       string
 	version    string
 	limits     limits.Limits
 	log        *slog.Logger
-	faultHooks *faulthooks.Hooks // nil but in a test rig
+	faultHooks *faulthooks.Hooks // nil except in a test rig
 
 	platform *config.Platform              // owned by the goroutine of Start, then of Run
 	deploy   atomic.Pointer[config.Deploy] // as last read
@@ -64,36 +64,36 @@
 	admission *admission.Controller
 	node      *node.Node
 	runtime   *runtime.Link     // nil without a runtime
-	catalogue *catalogue.Client // nil where the configuration names none
+	catalogue *catalogue.Client // nil without a catalogue
 	directory *directory.Reporter
 	resp      *resp.Front
-	uwsgi     *uwsgi.Front // nil where it is off
+	uwsgi     *uwsgi.Front // nil if the uwsgi front is off
 	upstreams upstreams
 	listeners listeners
-	tlsKeys   []*tlskeys.Keys // of the uwsgi side
+	tlsKeys   []*tlskeys.Keys // of the uwsgi front and servers
 
 	journals journals
-	quota    handover.Quota // of the node's resources; owned by the goroutine of Run
+	quota    handover.Quota // this process's quota of the node's resources; owned by the goroutine of Run
 
 	store      *store.Store
-	fleet      *fleet.Participant // nil where this node takes no part in one
-	leaveFleet func()             // ends that part; nil with it
-	latency    *latency.Window    // of served requests; nil without a fleet
+	fleet      *fleet.Participant // nil without a fleet
+	leaveFleet func()             // stops fleet; nil without a fleet
+	latency    *latency.Window    // latencies of served requests; nil without a fleet
 
-	metrics atomic.Pointer[metrics.Metrics] // nil where they are off
-	traces  *traces.Traces                  // nil where they are off
+	metrics atomic.Pointer[metrics.Metrics] // nil if metrics are off
+	traces  *traces.Traces                  // nil if traces are off
 
-	failed   chan error // a part that cannot go on
-	replaced chan int   // the process is to end with this code: another takes its place
+	failed   chan error // fatal errors of components
+	replaced chan int   // exit code with which the process must end because another replaces it
 }
 
-// reloadCounts count the configuration files that were read while serving.
+// reloadCounts counts the configuration files that were read at reloads.
 type reloadCounts struct {
 	applied, rejected atomic.Int64
 }
 
-// Run serves until the shutdown that began at the time sent on shutdown has been carried out, or a part fails. It closes what Start opened. An
-// ExitCode as its error means that the process is to be replaced by another.
+// Run serves until a shutdown is complete or a component fails. shutdown receives the time at which the shutdown was requested. Run closes what Start
+// opened. If its error is an ExitCode, another process replaces this one.
 func (d *Daemon) Run(shutdown <-chan time.Time) error {
 	sweep := time.NewTicker(d.limits.SweepInterval)
 	defer sweep.Stop()
@@ -128,7 +128,7 @@
 	}
 }
 
-// stop carries out a shutdown that was asked for at the given time, and closes the parts.
+// stop carries out a shutdown that was requested at receivedAt, and closes the components.
 func (d *Daemon) stop(receivedAt time.Time) error {
 	if d.leaveFleet != nil {
 		d.leaveFleet()
@@ -137,7 +137,7 @@
 	return errors.Join(d.store.Close(), d.closeJournals(), d.closeTraces())
 }
 
-// sweep drops what has expired in every part.
+// sweep removes expired entries from all components and saves the snapshot.
 func (d *Daemon) sweep() {
 	d.node.Sweep()
 	d.resp.CloseIdle()
@@ -145,7 +145,7 @@
 	d.saveSnapshot(false)
 }
 
-// reloadChangedKeys reads TLS keys again whose files have changed.
+// reloadChangedKeys reloads TLS keys whose files have changed.
 func (d *Daemon) reloadChangedKeys() {
 	for _, k := range d.tlsKeys {
 		k.Check()
@@ -175,7 +175,7 @@
 	return d.resp.OpenConnections() + d.uwsgi.OpenConnections()
 }
 
-// closeTraces writes the spans that are left.
+// closeTraces writes the remaining spans and closes the file.
 func (d *Daemon) closeTraces() error {
 	if d.traces == nil {
 		return nil
--- a/internal/daemon/deployments_test.go
+++ b/internal/daemon/deployments_test.go
@@ -12,16 +12,16 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// deployments are settings objects that differ in all that one site could be mistaken for the only one: which fields
-// there are, in which form, at which extreme. Each has the classes that are asked for, safe and keyed.
+// deployments are settings objects with different sets of fields, in different forms and at their extremes, so that the daemon does not
+// rely on the settings of one site. Each lists the classes that the test sends requests of, without and with idempotency keys.
 var deployments = []struct {
 	name, settings string
 	limits         string
 	safe, keyed    []string
 }{
-	{"only what is needed", `{"domain":{"cores":1,"memory-kb":2000},"classes":[{"name":"a","objective":20000000,"hard-limit":30000000,"semantics":"retryable"}]}`,
+	{"required fields only", `{"domain":{"cores":1,"memory-kb":2000},"classes":[{"name":"a","objective":20000000,"hard-limit":30000000,"semantics":"retryable"}]}`,
 		"", []string{"a"}, nil},
-	{"worth by request, no hints, told waits, one dependency for all", `{"ceilings":{"retry-after":true,"max-retry-after":1000000},"counted-by":"request",
+	{"weight per request, no hints, Retry-After, one shared dependency", `{"ceilings":{"retry-after":true,"max-retry-after":1000000},"counted-by":"request",
  "classes":[{"name":"render","objective":25000000,"hard-limit":83000000,"credit":1,"semantics":"retryable","late-worth":0},
   {"name":"status","objective":10000000,"hard-limit":31000000,"credit":1,"semantics":"retryable"},
   {"name":"create","objective":21000000,"hard-limit":83000000,"credit":3,"semantics":"dedup","window":24879000}],
@@ -30,20 +30,20 @@
  "rules":{"grace-to-answer":100000,"stop-sending-within":2500000,"overload-factor":8,"fall":1500000,"cold":16000000,"start-capacity":0.29},
  "projects":[{"name":"p","quota-per-s":85}],"over-share-worth":0.05,"servers":13,"tick":2000}`,
 		"", []string{"render", "status"}, []string{"create"}},
-	{"everything at its least", `{"tick":100,"servers":0,"counted-by":"request","over-share-worth":0,"ceilings":{"retry-after":false,"max-retry-after":0},
+	{"all numbers at their minimum", `{"tick":100,"servers":0,"counted-by":"request","over-share-worth":0,"ceilings":{"retry-after":false,"max-retry-after":0},
  "domain":{"cores":1,"memory-kb":1000,"run-factor":0,"kb-per-key":0,"signal":"weight","stop-mode":"off","idle":0,"linger":0,"calls-out":0,"calls-over":0,"downstream":"off","meters":[]},
  "rules":{"grace-to-answer":0,"stop-sending-within":0,"overload-factor":1,"fall":0,"cold":0,"start-capacity":0},
  "classes":[{"name":"a","objective":20000000,"hard-limit":20000000,"credit":0,"late-worth":0,"aim-stretch":0,"semantics":"retryable","window":0},
   {"name":"k","objective":20000000,"hard-limit":20000000,"credit":0,"semantics":"dedup","window":1}],"projects":[]}`,
 		"", []string{"a"}, []string{"k"}},
-	{"everything at its most", `{"tick":1000000,"servers":1000000,"counted-by":"work","over-share-worth":1,"ceilings":{"retry-after":true,"max-retry-after":86400000000},
+	{"all numbers at their maximum", `{"tick":1000000,"servers":1000000,"counted-by":"work","over-share-worth":1,"ceilings":{"retry-after":true,"max-retry-after":86400000000},
  "domain":{"cores":4096,"memory-kb":1e10,"run-factor":1000,"kb-per-key":1e7,"signal":"allowance","stop-mode":"freeze","idle":86400000000,"linger":86400000000,
   "calls-out":1e6,"calls-over":86400000000,"downstream":"one_for_all","just-started":true,"degraded-worth":[1,1],"class-calls":[1,1]},
  "rules":{"grace-to-answer":86400000000,"stop-sending-within":86400000000,"overload-factor":1000,"fall":86400000000,"cold":86400000000,"start-capacity":1},
  "classes":[{"name":"a","objective":86400000000,"hard-limit":86400000000,"credit":1e9,"late-worth":1,"aim-stretch":1e4,"semantics":"retryable"},
   {"name":"k","objective":86400000000,"hard-limit":86400000000,"credit":1e9,"semantics":"dedup","window":604800000000}],"projects":[{"name":"p","quota-per-s":1e9}]}`,
 		"", []string{"a"}, []string{"k"}},
-	{"as paths, without counts, with a fragile class", `{"domain.cores":2,"domain.memory-kb":20000,"domain.run-factor":"-","classes.0.name":"a","classes.0.objective":2e7,
+	{"values by path, without counts, with a fragile class", `{"domain.cores":2,"domain.memory-kb":20000,"domain.run-factor":"-","classes.0.name":"a","classes.0.objective":2e7,
  "classes.0.hard-limit":"30000000","classes.0.semantics":"fragile","classes.1.name":"k","classes.1.objective":2e7,"classes.1.hard-limit":3e7,"classes.1.semantics":"dedup","classes.1.window":1e6}`,
 		"", []string{"a"}, []string{"k"}},
 	{"a small machine", `{"domain":{"cores":2,"memory-kb":20000,"signal":"floor","meters":["on_cores"]},"classes":[{"name":"a","objective":20000000,"hard-limit":30000000,"semantics":"retryable"}]}`,
@@ -87,8 +87,8 @@
 				}
 			}
 			for _, class := range dep.safe {
-				ask(class, "")                                                                    // what a balancer may leave out is left out
-				ask(class, ",via=4,timeout=15000,ms=12.50,level=0.6250,subject=7f3a9c21e0b4d655") // and all that it may send
+				ask(class, "")                                                                    // without optional fields
+				ask(class, ",via=4,timeout=15000,ms=12.50,level=0.6250,subject=7f3a9c21e0b4d655") // with all optional fields
 			}
 			for _, class := range dep.keyed {
 				ask(class, ",opkey=5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
@@ -97,7 +97,7 @@
 	}
 }
 
-// A caller that tells how long it waits is answered then, though its class gives far longer.
+// TestOneAnswerByTheToldTime checks that a request with a timeout of its own is answered by then, though its class has a far longer one.
 func TestOneAnswerByTheToldTime(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { <-hold; return "OK", "late" })
@@ -106,10 +106,10 @@
 	began := time.Now()
 	b.Do(1, "book", standin.RequestID(1), began, "a", ",opkey=k1,timeout=400")
 	if got := b.Read(); len(got) < 2 || got[0] != "1" || got[1] != "FAIL" {
-		t.Fatalf("answer %q, want FAIL by the told time", got)
+		t.Fatalf("answer %q, want FAIL at the request's timeout", got)
 	}
 	if took := time.Since(began); took < 300*time.Millisecond || took > ample/2 {
-		t.Errorf("answered after %v, told to wait 0.4 s", took)
+		t.Errorf("answered after %v, with a timeout of 0.4 s", took)
 	}
 	only(t, b, "2")
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -13,16 +13,16 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// replaceExitCode is the exit code of a process that is to be replaced by another (EX_TEMPFAIL of sysexits.h: try again).
+// replaceExitCode is the default exit code of a process that another one replaces (EX_TEMPFAIL of sysexits.h: try again).
 const replaceExitCode = 75
 
-// maxReplaceAttempts is how often the command that replaces the process is run before the drain counts as failed.
+// maxReplaceAttempts is how often the replace command is run before the drain counts as failed.
 const maxReplaceAttempts = 2
 
-// drainOptions are how this node goes out of service by a drain permit; nil for a node that is in no group.
+// drainOptions returns the options for draining this node by permits; nil for a node that is in no group.
 func (d *Daemon) drainOptions(c config.Fleet, spans config.Durations) (*fleet.DrainOptions, error) {
 	if c.Zone == "" && c.Kind == "" && c.ReleaseFile == "" {
-		return nil, nil // a node in no group takes no part in it
+		return nil, nil // a node in no group is not drained by permits
 	}
 	release, err := d.deployedRelease(c)
 	if err != nil {
@@ -48,13 +48,13 @@
 	return o, nil
 }
 
-// setOutByPermit takes the node out of service by a drain permit, or back into it.
+// setOutByPermit takes the node out of service, or back into service, by a drain permit.
 func (d *Daemon) setOutByPermit(out bool) {
 	d.service.outByPermit.Store(out)
 	d.advertise()
 }
 
-// replaceProcess runs the command that installs another release, and has this process end. Without a command, what starts the process again installs it.
+// replaceProcess runs the command that installs the release to, and makes this process exit. Without a command, the process's supervisor must install it.
 func (d *Daemon) replaceProcess(ctx context.Context, c config.Fleet, to string) error {
 	if len(c.Replace) > 0 {
 		ctx, cancel := context.WithTimeout(ctx, limits.ReplaceTimeout)
@@ -73,11 +73,11 @@
 	case d.replaced <- code:
 		return nil
 	default:
-		return errors.New("the process is ending already")
+		return errors.New("the process is already shutting down")
 	}
 }
 
-// deployedRelease is the release that runs on this node: the first line of the release file, else the program's version.
+// deployedRelease returns the release on this node: the first line of the release file, or the program's version if no file is configured.
 func (d *Daemon) deployedRelease(c config.Fleet) (string, error) {
 	if c.ReleaseFile == "" {
 		return d.version, nil
@@ -89,7 +89,7 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	release := strings.TrimSpace(line)
 	if release == "" {
-		return "", fmt.Errorf("fleet: release_file: %s: its first line is empty; write what is deployed on this node", c.ReleaseFile)
+		return "", fmt.Errorf("fleet: release_file: %s: the first line is empty; it must name the release on this node", c.ReleaseFile)
 	}
 	return release, nil
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -18,14 +18,14 @@
 	"sloehitch/internal/store"
 )
 
-// defaultBackupsKept is how many backups of the store are kept where the deployment file does not say.
+// defaultBackupsKept is how many backups of the store are kept by default.
 const defaultBackupsKept = 24
 
-// fleetLedgerBytes is the memory for the keys of the ledger that remembers fencing tokens and the applied state.
+// fleetLedgerBytes is the memory for the keys of the ledger that stores fencing tokens and the applied state.
 const fleetLedgerBytes = 1 << 20
 
-// startFleet has this node take part in the fleet where the deployment file says so. It never delays the node: its end is requested at shutdown, and
-// nothing waits for it.
+// startFleet starts this node's part in the fleet if the deployment file configures one. It never delays a shutdown: it is told to stop, but nothing
+// waits until it has.
 func (d *Daemon) startFleet(c *Config) error {
 	settings := c.Deploy.Fleet
 	if len(settings.Members) == 0 {
@@ -46,12 +46,12 @@
 	d.leaveFleet, d.fleet = cancel, participant
 	go func() {
 		participant.Serve(ctx)
-		_ = closeLedger(options.Ledger) // each write was flushed before it was acknowledged
+		_ = closeLedger(options.Ledger) // no write is lost: each was flushed before it was acknowledged
 	}()
 	return nil
 }
 
-// fleetOptions are the options of this node's part in the fleet, but for its ledger.
+// fleetOptions returns the options of this node's part in the fleet, except its ledger.
 func (d *Daemon) fleetOptions(settings config.Fleet) (fleet.Options, error) {
 	durations, err := settings.Durations()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return o, err
 }
 
-// openFleetLedger opens the ledger in dir; nil without a dir.
+// openFleetLedger opens the ledger in dir. It returns nil if dir is empty.
 func (d *Daemon) openFleetLedger(dir string) (*ledger.Store, error) {
 	if dir == "" {
 		return nil, nil
@@ -109,7 +109,7 @@
 	return l.Close()
 }
 
-// fleetReport is what the node reports of itself. Its keys are part of the stored document.
+// fleetReport returns this node's report to the fleet. Its keys are part of the stored document.
 func (d *Daemon) fleetReport() map[string]any {
 	running, held := d.node.InFlight()
 	told := map[string]any{"state": d.service.reported(), "well": d.admission.Healthy(), "running": running, "held": held}
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// TestHandOver: two processes take clients from one inherited listener and share $TMPDIR, as while one replaces the
-// other: the old one holds its connections and stops taking new ones, which go to the new one. Tries of one key
-// reach both, and the key runs once; every try hears that run's result, whichever process it came to.
+// TestHandOver runs two processes that accept from one inherited listener and share $TMPDIR, as when one replaces the
+// other: the old one keeps its connections and accepts no more, so that new ones go to the new process. Requests with
+// the same key reach both. The key must run once, and each request must get its result, whichever process received it.
 func TestHandOver(t *testing.T) {
 	ln := standin.Listen(t)
 	f, err := ln.(*net.TCPListener).File()
@@ -26,7 +26,7 @@
 	defer f.Close()
 	ln.Close() // the platform's copy stays open in f
 	t.Setenv("TMPDIR", t.TempDir())
-	// Each process has an address of the runtime of its own; here they are two stand-ins, one for each.
+	// Each process has its own runtime address, here one stand-in each.
 	work := func(*standin.Job) (string, string) { return "OK", "r" }
 	runtimes := []*standin.Runtime{standin.NewRuntime(t, work), standin.NewRuntime(t, work)}
 	var conns []*standin.Balancer
@@ -38,7 +38,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		inherited, err := syscall.Dup(int(f.Fd())) // each process has a descriptor of its own, and closes it
+		inherited, err := syscall.Dup(int(f.Fd())) // each process has its own descriptor, which it closes
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,13 +58,13 @@
 			conns = append(conns, b)
 		}
 		if d.resp.OpenConnections() != 3 {
-			t.Fatalf("the process holds %d connections, not its 3", d.resp.OpenConnections())
+			t.Fatalf("the process has %d open connections, want 3", d.resp.OpenConnections())
 		}
-		d.listeners.closeAll() // it takes no more: the next process does
+		d.listeners.closeAll() // it accepts no more, so the next connections go to the next process
 	}
 	conns[0].Do(2, "book", standin.RequestID(2), time.Now(), "a", ",opkey=k1") // the old process runs it
 	if got := conns[0].Read(); len(got) < 2 || got[1] != "ACK" {
-		t.Fatalf("the first try: %q", got)
+		t.Fatalf("answer to the first request: %q, want ACK", got)
 	}
 	for i, b := range conns[1:] {
 		b.Do(i+3, "book", standin.RequestID(i+3), time.Now(), "a", ",opkey=k1")
@@ -79,13 +79,13 @@
 			served++
 		}
 		if got[1] == "NAK" {
-			t.Errorf("a try of a key that may have run was refused: %q", got)
+			t.Errorf("a request with a key that may have run was rejected: %q", got)
 		}
 	}
 	if n := runtimes[0].Runs("a") + runtimes[1].Runs("a"); n != 1 || served != len(conns) {
-		t.Errorf("ran %d times, %d of %d tries served; want one run, heard by all", n, served, len(conns))
+		t.Errorf("ran %d times, %d of %d requests served; want one run and all served", n, served, len(conns))
 	}
-	// The next process would take what this one has learned, and sees who holds what.
+	// The next process would use the snapshot of this one and sees the keys of each process.
 	daemons[0].saveSnapshot(false)
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(standin.Config("127.0.0.1:1", runtimes[0].Address, "", ample)), 0o600); err != nil {
@@ -95,29 +95,29 @@
 	if err := PrintHandover(&shown, file, os.TempDir()); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"would be taken\n", "run time 1.0 ms of 1 runs", "lives: 1 segments", "1 keys, 0 of them run"} {
+	for _, want := range []string{"would be used\n", "run time 1.0 ms of 1 runs", "lives: 1 segments", "1 keys, 0 of them run"} {
 		if !strings.Contains(shown.String(), want) {
-			t.Errorf("handover show lacks %q:\n%s", want, &shown)
+			t.Errorf("output of handover show lacks %q:\n%s", want, &shown)
 		}
 	}
 	if l := daemons[1].loadSnapshot(time.Now()); l == nil || l.Classes["book"].RunTime.Samples != 1 {
-		t.Errorf("a process that starts now learns %+v", l)
+		t.Errorf("a process that starts now loads %+v", l)
 	}
-	// Told to leave while the other lives, it asks its callers to close at once, and is well to the last: the node goes on.
+	// At SIGTERM while the other process lives, it asks its callers to close at once and stays healthy, because the node continues to serve.
 	stops[0] <- syscall.SIGTERM
 	for _, b := range conns[:3] {
 		if got := b.Read(); len(got) < 2 || got[0] != "0" || got[1] != "FIN" {
-			t.Errorf("a caller of the process that leaves hears %q first", got)
+			t.Errorf("first message to a caller of the process that shuts down: %q, want FIN", got)
 		}
 	}
 	conns[0].Send(standin.Array("PING", "99"))
 	if got := conns[0].Read(); len(got) < 2 || got[1] != "GREEN" {
-		t.Errorf("health while replaced: %q", got)
+		t.Errorf("health check during the replacement: %q, want GREEN", got)
 	}
 	for _, b := range conns {
 		b.Close()
 	}
 	if err := <-stopped; err != nil {
-		t.Errorf("it left with %v", err)
+		t.Errorf("Run returned %v", err)
 	}
 }
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -14,7 +14,7 @@
  "/slots":{"get":{"responses":{"200":{"description":"ok"}},"x-sloehitch":{"class":"slot-search","semantics":"retryable"}}},
  "/book":{"post":{"responses":{"200":{"description":"ok"}},"x-sloehitch":{"class":"book","semantics":"dedup","key":"header:Idempotency-Key"}}}}}`
 
-// served is a whole node on real sockets, for one test.
+// served is a complete node on real sockets for one test.
 type served struct {
 	*Daemon
 	address, uwsgi string
@@ -22,7 +22,7 @@
 	stopped        chan error
 }
 
-// ample is a deadline that no test reaches by chance.
+// ample is a deadline that is long enough for any test.
 const ample = 60 * time.Second
 
 func serveNode(t testing.TB, deadline time.Duration, rt *standin.Runtime, servers ...string) *served {
@@ -35,7 +35,7 @@
 	return serveDeployed(t, lim, deadline, rt, func(*config.Deploy) {}, servers...)
 }
 
-// serveDeployed is a node with more in its deployment file.
+// serveDeployed starts and runs a node whose deployment settings more has modified.
 func serveDeployed(t testing.TB, lim limits.Limits, deadline time.Duration, rt *standin.Runtime, more func(*config.Deploy), servers ...string) *served {
 	t.Helper()
 	own, ownUwsgi := standin.FreeAddress(t), standin.FreeAddress(t)
@@ -63,11 +63,11 @@
 	return s
 }
 
-// only fails if anything but the answer to one more check is still to come on a connection.
+// only fails the test if the next message on the connection is not the answer to a health check that it sends.
 func only(t *testing.T, b *standin.Balancer, tag string) {
 	t.Helper()
 	b.Send(standin.Array("PING", tag, ""))
 	if got := b.Read(); len(got) < 2 || got[0] != tag || got[1] != "GREEN" {
-		t.Errorf("after the last answer came %q", got)
+		t.Errorf("message %q after the last answer", got)
 	}
 }
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -17,17 +17,17 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// journals are where keyed runs are recorded, so that another process of this node, or this node after a restart, does not run them again.
+// journals record keyed runs, so that neither another process of this node nor this node after a restart runs them again.
 type journals struct {
-	keys      *keystore.Store              // shared with the node's other processes; nil but where clients come from an inherited listener
-	ledger    atomic.Pointer[ledger.Store] // nil where it is off, or the process that this one replaces still has it
-	released  chan *ledger.Store           // the ledger, once that process has released it
-	runs      *runlog.Log                  // on the ledger, nil with it; owned by the goroutine of Run once that runs
-	composite *compositejournal.Journal    // nil but where there are both
-	earlier   *ledger.Store                // what is on record as this process starts, until restoreRuns has read it
+	keys      *keystore.Store              // shared with the node's other processes; nil unless the clients' listener is inherited
+	ledger    atomic.Pointer[ledger.Store] // nil if it is off, or while the replaced process holds it
+	released  chan *ledger.Store           // receives the ledger once the replaced process has released it
+	runs      *runlog.Log                  // on the ledger; nil with it. Owned by the goroutine of Run once that runs
+	composite *compositejournal.Journal    // nil unless both keys and a ledger are configured
+	earlier   *ledger.Store                // the ledger as found at start, until restoreRuns has read it
 }
 
-// openJournals opens the journals that the configuration names and returns them as the core's: the ledger, the keys shared with the next process (where
+// openJournals opens the configured journals and returns them as the core's journal: the ledger, the keys shared with the next process (if
 // the platform holds the clients' listener), both, or nil.
 func (d *Daemon) openJournals(system clock.System) (node.Journal, error) {
 	if listenerInherited() {
@@ -53,7 +53,7 @@
 	return d.journals.runs, nil
 }
 
-// openKeystore opens the keys that the processes of this node share.
+// openKeystore opens the idempotency keys that the processes of this node share.
 func (d *Daemon) openKeystore(system clock.System) (err error) {
 	dir := KeystoreDir(os.TempDir(), d.name)
 	d.journals.keys, err = keystore.Open(keystore.Options{Dir: dir, RetentionMargin: node.KeyRetentionMargin(d.limits), Now: system.Now,
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// openLedger opens the ledger, for restoreRuns to read. While the process that this one replaces still holds it, it is opened for reading only, and for
-// writing as soon as that process releases it.
+// openLedger opens the ledger for restoreRuns to read. While the replaced process still holds it, it is opened read-only, and for writing as soon as
+// that process has released it.
 func (d *Daemon) openLedger() error {
 	c := d.deploy.Load().Ledger
 	every, err := c.FlushInterval()
@@ -86,7 +86,7 @@
 	case d.journals.composite == nil || !errors.Is(err, disk.ErrLocked):
 		return fmt.Errorf("ledger: %w", err)
 	}
-	d.log.Info("the replaced process still holds the ledger; starts become durable once it releases it", "folder", c.Dir)
+	d.log.Info("the replaced process still holds the ledger; starts of runs become durable once it is released", "folder", c.Dir)
 	read := o
 	read.ReadOnly = true
 	if d.journals.earlier, err = ledger.Open(dir, read); err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// awaitLedger opens the ledger once the process that holds it has released it. It blocks until then.
+// awaitLedger blocks until the process that holds the ledger has released it, then opens it and sends it to released.
 func (d *Daemon) awaitLedger(dir disk.FS, o ledger.Options) {
 	for ; ; time.Sleep(d.limits.MinBackoff) {
 		s, err := ledger.Open(dir, o)
@@ -112,7 +112,7 @@
 	}
 }
 
-// attachLedger has keyed runs recorded on the ledger from now on.
+// attachLedger starts recording keyed runs on the ledger.
 func (d *Daemon) attachLedger(s *ledger.Store) {
 	d.journals.runs = runlog.New(s, node.KeyRetentionMargin(d.limits), d.limits.LogInterval, d.log)
 	d.journals.ledger.Store(s)
@@ -126,7 +126,7 @@
 		"torn_bytes", r.TornBytes, "took", r.Duration, "backlog", backlog)
 }
 
-// restoreRuns gives the core what ran before a restart, one run after another: their results together may exceed the memory.
+// restoreRuns passes the runs from before a restart to the core, one at a time because all their results together may exceed the memory.
 func (d *Daemon) restoreRuns() error {
 	if d.journals.earlier == nil {
 		return nil
@@ -140,13 +140,13 @@
 		err = fmt.Errorf("ledger: %w", errors.Join(err, d.closeJournals()))
 	}
 	if d.journals.earlier != d.journals.ledger.Load() {
-		err = errors.Join(err, d.journals.earlier.Close()) // it was only to be read
+		err = errors.Join(err, d.journals.earlier.Close()) // it was opened read-only
 	}
 	d.journals.earlier = nil
 	return err
 }
 
-// sweepJournals retries writes that failed, and drops what has expired.
+// sweepJournals retries failed writes and removes expired keys.
 func (d *Daemon) sweepJournals() {
 	if d.journals.runs != nil {
 		d.journals.runs.RetryFailed()
@@ -159,7 +159,7 @@
 	}
 }
 
-// ledgerStats are the ledger's figures: none while another process holds it.
+// ledgerStats returns the ledger's statistics; zero while another process holds it.
 func (d *Daemon) ledgerStats() ledger.Stats {
 	if s := d.journals.ledger.Load(); s != nil {
 		return s.Stats()
--- a/internal/daemon/journal_test.go
+++ b/internal/daemon/journal_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// TestReloadLeavesTheLedger: a new configuration with another [ledger] changes nothing about it, and the log says so.
+// TestReloadLeavesTheLedger checks that a reload does not apply changes of section [ledger], and logs that.
 func TestReloadLeavesTheLedger(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	s := serveNode(t, ample, rt)
 	var log bytes.Buffer
-	s.stop <- os.Interrupt // the loop that reads signals ends, so that this test alone reloads
+	s.stop <- os.Interrupt // ends Run, so that only this test reloads
 	<-s.stopped
 	s.log = slog.New(slog.NewTextHandler(&log, nil))
 	other := &Config{Platform: s.platform, Deploy: &config.Deploy{Ledger: config.Ledger{Dir: filepath.Join(t.TempDir(), "new")}}}
@@ -29,11 +29,11 @@
 		t.Errorf("ledger %v; log: %s", s.journals.ledger.Load(), log.String())
 	}
 	if _, err := os.Stat(other.Deploy.Ledger.Dir); err == nil {
-		t.Error("the new folder was made")
+		t.Error("the folder of the new configuration was created")
 	}
 }
 
-// BenchmarkBooking is the time of one booking after the other through the daemon, on real sockets, without and with a ledger.
+// BenchmarkBooking measures sequential bookings through the daemon on real sockets, without and with a ledger.
 func BenchmarkBooking(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("ledger=%v", on), func(b *testing.B) {
@@ -64,7 +64,7 @@
 				n++
 				c.Do(n, "book", standin.RequestID(n), time.Now(), "a", fmt.Sprint(",opkey=k", n))
 				if got := c.Read(); len(got) < 2 || got[1] != "ACK" && got[1] != "NAK" {
-					b.Fatalf("%q", got)
+					b.Fatalf("answer %q", got)
 				}
 			}
 			c.Close()
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -14,7 +14,7 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// listeners are the listeners of the daemon until its shutdown.
+// listeners are the daemon's listeners, which shutdown closes.
 type listeners struct {
 	mu     sync.Mutex
 	all    []net.Listener
@@ -49,8 +49,8 @@
 	return l.closed
 }
 
-// clientListener returns the listener for balancers: the one that the platform passes as the descriptor in $GW_ACCEPT_FD, so that an old and a new
-// process accept from the same queue while one replaces the other; without it, a socket of its own on address.
+// clientListener returns the listener for balancers. If $GW_ACCEPT_FD is set, it is the descriptor that the platform passes, so that an old and a new
+// process accept from the same queue while one replaces the other. Otherwise it is a new socket on address.
 func (d *Daemon) clientListener(address string) (net.Listener, error) {
 	text := os.Getenv("GW_ACCEPT_FD")
 	if text == "" {
@@ -58,10 +58,10 @@
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < 3 {
-		return nil, fmt.Errorf("GW_ACCEPT_FD: %q is not a descriptor above 2", text)
+		return nil, fmt.Errorf("GW_ACCEPT_FD: %q is not a file descriptor above 2", text)
 	}
 	f := os.NewFile(uintptr(fd), "clients")
-	ln, err := net.FileListener(f) // a copy of the descriptor: closing it leaves the platform's own open
+	ln, err := net.FileListener(f) // duplicates the descriptor, so that closing the listener leaves the platform's open
 	f.Close()
 	if err != nil {
 		return nil, fmt.Errorf("GW_ACCEPT_FD %d: %w", fd, err)
@@ -70,12 +70,12 @@
 	return ln, nil
 }
 
-// listenOn listens on an address as listenWithRetry does.
+// listenOn listens on a TCP address with listenWithRetry.
 func (d *Daemon) listenOn(address string) (net.Listener, error) {
 	return listenWithRetry(d.limits, func() (net.Listener, error) { return net.Listen("tcp", address) })
 }
 
-// listenWithRetry retries for limits.CommitTimeout while the error may pass: a process that ended at once would be taken for one that cannot start.
+// listenWithRetry retries transient errors for limits.CommitTimeout, because the platform would take a process that exits at once for one that cannot start.
 func listenWithRetry(l limits.Limits, listen func() (net.Listener, error)) (net.Listener, error) {
 	for end := time.Now().Add(l.CommitTimeout); ; time.Sleep(l.MinBackoff) {
 		ln, err := listen()
@@ -85,8 +85,8 @@
 	}
 }
 
-// serveOn listens and serves in the background. Where this process replaces another one, that one may still use the address: it is retried in the
-// background until it is free, and clients do not wait for it.
+// serveOn listens and serves in the background. If this process replaces another one that still uses the address, it retries in the background until
+// the address is free, so that clients do not have to wait.
 func (d *Daemon) serveOn(what string, listen func() (net.Listener, error), serve func(net.Listener) error) error {
 	ln, err := listen()
 	if errors.Is(err, syscall.EADDRINUSE) && listenerInherited() {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// served serves until the listener is closed, which is not a failure.
+// served serves until the listener is closed, and reports any other failure.
 func (d *Daemon) served(ln net.Listener, serve func(net.Listener) error) {
 	if err := serve(ln); err != nil {
 		d.failed <- err
--- a/internal/daemon/listeners_test.go
+++ b/internal/daemon/listeners_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestAnAddressThatIsNotFreeYet is waited for; one that can never be had errs at once.
+// TestAnAddressThatIsNotFreeYet checks that listening is retried after transient errors until the timeout, and fails at once after others.
 func TestAnAddressThatIsNotFreeYet(t *testing.T) {
 	lim := limits.For(64, 256)
 	tries := 0
@@ -25,10 +25,10 @@
 	defer ln.Close()
 	tries = 0
 	if _, err := listenWithRetry(lim, func() (net.Listener, error) { tries++; return nil, syscall.EACCES }); err == nil || tries != 1 {
-		t.Errorf("%v after %d tries, want an error at once", err, tries)
+		t.Errorf("%v after %d attempts, want an error at the first", err, tries)
 	}
 	lim.CommitTimeout = 0
 	if _, err := listenWithRetry(lim, func() (net.Listener, error) { return nil, syscall.EADDRINUSE }); err == nil {
-		t.Error("waited for ever")
+		t.Error("no error after the timeout")
 	}
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -7,7 +7,7 @@
 	"sloehitch/internal/platform/metrics"
 )
 
-// startMetrics serves the metrics where the deployment file names an address for them.
+// startMetrics serves the metrics if the deployment file configures an address for them.
 func (d *Daemon) startMetrics() error {
 	address := d.deploy.Load().Metrics.Listen
 	if address == "" {
@@ -19,7 +19,7 @@
 		func(ln net.Listener) error { return m.Serve(ln, d.limits, d.log) })
 }
 
-// metricSources are the parts whose figures are read at each scrape.
+// metricSources returns the sources whose values are read at each scrape.
 func (d *Daemon) metricSources() metrics.Sources {
 	from := metrics.Sources{Core: d.node.Totals, Resp: d.resp.OpenConnections, Classes: d.node.CountsByClass,
 		Config: func() (int, int) { return int(d.counts.applied.Load()), int(d.counts.rejected.Load()) }}
@@ -36,7 +36,7 @@
 	return from
 }
 
-// observeRun hands a uwsgi run's times to the metrics, where they are on.
+// observeRun records the times of a uwsgi run in the metrics, if they are on.
 func (d *Daemon) observeRun(r uwsgi.RunTimes) {
 	if m := d.metrics.Load(); m != nil {
 		m.ObserveRun(r)
--- a/internal/daemon/mixed_test.go
+++ b/internal/daemon/mixed_test.go
@@ -12,15 +12,15 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// mixed is one play of both protocols against cores that they share.
+// mixed is the result of one run of both protocols on cores that they share.
 type mixed struct {
-	offered, kept [2]float64 // worth, by front: RESP, uwsgi
+	offered, kept [2]float64 // weight of the requests sent, and of those served within the objective; by front: RESP, uwsgi
 	unanswered    int
-	twice         int
+	twice         int // keys that ran more than once
 }
 
-// playMixed sends requests for some seconds at a share of what two cores do, half by each front; a third are bookings, worth three times
-// as much, and a tenth of those come a second time by the other front.
+// playMixed sends requests for 4 s at a share of the capacity of two cores, half by each front. A third are bookings, with three times
+// the weight, and a tenth of those are repeated by the other front.
 func playMixed(b *testing.B, share float64, seed uint64) (m mixed) {
 	const work, cores, span, deadline = 10 * time.Millisecond, 2, 4 * time.Second, 2 * time.Second
 	aim := deadline * 2 / 3
@@ -40,7 +40,7 @@
 		do(body)
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	})
-	s := serveWithin(b, limits.For(1024, 8192), deadline, rt, server.Address) // places enough: the cores are what is short
+	s := serveWithin(b, limits.For(1024, 8192), deadline, rt, server.Address) // only the cores are scarce, not connections or memory
 	defer func() { s.stop <- nil; <-s.stopped }()
 	rng := rand.New(rand.NewPCG(seed, 9))
 	type asked struct {
@@ -146,7 +146,7 @@
 		key := fmt.Sprint("k", n)
 		one(front, "book", key, key, 3)
 		if rng.IntN(10) == 0 {
-			one(1-front, "book", key, key, 0) // a repeat earns nothing
+			one(1-front, "book", key, key, 0) // a repeat has no weight
 		}
 	}
 	for i := range balancers {
@@ -167,8 +167,8 @@
 	return m
 }
 
-// BenchmarkMixed plays five seeds at 93% and at 120% of what the cores do, and tells what each front kept of its worth: the mean, and
-// the worst seed. docs/operators/uwsgi.md has the figures.
+// BenchmarkMixed runs five seeds at 93% and at 120% of the cores' capacity, and reports the share of the offered weight that each front
+// served within the objective: the mean, and that of the worst seed. docs/operators/uwsgi.md has the figures.
 func BenchmarkMixed(b *testing.B) {
 	for _, share := range []float64{0.93, 1.2} {
 		b.Run(fmt.Sprintf("load=%.2f", share), func(b *testing.B) {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/operatorapi"
 )
 
-// startOperatorCalls answers the operators' calls where the configuration names an address for them.
+// startOperatorCalls serves operators' calls if the configuration has an address for them.
 func (d *Daemon) startOperatorCalls() error {
 	if d.platform.OperatorAddress == "" {
 		return nil
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// operatorCalls carries out the operators' calls.
+// operatorCalls implements the operators' calls.
 type operatorCalls struct{ d *Daemon }
 
 func (o operatorCalls) Ready() bool { return o.d.service.ready.Load() && !o.d.service.draining.Load() }
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// TestOperatorsState: what operators set takes a node out of service and gives uwsgi work to other servers.
+// TestOperatorsState checks that the operators' state takes a node out of service and changes its uwsgi servers.
 func TestOperatorsState(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	first := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nfirst" })
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestOpsCalls: on the operators' address the figures match what was served, evacuate turns health checks bad while
-// requests are still served, and activate turns them good again.
+// TestOpsCalls checks the calls on the operators' address: telemetry matches the requests served, evacuate makes health checks fail
+// while requests are still served, and activate makes them succeed again.
 func TestOpsCalls(t *testing.T) {
 	operators := standin.FreeAddress(t)
 	t.Setenv("GW_OPS", operators)
@@ -101,14 +101,13 @@
 	}
 	health("8", "GREEN")
 	if got := call("drain now"); !strings.HasPrefix(got[0], "NAK") {
-		t.Errorf("a bad call: %q", got)
+		t.Errorf("answer to an unknown call: %q, want NAK", got)
 	}
 	health("10", "GREEN")
 }
 
-// TestOpsInACrowd: with memory and descriptors halved and the front full of connections that never finish a
-// request, more than it has seats for, the operators' calls are answered, and a true request on a new connection
-// is still served.
+// TestOpsInACrowd opens more connections than the front has slots for, half of them with an incomplete request, on a node with half
+// the memory and descriptors. Operators' calls must be answered, and a request on a new connection must be served.
 func TestOpsInACrowd(t *testing.T) {
 	operators := standin.FreeAddress(t)
 	t.Setenv("GW_OPS", operators)
@@ -134,13 +133,13 @@
 	}()
 	for _, call := range []string{"readyz", "telemetry", "evacuate", "activate"} {
 		if answer, err := operatorapi.Ask(operators, call, ample); err != nil || !strings.HasPrefix(answer, "ACK") {
-			t.Errorf("%s in a crowd: %q, %v", call, answer, err)
+			t.Errorf("%s with all slots taken: %q, %v", call, answer, err)
 		}
 	}
 	b := standin.Dial(t, s.address)
 	defer b.Close()
 	b.Do(1, "slot-search", standin.RequestID(1), time.Now(), "a", "")
 	if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
-		t.Errorf("a true request in a crowd: %q", got)
+		t.Errorf("answer to a request with all slots taken: %q, want ACK", got)
 	}
 }
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -5,7 +5,7 @@
 	"sloehitch/internal/handover"
 )
 
-// updateQuota takes this process's quota of the node's resources while other processes of the node live, as handover.ComputeQuota computes it.
+// updateQuota applies this process's quota of the node's resources, which handover.ComputeQuota computes from the loads of all live processes of the node.
 func (d *Daemon) updateQuota() {
 	if d.journals.keys == nil {
 		return
@@ -15,7 +15,7 @@
 	own.Connections = d.resp.OpenConnections()
 	var others []handover.Load
 	for _, note := range d.journals.keys.ExchangeNotes(own.Encode()) {
-		load, _ := handover.ParseLoad(note) // without a note nothing is in flight
+		load, _ := handover.ParseLoad(note) // a process without a valid note has no load
 		others = append(others, load)
 	}
 	is, was := handover.ComputeQuota(own, others, d.limits.MaxConnections), d.quota
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/store"
 )
 
-// reload reads the configuration again and applies it: each link moves to its new address by itself. What takes a restart is logged; a file that is not
-// valid changes nothing.
+// reload reads the configuration again and applies it. Links switch to new addresses on their own. Changes that require a restart are logged, and an
+// invalid file changes nothing.
 func (d *Daemon) reload() {
 	l, err := d.load()
 	if err == nil {
@@ -27,7 +27,7 @@
 	p := l.Platform
 	d.warnWhatNeedsRestart(l)
 	for _, k := range d.tlsKeys {
-		_ = k.Reload() // it logs its error and keeps the old keys
+		_ = k.Reload() // on an error it logs it and keeps the current keys
 	}
 	if d.runtime != nil && p.Runtime != "" {
 		d.runtime.SetAddress(p.Runtime)
@@ -44,23 +44,23 @@
 	d.log.Info("configuration applied", "runtime", p.Runtime, "catalogue", p.Catalogue, "directory", p.Directory)
 }
 
-// warnWhatNeedsRestart logs what of a new configuration takes a restart.
+// warnWhatNeedsRestart logs the changes in a new configuration that are not applied until a restart.
 func (d *Daemon) warnWhatNeedsRestart(l *Config) {
 	p, old := l.Platform, d.platform
 	if p.Name != old.Name || p.Listen != old.Listen || p.OperatorAddress != old.OperatorAddress || p.Limits != old.Limits ||
 		l.Deploy.Uwsgi.Listen != d.deploy.Load().Uwsgi.Listen || (p.Runtime == "") != (old.Runtime == "") || (p.Catalogue == "") != (old.Catalogue == "") {
-		d.log.Warn("name, addresses to listen on, limits and which links there are take a restart")
+		d.log.Warn("changes of the name, listen addresses, limits or set of links are not applied until a restart")
 	}
 	if was, is := d.deploy.Load().Uwsgi, l.Deploy.Uwsgi; was.TLS != is.TLS || was.ServersTLS != is.ServersTLS {
-		d.log.Warn("which files hold the TLS keys takes a restart; what is in them is read again")
+		d.log.Warn("changes of TLS file names are not applied until a restart; the current files are reloaded")
 	}
 	if l.Deploy.Ledger != d.deploy.Load().Ledger {
-		d.log.Warn("section [ledger] unchanged: it takes a restart")
+		d.log.Warn("changes in section [ledger] are not applied until a restart")
 	}
 }
 
-// reconfigure has the core, its decisions and the fronts take the settings of p where they differ from the running ones, and writes into p what they come to
-// (package reconfigure). It errs, and changes nothing, where the whole file is rejected.
+// reconfigure applies the settings of p to the core, admission and the fronts if they differ from the running ones, and stores the merged settings in p
+// (package reconfigure). It returns an error and changes nothing if the file is rejected.
 func (d *Daemon) reconfigure(p *config.Platform) error {
 	old := d.platform
 	if bytes.Equal(p.RawSettings, old.RawSettings) {
@@ -75,14 +75,14 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(plan.Settings.Classes) > reconfigure.MaxClasses {
-		return fmt.Errorf("settings: %d classes with those kept for requests in hand, %d at most until a restart", len(plan.Settings.Classes), reconfigure.MaxClasses)
+		return fmt.Errorf("settings: %d classes, including removed ones kept until a restart for requests in flight, exceed the maximum of %d", len(plan.Settings.Classes), reconfigure.MaxClasses)
 	}
 	if err := d.node.Reconfigure(plan.Settings); err != nil {
 		return err
 	}
 	d.resp.SetClasses(plan.ClassIndex)
 	if plan.TenantsChanged {
-		d.log.Warn("tenants unchanged: they take a restart")
+		d.log.Warn("changes of tenants are not applied until a restart")
 	}
 	names := *old.Names
 	names.Classes = plan.ClassIndex
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// flatten is the settings object by path; nil where it is no object, which reading the file has ruled out.
+// flatten returns the settings object by path; nil if raw is not an object, which the parser of the file has already rejected.
 func flatten(raw json.RawMessage) map[string]string {
 	var object map[string]any
 	if json.Unmarshal(raw, &object) != nil {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestReloadOfServers: the list of uwsgi servers follows the file too, unless operators have set another.
+// TestReloadOfServers checks that a reload applies the file's list of uwsgi servers unless operators have set another.
 func TestReloadOfServers(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	var servers []string
@@ -28,14 +28,14 @@
 		}
 		s.reload()
 		if got := ask(t, s.uwsgi, "", get("/slots")...); !strings.HasSuffix(got, c.want) {
-			t.Errorf("file %s, set %q: %q", c.file, c.set, got)
+			t.Errorf("servers in the file %s, set by operators %q: response %q", c.file, c.set, got)
 		}
 	}
 }
 
-// TestRetune: at SIGHUP classes are added and dropped while a request of a dropped class is in hand; it keeps its
-// class and runs. A file that lacks a key or has a deadline below 0 is turned down whole, counted, and the settings
-// in force stay. A class that the settings do not name costs its request, never the connection.
+// TestRetune checks that a reload adds and removes classes while requests are in flight and requests of a removed class are still
+// served. A file that is truncated, lacks a key or has a timeout below 0 must be rejected as a whole and counted, and the running
+// settings must stay. A request of an unknown class must be rejected without closing its connection.
 func TestRetune(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) {
@@ -48,10 +48,10 @@
 	<-rt.Syncs
 	b := standin.Dial(t, s.address)
 	defer b.Close()
-	for i := range 6 { // more than a connection may carry of bad messages
+	for i := range 6 { // more than the number of bad messages allowed on a connection
 		b.Do(i+1, "fresh", standin.RequestID(i+1), time.Now(), "x", "")
 		if got := b.Read(); len(got) < 2 || got[1] == "ACK" {
-			t.Fatalf("a class not in the settings: %q", got)
+			t.Fatalf("answer to a request of an unknown class: %q", got)
 		}
 	}
 	b.Do(10, "book", standin.RequestID(10), time.Now(), "held", ",opkey=k1")
@@ -79,16 +79,16 @@
 		s.reload()
 	}
 	b.Do(11, "fresh", standin.RequestID(11), time.Now(), "y", "")
-	b.Do(12, "slot-search", standin.RequestID(12), time.Now(), "z", "") // dropped: still taken from balancers that learn late
+	b.Do(12, "slot-search", standin.RequestID(12), time.Now(), "z", "") // a removed class is still accepted from balancers that learn of the change late
 	close(hold)
 	for range 3 {
 		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
-			t.Errorf("after the retuning: %q", got)
+			t.Errorf("answer after the reloads: %q, want ACK", got)
 		}
 	}
 	f := operatorCalls{s.Daemon}.Report()
 	if f.ConfigApplied != 1 || f.ConfigRejected != 3 {
-		t.Errorf("files taken %d, turned down %d; want 1 and 3", f.ConfigApplied, f.ConfigRejected)
+		t.Errorf("files applied %d, rejected %d; want 1 and 3", f.ConfigApplied, f.ConfigRejected)
 	}
 	want := map[string][2]int{"fresh": {1, 6}, "book": {1, 0}, "slot-search": {1, 0}} // ok, shed
 	for _, c := range f.Classes {
@@ -98,6 +98,6 @@
 		delete(want, c.Name)
 	}
 	if len(want) > 0 {
-		t.Errorf("figures lack the classes %v", want)
+		t.Errorf("the report lacks the classes %v", want)
 	}
 }
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -6,15 +6,15 @@
 	"sloehitch/internal/admission"
 )
 
-// serviceState says whether this node takes callers, and if not, why. Its fields are set and read from several goroutines.
+// serviceState holds whether this node accepts callers, and if not, why. It is safe for concurrent use.
 type serviceState struct {
-	ready          atomic.Bool // callers are taken
+	ready          atomic.Bool // the start is complete and callers are accepted
 	draining       atomic.Bool // a shutdown has begun
-	keepAdvertised atomic.Bool // and another process of this node goes on serving
+	keepAdvertised atomic.Bool // stay listed during the shutdown, because another process of this node continues to serve
 	closed         atomic.Bool // out of service by the operators' state
 	outByDesired   atomic.Bool // out of service by the fleet's desired state
 	outByPermit    atomic.Bool // out of service by a drain permit
-	evacuated      atomic.Bool // emptied by the operators' call evacuate, until activate
+	evacuated      atomic.Bool // unhealthy since the operators' call evacuate, until activate
 }
 
 // outOfService reports whether this node is out of service by the operators' state, the desired state or a drain permit.
@@ -27,7 +27,7 @@
 	return s.outOfService() || s.draining.Load() && !s.keepAdvertised.Load()
 }
 
-// reported is the state that the node reports to the fleet.
+// reported returns the state that the node reports to the fleet.
 func (s *serviceState) reported() string {
 	switch {
 	case s.draining.Load():
@@ -40,16 +40,16 @@
 	return "ready"
 }
 
-// nodeStatus is what callers learn of the node: load signal and health by the decisions, unless the node is out of service.
+// nodeStatus provides the load signal and health of the node to callers. They come from admission, but a node out of service is unhealthy.
 type nodeStatus struct {
 	*admission.Controller
 	service *serviceState
 }
 
-// Healthy is the answer to health checks.
+// Healthy returns the answer to health checks.
 func (n nodeStatus) Healthy() bool {
 	return !n.service.outOfService() && !n.service.evacuated.Load() && n.Controller.Healthy()
 }
 
-// advertise updates what the directory learns of this node.
+// advertise updates whether the directory should list this node as closed.
 func (d *Daemon) advertise() { d.directory.SetClosed(d.service.advertisedClosed()) }
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -9,17 +9,18 @@
 	"sloehitch/internal/platform/clock"
 )
 
-// shutDown carries out the graceful shutdown that was asked for at receivedAt, by the plan of package handover.
+// shutDown carries out the graceful shutdown that was requested at receivedAt, by the plan of package handover.
 //
-// Callers learn of it seconds later, so requests that arrive within the drain grace are still admitted. Then the listener closes, connections are asked to
-// close, and requests in flight go on. It returns once every request is answered and every connection closed, or just before the kill.
+// Callers learn of it seconds later, so requests that arrive within the drain grace are still admitted. Then the listener closes, peers are asked to
+// close their connections, and requests in flight continue. It returns once every request is answered and every connection is closed, or just before the
+// kill.
 func (d *Daemon) shutDown(receivedAt time.Time) {
 	conditions := d.shutdownConditions()
 	plan := handover.PlanShutdown(conditions)
 	d.saveSnapshot(true)
 	d.log.Info("shutting down", "stop", conditions.StopTimeout, "other_processes", conditions.OtherProcesses, "keep_advertised", plan.KeepAdvertised)
 	end := receivedAt.Add(conditions.StopTimeout - d.limits.KillMargin/2)
-	// The core has answered every request by then.
+	// By then the core has answered every request.
 	kill := time.After(clock.System{}.Until(receivedAt.Add(conditions.StopTimeout - d.limits.KillMargin*3/4)))
 	d.node.Drain(receivedAt, conditions.StopTimeout, plan.KeepAdvertised)
 	d.service.keepAdvertised.Store(plan.KeepAdvertised)
@@ -32,8 +33,8 @@
 	for {
 		select {
 		case <-kill:
-			d.log.Info("shutdown out of time; closing", "open", d.openConnections())
-			// Where the process was suspended until now, answers just given still have to be written.
+			d.log.Info("shutdown timed out; closing the remaining connections", "open", d.openConnections())
+			// If the process was suspended until now, the latest answers still have to be written.
 			d.resp.Shutdown(max(clock.System{}.Until(end), d.limits.KillMargin/2))
 			return
 		case <-d.reloads: // requests in flight may need the new addresses
@@ -42,7 +43,7 @@
 			d.attachLedger(s)
 		case <-graceOver:
 			listenersClosed = true
-			d.listeners.closeAll() // a refused connection proves that nothing ran
+			d.listeners.closeAll() // a refused connection proves to a caller that nothing ran
 			d.resp.StartDrain()
 		case <-poll.C:
 			d.updateQuota()
@@ -54,20 +55,21 @@
 	}
 }
 
-// drained asks the connections that are still open to close, and reports whether none is left and every request is answered. It cuts none.
+// drained asks the peers of open connections to close them, and reports whether no connection is left and every request is answered. It closes no
+// connection itself.
 func (d *Daemon) drained() bool {
 	d.resp.RequestClose()
 	return d.openConnections() == 0 && d.node.Unanswered() == 0
 }
 
-// shutdownConditions are what the plan of a shutdown goes by.
+// shutdownConditions returns the input to the shutdown plan.
 func (d *Daemon) shutdownConditions() handover.ShutdownConditions {
 	c := handover.ShutdownConditions{
 		DrainGrace:   time.Duration(d.platform.Logic.DrainGrace) * time.Microsecond,
 		SafetyMargin: d.limits.DrainGraceMargin,
 		StopTimeout:  d.platform.KillAfter(),
 	}
-	if listenerInherited() { // the platform holds the listener: another process replaces this one
+	if listenerInherited() { // the platform holds the listener, so another process replaces this one
 		c.StopTimeout, c.InheritedListener = d.platform.KillAfterReplaced(), true
 	}
 	if d.journals.keys != nil {
@@ -76,8 +78,8 @@
 	return c
 }
 
-// ReceivedAt sends the time at which the first of the signals came. The drain grace and the kill time count from there, also where the
-// process is still starting or reading a new configuration then; further signals change nothing.
+// ReceivedAt returns a channel that receives the time of the first signal. The drain grace and the time of the kill count from it, even if
+// the process is still starting or reading a new configuration then. Further signals have no effect.
 func ReceivedAt(signals <-chan os.Signal) <-chan time.Time {
 	first := make(chan time.Time, 1)
 	go func() {
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -18,24 +18,26 @@
 	"sloehitch/logic"
 )
 
-// listenerInherited reports whether the platform holds the clients' listener: then one process may replace another.
+// listenerInherited reports whether the platform holds the clients' listener, so that one process may replace another.
 func listenerInherited() bool { return os.Getenv("GW_ACCEPT_FD") != "" }
 
-// KeystoreDir is the folder in dir of the idempotency keys that the processes of a node share.
+// KeystoreDir returns the folder in dir with the idempotency keys that the processes of a node share.
 func KeystoreDir(dir, name string) string { return filepath.Join(dir, "sloehitch-"+name+"-claims") }
 
-// clockFile is where the processes of a node agree on one steady clock, which the time stamps of shared keys and of snapshots go by.
+// clockFile returns the path of the file by which the processes of a node share one steady clock, on which the time stamps of shared keys and of
+// snapshots are based.
 func clockFile(dir, name string) string { return filepath.Join(dir, "sloehitch-"+name+"-clock") }
 
-// snapshotRequirements are what a snapshot has to meet so that a process with this configuration can start from it.
+// snapshotRequirements returns what a snapshot must meet so that a process with this configuration can start from it.
 func snapshotRequirements(p *config.Platform, lim limits.Limits, now time.Time) handover.Requirements {
 	return handover.Requirements{Node: p.Name, Settings: p.Logic, Now: now, MaxAge: lim.MaxSnapshotAge, MaxClockSkew: lim.MaxClockAhead}
 }
 
-// loadSnapshot is what an earlier process of this node learned, or nil; one log line says why it was or was not used.
+// loadSnapshot returns the learned state of an earlier process of this node, or nil if there is none that can be used. It logs whether a snapshot was
+// used, and if not, why.
 func (d *Daemon) loadSnapshot(now time.Time) *logic.LearnedState {
 	if !listenerInherited() {
-		return nil // no process replaces another here: a snapshot would be out of date
+		return nil // processes do not replace each other, so a snapshot would be out of date
 	}
 	path := snapshotfile.Path(os.TempDir(), d.name)
 	s, err := snapshotfile.Read(path)
@@ -55,7 +57,7 @@
 	return &learned
 }
 
-// saveSnapshot writes what this process has learned for the next one, where there may be one.
+// saveSnapshot writes this process's learned state for the next one, if the listener is inherited.
 func (d *Daemon) saveSnapshot(leaving bool) {
 	if !listenerInherited() {
 		return
@@ -67,12 +69,12 @@
 	s := handover.Snapshot{Node: d.name, Process: os.Getpid(), CreatedAt: clock.System{}.Now(), AtShutdown: leaving,
 		SettingsHash: handover.HashSettings(d.platform.Logic), LearnedState: l}
 	if err := snapshotfile.Write(snapshotfile.Path(os.TempDir(), d.name), s); err != nil {
-		d.log.Warn("snapshot for the next process not written", "error", err)
+		d.log.Warn("could not write the snapshot for the next process", "error", err)
 	}
 }
 
-// PrintHandover writes what the processes of a node left for the one that replaces them in dir, as platformFile names the node, and whether that
-// one would take it.
+// PrintHandover writes to w the snapshot and the idempotency keys that the processes of a node left in dir for the one that replaces them, and whether
+// that one would use the snapshot. platformFile names the node.
 func PrintHandover(w io.Writer, platformFile, dir string) error {
 	p, err := config.Load(platformFile)
 	if err != nil {
@@ -85,11 +87,11 @@
 	case errors.Is(err, fs.ErrNotExist):
 		fmt.Fprintf(w, "%s: none\n", path)
 	case err != nil:
-		fmt.Fprintf(w, "%s: left aside: %v\n", path, err)
+		fmt.Fprintf(w, "%s: unreadable: %v\n", path, err)
 	default:
-		verdict := "would be taken"
+		verdict := "would be used"
 		if err := handover.Validate(s, snapshotRequirements(p, limits.For(p.Limits.MemoryMB, p.Limits.Sockets), now)); err != nil {
-			verdict = "would be left aside: " + err.Error()
+			verdict = "would not be used: " + err.Error()
 		}
 		fmt.Fprintf(w, "%s: by process %d of %s, %v ago, %s\n%s", path, s.Process, s.Node, now.Sub(s.CreatedAt).Round(time.Millisecond), verdict, handover.FormatSnapshot(s))
 	}
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -21,10 +21,10 @@
 	"sloehitch/logic"
 )
 
-// maxFailedParts is how many parts may report that they cannot go on without waiting for Run to hear of it.
+// maxFailedParts is the capacity of Daemon.failed: how many components may report a failure without blocking until Run receives it.
 const maxFailedParts = 4
 
-// Start opens the parts that the configuration asks for and sets them going. What it returns serves already; Run has to be called on it.
+// Start opens and starts the components that the configuration requires. The returned daemon already serves; the caller must call Run on it.
 func Start(c *Config, o Options) (*Daemon, error) {
 	faultHooks, err := faulthooks.FromEnv()
 	if err != nil {
@@ -77,11 +77,11 @@
 	return d
 }
 
-// startCore opens the decisions, the links that they need, the journals and the core, and gives the core what ran before a restart.
+// startCore opens admission, the links that it needs, the journals and the core, and restores the runs from before a restart.
 func (d *Daemon) startCore() error {
 	if listenerInherited() {
 		if err := clock.ShareReference(clockFile(os.TempDir(), d.name)); err != nil {
-			d.log.Warn("no clock shared between processes; key windows count by this process's own clock", "error", err)
+			d.log.Warn("could not share a clock with the node's other processes; idempotency windows use this process's own clock", "error", err)
 		}
 	}
 	system := clock.System{}
@@ -102,10 +102,10 @@
 		options.ObserveLatency = d.latency.Add
 	}
 	d.node = node.New(options)
-	return d.restoreRuns() // before the first request is taken
+	return d.restoreRuns() // before the first request is accepted
 }
 
-// openAdmission opens the decisions, with what an earlier process learned and the link to the runtime as their source of gauges.
+// openAdmission creates the admission controller, with the learned state of an earlier process and the link to the runtime as its source of gauges.
 func (d *Daemon) openAdmission(system clock.System) error {
 	options := admission.Options{Seed: seedNumber(d.platform.Seed), Clock: system, GaugesTimeout: d.limits.GaugesTimeout, LearnedState: d.loadSnapshot(system.Now())}
 	if d.platform.Runtime != "" {
@@ -118,7 +118,7 @@
 	return err
 }
 
-// startResp starts the platform's front. Without a runtime nothing could run what balancers send, so it takes no clients then.
+// startResp starts the platform's front. Without a runtime nothing could run the balancers' requests, so the front accepts no clients.
 func (d *Daemon) startResp() error {
 	d.resp = resp.New(resp.Options{Core: d.node, Status: nodeStatus{d.admission, &d.service}, Runner: d.runtime, Classes: d.platform.Names.Classes,
 		Tenants: d.platform.Names.Tenants, OnUnknownClass: d.node.CountUnknownClass, Limits: d.limits, Log: d.log,
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// maxStampAge is how far in the past a request's time stamp may lie. A request older than its deadline has been given up by its caller, so an older stamp
-// comes from a clock that is wrong.
+// maxStampAge returns how far in the past a request's time stamp may lie. Callers give up requests at their deadline, so an older stamp comes from a clock
+// that is wrong.
 func maxStampAge(s logic.Settings, l limits.Limits) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
@@ -147,9 +147,9 @@
 	return min(l.MaxClockBehind, longest+l.MaxClockAhead)
 }
 
-// seedNumber turns the platform's seed, a text, into a number.
+// seedNumber hashes the platform's seed, a text, to a number.
 func seedNumber(text string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(text)) // a hash never errs
+	_, _ = h.Write([]byte(text)) // a hash never returns an error
 	return h.Sum64()
 }
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -10,7 +10,7 @@
 	"sloehitch/internal/store"
 )
 
-// startStore opens this node's copy of the replicated store, follows it and serves operators on their address.
+// startStore opens this node's copy of the replicated store, watches it for changes and serves the operators' address.
 func (d *Daemon) startStore(c *Config) error {
 	settings := c.Deploy.Store
 	duration, err := settings.Lease()
--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -19,14 +19,14 @@
 
 // upstreams are the uwsgi servers that this node sends requests to.
 type upstreams struct {
-	pool *uwsgi.Pool // nil where uwsgi is off
+	pool *uwsgi.Pool // nil if uwsgi is off
 
 	mu       sync.Mutex
-	listed   []string // addresses by the configuration or the operators' state
-	excluded []string // of them those that hold a drain permit
+	listed   []string // addresses from the operators' state or the configuration
+	excluded []string // addresses of servers that hold a drain permit
 }
 
-// startUwsgi starts the uwsgi front and its pool where the deployment file says so.
+// startUwsgi starts the uwsgi front and its pool if the deployment file configures them.
 func (d *Daemon) startUwsgi(c *Config) error {
 	u := c.Deploy.Uwsgi
 	if u.Listen == "" {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// loadKeys reads one end's TLS keys; nil where none are named.
+// loadKeys loads the TLS keys of one end; nil if no files are configured.
 func (d *Daemon) loadKeys(t config.TLS) (*tlskeys.Keys, error) {
 	if t.Files() == (tlskeys.Files{}) {
 		return nil, nil
@@ -89,7 +89,7 @@
 	return k, err
 }
 
-// openTraces opens the file for spans where the deployment file names one, and returns what takes the times of requests that are over.
+// openTraces opens the file for spans if the deployment file configures one, and returns the function that records the times of done requests.
 func (d *Daemon) openTraces() (func(uwsgi.RequestTimes), error) {
 	c := d.deploy.Load().Traces
 	if c.File == "" {
@@ -103,8 +103,7 @@
 	return t.RecordRequest, nil
 }
 
-// setUpstreams has the pool send to the servers that the operators' state names, else to those of the configuration, but for those that hold a drain
-// permit.
+// setUpstreams sets the pool's servers to those in named, the operators' state, or else to the configured ones, without those that hold a drain permit.
 func (d *Daemon) setUpstreams(named string) {
 	u := &d.upstreams
 	if u.pool == nil {
@@ -119,11 +118,11 @@
 	u.listed = slices.Clone(addresses)
 	addresses = slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return slices.Contains(u.excluded, a) })
 	if err := u.pool.SetServers(addresses); err != nil {
-		d.log.Error("uwsgi servers unchanged: the new list is not valid", "error", err)
+		d.log.Error("uwsgi servers unchanged: the new list is invalid", "error", err)
 	}
 }
 
-// excludeUpstreams has this node send no more to servers that hold a drain permit. Those that no longer do begin in slow start.
+// excludeUpstreams stops sending requests to servers that hold a drain permit. Servers that no longer hold one restart in slow start.
 func (d *Daemon) excludeUpstreams(addresses []string) {
 	u := &d.upstreams
 	u.mu.Lock()
@@ -137,10 +136,10 @@
 	d.setUpstreams(d.store.Get(store.KeyUwsgiServers))
 }
 
-// upstreamStatus is the state of each listed server as this node sees it, by address.
+// upstreamStatus returns the state of each listed server as this node sees it, by address.
 func (d *Daemon) upstreamStatus() map[string]fleetstate.UpstreamStatus {
 	status := map[string]fleetstate.UpstreamStatus{}
-	listed := map[string]string{} // by the form in which the pool has the address
+	listed := map[string]string{} // listed address by its canonical form, which the pool uses
 	d.upstreams.mu.Lock()
 	for _, address := range d.upstreams.listed {
 		status[address] = fleetstate.UpstreamStatus{}
--- a/internal/daemon/uwsgi_test.go
+++ b/internal/daemon/uwsgi_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// TestUwsgiRefusalsAndErrors: the second front keeps the first rule with the answers of its own protocol.
+// TestUwsgiRefusalsAndErrors checks that the uwsgi front answers each request once, with the status codes of rejections and errors, and
+// that no key runs twice.
 func TestUwsgiRefusalsAndErrors(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	hold := make(chan struct{})
@@ -36,30 +37,30 @@
 	}
 	short := serveNode(t, 300*time.Millisecond, rt, server.Address)
 	if got := ask(t, short.uwsgi, "hang", post("3")...); !strings.HasPrefix(got, "HTTP/1.1 504 Gateway Timeout\r\n") {
-		t.Errorf("past its due time: %q", got)
+		t.Errorf("response past the deadline: %q", got)
 	}
 	for _, body := range []string{"fine", "cut", "hang"} {
 		if n := server.Runs(body); n != 1 {
-			t.Errorf("%s ran %d times", body, n)
+			t.Errorf("body %s ran %d times, want once", body, n)
 		}
 	}
-	s.node.Drain(time.Now(), time.Minute, false) // what comes later than the grace is refused, and told when to come back
+	s.node.Drain(time.Now(), time.Minute, false) // requests after the grace are rejected with Retry-After
 	time.Sleep(1100 * time.Millisecond)
 	if got := ask(t, s.uwsgi, "fine", post("4")...); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "\r\nRetry-After: 1\r\n") {
-		t.Errorf("leaving: %q", got)
+		t.Errorf("response while draining: %q, want 503 with Retry-After", got)
 	}
 }
 
-// TestStreams: a server that is taken off the list finishes the response that streams, and at the end of a drain one that
-// still streams is broken off so that its client can tell.
+// TestStreams checks that a streamed response is completed when its server is removed from the list, and that one that is still
+// streaming at the end of a shutdown is reset, so that the client can tell that it is truncated.
 func TestStreams(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play func(s *served, hold chan struct{})
 		want string
 	}{
-		{"its server is taken off the list", func(s *served, hold chan struct{}) {
-			s.applyStoredValue(store.KeyUwsgiServers, "127.0.0.1:1") // as a reload does
+		{"server removed", func(s *served, hold chan struct{}) {
+			s.applyStoredValue(store.KeyUwsgiServers, "127.0.0.1:1") // as a reload calls it
 			close(hold)
 		}, "whole"},
 		{"SIGTERM", func(s *served, hold chan struct{}) {
@@ -93,13 +94,13 @@
 				end = "whole"
 			}
 			if end != c.want {
-				t.Errorf("%q, %v; want it %s", rest, err, c.want)
+				t.Errorf("rest of the response %q, %v; want it %s", rest, err, c.want)
 			}
 		})
 	}
 }
 
-// ask sends one uwsgi request and reads the whole response.
+// ask sends one uwsgi request in two fragments and returns the complete response.
 func ask(t testing.TB, address string, body string, vars ...[2]string) string {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -114,7 +115,7 @@
 	}
 	whole := append(head, body...)
 	half := len(whole) / 2
-	for _, part := range [][]byte{whole[:half], whole[half:]} { // in fragments
+	for _, part := range [][]byte{whole[:half], whole[half:]} { // in two fragments
 		if _, err := conn.Write(part); err != nil {
 			t.Error(err)
 		}
