--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -54,7 +54,7 @@
 	classes := c.Platform.Logic.Classes
 	d.uwsgi = uwsgi.New(uwsgi.Options{OnRequestDone: observe, Core: d.node, Mapper: c.Operations, Pool: d.upstreams.pool, Limits: d.limits, Log: d.log,
 		Idempotent: func(class int) bool { return classes[class].Idempotency == logic.Idempotent }, Healthy: func() bool { return !d.service.outOfService() },
-		Modifiers: u.ModifierBytes(), DeadlineVariable: u.Deadline, HalfCloseCancels: u.ClientsLeave(), MaxConnectionsPerHost: u.ConnectionsPerSource, MaxBodyBytes: u.MaxBodyBytes()})
+		Modifiers: u.ModifierBytes(), DeadlineVariable: u.Deadline, HalfCloseCancels: u.HalfCloseCancels(), MaxConnectionsPerHost: u.ConnectionsPerSource, MaxBodyBytes: u.MaxBodyBytes()})
 	return d.serveOn("uwsgi", func() (net.Listener, error) { return address.Listen(mode, frontKeys) }, d.uwsgi.Serve)
 }
 
--- a/internal/emulator/daemon_run.go
+++ b/internal/emulator/daemon_run.go
@@ -50,7 +50,7 @@
 // Stop cancels a run. One that waits for its call ends by abandon.
 func (r daemonRunner) Stop(id string) {
 	run := r.runs[id]
-	if run == nil || run.work.index == heap.Out {
+	if run == nil || run.work.index == heap.NotInHeap {
 		return
 	}
 	r.environment.Machine.Remove(run.work)
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -30,7 +30,7 @@
 // Work is one piece of work on a machine.
 type Work struct {
 	finish float64 // the machine's attained work at which it is done
-	index  int     // in its machine's heap, or heap.Out
+	index  int     // in its machine's heap, or heap.NotInHeap
 	done   func()
 }
 
@@ -73,7 +73,7 @@
 
 // Remove stops a piece of work and returns what is left of it. Its done is not called.
 func (m *Machine) Remove(w *Work) float64 {
-	if w.index == heap.Out {
+	if w.index == heap.NotInHeap {
 		return 0
 	}
 	m.advance()
@@ -133,5 +133,5 @@
 	}
 }
 
-// Placed implements the heap's item.
-func (w *Work) Placed(at int) { w.index = at }
+// SetIndex implements the heap's item.
+func (w *Work) SetIndex(at int) { w.index = at }
--- a/internal/platform/clock/virtual.go
+++ b/internal/platform/clock/virtual.go
@@ -23,7 +23,7 @@
 type call struct {
 	clock *Virtual
 	f     func()
-	index int // in calls, or heap.Out
+	index int // in calls, or heap.NotInHeap
 	off   bool
 }
 
@@ -32,7 +32,7 @@
 
 // AfterFunc implements Clock. f is never called before AfterFunc's caller returns, even if d is 0.
 func (v *Virtual) AfterFunc(d time.Duration, f func()) Timer {
-	c := &call{clock: v, f: f, index: heap.Out}
+	c := &call{clock: v, f: f, index: heap.NotInHeap}
 	c.ask(d)
 	return c
 }
@@ -44,7 +44,7 @@
 
 // Stop implements Timer. It only marks the call; marked calls are removed together, so that stopping ten thousand at once is cheap.
 func (c *call) Stop() bool {
-	if c.index == heap.Out || c.off {
+	if c.index == heap.NotInHeap || c.off {
 		return false
 	}
 	c.off = true
@@ -56,7 +56,7 @@
 // Reset implements Timer. The call runs after those already scheduled for the same instant.
 func (c *call) Reset(d time.Duration) bool {
 	active := c.Stop()
-	if c.index != heap.Out { // marked as stopped, but still in the queue
+	if c.index != heap.NotInHeap { // marked as stopped, but still in the queue
 		c.clock.calls.Remove(c.index)
 		c.clock.stopped--
 	}
@@ -116,5 +116,5 @@
 // Pending returns the number of pending calls.
 func (v *Virtual) Pending() int { return v.calls.Len() - v.stopped }
 
-// Placed implements heap.Element.
-func (c *call) Placed(at int) { c.index = at }
+// SetIndex implements heap.Element.
+func (c *call) SetIndex(at int) { c.index = at }
--- a/internal/platform/config/deploy.go
+++ b/internal/platform/config/deploy.go
@@ -121,8 +121,8 @@
 	halfCloseLeaves = "leaves"
 )
 
-// ClientsLeave reports whether a client that shuts down its sending side no longer waits for its response.
-func (u Uwsgi) ClientsLeave() bool { return u.HalfClose == halfCloseLeaves }
+// HalfCloseCancels reports whether a client that shuts down its sending side no longer waits for its response.
+func (u Uwsgi) HalfCloseCancels() bool { return u.HalfClose == halfCloseLeaves }
 
 // checkAddresses validates the addresses of the front and of the servers, and reports whether the front uses TLS.
 func (u Uwsgi) checkAddresses() (listenTLS bool, err error) {
--- a/internal/platform/heap/heap.go
+++ b/internal/platform/heap/heap.go
@@ -7,11 +7,11 @@
 
 // Element is an element of a heap, usually a pointer.
 type Element interface {
-	Placed(at int) // sets the element's index in the heap, or Out after its removal
+	SetIndex(at int) // sets the element's index in the heap, or NotInHeap after its removal
 }
 
-// Out is the index of an element that is in no heap.
-const Out = -1
+// NotInHeap is the index of an element that is in no heap.
+const NotInHeap = -1
 
 // Heap is a priority queue of elements. Its zero value is an empty heap. It is not safe for concurrent use.
 type Heap[K cmp.Ordered, E Element] struct {
@@ -60,7 +60,7 @@
 		h.down(at)
 		h.up(at) // at most one of the two moves it
 	}
-	out.Placed(Out)
+	out.SetIndex(NotInHeap)
 }
 
 // Keep removes all elements for which keep returns false, in one pass.
@@ -70,7 +70,7 @@
 		if keep(x.element) {
 			kept = append(kept, x)
 		} else {
-			x.element.Placed(Out)
+			x.element.SetIndex(NotInHeap)
 		}
 	}
 	clear(h.all[len(kept):])
@@ -116,5 +116,5 @@
 
 func (h *Heap[K, E]) put(at int, x entry[K, E]) {
 	h.all[at] = x
-	x.element.Placed(at)
+	x.element.SetIndex(at)
 }
--- a/internal/platform/heap/heap_test.go
+++ b/internal/platform/heap/heap_test.go
@@ -9,7 +9,7 @@
 
 type thing struct{ key, number, at int }
 
-func (t *thing) Placed(at int) { t.at = at }
+func (t *thing) SetIndex(at int) { t.at = at }
 
 // TestModel checks random sequences of Push, Remove, Pop and Keep against a sorted list, and the index that each element was told.
 func TestModel(t *testing.T) {
@@ -25,14 +25,14 @@
 		for n := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case what < 6 || len(in) == 0:
-				x := &thing{rapid.IntRange(0, 9).Draw(t, "key"), n, Out}
+				x := &thing{rapid.IntRange(0, 9).Draw(t, "key"), n, NotInHeap}
 				h.Push(x.key, x)
 				in = append(in, x)
 			case what < 8:
 				i := rapid.IntRange(0, len(in)-1).Draw(t, "which")
 				h.Remove(in[i].at)
-				if in[i].at != Out {
-					t.Fatal("a removed element was not told the index Out")
+				if in[i].at != NotInHeap {
+					t.Fatal("a removed element was not told the index NotInHeap")
 				}
 				in = slices.Delete(in, i, i+1)
 			case what == 8:
