--- a/internal/platform/apispec/openapi.go
+++ b/internal/platform/apispec/openapi.go
@@ -100,8 +100,8 @@
 }
 
 // readOperation parses an operation's extension. It returns nil if the operation has none.
-func readOperation(from *openapi3.Operation, cfg *logic.Settings, classes map[string]int) (*operation, error) {
-	value, found := from.Extensions[extension]
+func readOperation(operationDoc *openapi3.Operation, cfg *logic.Settings, classes map[string]int) (*operation, error) {
+	value, found := operationDoc.Extensions[extension]
 	if !found {
 		return nil, nil
 	}
@@ -135,9 +135,9 @@
 	case op.WorkMS < 0 || op.MemoryKB < 0 || op.PriorityWeight != nil && *op.PriorityWeight < 0:
 		return fmt.Errorf("%s: work-ms, kb and worth must not be negative", extension)
 	}
-	for _, from := range []string{op.Key, op.Tenant, op.RetryMarker} {
-		if place, name, _ := strings.Cut(from, ":"); from != "" && (name == "" || !slices.Contains([]string{"header", "query"}, place)) {
-			return fmt.Errorf("%s: %q is neither header:NAME nor query:NAME", extension, from)
+	for _, source := range []string{op.Key, op.Tenant, op.RetryMarker} {
+		if place, name, _ := strings.Cut(source, ":"); source != "" && (name == "" || !slices.Contains([]string{"header", "query"}, place)) {
+			return fmt.Errorf("%s: %q is neither header:NAME nor query:NAME", extension, source)
 		}
 	}
 	if op.PriorityWeight != nil {
@@ -179,9 +179,9 @@
 	return 0
 }
 
-// findValue returns the value of the header or query parameter that from names, such as header:Idempotency-Key, or "".
-func findValue(from string, get func(string) string, query url.Values) string {
-	place, name, _ := strings.Cut(from, ":")
+// findValue returns the value of the header or query parameter that source names, such as header:Idempotency-Key, or "".
+func findValue(source string, get func(string) string, query url.Values) string {
+	place, name, _ := strings.Cut(source, ":")
 	switch place {
 	case "header":
 		return get("HTTP_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_")))
--- a/internal/platform/apispec/openapi_test.go
+++ b/internal/platform/apispec/openapi_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestLoadRefuses(t *testing.T) {
+func TestLoadRejectsInvalidDocuments(t *testing.T) {
 	for _, c := range []struct{ name, old, new, wrong string }{
 		{"unknown class", "class: book", "class: cook", "not in the settings"},
 		{"wrong semantics", "semantics: dedup", "semantics: retryable", "differs from that of class"},
--- a/internal/platform/clock/clock_test.go
+++ b/internal/platform/clock/clock_test.go
@@ -11,24 +11,24 @@
 
 var start = time.UnixMilli(1764576000000)
 
-// TestOrder checks that calls run in order of time, and in the order of scheduling at the same instant. A call scheduled from within
+// TestVirtualRunsCallsInOrder checks that calls run in order of time, and in the order of scheduling at the same instant. A call scheduled from within
 // another with a delay of 0 runs after those already scheduled for that instant.
-func TestOrder(t *testing.T) {
+func TestVirtualRunsCallsInOrder(t *testing.T) {
 	v := NewVirtual(start)
 	var got []string
-	say := func(s string) func() {
+	record := func(s string) func() {
 		return func() { got = append(got, fmt.Sprint(s, " ", v.Now().Sub(start))) }
 	}
-	v.AfterFunc(2*time.Second, say("c"))
+	v.AfterFunc(2*time.Second, record("c"))
 	v.AfterFunc(time.Second, func() {
-		say("a")()
-		v.AfterFunc(0, say("a2"))
-		v.AfterFunc(-time.Hour, say("a3"))
+		record("a")()
+		v.AfterFunc(0, record("a2"))
+		v.AfterFunc(-time.Hour, record("a3"))
 	})
-	b := v.AfterFunc(time.Second, say("b"))
-	late := v.AfterFunc(time.Second, say("late"))
-	off := v.AfterFunc(time.Second, say("off"))
-	if !off.Stop() || off.Stop() || !late.Reset(2*time.Second) {
+	b := v.AfterFunc(time.Second, record("b"))
+	delayed := v.AfterFunc(time.Second, record("late"))
+	stopped := v.AfterFunc(time.Second, record("off"))
+	if !stopped.Stop() || stopped.Stop() || !delayed.Reset(2*time.Second) {
 		t.Error("Stop or Reset of a pending call returned the wrong value")
 	}
 	v.Run(start.Add(time.Second))
@@ -45,18 +45,18 @@
 	}
 }
 
-// TestManyStopped checks that stopping ten thousand of 20,000 calls at once removes them from the queue and keeps all others.
-func TestManyStopped(t *testing.T) {
+// TestVirtualDropsStoppedCalls checks that stopping ten thousand of 20,000 calls at once removes them from the queue and keeps all others.
+func TestVirtualDropsStoppedCalls(t *testing.T) {
 	v := NewVirtual(start)
-	came := 0
-	var off []Timer
+	calls := 0
+	var toStop []Timer
 	for i := range 20000 {
-		c := v.AfterFunc(time.Duration(i%100)*time.Millisecond, func() { came++ })
+		c := v.AfterFunc(time.Duration(i%100)*time.Millisecond, func() { calls++ })
 		if i%2 == 0 {
-			off = append(off, c)
+			toStop = append(toStop, c)
 		}
 	}
-	for _, c := range off {
+	for _, c := range toStop {
 		c.Stop()
 	}
 	if v.Pending() != 10000 || v.calls.Len() > 15000 {
@@ -64,22 +64,22 @@
 	}
 	for v.Step() {
 	}
-	if came != 10000 {
-		t.Errorf("%d calls were made, want 10000", came)
+	if calls != 10000 {
+		t.Errorf("%d calls were made, want 10000", calls)
 	}
 }
 
-// TestModel checks random sequences of AfterFunc, Stop and Reset against a sorted list.
-func TestModel(t *testing.T) {
+// TestVirtualMatchesModel checks random sequences of AfterFunc, Stop and Reset against a sorted list.
+func TestVirtualMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewVirtual(start)
-		type planned struct {
-			at    time.Duration
-			order int
-			off   bool
+		type plannedCall struct {
+			at      time.Duration
+			order   int
+			stopped bool
 		}
 		var timers []Timer
-		var plan []planned
+		var plan []plannedCall
 		var got []int
 		order := 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -87,20 +87,20 @@
 			order++
 			if i := rapid.IntRange(0, len(timers)).Draw(t, "which"); i == len(timers) {
 				timers = append(timers, v.AfterFunc(d, func() { got = append(got, i) }))
-				plan = append(plan, planned{at: d, order: order})
+				plan = append(plan, plannedCall{at: d, order: order})
 			} else if rapid.Bool().Draw(t, "off") {
-				if timers[i].Stop() == plan[i].off {
+				if timers[i].Stop() == plan[i].stopped {
 					t.Fatal("Stop returned the wrong value")
 				}
-				plan[i].off = true
+				plan[i].stopped = true
 			} else {
 				timers[i].Reset(d)
-				plan[i] = planned{at: d, order: order}
+				plan[i] = plannedCall{at: d, order: order}
 			}
 		}
 		var want []int
 		for i, p := range plan {
-			if !p.off {
+			if !p.stopped {
 				want = append(want, i)
 			}
 		}
--- a/internal/platform/clock/shared.go
+++ b/internal/platform/clock/shared.go
@@ -29,21 +29,21 @@
 	if err != nil {
 		return fmt.Errorf("shared clock: %w", err)
 	}
-	read, monotonic, err := readBoth()
+	read, monotonic, err := readClocks()
 	if err != nil {
 		return fmt.Errorf("shared clock: %w", err)
 	}
 	own := sharedReference{boot: strings.TrimSpace(string(boot)), ahead: time.Duration(steadyAt(read).UnixNano()) - monotonic}
-	line, err := agreeOn(path, own)
+	agreed, err := loadOrWriteReference(path, own)
 	if err != nil {
 		return fmt.Errorf("shared clock %s: %w", path, err)
 	}
-	setReference(read, time.Unix(0, int64(line.ahead+monotonic)).Sub(read.Round(0)))
+	setReference(read, time.Unix(0, int64(agreed.ahead+monotonic)).Sub(read.Round(0)))
 	return nil
 }
 
-// readBoth reads the system's clocks and the machine's monotonic clock together.
-func readBoth() (time.Time, time.Duration, error) {
+// readClocks reads the system's clocks and the machine's monotonic clock together.
+func readClocks() (time.Time, time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		return time.Time{}, 0, err
@@ -51,18 +51,18 @@
 	return time.Now(), time.Duration(t.Nano()), nil
 }
 
-// agreeOn returns the reference in the file. If there is none of the current boot, it writes own and returns it.
-func agreeOn(path string, own sharedReference) (sharedReference, error) {
-	line, err := readReference(path)
-	if err == nil && line.boot == own.boot {
-		return line, nil
+// loadOrWriteReference returns the reference in the file. If there is none of the current boot, it writes own and returns it.
+func loadOrWriteReference(path string, own sharedReference) (sharedReference, error) {
+	existing, err := readReference(path)
+	if err == nil && existing.boot == own.boot {
+		return existing, nil
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return sharedReference{}, err
 	}
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.WriteFile(temporary, own.bytes(), 0o600); err != nil {
-		return sharedReference{}, errors.Join(err, removeIfThere(temporary))
+		return sharedReference{}, errors.Join(err, removeIfExists(temporary))
 	}
 	defer func() { _ = os.Remove(temporary) }() // a file left behind is harmless
 	if err == nil {                             // the file is from an earlier boot
@@ -76,7 +76,7 @@
 	return own, nil
 }
 
-func removeIfThere(path string) error {
+func removeIfExists(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
--- a/internal/platform/clock/shared_test.go
+++ b/internal/platform/clock/shared_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestShare checks that a process that starts after a step of the wall clock reads the same steady time as the one before it.
-func TestShare(t *testing.T) {
+// TestShareReferenceSurvivesWallClockStep checks that a process that starts after a step of the wall clock reads the same steady time as the one before it.
+func TestShareReferenceSurvivesWallClockStep(t *testing.T) {
 	before := processReference.Load()
 	defer processReference.Store(before)
 	path := filepath.Join(t.TempDir(), "clock")
@@ -24,18 +24,18 @@
 	if err := ShareReference(path); err != nil {
 		t.Fatal(err)
 	}
-	if apart := (System{}).Now().Sub(first); apart < 0 || apart > time.Minute {
-		t.Errorf("steady time differs by %v between the processes", apart)
+	if difference := (System{}).Now().Sub(first); difference < 0 || difference > time.Minute {
+		t.Errorf("steady time differs by %v between the processes", difference)
 	}
-	left, err := os.ReadDir(filepath.Dir(path))
-	if err != nil || len(left) != 1 {
-		t.Errorf("files in the folder: %v, %v; want the clock file only", left, err)
+	files, err := os.ReadDir(filepath.Dir(path))
+	if err != nil || len(files) != 1 {
+		t.Errorf("files in the folder: %v, %v; want the clock file only", files, err)
 	}
 }
 
-// TestShareWhatIsThere checks that a reference of an earlier boot is replaced, and that a malformed one is an error and does not change
+// TestShareReferenceReplacesOldAndRejectsMalformed checks that a reference of an earlier boot is replaced, and that a malformed one is an error and does not change
 // steady time.
-func TestShareWhatIsThere(t *testing.T) {
+func TestShareReferenceReplacesOldAndRejectsMalformed(t *testing.T) {
 	before := processReference.Load()
 	defer processReference.Store(before)
 	path := filepath.Join(t.TempDir(), "clock")
@@ -49,8 +49,8 @@
 	if err := ShareReference(path); err != nil || (System{}).Now().Sub(at).Abs() > time.Minute {
 		t.Errorf("%v, or a reference of an earlier boot was adopted", err)
 	}
-	if line, err := readReference(path); err != nil || line.boot == "another-boot" {
-		t.Errorf("reference of an earlier boot was not replaced: %+v, %v", line, err)
+	if reference, err := readReference(path); err != nil || reference.boot == "another-boot" {
+		t.Errorf("reference of an earlier boot was not replaced: %+v, %v", reference, err)
 	}
 	for _, text := range []string{"", "boot", "boot 5", "boot x\n"} {
 		write(text)
--- a/internal/platform/clock/sources_test.go
+++ b/internal/platform/clock/sources_test.go
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-// wallReading matches expressions that read the wall clock, or that compare an instant of steady time with it.
-var wallReading = regexp.MustCompile(`time\.Now\(\)\.(Round|Unix|UTC|Format|Truncate)|time\.Until\(`)
+// wallClockUse matches expressions that read the wall clock, or that compare an instant of steady time with it.
+var wallClockUse = regexp.MustCompile(`time\.Now\(\)\.(Round|Unix|UTC|Format|Truncate)|time\.Until\(`)
 
-// root is the module's root, relative to this package's folder.
-const root = "../../.."
+// moduleRoot is the module's root, relative to this package's folder.
+const moduleRoot = "../../.."
 
-// TestNoWallClockInTheCore checks that the packages on the path of a request read the steady clock. Only this package may read the wall clock.
-func TestNoWallClockInTheCore(t *testing.T) {
+// TestRequestPathReadsNoWallClock checks that the packages on the path of a request read the steady clock. Only this package may read the wall clock.
+func TestRequestPathReadsNoWallClock(t *testing.T) {
 	for _, folder := range []string{
 		"internal/node", "internal/admission", "internal/frontend/resp", "internal/backend/runtime", "internal/backend/runtime/redelivery", "internal/backend/catalogue",
 		"internal/backend/directory", "internal/frontend/connlimit", "internal/frontend/gracefulclose", "internal/handover", "internal/idempotency/keystore", "internal/idempotency/keystore/keystate",
 		"internal/idempotency/compositejournal", "internal/idempotency/runlog", "internal/frontend/uwsgi", "internal/frontend/uwsgi/balancer", "internal/operatorapi", "internal/platform/reconfigure",
 		"internal/platform/lograte", "internal/platform/latency", "internal/daemon", "cmd/sloehitch",
 	} {
-		files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
+		files, err := filepath.Glob(filepath.Join(moduleRoot, folder, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", folder, len(files), err)
 		}
@@ -35,7 +35,7 @@
 				t.Fatal(err)
 			}
 			for i, line := range strings.Split(string(text), "\n") {
-				if found := wallReading.FindString(line); found != "" {
+				if found := wallClockUse.FindString(line); found != "" {
 					t.Errorf("%s:%d: %s reads the wall clock, which may be stepped; use clock.System", file, i+1, found)
 				}
 			}
--- a/internal/platform/clock/timestamps.go
+++ b/internal/platform/clock/timestamps.go
@@ -34,13 +34,13 @@
 )
 
 // NewTimestamps returns a converter that accepts stamps up to ahead in the future and behind in the past by any recorded offset.
-// wrong, if not nil, returns an offset to add to the wall clock, so that tests can step it.
-func NewTimestamps(ahead, behind time.Duration, wrong func() time.Duration) *Timestamps {
+// wallOffset, if not nil, returns an offset to add to the wall clock, so that tests can step it.
+func NewTimestamps(ahead, behind time.Duration, wallOffset func() time.Duration) *Timestamps {
 	return &Timestamps{maxAhead: ahead, maxBehind: behind, now: func() (steady, wall time.Time) {
 		read := time.Now()
 		wall = read.Round(0)
-		if wrong != nil {
-			wall = wall.Add(wrong())
+		if wallOffset != nil {
+			wall = wall.Add(wallOffset())
 		}
 		return steadyAt(read), wall
 	}}
--- a/internal/platform/clock/timestamps_test.go
+++ b/internal/platform/clock/timestamps_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// TestStamps checks that a request's age is computed correctly from its stamp, whichever clocks are stepped.
-func TestStamps(t *testing.T) {
+// TestInstantAcrossClockSteps checks that a request's age is computed correctly from its stamp, whichever clocks are stepped.
+func TestInstantAcrossClockSteps(t *testing.T) {
 	const ahead, behind = 5 * time.Second, 20 * time.Second
 	type stamp struct {
-		after time.Duration // real time since the previous stamp
-		step  time.Duration // step of the process's wall clock in that time
-		by    time.Duration // offset of the sender's clock from real time
-		age   time.Duration // actual age of the stamp
-		want  time.Duration // expected age; -1: rejected
+		after       time.Duration // real time since the previous stamp
+		step        time.Duration // step of the process's wall clock in that time
+		clockOffset time.Duration // offset of the sender's clock from real time
+		age         time.Duration // actual age of the stamp
+		want        time.Duration // expected age; -1: rejected
 	}
-	const refused = -1 * time.Nanosecond
+	const rejected = -1 * time.Nanosecond
 	ms := time.Millisecond
-	for name, play := range map[string][]stamp{
+	for name, stamps := range map[string][]stamp{
 		"no step":                            {{0, 0, 0, 3 * ms, 3 * ms}, {time.Second, 0, 0, 2 * time.Second, 2 * time.Second}},
 		"caller's clock slightly ahead":      {{0, 0, 100 * ms, 0, -100 * ms}},
 		"both clocks forward an hour":        {{0, 0, 0, 0, 0}, {time.Second, time.Hour, time.Hour, 5 * ms, 5 * ms}, {time.Second, 0, time.Hour, 0, 0}},
@@ -29,23 +29,23 @@
 		"only the process's clock":           {{0, 0, 0, 0, 0}, {time.Second, time.Hour, 0, 5 * ms, 5 * ms}, {time.Second, -time.Hour, 0, 0, 0}, {time.Minute, -time.Hour, 0, 0, 0}},
 		"only the process's clock, seconds":  {{0, 0, 0, 0, 0}, {time.Second, 5 * time.Second, 0, 5 * ms, 5 * ms}, {time.Second, -12 * time.Second, 0, 6 * ms, 6 * ms}},
 		"slewed":                             {{0, 0, 0, 0, 0}, {time.Minute, 50 * ms, 50 * ms, 0, 0}, {time.Minute, 50 * ms, 100 * ms, 0, 0}},
-		"wall clock off by an hour at start": {{0, time.Hour, 0, 0, refused}, {ms, 0, 0, 0, 0}, {time.Second, 0, 0, 9 * ms, 9 * ms}},
-		"inconsistent stamps out of bounds":  {{0, 0, 0, 0, 0}, {0, 0, 0, time.Hour, refused}, {0, 0, 0, 2 * time.Hour, refused}, {0, 0, 0, -time.Hour, refused}, {0, 0, 0, 4 * ms, 4 * ms}},
-		"older than the bound":               {{0, 0, 0, 0, 0}, {0, 0, 0, 21 * time.Second, refused}},
+		"wall clock off by an hour at start": {{0, time.Hour, 0, 0, rejected}, {ms, 0, 0, 0, 0}, {time.Second, 0, 0, 9 * ms, 9 * ms}},
+		"inconsistent stamps out of bounds":  {{0, 0, 0, 0, 0}, {0, 0, 0, time.Hour, rejected}, {0, 0, 0, 2 * time.Hour, rejected}, {0, 0, 0, -time.Hour, rejected}, {0, 0, 0, 4 * ms, 4 * ms}},
+		"older than the bound":               {{0, 0, 0, 0, 0}, {0, 0, 0, 21 * time.Second, rejected}},
 		"many steps back and forth":          {{0, 0, 0, 0, 0}, {1, 5e9, 5e9, 0, 0}, {1, -7e9, -2e9, 0, 0}, {1, 3600e9, 3598e9, 0, 0}, {1, -3600e9, -2e9, 0, 0}, {1, 2e9, 0, 0, 0}},
 		"more steps than offsets are kept":   {{0, 0, 0, 0, 0}, {1, 60e9, 60e9, 0, 0}, {1, 60e9, 120e9, 0, 0}, {1, 60e9, 180e9, 0, 0}, {1, 60e9, 240e9, 0, 0}, {1, 60e9, 300e9, 0, 0}, {1, 60e9, 360e9, 0, 0}, {1, 60e9, 420e9, 0, 0}, {1, 60e9, 480e9, 0, 0}, {1, 60e9, 540e9, 2 * ms, 2 * ms}},
 		"a step without requests for long":   {{0, 0, 0, 0, 0}, {time.Hour, 3600e9, 3600e9, 7 * ms, 7 * ms}},
 	} {
 		steady, wall := start, start.Add(42*time.Second)
-		real := wall
+		realTime := wall
 		s := NewTimestamps(ahead, behind, nil)
 		s.now = func() (time.Time, time.Time) { return steady, wall }
-		for i, x := range play {
-			steady, wall, real = steady.Add(x.after), wall.Add(x.after+x.step), real.Add(x.after)
-			at, err := s.Instant(real.Add(x.by - x.age))
+		for i, x := range stamps {
+			steady, wall, realTime = steady.Add(x.after), wall.Add(x.after+x.step), realTime.Add(x.after)
+			at, err := s.Instant(realTime.Add(x.clockOffset - x.age))
 			got := steady.Sub(at)
 			if err != nil {
-				got = refused
+				got = rejected
 			}
 			if got != x.want {
 				t.Errorf("%s: stamp %d: age %v, want %v (%v)", name, i, got, x.want, err)
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestSystemIsSteady checks that instants have no monotonic reading, so that they compare with all others, and that they advance with real time.
-func TestSystemIsSteady(t *testing.T) {
+// TestSystemIsMonotonic checks that instants have no monotonic reading, so that they compare with all others, and that they advance with real time.
+func TestSystemIsMonotonic(t *testing.T) {
 	before := processReference.Load()
 	defer processReference.Store(before)
 	first := System{}.Now()
--- a/internal/platform/clock/virtual.go
+++ b/internal/platform/clock/virtual.go
@@ -10,10 +10,10 @@
 // scheduled, so every run is deterministic. It is not safe for concurrent use: the goroutine that advances the clock runs all calls, and
 // only it may schedule more.
 type Virtual struct {
-	startedAt time.Time
-	now       int64                   // nanoseconds since startedAt
-	calls     heap.Heap[int64, *call] // by nanoseconds since startedAt
-	stopped   int                     // number of stopped calls that are still in calls
+	startedAt    time.Time
+	now          int64                   // nanoseconds since startedAt
+	calls        heap.Heap[int64, *call] // by nanoseconds since startedAt
+	stoppedCalls int                     // number of stopped calls that are still in calls
 }
 
 // NewVirtual returns a clock that is set to the given time.
@@ -21,10 +21,10 @@
 
 // call is a scheduled call. It implements Timer.
 type call struct {
-	clock *Virtual
-	f     func()
-	index int // in calls, or heap.NotInHeap
-	off   bool
+	clock   *Virtual
+	f       func()
+	index   int // in calls, or heap.NotInHeap
+	stopped bool
 }
 
 // Now implements Clock.
@@ -33,22 +33,22 @@
 // AfterFunc implements Clock. f is never called before AfterFunc's caller returns, even if d is 0.
 func (v *Virtual) AfterFunc(d time.Duration, f func()) Timer {
 	c := &call{clock: v, f: f, index: heap.NotInHeap}
-	c.ask(d)
+	c.schedule(d)
 	return c
 }
 
-func (c *call) ask(d time.Duration) {
-	c.off = false
+func (c *call) schedule(d time.Duration) {
+	c.stopped = false
 	c.clock.calls.Push(c.clock.now+int64(max(0, d)), c)
 }
 
 // Stop implements Timer. It only marks the call; marked calls are removed together, so that stopping ten thousand at once is cheap.
 func (c *call) Stop() bool {
-	if c.index == heap.NotInHeap || c.off {
+	if c.index == heap.NotInHeap || c.stopped {
 		return false
 	}
-	c.off = true
-	c.clock.stopped++
+	c.stopped = true
+	c.clock.stoppedCalls++
 	c.clock.dropStopped()
 	return true
 }
@@ -58,27 +58,27 @@
 	active := c.Stop()
 	if c.index != heap.NotInHeap { // marked as stopped, but still in the queue
 		c.clock.calls.Remove(c.index)
-		c.clock.stopped--
+		c.clock.stoppedCalls--
 	}
-	c.ask(d)
+	c.schedule(d)
 	return active
 }
 
 // dropStopped removes stopped calls once there are at least 64 and they are at least half of all calls in the queue.
 func (v *Virtual) dropStopped() {
-	if v.stopped < 64 || v.stopped*2 < v.calls.Len() {
+	if v.stoppedCalls < 64 || v.stoppedCalls*2 < v.calls.Len() {
 		return
 	}
-	v.calls.Keep(func(c *call) bool { return !c.off })
-	v.stopped = 0
+	v.calls.Keep(func(c *call) bool { return !c.stopped })
+	v.stoppedCalls = 0
 }
 
 // Step advances the clock to the next call and makes it. It returns false if no call is pending.
 func (v *Virtual) Step() bool {
 	for v.calls.Len() > 0 {
 		at, c := v.calls.Pop()
-		if c.off {
-			v.stopped--
+		if c.stopped {
+			v.stoppedCalls--
 			continue
 		}
 		v.now = at
@@ -92,11 +92,11 @@
 func (v *Virtual) Next() (time.Time, bool) {
 	for v.calls.Len() > 0 {
 		at, c := v.calls.First()
-		if !c.off {
+		if !c.stopped {
 			return v.startedAt.Add(time.Duration(at)), true
 		}
 		v.calls.Pop()
-		v.stopped--
+		v.stoppedCalls--
 	}
 	return time.Time{}, false
 }
@@ -104,8 +104,8 @@
 // Run advances the clock to the given time and makes all calls that are due until then, inclusively.
 func (v *Virtual) Run(until time.Time) {
 	for {
-		at, any := v.Next()
-		if !any || at.After(until) {
+		at, pending := v.Next()
+		if !pending || at.After(until) {
 			break
 		}
 		v.Step()
@@ -114,7 +114,7 @@
 }
 
 // Pending returns the number of pending calls.
-func (v *Virtual) Pending() int { return v.calls.Len() - v.stopped }
+func (v *Virtual) Pending() int { return v.calls.Len() - v.stoppedCalls }
 
 // SetIndex implements heap.Element.
 func (c *call) SetIndex(at int) { c.index = at }
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -55,20 +55,20 @@
 func Parse(text []byte) (*Platform, error) {
 	p := &Platform{StopMS: 3000, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
 	if err := json.Unmarshal(text, p); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.Field != "" {
-			return nil, settings.FieldErrors{{Path: wrong.Field, Value: "a JSON " + wrong.Value, Expected: "a value of type " + wrong.Type.String() + " is required"}}
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) && typeError.Field != "" {
+			return nil, settings.FieldErrors{{Path: typeError.Field, Value: "a JSON " + typeError.Value, Expected: "a value of type " + typeError.Type.String() + " is required"}}
 		}
 		return nil, err
 	}
 	if ops := os.Getenv("GW_OPS"); ops != "" {
 		p.OperatorAddress = ops
 	}
-	faults := p.check()
+	errs := p.check()
 	var object map[string]any
 	if err := json.Unmarshal(p.RawSettings, &object); err != nil || object == nil {
-		faults = append(faults, settings.FieldError{Path: "settings", Expected: "must be the JSON object that the platform provides"})
-		return nil, faults
+		errs = append(errs, settings.FieldError{Path: "settings", Expected: "must be the JSON object that the platform provides"})
+		return nil, errs
 	}
 	var err error
 	if p.Logic, p.Names, err = settings.Parse(settings.Flatten(object)); err != nil {
@@ -76,19 +76,19 @@
 		if !errors.As(err, &fs) {
 			return nil, err
 		}
-		faults = append(faults, fs.WithPrefix("settings")...)
+		errs = append(errs, fs.WithPrefix("settings")...)
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	_, err = logic.New(p.Logic, 0)
 	return p, err
 }
 
 // check validates all fields except the settings and returns all errors.
-func (p *Platform) check() (faults settings.FieldErrors) {
+func (p *Platform) check() (errs settings.FieldErrors) {
 	if p.Name == "" {
-		faults = append(faults, settings.FieldError{Path: "name", Expected: "must be the node's name, under which the directory lists it"})
+		errs = append(errs, settings.FieldError{Path: "name", Expected: "must be the node's name, under which the directory lists it"})
 	}
 	for _, a := range []struct {
 		field, address string
@@ -98,25 +98,25 @@
 			continue
 		}
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			faults = append(faults, settings.FieldError{Path: a.field, Value: a.address, Expected: "must be host:port, such as 127.0.0.1:4100"})
+			errs = append(errs, settings.FieldError{Path: a.field, Value: a.address, Expected: "must be host:port, such as 127.0.0.1:4100"})
 		}
 	}
 	for _, n := range []struct {
-		field             string
-		value, from, most float64
-		why               string
+		field                   string
+		value, minimum, maximum float64
+		meaning                 string
 	}{
 		{"stop_ms", float64(p.StopMS), 1, 3600000, "milliseconds from the shutdown signal to the kill"},
 		{"limits.cores", p.Limits.Cores, 0.01, 4096, "cores that the process may use"},
 		{"limits.memory_mb", float64(p.Limits.MemoryMB), 1, 1 << 20, "megabytes above which the process is killed"},
 		{"limits.sockets", float64(p.Limits.Sockets), 16, 1 << 20, "descriptors; fewer do not suffice for links and callers"},
 	} {
-		if !(n.value >= n.from && n.value <= n.most) {
-			faults = append(faults, settings.FieldError{Path: n.field, Value: fmt.Sprint(n.value),
-				Expected: fmt.Sprintf("must be a number from %v to %v (%s)", n.from, strconv.FormatFloat(n.most, 'f', -1, 64), n.why)})
+		if !(n.value >= n.minimum && n.value <= n.maximum) {
+			errs = append(errs, settings.FieldError{Path: n.field, Value: fmt.Sprint(n.value),
+				Expected: fmt.Sprintf("must be a number from %v to %v (%s)", n.minimum, strconv.FormatFloat(n.maximum, 'f', -1, 64), n.meaning)})
 		}
 	}
-	return faults
+	return errs
 }
 
 // KillAfter returns the time from the shutdown signal to the kill.
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -13,24 +13,24 @@
 )
 
 func TestParse(t *testing.T) {
-	fine := standin.Config("127.0.0.1:4100", "127.0.0.1:6100", "", time.Second)
+	valid := standin.Config("127.0.0.1:4100", "127.0.0.1:6100", "", time.Second)
 	for _, c := range []struct{ name, text, wrong string }{
-		{"fine", fine, ""},
-		{"unknown keys", strings.Replace(fine, `"name"`, `"new":{"a":[1]},"name"`, 1), ""},
+		{"fine", valid, ""},
+		{"unknown keys", strings.Replace(valid, `"name"`, `"new":{"a":[1]},"name"`, 1), ""},
 		{"not JSON", "{", "unexpected end"},
 		{"no settings", `{"name":"n1","listen":"127.0.0.1:1"}`, "settings"},
-		{"no name", strings.Replace(fine, `"n1"`, `""`, 1), "name"},
-		{"no port", strings.Replace(fine, ":4100", "", 1), "listen"},
-		{"runtime without a port", strings.Replace(fine, ":6100", "", 1), "runtime"},
-		{"no memory", strings.Replace(fine, `"memory_mb":64`, `"memory_mb":0`, 1), "memory_mb"},
-		{"no cores", strings.Replace(fine, `"cores":2`, `"cores":0`, 1), "cores"},
-		{"unknown semantics", strings.Replace(fine, "dedup", "maybe", 1), "semantics"},
-		{"calls-out below 0", strings.Replace(fine, `"cores":2`, `"cores":2,"calls-out":-1`, 1), `settings.domain.calls-out is "-1"`},
-		{"several at once", strings.Replace(strings.Replace(fine, `"n1"`, `""`, 1), `"stop_ms":3000`, `"stop_ms":0`, 1), `name is missing: must be the node's name, under which the directory lists it; stop_ms is "0"`},
-		{"string for a number", strings.Replace(fine, `"stop_ms":3000`, `"stop_ms":"soon"`, 1), "stop_ms is \"a JSON string\""},
+		{"no name", strings.Replace(valid, `"n1"`, `""`, 1), "name"},
+		{"no port", strings.Replace(valid, ":4100", "", 1), "listen"},
+		{"runtime without a port", strings.Replace(valid, ":6100", "", 1), "runtime"},
+		{"no memory", strings.Replace(valid, `"memory_mb":64`, `"memory_mb":0`, 1), "memory_mb"},
+		{"no cores", strings.Replace(valid, `"cores":2`, `"cores":0`, 1), "cores"},
+		{"unknown semantics", strings.Replace(valid, "dedup", "maybe", 1), "semantics"},
+		{"calls-out below 0", strings.Replace(valid, `"cores":2`, `"cores":2,"calls-out":-1`, 1), `settings.domain.calls-out is "-1"`},
+		{"several at once", strings.Replace(strings.Replace(valid, `"n1"`, `""`, 1), `"stop_ms":3000`, `"stop_ms":0`, 1), `name is missing: must be the node's name, under which the directory lists it; stop_ms is "0"`},
+		{"string for a number", strings.Replace(valid, `"stop_ms":3000`, `"stop_ms":"soon"`, 1), "stop_ms is \"a JSON string\""},
 		{"settings are no object", `{"name":"n1","listen":"127.0.0.1:1","settings":[1]}`, "settings is missing"},
-		{"too few descriptors", strings.Replace(fine, `"sockets":256`, `"sockets":3`, 1), "16 to 1048576"},
-		{"negative stop", strings.Replace(fine, `"stop_ms":3000`, `"stop_ms":-1`, 1), "stop_ms"},
+		{"too few descriptors", strings.Replace(valid, `"sockets":256`, `"sockets":3`, 1), "16 to 1048576"},
+		{"negative stop", strings.Replace(valid, `"stop_ms":3000`, `"stop_ms":-1`, 1), "stop_ms"},
 	} {
 		p, err := Parse([]byte(c.text))
 		if (err == nil) != (c.wrong == "") || err != nil && !strings.Contains(err.Error(), c.wrong) {
@@ -43,26 +43,26 @@
 }
 
 func TestParseDeploy(t *testing.T) {
-	const on = "[uwsgi]\nlisten = \"127.0.0.1:3030\"\nservers = [\"127.0.0.1:3031\"]\nopenapi = \"api.yaml\"\n"
+	const enabled = "[uwsgi]\nlisten = \"127.0.0.1:3030\"\nservers = [\"127.0.0.1:3031\"]\nopenapi = \"api.yaml\"\n"
 	for _, c := range []struct{ name, text, wrong string }{
 		{"empty", "", ""},
 		{"off", "[uwsgi]\nlisten = \"\"\n", ""},
-		{"on", on, ""},
+		{"on", enabled, ""},
 		{"misspelt", "[uwsgi]\nlisen = \"\"\n", "strict"},
 		{"not TOML", "[uwsgi", "toml"},
-		{"no servers", strings.Replace(on, "[\"127.0.0.1:3031\"]", "[]", 1), "servers"},
-		{"no description", strings.Replace(on, "api.yaml", "", 1), "openapi"},
+		{"no servers", strings.Replace(enabled, "[\"127.0.0.1:3031\"]", "[]", 1), "servers"},
+		{"no description", strings.Replace(enabled, "api.yaml", "", 1), "openapi"},
 		{"store members", "[store]\nadmin = \"127.0.0.1:1\"\n[[store.members]]\nname = \"n1\"\nraft = \"127.0.0.1:2\"\n", ""},
 		{"member without a name", "[[store.members]]\nraft = \"127.0.0.1:2\"\n", "name"},
 		{"admin without a port", "[store]\nadmin = \"127.0.0.1\"\n", "port"},
-		{"Unix socket and TLS servers", strings.Replace(strings.Replace(on, "127.0.0.1:3030", "unix:/run/s", 1), "\"127", "\"suwsgi://127", 1) + "mode = \"0600\"\nmodifiers = [0, 5]\nhalf_close = \"leaves\"\n", ""},
-		{"invalid mode", on + "mode = \"rw\"\n", "octal"},
-		{"reserved modifier", on + "modifiers = [100]\n", "modifier 100"},
-		{"invalid half_close", on + "half_close = \"maybe\"\n", "leaves"},
-		{"negative bound", on + "per_source = -1\n", "per_source"},
-		{"TLS without keys", strings.Replace(on, "127.0.0.1:3030", "suwsgi://127.0.0.1:3030", 1), "tls.cert"},
-		{"certificate without its key", on + "[uwsgi.servers_tls]\ncert = \"a\"\n", "together"},
-		{"unknown scheme", strings.Replace(on, "127.0.0.1:3031", "http://127.0.0.1:3031", 1), "scheme"},
+		{"Unix socket and TLS servers", strings.Replace(strings.Replace(enabled, "127.0.0.1:3030", "unix:/run/s", 1), "\"127", "\"suwsgi://127", 1) + "mode = \"0600\"\nmodifiers = [0, 5]\nhalf_close = \"leaves\"\n", ""},
+		{"invalid mode", enabled + "mode = \"rw\"\n", "octal"},
+		{"reserved modifier", enabled + "modifiers = [100]\n", "modifier 100"},
+		{"invalid half_close", enabled + "half_close = \"maybe\"\n", "leaves"},
+		{"negative bound", enabled + "per_source = -1\n", "per_source"},
+		{"TLS without keys", strings.Replace(enabled, "127.0.0.1:3030", "suwsgi://127.0.0.1:3030", 1), "tls.cert"},
+		{"certificate without its key", enabled + "[uwsgi.servers_tls]\ncert = \"a\"\n", "together"},
+		{"unknown scheme", strings.Replace(enabled, "127.0.0.1:3031", "http://127.0.0.1:3031", 1), "scheme"},
 		{"traces", "[traces]\nfile = \"t\"\nshare = 0.1\n", ""},
 		{"trace share above 1", "[traces]\nshare = 2.0\n", "0 to 1"},
 		{"ledger", "[ledger]\ndir = \"d\"\nflush = \"20ms\"\nmemory_mb = 8\n", ""},
@@ -71,7 +71,7 @@
 		{"flush interval without a unit", "[ledger]\ndir = \"d\"\nflush = \"20\"\n", "1ms"},
 		{"flush interval too long", "[ledger]\ndir = \"d\"\nflush = \"1h\"\n", "10s"},
 		{"negative memory", "[ledger]\ndir = \"d\"\nmemory_mb = -1\n", "memory_mb"},
-		{"server without a port", strings.Replace(on, ":3031", "", 1), "port"},
+		{"server without a port", strings.Replace(enabled, ":3031", "", 1), "port"},
 	} {
 		if _, err := ParseDeploy([]byte(c.text)); (err == nil) != (c.wrong == "") || err != nil && !strings.Contains(err.Error(), c.wrong) {
 			t.Errorf("%s: %v, want an error on %q", c.name, err, c.wrong)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestStopReplaced(t *testing.T) {
+func TestKillAfterReplaced(t *testing.T) {
 	for _, c := range []struct {
 		stopMS    int64
 		deadlines []logic.Micros
--- a/internal/platform/config/deploy.go
+++ b/internal/platform/config/deploy.go
@@ -163,14 +163,14 @@
 	return err
 }
 
-// duration parses the duration of a key. It returns absent if text is empty.
-func duration(key, text string, absent time.Duration) (time.Duration, error) {
+// duration parses the duration of a key. It returns defaultValue if text is empty.
+func duration(key, text string, defaultValue time.Duration) (time.Duration, error) {
 	if text == "" {
-		return absent, nil
+		return defaultValue, nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 100*time.Millisecond || d > 24*time.Hour {
-		return 0, fmt.Errorf("%s is %q; write 100ms to 24h, such as %q", key, text, absent.String())
+		return 0, fmt.Errorf("%s is %q; write 100ms to 24h, such as %q", key, text, defaultValue.String())
 	}
 	return d, nil
 }
@@ -200,12 +200,12 @@
 // Durations parses the durations and sets the defaults of those that are absent.
 func (f Fleet) Durations() (s Durations, err error) {
 	for _, x := range []struct {
-		key, text string
-		absent    time.Duration
-		to        *time.Duration
+		key, text    string
+		defaultValue time.Duration
+		target       *time.Duration
 	}{{"report", f.ReportInterval, 2 * time.Second, &s.ReportInterval}, {"silent", f.SilentAfter, 10 * time.Second, &s.SilentAfter},
 		{"backup_each", f.BackupInterval, time.Hour, &s.BackupInterval}, {"lease", f.LeaseDuration, store.DefaultLeaseTerms.Duration, &s.Lease}, {"settle", f.MinReady, 10 * time.Second, &s.MinReady}} {
-		if *x.to, err = duration("fleet: "+x.key, x.text, x.absent); err != nil {
+		if *x.target, err = duration("fleet: "+x.key, x.text, x.defaultValue); err != nil {
 			return s, err
 		}
 	}
@@ -254,11 +254,11 @@
 	if l.Flush == "" || l.Flush == flushEach {
 		return 0, nil
 	}
-	every, err := time.ParseDuration(l.Flush)
-	if err != nil || every < time.Millisecond || every > maxFlushInterval {
+	interval, err := time.ParseDuration(l.Flush)
+	if err != nil || interval < time.Millisecond || interval > maxFlushInterval {
 		return 0, fmt.Errorf("ledger: flush is %q; write \"each\", or an interval from \"1ms\" to %q", l.Flush, maxFlushInterval)
 	}
-	return every, nil
+	return interval, nil
 }
 
 // IndexBytes returns the maximum memory for the keys in bytes.
--- a/internal/platform/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestUnix checks that a Unix socket has its mode, that a stale socket is replaced, and that a socket in use and a file that is not a
+// TestListenUnixReplacesOnlyStaleSockets checks that a Unix socket has its mode, that a stale socket is replaced, and that a socket in use and a file that is not a
 // socket are not replaced.
-func TestUnix(t *testing.T) {
+func TestListenUnixReplacesOnlyStaleSockets(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	e, err := Parse("unix:" + path)
 	if err != nil {
@@ -78,13 +78,13 @@
 	}
 }
 
-// TestKeysChange checks that new keys are reloaded while serving, that an invalid or incomplete pair is not, that open connections
+// TestTLSKeyReload checks that new keys are reloaded while serving, that an invalid or incomplete pair is not, that open connections
 // stay open, and that each end rejects a certificate of another authority.
-func TestKeysChange(t *testing.T) {
+func TestTLSKeyReload(t *testing.T) {
 	dir := t.TempDir()
 	first, second := standin.NewAuthority(t), standin.NewAuthority(t)
-	far := time.Now().Add(500 * time.Hour)
-	cert, key, ca := first.Issue(t, dir, "server", "node.test", far)
+	farExpiry := time.Now().Add(500 * time.Hour)
+	cert, key, ca := first.Issue(t, dir, "server", "node.test", farExpiry)
 	var log bytes.Buffer
 	keys, err := tlskeys.Load(tlskeys.Files{Cert: cert, Key: key, CA: ca}, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
@@ -113,14 +113,14 @@
 	}()
 	e.Address = ln.Addr().String()
 	client := func(a *standin.Authority, prefix string) *tlskeys.Keys {
-		cert, key, ca := a.Issue(t, dir, prefix, "client.test", far)
+		cert, key, ca := a.Issue(t, dir, prefix, "client.test", farExpiry)
 		k, err := tlskeys.Load(tlskeys.Files{Cert: cert, Key: key, CA: ca}, standin.DiscardLogger)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return k
 	}
-	talk := func(conn net.Conn, err error) error {
+	exchange := func(conn net.Conn, err error) error {
 		if err != nil {
 			return err
 		}
@@ -134,31 +134,31 @@
 		return err
 	}
 	dial := func(k *tlskeys.Keys, name string) (net.Conn, error) { return e.Dial(context.Background(), k, name) }
-	of1, of2 := client(first, "c1"), client(second, "c2")
-	open, err := dial(of1, "")
-	if err := talk(open, err); err != nil {
+	client1, client2 := client(first, "c1"), client(second, "c2")
+	openConn, err := dial(client1, "")
+	if err := exchange(openConn, err); err != nil {
 		t.Fatal(err)
 	}
-	defer open.Close()
+	defer openConn.Close()
 	for _, c := range []struct {
 		name string
 		err  error
-	}{{"another authority's client", talk(dial(of2, ""))}, {"a server with another name", talk(dial(of1, "other.test"))}} {
+	}{{"another authority's client", exchange(dial(client2, ""))}, {"a server with another name", exchange(dial(client1, "other.test"))}} {
 		if c.err == nil {
 			t.Errorf("%s was accepted", c.name)
 		}
 	}
 	plain, err := tls.Dial("tcp", e.Address, &tls.Config{InsecureSkipVerify: true})
-	if talk(plain, err) == nil {
+	if exchange(plain, err) == nil {
 		t.Error("a client without a certificate was accepted")
 	}
-	old, err := tls.Dial("tcp", e.Address, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS11})
-	if talk(old, err) == nil {
+	oldVersion, err := tls.Dial("tcp", e.Address, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS11})
+	if exchange(oldVersion, err) == nil {
 		t.Error("TLS 1.1 was accepted")
 	}
 
 	// With an invalid key file the current pair stays in use, and the error is logged once.
-	good, err := os.ReadFile(key)
+	validKey, err := os.ReadFile(key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,26 +167,26 @@
 	}
 	keys.Check()
 	keys.Check()
-	if err := talk(dial(of1, "")); err != nil || strings.Count(log.String(), "the current ones stay in use") != 1 {
+	if err := exchange(dial(client1, "")); err != nil || strings.Count(log.String(), "the current ones stay in use") != 1 {
 		t.Errorf("with an invalid key file: %v; log %s", err, log.String())
 	}
-	if err := os.WriteFile(key, append(good, '\n'), 0o600); err != nil {
+	if err := os.WriteFile(key, append(validKey, '\n'), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	second.Issue(t, dir, "server", "node.test", time.Now().Add(24*time.Hour))
 	if err := keys.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	if err := talk(dial(of2, "node.test")); err != nil {
+	if err := exchange(dial(client2, "node.test")); err != nil {
 		t.Errorf("with the new keys: %v", err)
 	}
-	if talk(dial(of1, "")) == nil {
+	if exchange(dial(client1, "")) == nil {
 		t.Error("a client of the old authority was accepted after the reload")
 	}
-	if err := talk(open, nil); err != nil {
+	if err := exchange(openConn, nil); err != nil {
 		t.Errorf("connection opened before the reload: %v", err)
 	}
-	if !strings.Contains(log.String(), "expires soon") || keys.Expires().After(far.Add(-time.Hour)) {
+	if !strings.Contains(log.String(), "expires soon") || keys.Expires().After(farExpiry.Add(-time.Hour)) {
 		t.Errorf("no warning before expiry at %v: %s", keys.Expires(), log.String())
 	}
 	_, _, _ = first.Issue(t, dir, "dead", "x", time.Now().Add(-time.Minute))
--- a/internal/platform/heap/heap.go
+++ b/internal/platform/heap/heap.go
@@ -15,31 +15,31 @@
 
 // Heap is a priority queue of elements. Its zero value is an empty heap. It is not safe for concurrent use.
 type Heap[K cmp.Ordered, E Element] struct {
-	all    []entry[K, E]
-	pushed uint64
+	entries    []entry[K, E]
+	insertions uint64
 }
 
 type entry[K cmp.Ordered, E Element] struct {
-	key     K
-	order   uint64
-	element E
+	key      K
+	sequence uint64
+	element  E
 }
 
 func (a *entry[K, E]) before(b *entry[K, E]) bool {
-	return a.key < b.key || a.key == b.key && a.order < b.order
+	return a.key < b.key || a.key == b.key && a.sequence < b.sequence
 }
 
 // Len returns the number of elements.
-func (h *Heap[K, E]) Len() int { return len(h.all) }
+func (h *Heap[K, E]) Len() int { return len(h.entries) }
 
 // First returns the element with the smallest key, and that key. The heap must not be empty.
-func (h *Heap[K, E]) First() (K, E) { return h.all[0].key, h.all[0].element }
+func (h *Heap[K, E]) First() (K, E) { return h.entries[0].key, h.entries[0].element }
 
 // Push adds an element after those with the same key.
 func (h *Heap[K, E]) Push(key K, e E) {
-	h.pushed++
-	h.all = append(h.all, entry[K, E]{key, h.pushed, e})
-	h.up(len(h.all) - 1)
+	h.insertions++
+	h.entries = append(h.entries, entry[K, E]{key, h.insertions, e})
+	h.up(len(h.entries) - 1)
 }
 
 // Pop removes the first element and returns it with its key. The heap must not be empty.
@@ -51,30 +51,30 @@
 
 // Remove removes the element at an index.
 func (h *Heap[K, E]) Remove(at int) {
-	out := h.all[at].element
-	last := len(h.all) - 1
-	moved := h.all[last]
-	h.all[last] = entry[K, E]{}
-	if h.all = h.all[:last]; at < last {
-		h.all[at] = moved
+	removed := h.entries[at].element
+	last := len(h.entries) - 1
+	moved := h.entries[last]
+	h.entries[last] = entry[K, E]{}
+	if h.entries = h.entries[:last]; at < last {
+		h.entries[at] = moved
 		h.down(at)
 		h.up(at) // at most one of the two moves it
 	}
-	out.SetIndex(NotInHeap)
+	removed.SetIndex(NotInHeap)
 }
 
 // Keep removes all elements for which keep returns false, in one pass.
 func (h *Heap[K, E]) Keep(keep func(E) bool) {
-	kept := h.all[:0]
-	for _, x := range h.all {
+	kept := h.entries[:0]
+	for _, x := range h.entries {
 		if keep(x.element) {
 			kept = append(kept, x)
 		} else {
 			x.element.SetIndex(NotInHeap)
 		}
 	}
-	clear(h.all[len(kept):])
-	h.all = kept
+	clear(h.entries[len(kept):])
+	h.entries = kept
 	for i := len(kept) - 1; i >= 0; i-- {
 		h.down(i)
 	}
@@ -82,39 +82,39 @@
 
 // up moves the entry at an index towards the root to its position.
 func (h *Heap[K, E]) up(at int) {
-	x := h.all[at]
+	x := h.entries[at]
 	for at > 0 {
 		parent := (at - 1) / 2
-		if !x.before(&h.all[parent]) {
+		if !x.before(&h.entries[parent]) {
 			break
 		}
-		h.put(at, h.all[parent])
+		h.set(at, h.entries[parent])
 		at = parent
 	}
-	h.put(at, x)
+	h.set(at, x)
 }
 
 // down moves the entry at an index away from the root to its position.
 func (h *Heap[K, E]) down(at int) {
-	x := h.all[at]
+	x := h.entries[at]
 	for {
 		child := 2*at + 1
-		if child >= len(h.all) {
+		if child >= len(h.entries) {
 			break
 		}
-		if right := child + 1; right < len(h.all) && h.all[right].before(&h.all[child]) {
+		if right := child + 1; right < len(h.entries) && h.entries[right].before(&h.entries[child]) {
 			child = right
 		}
-		if !h.all[child].before(&x) {
+		if !h.entries[child].before(&x) {
 			break
 		}
-		h.put(at, h.all[child])
+		h.set(at, h.entries[child])
 		at = child
 	}
-	h.put(at, x)
+	h.set(at, x)
 }
 
-func (h *Heap[K, E]) put(at int, x entry[K, E]) {
-	h.all[at] = x
+func (h *Heap[K, E]) set(at int, x entry[K, E]) {
+	h.entries[at] = x
 	x.element.SetIndex(at)
 }
--- a/internal/platform/latency/latency.go
+++ b/internal/platform/latency/latency.go
@@ -52,18 +52,18 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if past := now.Sub(w.startedAt); past >= histogramPeriod {
+	if elapsed := now.Sub(w.startedAt); elapsed >= histogramPeriod {
 		w.current, w.previous = w.previous, w.current
 		w.current.Reset()
-		if w.startedAt = now; past >= 2*histogramPeriod {
+		if w.startedAt = now; elapsed >= 2*histogramPeriod {
 			w.previous.Reset()
 		}
 	}
-	all := hdrhistogram.New(minMicros, maxMicros, significantDigits)
-	all.Merge(w.previous)
-	all.Merge(w.current)
-	if all.TotalCount() < minSamples {
+	merged := hdrhistogram.New(minMicros, maxMicros, significantDigits)
+	merged.Merge(w.previous)
+	merged.Merge(w.current)
+	if merged.TotalCount() < minSamples {
 		return 0
 	}
-	return time.Duration(all.ValueAtQuantile(100*q)) * time.Microsecond
+	return time.Duration(merged.ValueAtQuantile(100*q)) * time.Microsecond
 }
--- a/internal/platform/latency/latency_test.go
+++ b/internal/platform/latency/latency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWindow(t *testing.T) {
+func TestQuantileOfWindow(t *testing.T) {
 	at := time.Unix(1000, 0)
 	w := New(at)
 	for range 10 {
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -78,7 +78,7 @@
 }
 
 // collector reads the sources at each scrape.
-type collector struct{ from Sources }
+type collector struct{ sources Sources }
 
 // desc returns the description of a metric of the daemon.
 func desc(name, help string, labels ...string) *prometheus.Desc {
@@ -87,14 +87,14 @@
 
 var (
 	requests            = desc("requests_total", "Requests by what became of them.", "outcome")
-	started             = desc("runs_total", "Runs that were started.")
+	runsStarted         = desc("runs_total", "Runs that were started.")
 	inFlight            = desc("requests_in_hand", "Requests that are held, run or end.")
 	keys                = desc("keys", "Keys that are remembered.")
-	unrecorded          = desc("bookings_unrecorded_total", "Bookings refused because their start could not be recorded.")
-	elsewhere           = desc("tries_abroad_total", "Tries of keys that another process of the node held: waited for its run, or heard what came of it.", "how")
-	restored            = desc("bookings_restored", "Bookings known from an earlier process.")
-	conns               = desc("connections", "Open connections.", "front")
-	clients             = desc("uwsgi_requests_total", "What came to the uwsgi front.", "what")
+	bookingsUnrecorded  = desc("bookings_unrecorded_total", "Bookings refused because their start could not be recorded.")
+	attemptsElsewhere   = desc("tries_abroad_total", "Tries of keys that another process of the node held: waited for its run, or heard what came of it.", "how")
+	bookingsRestored    = desc("bookings_restored", "Bookings known from an earlier process.")
+	openConnections     = desc("connections", "Open connections.", "front")
+	uwsgiRequests       = desc("uwsgi_requests_total", "What came to the uwsgi front.", "what")
 	serverOpen          = desc("uwsgi_server_open", "Requests on a server.", "server")
 	serverCapacity      = desc("uwsgi_server_room", "Requests that a server may have at once.", "server")
 	serverState         = desc("uwsgi_server_state", "1 for the state that a server is in.", "server", "state")
@@ -106,7 +106,7 @@
 	ledgerWritten       = desc("ledger_written_bytes_total", "Bytes written to the ledger, by whom.", "by")
 	ledgerFlushes       = desc("ledger_flushes_total", "Flushes of the ledger's log.")
 	ledgerBroken        = desc("ledger_broken", "1 if the ledger takes no writes until a restart.")
-	byClass             = desc("class_responses_total", "Final answers by class: ok (served), shed (refused), errors (failed).", "class", "result")
+	classResponses      = desc("class_responses_total", "Final answers by class: ok (served), shed (refused), errors (failed).", "class", "result")
 	classRuns           = desc("class_tries_total", "Runs handed to the runner, by class.", "class")
 	fleetOut            = desc("fleet_out", "1 while this node is out of service by a permit; overdue: for longer than it was to take.", "how")
 	fleetReports        = desc("fleet_reports_total", "Reports to the fleet: made, or failed.", "result")
@@ -126,30 +126,30 @@
 // Collect implements prometheus.Collector. It reads all sources and sends their metrics.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	s := sender(ch)
-	if c.from.Core != nil {
+	if c.sources.Core != nil {
 		c.core(s)
 	}
-	if c.from.Classes != nil {
+	if c.sources.Classes != nil {
 		c.classes(s)
 	}
-	if c.from.Config != nil {
-		applied, rejected := c.from.Config()
+	if c.sources.Config != nil {
+		applied, rejected := c.sources.Config()
 		s.counter(reloads, applied, "applied")
 		s.counter(reloads, rejected, "rejected")
 	}
-	if c.from.Fleet != nil {
+	if c.sources.Fleet != nil {
 		c.fleet(s)
 	}
-	if c.from.Resp != nil {
-		s.gauge(conns, c.from.Resp(), "resp")
+	if c.sources.Resp != nil {
+		s.gauge(openConnections, c.sources.Resp(), "resp")
 	}
-	if c.from.Uwsgi != nil {
+	if c.sources.Uwsgi != nil {
 		c.uwsgi(s)
 	}
-	if c.from.Servers != nil {
+	if c.sources.Servers != nil {
 		c.servers(s)
 	}
-	if c.from.Ledger != nil {
+	if c.sources.Ledger != nil {
 		c.ledger(s)
 	}
 }
@@ -178,7 +178,7 @@
 
 // core sends the node's metrics.
 func (c *collector) core(s sender) {
-	n, inHand, keyCount := c.from.Core()
+	n, inFlightCount, keyCount := c.sources.Core()
 	s.counter(requests, n.Read, "read")
 	s.counter(requests, n.Served, "served")
 	s.counter(requests, n.Rejected, "refused")
@@ -186,43 +186,43 @@
 	s.counter(requests, n.Canceled, "gone")
 	s.counter(requests, n.DeadlineExpired, "late")
 	s.counter(requests, n.Coalesced, "joined")
-	s.counter(started, n.Started)
-	s.counter(unrecorded, n.RecordFailures)
-	s.counter(elsewhere, n.WaitedElsewhere, "waited")
-	s.counter(elsewhere, n.ServedFromElsewhere, "heard")
-	s.gauge(restored, n.Restored)
-	s.gauge(inFlight, inHand)
+	s.counter(runsStarted, n.Started)
+	s.counter(bookingsUnrecorded, n.RecordFailures)
+	s.counter(attemptsElsewhere, n.WaitedElsewhere, "waited")
+	s.counter(attemptsElsewhere, n.ServedFromElsewhere, "heard")
+	s.gauge(bookingsRestored, n.Restored)
+	s.gauge(inFlight, inFlightCount)
 	s.gauge(keys, keyCount)
 }
 
 // classes sends the metrics of each class.
 func (c *collector) classes(s sender) {
-	for name, n := range c.from.Classes() {
-		s.counter(byClass, n.Served, name, "ok")
-		s.counter(byClass, n.Rejected, name, "shed")
-		s.counter(byClass, n.Failed, name, "errors")
+	for name, n := range c.sources.Classes() {
+		s.counter(classResponses, n.Served, name, "ok")
+		s.counter(classResponses, n.Rejected, name, "shed")
+		s.counter(classResponses, n.Failed, name, "errors")
 		s.counter(classRuns, n.Started, name)
 	}
 }
 
 // uwsgi sends the metrics of the uwsgi front.
 func (c *collector) uwsgi(s sender) {
-	n, open := c.from.Uwsgi()
-	s.gauge(conns, open, "uwsgi")
-	s.counter(clients, n.Read, "read")
-	s.counter(clients, n.Malformed, "malformed")
-	s.counter(clients, n.Oversize, "oversize")
-	s.counter(clients, n.Slow, "slow")
-	s.counter(clients, n.Left, "left")
-	s.counter(clients, n.Crowded, "crowded")
-	s.counter(clients, n.Pings, "pings")
-	s.counter(clients, n.Streamed, "streamed")
-	s.counter(clients, n.Broken, "broken")
+	n, open := c.sources.Uwsgi()
+	s.gauge(openConnections, open, "uwsgi")
+	s.counter(uwsgiRequests, n.Read, "read")
+	s.counter(uwsgiRequests, n.Malformed, "malformed")
+	s.counter(uwsgiRequests, n.Oversize, "oversize")
+	s.counter(uwsgiRequests, n.Slow, "slow")
+	s.counter(uwsgiRequests, n.Left, "left")
+	s.counter(uwsgiRequests, n.Crowded, "crowded")
+	s.counter(uwsgiRequests, n.Pings, "pings")
+	s.counter(uwsgiRequests, n.Streamed, "streamed")
+	s.counter(uwsgiRequests, n.Broken, "broken")
 }
 
 // servers sends the metrics of each uwsgi server.
 func (c *collector) servers(s sender) {
-	for _, server := range c.from.Servers() {
+	for _, server := range c.sources.Servers() {
 		s.gauge(serverOpen, server.InFlight, server.Name)
 		s.gauge(serverCapacity, server.Capacity, server.Name)
 		s.gauge(serverState, 1, server.Name, server.State.String())
@@ -231,39 +231,39 @@
 
 // ledger sends the ledger's metrics.
 func (c *collector) ledger(s sender) {
-	t := c.from.Ledger()
-	s.gauge(ledgerKeys, t.Keys)
-	s.gauge(ledgerIndex, int(t.IndexBytes))
-	s.gauge(ledgerIndexLimit, int(t.IndexLimitBytes))
-	s.gauge(ledgerDisk, int(t.DiskBytes))
-	s.gauge(ledgerGarbage, int(t.GarbageBytes))
-	s.counter(ledgerWritten, int(t.WrittenBytes), "writers")
-	s.counter(ledgerWritten, int(t.CompactedBytes), "compactions")
-	s.counter(ledgerFlushes, int(t.Flushes))
-	s.flag(ledgerBroken, t.Broken != "")
+	stats := c.sources.Ledger()
+	s.gauge(ledgerKeys, stats.Keys)
+	s.gauge(ledgerIndex, int(stats.IndexBytes))
+	s.gauge(ledgerIndexLimit, int(stats.IndexLimitBytes))
+	s.gauge(ledgerDisk, int(stats.DiskBytes))
+	s.gauge(ledgerGarbage, int(stats.GarbageBytes))
+	s.counter(ledgerWritten, int(stats.WrittenBytes), "writers")
+	s.counter(ledgerWritten, int(stats.CompactedBytes), "compactions")
+	s.counter(ledgerFlushes, int(stats.Flushes))
+	s.flag(ledgerBroken, stats.Broken != "")
 }
 
 // fleet sends the metrics of this node's part in the fleet.
 func (c *collector) fleet(s sender) {
-	x := c.from.Fleet()
-	s.flag(fleetOut, x.OutOfService, "by permit")
-	s.flag(fleetOut, x.DrainOverdue, "overdue")
+	stats := c.sources.Fleet()
+	s.flag(fleetOut, stats.OutOfService, "by permit")
+	s.flag(fleetOut, stats.DrainOverdue, "overdue")
 	for _, result := range []string{"made", "failed"} {
-		s.counter(fleetReports, int(x.Reports[result]), result)
+		s.counter(fleetReports, int(stats.Reports[result]), result)
 	}
 	for _, what := range []string{"begun", "late", "replaced", "granted", "freed"} {
-		s.counter(fleetPermits, int(x.Permits[what]), what)
+		s.counter(fleetPermits, int(stats.Permits[what]), what)
 	}
-	if x.Grants != nil {
-		s.gauge(waitingRequests, x.Grants.Waiting)
-		for state, n := range x.Grants.Permits {
+	if stats.Grants != nil {
+		s.gauge(waitingRequests, stats.Grants.Waiting)
+		for state, n := range stats.Grants.Permits {
 			s.gauge(permitsByState, n, string(state))
 		}
-		for why, n := range x.Grants.Unavailable {
+		for why, n := range stats.Grants.Unavailable {
 			s.gauge(unavailableByReason, n, string(why))
 		}
 	}
-	for _, r := range x.Releases {
+	for _, r := range stats.Releases {
 		s.gauge(releaseNodes, r.Nodes, r.Name, "all")
 		s.gauge(releaseNodes, r.Updated, r.Name, "changed")
 		s.gauge(releaseWave, r.Wave, r.Name, string(r.State))
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -19,9 +19,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestMetrics checks that a scrape over a socket returns the metrics of all sources, and none of sources that are nil.
-func TestMetrics(t *testing.T) {
-	get := func(s Sources, runs ...uwsgi.RunTimes) string {
+// TestScrapeReturnsConfiguredSources checks that a scrape over a socket returns the metrics of all sources, and none of sources that are nil.
+func TestScrapeReturnsConfiguredSources(t *testing.T) {
+	scrape := func(s Sources, runs ...uwsgi.RunTimes) string {
 		t.Helper()
 		ln := standin.Listen(t)
 		m := New(s)
@@ -41,7 +41,7 @@
 		return string(text)
 	}
 	at := time.UnixMilli(1764576000000)
-	all := get(Sources{
+	all := scrape(Sources{
 		Core: func() (node.Counts, int, int) {
 			return node.Counts{Read: 7, Rejected: 3, RecordFailures: 1, WaitedElsewhere: 6, ServedFromElsewhere: 8}, 2, 5
 		},
@@ -77,7 +77,7 @@
 	if strings.Contains(all, `outcome="moot",stage="connected"`) {
 		t.Error("a stage that was not reached is counted")
 	}
-	if few := get(Sources{Core: func() (node.Counts, int, int) { return node.Counts{}, 0, 0 }}); strings.Contains(few, "ledger") || strings.Contains(few, "fleet") || strings.Contains(few, "uwsgi") {
+	if few := scrape(Sources{Core: func() (node.Counts, int, int) { return node.Counts{}, 0, 0 }}); strings.Contains(few, "ledger") || strings.Contains(few, "fleet") || strings.Contains(few, "uwsgi") {
 		t.Errorf("metrics of sources that are nil:\n%s", few)
 	}
 }
--- a/internal/platform/reconfigure/keys.go
+++ b/internal/platform/reconfigure/keys.go
@@ -21,8 +21,8 @@
 			missing = append(missing, path)
 		}
 	}
-	for key, have := range itemKeys {
-		if items, _ := strconv.Atoi(running[key.list+".count"]); have < items {
+	for key, count := range itemKeys {
+		if items, _ := strconv.Atoi(running[key.list+".count"]); count < items {
 			continue // some running items lack it, so it is optional
 		}
 		missing = append(missing, key.missing(next)...)
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"sloehitch/logic"
 )
 
-func read(t *testing.T, text string) (logic.Settings, *NameIndex, error) {
+func parseJSON(t *testing.T, text string) (logic.Settings, *NameIndex, error) {
 	t.Helper()
 	var object map[string]any
 	if err := json.Unmarshal([]byte(text), &object); err != nil {
@@ -21,7 +21,7 @@
 }
 
 func TestParseNestedSettings(t *testing.T) {
-	s, v, err := read(t, standin.Settings)
+	s, v, err := parseJSON(t, standin.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 const minimal = `{"domain":{"cores":2,"memory-kb":20000},"classes":[{"name":"a","objective":1000000,"hard-limit":3000000,"semantics":"retryable"}]}`
 
 func TestAbsentSettingsHaveUsableDefaults(t *testing.T) {
-	s, v, err := read(t, minimal)
+	s, v, err := parseJSON(t, minimal)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +56,8 @@
 
 func TestErrorsNamePathValueAndRange(t *testing.T) {
 	const class = `"classes":[{"name":"a","objective":1000000,"hard-limit":3000000,"semantics":"retryable"`
-	with := func(more string) string { return strings.Replace(minimal, `"domain":{`, `"domain":{`+more+`,`, 1) }
-	of := func(more string) string { return strings.Replace(minimal, class, class+","+more, 1) }
+	withDomainKey := func(more string) string { return strings.Replace(minimal, `"domain":{`, `"domain":{`+more+`,`, 1) }
+	withClassKey := func(more string) string { return strings.Replace(minimal, class, class+","+more, 1) }
 	for _, c := range []struct {
 		text  string
 		words []string // that the error must contain
@@ -67,15 +67,15 @@
 		{strings.Replace(minimal, `"cores":2`, `"cores":2.5`, 1), []string{`domain.cores is "2.5"`, "whole"}},
 		{strings.Replace(minimal, `"cores":2`, `"cores":"two"`, 1), []string{`domain.cores is "two"`}},
 		{strings.Replace(minimal, "20000", "0", 1), []string{`domain.memory-kb is "0"`, "above 0"}},
-		{with(`"run-factor":1e300`), []string{"domain.run-factor", "1000"}},
-		{with(`"downstream":"one_for_all","calls-out":-1,"calls-over":5000000`), []string{`domain.calls-out is "-1"`, "0 to 1000000"}},
-		{with(`"downstream":"one_for_all","calls-out":1`), []string{"domain.calls-over is missing", "span over which"}},
-		{with(`"downstream":"below"`), []string{`domain.downstream is "below"`, "off, one_for_all, tier"}},
-		{with(`"signal":"flor"`), []string{`domain.signal is "flor"`, "allowance, floor"}},
-		{with(`"stop-mode":7`), []string{`domain.stop-mode is "7"`, "discard"}},
-		{with(`"passes-deadline":"maybe"`), []string{`domain.passes-deadline is "maybe"`, "true or false"}},
-		{with(`"degraded-worth":[2]`), []string{`domain.degraded-worth is "2"`, "0 to 1"}},
-		{with(`"class-calls":["often"]`), []string{`domain.class-calls is "often"`}},
+		{withDomainKey(`"run-factor":1e300`), []string{"domain.run-factor", "1000"}},
+		{withDomainKey(`"downstream":"one_for_all","calls-out":-1,"calls-over":5000000`), []string{`domain.calls-out is "-1"`, "0 to 1000000"}},
+		{withDomainKey(`"downstream":"one_for_all","calls-out":1`), []string{"domain.calls-over is missing", "span over which"}},
+		{withDomainKey(`"downstream":"below"`), []string{`domain.downstream is "below"`, "off, one_for_all, tier"}},
+		{withDomainKey(`"signal":"flor"`), []string{`domain.signal is "flor"`, "allowance, floor"}},
+		{withDomainKey(`"stop-mode":7`), []string{`domain.stop-mode is "7"`, "discard"}},
+		{withDomainKey(`"passes-deadline":"maybe"`), []string{`domain.passes-deadline is "maybe"`, "true or false"}},
+		{withDomainKey(`"degraded-worth":[2]`), []string{`domain.degraded-worth is "2"`, "0 to 1"}},
+		{withDomainKey(`"class-calls":["often"]`), []string{`domain.class-calls is "often"`}},
 		{strings.Replace(minimal, "{", `{"rules":{"overload-factor":1e300},`, 1), []string{"rules.overload-factor", "1 to 1000"}},
 		{strings.Replace(minimal, "{", `{"rules":{"fall":1e300},`, 1), []string{"rules.fall", "86400000000", "day"}},
 		{strings.Replace(minimal, "{", `{"rules":{"grace-to-answer":-5},`, 1), []string{`rules.grace-to-answer is "-5"`}},
@@ -91,14 +91,14 @@
 		{strings.Replace(minimal, `"retryable"`, `"sometimes"`, 1), []string{`classes[0].semantics is "sometimes"`, "dedup, fragile, retryable"}},
 		{strings.Replace(minimal, `,"semantics":"retryable"`, "", 1), []string{"classes[0].semantics is missing"}},
 		{strings.Replace(minimal, `"retryable"`, `"dedup"`, 1), []string{"classes[0].window is missing", "60000000"}},
-		{of(`"late-worth":2`), []string{`classes[0].late-worth is "2"`}},
-		{of(`"credit":-1`), []string{`classes[0].credit is "-1"`}},
-		{of(`"aim-stretch":1e9`), []string{"classes[0].aim-stretch"}},
+		{withClassKey(`"late-worth":2`), []string{`classes[0].late-worth is "2"`}},
+		{withClassKey(`"credit":-1`), []string{`classes[0].credit is "-1"`}},
+		{withClassKey(`"aim-stretch":1e9`), []string{"classes[0].aim-stretch"}},
 		{`{"domain":{"cores":2,"memory-kb":1}}`, []string{"classes is missing", "1 to 256"}},
 		{`{"domain":{"cores":2,"memory-kb":1},"classes":"many"}`, []string{`classes is "many"`, "list of objects"}},
 		{`{"domain":{"cores":2,"memory-kb":1},"classes.count":1e9}`, []string{"classes.count", "1 to 256"}},
 	} {
-		_, _, err := read(t, c.text)
+		_, _, err := parseJSON(t, c.text)
 		if err == nil {
 			t.Errorf("%s: no error", c.text)
 			continue
@@ -112,7 +112,7 @@
 }
 
 func TestErrorsAreReportedTogether(t *testing.T) {
-	_, _, err := read(t, `{"tick":0,"domain":{"cores":-1,"run-factor":"x"},"classes":[{"name":"a","semantics":"dedup"}]}`)
+	_, _, err := parseJSON(t, `{"tick":0,"domain":{"cores":-1,"run-factor":"x"},"classes":[{"name":"a","semantics":"dedup"}]}`)
 	var fs FieldErrors
 	if !errors.As(err, &fs) {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 		"without counts": `{"domain.cores":2,"domain.memory-kb":20000,"classes":{"0":{"name":"a","objective":1000000,"hard-limit":3000000,"semantics":"retryable"}}}`,
 		"absent as null": strings.Replace(minimal, `"cores":2`, `"cores":2,"signal":null,"degraded-worth":[null],"stop-mode":"-"`, 1),
 	} {
-		s, _, err := read(t, text)
+		s, _, err := parseJSON(t, text)
 		if err != nil || len(s.Classes) != 1 || s.Classes[0].ClientTimeout != 3000000 || s.Cores != 2 {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
--- a/internal/platform/sockerr/sockerr_test.go
+++ b/internal/platform/sockerr/sockerr_test.go
@@ -31,8 +31,8 @@
 		{errors.New("another"), false, false},
 		{nil, false, false},
 	} {
-		if short := errors.Is(c.err, syscall.ENOBUFS) || errors.Is(c.err, syscall.ENFILE); IsResourceShortage(c.err) != short {
-			t.Errorf("%v: short %v, want %v", c.err, !short, short)
+		if shortage := errors.Is(c.err, syscall.ENOBUFS) || errors.Is(c.err, syscall.ENFILE); IsResourceShortage(c.err) != shortage {
+			t.Errorf("%v: resource shortage %v, want %v", c.err, !shortage, shortage)
 		}
 		if IsTransient(c.err) != c.transient || IsTransientListen(c.err) != c.transientListen {
 			t.Errorf("%v: %v, %v; want %v, %v", c.err, IsTransient(c.err), IsTransientListen(c.err), c.transient, c.transientListen)
--- a/internal/platform/traces/traces_test.go
+++ b/internal/platform/traces/traces_test.go
@@ -27,7 +27,7 @@
 	Events      []struct{ Name string }
 }
 
-func written(t *testing.T, path string) (spans []span) {
+func readSpans(t *testing.T, path string) (spans []span) {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return spans
 }
 
-// TestRequest checks that a request with two attempts is traced as part of the client's trace.
-func TestRequest(t *testing.T) {
+// TestRecordRequestWritesSpans checks that a request with two attempts is traced as part of the client's trace.
+func TestRecordRequestWritesSpans(t *testing.T) {
 	at := func(ms int) time.Time { return time.UnixMilli(1764576000000 + int64(ms)) }
 	path := filepath.Join(t.TempDir(), "spans")
 	for range 2 { // the second time the spans are appended
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 	}
-	spans := written(t, path)
+	spans := readSpans(t, path)
 	var got []string
 	for _, s := range spans[:min(len(spans), 4)] {
 		var events []string
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestShare checks that about the configured fraction of requests is traced, and always the same ones.
-func TestShare(t *testing.T) {
+// TestSampledFractionOfRequests checks that about the configured fraction of requests is traced, and always the same ones.
+func TestSampledFractionOfRequests(t *testing.T) {
 	tr := &Traces{sampleRate: 0.25}
 	n := 0
 	for i := range 10000 {
