--- a/cmd/sloehitch/drain.go
+++ b/cmd/sloehitch/drain.go
@@ -23,18 +23,18 @@
 	"sloehitch/internal/store"
 )
 
-// drainView is the fleet as the node that grants drain permits sees it, with the versions of the documents that it was read from.
+// drainView is the fleet as seen by the node that grants drain permits, with the versions of the documents that it was read from.
 type drainView struct {
 	fleetstate.View
 	versions fleetstate.Versions
 	status   store.ReadStatus
 }
 
-// readDrainView reads the view, confirmed by a majority.
+// readDrainView reads the view from the store, confirmed by a majority of the members.
 func readDrainView(c store.Client) (v drainView, err error) {
 	docs, status, err := c.Documents("", false)
 	if err != nil {
-		return v, fmt.Errorf("%w; without a majority nothing can be permitted, and nothing begins", err)
+		return v, fmt.Errorf("%w; without a majority of the store's members no drain can be permitted or started", err)
 	}
 	v.status = status
 	var decodeErr error
@@ -69,8 +69,8 @@
 }
 
 func (c *fleetBudgetCmd) Run(_ *slog.Logger) error {
-	ask := grammar.Fleet.client()
-	v, err := readDrainView(ask)
+	client := grammar.Fleet.client()
+	v, err := readDrainView(client)
 	if err != nil {
 		return err
 	}
@@ -80,16 +80,16 @@
 			fmt.Println(fleetstate.Encode(r))
 		}
 		if len(v.Budgets) == 0 {
-			fmt.Println("no budget is set: nothing may go out by choice")
+			fmt.Println("no budget is set: no node may be drained")
 		}
-		room := disruption.Headroom(v.Budgets, v.BudgetMembers(0))
-		for _, group := range slices.Sorted(maps.Keys(room)) {
-			fmt.Printf("%s: %d more may go out now\n", group, room[group])
+		headroom := disruption.Headroom(v.Budgets, v.BudgetMembers(0))
+		for _, group := range slices.Sorted(maps.Keys(headroom)) {
+			fmt.Printf("%s: %d more may be drained now\n", group, headroom[group])
 		}
 		return nil
 	}
 	if c.By == "" || c.Why == "" {
-		return errors.New("--by and --why are wanted: budgets are changed on record")
+		return errors.New("--by and --why are required to set budgets: they are kept in the history")
 	}
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -99,18 +99,18 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	r, err := setIfUnchanged(ask, author{c.By, c.Why}, fleetstate.BudgetsKey, v.versions[fleetstate.BudgetsKey], fleetstate.Encode(rules))
+	r, err := setIfUnchanged(client, author{c.By, c.Why}, fleetstate.BudgetsKey, v.versions[fleetstate.BudgetsKey], fleetstate.Encode(rules))
 	if err != nil {
 		return err
 	}
 	fmt.Printf("revision %d: %d budgets\n", r.Revision, len(rules))
 	for _, o := range disruption.Exceeded(rules, v.BudgetMembers(0)) {
-		fmt.Printf("of %s %d may be out and %d are: nothing of it begins until it fits\n", o.Group, o.MaxUnavailable, len(o.Unavailable))
+		fmt.Printf("group %s: %d may be unavailable but %d are: no drain of it starts until the budget is met\n", o.Group, o.MaxUnavailable, len(o.Unavailable))
 	}
 	return nil
 }
 
-// parseBudgets reads a file of budgets.
+// parseBudgets parses and validates a file of budgets.
 func parseBudgets(text []byte) (disruption.Budgets, error) {
 	var file struct {
 		Budget disruption.Budgets `toml:"budget"`
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	if len(file.Budget) == 0 {
-		return nil, errors.New("it has no budget; write such as [[budget]] group = \"zone\" most_out = 1")
+		return nil, errors.New("the file has no budget; write sections such as [[budget]] group = \"zone\" most_out = 1")
 	}
 	return file.Budget, file.Budget.Validate()
 }
@@ -132,9 +132,9 @@
 	author
 }
 
-// resolveNames are the nodes that are meant.
-func resolveNames(v drainView, words []string) (list []string, err error) {
-	for _, w := range words {
+// resolveNames returns the names of the nodes and servers that the arguments select.
+func resolveNames(v drainView, args []string) (list []string, err error) {
+	for _, w := range args {
 		zone, all := strings.CutPrefix(w, "zone=")
 		if address, server := strings.CutPrefix(w, "server="); server {
 			w = fleetstate.UpstreamName(address)
@@ -149,15 +149,15 @@
 			}
 		}
 		if !found {
-			return nil, fmt.Errorf("%q: no such node has reported; \"fleet status\" lists them", w)
+			return nil, fmt.Errorf("%q: no such node has reported; \"fleet status\" lists the nodes", w)
 		}
 	}
 	return list, nil
 }
 
 func (c *fleetDrainCmd) Run(_ *slog.Logger) error {
-	ask := grammar.Fleet.client()
-	v, err := readDrainView(ask)
+	client := grammar.Fleet.client()
+	v, err := readDrainView(client)
 	if err != nil {
 		return err
 	}
@@ -171,15 +171,15 @@
 	}
 	for _, node := range nodes {
 		if was, asked := v.Requests[node]; asked && was.FailureReason == "" {
-			fmt.Printf("%s: asked for already, by %s: %s\n", node, was.RequestedBy, was.Reason)
+			fmt.Printf("%s: drain already requested by %s: %s\n", node, was.RequestedBy, was.Reason)
 			continue
 		}
 		a.ID = rand.Text()
 		key := fleetstate.RequestKey(node)
-		if _, err := setIfUnchanged(ask, c.author, key, v.versions[key], fleetstate.Encode(a)); err != nil {
+		if _, err := setIfUnchanged(client, c.author, key, v.versions[key], fleetstate.Encode(a)); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
-		fmt.Printf("%s: asked for; \"fleet outs\" says when it is out, and what it waits for\n", node)
+		fmt.Printf("%s: drain requested; \"fleet outs\" shows when it is out of service, and what it waits for\n", node)
 	}
 	return nil
 }
@@ -190,8 +190,8 @@
 }
 
 func (c *fleetUndrainCmd) Run(_ *slog.Logger) error {
-	ask := grammar.Fleet.client()
-	v, err := readDrainView(ask)
+	client := grammar.Fleet.client()
+	v, err := readDrainView(client)
 	if err != nil {
 		return err
 	}
@@ -202,13 +202,13 @@
 	for _, node := range nodes {
 		key := fleetstate.RequestKey(node)
 		if _, asked := v.Requests[node]; !asked {
-			fmt.Printf("%s: nobody asked for it\n", node)
+			fmt.Printf("%s: no drain is requested\n", node)
 			continue
 		}
-		if _, err := setIfUnchanged(ask, c.author, key, v.versions[key], ""); err != nil {
+		if _, err := setIfUnchanged(client, c.author, key, v.versions[key], ""); err != nil {
 			return fmt.Errorf("%s: %w", node, err)
 		}
-		fmt.Printf("%s: taken back\n", node)
+		fmt.Printf("%s: drain request withdrawn\n", node)
 	}
 	return nil
 }
@@ -218,20 +218,20 @@
 	author
 }
 
-// Run halts, and returns once nothing can begin any more, however late a process wakes up.
+// Run halts drains. It returns once no drain can start any more, even by a process that was suspended meanwhile.
 func (c *fleetHaltCmd) Run(_ *slog.Logger) error {
 	return halt(grammar.Fleet.client(), cmp.Or(c.Release, fleetstate.HaltAll), c.author)
 }
 
-func halt(ask store.Client, what string, r author) error {
-	if strings.Contains(what, "/") {
-		return fmt.Errorf("release %q: a name without slashes is wanted", what)
+func halt(client store.Client, scope string, r author) error {
+	if strings.Contains(scope, "/") {
+		return fmt.Errorf("release %q: the name must not contain slashes", scope)
 	}
-	open, err := fleet.Halt(ask, what, r.By, r.Why)
+	open, err := fleet.Halt(client, scope, r.By, r.Why)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("halted: nothing of it begins any more. Permits: %d; who is out stays out, or comes back when what asked for it is taken back\n", open)
+	fmt.Printf("halted: no more drains of it start. Permits: %d; nodes that are out of service stay out until their drain requests are withdrawn\n", open)
 	return nil
 }
 
@@ -244,27 +244,27 @@
 	return resume(grammar.Fleet.client(), cmp.Or(c.Release, fleetstate.HaltAll), c.author)
 }
 
-func resume(ask store.Client, what string, r author) error {
-	was, _, err := ask.Document(fleetstate.HaltKeyPrefix+what, false)
+func resume(client store.Client, scope string, r author) error {
+	current, _, err := client.Document(fleetstate.HaltKeyPrefix+scope, false)
 	if err != nil {
 		return err
 	}
-	if was.Version == 0 {
-		fmt.Println("it is not halted")
+	if current.Version == 0 {
+		fmt.Println("nothing to resume: it is not halted")
 		return nil
 	}
-	r.Why = "resume " + what + ": " + r.Why
-	made, err := setIfUnchanged(ask, r, was.Key, was.Version, "")
+	r.Why = "resume " + scope + ": " + r.Why
+	made, err := setIfUnchanged(client, r, current.Key, current.Version, "")
 	if err != nil {
 		return err
 	}
-	fmt.Printf("revision %d: it goes on\n", made.Revision)
+	fmt.Printf("revision %d: resumed\n", made.Revision)
 	return nil
 }
 
 type fleetOutsCmd struct{}
 
-// Run shows who is out, who waits, and for what.
+// Run lists the nodes that are out of service or wait for a permit, and what they wait for.
 func (fleetOutsCmd) Run(_ *slog.Logger) error {
 	v, err := readDrainView(grammar.Fleet.client())
 	if err != nil {
@@ -274,10 +274,10 @@
 	for _, what := range slices.Sorted(maps.Keys(v.Halted)) {
 		fmt.Printf("HALTED: %s\n", what)
 	}
-	refused := map[string]disruption.Rejection{}
+	rejections := map[string]disruption.Rejection{}
 	step := (&drainpermit.Controller{Terms: store.DefaultLeaseTerms}).Decide(v.View, 0)
 	for _, r := range step.Rejected {
-		refused[r.Request.Member] = r
+		rejections[r.Request.Member] = r
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tZONE\tCOUNTS AS\tPERMIT\tHELD\tASKED BY\tWHY\tWAITS FOR")
@@ -292,13 +292,13 @@
 			r := v.Members[i].Report
 			held = fmt.Sprint(r.Running + r.Queued)
 			if r.DrainOverdue {
-				held += ", longer than it was to take"
+				held += ", drain overdue"
 			}
 			if m := v.Members[i]; m.Service != "" {
 				held = confirmations(m)
 			}
 		}
-		if r, no := refused[m.Name]; no {
+		if r, no := rejections[m.Name]; no {
 			waits = strings.TrimPrefix(r.String(), m.Name+": ")
 		}
 		if a.FailureReason != "" {
@@ -309,11 +309,11 @@
 	return w.Flush()
 }
 
-// confirmations says whether a server below is out on every node's word.
+// confirmations returns whether all nodes have confirmed that they no longer use an upstream server, or which have not.
 func confirmations(m fleetstate.ObservedMember) string {
 	ok, open, silent := m.DrainConfirmed()
 	if ok {
-		return "out, on every node's word"
+		return "out, confirmed by every node"
 	}
 	var text []string
 	if len(open) > 0 {
--- a/cmd/sloehitch/fleet.go
+++ b/cmd/sloehitch/fleet.go
@@ -19,7 +19,7 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// fleetCmd is what operators ask of the store on behalf of the whole fleet.
+// fleetCmd contains the commands that read and change the fleet's state in the store.
 type fleetCmd struct {
 	Admin   string          `help:"Address that a member of the store has for operators." required:""`
 	Status  fleetStatusCmd  `cmd:"" help:"What is wrong in the fleet, and what to do next; exits with 1 if anything is."`
@@ -44,20 +44,20 @@
 	return state.client()
 }
 
-// describeStatus says how current a read is.
+// describeStatus returns how current a read is.
 func describeStatus(s store.ReadStatus) string {
 	switch {
 	case s.Confirmed:
 		return fmt.Sprintf("revision %d, confirmed by a majority", s.Revision)
 	case s.AgeMS < 0:
-		return fmt.Sprintf("revision %d; this member has not heard of a leader since its start: ask another", s.Revision)
+		return fmt.Sprintf("revision %d; this member has not heard of a leader since its start: ask another member", s.Revision)
 	}
-	return fmt.Sprintf("revision %d, as this member had it up to %v ago", s.Revision, time.Duration(s.AgeMS)*time.Millisecond)
+	return fmt.Sprintf("revision %d, as known to this member up to %v ago", s.Revision, time.Duration(s.AgeMS)*time.Millisecond)
 }
 
 type fleetStatusCmd struct{}
 
-// nodeReport is what a node tells of itself, as far as it is shown.
+// nodeReport holds the fields of a node's report that are shown.
 type nodeReport struct {
 	State   string `json:"state"`
 	Version string `json:"version"`
@@ -75,7 +75,7 @@
 		if docs, seen, err = c.Documents("", true); err != nil {
 			return fmt.Errorf("%w; ask another member of the store", err)
 		}
-		problems = append(problems, "no majority of the store's members confirms what is read: nothing can be changed. Start the members that are down, or mend the links between them")
+		problems = append(problems, "no majority of the store's members confirms this read, so nothing can be changed. Start the members that are down, or repair the links between them")
 	}
 	owners, _, err := c.Leases()
 	if err != nil {
@@ -90,12 +90,12 @@
 		case "node":
 			var r nodeReport
 			if err := json.Unmarshal([]byte(d.Value), &r); err != nil {
-				problems = append(problems, fmt.Sprintf("node %s: its report can't be read: %v", name, err))
+				problems = append(problems, fmt.Sprintf("node %s: invalid report: %v", name, err))
 				continue
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", name, r.State, r.Version, time.UnixMilli(r.Since).UTC().Format(time.RFC3339), r.Running, r.Held)
 			if !r.Well && r.State == "ready" {
-				problems = append(problems, fmt.Sprintf("node %s serves but is not well: its callers are sent away; see \"Which limit binds?\" in docs/operators/deployment.md", name))
+				problems = append(problems, fmt.Sprintf("node %s serves but is unhealthy: its callers are sent to other nodes; see \"Which limit binds?\" in docs/operators/deployment.md", name))
 			}
 		case "silent":
 			var m struct {
@@ -103,12 +103,12 @@
 				Since int64  `json:"since"`
 			}
 			if err := json.Unmarshal([]byte(d.Value), &m); err == nil {
-				problems = append(problems, fmt.Sprintf("node %s is silent since %s (marked by %s): see whether its process runs and reaches the store. It may serve all the same", name, time.UnixMilli(m.Since).UTC().Format(time.RFC3339), m.By))
+				problems = append(problems, fmt.Sprintf("node %s is silent since %s (marked by %s): check whether its process runs and reaches the store. It may still be serving", name, time.UnixMilli(m.Since).UTC().Format(time.RFC3339), m.By))
 			}
 		case "duty":
 			var r leasedtask.Record
 			if err := json.Unmarshal([]byte(d.Value), &r); err == nil && r.State == leasedtask.StateFailed {
-				problems = append(problems, fmt.Sprintf("duty %s: job %s failed at step %d, %d times: %s. The next span of time begins a new job", name, r.JobID, r.Step, r.FailedAttempts, r.FailureReason))
+				problems = append(problems, fmt.Sprintf("duty %s: job %s failed at step %d, %d times: %s. A new job starts in the next period", name, r.JobID, r.Step, r.FailedAttempts, r.FailureReason))
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	for _, o := range owners {
 		if o.Holder != "" && o.RemainingMS == 0 {
-			problems = append(problems, fmt.Sprintf("duty %s: %s let its lease lapse, and nobody has asked since: see whether any node with [fleet] reaches the store", o.Task, o.Holder))
+			problems = append(problems, fmt.Sprintf("duty %s: the lease of %s expired and no node has requested it since: check whether any node with [fleet] reaches the store", o.Task, o.Holder))
 		}
 	}
 	if len(problems) == 0 {
@@ -130,35 +130,35 @@
 	return daemon.ExitCode(1)
 }
 
-// memberSilence is for how long a member may go unheard before it counts as wrong: several beats.
+// memberSilence is the time without contact, several heartbeats, after which a member counts as a problem.
 const memberSilence = 5 * time.Second
 
-// memberProblems is what is wrong with who keeps the store, and what to do next.
+// memberProblems returns the problems of the store's members, each with the action to take.
 func memberProblems(c store.Client) (problems []string) {
 	if m, err := c.Members(true); err == nil && m.ExclusionReason != "" {
 		problems = append(problems, fmt.Sprintf("member %s takes no part in the store: %s", m.ReportedBy, m.ExclusionReason))
 	}
 	m, err := c.Members(false)
 	if err != nil {
-		return problems // that there is no leader is told already
+		return problems // the lack of a leader is reported already
 	}
-	voters, there := 0, 0
+	voters, reachable := 0, 0
 	for _, x := range m.Members {
 		if !x.Voter {
-			problems = append(problems, fmt.Sprintf("member %s learns and has no vote: \"fleet members promote %s\" once it has caught up (%d entries behind)", x.Name, x.Name, x.Lag))
+			problems = append(problems, fmt.Sprintf("member %s is a learner without a vote: run \"fleet members promote %s\" once it has caught up (%d entries behind)", x.Name, x.Name, x.Lag))
 			continue
 		}
 		if voters++; x.Leader || x.SinceContact >= 0 && x.SinceContact < memberSilence {
-			there++
+			reachable++
 			continue
 		}
-		problems = append(problems, fmt.Sprintf("member %s has not answered the leader lately: start it or mend its links; \"fleet --admin ITS-ADDRESS members --local\" says whether it is kept out, and why", x.Name))
+		problems = append(problems, fmt.Sprintf("member %s has not answered the leader lately: start it or repair its links; \"fleet --admin ITS-ADDRESS members --local\" shows whether it is excluded, and why", x.Name))
 	}
-	if voters > 1 && there == quorum.Majority(voters) {
-		problems = append(problems, fmt.Sprintf("%d of %d voters are there: if one more is lost nothing can be changed", there, voters))
+	if voters > 1 && reachable == quorum.Majority(voters) {
+		problems = append(problems, fmt.Sprintf("%d of %d voters are reachable: if one more is lost, nothing can be changed", reachable, voters))
 	}
 	if voters%2 == 0 && voters > 0 {
-		problems = append(problems, fmt.Sprintf("%d voters bear no more losses than %d: promote one more or remove one", voters, voters-1))
+		problems = append(problems, fmt.Sprintf("%d voters tolerate no more losses than %d: promote one more or remove one", voters, voters-1))
 	}
 	return problems
 }
@@ -177,9 +177,9 @@
 		state := fmt.Sprintf("held, %v left", time.Duration(o.RemainingMS)*time.Millisecond)
 		switch {
 		case o.Holder == "":
-			state = "given back: free"
+			state = "returned: free"
 		case o.RemainingMS == 0:
-			state = "lapsed: free to whoever asks; its writes are turned away once another has it"
+			state = "expired: free for any node; writes of this holder are rejected once another node holds it"
 		case o.Successor != "":
 			state = "being handed over to " + o.Successor
 		}
@@ -198,13 +198,13 @@
 		return err
 	}
 	if forgotten && c.After == 0 {
-		fmt.Printf("changes up to revision %d are no longer remembered\n", seen.HistoryStart)
+		fmt.Printf("changes up to revision %d are no longer kept\n", seen.HistoryStart)
 		if changes, seen, forgotten, err = grammar.Fleet.client().Changes("", seen.HistoryStart, 0); err != nil {
 			return err
 		}
 	}
 	if forgotten {
-		return fmt.Errorf("not all changes after revision %d are remembered: ask after %d to %d", c.After, seen.HistoryStart, seen.Revision)
+		return fmt.Errorf("not all changes after revision %d are kept: use --after with %d to %d", c.After, seen.HistoryStart, seen.Revision)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REVISION\tWHEN\tBY\tWHAT\tWHY")
@@ -261,15 +261,15 @@
 	case errors.Is(err, store.ErrConflict):
 		return err
 	case err != nil:
-		return fmt.Errorf("%w; if it may have been made, ask again with --id %s", err, c.ID)
+		return fmt.Errorf("%w; if the change may have been made, repeat the command with --id %s", err, c.ID)
 	}
 	fmt.Printf("revision %d\n", r.Revision)
 	return nil
 }
 
-// setIfUnchanged sets a document that still has a version, or deletes it where the value is empty.
-func setIfUnchanged(ask store.Client, r author, key string, version uint64, value string) (document.Result, error) {
-	return ask.Commit(document.Transaction{ID: rand.Text(), Author: r.By, Reason: r.Why, Conditions: []document.Condition{{Key: key, Version: version}},
+// setIfUnchanged sets a document if it still has the given version, or deletes it if value is empty.
+func setIfUnchanged(client store.Client, r author, key string, version uint64, value string) (document.Result, error) {
+	return client.Commit(document.Transaction{ID: rand.Text(), Author: r.By, Reason: r.Why, Conditions: []document.Condition{{Key: key, Version: version}},
 		Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}})
 }
 
@@ -281,11 +281,11 @@
 
 func (c *fleetWantCmd) Run(_ *slog.Logger) error {
 	if c.Node == "" || strings.Contains(c.Node, "/") {
-		return fmt.Errorf("node %q: a name without slashes is wanted", c.Node)
+		return fmt.Errorf("node %q: the name must not be empty or contain slashes", c.Node)
 	}
-	ask := grammar.Fleet.client()
+	client := grammar.Fleet.client()
 	key := desiredstate.KeyPrefix + c.Node
-	was, _, err := ask.Document(key, false)
+	current, _, err := client.Document(key, false)
 	if err != nil {
 		return err
 	}
@@ -293,10 +293,10 @@
 	if err != nil { // strings always marshal
 		panic(err)
 	}
-	r, err := setIfUnchanged(ask, c.author, key, was.Version, string(text))
+	r, err := setIfUnchanged(client, c.author, key, current.Version, string(text))
 	if err != nil {
 		return err
 	}
-	fmt.Printf("revision %d; \"fleet show node/%s\" tells when the node has applied it\n", r.Revision, c.Node)
+	fmt.Printf("revision %d; \"fleet show node/%s\" shows when the node has applied it\n", r.Revision, c.Node)
 	return nil
 }
--- a/cmd/sloehitch/handover_test.go
+++ b/cmd/sloehitch/handover_test.go
@@ -19,9 +19,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// sharing is the platform's side of a node whose processes replace each other: one listener, one $TMPDIR, and for each
-// process an address of the runtime of its own.
-type sharing struct {
+// sharedNode is what the platform provides to a node whose processes replace each other: one listener and one $TMPDIR for all processes, and
+// a runtime address for each.
+type sharedNode struct {
 	t        *testing.T
 	dir      string
 	listener *os.File
@@ -31,7 +31,7 @@
 	killed   map[*standin.Runtime]bool
 }
 
-func newSharing(t *testing.T, deploy string) *sharing {
+func newSharedNode(t *testing.T, deploy string) *sharedNode {
 	t.Helper()
 	ln := standin.Listen(t)
 	f, err := ln.(*net.TCPListener).File()
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.Close() })
-	s := &sharing{t: t, dir: t.TempDir(), listener: f, address: ln.Addr().String(), killed: map[*standin.Runtime]bool{}}
+	s := &sharedNode{t: t, dir: t.TempDir(), listener: f, address: ln.Addr().String(), killed: map[*standin.Runtime]bool{}}
 	ln.Close()
 	s.deploy = filepath.Join(s.dir, "deploy.toml")
 	if err := os.WriteFile(s.deploy, []byte(deploy), 0o600); err != nil {
@@ -48,16 +48,16 @@
 	return s
 }
 
-// start starts the real program, and returns once it has its link to the runtime.
-func (s *sharing) start() (*killable, *standin.Runtime) {
+// start starts the program, and returns once it is connected to the runtime.
+func (s *sharedNode) start() (*daemonProcess, *standin.Runtime) {
 	s.t.Helper()
 	rt := standin.NewRuntime(s.t, func(j *standin.Job) (string, string) { return "OK", "visit " + j.UID })
 	s.runtimes = append(s.runtimes, rt)
 	config := filepath.Join(s.dir, fmt.Sprint("config", len(s.runtimes)))
-	if err := os.WriteFile(config, []byte(standin.Config(s.address, rt.Address, "", ample)), 0o600); err != nil {
+	if err := os.WriteFile(config, []byte(standin.Config(s.address, rt.Address, "", longDeadline)), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	k := &killable{Cmd: command("serve", "--config", config, "--deploy", s.deploy)}
+	k := &daemonProcess{Cmd: command("serve", "--config", config, "--deploy", s.deploy)}
 	k.Env = append(k.Env, "TMPDIR="+s.dir, "GW_ACCEPT_FD=3")
 	k.ExtraFiles = []*os.File{s.listener}
 	k.Stderr = &k.log
@@ -69,13 +69,13 @@
 	case <-rt.Syncs:
 	case <-time.After(standin.WaitTimeout):
 		k.kill()
-		s.t.Fatalf("it does not serve:\n%s", k.log.String())
+		s.t.Fatalf("the daemon does not serve; log:\n%s", k.log.String())
 	}
 	return k, rt
 }
 
-// runs is how often a key was run in all processes, and in those that were not killed.
-func (s *sharing) runs(body string) (all, living int) {
+// runs returns how often a key was run by all processes, and by those that were not killed.
+func (s *sharedNode) runs(body string) (all, living int) {
 	for _, rt := range s.runtimes {
 		n := rt.Runs(body)
 		if all += n; !s.killed[rt] {
@@ -85,12 +85,12 @@
 	return all, living
 }
 
-// TestKilledInHandOver: keyed tries reach two real processes at once, the old one is killed or replaced at seeded
-// moments, and the next comes. No key runs twice; every try that is served hears the same result; none is refused once its
-// key has run, and one fails only where the process that held its key was killed.
-func TestKilledInHandOver(t *testing.T) {
+// TestHandOverWithKillsRunsKeysOnce sends keyed requests to two processes at once, of which the old one is killed or shut down at seeded
+// moments before the next one starts. No key may run twice, all served requests of a key must get the same result, no request
+// may be rejected after its key has run, and a request may fail only if the process that held its key was killed.
+func TestHandOverWithKillsRunsKeysOnce(t *testing.T) {
 	const rounds, keys, conns, perConn = 6, 60, 8, 8
-	s := newSharing(t, "")
+	s := newSharedNode(t, "")
 	random := rand.New(rand.NewPCG(3, 3))
 	old, oldRuntime := s.start()
 	var mu sync.Mutex
@@ -121,11 +121,11 @@
 				for left := len(sent); left > 0; {
 					got := b.Read()
 					if len(got) < 2 {
-						return // its process was killed
+						return // the process was killed
 					}
 					body, ours := sent[got[0]]
 					if !ours {
-						continue // it is asked to close
+						continue // the request to close the connection
 					}
 					left--
 					answers <- struct{}{}
@@ -134,9 +134,9 @@
 					case got[1] == "ACK" && results[body] == "" && len(got) > 3:
 						results[body] = got[3]
 					case got[1] == "ACK" && len(got) > 3 && got[3] != results[body]:
-						t.Errorf("round %d: %s was served with %q and with %q", round, body, results[body], got[3])
+						t.Errorf("round %d: key %s was served with %q and with %q", round, body, results[body], got[3])
 					case got[1] == "NAK" && before[body]:
-						t.Errorf("round %d: %s had run and was refused: %q", round, body, got)
+						t.Errorf("round %d: key %s had run, but a request was rejected: %q", round, body, got)
 					case got[1] != "ACK" && got[1] != "NAK":
 						failed[body] = true
 					}
@@ -145,11 +145,11 @@
 			}()
 		}
 		kill := random.IntN(2) == 0
-		for range random.IntN(conns * perConn / 2) { // the moment
+		for range random.IntN(conns * perConn / 2) { // until the moment of the kill or signal
 			select {
 			case <-answers:
 			case <-time.After(standin.WaitTimeout):
-				t.Fatalf("round %d: no answers come", round)
+				t.Fatalf("round %d: no answer arrived", round)
 			}
 		}
 		if kill {
@@ -161,32 +161,32 @@
 		if kill {
 			s.killed[oldRuntime] = true
 		} else if err := old.Wait(); err != nil {
-			t.Errorf("round %d: told to leave it ended with %v:\n%s", round, err, old.log.String())
+			t.Errorf("round %d: after SIGTERM the process ended with %v; log:\n%s", round, err, old.log.String())
 		}
 		for i := range keys {
 			body := fmt.Sprint("k", i)
 			all, living := s.runs(body)
 			if all > 1 {
-				t.Errorf("round %d: %s ran %d times", round, body, all)
+				t.Errorf("round %d: key %s ran %d times", round, body, all)
 			}
 			if failed[body] && living > 0 {
-				t.Errorf("round %d: a try of %s failed, though its process was not killed", round, body)
+				t.Errorf("round %d: a request with key %s failed, though the process that ran it was not killed", round, body)
 			}
 		}
 		old, oldRuntime = next, nextRuntime
 	}
 	if len(results) < keys/2 || len(s.killed) == 0 || len(s.killed) == rounds {
-		t.Errorf("%d keys served, %d of %d processes killed: the test has shown little", len(results), len(s.killed), rounds)
+		t.Errorf("%d keys served, %d of %d processes killed: too few for a meaningful test", len(results), len(s.killed), rounds)
 	}
 }
 
-// TestHandOverWithLedger: a process starts while the one that it replaces still has the ledger; keys that ran before or
-// run meanwhile, in either, run once, and all are on record in the end: a process that finds nothing but the ledger
-// answers their repeats.
-func TestHandOverWithLedger(t *testing.T) {
+// TestHandOverOfLedgerRunsKeysOnce starts a process while the one that it replaces still holds the ledger. Keys that ran before or
+// meanwhile, in either process, must run once and be in the ledger in the end, so that a process that has only the ledger
+// answers repeated requests.
+func TestHandOverOfLedgerRunsKeysOnce(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "ledger")
-	figures := standin.FreeAddress(t) // only one process at a time can have it
-	s := newSharing(t, fmt.Sprintf("[ledger]\ndir = %q\n[metrics]\nlisten = %q\n", folder, figures))
+	metricsAddress := standin.FreeAddress(t) // only one process at a time can listen on it
+	s := newSharedNode(t, fmt.Sprintf("[ledger]\ndir = %q\n[metrics]\nlisten = %q\n", folder, metricsAddress))
 	id := 0
 	ask := func(body string) string {
 		t.Helper()
@@ -199,11 +199,11 @@
 			got = b.Read()
 		}
 		if len(got) < 4 || got[1] != "ACK" {
-			t.Fatalf("%s: %q", body, got)
+			t.Fatalf("key %s: answer %q, want ACK", body, got)
 		}
 		return got[3]
 	}
-	onRecord := func(body string) {
+	waitInLedger := func(body string) {
 		t.Helper()
 		for until := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) {
 			l, err := ledger.Open(disk.Dir(folder), ledger.Options{Limits: limits.ForLedger(1 << 20), ReadOnly: true})
@@ -215,7 +215,7 @@
 				}
 			}
 			if time.Now().After(until) {
-				t.Fatalf("%s is not on record: %v", body, err)
+				t.Fatalf("key %s is not in the ledger: %v", body, err)
 			}
 		}
 	}
@@ -227,18 +227,18 @@
 		body := fmt.Sprint("both", i)
 		results[body] = ask(body)
 	}
-	again := func() {
+	checkResults := func() {
 		t.Helper()
 		for body, want := range results {
 			if got := ask(body); got != want {
-				t.Errorf("%s: %q, first %q", body, got, want)
+				t.Errorf("key %s: result %q, at first %q", body, got, want)
 			}
 			if all, _ := s.runs(body); all != 1 {
-				t.Errorf("%s ran %d times", body, all)
+				t.Errorf("key %s ran %d times, want once", body, all)
 			}
 		}
 	}
-	again()
+	checkResults()
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -246,20 +246,20 @@
 		t.Fatalf("%v:\n%s", err, old.log.String())
 	}
 	results["after"] = ask("after")
-	for until := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) { // the new process takes the address over
-		got, err := http.Get("http://" + figures + "/metrics")
+	for until := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) { // the new process listens once the old one has released the address
+		got, err := http.Get("http://" + metricsAddress + "/metrics")
 		if err == nil {
 			got.Body.Close()
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("no figures from the new process: %v", err)
+			t.Fatalf("no metrics from the new process: %v", err)
 		}
 	}
 	for body := range results {
-		onRecord(body)
+		waitInLedger(body)
 	}
-	again()
+	checkResults()
 	next.kill()
 	if err := os.RemoveAll(daemon.KeystoreDir(s.dir, "n1")); err != nil {
 		t.Fatal(err)
@@ -267,7 +267,7 @@
 	s.start()
 	for body := range results {
 		if got := ask(body); got != results[body] {
-			t.Errorf("%s from the record: %q, first %q", body, got, results[body])
+			t.Errorf("key %s from the ledger: result %q, at first %q", body, got, results[body])
 		}
 	}
 }
--- a/cmd/sloehitch/incident_test.go
+++ b/cmd/sloehitch/incident_test.go
@@ -17,14 +17,14 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// nodeBehindProxy is the real program, whose link to its runtime goes through a proxy.
+// nodeBehindProxy is the program with a proxy between it and its runtime.
 type nodeBehindProxy struct {
-	*killable
+	*daemonProcess
 	address string
 	link    *linkproxy.Proxy
 }
 
-// startBehindProxy starts the real program with room for many runs at once and a deadline for its requests.
+// startBehindProxy starts the program with 64 cores, so that many runs are concurrent, and a deadline for its requests.
 func startBehindProxy(t *testing.T, rt *standin.Runtime, deadline time.Duration) *nodeBehindProxy {
 	t.Helper()
 	link, err := linkproxy.New(rt.Address, 1)
@@ -38,35 +38,28 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return &nodeBehindProxy{startKillable(t, config, "none.toml", address), address, link}
+	return &nodeBehindProxy{startDaemon(t, config, "none.toml", address), address, link}
 }
 
-// TestAKeyedRunStartsOnceThoughItsLinkBreaks.
-//
-// Seen: keyed runs were started a second time, 0.11 to 0.17 s after the notice that they had ended was written.
-//
-// How: the link to the runtime was reset. On the next one the node asked for the gauges and took their echo for the word that it had read
-// all notices; it sent again each start of which it had heard nothing. A run that ended after the echo was written and before its start
-// came again ran twice, since the runtime keeps nothing of a run that is over.
-//
-// Cause: what has not been heard of was taken for what has not happened. With delay on the link the two differ by a round trip.
-//
-// Proof: runs that end 10 ms apart, the link reset while all of them are on, 50 ms of delay each way. Those that end within a round trip
-// around the echo run twice; without delay none does.
-func TestAKeyedRunStartsOnceThoughItsLinkBreaks(t *testing.T) {
+// TestKeyedRunStartsOnceAfterLinkReset guards against a second start of keyed runs, 0.11 to 0.17 s after the notice of their end was
+// written. After a reset of the link the node took the echo of the gauges as proof that it had read all notices, and repeated every start
+// without a notice. A run that ended between the writing of the echo and the arrival of the repeated start ran twice, because the runtime
+// forgets runs that have ended. It takes delay on the link, since the window is one round trip: here runs end 10 ms apart, the link is
+// reset while all of them run, and the delay is 50 ms each way. Without delay no run started twice.
+func TestKeyedRunStartsOnceAfterLinkReset(t *testing.T) {
 	const runs, delay = 40, 50 * time.Millisecond
-	begun, reset := make(chan struct{}, runs), make(chan struct{})
+	started, reset := make(chan struct{}, runs), make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) {
 		var nth int
 		if _, err := fmt.Sscanf(string(j.Body), "run %d", &nth); err != nil {
 			return "ERROR", ""
 		}
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-reset
 		time.Sleep(time.Duration(nth) * 10 * time.Millisecond)
 		return "OK", string(j.Body)
 	})
-	n := startBehindProxy(t, rt, ample)
+	n := startBehindProxy(t, rt, longDeadline)
 	for _, d := range []linkproxy.Direction{linkproxy.ToServer, linkproxy.ToClient} {
 		n.link.Set(d, linkproxy.Conditions{Delay: delay})
 	}
@@ -80,9 +73,9 @@
 	}
 	for range runs {
 		select {
-		case <-begun:
+		case <-started:
 		case <-time.After(standin.WaitTimeout):
-			t.Fatalf("not all runs began:\n%s", n.log.String())
+			t.Fatalf("not all runs started; log:\n%s", n.log.String())
 		}
 	}
 	n.link.Reset()
@@ -94,10 +87,10 @@
 			}
 		}
 	}
-	// A second start would be on its way before this one, and the link keeps the order.
+	// Any second start would have been sent before this one, and the link keeps the order.
 	balancers[0].Do(runs+1, "book", standin.RequestID(runs+1), time.Now(), fmt.Sprint("run ", runs), ",opkey=last")
 	if got := balancers[0].Read(); len(got) < 2 || got[1] != "ACK" {
-		t.Errorf("%q, want ACK", got)
+		t.Errorf("last request: %q, want ACK", got)
 	}
 	for i := range runs {
 		if ran := rt.Runs(fmt.Sprint("run ", i)); ran != 1 {
@@ -106,9 +99,9 @@
 	}
 }
 
-// TestTheWallClockIsStepped: the process's wall clock jumps forward and back while requests come, run and hang. Each is served, and each that
-// hangs is answered when it is due, by real time.
-func TestTheWallClockIsStepped(t *testing.T) {
+// TestDeadlinesHoldWhenWallClockSteps steps the process's wall clock forward and back while requests arrive, run and hang. Each must be served, and each
+// that hangs must be answered at its deadline in real time.
+func TestDeadlinesHoldWhenWallClockSteps(t *testing.T) {
 	const deadline, work, slack = 2 * time.Second, 50 * time.Millisecond, 130 * time.Millisecond
 	hang := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) {
@@ -143,7 +136,7 @@
 		}
 		ask(0, fmt.Sprint("serve before ", i))
 		ask(1, fmt.Sprint("hang ", i))
-		time.Sleep(100 * time.Millisecond) // the step takes hold within 10 ms
+		time.Sleep(100 * time.Millisecond) // the step takes effect within 10 ms
 		ask(0, fmt.Sprint("serve after ", i))
 	}
 	for i, got := range answers[0] {
@@ -158,9 +151,9 @@
 	}
 }
 
-// TestANewConfigurationIsAnnouncedAsItStarts: SIGHUP comes at any moment of the start, by the command line that deployments use. The process lives,
-// and takes a later one for what it is.
-func TestANewConfigurationIsAnnouncedAsItStarts(t *testing.T) {
+// TestReloadSignalDuringStart sends SIGHUP at different moments of the start, with the command line that deployments use. The signal
+// must not end the process.
+func TestReloadSignalDuringStart(t *testing.T) {
 	var deploy struct{ Run string }
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -169,16 +162,16 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	program := built(t)
-	for play := range 20 {
+	program := buildProgram(t)
+	for i := range 20 {
 		rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 		address := standin.FreeAddress(t)
 		config := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(config, []byte(standin.Config(address, rt.Address, "", ample)), 0o600); err != nil {
+		if err := os.WriteFile(config, []byte(standin.Config(address, rt.Address, "", longDeadline)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		line := strings.Replace(strings.Replace(deploy.Run, "bin/sloehitch", program, 1), "exec ", "echo; exec ", 1)
-		k := &killable{Cmd: exec.Command("/bin/sh", "-c", line)}
+		k := &daemonProcess{Cmd: exec.Command("/bin/sh", "-c", line)}
 		k.Env, k.Stderr = append(os.Environ(), "GW_CONFIG="+config), &k.log
 		out, err := k.StdoutPipe()
 		if err == nil {
@@ -187,10 +180,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := out.Read(make([]byte, 1)); err != nil { // the program is about to be started
+		if _, err := out.Read(make([]byte, 1)); err != nil { // the shell is about to start the program
 			t.Fatal(err)
 		}
-		time.Sleep(time.Duration(play) * time.Millisecond / 2) // and is at any point of its start
+		time.Sleep(time.Duration(i) * time.Millisecond / 2) // so the signal arrives at different points of its start
 		if err := k.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
@@ -198,7 +191,7 @@
 		case <-rt.Syncs:
 		case <-time.After(standin.WaitTimeout):
 			k.kill()
-			t.Fatalf("play %d: it does not serve:\n%s", play, k.log.String())
+			t.Fatalf("iteration %d: the daemon does not serve; log:\n%s", i, k.log.String())
 		}
 		k.kill()
 	}
--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -21,7 +21,7 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// ledgerCmd looks into a ledger's folder and works on it, without a daemon.
+// ledgerCmd contains the commands that inspect and change a ledger's folder without a daemon.
 type ledgerCmd struct {
 	Put     ledgerPutCmd     `cmd:"" help:"Write KEY<TAB>VALUE lines from standard input; print each key once it is durable."`
 	Dump    ledgerDumpCmd    `cmd:"" help:"Print KEY<TAB>VALUE lines, sorted by key. The folder may be in use."`
@@ -32,13 +32,13 @@
 	Repair  ledgerRepairCmd  `cmd:"" help:"Save what can be read of a damaged folder into a new one."`
 }
 
-// ledgerFlags are what all of them take.
+// ledgerFlags are the arguments and flags of all ledger commands.
 type ledgerFlags struct {
 	Dir      string `arg:"" help:"The ledger's folder." type:"path"`
 	JSON     bool   `help:"Speak JSON, one object a line; bytes that are no text as key64 and value64."`
 	MemoryMB int    `help:"Memory for the keys, in MB." default:"1024"`
 
-	compacts bool // compacts by itself while it is open
+	compacts bool // the ledger is compacted automatically while it is open
 }
 
 func (f *ledgerFlags) options(readOnly bool, log *slog.Logger) ledger.Options {
@@ -54,15 +54,15 @@
 		return nil, err
 	}
 	if r := s.Recovery(); r.TornBytes > 0 && !readOnly {
-		log.Warn("a torn tail was cut off; it was never acknowledged", "file", r.TornFile, "offset", r.TornOffset, "bytes", r.TornBytes)
+		log.Warn("truncated a torn tail, which was never acknowledged", "file", r.TornFile, "offset", r.TornOffset, "bytes", r.TornBytes)
 	}
 	return s, nil
 }
 
-// closeReadOnly closes a store that was opened for reading: nothing of it is left to be written.
+// closeReadOnly closes a store that was opened read-only. Its error does not matter, since there is nothing to write.
 func closeReadOnly(s *ledger.Store) { _ = s.Close() }
 
-// progress shows long work on a terminal, and nothing elsewhere.
+// progress returns a function that shows the progress of long operations; nil if standard error is not a terminal.
 func progress() func(what string, done, of int64) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return nil
@@ -84,7 +84,7 @@
 	}
 }
 
-// jsonPair is a pair as JSON.
+// jsonPair is the JSON form of a ledger.Pair.
 type jsonPair struct {
 	Key     string     `json:"key,omitempty"`
 	Key64   []byte     `json:"key64,omitempty"`
@@ -93,7 +93,7 @@
 	Expires *time.Time `json:"expires,omitempty"`
 }
 
-// show prints a result for people, or as JSON.
+// show prints v as JSON if --json is set, and text otherwise.
 func (f *ledgerFlags) show(v any, text string) error {
 	if f.JSON {
 		return json.NewEncoder(os.Stdout).Encode(v)
@@ -107,15 +107,15 @@
 	For time.Duration `help:"Let the keys expire after this time, such as 90s; 0: never." default:"0"`
 }
 
-// inFlight is how many lines may wait for a flush together.
-const inFlight = 4096
+// maxInFlight is the maximum number of lines that wait for a flush.
+const maxInFlight = 4096
 
 func (c *ledgerPutCmd) Run(log *slog.Logger) (err error) {
 	_, err = disk.MakeDir(c.Dir)
 	if err != nil {
 		return err
 	}
-	c.compacts = true // or overwriting would leave behind all that it replaced
+	c.compacts = true // otherwise all overwritten values would stay on the disk
 	s, err := c.open(false, log)
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 	return c.write(s, os.Stdin, os.Stdout)
 }
 
-// write puts the lines and prints the keys in their order, each once it is durable and only then.
+// write puts the pairs of the lines and prints their keys in order, each only after its pair is durable.
 func (c *ledgerPutCmd) write(s *ledger.Store, in io.Reader, out io.Writer) error {
 	lim := limits.ForLedger(0)
 	sc := bufio.NewScanner(in)
@@ -132,7 +132,7 @@
 	w := bufio.NewWriter(out)
 	var mu sync.Mutex
 	var failed error
-	tokens := make(chan struct{}, inFlight)
+	tokens := make(chan struct{}, maxInFlight)
 	n := 0
 	fail := func(err error) {
 		if failed == nil {
@@ -168,7 +168,7 @@
 				return
 			}
 			_, err = fmt.Fprintf(w, "%s\n", key)
-			if len(tokens) <= 1 || w.Buffered() > 2048 { // what is acknowledged is told soon, and many at a time
+			if len(tokens) <= 1 || w.Buffered() > 2048 { // flush soon after each acknowledgement, but batch many
 				err = errors.Join(err, w.Flush())
 			}
 			if err != nil {
@@ -176,12 +176,12 @@
 			}
 		}
 		if err := s.Go(&b, done); errors.Is(err, ledger.ErrBusy) {
-			done(s.Apply(&b)) // waits its turn
+			done(s.Apply(&b)) // Apply blocks until the queue has space
 		} else if err != nil {
 			done(err)
 		}
 	}
-	for range inFlight { // all callbacks have come
+	for range maxInFlight { // wait until all callbacks have run
 		tokens <- struct{}{}
 	}
 	if err := sc.Err(); err != nil {
@@ -190,7 +190,7 @@
 	return errors.Join(failed, w.Flush())
 }
 
-// parse reads a line.
+// parse parses a line as JSON or as a key and a value separated by a tab.
 func (c *ledgerPutCmd) parse(text []byte) (key, value []byte, expiry time.Time, err error) {
 	if c.For > 0 {
 		expiry = time.Now().Add(c.For)
@@ -238,7 +238,7 @@
 			return enc.Encode(toJSONPair(p))
 		}
 		if bytes.ContainsAny(p.Key, "\t\n") || bytes.ContainsRune(p.Value, '\n') {
-			return fmt.Errorf("key %q: it or its value has a tab or a line break; use --json", p.Key)
+			return fmt.Errorf("key %q: the key or its value contains a tab or a line break; use --json", p.Key)
 		}
 		_, err := fmt.Fprintf(w, "%s\t%s\n", p.Key, p.Value)
 		return err
@@ -285,7 +285,7 @@
 func (c *ledgerVerifyCmd) Run(log *slog.Logger) error {
 	v, err := ledger.Verify(disk.Dir(c.Dir), c.options(true, log))
 	if err != nil {
-		log.Error("the folder can't be looked at", "folder", c.Dir, "error", err)
+		log.Error("could not verify the folder", "folder", c.Dir, "error", err)
 		return daemon.ExitCode(3)
 	}
 	text := fmt.Sprintf("%s: %s", c.Dir, v.State)
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -22,7 +22,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// asMain makes this test's program the daemon's: TestMain hands over to main.
+// asMain is the environment variable that makes the test binary run main instead of the tests.
 const asMain = "SLOEHITCH_TEST_AS_MAIN"
 
 func TestMain(m *testing.M) {
@@ -33,14 +33,14 @@
 	os.Exit(m.Run())
 }
 
-// command is the real program with these arguments. The race detector would have each wait for a second at its end.
+// command returns a command that runs the program with the arguments. It sets GORACE because otherwise the race detector delays each exit by a second.
 func command(args ...string) *exec.Cmd {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), asMain+"=1", "GORACE=atexit_sleep_ms=0")
 	return c
 }
 
-// TestLedgerPutCompacts: overwriting leaves no more behind than compactions let stand.
+// TestLedgerPutCompacts checks that put compacts the ledger, so that overwritten values do not accumulate.
 func TestLedgerPutCompacts(t *testing.T) {
 	dir := t.TempDir()
 	c := command("ledger", "put", dir)
@@ -51,7 +51,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	const lines, size = 120, 1 << 20 // a seventh of what is written stands in one segment
+	const lines, size = 120, 1 << 20 // one segment holds a seventh of all that is written
 	value := strings.Repeat("v", size-10)
 	for i := range lines {
 		if _, err := fmt.Fprintf(in, "k%d\t%s\n", i%4, value); err != nil {
@@ -72,11 +72,11 @@
 		}
 	}
 	if bytes > lines*size/2 {
-		t.Errorf("%d MB are left of %d MB, of which 4 count", bytes>>20, lines*size>>20)
+		t.Errorf("%d MB on the disk after writing %d MB, of which 4 MB are live", bytes>>20, lines*size>>20)
 	}
 }
 
-// TestLedgerCommands tries the sub-commands as a person would.
+// TestLedgerCommands runs each ledger command and checks its output and exit code.
 func TestLedgerCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new", "folder")
 	torn, damaged := dir+".torn", dir+".damaged"
@@ -85,10 +85,10 @@
 		code                     int
 	}{
 		{"put", "b\t2\na\t1\nb\t3\nempty\t\n", "put DIR", "b\na\nb\nempty\n", "", 0},
-		{"put what is no pair", "c\t1\nno tab\nd\t1\n", "put DIR", "c\n", "line 2", 1},
+		{"put a line without a tab", "c\t1\nno tab\nd\t1\n", "put DIR", "c\n", "line 2", 1},
 		{"put an empty key", "\tvalue\n", "put DIR", "", "line 1", 1},
 		{"dump", "", "dump DIR", "a\t1\nb\t3\nc\t1\nempty\t\n", "", 0},
-		{"dump a part", "", "dump --prefix b DIR", "b\t3\n", "", 0},
+		{"dump with a prefix", "", "dump --prefix b DIR", "b\t3\n", "", 0},
 		{"put bytes", `{"key64":"/wo=","value":"x\ty"}`, "put --json DIR", "\xff\n\n", "", 0},
 		{"dump bytes as text", "", "dump DIR", "", "--json", 1},
 		{"dump bytes", "", "dump --json DIR", `{"key64":"/wo=","value":"x\ty"}` + "\n", "", 0},
@@ -97,16 +97,16 @@
 		{"backup again", "", "backup DIR " + torn, "", "not empty", 1},
 		{"compact", "", "compact DIR", "5 records kept", "", 0},
 		{"stat", "", "stat --json DIR", `"keys":5`, "", 0},
-		{"no such folder", "", "verify " + dir + ".none", "", "no such file", 3},
+		{"verify a missing folder", "", "verify " + dir + ".none", "", "no such file", 3},
 		{"a torn one", "", "verify " + torn, "torn: ", "", 1},
 		{"a damaged one", "", "verify --json " + damaged, `"state":"damaged","file":"MANIFEST"`, "", 2},
 		{"put into a damaged one", "a\t1\n", "put " + damaged, "", "ledger repair", 1},
 		{"repair", "", "repair " + damaged + " " + dir + ".saved", "lost: MANIFEST", "", 0},
-		{"what was saved", "", "dump --prefix a " + dir + ".saved", "a\t1\n", "", 0},
+		{"dump the repaired folder", "", "dump --prefix a " + dir + ".saved", "a\t1\n", "", 0},
 	} {
 		switch c.name {
 		case "a torn one":
-			tear(t, torn)
+			tearTail(t, torn)
 		case "a damaged one":
 			if err := os.CopyFS(damaged, os.DirFS(dir)); err != nil {
 				t.Fatal(err)
@@ -119,7 +119,7 @@
 		cmd.Stdin = strings.NewReader(c.in)
 		var out, log bytes.Buffer
 		cmd.Stdout, cmd.Stderr = &out, &log
-		_ = cmd.Run() // its exit code tells
+		_ = cmd.Run() // the exit code is checked below
 		exact := c.err == "" && c.name != "dump bytes" && (strings.HasPrefix(c.args, "put") || strings.HasPrefix(c.args, "dump"))
 		if cmd.ProcessState.ExitCode() != c.code || !strings.Contains(out.String(), c.out) || exact && out.String() != c.out ||
 			!strings.Contains(log.String(), c.err) {
@@ -128,15 +128,15 @@
 	}
 }
 
-// tear gives a store an active segment that ends in bytes that are no record.
-func tear(t *testing.T, dir string) {
+// tearTail replaces a store by a copy whose active segment ends in an incomplete record.
+func tearTail(t *testing.T, dir string) {
 	t.Helper()
 	s, err := ledger.Open(disk.Dir(dir), ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	// A copy while it is open has an active segment; its name is made one that the table can tell.
+	// Only a copy of an open store has an active segment. It is renamed to dir at the end.
 	if err := os.CopyFS(dir+".copy", os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
@@ -167,15 +167,15 @@
 	}
 }
 
-// killable is the real program, serving, with a ledger.
-type killable struct {
+// daemonProcess is a running process of the program, with its log.
+type daemonProcess struct {
 	*exec.Cmd
 	log bytes.Buffer
 }
 
-func startKillable(t *testing.T, config, deploy, address string) *killable {
+func startDaemon(t *testing.T, config, deploy, address string) *daemonProcess {
 	t.Helper()
-	k := &killable{Cmd: command("serve", "--config", config, "--deploy", deploy)}
+	k := &daemonProcess{Cmd: command("serve", "--config", config, "--deploy", deploy)}
 	k.Stderr = &k.log
 	if err := k.Start(); err != nil {
 		t.Fatal(err)
@@ -189,19 +189,20 @@
 		}
 		if time.Now().After(until) {
 			k.kill()
-			t.Fatalf("it does not serve: %v\n%s", err, k.log.String())
+			t.Fatalf("the daemon does not serve: %v; log:\n%s", err, k.log.String())
 		}
 	}
 }
 
-func (k *killable) kill() {
-	_ = k.Process.Kill() // it may be over
+func (k *daemonProcess) kill() {
+	_ = k.Process.Kill() // it may have ended already
 	_ = k.Wait()
 }
 
-// TestKilledDaemon kills the real daemon under keyed traffic at seeded moments and starts it again on the same folder: no key
-// starts twice, every start that the runtime saw is on record, a repeat of what began is neither run nor refused, and one of what ended gets its answer.
-func TestKilledDaemon(t *testing.T) {
+// TestKilledDaemonRunsKeysOnce kills the daemon under keyed traffic at seeded moments and restarts it with the same folder. No key may start twice, every
+// start that the runtime received must be in the ledger, a repeat of a started request must be neither run nor rejected, and a repeat of an ended one
+// must get its result.
+func TestKilledDaemonRunsKeysOnce(t *testing.T) {
 	const rounds, keys, perRound = 5, 40, 30
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "ledger")
@@ -214,11 +215,11 @@
 			t.Fatal(err)
 		}
 	}
-	write(config, standin.Config(address, rt.Address, "", ample))
+	write(config, standin.Config(address, rt.Address, "", longDeadline))
 	write(deploy, fmt.Sprintf("[ledger]\ndir = %q\n", folder))
 
-	// Killed between "began" and the start of the run: that is all there is of this one.
-	ghost := node.RunRecord{Key: "ghost", Class: "book", ArrivedAt: time.Now(), Window: time.Hour, RequestID: "x"}
+	// A process that was killed between the record and the start of a run leaves a record like this one.
+	neverStarted := node.RunRecord{Key: "ghost", Class: "book", ArrivedAt: time.Now(), Window: time.Hour, RequestID: "x"}
 	func() {
 		made, err := disk.MakeDir(folder)
 		if err != nil {
@@ -230,7 +231,7 @@
 		}
 		defer s.Close()
 		done := make(chan error, 1)
-		if err := runlog.New(s, time.Second, time.Second, standin.DiscardLogger).RecordStart(ghost, func(err error) { done <- err }); err != nil {
+		if err := runlog.New(s, time.Second, time.Second, standin.DiscardLogger).RecordStart(neverStarted, func(err error) { done <- err }); err != nil {
 			t.Fatal(err)
 		}
 		if err := <-done; err != nil {
@@ -240,9 +241,9 @@
 
 	rng := rand.New(rand.NewPCG(7, 7))
 	var mu sync.Mutex
-	id, again, served := 0, 0, map[string]bool{}
+	id, fromLedger, served := 0, 0, map[string]bool{}
 	for round := range rounds {
-		k := startKillable(t, config, deploy, address)
+		k := startDaemon(t, config, deploy, address)
 		before := map[string]bool{}
 		for i := range keys {
 			body := fmt.Sprint("k", i)
@@ -256,24 +257,24 @@
 			sent[fmt.Sprint(id)] = body
 			b.Do(id, "book", standin.RequestID(id), time.Now(), body, ",opkey="+body)
 		}
-		for range rng.IntN(perRound) { // the moment of the kill
+		for range rng.IntN(perRound) { // until the moment of the kill
 			got := b.Read()
 			if len(got) < 2 {
-				t.Fatalf("round %d: the connection ended", round)
+				t.Fatalf("round %d: the daemon closed the connection", round)
 			}
 			body := sent[got[0]]
 			mu.Lock()
 			switch {
 			case got[1] == "ACK":
 				if want := "done " + body; len(got) < 4 || got[3] != want {
-					t.Errorf("round %d: %s was served with %q, want %q", round, body, got, want)
+					t.Errorf("round %d: key %s was served with %q, want %q", round, body, got, want)
 				}
 				if before[body] {
-					again++ // from the record: it is not run
+					fromLedger++ // answered from the ledger without a run
 				}
 				served[body] = true
 			case got[1] == "NAK" && before[body]:
-				t.Errorf("round %d: %s began before the kill and was refused after it", round, body)
+				t.Errorf("round %d: key %s started before the kill, and a request was rejected after it", round, body)
 			}
 			mu.Unlock()
 		}
@@ -286,28 +287,28 @@
 			body := fmt.Sprint("k", i)
 			n := rt.Runs(body)
 			if n > 1 {
-				t.Errorf("round %d: %s ran %d times", round, body, n)
+				t.Errorf("round %d: key %s ran %d times", round, body, n)
 			}
 			if n > 0 && !s.Has([]byte("booking/"+body)) {
-				t.Errorf("round %d: %s was started and is not on record", round, body)
+				t.Errorf("round %d: key %s was started, but is not in the ledger", round, body)
 			}
 			if n == 0 && served[body] {
-				t.Errorf("round %d: %s was served and never run", round, body)
+				t.Errorf("round %d: key %s was served, but never run", round, body)
 			}
 		}
 		s.Close()
 	}
-	k := startKillable(t, config, deploy, address)
+	k := startDaemon(t, config, deploy, address)
 	b := standin.Dial(t, address)
 	b.Do(1, "book", standin.RequestID(999999), time.Now(), "ghost", ",opkey=ghost")
 	if got := b.Read(); len(got) < 2 || got[1] != "FAIL" || rt.Runs("ghost") != 0 {
-		t.Errorf("one whose start was recorded and never made: %q, %d runs", got, rt.Runs("ghost"))
+		t.Errorf("request whose start was recorded but not made: answer %q, %d runs; want FAIL and none", got, rt.Runs("ghost"))
 	}
 	if second, err := command("serve", "--config", config, "--deploy", deploy).CombinedOutput(); err == nil || !strings.Contains(string(second), "in use") {
-		t.Errorf("a second daemon on the folder: %s", second)
+		t.Errorf("a second daemon with the same folder must fail with \"in use\": %s", second)
 	}
 	k.kill()
-	if len(served) == 0 || again == 0 {
-		t.Errorf("%d were served, %d of them from the record of an earlier process", len(served), again)
+	if len(served) == 0 || fromLedger == 0 {
+		t.Errorf("%d keys served, %d requests answered from the ledger of an earlier process", len(served), fromLedger)
 	}
 }
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -1,4 +1,4 @@
-// Command sloehitch decides on a server which requests run, wait or are refused.
+// Command sloehitch decides which requests on a server run, wait or are rejected.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	"sloehitch/internal/store"
 )
 
-// version is the version of the program; CHANGELOG.md has what each one brought.
+// version is the version of the program. CHANGELOG.md lists the changes of each version.
 const version = "0.2.0"
 
 // grammar is the command line.
@@ -42,7 +42,7 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
-// serveGrammar is the grammar of the one command that keeps running: the grammar of all commands would stay in its memory.
+// serveGrammar is the command line of serve alone. serve keeps running, and the grammar of all commands would stay in its memory.
 var serveGrammar struct {
 	Serve serveCmd `cmd:"" help:"Serve until told to stop."`
 }
@@ -83,18 +83,18 @@
 	return c.checkLedger(l.Deploy.Ledger, log)
 }
 
-// checkLedger judges the folder as well, without a change to it.
+// checkLedger checks the ledger's settings and verifies its folder without changing it.
 func (c *checkCmd) checkLedger(l config.Ledger, log *slog.Logger) error {
 	if l.Dir == "" {
 		return nil
 	}
-	every, err := l.FlushInterval()
+	interval, err := l.FlushInterval()
 	if err != nil {
 		return err
 	}
-	flush := "each start flushed before it is made"
-	if every > 0 {
-		flush = fmt.Sprintf("flushed every %v: a cut may lose bookings that began in the last %v", every, every)
+	flush := "each start flushed before the run begins"
+	if interval > 0 {
+		flush = fmt.Sprintf("flushed every %v: a power failure may lose bookings that started in the last %v", interval, interval)
 	}
 	state := "a new store"
 	if _, err := os.Stat(filepath.Join(l.Dir, "MANIFEST")); err == nil {
@@ -166,7 +166,7 @@
 		commands = &serveGrammar
 	}
 	ctx := kong.Parse(commands, kong.Name("sloehitch"), kong.Bind(log, level),
-		kong.Description("Decides on a server which requests run, wait or are refused."))
+		kong.Description("Decides which requests on a server run, wait or are rejected."))
 	err := ctx.Run(log)
 	var code daemon.ExitCode
 	switch {
--- a/cmd/sloehitch/main_test.go
+++ b/cmd/sloehitch/main_test.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestLoad: what is wrong with a configuration is told in one line before anything is started.
-func TestLoad(t *testing.T) {
+// TestLoadReportsErrorsInOneLine checks that an invalid configuration is reported in one line that names the file or the problem.
+func TestLoadReportsErrorsInOneLine(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -24,13 +24,13 @@
 	idle := file("idle.json", standin.Config("127.0.0.1:4100", "", "", time.Second))
 	file("bad.yaml", "openapi: 3.0.3\ninfo: {title: a, version: '1'}\npaths: {}\n")
 	for _, c := range []struct{ name, config, deploy, wrong string }{
-		{"the platform's", fine, "../../deploy/sloehitch.toml", ""},
+		{"repository's deployment file", fine, "../../deploy/sloehitch.toml", ""},
 		{"no deployment file", fine, filepath.Join(dir, "none.toml"), ""},
-		{"the example", "../../example/config.json", "../../example/sloehitch.toml", ""},
+		{"example files", "../../example/config.json", "../../example/sloehitch.toml", ""},
 		{"no configuration", filepath.Join(dir, "none.json"), "", "no such file"},
 		{"nothing to serve", idle, "", "nothing to serve"},
-		{"bad deployment file", fine, file("bad.toml", "uwsgi = 1"), "bad.toml"},
-		{"bad description", fine, file("on.toml", "[uwsgi]\nlisten = \"127.0.0.1:1\"\nservers = [\"127.0.0.1:2\"]\nopenapi = \"bad.yaml\"\n"), "bad.yaml"},
+		{"invalid deployment file", fine, file("bad.toml", "uwsgi = 1"), "bad.toml"},
+		{"invalid OpenAPI document", fine, file("on.toml", "[uwsgi]\nlisten = \"127.0.0.1:1\"\nservers = [\"127.0.0.1:2\"]\nopenapi = \"bad.yaml\"\n"), "bad.yaml"},
 	} {
 		f := files{Config: c.config, Deploy: c.deploy}
 		if c.deploy == "" {
--- a/cmd/sloehitch/members.go
+++ b/cmd/sloehitch/members.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// membersCmd shows and changes who keeps the store.
+// membersCmd contains the commands that show and change the members of the store.
 type membersCmd struct {
 	List    membersListCmd   `cmd:"" default:"withargs" help:"Who keeps the store, as its leader sees them."`
 	Add     membersAddCmd    `cmd:"" help:"Have a member learn: it gets all that is kept, and has no vote yet. Its own settings say join = true."`
@@ -35,11 +35,11 @@
 
 func printMembers(m store.Membership) error {
 	if m.ExclusionReason != "" {
-		fmt.Printf("%s takes no part: %s\n", m.ReportedBy, m.ExclusionReason)
+		fmt.Printf("%s takes no part in the store: %s\n", m.ReportedBy, m.ExclusionReason)
 		return nil
 	}
 	if len(m.Members) == 0 {
-		fmt.Println("one process keeps the store by itself")
+		fmt.Println("the store has a single member, this process")
 		return nil
 	}
 	fmt.Printf("store %s, as %s sees it; leader %s\n", m.StoreID, m.ReportedBy, m.Leader)
@@ -80,7 +80,7 @@
 	return fmt.Sprint(x.Lag)
 }
 
-// author is who asks for something, and why; it is kept in the history.
+// author holds the flags for who makes a change, and why. They are kept in the history.
 type author struct {
 	By  string `help:"Who asks." env:"USER" required:""`
 	Why string `help:"Why; kept in the history." required:""`
@@ -106,7 +106,7 @@
 	return changeMembers(store.MembershipChange{Action: do, Name: c.Name, Author: c.By, Reason: c.Why})
 }
 
-// Run is told by which command it came.
+// Run makes the change of the command that c belongs to: promote, remove or lead.
 func (c *membersChangeCmd) Run(_ *slog.Logger) error {
 	m := &grammar.Fleet.Members
 	switch c {
@@ -121,7 +121,7 @@
 func changeMembers(a store.MembershipChange) error {
 	m, err := grammar.Fleet.client().ChangeMembers(a)
 	if err != nil && !errors.Is(err, store.ErrConflict) {
-		return fmt.Errorf("%w; asked again it is made once", err)
+		return fmt.Errorf("%w; the command may be repeated, the change is made only once", err)
 	}
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 		return err
 	}
 	if err = errors.Join(grammar.Fleet.client().Backup(f), f.Sync(), f.Close()); err != nil {
-		return errors.Join(err, os.Remove(c.File)) // part of a backup is none
+		return errors.Join(err, os.Remove(c.File)) // a partial backup is useless
 	}
 	return nil
 }
@@ -158,11 +158,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("restored; the store goes on from revision %d. What was changed since the backup is gone; nobody holds a duty, and each is granted again after a lease\n", seen.Revision)
+	fmt.Printf("restored; the store continues from revision %d. Changes made since the backup are lost; no node holds a duty, and each is granted again after the duration of a lease\n", seen.Revision)
 	return nil
 }
 
-// storeCmd is for the folder of a member that does not run.
+// storeCmd contains the commands for the folder of a member that does not run.
 type storeCmd struct {
 	Folder  storeFolderCmd  `cmd:"" help:"Whose folder it is, and how far it goes."`
 	Recover storeRecoverCmd `cmd:"" help:"A majority of members is lost for good: have this member go on alone from its folder. Read docs/operators/fleet.md first."`
@@ -178,14 +178,14 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(folderText(f))
+	fmt.Println(formatDataDir(f))
 	return nil
 }
 
-func folderText(f store.DataDirInfo) string {
-	line := fmt.Sprintf("member %s of the store %s, one of %d voters; it goes to %v", f.Name, f.StoreID, f.Voters, f.Progress)
+func formatDataDir(f store.DataDirInfo) string {
+	line := fmt.Sprintf("member %s of the store %s, one of %d voters; its last entry is %v", f.Name, f.StoreID, f.Voters, f.Progress)
 	if f.ExclusionReason != "" {
-		line += "; it was kept out: " + f.ExclusionReason
+		line += "; it was excluded: " + f.ExclusionReason
 	}
 	return line
 }
@@ -203,11 +203,11 @@
 		return err
 	}
 	if !c.LoseTheRest {
-		return fmt.Errorf("%s. Nothing was done. Compare the folders of all members that are left, take the one whose last entry is of the highest term, and of the highest number in it, keep a copy of it, and repeat this on that one only with --lose-the-rest", folderText(f))
+		return fmt.Errorf("%s. Nothing was done. Compare the folders of all remaining members, choose the one whose last entry has the highest term and the highest number in that term, keep a copy of it, and repeat this command only on that one with --lose-the-rest", formatDataDir(f))
 	}
 	if _, err := store.Recover(c.Dir, store.Member{Name: c.Name, RaftAddress: c.Raft}, log); err != nil {
 		return err
 	}
-	fmt.Printf("was: %s\nnow: member %s alone, of a new store. Start it; then empty the folder of each other member, set join = true there, and add and promote it\n", folderText(f), c.Name)
+	fmt.Printf("was: %s\nnow: member %s alone, of a new store. Start it; then, for each other member, empty its folder, set join = true, and add and promote it\n", formatDataDir(f), c.Name)
 	return nil
 }
--- a/cmd/sloehitch/members_test.go
+++ b/cmd/sloehitch/members_test.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestMembersCommands tries the commands about members, backups and folders as a person would, against two members.
+// TestMembersCommands runs the commands for members, backups and data folders against a store of two members.
 func TestMembersCommands(t *testing.T) {
 	dir := t.TempDir()
 	var members []store.Member
@@ -42,10 +42,10 @@
 	})
 	next := map[string]string{"n0": "n1", "n1": "n0"}[leader]
 	backup := filepath.Join(dir, "backup.json")
-	type try struct{ name, args, out, err string }
-	run := func(tries []try) {
+	type step struct{ name, args, out, err string }
+	run := func(steps []step) {
 		t.Helper()
-		for _, c := range tries {
+		for _, c := range steps {
 			cmd := command(strings.Fields(strings.ReplaceAll(c.args, "BACKUP", backup))...)
 			var out, errs strings.Builder
 			cmd.Stdout, cmd.Stderr = &out, &errs
@@ -57,30 +57,30 @@
 	}
 	at := "fleet --admin " + members[0].AdminAddress + " "
 	why := " --by ann --why trial"
-	standin.WaitFor(t, "the other to be heard", func() bool {
+	standin.WaitFor(t, "contact between the members", func() bool {
 		m, _ := store.Client{Address: members[0].AdminAddress, Timeout: time.Second}.Members(false)
 		return len(m.Members) == 2 && m.Members[0].SinceContact >= 0 && m.Members[1].SinceContact >= 0
 	})
-	run([]try{
+	run([]step{
 		{"members", at + "members", leader + "      leads", ""},
-		{"members of one", "fleet --admin " + members[1].AdminAddress + " members --local", "as n1 sees it; leader " + leader, ""},
-		{"status", at + "status", "WRONG: 2 voters bear no more losses than 1", "exit"},
-		{"a name with a slash", at + "members add n/2 --raft 127.0.0.1:1 --member-admin 127.0.0.1:2" + why, "", "a word without slashes"},
+		{"members --local", "fleet --admin " + members[1].AdminAddress + " members --local", "as n1 sees it; leader " + leader, ""},
+		{"status", at + "status", "WRONG: 2 voters tolerate no more losses than 1", "exit"},
+		{"add a name with a slash", at + "members add n/2 --raft 127.0.0.1:1 --member-admin 127.0.0.1:2" + why, "", "a word without slashes"},
 		{"add", at + "members add n2 --raft 127.0.0.1:1 --member-admin 127.0.0.1:2" + why, "n2      learns  never", ""},
-		{"status of a learner", at + "status", "member n2 learns and has no vote", "exit"},
-		{"promote too soon", at + "members promote n2" + why, "", "n2 has not answered since this leader leads: it would have a vote and not use it"},
+		{"status of a learner", at + "status", "member n2 is a learner without a vote", "exit"},
+		{"promote a member that never answered", at + "members promote n2" + why, "", "n2 has not answered since this leader leads: it would have a vote and not use it"},
 		{"remove a learner", at + "members remove n2" + why, "votes", ""},
 		{"remove the leader", at + "members remove " + leader + why, "", "give the lead to another first"},
 		{"lead", at + "members lead " + next + why, "", ""},
-		{"no reason", at + "members remove n2 --by ann", "", "--why"},
+		{"remove without a reason", at + "members remove n2 --by ann", "", "--why"},
 		{"put", at + "put a 1 --version 0" + why, "revision", ""},
 		{"backup", at + "backup BACKUP", "", ""},
-		{"backup over another", at + "backup BACKUP", "", "file exists"},
-		{"put later", at + "put b 1 --version 0" + why, "revision", ""},
-		{"restore", at + "restore BACKUP" + why, "restored; the store goes on from revision", ""},
-		{"what is left", at + "show a", "\t1\n", ""},
-		{"what came later", at + "put b 2 --version 0" + why, "revision", ""},
-		{"the history", at + "history", "restore: trial", ""},
+		{"backup to an existing file", at + "backup BACKUP", "", "file exists"},
+		{"put after the backup", at + "put b 1 --version 0" + why, "revision", ""},
+		{"restore", at + "restore BACKUP" + why, "restored; the store continues from revision", ""},
+		{"show what the backup had", at + "show a", "\t1\n", ""},
+		{"put what the backup did not have", at + "put b 2 --version 0" + why, "revision", ""},
+		{"history of the restore", at + "history", "restore: trial", ""},
 	})
 	for _, s := range stores {
 		if err := s.Close(); err != nil {
@@ -91,12 +91,12 @@
 	if err := os.WriteFile(backup, []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run([]try{
-		{"a folder", "store folder " + folder + " --name n0", "member n0 of the store ", ""},
-		{"another's folder", "store folder " + folder + " --name n1", "", "the folder is member n0's"},
-		{"no folder", "store folder " + dir + " --name n0", "", "no member's folder"},
-		{"recover without knowing", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress, "", "Nothing was done"},
+	run([]step{
+		{"folder", "store folder " + folder + " --name n0", "member n0 of the store ", ""},
+		{"another member's folder", "store folder " + folder + " --name n1", "", "the folder is member n0's"},
+		{"no member's folder", "store folder " + dir + " --name n0", "", "no member's folder"},
+		{"recover without --lose-the-rest", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress, "", "Nothing was done"},
 		{"recover", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress + " --lose-the-rest", "now: member n0 alone, of a new store", ""},
-		{"recovered", "store folder " + folder + " --name n0", "one of 1 voters", ""},
+		{"folder after recover", "store folder " + folder + " --name n0", "one of 1 voters", ""},
 	})
 }
--- a/cmd/sloehitch/release.go
+++ b/cmd/sloehitch/release.go
@@ -15,7 +15,7 @@
 	"sloehitch/internal/store"
 )
 
-// releaseCmd takes another release through the fleet, in steps.
+// releaseCmd contains the commands that roll out a release in waves.
 type releaseCmd struct {
 	Admin  string           `help:"Address that a member of the store has for operators." required:""`
 	Plan   releasePlanCmd   `cmd:"" help:"Show the waves that a release would go in, and what binds them; nothing is changed."`
@@ -31,7 +31,7 @@
 	return state.client()
 }
 
-// plannedRelease is a release as it would go.
+// plannedRelease holds the arguments and flags from which a release is planned.
 type plannedRelease struct {
 	Name   string        `arg:"" help:"The release's name."`
 	To     string        `help:"What nodes are to report as deployed." required:""`
@@ -41,12 +41,12 @@
 	Within time.Duration `default:"1m" help:"In which a node should be empty, once out."`
 }
 
-func (c *plannedRelease) plan(ask store.Client) (r release.Release, v drainView, err error) {
-	if v, err = readDrainView(ask); err != nil {
+func (c *plannedRelease) plan(client store.Client) (r release.Release, v drainView, err error) {
+	if v, err = readDrainView(client); err != nil {
 		return r, v, err
 	}
 	if c.Growth < 1 {
-		return r, v, fmt.Errorf("--growth %v: 1 or more is wanted", c.Growth)
+		return r, v, fmt.Errorf("--growth is %v, must be at least 1", c.Growth)
 	}
 	r = release.Release{Name: c.Name, TargetVersion: c.To, RequestedAtMS: v.NowMS, State: release.Running, SoakMS: c.Soak.Milliseconds(), ReturnTimeoutMS: c.Late.Milliseconds(), DrainTimeoutMS: c.Within.Milliseconds()}
 	r.Waves, r.PreviousVersions = release.PlanWaves(v.Members, c.To, c.Growth)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// showPlan prints waves, budgets, how long it takes at the least, and which steps have no way back.
+// showPlan prints the waves, the budgets, the minimum duration, and the nodes that cannot be rolled back.
 func showPlan(r release.Release, v drainView) {
 	for i, w := range r.Waves {
 		fmt.Printf("wave %d: %s\n", i+1, strings.Join(w, " "))
@@ -73,13 +73,13 @@
 		fmt.Println("budget:", fleetstate.Encode(rule))
 	}
 	if len(v.Budgets) == 0 {
-		fmt.Println("no budget is set: nothing would begin; \"fleet budget --file\" sets them")
+		fmt.Println("no budget is set: no drain would start; set budgets with \"fleet budget --file\"")
 	}
-	fmt.Printf("at the least %v of watching, beside what nodes take to empty, be replaced and warm up\n", time.Duration(len(r.Waves)+1)*time.Duration(r.SoakMS)*time.Millisecond)
+	fmt.Printf("at least %v of soaking, in addition to the time in which nodes drain, are replaced and warm up\n", time.Duration(len(r.Waves)+1)*time.Duration(r.SoakMS)*time.Millisecond)
 	for _, w := range r.Waves {
 		for _, n := range w {
 			if r.PreviousVersions[n] == "" {
-				fmt.Printf("%s can't go back: it does not report what is deployed on it\n", n)
+				fmt.Printf("%s can't be rolled back: it does not report its release\n", n)
 			}
 		}
 	}
@@ -91,17 +91,17 @@
 }
 
 func (c *releaseStartCmd) Run(_ *slog.Logger) error {
-	ask := grammar.Release.client()
-	r, v, err := c.plan(ask)
+	client := grammar.Release.client()
+	r, v, err := c.plan(client)
 	if err != nil {
 		return err
 	}
 	r.RequestedBy, r.Reason = c.By, c.Why
-	if err := fleet.StartRelease(ask, r); err != nil {
+	if err := fleet.StartRelease(client, r); err != nil {
 		return err
 	}
 	showPlan(r, v)
-	fmt.Println("begun; \"release watch\" tells how far it is")
+	fmt.Println("started; \"release watch\" shows its progress")
 	return nil
 }
 
@@ -110,14 +110,14 @@
 }
 
 func (c *releaseWatchCmd) Run(_ *slog.Logger) error {
-	ask := grammar.Release.client()
+	client := grammar.Release.client()
 	last := ""
 	for {
-		v, err := readDrainView(ask)
+		v, err := readDrainView(client)
 		if err != nil {
 			return err
 		}
-		docs, _, err := ask.Documents(release.KeyPrefix, true)
+		docs, _, err := client.Documents(release.KeyPrefix, true)
 		if err != nil {
 			return err
 		}
@@ -128,9 +128,9 @@
 				return fmt.Errorf("%s: %w", d.Key, err)
 			}
 			lines += release.FormatStatus(r, v.View) + "\n"
-			mine := r.State == release.Running || r.State == release.RollingBack
-			open = open || mine
-			halted = halted || mine && (v.Halted[r.Name] || v.Halted[fleetstate.HaltAll])
+			active := r.State == release.Running || r.State == release.RollingBack
+			open = open || active
+			halted = halted || active && (v.Halted[r.Name] || v.Halted[fleetstate.HaltAll])
 		}
 		if len(docs) == 0 {
 			return errors.New("there is no release")
@@ -140,7 +140,7 @@
 			last = lines
 		}
 		if halted {
-			fmt.Println("halted: \"release resume\" or \"release back\"")
+			fmt.Println("halted: continue with \"release resume\" or roll back with \"release back\"")
 			return daemon.ExitCode(1)
 		}
 		if c.Once || !open {
@@ -177,6 +177,6 @@
 	if err := fleet.RollBackRelease(grammar.Release.client(), c.Name, c.By, c.Why); err != nil {
 		return err
 	}
-	fmt.Println("it goes back; \"release watch\" tells how far it is")
+	fmt.Println("rollback started; \"release watch\" shows its progress")
 	return nil
 }
--- a/cmd/sloehitch/reload_test.go
+++ b/cmd/sloehitch/reload_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestReload: on SIGHUP new addresses are taken over without losing a run, and a bad file leaves the old ones in force.
+// TestReload checks that SIGHUP applies new addresses without losing a run, and that an invalid file leaves the current ones in use.
 func TestReload(t *testing.T) {
 	hold, started := make(chan struct{}), make(chan struct{}, 1)
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 	}
-	configure(standin.Config(address, rt.Address, "", ample))
+	configure(standin.Config(address, rt.Address, "", longDeadline))
 	stopped := make(chan error, 1)
 	go func() { stopped <- c.Run(standin.DiscardLogger, new(slog.LevelVar)) }()
 	signalSelf := func(sig syscall.Signal) {
@@ -35,19 +35,19 @@
 	<-started
 	configure("{")
 	signalSelf(syscall.SIGHUP)
-	only(t, b, "9")
-	configure(standin.Config(address, rt.ListenAgain(t), "", ample))
+	expectNoMoreAnswers(t, b, "9")
+	configure(standin.Config(address, rt.ListenAgain(t), "", longDeadline))
 	signalSelf(syscall.SIGHUP)
 	<-rt.Syncs // the link is up at the new address
 	close(hold)
 	b.Do(2, "slot-search", standin.RequestID(2), time.Now(), "b", "")
 	for range 2 {
 		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
-			t.Errorf("answer %q", got)
+			t.Errorf("answer %q, want ACK", got)
 		}
 	}
 	if n := rt.Runs("a"); n != 1 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("the request ran %d times, want once", n)
 	}
 	b.Close()
 	signalSelf(syscall.SIGTERM)
@@ -56,11 +56,11 @@
 	}
 }
 
-// only fails if anything but the answer to one more check is still to come on a connection.
-func only(t *testing.T, b *standin.Balancer, tag string) {
+// expectNoMoreAnswers fails the test if the next message on the connection is not the answer to a health check that it sends.
+func expectNoMoreAnswers(t *testing.T, b *standin.Balancer, tag string) {
 	t.Helper()
 	b.Send(standin.Array("PING", tag, ""))
 	if got := b.Read(); len(got) < 2 || got[0] != tag || got[1] != "GREEN" {
-		t.Errorf("after the last answer came %q", got)
+		t.Errorf("message %q after the last answer", got)
 	}
 }
--- a/cmd/sloehitch/rig_test.go
+++ b/cmd/sloehitch/rig_test.go
@@ -10,9 +10,9 @@
 	"sloehitch/internal/testing/loadrig"
 )
 
-// TestRig: the emulator's load, played against real daemons, is answered and accounted for, and no key runs twice; how
-// fast this machine is decides nothing here.
-func TestRig(t *testing.T) {
+// TestLoadRigAccountsForAllRequests checks that the load rig sends the emulator's load to daemons, that each request is answered and counted, and that
+// no key runs twice. The result does not depend on the speed of the machine.
+func TestLoadRigAccountsForAllRequests(t *testing.T) {
 	w := emulator.World{Seed: 1, Duration: 2 * time.Second, Nodes: 2, Cores: 2, Speed: 1, Thrash: 0.3, ThrashThreshold: 3, MaxConcurrencyPerCore: 5, MemoryKB: 1e5, Load: 0.8,
 		Balancers: 2, Balancing: emulator.LeastRequests, MaxRetries: 1, Backoff: 10 * time.Millisecond, HonorRetryAfter: true, Classes: []emulator.Class{
 			{Name: "read", Share: 1, Work: emulator.Distribution{Mean: 0.02, CV: 1, Kind: "lognormal"}, LatencyObjective: time.Second, ClientTimeout: 2 * time.Second, PriorityWeight: 1},
@@ -31,7 +31,7 @@
 	}
 	for i, c := range r.Classes {
 		if sum := c.WithinObjective + c.Late + c.Rejected + c.Failed + c.TimedOut; sum != c.Offered || c.WithinObjective+c.Late == 0 || c.Attempts < c.Offered {
-			t.Errorf("class %d: %d offered, %d ended, %d served in time, %d tries", i, c.Offered, sum, c.WithinObjective, c.Attempts)
+			t.Errorf("class %d: %d offered, %d ended, %d served in time, %d attempts", i, c.Offered, sum, c.WithinObjective, c.Attempts)
 		}
 	}
 	for _, b := range r.Violations {
@@ -41,6 +41,6 @@
 	}
 	w.Nodes = loadrig.MostNodes + 1
 	if _, err := loadrig.Play(w, loadrig.Options{}); err == nil {
-		t.Error("more daemons than a machine should bear: no error")
+		t.Error("no error for more daemons than MostNodes")
 	}
 }
--- a/cmd/sloehitch/serve.go
+++ b/cmd/sloehitch/serve.go
@@ -19,7 +19,7 @@
 func (c *serveCmd) Run(log *slog.Logger, level *slog.LevelVar) error {
 	level.Set(c.LogLevel)
 	reload, stop := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // before all else: unhandled, these signals end the process
+	signal.Notify(reload, syscall.SIGHUP) // first of all, since these signals end the process unless they are handled
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	shutdown := daemon.ReceivedAt(stop)
 	l, err := c.load()
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -15,10 +15,10 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// serveChanged starts a node with a configuration that change has modified. The caller must call goOn to run it.
-func serveChanged(t *testing.T, rt *standin.Runtime, catalog string, change func(*config.Platform)) *served {
+// startWithConfig starts a node with a configuration that change has modified. The caller must call runInBackground to run it.
+func startWithConfig(t *testing.T, rt *standin.Runtime, catalog string, change func(*config.Platform)) *testNode {
 	t.Helper()
-	p, err := config.Parse([]byte(standin.Config(standin.FreeAddress(t), rt.Address, catalog, ample)))
+	p, err := config.Parse([]byte(standin.Config(standin.FreeAddress(t), rt.Address, catalog, longDeadline)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,16 +30,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.listeners.closeAll)
-	return &served{d, p.Listen, "", make(chan os.Signal, 1), make(chan error, 1)}
+	return &testNode{d, p.Listen, "", make(chan os.Signal, 1), make(chan error, 1)}
 }
 
-// goOn calls Run in the background, with the test's stop channel as its signals.
-func (s *served) goOn() *served {
+// runInBackground calls Run in the background, with the test's stop channel as its signals.
+func (s *testNode) runInBackground() *testNode {
 	go func() { s.stopped <- s.Run(ReceivedAt(s.stop)) }()
 	return s
 }
 
-func (s *served) until(t *testing.T, what string, done func() bool) {
+func (s *testNode) waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// over waits until Run has returned.
-func (s *served) over(t *testing.T) {
+// waitStopped waits until Run has returned.
+func (s *testNode) waitStopped(t *testing.T) {
 	t.Helper()
 	select {
 	case err := <-s.stopped:
@@ -61,27 +61,27 @@
 	}
 }
 
-// TestHalfARequestAtTheNotice checks a request of which only half has arrived at the shutdown signal and the rest arrives after the drain
+// TestRequestCompletedAfterGraceIsNotRun checks a request of which only half has arrived at the shutdown signal and the rest arrives after the drain
 // grace, which is 0 here. It must be answered once and not run, whatever its time stamp, and a request read before must be served.
-func TestHalfARequestAtTheNotice(t *testing.T) {
-	hold, started := make(chan struct{}), make(chan struct{}, 1)
-	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
-	s := serveChanged(t, rt, "", func(p *config.Platform) { p.Logic.DrainGrace = 0 }).goOn()
+func TestRequestCompletedAfterGraceIsNotRun(t *testing.T) {
+	release, started := make(chan struct{}), make(chan struct{}, 1)
+	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-release; return "OK", "r" })
+	s := startWithConfig(t, rt, "", func(p *config.Platform) { p.Logic.DrainGrace = 0 }).runInBackground()
 	b := standin.Dial(t, s.address)
 	b.Do(1, "slot-search", standin.RequestID(1), time.Now(), "whole", "")
 	<-started
-	late := standin.Do(2, "book", standin.RequestID(2), time.Now(), "half", ",opkey=k2")
-	b.Send(late[:len(late)/2])
+	partial := standin.Do(2, "book", standin.RequestID(2), time.Now(), "half", ",opkey=k2")
+	b.Send(partial[:len(partial)/2])
 	s.stop <- syscall.SIGTERM
-	s.until(t, "leaving", s.service.draining.Load)
+	s.waitUntil(t, "the shutdown begins", s.service.draining.Load)
 	if got := b.Read(); strings.Join(got, " ") != "0 FIN" {
 		t.Fatalf("got %q, want 0 FIN", got)
 	}
-	b.Send(late[len(late)/2:])
+	b.Send(partial[len(partial)/2:])
 	if got := b.Read(); len(got) < 2 || got[0] != "2" || got[1] != "NAK" {
 		t.Errorf("answer to the request completed after the grace: %q, want NAK", got)
 	}
-	close(hold)
+	close(release)
 	if got := b.Read(); len(got) < 2 || got[0] != "1" || got[1] != "ACK" {
 		t.Errorf("answer to the request read before the signal: %q, want ACK", got)
 	}
@@ -92,59 +92,59 @@
 		t.Errorf("read %q, %v after the last answer", all, err)
 	}
 	b.Close()
-	s.over(t)
+	s.waitStopped(t)
 }
 
-// TestTheNoticeCountsFromTheSignal checks that ReceivedAt reports the time of the first signal, not that of reading the channel, and
+// TestReceivedAtReportsFirstSignal checks that ReceivedAt reports the time of the first signal, not that of reading the channel, and
 // ignores a second signal.
-func TestTheNoticeCountsFromTheSignal(t *testing.T) {
+func TestReceivedAtReportsFirstSignal(t *testing.T) {
 	signals := make(chan os.Signal, 1)
-	notice := ReceivedAt(signals)
+	received := ReceivedAt(signals)
 	before := time.Now()
 	signals <- syscall.SIGTERM
-	for len(notice) == 0 {
+	for len(received) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	after := time.Now()
 	signals <- syscall.SIGTERM
-	if at := <-notice; at.Before(before) || at.After(after) {
+	if at := <-received; at.Before(before) || at.After(after) {
 		t.Errorf("received at %v, but sent between %v and %v", at, before, after)
 	}
-	if len(notice) > 0 {
+	if len(received) > 0 {
 		t.Error("a second time was sent for the second signal")
 	}
 }
 
-// TestSignalsBesideOneAnother sends SIGTERM before the node serves, during a reload and twice, and SIGHUP during the shutdown. The
+// TestSignalsDuringStartReloadAndShutdown sends SIGTERM before the node serves, during a reload and twice, and SIGHUP during the shutdown. The
 // request in flight must be served.
-func TestSignalsBesideOneAnother(t *testing.T) {
+func TestSignalsDuringStartReloadAndShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(s *served, hup chan os.Signal, gate chan struct{}, reading chan struct{})
+		send func(s *testNode, hup chan os.Signal, gate chan struct{}, reading chan struct{})
 	}{
-		{"SIGTERM before Run", func(s *served, _ chan os.Signal, gate, _ chan struct{}) {
+		{"SIGTERM before Run", func(s *testNode, _ chan os.Signal, gate, _ chan struct{}) {
 			close(gate)
 			s.stop <- syscall.SIGTERM
-			s.goOn()
+			s.runInBackground()
 		}},
-		{"SIGTERM twice", func(s *served, _ chan os.Signal, gate, _ chan struct{}) {
+		{"SIGTERM twice", func(s *testNode, _ chan os.Signal, gate, _ chan struct{}) {
 			close(gate)
-			s.goOn()
+			s.runInBackground()
 			s.stop <- syscall.SIGTERM
-			s.until(t, "leaving", s.service.draining.Load)
+			s.waitUntil(t, "the shutdown begins", s.service.draining.Load)
 			s.stop <- syscall.SIGTERM
 		}},
-		{"SIGTERM during a reload", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
-			s.goOn()
+		{"SIGTERM during a reload", func(s *testNode, hup chan os.Signal, gate, reading chan struct{}) {
+			s.runInBackground()
 			hup <- syscall.SIGHUP
 			<-reading
 			s.stop <- syscall.SIGTERM
 			close(gate)
 		}},
-		{"SIGHUP during the shutdown", func(s *served, hup chan os.Signal, gate, reading chan struct{}) {
-			s.goOn()
+		{"SIGHUP during the shutdown", func(s *testNode, hup chan os.Signal, gate, reading chan struct{}) {
+			s.runInBackground()
 			s.stop <- syscall.SIGTERM
-			s.until(t, "leaving", s.service.draining.Load)
+			s.waitUntil(t, "the shutdown begins", s.service.draining.Load)
 			hup <- syscall.SIGHUP
 			<-reading
 			close(gate)
@@ -153,7 +153,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			hold, started := make(chan struct{}), make(chan struct{}, 1)
 			rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
-			s := serveChanged(t, rt, "", nil)
+			s := startWithConfig(t, rt, "", nil)
 			hup, gate, reading := make(chan os.Signal, 1), make(chan struct{}), make(chan struct{}, 1)
 			s.reloads = hup
 			s.load = func() (*Config, error) {
@@ -164,8 +164,8 @@
 			b := standin.Dial(t, s.address)
 			b.Do(1, "book", standin.RequestID(1), time.Now(), "a", ",opkey=k1")
 			<-started
-			c.play(s, hup, gate, reading)
-			s.until(t, "leaving", s.service.draining.Load)
+			c.send(s, hup, gate, reading)
+			s.waitUntil(t, "the shutdown begins", s.service.draining.Load)
 			close(hold)
 			var got []string
 			for got = b.Read(); len(got) > 1 && got[0] == "0"; got = b.Read() {
@@ -174,17 +174,17 @@
 				t.Errorf("answer %q, want ACK", got)
 			}
 			b.Close()
-			s.over(t)
+			s.waitStopped(t)
 		})
 	}
 }
 
-// TestUndoBesideTheEndOfItsRun sends an UNDO before, during and after the end of the request's run. In any order there must be at most
+// TestUndoAroundEndOfRunAnswersOnce sends an UNDO before, during and after the end of the request's run. In any order there must be at most
 // one answer and one run, and a repeated request must get the result.
-func TestUndoBesideTheEndOfItsRun(t *testing.T) {
+func TestUndoAroundEndOfRunAnswersOnce(t *testing.T) {
 	hold := make(chan chan struct{}, 1)
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-<-hold; return "OK", "of " + string(j.Body) })
-	s := serveChanged(t, rt, "", nil).goOn()
+	s := startWithConfig(t, rt, "", nil).runInBackground()
 	b := standin.Dial(t, s.address)
 	tag := 0
 	for i := range 60 {
@@ -194,7 +194,7 @@
 		tag++
 		undone := fmt.Sprint(tag)
 		b.Do(tag, "book", standin.RequestID(tag), time.Now(), body, key)
-		s.until(t, "the request runs", func() bool { return rt.Runs(body) == 1 })
+		s.waitUntil(t, "the request runs", func() bool { return rt.Runs(body) == 1 })
 		undo := standin.Array("UNDO", undone)
 		switch i % 3 {
 		case 0: // before the end of the run
@@ -227,14 +227,14 @@
 		}
 	}
 	tag++
-	only(t, b, fmt.Sprint(tag))
+	expectNoMoreAnswers(t, b, fmt.Sprint(tag))
 }
 
-// TestUndoBesideTheStart sends a request, its UNDO and a repeat of the request in one write. Whether the UNDO takes effect is up to
+// TestUndoWithItsRequestRunsOnce sends a request, its UNDO and a repeat of the request in one write. Whether the UNDO takes effect is up to
 // package node, but the repeat must be served and the key must run once.
-func TestUndoBesideTheStart(t *testing.T) {
+func TestUndoWithItsRequestRunsOnce(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", "of " + string(j.Body) })
-	s := serveChanged(t, rt, "", nil).goOn()
+	s := startWithConfig(t, rt, "", nil).runInBackground()
 	b := standin.Dial(t, s.address)
 	for i := range 40 {
 		body, key := fmt.Sprint("body", i), fmt.Sprintf(",opkey=k%d", i)
@@ -248,13 +248,13 @@
 			t.Fatalf("iteration %d: answer %q after %d runs, want ACK after one run", i, got, rt.Runs(body))
 		}
 	}
-	only(t, b, "1000")
+	expectNoMoreAnswers(t, b, "1000")
 }
 
-// TestARequestInPieces sends requests byte by byte, with arbitrary bytes in their bodies and in all forms that the protocol allows.
-func TestARequestInPieces(t *testing.T) {
+// TestRequestsArriveByteByByte sends requests byte by byte, with arbitrary bytes in their bodies and in all forms that the protocol allows.
+func TestRequestsArriveByteByByte(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", string(j.Body) })
-	s := serveChanged(t, rt, "", nil).goOn()
+	s := startWithConfig(t, rt, "", nil).runInBackground()
 	b := standin.Dial(t, s.address)
 	fields := func(id int) string {
 		return fmt.Sprintf("req=%s,ts=%d,need=0.5", standin.RequestID(id), time.Now().UnixMilli())
--- a/internal/daemon/deployments_test.go
+++ b/internal/daemon/deployments_test.go
@@ -53,19 +53,19 @@
 		"", []string{"c0", "c38"}, []string{"k"}},
 }
 
-func TestQuiteDifferentDeployments(t *testing.T) {
+func TestServesUnderVariousSettings(t *testing.T) {
 	for _, dep := range deployments {
 		t.Run(dep.name, func(t *testing.T) {
 			settings := dep.settings
 			for i := 0; strings.Contains(settings, "c@"); i++ {
 				settings = strings.Replace(settings, "c@", fmt.Sprint("c", i), 1)
 			}
-			caps := dep.limits
-			if caps == "" {
-				caps = `{"cores":1,"memory_mb":64,"sockets":256}`
+			limitsJSON := dep.limits
+			if limitsJSON == "" {
+				limitsJSON = `{"cores":1,"memory_mb":64,"sockets":256}`
 			}
 			rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", "done" })
-			p, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"stop_ms":3000,"limits":%s,"settings":%s}`, standin.FreeAddress(t), rt.Address, caps, settings)))
+			p, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n1","listen":%q,"runtime":%q,"stop_ms":3000,"limits":%s,"settings":%s}`, standin.FreeAddress(t), rt.Address, limitsJSON, settings)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -97,19 +97,19 @@
 	}
 }
 
-// TestOneAnswerByTheToldTime checks that a request with a timeout of its own is answered by then, though its class has a far longer one.
-func TestOneAnswerByTheToldTime(t *testing.T) {
+// TestAnswersOnceByRequestTimeout checks that a request with a timeout of its own is answered by then, though its class has a far longer one.
+func TestAnswersOnceByRequestTimeout(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { <-hold; return "OK", "late" })
-	b := standin.Dial(t, serveNode(t, ample, rt).address)
+	b := standin.Dial(t, serveNode(t, longDeadline, rt).address)
 	defer close(hold)
 	began := time.Now()
 	b.Do(1, "book", standin.RequestID(1), began, "a", ",opkey=k1,timeout=400")
 	if got := b.Read(); len(got) < 2 || got[0] != "1" || got[1] != "FAIL" {
 		t.Fatalf("answer %q, want FAIL at the request's timeout", got)
 	}
-	if took := time.Since(began); took < 300*time.Millisecond || took > ample/2 {
+	if took := time.Since(began); took < 300*time.Millisecond || took > longDeadline/2 {
 		t.Errorf("answered after %v, with a timeout of 0.4 s", took)
 	}
-	only(t, b, "2")
+	expectNoMoreAnswers(t, b, "2")
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -20,7 +20,7 @@
 const maxReplaceAttempts = 2
 
 // drainOptions returns the options for draining this node by permits; nil for a node that is in no group.
-func (d *Daemon) drainOptions(c config.Fleet, spans config.Durations) (*fleet.DrainOptions, error) {
+func (d *Daemon) drainOptions(c config.Fleet, durations config.Durations) (*fleet.DrainOptions, error) {
 	if c.Zone == "" && c.Kind == "" && c.ReleaseFile == "" {
 		return nil, nil // a node in no group is not drained by permits
 	}
@@ -28,10 +28,10 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &fleet.DrainOptions{Zone: c.Zone, Kind: c.Kind, DeployedVersion: release, MinReady: spans.MinReady, MaxReplaceAttempts: maxReplaceAttempts,
+	o := &fleet.DrainOptions{Zone: c.Zone, Kind: c.Kind, DeployedVersion: release, MinReady: durations.MinReady, MaxReplaceAttempts: maxReplaceAttempts,
 		InFlight: func() int {
-			running, held := d.node.InFlight()
-			return running + held
+			running, queued := d.node.InFlight()
+			return running + queued
 		},
 		Healthy: func() bool {
 			return d.service.ready.Load() && !d.service.draining.Load() && !d.service.evacuated.Load() && !d.service.outOfService() && d.admission.Healthy()
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -13,9 +13,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestDrainsByHand: as an operator would, with a whole node: nothing without a budget, the node out and back, a server below out on the
-// node's word and back, a halt.
-func TestDrainsByHand(t *testing.T) {
+// TestOperatorsDrainNodeAndServer runs the operators' commands against a node: no drain without a budget, a drain and undrain of the node, one of a uwsgi
+// server that the node confirms, and a halt.
+func TestOperatorsDrainNodeAndServer(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "sloehitch")
 	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/sloehitch").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -24,7 +24,7 @@
 	first := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nfirst" })
 	second := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nsecond" })
 	admin := standin.FreeAddress(t)
-	s := serveDeployed(t, limits.For(64, 256), ample, rt, func(d *config.Deploy) {
+	s := serveWithDeploy(t, limits.For(64, 256), longDeadline, rt, func(d *config.Deploy) {
 		d.Store = config.Store{Admin: admin, LeaseDuration: "1s"}
 		d.Fleet = config.Fleet{Members: []string{admin}, ReportInterval: "100ms", SilentAfter: "30s", LeaseDuration: "1s", MinReady: "100ms", Zone: "a"}
 	}, first.Address, second.Address)
@@ -34,12 +34,12 @@
 		var o, e strings.Builder
 		cmd := exec.Command(program, append(strings.Fields(args), more...)...)
 		cmd.Stdout, cmd.Stderr = &o, &e
-		_ = cmd.Run() // what it says is looked at
+		_ = cmd.Run() // the callers check the output
 		return o.String(), e.String()
 	}
 	fleet := "fleet --admin " + admin + " "
 	budgets := filepath.Join(t.TempDir(), "budgets.toml")
-	set := func(text, want string) {
+	setBudgets := func(text, want string) {
 		t.Helper()
 		if err := os.WriteFile(budgets, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -48,7 +48,7 @@
 			t.Errorf("budgets: %s%s, want %q", out, errs, want)
 		}
 	}
-	see := func(want string) {
+	waitOuts := func(want string) {
 		t.Helper()
 		standin.WaitFor(t, want, func() bool {
 			out, _ := run(fleet + "outs")
@@ -60,13 +60,13 @@
 		return strings.Contains(out, `"below":{`)
 	})
 	if out, errs := run(fleet + "drain n9 --by me --why test"); !strings.Contains(errs, "no such node has reported") {
-		t.Errorf("%s%s", out, errs)
+		t.Errorf("draining an unknown node: %s%s", out, errs)
 	}
-	set("[[budget]]\ngroup = \"rack\"\nmost_out = 1\n", "write one of fleet, zone, kind, service")
+	setBudgets("[[budget]]\ngroup = \"rack\"\nmost_out = 1\n", "write one of fleet, zone, kind, service")
 	run(fleet + "drain n1 --by me --why test")
-	see("no budget bounds a group of it; set one first")
-	set("[[budget]]\ngroup = \"fleet\"\nmost_out = 1\n[[budget]]\ngroup = \"service\"\nmost_out = 1\n", "2 budgets")
-	health := func(want string) {
+	waitOuts("no budget bounds a group of it; set one first")
+	setBudgets("[[budget]]\ngroup = \"fleet\"\nmost_out = 1\n[[budget]]\ngroup = \"service\"\nmost_out = 1\n", "2 budgets")
+	waitHealth := func(want string) {
 		t.Helper()
 		b := standin.Dial(t, s.address)
 		standin.WaitFor(t, want, func() bool {
@@ -75,31 +75,31 @@
 			return len(got) > 1 && got[1] == want
 		})
 	}
-	health("RED")
-	see("out ")
+	waitHealth("RED")
+	waitOuts("out ")
 	run(fleet + "undrain n1 --by me --why test")
-	health("GREEN")
+	waitHealth("GREEN")
 	standin.WaitFor(t, "the permit to go back", func() bool {
 		out, _ := run(fleet + "show out/")
 		return !strings.Contains(out, "out/")
 	})
-	if x := s.fleet.Stats(); x.OutOfService || x.Permits["begun"] != 1 || x.Permits["granted"] != 1 || x.Reports["made"] == 0 {
-		t.Errorf("after one drain the figures are %+v", x)
+	if stats := s.fleet.Stats(); stats.OutOfService || stats.Permits["begun"] != 1 || stats.Permits["granted"] != 1 || stats.Reports["made"] == 0 {
+		t.Errorf("statistics after one drain: %+v", stats)
 	}
 	server := "server=" + first.Address
 	run(fleet + "drain " + server + " --by me --why test")
-	see("out, on every node's word")
+	waitOuts("out, confirmed by every node")
 	for range 8 {
-		if got := ask(t, s.uwsgi, "", get("/slots")...); !strings.HasSuffix(got, "second") {
-			t.Errorf("while the first server is out: %q", got)
+		if got := sendUwsgi(t, s.uwsgi, "", getVars("/slots")...); !strings.HasSuffix(got, "second") {
+			t.Errorf("response while the first server is drained: %q", got)
 		}
 	}
-	if out, errs := run(fleet + "halt --by me --why test"); !strings.Contains(out, "halted: nothing of it begins any more. Permits: 1") {
+	if out, errs := run(fleet + "halt --by me --why test"); !strings.Contains(out, "halted: no more drains of it start. Permits: 1") {
 		t.Errorf("%s%s", out, errs)
 	}
 	run(fleet + "drain n1 --by me --why test")
-	see("HALTED: all")
-	see("halted")
+	waitOuts("HALTED: all")
+	waitOuts("halted")
 	run(fleet + "undrain n1 " + server + " --by me --why test")
 	standin.WaitFor(t, "the first server to be used again", func() bool {
 		out, _ := run(fleet + "show node/")
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -111,15 +111,15 @@
 
 // fleetReport returns this node's report to the fleet. Its keys are part of the stored document.
 func (d *Daemon) fleetReport() map[string]any {
-	running, held := d.node.InFlight()
-	told := map[string]any{"state": d.service.reported(), "well": d.admission.Healthy(), "running": running, "held": held}
-	var served, refused, failed int
+	running, queued := d.node.InFlight()
+	report := map[string]any{"state": d.service.reported(), "well": d.admission.Healthy(), "running": running, "held": queued}
+	var served, rejected, failed int
 	for _, c := range d.node.CountsByClass() {
-		served, refused, failed = served+c.Served, refused+c.Rejected, failed+c.Failed
+		served, rejected, failed = served+c.Served, rejected+c.Rejected, failed+c.Failed
 	}
 	if p99 := d.latency.Quantile(0.99, clock.System{}.Now()); p99 > 0 {
-		told["p99_ms"] = float64(p99) / float64(time.Millisecond)
+		report["p99_ms"] = float64(p99) / float64(time.Millisecond)
 	}
-	told["served"], told["refused"], told["errors"] = served, refused, failed
-	return told
+	report["served"], report["refused"], report["errors"] = served, rejected, failed
+	return report
 }
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// TestHandOver runs two processes that accept from one inherited listener and share $TMPDIR, as when one replaces the
+// TestHandOverRunsKeyOnce runs two processes that accept from one inherited listener and share $TMPDIR, as when one replaces the
 // other: the old one keeps its connections and accepts no more, so that new ones go to the new process. Requests with
 // the same key reach both. The key must run once, and each request must get its result, whichever process received it.
-func TestHandOver(t *testing.T) {
+func TestHandOverRunsKeyOnce(t *testing.T) {
 	ln := standin.Listen(t)
 	f, err := ln.(*net.TCPListener).File()
 	if err != nil {
@@ -34,7 +34,7 @@
 	var stops []chan os.Signal
 	stopped := make(chan error, len(runtimes))
 	for _, rt := range runtimes {
-		p, err := config.Parse([]byte(standin.Config("127.0.0.1:1", rt.Address, "", ample)))
+		p, err := config.Parse([]byte(standin.Config("127.0.0.1:1", rt.Address, "", longDeadline)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 	// The next process would use the snapshot of this one and sees the keys of each process.
 	daemons[0].saveSnapshot(false)
 	file := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(file, []byte(standin.Config("127.0.0.1:1", runtimes[0].Address, "", ample)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(standin.Config("127.0.0.1:1", runtimes[0].Address, "", longDeadline)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var shown strings.Builder
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -14,48 +14,48 @@
  "/slots":{"get":{"responses":{"200":{"description":"ok"}},"x-sloehitch":{"class":"slot-search","semantics":"retryable"}}},
  "/book":{"post":{"responses":{"200":{"description":"ok"}},"x-sloehitch":{"class":"book","semantics":"dedup","key":"header:Idempotency-Key"}}}}}`
 
-// served is a complete node on real sockets for one test.
-type served struct {
+// testNode is a complete node on real sockets for one test.
+type testNode struct {
 	*Daemon
 	address, uwsgi string
 	stop           chan os.Signal
 	stopped        chan error
 }
 
-// ample is a deadline that is long enough for any test.
-const ample = 60 * time.Second
+// longDeadline is a deadline that is long enough for any test.
+const longDeadline = 60 * time.Second
 
-func serveNode(t testing.TB, deadline time.Duration, rt *standin.Runtime, servers ...string) *served {
+func serveNode(t testing.TB, deadline time.Duration, rt *standin.Runtime, servers ...string) *testNode {
 	t.Helper()
-	return serveWithin(t, limits.For(64, 256), deadline, rt, servers...)
+	return serveWithLimits(t, limits.For(64, 256), deadline, rt, servers...)
 }
 
-func serveWithin(t testing.TB, lim limits.Limits, deadline time.Duration, rt *standin.Runtime, servers ...string) *served {
+func serveWithLimits(t testing.TB, lim limits.Limits, deadline time.Duration, rt *standin.Runtime, servers ...string) *testNode {
 	t.Helper()
-	return serveDeployed(t, lim, deadline, rt, func(*config.Deploy) {}, servers...)
+	return serveWithDeploy(t, lim, deadline, rt, func(*config.Deploy) {}, servers...)
 }
 
-// serveDeployed starts and runs a node whose deployment settings more has modified.
-func serveDeployed(t testing.TB, lim limits.Limits, deadline time.Duration, rt *standin.Runtime, more func(*config.Deploy), servers ...string) *served {
+// serveWithDeploy starts and runs a node whose deployment settings change has modified.
+func serveWithDeploy(t testing.TB, lim limits.Limits, deadline time.Duration, rt *standin.Runtime, change func(*config.Deploy), servers ...string) *testNode {
 	t.Helper()
-	own, ownUwsgi := standin.FreeAddress(t), standin.FreeAddress(t)
-	p, err := config.Parse([]byte(standin.Config(own, rt.Address, "", deadline)))
+	address, uwsgiAddress := standin.FreeAddress(t), standin.FreeAddress(t)
+	p, err := config.Parse([]byte(standin.Config(address, rt.Address, "", deadline)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Config{Platform: p, Deploy: &config.Deploy{}}
+	c := &Config{Platform: p, Deploy: &config.Deploy{}}
 	if len(servers) > 0 {
-		l.Deploy.Uwsgi = config.Uwsgi{Listen: ownUwsgi, Servers: servers}
-		if l.Operations, err = apispec.Load([]byte(api), &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
+		c.Deploy.Uwsgi = config.Uwsgi{Listen: uwsgiAddress, Servers: servers}
+		if c.Operations, err = apispec.Load([]byte(api), &p.Logic, p.Names.Classes, p.Names.Tenants); err != nil {
 			t.Fatal(err)
 		}
 	}
-	more(l.Deploy)
-	d, err := Start(l, Options{Limits: lim, Log: standin.DiscardLogger})
+	change(c.Deploy)
+	d, err := Start(c, Options{Limits: lim, Log: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &served{d, own, ownUwsgi, make(chan os.Signal, 1), make(chan error, 1)}
+	s := &testNode{d, address, uwsgiAddress, make(chan os.Signal, 1), make(chan error, 1)}
 	go func() { s.stopped <- d.Run(ReceivedAt(s.stop)) }()
 	t.Cleanup(func() {
 		d.listeners.closeAll()
@@ -63,8 +63,8 @@
 	return s
 }
 
-// only fails the test if the next message on the connection is not the answer to a health check that it sends.
-func only(t *testing.T, b *standin.Balancer, tag string) {
+// expectNoMoreAnswers fails the test if the next message on the connection is not the answer to a health check that it sends.
+func expectNoMoreAnswers(t *testing.T, b *standin.Balancer, tag string) {
 	t.Helper()
 	b.Send(standin.Array("PING", tag, ""))
 	if got := b.Read(); len(got) < 2 || got[0] != tag || got[1] != "GREEN" {
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -69,7 +69,7 @@
 // that process has released it.
 func (d *Daemon) openLedger() error {
 	c := d.deploy.Load().Ledger
-	every, err := c.FlushInterval()
+	interval, err := c.FlushInterval()
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	o := ledger.Options{Limits: limits.ForLedger(c.IndexBytes()), Flush: every, Log: d.log}
+	o := ledger.Options{Limits: limits.ForLedger(c.IndexBytes()), Flush: interval, Log: d.log}
 	d.journals.earlier, err = ledger.Open(dir, o)
 	switch {
 	case err == nil:
--- a/internal/daemon/journal_test.go
+++ b/internal/daemon/journal_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// TestReloadLeavesTheLedger checks that a reload does not apply changes of section [ledger], and logs that.
-func TestReloadLeavesTheLedger(t *testing.T) {
+// TestReloadDoesNotChangeLedger checks that a reload does not apply changes of section [ledger], and logs that.
+func TestReloadDoesNotChangeLedger(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
-	s := serveNode(t, ample, rt)
+	s := serveNode(t, longDeadline, rt)
 	var log bytes.Buffer
 	s.stop <- os.Interrupt // ends Run, so that only this test reloads
 	<-s.stopped
@@ -38,7 +38,7 @@
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("ledger=%v", on), func(b *testing.B) {
 			rt := standin.NewRuntime(b, func(*standin.Job) (string, string) { return "OK", "r" })
-			p, err := config.Parse([]byte(standin.Config(standin.FreeAddress(b), rt.Address, "", ample)))
+			p, err := config.Parse([]byte(standin.Config(standin.FreeAddress(b), rt.Address, "", longDeadline)))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -91,27 +91,27 @@
 	ln, err := listen()
 	if errors.Is(err, syscall.EADDRINUSE) && listenerInherited() {
 		d.log.Info("address in use; waiting for the replaced process to release it", "for", what, "error", err)
-		go d.serveLater(what, listen, serve)
+		go d.serveWhenFree(what, listen, serve)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if d.listeners.add(ln) {
-		go d.served(ln, serve)
+		go d.serveListener(ln, serve)
 	}
 	return nil
 }
 
-// served serves until the listener is closed, and reports any other failure.
-func (d *Daemon) served(ln net.Listener, serve func(net.Listener) error) {
+// serveListener serves until the listener is closed, and reports any other failure.
+func (d *Daemon) serveListener(ln net.Listener, serve func(net.Listener) error) {
 	if err := serve(ln); err != nil {
 		d.failed <- err
 	}
 }
 
-// serveLater retries until the address is free or the daemon shuts down.
-func (d *Daemon) serveLater(what string, listen func() (net.Listener, error), serve func(net.Listener) error) {
+// serveWhenFree retries until the address is free or the daemon shuts down.
+func (d *Daemon) serveWhenFree(what string, listen func() (net.Listener, error), serve func(net.Listener) error) {
 	for !d.listeners.isClosed() {
 		time.Sleep(d.limits.MinBackoff)
 		ln, err := listen()
@@ -124,7 +124,7 @@
 		}
 		if d.listeners.add(ln) {
 			d.log.Info("address released; listening", "for", what, "address", ln.Addr().String())
-			d.served(ln, serve)
+			d.serveListener(ln, serve)
 		}
 		return
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -21,19 +21,19 @@
 
 // metricSources returns the sources whose values are read at each scrape.
 func (d *Daemon) metricSources() metrics.Sources {
-	from := metrics.Sources{Core: d.node.Totals, Resp: d.resp.OpenConnections, Classes: d.node.CountsByClass,
+	sources := metrics.Sources{Core: d.node.Totals, Resp: d.resp.OpenConnections, Classes: d.node.CountsByClass,
 		Config: func() (int, int) { return int(d.counts.applied.Load()), int(d.counts.rejected.Load()) }}
 	if d.uwsgi != nil {
-		from.Uwsgi = func() (uwsgi.Counts, int) { return d.uwsgi.Totals(), d.uwsgi.OpenConnections() }
-		from.Servers = d.upstreams.pool.Servers
+		sources.Uwsgi = func() (uwsgi.Counts, int) { return d.uwsgi.Totals(), d.uwsgi.OpenConnections() }
+		sources.Servers = d.upstreams.pool.Servers
 	}
 	if d.deploy.Load().Ledger.Dir != "" {
-		from.Ledger = d.ledgerStats
+		sources.Ledger = d.ledgerStats
 	}
 	if d.fleet != nil {
-		from.Fleet = d.fleet.Stats
+		sources.Fleet = d.fleet.Stats
 	}
-	return from
+	return sources
 }
 
 // observeRun records the times of a uwsgi run in the metrics, if they are on.
--- a/internal/daemon/mixed_test.go
+++ b/internal/daemon/mixed_test.go
@@ -12,22 +12,22 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// mixed is the result of one run of both protocols on cores that they share.
-type mixed struct {
+// mixedResult is the result of one run of both protocols on cores that they share.
+type mixedResult struct {
 	offered, kept [2]float64 // weight of the requests sent, and of those served within the objective; by front: RESP, uwsgi
 	unanswered    int
-	twice         int // keys that ran more than once
+	ranTwice      int // keys that ran more than once
 }
 
-// playMixed sends requests for 4 s at a share of the capacity of two cores, half by each front. A third are bookings, with three times
+// runMixedLoad sends requests for 4 s at a share of the capacity of two cores, half by each front. A third are bookings, with three times
 // the weight, and a tenth of those are repeated by the other front.
-func playMixed(b *testing.B, share float64, seed uint64) (m mixed) {
-	const work, cores, span, deadline = 10 * time.Millisecond, 2, 4 * time.Second, 2 * time.Second
-	aim := deadline * 2 / 3
+func runMixedLoad(b *testing.B, load float64, seed uint64) (m mixedResult) {
+	const work, cores, duration, deadline = 10 * time.Millisecond, 2, 4 * time.Second, 2 * time.Second
+	objective := deadline * 2 / 3
 	var mu sync.Mutex
 	runs := map[string]int{}
 	free := make(chan struct{}, cores)
-	do := func(body string) {
+	run := func(body string) {
 		mu.Lock()
 		runs[body]++
 		mu.Unlock()
@@ -35,33 +35,33 @@
 		time.Sleep(work)
 		<-free
 	}
-	rt := standin.NewRuntime(b, func(j *standin.Job) (string, string) { do(string(j.Body)); return "OK", string(j.Body) })
+	rt := standin.NewRuntime(b, func(j *standin.Job) (string, string) { run(string(j.Body)); return "OK", string(j.Body) })
 	server := standin.NewServer(b, func(body string) string {
-		do(body)
+		run(body)
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	})
-	s := serveWithin(b, limits.For(1024, 8192), deadline, rt, server.Address) // only the cores are scarce, not connections or memory
+	s := serveWithLimits(b, limits.For(1024, 8192), deadline, rt, server.Address) // only the cores are scarce, not connections or memory
 	defer func() { s.stop <- nil; <-s.stopped }()
 	rng := rand.New(rand.NewPCG(seed, 9))
-	type asked struct {
-		at    time.Time
-		worth float64
+	type sentRequest struct {
+		at     time.Time
+		weight float64
 	}
 	var wait sync.WaitGroup
-	answer := func(front int, a asked, ok bool) {
+	recordAnswer := func(front int, a sentRequest, ok bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		if ok && time.Since(a.at) <= aim {
-			m.kept[front] += a.worth
+		if ok && time.Since(a.at) <= objective {
+			m.kept[front] += a.weight
 		}
 	}
 	balancers := make([]*standin.Balancer, 8)
-	open := make([]map[string]asked, len(balancers))
+	open := make([]map[string]sentRequest, len(balancers))
 	sent := make([]int, len(balancers))
 	for i := range balancers {
-		balancers[i], open[i] = standin.Dial(b, s.address), map[string]asked{}
+		balancers[i], open[i] = standin.Dial(b, s.address), map[string]sentRequest{}
 	}
-	rate := share * cores / work.Seconds()
+	rate := load * cores / work.Seconds()
 	began := time.Now()
 	next := time.Duration(0)
 	var reading sync.WaitGroup
@@ -94,15 +94,15 @@
 				a := open[i][parts[0]]
 				delete(open[i], parts[0])
 				mu.Unlock()
-				answer(0, a, parts[1] == "ACK")
+				recordAnswer(0, a, parts[1] == "ACK")
 			}
 		})
 	}
 	id := 0
-	one := func(front int, class, body, key string, worth float64) {
-		a := asked{time.Now(), worth}
+	send := func(front int, class, body, key string, weight float64) {
+		a := sentRequest{time.Now(), weight}
 		mu.Lock()
-		m.offered[front] += worth
+		m.offered[front] += weight
 		mu.Unlock()
 		if front == 0 {
 			id++
@@ -119,34 +119,34 @@
 			return
 		}
 		wait.Go(func() {
-			vars := get("/slots")
+			vars := getVars("/slots")
 			if key != "" {
-				vars = post(key)
+				vars = postVars(key)
 			}
-			line := strings.SplitN(ask(b, s.uwsgi, body, vars...), "\r\n", 2)[0]
+			line := strings.SplitN(sendUwsgi(b, s.uwsgi, body, vars...), "\r\n", 2)[0]
 			if !strings.HasPrefix(line, "HTTP/1.1 ") {
 				mu.Lock()
 				m.unanswered++
 				mu.Unlock()
 			}
-			answer(1, a, line == "HTTP/1.1 200 OK")
+			recordAnswer(1, a, line == "HTTP/1.1 200 OK")
 		})
 	}
 	for n := 0; ; n++ {
 		next += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if next > span {
+		if next > duration {
 			break
 		}
 		time.Sleep(time.Until(began.Add(next)))
 		front := rng.IntN(2)
 		if rng.IntN(3) > 0 {
-			one(front, "slot-search", fmt.Sprint("r", n), "", 1)
+			send(front, "slot-search", fmt.Sprint("r", n), "", 1)
 			continue
 		}
 		key := fmt.Sprint("k", n)
-		one(front, "book", key, key, 3)
+		send(front, "book", key, key, 3)
 		if rng.IntN(10) == 0 {
-			one(1-front, "book", key, key, 0) // a repeat has no weight
+			send(1-front, "book", key, key, 0) // a repeat has no weight
 		}
 	}
 	for i := range balancers {
@@ -161,7 +161,7 @@
 	}
 	for body, n := range runs {
 		if strings.HasPrefix(body, "k") && n > 1 {
-			m.twice++
+			m.ranTwice++
 		}
 	}
 	return m
@@ -170,24 +170,24 @@
 // BenchmarkMixed runs five seeds at 93% and at 120% of the cores' capacity, and reports the share of the offered weight that each front
 // served within the objective: the mean, and that of the worst seed. docs/operators/uwsgi.md has the figures.
 func BenchmarkMixed(b *testing.B) {
-	for _, share := range []float64{0.93, 1.2} {
-		b.Run(fmt.Sprintf("load=%.2f", share), func(b *testing.B) {
-			least := [2]float64{1, 1}
+	for _, load := range []float64{0.93, 1.2} {
+		b.Run(fmt.Sprintf("load=%.2f", load), func(b *testing.B) {
+			worst := [2]float64{1, 1}
 			var sum [2]float64
 			for seed := range uint64(5) {
-				m := playMixed(b, share, seed+1)
-				if m.unanswered > 0 || m.twice > 0 {
-					b.Errorf("seed %d: %d unanswered, %d ran twice", seed+1, m.unanswered, m.twice)
+				m := runMixedLoad(b, load, seed+1)
+				if m.unanswered > 0 || m.ranTwice > 0 {
+					b.Errorf("seed %d: %d unanswered, %d ran twice", seed+1, m.unanswered, m.ranTwice)
 				}
 				for f := range sum {
 					kept := m.kept[f] / m.offered[f]
 					sum[f] += kept / 5
-					least[f] = min(least[f], kept)
+					worst[f] = min(worst[f], kept)
 				}
 			}
 			for f, name := range []string{"resp", "uwsgi"} {
 				b.ReportMetric(sum[f], name+"-kept")
-				b.ReportMetric(least[f], name+"-worst")
+				b.ReportMetric(worst[f], name+"-worst")
 			}
 			b.ReportMetric(0, "ns/op")
 		})
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -32,10 +32,10 @@
 func (o operatorCalls) Activate() { o.d.service.evacuated.Store(false) }
 
 func (o operatorCalls) Report() operatorapi.Report {
-	f := operatorapi.Report{InFlight: o.d.node.Unanswered(), ConfigApplied: int(o.d.counts.applied.Load()), ConfigRejected: int(o.d.counts.rejected.Load())}
+	report := operatorapi.Report{InFlight: o.d.node.Unanswered(), ConfigApplied: int(o.d.counts.applied.Load()), ConfigRejected: int(o.d.counts.rejected.Load())}
 	for name, c := range o.d.node.CountsByClass() {
-		f.Classes = append(f.Classes, operatorapi.Class{Name: name, OK: c.Served, Shed: c.Rejected, Errors: c.Failed, Attempts: c.Started})
+		report.Classes = append(report.Classes, operatorapi.Class{Name: name, OK: c.Served, Shed: c.Rejected, Errors: c.Failed, Attempts: c.Started})
 	}
-	slices.SortFunc(f.Classes, func(a, b operatorapi.Class) int { return strings.Compare(a.Name, b.Name) })
-	return f
+	slices.SortFunc(report.Classes, func(a, b operatorapi.Class) int { return strings.Compare(a.Name, b.Name) })
+	return report
 }
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-// TestOperatorsState checks that the operators' state takes a node out of service and changes its uwsgi servers.
-func TestOperatorsState(t *testing.T) {
+// TestOperatorStateSetsHealthAndServers checks that the operators' state takes a node out of service and changes its uwsgi servers.
+func TestOperatorStateSetsHealthAndServers(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	first := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nfirst" })
 	second := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nsecond" })
-	s := serveNode(t, ample, rt, first.Address)
+	s := serveNode(t, longDeadline, rt, first.Address)
 	b := standin.Dial(t, s.address)
 	for _, c := range []struct{ closed, servers, health, response string }{
 		{"", "", "GREEN", "first"}, {"n2,n1", second.Address, "RED", "second"}, {"n2", "", "GREEN", "first"},
@@ -32,19 +32,19 @@
 		if got := b.Read(); len(got) < 2 || got[1] != c.health {
 			t.Errorf("closed %q: health %q", c.closed, got)
 		}
-		if got := ask(t, s.uwsgi, "", get("/slots")...); !strings.HasSuffix(got, c.response) {
+		if got := sendUwsgi(t, s.uwsgi, "", getVars("/slots")...); !strings.HasSuffix(got, c.response) {
 			t.Errorf("servers %q: response %q", c.servers, got)
 		}
 	}
 }
 
-// TestOpsCalls checks the calls on the operators' address: telemetry matches the requests served, evacuate makes health checks fail
+// TestOperatorCalls checks the calls on the operators' address: telemetry matches the requests served, evacuate makes health checks fail
 // while requests are still served, and activate makes them succeed again.
-func TestOpsCalls(t *testing.T) {
+func TestOperatorCalls(t *testing.T) {
 	operators := standin.FreeAddress(t)
 	t.Setenv("GW_OPS", operators)
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
-	s := serveNode(t, ample, rt)
+	s := serveNode(t, longDeadline, rt)
 	<-rt.Syncs
 	call := func(line string) []string {
 		t.Helper()
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(ample))
+		c.SetDeadline(time.Now().Add(longDeadline))
 		fmt.Fprintf(c, "%s\n", line)
 		text, err := io.ReadAll(c)
 		if err != nil {
@@ -86,15 +86,15 @@
 	}
 	b.Do(9, "fresh", standin.RequestID(9), time.Now(), "a", "")
 	b.Read()
-	figures := call("telemetry")
+	telemetry := call("telemetry")
 	for _, want := range []string{"ACK", "app.responses.slot-search.ok:3|c", "app.responses.slot-search.tries:3|c", "app.responses.slot-search.shed:0|c",
 		"app.responses.book.ok:0|c", "app.responses.fresh.shed:1|c", "app.active:0|g", "app.config_applied:0|c", "--"} {
-		if !slices.Contains(figures, want) {
-			t.Errorf("telemetry lacks %q: %q", want, figures)
+		if !slices.Contains(telemetry, want) {
+			t.Errorf("telemetry lacks %q: %q", want, telemetry)
 		}
 	}
-	if figures[len(figures)-1] != "--" {
-		t.Errorf("telemetry does not end in --: %q", figures)
+	if telemetry[len(telemetry)-1] != "--" {
+		t.Errorf("telemetry does not end in --: %q", telemetry)
 	}
 	if got := call("activate"); got[0] != "ACK active" {
 		t.Errorf("activate: %q", got)
@@ -106,16 +106,16 @@
 	health("10", "GREEN")
 }
 
-// TestOpsInACrowd opens more connections than the front has slots for, half of them with an incomplete request, on a node with half
+// TestOperatorCallsWithAllSlotsTaken opens more connections than the front has slots for, half of them with an incomplete request, on a node with half
 // the memory and descriptors. Operators' calls must be answered, and a request on a new connection must be served.
-func TestOpsInACrowd(t *testing.T) {
+func TestOperatorCallsWithAllSlotsTaken(t *testing.T) {
 	operators := standin.FreeAddress(t)
 	t.Setenv("GW_OPS", operators)
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	lim := limits.For(32, 192)
-	s := serveWithin(t, lim, ample, rt)
+	s := serveWithLimits(t, lim, longDeadline, rt)
 	<-rt.Syncs
-	var crowd []net.Conn
+	var conns []net.Conn
 	for i := range lim.MaxConnections + 20 {
 		c, err := net.Dial("tcp", s.address)
 		if err != nil {
@@ -124,15 +124,15 @@
 		if i%2 == 0 {
 			c.Write([]byte("*3\r\n$2\r\nDO")) // half a message
 		}
-		crowd = append(crowd, c)
+		conns = append(conns, c)
 	}
 	defer func() {
-		for _, c := range crowd {
+		for _, c := range conns {
 			c.Close()
 		}
 	}()
 	for _, call := range []string{"readyz", "telemetry", "evacuate", "activate"} {
-		if answer, err := operatorapi.Ask(operators, call, ample); err != nil || !strings.HasPrefix(answer, "ACK") {
+		if answer, err := operatorapi.Ask(operators, call, longDeadline); err != nil || !strings.HasPrefix(answer, "ACK") {
 			t.Errorf("%s with all slots taken: %q, %v", call, answer, err)
 		}
 	}
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -18,15 +18,15 @@
 		load, _ := handover.ParseLoad(note) // a process without a valid note has no load
 		others = append(others, load)
 	}
-	is, was := handover.ComputeQuota(own, others, d.limits.MaxConnections), d.quota
-	if is.CPUFraction != was.CPUFraction {
-		d.admission.SetResourceShare(is.CPUFraction)
+	quota, previous := handover.ComputeQuota(own, others, d.limits.MaxConnections), d.quota
+	if quota.CPUFraction != previous.CPUFraction {
+		d.admission.SetResourceShare(quota.CPUFraction)
 	}
-	if is.MemoryFraction != was.MemoryFraction {
-		debug.SetMemoryLimit(max(d.limits.MinMemoryBytes, int64(is.MemoryFraction*float64(d.limits.MemoryBytes))))
+	if quota.MemoryFraction != previous.MemoryFraction {
+		debug.SetMemoryLimit(max(d.limits.MinMemoryBytes, int64(quota.MemoryFraction*float64(d.limits.MemoryBytes))))
 	}
-	if is.Connections != was.Connections {
-		d.resp.SetMaxConnections(is.Connections)
+	if quota.Connections != previous.Connections {
+		d.resp.SetMaxConnections(quota.Connections)
 	}
-	d.quota = is
+	d.quota = quota
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -14,9 +14,9 @@
 // reload reads the configuration again and applies it. Links switch to new addresses on their own. Changes that require a restart are logged, and an
 // invalid file changes nothing.
 func (d *Daemon) reload() {
-	l, err := d.load()
+	next, err := d.load()
 	if err == nil {
-		err = d.reconfigure(l.Platform)
+		err = d.reconfigure(next.Platform)
 	}
 	if err != nil {
 		d.counts.rejected.Add(1)
@@ -24,8 +24,8 @@
 		return
 	}
 	defer d.counts.applied.Add(1)
-	p := l.Platform
-	d.warnWhatNeedsRestart(l)
+	p := next.Platform
+	d.warnRestartRequired(next)
 	for _, k := range d.tlsKeys {
 		_ = k.Reload() // on an error it logs it and keeps the current keys
 	}
@@ -37,24 +37,24 @@
 	}
 	d.directory.SetAddress(p.Directory)
 	d.platform = p
-	d.deploy.Store(l.Deploy)
+	d.deploy.Store(next.Deploy)
 	if d.upstreams.pool != nil {
 		d.applyStoredValue(store.KeyUwsgiServers, d.store.Get(store.KeyUwsgiServers))
 	}
 	d.log.Info("configuration applied", "runtime", p.Runtime, "catalogue", p.Catalogue, "directory", p.Directory)
 }
 
-// warnWhatNeedsRestart logs the changes in a new configuration that are not applied until a restart.
-func (d *Daemon) warnWhatNeedsRestart(l *Config) {
-	p, old := l.Platform, d.platform
+// warnRestartRequired logs the changes in a new configuration that are not applied until a restart.
+func (d *Daemon) warnRestartRequired(next *Config) {
+	p, old := next.Platform, d.platform
 	if p.Name != old.Name || p.Listen != old.Listen || p.OperatorAddress != old.OperatorAddress || p.Limits != old.Limits ||
-		l.Deploy.Uwsgi.Listen != d.deploy.Load().Uwsgi.Listen || (p.Runtime == "") != (old.Runtime == "") || (p.Catalogue == "") != (old.Catalogue == "") {
+		next.Deploy.Uwsgi.Listen != d.deploy.Load().Uwsgi.Listen || (p.Runtime == "") != (old.Runtime == "") || (p.Catalogue == "") != (old.Catalogue == "") {
 		d.log.Warn("changes of the name, listen addresses, limits or set of links are not applied until a restart")
 	}
-	if was, is := d.deploy.Load().Uwsgi, l.Deploy.Uwsgi; was.TLS != is.TLS || was.ServersTLS != is.ServersTLS {
+	if current, next := d.deploy.Load().Uwsgi, next.Deploy.Uwsgi; current.TLS != next.TLS || current.ServersTLS != next.ServersTLS {
 		d.log.Warn("changes of TLS file names are not applied until a restart; the current files are reloaded")
 	}
-	if l.Deploy.Ledger != d.deploy.Load().Ledger {
+	if next.Deploy.Ledger != d.deploy.Load().Ledger {
 		d.log.Warn("changes in section [ledger] are not applied until a restart")
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// TestReloadOfServers checks that a reload applies the file's list of uwsgi servers unless operators have set another.
-func TestReloadOfServers(t *testing.T) {
+// TestReloadAppliesUwsgiServers checks that a reload applies the file's list of uwsgi servers unless operators have set another.
+func TestReloadAppliesUwsgiServers(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	var servers []string
 	for _, name := range []string{"first", "second", "third"} {
 		servers = append(servers, standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\n" + name }).Address)
 	}
-	s := serveNode(t, ample, rt, servers[0])
+	s := serveNode(t, longDeadline, rt, servers[0])
 	for _, c := range []struct{ file, set, want string }{
 		{servers[0], "", "first"}, {servers[1], "", "second"}, {servers[0], servers[2], "third"}, {servers[0], "", "first"},
 	} {
@@ -27,16 +27,16 @@
 			return &Config{Platform: s.platform, Deploy: &config.Deploy{Uwsgi: config.Uwsgi{Listen: s.uwsgi, Servers: []string{c.file}}}}, nil
 		}
 		s.reload()
-		if got := ask(t, s.uwsgi, "", get("/slots")...); !strings.HasSuffix(got, c.want) {
+		if got := sendUwsgi(t, s.uwsgi, "", getVars("/slots")...); !strings.HasSuffix(got, c.want) {
 			t.Errorf("servers in the file %s, set by operators %q: response %q", c.file, c.set, got)
 		}
 	}
 }
 
-// TestRetune checks that a reload adds and removes classes while requests are in flight and requests of a removed class are still
+// TestReloadChangesClasses checks that a reload adds and removes classes while requests are in flight and requests of a removed class are still
 // served. A file that is truncated, lacks a key or has a timeout below 0 must be rejected as a whole and counted, and the running
 // settings must stay. A request of an unknown class must be rejected without closing its connection.
-func TestRetune(t *testing.T) {
+func TestReloadChangesClasses(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) {
 		if string(j.Body) == "held" {
@@ -44,7 +44,7 @@
 		}
 		return "OK", "r"
 	})
-	s := serveNode(t, ample, rt)
+	s := serveNode(t, longDeadline, rt)
 	<-rt.Syncs
 	b := standin.Dial(t, s.address)
 	defer b.Close()
@@ -55,7 +55,7 @@
 		}
 	}
 	b.Do(10, "book", standin.RequestID(10), time.Now(), "held", ",opkey=k1")
-	base := standin.Config(s.address, rt.Address, "", ample)
+	base := standin.Config(s.address, rt.Address, "", longDeadline)
 	from := strings.Index(base, `"classes":[`)
 	to := strings.LastIndex(base[:strings.Index(base, `"counted-by"`)], "]")
 	classes := func(list string) string { return base[:from] + `"classes":[` + list + base[to:] }
@@ -86,12 +86,12 @@
 			t.Errorf("answer after the reloads: %q, want ACK", got)
 		}
 	}
-	f := operatorCalls{s.Daemon}.Report()
-	if f.ConfigApplied != 1 || f.ConfigRejected != 3 {
-		t.Errorf("files applied %d, rejected %d; want 1 and 3", f.ConfigApplied, f.ConfigRejected)
+	report := operatorCalls{s.Daemon}.Report()
+	if report.ConfigApplied != 1 || report.ConfigRejected != 3 {
+		t.Errorf("files applied %d, rejected %d; want 1 and 3", report.ConfigApplied, report.ConfigRejected)
 	}
 	want := map[string][2]int{"fresh": {1, 6}, "book": {1, 0}, "slot-search": {1, 0}} // ok, shed
-	for _, c := range f.Classes {
+	for _, c := range report.Classes {
 		if w, ok := want[c.Name]; ok && (c.OK != w[0] || c.Attempts != w[0]) {
 			t.Errorf("class %s: %+v, want %d served and run", c.Name, c, w[0])
 		}
--- a/internal/daemon/requests_test.go
+++ b/internal/daemon/requests_test.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestOneAnswerByTheDueTime checks that a run that exceeds the deadline is answered once, at the deadline, and not again when it ends.
-func TestOneAnswerByTheDueTime(t *testing.T) {
+// TestAnswersOnceByDeadline checks that a run that exceeds the deadline is answered once, at the deadline, and not again when it ends.
+func TestAnswersOnceByDeadline(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { <-hold; return "OK", "late" })
 	b := standin.Dial(t, serveNode(t, 600*time.Millisecond, rt).address)
@@ -30,14 +30,14 @@
 			t.Fatalf("answer %q", got)
 		}
 	}
-	only(t, b, "3")
+	expectNoMoreAnswers(t, b, "3")
 }
 
 func TestKeyedRunsOnce(t *testing.T) {
 	for _, c := range []struct{ code, word string }{{"OK", "ACK"}, {"ERROR", "FAIL"}} {
 		hold := make(chan struct{})
 		rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { <-hold; return c.code, "result" })
-		b := standin.Dial(t, serveNode(t, ample, rt).address)
+		b := standin.Dial(t, serveNode(t, longDeadline, rt).address)
 		at := time.Now()
 		for tag := 1; tag <= 3; tag++ { // repeats while it is queued or runs
 			b.Do(tag, "book", standin.RequestID(tag), at, "a", ",opkey=k1")
@@ -57,15 +57,15 @@
 		if n := rt.Runs("a"); n != 1 {
 			t.Errorf("%s: ran %d times, want once", c.code, n)
 		}
-		only(t, b, "5")
+		expectNoMoreAnswers(t, b, "5")
 	}
 }
 
-// TestDrain checks a graceful shutdown: requests within the drain grace and those in flight are served, later ones are not run.
-func TestDrain(t *testing.T) {
+// TestShutdownServesRequestsInFlight checks a graceful shutdown: requests within the drain grace and those in flight are served, later ones are not run.
+func TestShutdownServesRequestsInFlight(t *testing.T) {
 	started, hold := make(chan struct{}, 2), make(chan struct{})
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
-	s := serveNode(t, ample, rt)
+	s := serveNode(t, longDeadline, rt)
 	b := standin.Dial(t, s.address)
 	b.Do(1, "slot-search", standin.RequestID(1), time.Now(), "a", "")
 	<-started
@@ -101,50 +101,50 @@
 	}
 }
 
-// TestBadInputCostsItsOwnConnection checks that invalid input closes only the connection that it arrives on, and only after the requests
+// TestInvalidInputClosesOnlyItsConnection checks that invalid input closes only the connection that it arrives on, and only after the requests
 // before it are answered.
-func TestBadInputCostsItsOwnConnection(t *testing.T) {
+func TestInvalidInputClosesOnlyItsConnection(t *testing.T) {
 	hold := make(chan struct{})
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { <-hold; return "OK", "r" })
-	s := serveNode(t, ample, rt)
+	s := serveNode(t, longDeadline, rt)
 	other := standin.Dial(t, s.address)
 	other.Do(1, "slot-search", standin.RequestID(1), time.Now(), "a", "")
-	ends := []string{"PING\r\n", "*1\r\n$9223372036854775807\r\n", "*9999999999\r\n", "*-1\r\n", "\x00\x00\x00",
+	inputs := []string{"PING\r\n", "*1\r\n$9223372036854775807\r\n", "*9999999999\r\n", "*-1\r\n", "\x00\x00\x00",
 		standin.Array("PING"), standin.Array("DO", "0", "book"), standin.Array("DO", "1", "book", "req=1", ""), standin.Array("PING", "1"),
 		strings.Repeat(standin.Array("GET", "7"), 4), "*2\r\n$4\r\nPI"}
-	var spoilt []*standin.Balancer
-	for i, bad := range ends {
+	var invalidConns []*standin.Balancer
+	for i, bad := range inputs {
 		b := standin.Dial(t, s.address)
 		// A complete request in the same packet before the invalid bytes must be answered.
 		fields := fmt.Sprintf("req=%s,ts=%d,owner=acme,need=1,level=0", standin.RequestID(10+i), time.Now().UnixMilli())
 		b.Send(standin.Array("DO", "1", "slot-search", fields, "b") + bad)
-		spoilt = append(spoilt, b)
+		invalidConns = append(invalidConns, b)
 	}
-	refused := standin.Dial(t, s.address)
-	refused.Send(standin.Array("DO", "5", "no-such-class", "req="+standin.RequestID(90)+",ts=1764576000123", "") + standin.Array("GET", "6"))
+	rejected := standin.Dial(t, s.address)
+	rejected.Send(standin.Array("DO", "5", "no-such-class", "req="+standin.RequestID(90)+",ts=1764576000123", "") + standin.Array("GET", "6"))
 	for _, want := range []string{"5 NAK", "6 FAIL"} {
-		if got := refused.Read(); len(got) < 2 || got[0]+" "+got[1] != want {
+		if got := rejected.Read(); len(got) < 2 || got[0]+" "+got[1] != want {
 			t.Errorf("answer to a request that can't be served: %q, want %s", got, want)
 		}
 	}
-	only(t, refused, "7")
-	silent := standin.Dial(t, s.address)
-	for i, b := range spoilt { // they are closed while the run of the other connection is still in progress
+	expectNoMoreAnswers(t, rejected, "7")
+	idle := standin.Dial(t, s.address)
+	for i, b := range invalidConns { // they are closed while the run of the other connection is still in progress
 		got := b.Read()
 		for len(got) > 1 && got[0] == "7" {
 			got = b.Read()
 		}
 		if len(got) < 2 || got[0] != "1" || got[1] == "ACK" {
-			t.Errorf("input %q: the request before it must not be lost or run, got %q", ends[i], got)
+			t.Errorf("input %q: the request before it must not be lost or run, got %q", inputs[i], got)
 		}
 		for got = b.Read(); len(got) > 1 && got[0] == "7"; {
 			got = b.Read()
 		}
 		if got != nil {
-			t.Errorf("input %q: connection not closed, got %q", ends[i], got)
+			t.Errorf("input %q: connection not closed, got %q", inputs[i], got)
 		}
 	}
-	if got := silent.Read(); got != nil {
+	if got := idle.Read(); got != nil {
 		t.Errorf("a connection without any request got %q", got)
 	}
 	if other.Send(standin.Array("PING", "8")); other.Read()[1] != "GREEN" {
@@ -154,15 +154,15 @@
 	if got := other.Read(); len(got) < 2 || got[0] != "1" {
 		t.Errorf("answer on the other connection: %q", got)
 	}
-	only(t, other, "2")
+	expectNoMoreAnswers(t, other, "2")
 }
 
-// TestAKeyWithAnotherBody checks by both protocols that a request that reuses a key with another body is neither run nor answered with
+// TestKeyWithAnotherBodyIsRejected checks by both protocols that a request that reuses a key with another body is neither run nor answered with
 // the first one's result, which stays available.
-func TestAKeyWithAnotherBody(t *testing.T) {
+func TestKeyWithAnotherBodyIsRejected(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { return "OK", string(j.Body) })
 	server := standin.NewServer(t, func(body string) string { return "HTTP/1.1 200 OK\r\n\r\n" + body })
-	s := serveNode(t, ample, rt, server.Address)
+	s := serveNode(t, longDeadline, rt, server.Address)
 	b := standin.Dial(t, s.address)
 	for i, c := range []struct{ body, word string }{{"first", "ACK"}, {"other", "FAIL"}, {"first", "ACK"}} {
 		b.Do(i+1, "book", standin.RequestID(i+1), time.Now(), c.body, ",opkey=k1")
@@ -170,7 +170,7 @@
 			t.Errorf("body %s: answer %q, want %s", c.body, got, c.word)
 		}
 		want := "HTTP/1.1 " + map[string]string{"ACK": "200 OK", "FAIL": "422 Unprocessable Entity"}[c.word]
-		if got := ask(t, s.uwsgi, c.body, post("k2")...); !strings.HasPrefix(got, want) {
+		if got := sendUwsgi(t, s.uwsgi, c.body, postVars("k2")...); !strings.HasPrefix(got, want) {
 			t.Errorf("body %s: response %q, want %s", c.body, got, want)
 		}
 	}
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -26,7 +26,7 @@
 	d.service.keepAdvertised.Store(plan.KeepAdvertised)
 	d.service.draining.Store(true)
 	d.advertise()
-	graceOver := time.After(clock.System{}.Until(receivedAt.Add(plan.CloseListenerAfter)))
+	graceEnd := time.After(clock.System{}.Until(receivedAt.Add(plan.CloseListenerAfter)))
 	poll := time.NewTicker(d.limits.MinBackoff)
 	defer poll.Stop()
 	listenersClosed := false
@@ -41,7 +41,7 @@
 			d.reload()
 		case s := <-d.journals.released:
 			d.attachLedger(s)
-		case <-graceOver:
+		case <-graceEnd:
 			listenersClosed = true
 			d.listeners.closeAll() // a refused connection proves to a caller that nothing ran
 			d.resp.StartDrain()
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -21,8 +21,8 @@
 	"sloehitch/logic"
 )
 
-// maxFailedParts is the capacity of Daemon.failed: how many components may report a failure without blocking until Run receives it.
-const maxFailedParts = 4
+// maxQueuedFailures is the capacity of Daemon.failed: how many components may report a failure without blocking until Run receives it.
+const maxQueuedFailures = 4
 
 // Start opens and starts the components that the configuration requires. The returned daemon already serves; the caller must call Run on it.
 func Start(c *Config, o Options) (*Daemon, error) {
@@ -69,7 +69,7 @@
 		load:       o.Load,
 		directory:  directory.New(c.Platform.Name, c.Platform.Directory, o.Limits, o.Log),
 		quota:      handover.ComputeQuota(handover.Load{}, nil, o.Limits.MaxConnections),
-		failed:     make(chan error, maxFailedParts),
+		failed:     make(chan error, maxQueuedFailures),
 		replaced:   make(chan int, 1),
 	}
 	d.journals.released = make(chan *ledger.Store, 1)
--- a/internal/daemon/uwsgi_test.go
+++ b/internal/daemon/uwsgi_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// TestUwsgiRefusalsAndErrors checks that the uwsgi front answers each request once, with the status codes of rejections and errors, and
+// TestUwsgiRejectionsAndErrors checks that the uwsgi front answers each request once, with the status codes of rejections and errors, and
 // that no key runs twice.
-func TestUwsgiRefusalsAndErrors(t *testing.T) {
+func TestUwsgiRejectionsAndErrors(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	hold := make(chan struct{})
 	server := standin.NewServer(t, func(body string) string {
@@ -26,17 +26,17 @@
 		return map[string]string{"fine": "HTTP/1.1 200 OK\r\n\r\nok", "cut": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"}[body]
 	})
 	defer close(hold)
-	s := serveNode(t, ample, rt, server.Address)
+	s := serveNode(t, longDeadline, rt, server.Address)
 	for _, c := range []struct{ key, body, want string }{
 		{"1", "fine", "HTTP/1.1 200 OK"}, {"1", "fine", "HTTP/1.1 200 OK"}, {"2", "cut", "HTTP/1.1 502 Bad Gateway"},
 		{"2", "cut", "HTTP/1.1 502 Bad Gateway"}, {"", "fine", "HTTP/1.1 400 Bad Request"},
 	} {
-		if got := ask(t, s.uwsgi, c.body, post(c.key)...); !strings.HasPrefix(got, c.want+"\r\n") {
+		if got := sendUwsgi(t, s.uwsgi, c.body, postVars(c.key)...); !strings.HasPrefix(got, c.want+"\r\n") {
 			t.Errorf("key %q, %s: %q, want %s", c.key, c.body, got, c.want)
 		}
 	}
 	short := serveNode(t, 300*time.Millisecond, rt, server.Address)
-	if got := ask(t, short.uwsgi, "hang", post("3")...); !strings.HasPrefix(got, "HTTP/1.1 504 Gateway Timeout\r\n") {
+	if got := sendUwsgi(t, short.uwsgi, "hang", postVars("3")...); !strings.HasPrefix(got, "HTTP/1.1 504 Gateway Timeout\r\n") {
 		t.Errorf("response past the deadline: %q", got)
 	}
 	for _, body := range []string{"fine", "cut", "hang"} {
@@ -46,24 +46,24 @@
 	}
 	s.node.Drain(time.Now(), time.Minute, false) // requests after the grace are rejected with Retry-After
 	time.Sleep(1100 * time.Millisecond)
-	if got := ask(t, s.uwsgi, "fine", post("4")...); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "\r\nRetry-After: 1\r\n") {
+	if got := sendUwsgi(t, s.uwsgi, "fine", postVars("4")...); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "\r\nRetry-After: 1\r\n") {
 		t.Errorf("response while draining: %q, want 503 with Retry-After", got)
 	}
 }
 
-// TestStreams checks that a streamed response is completed when its server is removed from the list, and that one that is still
+// TestStreamedResponseOnRemovalAndShutdown checks that a streamed response is completed when its server is removed from the list, and that one that is still
 // streaming at the end of a shutdown is reset, so that the client can tell that it is truncated.
-func TestStreams(t *testing.T) {
+func TestStreamedResponseOnRemovalAndShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(s *served, hold chan struct{})
+		act  func(s *testNode, hold chan struct{})
 		want string
 	}{
-		{"server removed", func(s *served, hold chan struct{}) {
+		{"server removed", func(s *testNode, hold chan struct{}) {
 			s.applyStoredValue(store.KeyUwsgiServers, "127.0.0.1:1") // as a reload calls it
 			close(hold)
 		}, "whole"},
-		{"SIGTERM", func(s *served, hold chan struct{}) {
+		{"SIGTERM", func(s *testNode, hold chan struct{}) {
 			s.stop <- syscall.SIGTERM
 			if err := <-s.stopped; err != nil {
 				t.Error(err)
@@ -74,7 +74,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			hold := make(chan struct{})
 			server := standin.NewScripted(t, standin.Script{{Until: "/slots"}, {Send: "HTTP/1.1 200 OK\r\n\r\nfirst"}, {Wait: hold}, {Send: ", last"}})
-			s := serveNode(t, ample, standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "" }), server.Address)
+			s := serveNode(t, longDeadline, standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "" }), server.Address)
 			conn, err := net.Dial("tcp", s.uwsgi)
 			if err != nil {
 				t.Fatal(err)
@@ -83,11 +83,11 @@
 			if err := conn.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 				t.Fatal(err)
 			}
-			got, err := standin.Script{{Send: standin.Packet(t, "", get("/slots")...)}, {Until: "first"}}.Play(conn)
+			got, err := standin.Script{{Send: standin.Packet(t, "", getVars("/slots")...)}, {Until: "first"}}.Play(conn)
 			if err != nil {
 				t.Fatalf("%q, %v", got, err)
 			}
-			c.play(s, hold)
+			c.act(s, hold)
 			rest, err := io.ReadAll(conn)
 			end := map[bool]string{true: "reset", false: string(rest)}[errors.Is(err, syscall.ECONNRESET)]
 			if end == ", last" {
@@ -100,8 +100,8 @@
 	}
 }
 
-// ask sends one uwsgi request in two fragments and returns the complete response.
-func ask(t testing.TB, address string, body string, vars ...[2]string) string {
+// sendUwsgi sends one uwsgi request in two fragments and returns the complete response.
+func sendUwsgi(t testing.TB, address string, body string, vars ...[2]string) string {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Error(err)
@@ -130,10 +130,10 @@
 	return string(response)
 }
 
-func get(path string) [][2]string {
+func getVars(path string) [][2]string {
 	return [][2]string{{"REQUEST_METHOD", "GET"}, {"PATH_INFO", path}}
 }
 
-func post(key string) [][2]string {
+func postVars(key string) [][2]string {
 	return [][2]string{{"REQUEST_METHOD", "POST"}, {"PATH_INFO", "/book"}, {"HTTP_IDEMPOTENCY_KEY", key}}
 }
