--- a/cmd/sloehitch/crossings_test.go
+++ b/cmd/sloehitch/crossings_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// TestServesWhileIdleClientsUseAllDescriptors runs the program with exactly as many descriptors as it is configured for, and with a directory that
-// is down. Clients open as many connections as they can and stay idle. The runtime link, calls, health checks, operators' calls and
-// further requests must still get descriptors.
+// TestServesWhileIdleClientsUseAllDescriptors runs the program with exactly as many descriptors as it is configured for, and with a
+// directory that is down. Clients open as many connections as they can and stay idle. The runtime link, calls, health checks,
+// operators' calls and further requests must still get descriptors.
 func TestServesWhileIdleClientsUseAllDescriptors(t *testing.T) {
 	for _, sockets := range []int{64, 128} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
--- a/cmd/sloehitch/incident_test.go
+++ b/cmd/sloehitch/incident_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestDeadlinesHoldWhenWallClockSteps steps the process's wall clock forward and back while requests arrive, run and hang. Each must be served, and each
-// that hangs must be answered at its deadline in real time.
+// TestDeadlinesHoldWhenWallClockSteps steps the process's wall clock forward and back while requests arrive, run and hang. Each
+// must be served, and each that hangs must be answered at its deadline in real time.
 func TestDeadlinesHoldWhenWallClockSteps(t *testing.T) {
 	const deadline, work, slack = 2 * time.Second, 50 * time.Millisecond, 130 * time.Millisecond
 	hang := make(chan struct{})
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -33,7 +33,8 @@
 	os.Exit(m.Run())
 }
 
-// command returns a command that runs the program with the arguments. It sets GORACE because otherwise the race detector delays each exit by a second.
+// command returns a command that runs the program with the arguments. It sets GORACE because otherwise the race detector delays
+// each exit by a second.
 func command(args ...string) *exec.Cmd {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), asMain+"=1", "GORACE=atexit_sleep_ms=0")
@@ -199,9 +200,9 @@
 	_ = k.Wait()
 }
 
-// TestKilledDaemonRunsKeysOnce kills the daemon under keyed traffic at seeded moments and restarts it with the same folder. No key may start twice, every
-// start that the runtime received must be in the ledger, a repeat of a started request must be neither run nor rejected, and a repeat of an ended one
-// must get its result.
+// TestKilledDaemonRunsKeysOnce kills the daemon under keyed traffic at seeded moments and restarts it with the same folder. No key
+// may start twice, every start that the runtime received must be in the ledger, a repeat of a started request must be neither run
+// nor rejected, and a repeat of an ended one must get its result.
 func TestKilledDaemonRunsKeysOnce(t *testing.T) {
 	const rounds, keys, perRound = 5, 40, 30
 	dir := t.TempDir()
--- a/cmd/sloehitch/rig_test.go
+++ b/cmd/sloehitch/rig_test.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/testing/loadrig"
 )
 
-// TestLoadRigAccountsForAllRequests checks that the load rig sends the emulator's load to daemons, that each request is answered and counted, and that
-// no key runs twice. The result does not depend on the speed of the machine.
+// TestLoadRigAccountsForAllRequests checks that the load rig sends the emulator's load to daemons, that each request is answered
+// and counted, and that no key runs twice. The result does not depend on the speed of the machine.
 func TestLoadRigAccountsForAllRequests(t *testing.T) {
 	w := emulator.World{Seed: 1, Duration: 2 * time.Second, Nodes: 2, Cores: 2, Speed: 1, Thrash: 0.3, ThrashThreshold: 3, MaxConcurrencyPerCore: 5, MemoryKB: 1e5, Load: 0.8,
 		Balancers: 2, Balancing: emulator.LeastRequests, MaxRetries: 1, Backoff: 10 * time.Millisecond, HonorRetryAfter: true, Classes: []emulator.Class{
--- a/cmd/sloehitch/soak_test.go
+++ b/cmd/sloehitch/soak_test.go
@@ -23,12 +23,12 @@
 // connection got no answer.
 func TestSoakOfSeed117(t *testing.T) { runSeeds(t, 117, 117, 12*time.Second) }
 
-// TestSoakWithPausesAndEvictions runs seeds whose only fault is pauses of the process, in which requests on evicted connections were lost. When all
-// slots are taken, each new connection evicts an idle one. During a pause requests arrive on many idle connections, and afterwards these are
-// evicted faster than they are read. On some of them the first request was rejected and reading stopped with more requests in the buffer (the
-// log has "nothing more is read ... its place was given away"). Others were closed before the rejection was written, because more connections
-// were being closed than may be at once ("a connection is cut ... unread=0 open=0" after "a connection makes room"). One run lost 32 requests
-// with seed 1030, and one with seed 1043.
+// TestSoakWithPausesAndEvictions runs seeds whose only fault is pauses of the process, in which requests on evicted connections
+// were lost. When all slots are taken, each new connection evicts an idle one. During a pause requests arrive on many idle
+// connections, and afterwards these are evicted faster than they are read. On some of them the first request was rejected and
+// reading stopped with more requests in the buffer (the log has "nothing more is read ... its place was given away"). Others were
+// closed before the rejection was written, because more connections were being closed than may be at once ("a connection is cut ...
+// unread=0 open=0" after "a connection makes room"). One run lost 32 requests with seed 1030, and one with seed 1043.
 func TestSoakWithPausesAndEvictions(t *testing.T) {
 	program := buildProgram(t)
 	for _, seed := range []uint64{1030, 1043} {
--- a/internal/daemon/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -61,8 +61,9 @@
 	}
 }
 
-// TestRequestCompletedAfterGraceIsNotRun checks a request of which only half has arrived at the shutdown signal and the rest arrives after the drain
-// grace, which is 0 here. It must be answered once and not run, whatever its time stamp, and a request read before must be served.
+// TestRequestCompletedAfterGraceIsNotRun checks a request of which only half has arrived at the shutdown signal and the rest
+// arrives after the drain grace, which is 0 here. It must be answered once and not run, whatever its time stamp, and a request read
+// before must be served.
 func TestRequestCompletedAfterGraceIsNotRun(t *testing.T) {
 	release, started := make(chan struct{}), make(chan struct{}, 1)
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-release; return "OK", "r" })
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/crowd_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// TestManyConnectionsKeepConcurrencyLimit sends requests on 20 connections at once and checks that each is answered once and that the concurrency limit holds.
+// TestManyConnectionsKeepConcurrencyLimit sends requests on 20 connections at once and checks that each is answered once and that
+// the concurrency limit holds.
 func TestManyConnectionsKeepConcurrencyLimit(t *testing.T) {
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { time.Sleep(time.Millisecond); return "OK", "r" })
 	s := serveNode(t, longDeadline, rt)
@@ -42,8 +43,8 @@
 	}
 }
 
-// TestOverloadOnBothProtocolsAnswersAll sends requests by both protocols at 120% of the capacity of the stand-ins. Each must be answered, neither protocol may
-// be starved, and no key may run twice.
+// TestOverloadOnBothProtocolsAnswersAll sends requests by both protocols at 120% of the capacity of the stand-ins. Each must be
+// answered, neither protocol may be starved, and no key may run twice.
 func TestOverloadOnBothProtocolsAnswersAll(t *testing.T) {
 	const work, requests = 10 * time.Millisecond, 240 // two cores serve 200 requests per second; 240 arrive within a second
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { time.Sleep(work); return "OK", string(j.Body) })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -92,8 +92,8 @@
 	applied, rejected atomic.Int64
 }
 
-// Run serves until a shutdown is complete or a component fails. shutdown receives the time at which the shutdown was requested. Run closes what Start
-// opened. If its error is an ExitCode, another process replaces this one.
+// Run serves until a shutdown is complete or a component fails. shutdown receives the time at which the shutdown was requested. Run
+// closes what Start opened. If its error is an ExitCode, another process replaces this one.
 func (d *Daemon) Run(shutdown <-chan time.Time) error {
 	sweep := time.NewTicker(d.limits.SweepInterval)
 	defer sweep.Stop()
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -54,7 +54,8 @@
 	d.advertise()
 }
 
-// replaceProcess runs the command that installs the release to, and makes this process exit. Without a command, the process's supervisor must install it.
+// replaceProcess runs the command that installs the release to, and makes this process exit. Without a command, the process's
+// supervisor must install it.
 func (d *Daemon) replaceProcess(ctx context.Context, c config.Fleet, to string) error {
 	if len(c.Replace) > 0 {
 		ctx, cancel := context.WithTimeout(ctx, limits.ReplaceTimeout)
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -13,8 +13,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestOperatorsDrainNodeAndServer runs the operators' commands against a node: no drain without a budget, a drain and undrain of the node, one of a uwsgi
-// server that the node confirms, and a halt.
+// TestOperatorsDrainNodeAndServer runs the operators' commands against a node: no drain without a budget, a drain and undrain of
+// the node, one of a uwsgi server that the node confirms, and a halt.
 func TestOperatorsDrainNodeAndServer(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "sloehitch")
 	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/sloehitch").CombinedOutput(); err != nil {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -24,8 +24,8 @@
 // fleetLedgerBytes is the memory for the keys of the ledger that stores fencing tokens and the applied state.
 const fleetLedgerBytes = 1 << 20
 
-// startFleet starts this node's part in the fleet if the deployment file configures one. It never delays a shutdown: it is told to stop, but nothing
-// waits until it has.
+// startFleet starts this node's part in the fleet if the deployment file configures one. It never delays the node: it runs in the
+// background, and a shutdown tells it to stop without waiting for it.
 func (d *Daemon) startFleet(c *Config) error {
 	settings := c.Deploy.Fleet
 	if len(settings.Members) == 0 {
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// openLedger opens the ledger for restoreRuns to read. While the replaced process still holds it, it is opened read-only, and for writing as soon as
-// that process has released it.
+// openLedger opens the ledger for restoreRuns to read. While the replaced process still holds it, it is opened read-only, and for
+// writing as soon as that process has released it.
 func (d *Daemon) openLedger() error {
 	c := d.deploy.Load().Ledger
 	interval, err := c.FlushInterval()
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -49,8 +49,8 @@
 	return l.closed
 }
 
-// clientListener returns the listener for balancers. If $GW_ACCEPT_FD is set, it is the descriptor that the platform passes, so that an old and a new
-// process accept from the same queue while one replaces the other. Otherwise it is a new socket on address.
+// clientListener returns the listener for balancers. If $GW_ACCEPT_FD is set, it is the descriptor that the platform passes, so
+// that an old and a new process accept from the same queue while one replaces the other. Otherwise it is a new socket on address.
 func (d *Daemon) clientListener(address string) (net.Listener, error) {
 	text := os.Getenv("GW_ACCEPT_FD")
 	if text == "" {
@@ -75,7 +75,8 @@
 	return listenWithRetry(d.limits, func() (net.Listener, error) { return net.Listen("tcp", address) })
 }
 
-// listenWithRetry retries transient errors for limits.CommitTimeout, because the platform would take a process that exits at once for one that cannot start.
+// listenWithRetry retries transient errors for limits.CommitTimeout, because the platform would take a process that exits at once
+// for one that cannot start.
 func listenWithRetry(l limits.Limits, listen func() (net.Listener, error)) (net.Listener, error) {
 	for end := time.Now().Add(l.CommitTimeout); ; time.Sleep(l.MinBackoff) {
 		ln, err := listen()
@@ -85,8 +86,8 @@
 	}
 }
 
-// serveOn listens and serves in the background. If this process replaces another one that still uses the address, it retries in the background until
-// the address is free, so that clients do not have to wait.
+// serveOn listens and serves in the background. If this process replaces another one that still uses the address, it retries in the
+// background until the address is free, so that clients do not have to wait.
 func (d *Daemon) serveOn(what string, listen func() (net.Listener, error), serve func(net.Listener) error) error {
 	ln, err := listen()
 	if errors.Is(err, syscall.EADDRINUSE) && listenerInherited() {
--- a/internal/daemon/listeners_test.go
+++ b/internal/daemon/listeners_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestListenWithRetryRetriesTransientErrors checks that listening is retried after transient errors until the timeout, and fails at once after others.
+// TestListenWithRetryRetriesTransientErrors checks that listening is retried after transient errors until the timeout, and fails at
+// once after others.
 func TestListenWithRetryRetriesTransientErrors(t *testing.T) {
 	lim := limits.For(64, 256)
 	attempts := 0
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -106,8 +106,9 @@
 	health("10", "GREEN")
 }
 
-// TestOperatorCallsWithAllSlotsTaken opens more connections than the front has slots for, half of them with an incomplete request, on a node with half
-// the memory and descriptors. Operators' calls must be answered, and a request on a new connection must be served.
+// TestOperatorCallsWithAllSlotsTaken opens more connections than the front has slots for, half of them with an incomplete request,
+// on a node with half the memory and descriptors. Operators' calls must be answered, and a request on a new connection must be
+// served.
 func TestOperatorCallsWithAllSlotsTaken(t *testing.T) {
 	operators := standin.FreeAddress(t)
 	t.Setenv("GW_OPS", operators)
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -5,7 +5,8 @@
 	"sloehitch/internal/handover"
 )
 
-// updateQuota applies this process's quota of the node's resources, which handover.ComputeQuota computes from the loads of all live processes of the node.
+// updateQuota applies this process's quota of the node's resources, which handover.ComputeQuota computes from the loads of all live
+// processes of the node.
 func (d *Daemon) updateQuota() {
 	if d.journals.keys == nil {
 		return
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/store"
 )
 
-// reload reads the configuration again and applies it. Links switch to new addresses on their own. Changes that require a restart are logged, and an
-// invalid file changes nothing.
+// reload reads the configuration again and applies it. Links switch to new addresses on their own. Changes that require a restart
+// are logged, and an invalid file changes nothing.
 func (d *Daemon) reload() {
 	next, err := d.load()
 	if err == nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// reconfigure applies the settings of p to the core, admission and the fronts if they differ from the running ones, and stores the merged settings in p
-// (package reconfigure). It returns an error and changes nothing if the file is rejected.
+// reconfigure applies the settings of p to the core, admission and the fronts if they differ from the running ones, and stores the
+// merged settings in p (package reconfigure). It returns an error and changes nothing if the file is rejected.
 func (d *Daemon) reconfigure(p *config.Platform) error {
 	old := d.platform
 	if bytes.Equal(p.RawSettings, old.RawSettings) {
--- a/internal/daemon/requests_test.go
+++ b/internal/daemon/requests_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestShutdownServesRequestsInFlight checks a graceful shutdown: requests within the drain grace and those in flight are served, later ones are not run.
+// TestShutdownServesRequestsInFlight checks a graceful shutdown: requests within the drain grace and those in flight are served,
+// later ones are not run.
 func TestShutdownServesRequestsInFlight(t *testing.T) {
 	started, hold := make(chan struct{}, 2), make(chan struct{})
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { started <- struct{}{}; <-hold; return "OK", "r" })
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -11,9 +11,9 @@
 
 // shutDown carries out the graceful shutdown that was requested at receivedAt, by the plan of package handover.
 //
-// Callers learn of it seconds later, so requests that arrive within the drain grace are still admitted. Then the listener closes, peers are asked to
-// close their connections, and requests in flight continue. It returns once every request is answered and every connection is closed, or just before the
-// kill.
+// Callers learn of it seconds later, so requests that arrive within the drain grace are still admitted. Then the listener closes,
+// peers are asked to close their connections, and requests in flight continue. It returns once every request is answered and every
+// connection is closed, or just before the kill.
 func (d *Daemon) shutDown(receivedAt time.Time) {
 	conditions := d.shutdownConditions()
 	plan := handover.PlanShutdown(conditions)
@@ -55,8 +55,8 @@
 	}
 }
 
-// drained asks the peers of open connections to close them, and reports whether no connection is left and every request is answered. It closes no
-// connection itself.
+// drained asks the peers of open connections to close them, and reports whether no connection is left and every request is
+// answered. It closes no connection itself.
 func (d *Daemon) drained() bool {
 	d.resp.RequestClose()
 	return d.openConnections() == 0 && d.node.Unanswered() == 0
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -33,8 +33,8 @@
 	return handover.Requirements{Node: p.Name, Settings: p.Logic, Now: now, MaxAge: lim.MaxSnapshotAge, MaxClockSkew: lim.MaxClockAhead}
 }
 
-// loadSnapshot returns the learned state of an earlier process of this node, or nil if there is none that can be used. It logs whether a snapshot was
-// used, and if not, why.
+// loadSnapshot returns the learned state of an earlier process of this node, or nil if there is none that can be used. It logs
+// whether a snapshot was used, and if not, why.
 func (d *Daemon) loadSnapshot(now time.Time) *logic.LearnedState {
 	if !listenerInherited() {
 		return nil // processes do not replace each other, so a snapshot would be out of date
@@ -73,8 +73,8 @@
 	}
 }
 
-// PrintHandover writes to w the snapshot and the idempotency keys that the processes of a node left in dir for the one that replaces them, and whether
-// that one would use the snapshot. platformFile names the node.
+// PrintHandover writes to w the snapshot and the idempotency keys that the processes of a node left in dir for the one that
+// replaces them, and whether that one would use the snapshot. platformFile names the node.
 func PrintHandover(w io.Writer, platformFile, dir string) error {
 	p, err := config.Load(platformFile)
 	if err != nil {
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -105,7 +105,8 @@
 	return d.restoreRuns() // before the first request is accepted
 }
 
-// openAdmission creates the admission controller, with the learned state of an earlier process and the link to the runtime as its source of gauges.
+// openAdmission creates the admission controller, with the learned state of an earlier process and the link to the runtime as its
+// source of gauges.
 func (d *Daemon) openAdmission(system clock.System) error {
 	options := admission.Options{Seed: seedNumber(d.platform.Seed), Clock: system, GaugesTimeout: d.limits.GaugesTimeout, LearnedState: d.loadSnapshot(system.Now())}
 	if d.platform.Runtime != "" {
@@ -137,8 +138,8 @@
 	return nil
 }
 
-// maxStampAge returns how far in the past a request's time stamp may lie. Callers give up requests at their deadline, so an older stamp comes from a clock
-// that is wrong.
+// maxStampAge returns how far in the past a request's time stamp may lie. Callers give up requests at their deadline, so an older
+// stamp comes from a clock that is wrong.
 func maxStampAge(s logic.Settings, l limits.Limits) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -103,7 +103,8 @@
 	return t.RecordRequest, nil
 }
 
-// setUpstreams sets the pool's servers to those in named, the operators' state, or else to the configured ones, without those that hold a drain permit.
+// setUpstreams sets the pool's servers to those in named, the operators' state, or else to the configured ones, without those that
+// hold a drain permit.
 func (d *Daemon) setUpstreams(named string) {
 	u := &d.upstreams
 	if u.pool == nil {
--- a/internal/daemon/uwsgi_test.go
+++ b/internal/daemon/uwsgi_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestStreamedResponseOnRemovalAndShutdown checks that a streamed response is completed when its server is removed from the list, and that one that is still
-// streaming at the end of a shutdown is reset, so that the client can tell that it is truncated.
+// TestStreamedResponseOnRemovalAndShutdown checks that a streamed response is completed when its server is removed from the list,
+// and that one that is still streaming at the end of a shutdown is reset, so that the client can tell that it is truncated.
 func TestStreamedResponseOnRemovalAndShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock provides the current time and timers. System is the machine's clock; Virtual is advanced by a test or the emulator and runs timers in a
-// deterministic order.
+// Package clock provides the current time and timers. System is the machine's clock; Virtual is advanced by a test or the emulator
+// and runs timers in a deterministic order.
 //
-// The program uses steady time: instants are read from a clock that never steps, so that the difference between two instants is a duration of real
-// time. The wall clock, which may be stepped at any moment, is read only to interpret received time stamps (Timestamps).
-// docs/design/time.md lists which part reads which clock.
+// The program uses steady time: instants are read from a clock that never steps, so that the difference between two instants is a
+// duration of real time. The wall clock, which may be stepped at any moment, is read only to interpret received time stamps
+// (Timestamps). docs/design/time.md lists which part reads which clock.
 package clock
 
 import (
@@ -15,7 +15,8 @@
 type Clock interface {
 	// Now returns the current instant of steady time, without a monotonic reading. It is close to Unix time unless the wall clock was stepped.
 	Now() time.Time
-	// AfterFunc calls f after d, or immediately if d is 0 or less. System calls f in its own goroutine, Virtual in the goroutine that advances the clock.
+	// AfterFunc calls f after d, or immediately if d is 0 or less. System calls f in its own goroutine, Virtual in the goroutine
+	// that advances the clock.
 	AfterFunc(d time.Duration, f func()) Timer
 }
 
--- a/internal/platform/clock/clock_test.go
+++ b/internal/platform/clock/clock_test.go
@@ -11,8 +11,8 @@
 
 var start = time.UnixMilli(1764576000000)
 
-// TestVirtualRunsCallsInOrder checks that calls run in order of time, and in the order of scheduling at the same instant. A call scheduled from within
-// another with a delay of 0 runs after those already scheduled for that instant.
+// TestVirtualRunsCallsInOrder checks that calls run in order of time, and in the order of scheduling at the same instant. A call
+// scheduled from within another with a delay of 0 runs after those already scheduled for that instant.
 func TestVirtualRunsCallsInOrder(t *testing.T) {
 	v := NewVirtual(start)
 	var got []string
--- a/internal/platform/clock/shared.go
+++ b/internal/platform/clock/shared.go
@@ -22,8 +22,9 @@
 	ahead time.Duration // steady time since the Unix epoch minus the monotonic reading
 }
 
-// ShareReference makes steady time identical in all processes that share the file at path. The first process writes its reference, relative to the
-// machine's monotonic clock, and the others adopt it, whatever the wall clock was when they started. It must be called before any instant is read.
+// ShareReference makes steady time identical in all processes that share the file at path. The first process writes its reference,
+// relative to the machine's monotonic clock, and the others adopt it, whatever the wall clock was when they started. It must be
+// called before any instant is read.
 func ShareReference(path string) error {
 	boot, err := os.ReadFile(bootIDFile)
 	if err != nil {
--- a/internal/platform/clock/shared_test.go
+++ b/internal/platform/clock/shared_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestShareReferenceSurvivesWallClockStep checks that a process that starts after a step of the wall clock reads the same steady time as the one before it.
+// TestShareReferenceSurvivesWallClockStep checks that a process that starts after a step of the wall clock reads the same steady
+// time as the one before it.
 func TestShareReferenceSurvivesWallClockStep(t *testing.T) {
 	before := processReference.Load()
 	defer processReference.Store(before)
@@ -33,8 +34,8 @@
 	}
 }
 
-// TestShareReferenceReplacesOldAndRejectsMalformed checks that a reference of an earlier boot is replaced, and that a malformed one is an error and does not change
-// steady time.
+// TestShareReferenceReplacesOldAndRejectsMalformed checks that a reference of an earlier boot is replaced, and that a malformed one
+// is an error and does not change steady time.
 func TestShareReferenceReplacesOldAndRejectsMalformed(t *testing.T) {
 	before := processReference.Load()
 	defer processReference.Store(before)
--- a/internal/platform/clock/sources_test.go
+++ b/internal/platform/clock/sources_test.go
@@ -14,7 +14,8 @@
 // moduleRoot is the module's root, relative to this package's folder.
 const moduleRoot = "../../.."
 
-// TestRequestPathReadsNoWallClock checks that the packages on the path of a request read the steady clock. Only this package may read the wall clock.
+// TestRequestPathReadsNoWallClock checks that the packages on the path of a request read the steady clock. Only this package may
+// read the wall clock.
 func TestRequestPathReadsNoWallClock(t *testing.T) {
 	for _, folder := range []string{
 		"internal/node", "internal/admission", "internal/frontend/resp", "internal/backend/runtime", "internal/backend/runtime/redelivery", "internal/backend/catalogue",
--- a/internal/platform/clock/timestamps.go
+++ b/internal/platform/clock/timestamps.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Timestamps converts wall clock time stamps to instants of steady time. It records the current offset of the wall clock from steady time and those before
-// each step that it has observed. A stamp is interpreted with the offset that makes it the most recent, because the sender may have made it just
-// before a step, or with a clock that was not stepped at all.
+// Timestamps converts wall clock time stamps to instants of steady time. It records the current offset of the wall clock from
+// steady time and those before each step that it has observed. A stamp is interpreted with the offset that makes it the most
+// recent, because the sender may have made it just before a step, or with a clock that was not stepped at all.
 //
 // It is safe for concurrent use.
 type Timestamps struct {
@@ -46,8 +46,8 @@
 	}}
 }
 
-// Instant returns when a stamp was made. It returns an error if the stamp is out of bounds by every recorded offset. If the next rejected stamp implies
-// the same offset as the last one, their clock is assumed to be correct and its offset is recorded.
+// Instant returns when a stamp was made. It returns an error if the stamp is out of bounds by every recorded offset. If the next
+// rejected stamp implies the same offset as the last one, their clock is assumed to be correct and its offset is recorded.
 func (s *Timestamps) Instant(stamp time.Time) (time.Time, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/clock/timestamps_test.go
+++ b/internal/platform/clock/timestamps_test.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestSystemIsMonotonic checks that instants have no monotonic reading, so that they compare with all others, and that they advance with real time.
+// TestSystemIsMonotonic checks that instants have no monotonic reading, so that they compare with all others, and that they advance
+// with real time.
 func TestSystemIsMonotonic(t *testing.T) {
 	before := processReference.Load()
 	defer processReference.Store(before)
--- a/internal/platform/config/deploy.go
+++ b/internal/platform/config/deploy.go
@@ -77,8 +77,8 @@
 	return int64(u.BodyMB) << 20
 }
 
-// firstReservedModifier is the lowest modifier1 value that is not an application's: from it on uWSGI uses them for pings, spooling, reloads, caches,
-// RPC, signals and the like.
+// firstReservedModifier is the lowest modifier1 value that is not an application's: from it on uWSGI uses them for pings, spooling,
+// reloads, caches, RPC, signals and the like.
 const firstReservedModifier = 17
 
 func (u Uwsgi) check() error {
--- a/internal/platform/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestListenUnixReplacesOnlyStaleSockets checks that a Unix socket has its mode, that a stale socket is replaced, and that a socket in use and a file that is not a
-// socket are not replaced.
+// TestListenUnixReplacesOnlyStaleSockets checks that a Unix socket has its mode, that a stale socket is replaced, and that a socket
+// in use and a file that is not a socket are not replaced.
 func TestListenUnixReplacesOnlyStaleSockets(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	e, err := Parse("unix:" + path)
--- a/internal/platform/limits/limits_test.go
+++ b/internal/platform/limits/limits_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestRuntimeRedialedWithinReadyTime checks that the runtime is dialed again early enough for a process to be ready within 10 s of its start, whether the
-// runtime starts late, does not answer, or falls silent.
+// TestRuntimeRedialedWithinReadyTime checks that the runtime is dialed again early enough for a process to be ready within 10 s of
+// its start, whether the runtime starts late, does not answer, or falls silent.
 func TestRuntimeRedialedWithinReadyTime(t *testing.T) {
 	l := For(32, 64)
 	const within = 10 * time.Second
--- a/internal/platform/limits/storage.go
+++ b/internal/platform/limits/storage.go
@@ -56,8 +56,8 @@
 	return l
 }
 
-// LostChanges exceeds the number of changes and of granted leases that permanently lost members of the store can have made. A recovered store skips as
-// many revisions and fencing tokens, so that none is used twice.
+// LostChanges exceeds the number of changes and of granted leases that permanently lost members of the store can have made. A
+// recovered store skips as many revisions and fencing tokens, so that none is used twice.
 const LostChanges = 1 << 32
 
 // ForKeyStore derives the limits from the platform's cap on memory, in MB, since files in $TMPDIR count as memory.
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -120,7 +120,8 @@
 	reloads             = desc("config_reloads_total", "Configuration files at SIGHUP, taken (applied) or turned down (rejected).", "result")
 )
 
-// Describe implements prometheus.Collector. It sends no descriptions, because servers are added and removed and so the set of metrics is not fixed.
+// Describe implements prometheus.Collector. It sends no descriptions, because servers are added and removed and so the set of
+// metrics is not fixed.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector. It reads all sources and sends their metrics.
