--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -7,7 +7,7 @@
 	"sloehitch/internal/platform/metrics"
 )
 
-// startMetrics serves the metrics where the deployment file names an address for them.
+// startMetrics serves the metrics if the deployment file configures an address for them.
 func (d *Daemon) startMetrics() error {
 	address := d.deploy.Load().Metrics.Listen
 	if address == "" {
@@ -19,24 +19,24 @@
 		func(ln net.Listener) error { return m.Serve(ln, d.limits, d.log) })
 }
 
-// metricSources are the parts whose figures are read at each scrape.
+// metricSources returns the sources whose values are read at each scrape.
 func (d *Daemon) metricSources() metrics.Sources {
-	from := metrics.Sources{Core: d.node.Totals, Resp: d.resp.OpenConnections, Classes: d.node.CountsByClass,
+	sources := metrics.Sources{Core: d.node.Totals, Resp: d.resp.OpenConnections, Classes: d.node.CountsByClass,
 		Config: func() (int, int) { return int(d.counts.applied.Load()), int(d.counts.rejected.Load()) }}
 	if d.uwsgi != nil {
-		from.Uwsgi = func() (uwsgi.Counts, int) { return d.uwsgi.Totals(), d.uwsgi.OpenConnections() }
-		from.Servers = d.upstreams.pool.Servers
+		sources.Uwsgi = func() (uwsgi.Counts, int) { return d.uwsgi.Totals(), d.uwsgi.OpenConnections() }
+		sources.Servers = d.upstreams.pool.Servers
 	}
 	if d.deploy.Load().Ledger.Dir != "" {
-		from.Ledger = d.ledgerStats
+		sources.Ledger = d.ledgerStats
 	}
 	if d.fleet != nil {
-		from.Fleet = d.fleet.Stats
+		sources.Fleet = d.fleet.Stats
 	}
-	return from
+	return sources
 }
 
-// observeRun hands a uwsgi run's times to the metrics, where they are on.
+// observeRun records the times of a uwsgi run in the metrics, if they are on.
 func (d *Daemon) observeRun(r uwsgi.RunTimes) {
 	if m := d.metrics.Load(); m != nil {
 		m.ObserveRun(r)
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/operatorapi"
 )
 
-// startOperatorCalls answers the operators' calls where the configuration names an address for them.
+// startOperatorCalls serves operators' calls if the configuration has an address for them.
 func (d *Daemon) startOperatorCalls() error {
 	if d.platform.OperatorAddress == "" {
 		return nil
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// operatorCalls carries out the operators' calls.
+// operatorCalls implements the operators' calls.
 type operatorCalls struct{ d *Daemon }
 
 func (o operatorCalls) Ready() bool { return o.d.service.ready.Load() && !o.d.service.draining.Load() }
@@ -32,10 +32,10 @@
 func (o operatorCalls) Activate() { o.d.service.evacuated.Store(false) }
 
 func (o operatorCalls) Report() operatorapi.Report {
-	f := operatorapi.Report{InFlight: o.d.node.Unanswered(), ConfigApplied: int(o.d.counts.applied.Load()), ConfigRejected: int(o.d.counts.rejected.Load())}
+	report := operatorapi.Report{InFlight: o.d.node.Unanswered(), ConfigApplied: int(o.d.counts.applied.Load()), ConfigRejected: int(o.d.counts.rejected.Load())}
 	for name, c := range o.d.node.CountsByClass() {
-		f.Classes = append(f.Classes, operatorapi.Class{Name: name, OK: c.Served, Shed: c.Rejected, Errors: c.Failed, Attempts: c.Started})
+		report.Classes = append(report.Classes, operatorapi.Class{Name: name, OK: c.Served, Shed: c.Rejected, Errors: c.Failed, Attempts: c.Started})
 	}
-	slices.SortFunc(f.Classes, func(a, b operatorapi.Class) int { return strings.Compare(a.Name, b.Name) })
-	return f
+	slices.SortFunc(report.Classes, func(a, b operatorapi.Class) int { return strings.Compare(a.Name, b.Name) })
+	return report
 }
--- a/internal/daemon/quota.go
+++ b/internal/daemon/quota.go
@@ -5,7 +5,8 @@
 	"sloehitch/internal/handover"
 )
 
-// updateQuota takes this process's quota of the node's resources while other processes of the node live, as handover.ComputeQuota computes it.
+// updateQuota applies this process's quota of the node's resources, which handover.ComputeQuota computes from the loads of all live
+// processes of the node.
 func (d *Daemon) updateQuota() {
 	if d.journals.keys == nil {
 		return
@@ -15,18 +16,18 @@
 	own.Connections = d.resp.OpenConnections()
 	var others []handover.Load
 	for _, note := range d.journals.keys.ExchangeNotes(own.Encode()) {
-		load, _ := handover.ParseLoad(note) // without a note nothing is in flight
+		load, _ := handover.ParseLoad(note) // a process without a valid note has no load
 		others = append(others, load)
 	}
-	is, was := handover.ComputeQuota(own, others, d.limits.MaxConnections), d.quota
-	if is.CPUFraction != was.CPUFraction {
-		d.admission.SetResourceShare(is.CPUFraction)
+	quota, previous := handover.ComputeQuota(own, others, d.limits.MaxConnections), d.quota
+	if quota.CPUFraction != previous.CPUFraction {
+		d.admission.SetResourceShare(quota.CPUFraction)
 	}
-	if is.MemoryFraction != was.MemoryFraction {
-		debug.SetMemoryLimit(max(d.limits.MinMemoryBytes, int64(is.MemoryFraction*float64(d.limits.MemoryBytes))))
+	if quota.MemoryFraction != previous.MemoryFraction {
+		debug.SetMemoryLimit(max(d.limits.MinMemoryBytes, int64(quota.MemoryFraction*float64(d.limits.MemoryBytes))))
 	}
-	if is.Connections != was.Connections {
-		d.resp.SetMaxConnections(is.Connections)
+	if quota.Connections != previous.Connections {
+		d.resp.SetMaxConnections(quota.Connections)
 	}
-	d.quota = is
+	d.quota = quota
 }
--- a/internal/platform/clock/clock_test.go
+++ b/internal/platform/clock/clock_test.go
@@ -11,32 +11,32 @@
 
 var start = time.UnixMilli(1764576000000)
 
-// TestOrder: calls come by time, those of one instant as they were asked for; one asked for 0 from within a call comes
-// after those that stand at that instant.
-func TestOrder(t *testing.T) {
+// TestVirtualRunsCallsInOrder checks that calls run in order of time, and in the order of scheduling at the same instant. A call
+// scheduled from within another with a delay of 0 runs after those already scheduled for that instant.
+func TestVirtualRunsCallsInOrder(t *testing.T) {
 	v := NewVirtual(start)
 	var got []string
-	say := func(s string) func() {
+	record := func(s string) func() {
 		return func() { got = append(got, fmt.Sprint(s, " ", v.Now().Sub(start))) }
 	}
-	v.AfterFunc(2*time.Second, say("c"))
+	v.AfterFunc(2*time.Second, record("c"))
 	v.AfterFunc(time.Second, func() {
-		say("a")()
-		v.AfterFunc(0, say("a2"))
-		v.AfterFunc(-time.Hour, say("a3"))
+		record("a")()
+		v.AfterFunc(0, record("a2"))
+		v.AfterFunc(-time.Hour, record("a3"))
 	})
-	b := v.AfterFunc(time.Second, say("b"))
-	late := v.AfterFunc(time.Second, say("late"))
-	off := v.AfterFunc(time.Second, say("off"))
-	if !off.Stop() || off.Stop() || !late.Reset(2*time.Second) {
-		t.Error("a call that was to come")
+	b := v.AfterFunc(time.Second, record("b"))
+	delayed := v.AfterFunc(time.Second, record("late"))
+	stopped := v.AfterFunc(time.Second, record("off"))
+	if !stopped.Stop() || stopped.Stop() || !delayed.Reset(2*time.Second) {
+		t.Error("Stop or Reset of a pending call returned the wrong value")
 	}
 	v.Run(start.Add(time.Second))
 	if b.Stop() || v.Pending() != 2 {
-		t.Errorf("a call that came can't be stopped; %d pending", v.Pending())
+		t.Errorf("Stop returned true for a call that was made, or wrong number of pending calls: %d", v.Pending())
 	}
 	if b.Reset(3 * time.Second) {
-		t.Error("it was active")
+		t.Error("Reset returned true for a call that was made")
 	}
 	v.Run(start.Add(time.Minute))
 	want := []string{"a 1s", "b 1s", "a2 1s", "a3 1s", "c 2s", "late 2s", "b 4s"}
@@ -45,41 +45,41 @@
 	}
 }
 
-// TestManyStopped: ten thousand calls taken back at once are gone, and none of the others.
-func TestManyStopped(t *testing.T) {
+// TestVirtualDropsStoppedCalls checks that stopping ten thousand of 20,000 calls at once removes them from the queue and keeps all others.
+func TestVirtualDropsStoppedCalls(t *testing.T) {
 	v := NewVirtual(start)
-	came := 0
-	var off []Timer
+	calls := 0
+	var toStop []Timer
 	for i := range 20000 {
-		c := v.AfterFunc(time.Duration(i%100)*time.Millisecond, func() { came++ })
+		c := v.AfterFunc(time.Duration(i%100)*time.Millisecond, func() { calls++ })
 		if i%2 == 0 {
-			off = append(off, c)
+			toStop = append(toStop, c)
 		}
 	}
-	for _, c := range off {
+	for _, c := range toStop {
 		c.Stop()
 	}
 	if v.Pending() != 10000 || v.calls.Len() > 15000 {
-		t.Errorf("%d pending, %d kept", v.Pending(), v.calls.Len())
+		t.Errorf("%d calls pending, %d in the queue", v.Pending(), v.calls.Len())
 	}
 	for v.Step() {
 	}
-	if came != 10000 {
-		t.Errorf("%d came", came)
+	if calls != 10000 {
+		t.Errorf("%d calls were made, want 10000", calls)
 	}
 }
 
-// TestModel: whatever is asked for, taken back and put off, what comes is what a plain list says.
-func TestModel(t *testing.T) {
+// TestVirtualMatchesModel checks random sequences of AfterFunc, Stop and Reset against a sorted list.
+func TestVirtualMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewVirtual(start)
-		type planned struct {
-			at    time.Duration
-			order int
-			off   bool
+		type plannedCall struct {
+			at      time.Duration
+			order   int
+			stopped bool
 		}
 		var timers []Timer
-		var plan []planned
+		var plan []plannedCall
 		var got []int
 		order := 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -87,20 +87,20 @@
 			order++
 			if i := rapid.IntRange(0, len(timers)).Draw(t, "which"); i == len(timers) {
 				timers = append(timers, v.AfterFunc(d, func() { got = append(got, i) }))
-				plan = append(plan, planned{at: d, order: order})
+				plan = append(plan, plannedCall{at: d, order: order})
 			} else if rapid.Bool().Draw(t, "off") {
-				if timers[i].Stop() == plan[i].off {
-					t.Fatal("Stop")
+				if timers[i].Stop() == plan[i].stopped {
+					t.Fatal("Stop returned the wrong value")
 				}
-				plan[i].off = true
+				plan[i].stopped = true
 			} else {
 				timers[i].Reset(d)
-				plan[i] = planned{at: d, order: order}
+				plan[i] = plannedCall{at: d, order: order}
 			}
 		}
 		var want []int
 		for i, p := range plan {
-			if !p.off {
+			if !p.stopped {
 				want = append(want, i)
 			}
 		}
@@ -116,7 +116,7 @@
 		for v.Step() {
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("came %v, want %v", got, want)
+			t.Fatalf("calls made: %v, want %v", got, want)
 		}
 	})
 }
--- a/internal/platform/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// TestUnix: a socket has its mode from the start, a stale one is replaced, one that serves and a file that is no socket are not.
-func TestUnix(t *testing.T) {
+// TestListenUnixReplacesOnlyStaleSockets checks that a Unix socket has its mode, that a stale socket is replaced, and that a socket
+// in use and a file that is not a socket are not replaced.
+func TestListenUnixReplacesOnlyStaleSockets(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	e, err := Parse("unix:" + path)
 	if err != nil {
@@ -54,9 +55,9 @@
 		t.Errorf("%v, %v", info.Mode(), err)
 	}
 	if _, err := e.Listen(0o600, nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("listening on a socket in use: %v", err)
 	}
-	ln.(*unixListener).UnixListener.Close() // as a killed process leaves it
+	ln.(*unixListener).UnixListener.Close() // leaves the file, as a killed process does
 	if _, err := os.Stat(path); err != nil {
 		t.Fatal(err)
 	}
@@ -67,23 +68,23 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(path); err == nil {
-		t.Error("the name is still there")
+		t.Error("Close did not remove the socket file")
 	}
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := e.Listen(0o600, nil); err == nil || !strings.Contains(err.Error(), "no socket") {
-		t.Errorf("over a file: %v", err)
+	if _, err := e.Listen(0o600, nil); err == nil || !strings.Contains(err.Error(), "not a socket") {
+		t.Errorf("listening on a path with a regular file: %v", err)
 	}
 }
 
-// TestKeysChange: new keys are reloaded in service, a bad or incomplete pair is not, open connections go on, and each end
-// refuses another authority's certificate.
-func TestKeysChange(t *testing.T) {
+// TestTLSKeyReload checks that new keys are reloaded while serving, that an invalid or incomplete pair is not, that open connections
+// stay open, and that each end rejects a certificate of another authority.
+func TestTLSKeyReload(t *testing.T) {
 	dir := t.TempDir()
 	first, second := standin.NewAuthority(t), standin.NewAuthority(t)
-	far := time.Now().Add(500 * time.Hour)
-	cert, key, ca := first.Issue(t, dir, "server", "node.test", far)
+	farExpiry := time.Now().Add(500 * time.Hour)
+	cert, key, ca := first.Issue(t, dir, "server", "node.test", farExpiry)
 	var log bytes.Buffer
 	keys, err := tlskeys.Load(tlskeys.Files{Cert: cert, Key: key, CA: ca}, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
@@ -94,7 +95,7 @@
 		t.Fatal(err)
 	}
 	if _, err := e.Listen(0, nil); err == nil {
-		t.Error("TLS without keys")
+		t.Error("listening with TLS succeeded without keys")
 	}
 	ln, err := e.Listen(0, keys)
 	if err != nil {
@@ -112,14 +113,14 @@
 	}()
 	e.Address = ln.Addr().String()
 	client := func(a *standin.Authority, prefix string) *tlskeys.Keys {
-		cert, key, ca := a.Issue(t, dir, prefix, "client.test", far)
+		cert, key, ca := a.Issue(t, dir, prefix, "client.test", farExpiry)
 		k, err := tlskeys.Load(tlskeys.Files{Cert: cert, Key: key, CA: ca}, standin.DiscardLogger)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return k
 	}
-	talk := func(conn net.Conn, err error) error {
+	exchange := func(conn net.Conn, err error) error {
 		if err != nil {
 			return err
 		}
@@ -133,31 +134,31 @@
 		return err
 	}
 	dial := func(k *tlskeys.Keys, name string) (net.Conn, error) { return e.Dial(context.Background(), k, name) }
-	of1, of2 := client(first, "c1"), client(second, "c2")
-	open, err := dial(of1, "")
-	if err := talk(open, err); err != nil {
+	client1, client2 := client(first, "c1"), client(second, "c2")
+	openConn, err := dial(client1, "")
+	if err := exchange(openConn, err); err != nil {
 		t.Fatal(err)
 	}
-	defer open.Close()
+	defer openConn.Close()
 	for _, c := range []struct {
 		name string
 		err  error
-	}{{"another authority's client", talk(dial(of2, ""))}, {"another name", talk(dial(of1, "other.test"))}} {
+	}{{"another authority's client", exchange(dial(client2, ""))}, {"a server with another name", exchange(dial(client1, "other.test"))}} {
 		if c.err == nil {
-			t.Errorf("%s was let in", c.name)
+			t.Errorf("%s was accepted", c.name)
 		}
 	}
 	plain, err := tls.Dial("tcp", e.Address, &tls.Config{InsecureSkipVerify: true})
-	if talk(plain, err) == nil {
-		t.Error("a client without a certificate was let in")
+	if exchange(plain, err) == nil {
+		t.Error("a client without a certificate was accepted")
 	}
-	old, err := tls.Dial("tcp", e.Address, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS11})
-	if talk(old, err) == nil {
-		t.Error("TLS 1.1 was taken")
+	oldVersion, err := tls.Dial("tcp", e.Address, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS11})
+	if exchange(oldVersion, err) == nil {
+		t.Error("TLS 1.1 was accepted")
 	}
 
-	// A key without its certificate: the old pair stays in force, and is still there after it.
-	good, err := os.ReadFile(key)
+	// With an invalid key file the current pair stays in use, and the error is logged once.
+	validKey, err := os.ReadFile(key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,26 +167,26 @@
 	}
 	keys.Check()
 	keys.Check()
-	if err := talk(dial(of1, "")); err != nil || strings.Count(log.String(), "the current ones stay in use") != 1 {
-		t.Errorf("with a bad key in the file: %v; log %s", err, log.String())
+	if err := exchange(dial(client1, "")); err != nil || strings.Count(log.String(), "the current ones stay in use") != 1 {
+		t.Errorf("with an invalid key file: %v; log %s", err, log.String())
 	}
-	if err := os.WriteFile(key, append(good, '\n'), 0o600); err != nil {
+	if err := os.WriteFile(key, append(validKey, '\n'), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	second.Issue(t, dir, "server", "node.test", time.Now().Add(24*time.Hour))
 	if err := keys.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	if err := talk(dial(of2, "node.test")); err != nil {
+	if err := exchange(dial(client2, "node.test")); err != nil {
 		t.Errorf("with the new keys: %v", err)
 	}
-	if talk(dial(of1, "")) == nil {
-		t.Error("the old authority's client was let in after the change")
+	if exchange(dial(client1, "")) == nil {
+		t.Error("a client of the old authority was accepted after the reload")
 	}
-	if err := talk(open, nil); err != nil {
-		t.Errorf("a connection that was open: %v", err)
+	if err := exchange(openConn, nil); err != nil {
+		t.Errorf("connection opened before the reload: %v", err)
 	}
-	if !strings.Contains(log.String(), "expires soon") || keys.Expires().After(far.Add(-time.Hour)) {
+	if !strings.Contains(log.String(), "expires soon") || keys.Expires().After(farExpiry.Add(-time.Hour)) {
 		t.Errorf("no warning before expiry at %v: %s", keys.Expires(), log.String())
 	}
 	_, _, _ = first.Issue(t, dir, "dead", "x", time.Now().Add(-time.Minute))
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -19,9 +19,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestMetrics: what is asked for over a socket has the figures of all sources, and only those of parts that are on.
-func TestMetrics(t *testing.T) {
-	get := func(s Sources, runs ...uwsgi.RunTimes) string {
+// TestScrapeReturnsConfiguredSources checks that a scrape over a socket returns the metrics of all sources, and none of sources that are nil.
+func TestScrapeReturnsConfiguredSources(t *testing.T) {
+	scrape := func(s Sources, runs ...uwsgi.RunTimes) string {
 		t.Helper()
 		ln := standin.Listen(t)
 		m := New(s)
@@ -41,7 +41,7 @@
 		return string(text)
 	}
 	at := time.UnixMilli(1764576000000)
-	all := get(Sources{
+	all := scrape(Sources{
 		Core: func() (node.Counts, int, int) {
 			return node.Counts{Read: 7, Rejected: 3, RecordFailures: 1, WaitedElsewhere: 6, ServedFromElsewhere: 8}, 2, 5
 		},
@@ -71,13 +71,13 @@
 		`sloehitch_fleet_permits_total{what="granted"} 6`, `sloehitch_fleet_permits_total{what="begun"} 0`, `sloehitch_fleet_asks_waiting 3`, `sloehitch_fleet_permits{state="begun"} 2`, `sloehitch_fleet_counted_out{why="silent"} 5`,
 		`sloehitch_release_nodes{release="r",which="changed"} 7`, `sloehitch_release_wave{release="r",state="running"} 2`, `sloehitch_release_halted{release="r"} 1`, `sloehitch_config_reloads_total{result="rejected"} 1`} {
 		if !strings.Contains(all, "\n"+line) {
-			t.Errorf("no line %q", line)
+			t.Errorf("the response has no line %q", line)
 		}
 	}
 	if strings.Contains(all, `outcome="moot",stage="connected"`) {
 		t.Error("a stage that was not reached is counted")
 	}
-	if few := get(Sources{Core: func() (node.Counts, int, int) { return node.Counts{}, 0, 0 }}); strings.Contains(few, "ledger") || strings.Contains(few, "fleet") || strings.Contains(few, "uwsgi") {
-		t.Errorf("figures of parts that are off:\n%s", few)
+	if few := scrape(Sources{Core: func() (node.Counts, int, int) { return node.Counts{}, 0, 0 }}); strings.Contains(few, "ledger") || strings.Contains(few, "fleet") || strings.Contains(few, "uwsgi") {
+		t.Errorf("metrics of sources that are nil:\n%s", few)
 	}
 }
