--- a/logic/admission.go
+++ b/logic/admission.go
@@ -4,18 +4,18 @@
 //
 //	now + call delay + T_m < bound
 //
-// with T_m its expected run time and the call delay what its calls wait for their budget, in microseconds.
-// The bounds of the new-request and the old-request queue are points in time:
+// where T_m is its expected run time and the call delay is the time that its call waits for the call budget,
+// in microseconds. The bounds of the new-request and the old-request queue are points in time:
 //
 //	D1 = min(first attempt + 0.65·objective, arrival + 0.75·attempt timeout)
 //	D2 = min(first attempt + share·late, arrival + share·attempt timeout), share = 0.75, idle core: 0.9
 //	late = objective + LateWeightShare·(client timeout - objective)
 //
-// The less an answer after the objective weighs, the sooner its request is given up.
+// The less weight an answer has after the objective, the earlier its request is rejected.
 const (
-	newQueueBoundShare     = 0.65 // leaves room for runs longer than T_m and for the way back
+	newQueueBoundShare     = 0.65 // leaves time for runs longer than T_m and for returning the answer
 	oldQueueBoundShare     = 0.75
-	idleOldQueueBoundShare = 0.9 // with an idle core, which no other request would have
+	idleOldQueueBoundShare = 0.9 // with an idle core, which no other request would use
 )
 
 // queueBounds returns D1 and D2 of a request as points in time, in microseconds.
@@ -35,21 +35,21 @@
 	return d1, d2
 }
 
-// meetsBound reports whether a request that starts after the given wait, in microseconds, ends before the
-// bound.
+// meetsBound reports whether a request that starts after the given wait, in microseconds, is expected to end
+// before the bound.
 func (s *Server) meetsBound(r *request, bound, wait float64) bool {
 	if c := s.classes[r.Class]; c.CallsDependency {
 		delay := s.callQueueDelay(r, s.atCall-s.callsInFlight)
 		if c.DegradedWeightShare > 0 {
-			delay = min(delay, callPatienceFactor*s.minCallTime) // then the call is skipped
+			delay = min(delay, callPatienceFactor*s.minCallTime) // after this wait the call is skipped
 		}
 		wait += delay
 	}
 	return float64(s.now)+wait+s.expectedRunTime(r) < bound
 }
 
-// startNext starts the first queued request that meets D2, or that may start as a probe, and reports whether
-// it found one. Requests that don't meet D2 are rejected on the way; those of a faulty server are left to
+// startNext starts the first queued request that meets D2 or may start as a probe, and reports whether it
+// started one. Requests ahead of it that don't meet D2 are rejected; on a faulty server that is left to
 // shedHopeless.
 func (s *Server) startNext() bool {
 	for i := 0; i < len(s.queue); {
@@ -72,7 +72,7 @@
 	return false
 }
 
-// canStart reports whether memory and drain let a queued request start now.
+// canStart reports whether the memory bound and the drain state allow a queued request to start now.
 func (s *Server) canStart(r *request) bool {
 	return s.fitsMemory(r.MemoryKB*(s.cfg.RunMemoryFactor-1)) && !s.arrivedAfterDrainGrace(r)
 }
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -14,7 +14,7 @@
 	for _, c := range []struct {
 		running int
 		share   float64
-	}{{0, idleOldQueueBoundShare}, {1, idleOldQueueBoundShare}, {2, oldQueueBoundShare}} { // of two cores
+	}{{0, idleOldQueueBoundShare}, {1, idleOldQueueBoundShare}, {2, oldQueueBoundShare}} { // on two cores
 		d.s.running = c.running
 		_, d2 := d.s.queueBounds(r)
 		if want := 1400e3 * c.share; d2 < want-1 || d2 > want+1 {
--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -1,15 +1,16 @@
 package logic
 
 // Time spent in earlier attempts. Callers give each attempt the same share of the client timeout, except the
-// last, which gets what is left. So the shares seen lately are counted in 100 buckets. A first attempt is
-// taken to have the lowest common share that is at least the request's own; the difference was spent.
+// last, which gets the remainder. Recent shares are therefore counted in a histogram of 100 buckets. The
+// timeout of a first attempt is assumed to be the lowest common share that is not below the request's own;
+// the difference is the time spent in earlier attempts.
 const (
-	timeoutBuckets           = 100  // shares of the client timeout that are told apart
+	timeoutBuckets           = 100  // buckets over the shares of the client timeout
 	timeoutHistogramArrivals = 512  // arrivals over which the shares are counted
-	commonTimeoutShare       = 0.05 // share of the arrivals from which a timeout is one of first attempts
+	commonTimeoutShare       = 0.05 // share of the arrivals from which a timeout counts as common
 )
 
-// earlierAttemptTime returns how much of its client timeout a request spent in earlier attempts, at least.
+// earlierAttemptTime returns a lower bound of the time that a request's earlier attempts took.
 func (s *Server) earlierAttemptTime(c *classState, timeout Micros) Micros {
 	if !s.cfg.DeadlinePropagated || timeout >= c.ClientTimeout {
 		return 0
--- a/logic/attempts_test.go
+++ b/logic/attempts_test.go
@@ -10,17 +10,17 @@
 		ev := arrival(id, 0, 0)
 		ev.Arrival.Age = 100 * ms
 		if id == 40 {
-			ev.Arrival.Age = 200 * ms // read a little later than the others: no retry
+			ev.Arrival.Age = 200 * ms // read later than the others, but not a retry
 		}
 		out := d.step(400*ms, ev)
 		d.want(out, ActionRun, id)
-		if id < 39 { // the last but one still runs, so that the last is no probe
+		if id < 39 { // the last but one still runs, so that the last is not started as a probe
 			d.step(10*ms, done(id, OutcomeOK, 10*ms))
 		}
 	}
 }
 
-// A request without an attempt timeout, where others have one, spent nothing in earlier attempts.
+// A request without an attempt timeout is taken for a first attempt, even if other requests have timeouts.
 func TestMissingAttemptTimeoutSpendsNothing(t *testing.T) {
 	d := drive(t, testSettings())
 	for id := RequestID(1); id <= 40; id++ {
--- a/logic/callbudget.go
+++ b/logic/callbudget.go
@@ -7,52 +7,53 @@
 
 // Budget for calls to a shared dependency that sustains a mean of L calls in flight from this server
 // (CallConcurrencyLimit) over a window W (CallConcurrencyWindow, µs). Calls are admitted by weight density,
-// highest first, if both hold, in microseconds of call time:
+// highest first, while both conditions hold, in microseconds of call time:
 //
 //	hard: call time that ended within W + longest time that the calls in flight can take <= L·W
 //	pace: credit >= call time of the calls ahead and in flight + reserve
 //
-//	reserve = 4·(1 - weight/max weight)·mean call time, left to calls of higher weight
+//	reserve = 4·(1 - weight/max weight)·mean call time, kept for calls of higher weight
 //
 // The credit, in microseconds of call time, accrues at the planned concurrency
 //
 //	P = L·min(0.8, max(0.25, 0.8·2·least call time/mean call time))
 //
-// which falls while calls are slow, since crowds slow the dependency well below what it sustains. A request
-// whose call can't end before D2 skips it where its class allows that, or is answered at once. The budget
-// harms a server that is asked for far more than others, whose unused budget is not seen.
+// which is lower while calls are slow, because concurrent calls slow the dependency well before it reaches
+// the concurrency that it sustains. A request whose call can't end before D2 skips the call if its class
+// allows that, and otherwise is answered at once. Limitation: a server with far more traffic than the others
+// can't use the budget that they leave unused.
 const (
-	maxCallPaceShare        = 0.8  // of L, while calls take their least time
-	minCallPaceShare        = 0.25 // of L, however slow calls are
-	callBurst               = 10   // mean call times of credit after a quiet spell
+	maxCallPaceShare        = 0.8  // P as a share of L while calls take their least time
+	minCallPaceShare        = 0.25 // lower bound of P as a share of L, however slow calls are
+	callBurst               = 10   // maximum credit after an idle period, in mean call times
 	callBurstObjectiveShare = 0.2  // or this share of the mean objective at concurrency P, if more
 	callObjectiveShare      = 0.3  // share of an objective that a call may take or spend
 	reservedCalls           = 4    // mean call times that the lowest weight leaves to the highest
-	callPatienceFactor      = 6    // call times that a call which may be skipped waits at most
-	callDebtDivisor         = 4    // the credit falls at most to what this part of the mean objective adds
+	callPatienceFactor      = 6    // maximum wait of a call that may be skipped, in call times
+	callDebtDivisor         = 4    // the credit does not fall below -P·mean objective/callDebtDivisor
 	maxCallBudgetShare      = 0.5  // share of what is left of L·W that one call may take
 )
 
-// endedCall is a call that is over, as the concurrency limit counts it.
+// endedCall is a call that has ended, as the concurrency limit counts it.
 type endedCall struct {
 	releasedAt Micros // when it left the dependency
-	duration   Micros // how long it was there
+	duration   Micros // how long it was at the dependency
 }
 
 // callBudget is the state of the budget.
 type callBudget struct {
-	callTime          Average // microseconds of a call
-	minCallTime       float64 // least mean of the call time lately, in microseconds
-	callsInFlight     int     // abandoned calls are not counted
+	callTime          Average // microseconds per call
+	minCallTime       float64 // lowest recent mean call time, in microseconds
+	callsInFlight     int     // not counting abandoned calls
 	endedCalls        []endedCall
 	endedCallTime     Micros // sum of the durations of endedCalls
-	reservedCallTime  Micros // longest time that the calls in flight can take, together
-	callsBlockedUntil Micros // no call is made before
+	reservedCallTime  Micros // sum of the longest times that the calls in flight can take
+	callsBlockedUntil Micros // no call is made before this time
 	lastCallAt        Micros
 	callCredit        float64 // microseconds of call time; negative: overdrawn
 }
 
-// admitCalls decides about each request that waits to make a call.
+// admitCalls makes, skips or gives up the call of each request that waits to make one.
 func (s *Server) admitCalls() {
 	for i, r := range s.pendingCalls() {
 		_, d2 := s.queueBounds(r)
@@ -84,8 +85,8 @@
 	return pending
 }
 
-// callQueueDelay returns how long a request's call waits for credit if so many wait before it, in
-// microseconds. A call in flight counts for its mean time at least.
+// callQueueDelay returns how long a request's call waits for credit if the given number of calls wait ahead
+// of it, in microseconds. Each call in flight is charged at least the mean call time.
 func (s *Server) callQueueDelay(r *request, ahead int) float64 {
 	if s.cfg.CallConcurrencyLimit <= 0 {
 		return 0
@@ -101,7 +102,7 @@
 	return max(0, -credit/s.plannedCallConcurrency())
 }
 
-// plannedCallConcurrency returns the mean number of calls in flight that is planned (P).
+// plannedCallConcurrency returns P, the planned mean number of calls in flight.
 func (s *Server) plannedCallConcurrency() float64 {
 	if s.callTime.Samples == 0 {
 		return maxCallPaceShare * s.cfg.CallConcurrencyLimit
@@ -110,12 +111,12 @@
 	return min(maxCallPaceShare, share) * s.cfg.CallConcurrencyLimit
 }
 
-// callTimeout returns the timeout of a request's call; 0 where there is no room for a call of mean duration.
+// callTimeout returns the timeout of a request's call, or 0 if there is no time for a call of mean duration.
 func (s *Server) callTimeout(r *request) Micros {
 	timeout := r.deadline - s.now
 	shared := s.cfg.CallConcurrencyLimit > 0
 	if c := s.classes[r.Class]; s.callTime.Samples > 0 {
-		if c.Idempotency == Idempotent { // its reply may be lost: it can be made again, or skipped
+		if c.Idempotency == Idempotent { // if the reply is lost, the call can be retried or skipped
 			share := min(1, s.cfg.CallConcurrencyLimit) * callObjectiveShare
 			patience := max(callPatienceFactor*s.callTime.Mean, share*float64(c.LatencyObjective))
 			timeout = min(timeout, max(timerSteps*s.cfg.StepInterval, Micros(patience)))
@@ -135,7 +136,7 @@
 	return timeout
 }
 
-// startCall makes the call that a run waits for.
+// startCall makes the call that a request's run waits for.
 func (s *Server) startCall(r *request, timeout Micros) {
 	s.lastCallAt, r.callStartedAt, r.callInFlight = s.now, s.now, true
 	r.callReservation = timeout + s.cfg.AbandonedCallDuration + s.cfg.StepInterval
@@ -144,8 +145,8 @@
 	s.emit(Action{Kind: ActionCall, ID: r.id, Duration: timeout})
 }
 
-// releaseCall moves a call in flight to those that ended. One that was abandoned stays at the dependency for
-// a while.
+// releaseCall moves a call in flight to the ended calls. An abandoned call is counted as being at the
+// dependency for a further AbandonedCallDuration.
 func (s *Server) releaseCall(r *request, abandoned bool) {
 	call := endedCall{releasedAt: s.now, duration: s.now - r.callStartedAt}
 	if abandoned {
@@ -160,8 +161,8 @@
 	s.endedCalls = append(s.endedCalls, call)
 }
 
-// mayProbeCall reports whether a call may be made against the estimate, so that a stale call time does not
-// end all calls: none is in flight and the last was made half a mean objective ago.
+// mayProbeCall reports whether a call may be made despite the estimate, so that an outdated call time does
+// not prevent all calls: none is in flight and the last was made more than half a mean objective ago.
 func (s *Server) mayProbeCall() bool {
 	return s.callsInFlight == 0 && float64(s.now-s.lastCallAt) > s.meanObjective/2
 }
@@ -173,8 +174,8 @@
 	s.callCredit = min(s.callCredit+pace*elapsed, burst)
 }
 
-// spendCallTime takes a call's duration off the credit. The debt of a crowd that has passed must not block
-// calls for long: it is bounded.
+// spendCallTime charges a call's duration to the credit. The overdraft is bounded so that a past burst does
+// not block calls for long.
 func (s *Server) spendCallTime(duration float64) {
 	spent := min(duration, callObjectiveShare*s.meanObjective)
 	s.callCredit = max(s.callCredit-spent, -s.plannedCallConcurrency()*s.meanObjective/callDebtDivisor)
--- a/logic/callbudget_test.go
+++ b/logic/callbudget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// dependency plays the shared dependency for one server: each call takes the same time, and one that
-// timed out stays in flight for a while. It records when calls were in flight.
+// dependency simulates the shared dependency for one server. All calls take the same time, and a call that timed
+// out stays in flight for the time linger. It records when calls were in flight.
 type dependency struct {
 	takes, linger Micros
 	out           []simulatedCall
@@ -15,7 +15,7 @@
 	from, timeout Micros
 }
 
-// endedBy returns the events of calls that end by now.
+// endedBy returns the events of the calls that end by the given time.
 func (p *dependency) endedBy(now Micros) []Event {
 	var events []Event
 	var kept []simulatedCall
@@ -36,7 +36,7 @@
 	return events
 }
 
-// maxMean returns the largest mean of the calls in flight over any window that ends with a call.
+// maxMean returns the largest mean number of calls in flight over any window that ends when a call does.
 func (p *dependency) maxMean(span Micros) float64 {
 	most := 0.0
 	for _, last := range p.spans {
@@ -57,13 +57,13 @@
 		class int
 		cold  bool
 	}{
-		{"share under one, calls never end", 0.3, 60000 * ms, 1, false},
-		{"share under one, slow calls", 0.5, 900 * ms, 1, false},
-		{"share under one, slow calls, slow start", 0.5, 900 * ms, 1, true},
-		{"share of two, calls never end", 2, 60000 * ms, 1, false},
-		{"share of two, slow calls", 2, 900 * ms, 1, false},
+		{"limit below one, all calls time out", 0.3, 60000 * ms, 1, false},
+		{"limit below one, slow calls", 0.5, 900 * ms, 1, false},
+		{"limit below one, slow calls, slow start", 0.5, 900 * ms, 1, true},
+		{"limit of two, all calls time out", 2, 60000 * ms, 1, false},
+		{"limit of two, slow calls", 2, 900 * ms, 1, false},
 		{"calls that may be skipped", 0.4, 900 * ms, 0, false},
-		{"quick calls", 0.5, 20 * ms, 1, false},
+		{"fast calls", 0.5, 20 * ms, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testSettings()
@@ -97,7 +97,7 @@
 				t.Fatal("no call was made")
 			}
 			if most := p.maxMean(cfg.CallConcurrencyWindow); most > c.share {
-				t.Errorf("a mean of %.2f calls in flight over %v under a limit of %v", most, cfg.CallConcurrencyWindow, c.share)
+				t.Errorf("mean of %.2f calls in flight over %v µs, limit %v", most, cfg.CallConcurrencyWindow, c.share)
 			}
 		})
 	}
@@ -123,7 +123,7 @@
 		}
 		mean += (inFlight - mean) * 25 / 5000
 		most = max(most, mean)
-		if i%16 == 15 { // the calls end late, all at once
+		if i%16 == 15 { // all calls end at once
 			for _, r := range append([]*request(nil), d.s.active...) {
 				if r.callInFlight {
 					inFlight--
@@ -133,7 +133,7 @@
 		}
 	}
 	if most == 0 || most > cfg.CallConcurrencyLimit {
-		t.Errorf("mean calls in flight reached %.2f of a limit of %.2f", most, cfg.CallConcurrencyLimit)
+		t.Errorf("mean number of calls in flight reached %.2f, want above 0 and at most %.2f", most, cfg.CallConcurrencyLimit)
 	}
 }
 
@@ -145,7 +145,7 @@
 	d.want(d.step(ms, needs(1)), ActionCall, 1)
 	d.step(900*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 900 * ms})
 	d.step(ms, done(1, OutcomeOK, 950*ms))
-	for id := RequestID(2); id < 100; id++ { // thin traffic after a burst at the dependency
+	for id := RequestID(2); id < 100; id++ { // sparse traffic after a long call
 		out := d.step(500*ms, arrival(id, 1, 3000*ms))
 		if find(out, ActionRun, id) == nil {
 			continue
@@ -154,10 +154,11 @@
 			return
 		}
 	}
-	t.Error("no call within 50 s of one that took long")
+	t.Error("no call was made within 50 s of a long call")
 }
 
-// atLateCall brings request 2, of the given class, to a call with 0.23 s left where calls take 0.3 s.
+// atLateCall has request 2, of the given class, wait for a call with 0.23 s left, while calls take 0.3 s. It returns the
+// actions of that step.
 func atLateCall(t *testing.T, class int) (*driver, []Action) {
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit = 0.3
@@ -172,7 +173,7 @@
 	d, out := atLateCall(t, 1)
 	d.want(out, ActionFail, 2)
 	if find(out, ActionCall, 2) != nil {
-		t.Error("a call was made that can't end in time")
+		t.Error("call made although it can't end in time")
 	}
 }
 
@@ -198,6 +199,6 @@
 		}
 	}
 	if called == 0 || left == 0 {
-		t.Errorf("%d calls made and %d skipped: want some of each", called, left)
+		t.Errorf("%d calls made and %d skipped, want at least one of each", called, left)
 	}
 }
--- a/logic/calls.go
+++ b/logic/calls.go
@@ -1,26 +1,26 @@
 package logic
 
-// Outcome of a call to the dependency. The first row that fits a call that did not succeed decides:
+// Outcome of a call to the dependency. An unsuccessful call is handled by the first row that matches:
 //
 //	first failure, idempotent, no shared limit   stays pending
-//	its class may degrade                        skipped: the run goes on without the call
+//	its class may degrade                        skipped: the run continues without the call
 //	may have run, not idempotent                 the request fails
 //	all else                                     stays pending
 //
-// A pending call is made again once its backoff has passed and the budget admits it, until it can't end
-// before D2 (callbudget.go). So a request that is idempotent and may not degrade has its call made again
-// after the second and each later failure too, until D2, and is rejected then. Only calls that never ran back
-// off: under a shared limit all calls wait 6 mean call times, else this request's waits half a mean call time
-// for each of its failed calls. After a timeout there is no backoff of its own.
+// A pending call is retried once its backoff has passed and the budget admits it, until it can't end before
+// D2 (callbudget.go). So the call of an idempotent request that may not degrade is also retried after its
+// second and each later failure, and the request is rejected at D2. There is a backoff only after calls that
+// never ran: under a shared limit all calls wait 6 mean call times, otherwise only this request's call waits,
+// half a mean call time for each of its failed calls. A timeout causes no backoff.
 const (
-	maxCallRetries   = 1     // calls made again per run before a class that may degrade skips the call
-	callRetryBackoff = 0.5   // mean call times, for each call that did not succeed
-	callSampleWeight = 0.15  // share of a new sample in the mean call time
-	slowCallFactor   = 2     // mean over least call time from which calls count as slow
-	minCallTimeDrift = 0.002 // weight with which the least call time follows the mean: it may be out of date
+	maxCallRetries   = 1     // retries per run before a class that may degrade skips the call
+	callRetryBackoff = 0.5   // mean call times per unsuccessful call
+	callSampleWeight = 0.15  // weight of a new sample in the mean call time
+	slowCallFactor   = 2     // ratio of mean to least call time above which calls count as slow
+	minCallTimeDrift = 0.002 // weight with which the least call time follows the mean, as it may be outdated
 )
 
-// waitForCall lets a run wait for a call. One whose request is answered ends here.
+// waitForCall marks a run as waiting for a call. If its request is already answered, the request is removed.
 func (s *Server) waitForCall(r *request) {
 	if r.state != stateRunning {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// handleCallEnded decides how a run goes on after its call.
+// handleCallEnded decides how a run continues after its call.
 func (s *Server) handleCallEnded(r *request, ev *Event) {
 	if !r.callInFlight {
 		return
@@ -57,7 +57,7 @@
 	}
 	switch {
 	case !shared && c.Idempotency == Idempotent && r.failedCalls <= maxCallRetries:
-		// It stays pending.
+		// The call stays pending.
 	case c.DegradedWeightShare > 0:
 		s.skipCall(r)
 	case !neverRan && c.Idempotency != Idempotent:
@@ -65,8 +65,9 @@
 	}
 }
 
-// recordCallTime takes a call's time into the averages. One that timed out took longer than was waited, but
-// its reply may be lost: it counts as somewhat slow, so that a few don't make the dependency look slow.
+// recordCallTime adds a call's time to the averages. A call that timed out took longer than its timeout, or
+// its reply was lost. It counts as at most slowCallFactor mean call times, so that a few lost replies don't
+// make the dependency look slow.
 func (s *Server) recordCallTime(ev *Event) {
 	elapsed := float64(ev.Elapsed)
 	switch {
@@ -77,20 +78,20 @@
 	}
 	s.callTime.add(max(1, elapsed), callSampleWeight)
 	s.minCallTime += minCallTimeDrift * (s.callTime.Mean - s.minCallTime)
-	if float64(s.callTime.Samples)*callSampleWeight <= 1 { // too few samples to tell the least
+	if float64(s.callTime.Samples)*callSampleWeight <= 1 { // too few samples to determine a minimum
 		s.minCallTime = s.callTime.Mean
 	}
 	s.minCallTime = min(s.minCallTime, s.callTime.Mean)
 }
 
-// skipCall lets a run go on without its call.
+// skipCall resumes a run without its call.
 func (s *Server) skipCall(r *request) {
-	r.startedAt = -1 // its run time is no sample
+	r.startedAt = -1 // the run time is not sampled
 	s.emit(Action{Kind: ActionSkipCall, ID: r.id})
 	s.resumeRun(r)
 }
 
-// resumeRun lets a run go on after its call.
+// resumeRun returns a run from its call to the running state.
 func (s *Server) resumeRun(r *request) {
 	s.atCall--
 	s.running++
--- a/logic/calls_test.go
+++ b/logic/calls_test.go
@@ -27,14 +27,14 @@
 	d.want(d.step(100*ms, result(1, OutcomeTimedOut)), ActionSkipCall, 1)
 }
 
-// TestLostReplyDelaysNoOtherCall: a failed call says nothing of the whole tier below. An idempotent one is
-// retried, another only if it never ran, and the next request's call is made at once.
+// TestLostReplyDelaysNoOtherCall guards against one failed call blocking all calls to the dependency. A call that is
+// idempotent is retried, any other only if it never ran, and the next request's call is made at once.
 func TestLostReplyDelaysNoOtherCall(t *testing.T) {
 	for _, c := range []struct {
 		outcome Outcome
 		class   int
 		elapsed Micros
-		want    ActionKind // for the request whose reply was lost
+		want    ActionKind // for the request whose call failed
 	}{
 		{OutcomeReset, 0, 20 * ms, ActionCall}, {OutcomeFailed, 0, 20 * ms, ActionCall}, {OutcomeTimedOut, 0, 3000 * ms, ActionCall},
 		{OutcomeReset, 1, 20 * ms, ActionFail}, {OutcomeTimedOut, 1, 1500 * ms, ActionFail}, {OutcomeRejected, 1, 20 * ms, ActionCall},
@@ -50,39 +50,39 @@
 		d.step(20*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 20 * ms})
 		call(2, c.class)
 		out := d.step(20*ms, Event{Kind: EventCallEnded, ID: 2, Outcome: c.outcome, Elapsed: c.elapsed})
-		if c.outcome == OutcomeRejected { // it alone waits
+		if c.outcome == OutcomeRejected { // only the rejected call backs off
 			call(4, 1)
 			out = d.step(timerSteps*4*ms, Event{Kind: EventTimer})
 		}
 		d.want(out, c.want, 2)
 		call(3, 1)
 		if mean := d.s.callTime.Mean; mean > float64(slowCallFactor*20*ms) {
-			t.Errorf("%v: calls are taken to last %v", c.outcome, mean)
+			t.Errorf("outcome %v: mean call time %v µs", c.outcome, mean)
 		}
 		if c.class != 0 {
 			continue
 		}
 		out = d.step(20*ms, Event{Kind: EventCallEnded, ID: 2, Outcome: c.outcome, Elapsed: c.elapsed})
-		d.want(out, ActionSkipCall, 2) // the second time it is skipped
+		d.want(out, ActionSkipCall, 2) // skipped after the second failure
 	}
 }
 
-// TestHangingCallsDelayNoOthers: where a dependency answers most calls at once and some never, those delay neither
-// the others nor the estimate.
+// TestHangingCallsDelayNoOthers guards against a few calls that never end delaying the other calls or raising the
+// estimated call time.
 func TestHangingCallsDelayNoOthers(t *testing.T) {
 	cfg := testSettings()
 	cfg.Cores, cfg.CallConcurrencyLimit = 8, 13
 	d := drive(t, cfg)
 	hung, made := map[RequestID]bool{}, 0
 	for id := RequestID(1); id <= 400; id++ {
-		class := int(id % 2) // every other one is not idempotent: its call may take until its deadline
+		class := int(id % 2) // calls of class 1 are not idempotent: they may take until the request's deadline
 		out := d.step(2*ms, arrival(id, class, 3000*ms))
 		out = append(out, d.step(0, Event{Kind: EventCallNeeded, ID: id})...)
 		if find(out, ActionCall, id) == nil {
 			continue
 		}
 		made++
-		if id%200 < 2 { // four in all
+		if id%200 < 2 { // four of the 400 calls hang
 			hung[id] = true
 			continue
 		}
@@ -90,9 +90,9 @@
 		d.step(0, done(id, OutcomeOK, 5*ms))
 	}
 	if made < 390 {
-		t.Errorf("%d of 400 calls were made at once beside %d that hang", made, len(hung))
+		t.Errorf("%d of 400 calls were made at once while %d hang, want at least 390", made, len(hung))
 	}
 	if mean := d.s.callTime.Mean; mean > float64(5*ms) {
-		t.Errorf("a call is taken to last %.1f ms; those that were answered took 2", mean/1000)
+		t.Errorf("mean call time %.1f ms, want at most 5; the answered calls took 2", mean/1000)
 	}
 }
--- a/logic/configure.go
+++ b/logic/configure.go
@@ -4,15 +4,15 @@
 
 // Errors of New and Server.Reconfigure.
 var (
-	// ErrInvalidSettings is returned for settings under which nothing can be decided.
-	ErrInvalidSettings = errors.New("settings: cores, memory, latency objectives and client timeouts " +
-		"must be above 0, no duration below 0")
+	// ErrInvalidSettings is returned for settings that are out of range.
+	ErrInvalidSettings = errors.New("settings out of range: cores, memory, latency objectives and client " +
+		"timeouts must be above 0, durations must not be negative")
 	// ErrClassesRemoved is returned for new settings that lack a class or change the number of tenants.
-	ErrClassesRemoved = errors.New("settings: while requests are in flight classes may only be added")
+	ErrClassesRemoved = errors.New("settings: a class was removed or the number of tenants changed")
 )
 
-// validate returns ErrInvalidSettings where nothing could be decided under the settings. Package settings
-// says which key is wrong.
+// validate returns ErrInvalidSettings if the settings are out of range. Package settings reports which key is
+// invalid.
 func validate(cfg Settings) error {
 	valid := len(cfg.Classes) > 0 && min(float64(cfg.Cores), cfg.MemoryKB) > 0
 	for _, c := range cfg.Classes {
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// New returns a Server for the settings. The seed is not used: nothing is drawn at random. It returns
-// ErrInvalidSettings where nothing could be decided under the settings.
+// New returns a Server for the settings, or ErrInvalidSettings. The seed is not used, since no decision is
+// random.
 func New(cfg Settings, _ uint64) (*Server, error) {
 	if err := validate(cfg); err != nil {
 		return nil, err
@@ -48,9 +48,9 @@
 	return s, nil
 }
 
-// Reconfigure takes new settings while requests are in flight. Classes keep their indices and new ones come
-// after them; tenants stay as they are. It returns ErrInvalidSettings or ErrClassesRemoved and then changes
-// nothing.
+// Reconfigure applies new settings while requests are in flight. Classes must keep their indices, new classes
+// are appended, and tenants must not change. If it returns an error, ErrInvalidSettings or ErrClassesRemoved,
+// nothing has changed.
 func (s *Server) Reconfigure(cfg Settings) error {
 	if err := validate(cfg); err != nil {
 		return err
@@ -75,6 +75,6 @@
 	}
 }
 
-// SetResourceShare sets the share of the cores and the memory, above 0 to 1, that this server may use from
-// the next Step on; another process has the rest.
+// SetResourceShare sets the share of the cores and the memory, above 0 and at most 1, that this server may
+// use from the next Step on. Another process uses the rest.
 func (s *Server) SetResourceShare(share float64) { s.resourceShare = share }
--- a/logic/configure_test.go
+++ b/logic/configure_test.go
@@ -4,23 +4,23 @@
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
-		"no cores":        func(c *Settings) { c.Cores = 0 },
-		"no memory":       func(c *Settings) { c.MemoryKB = 0 },
-		"no classes":      func(c *Settings) { c.Classes = nil },
-		"negative span":   func(c *Settings) { c.ResponseGrace = -1 },
-		"negative window": func(c *Settings) { c.Classes[1].IdempotencyWindow = -1 },
-		"no aim":          func(c *Settings) { c.Classes[0].LatencyObjective = 0 },
+		"no cores":             func(c *Settings) { c.Cores = 0 },
+		"no memory":            func(c *Settings) { c.MemoryKB = 0 },
+		"no classes":           func(c *Settings) { c.Classes = nil },
+		"negative duration":    func(c *Settings) { c.ResponseGrace = -1 },
+		"negative window":      func(c *Settings) { c.Classes[1].IdempotencyWindow = -1 },
+		"no latency objective": func(c *Settings) { c.Classes[0].LatencyObjective = 0 },
 	} {
 		cfg := testSettings()
 		spoil(&cfg)
 		if _, err := New(cfg, 1); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
 
-// TestReconfigure: a class added while a request of an old class is in flight is treated like any other, and the
-// request in flight keeps its class; settings that would remove a class, or are invalid, are rejected.
+// TestReconfigure adds a class while a request of an old class is in flight and checks that a request of the new class
+// runs. Settings that remove a class or are invalid must be rejected.
 func TestReconfigure(t *testing.T) {
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 0, 0))
@@ -36,17 +36,17 @@
 		}
 	}
 	if !ran[2] {
-		t.Errorf("the request of the new class did not run on a free core: %v", ran)
+		t.Errorf("the request of the new class did not start on a free core; started: %v", ran)
 	}
 	fewer := testSettings()
 	fewer.Classes = fewer.Classes[:1]
 	if err := d.s.Reconfigure(fewer); err == nil {
-		t.Error("a class in use was removed")
+		t.Error("Reconfigure accepted settings that lack a class")
 	}
 	bad := next
 	bad.Classes = append([]Class(nil), next.Classes...)
 	bad.Classes[3].ClientTimeout = 0
 	if err := d.s.Reconfigure(bad); err == nil {
-		t.Error("a client timeout of 0 was accepted")
+		t.Error("Reconfigure accepted a client timeout of 0")
 	}
 }
--- a/logic/deadline.go
+++ b/logic/deadline.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Deadlines. A request is answered one step before its deadline, running or not. All are answered before the
-// process is killed, so that none is lost; a late timer is allowed for:
+// Deadlines. A request is answered one step before its deadline, whether or not it is running. All requests
+// are answered before the process is killed, with a margin for a late timer:
 //
 //	answered at kill - 2·max(2 steps, ResponseGrace)
 //
-// Idempotent runs whose request is answered are stopped while others wait. That harms where such a run is
-// nearly done and its result would answer repeats.
+// Idempotent runs whose request is answered are stopped while other requests are queued. Limitation: this
+// wastes a run that is nearly done and whose result would answer repeats.
 
-// answerExpired answers what reaches its deadline, and everything just before the kill.
+// answerExpired answers requests that reach their deadline, and all requests shortly before the kill.
 func (s *Server) answerExpired() {
 	margin := max(2*s.cfg.StepInterval, s.cfg.ResponseGrace)
 	killed := s.killAt > 0 && s.now >= s.killAt-2*margin
@@ -21,14 +21,14 @@
 	}
 }
 
-// stopAnsweredRuns stops idempotent runs whose answer was given or is not wanted.
+// stopAnsweredRuns stops idempotent runs whose answer was given or is no longer wanted.
 func (s *Server) stopAnsweredRuns() {
 	if s.cfg.StopMode == StopOff || len(s.queue) == 0 {
 		return
 	}
 	for _, r := range s.active {
 		useless := r.answered && r.state == stateRunning && s.classes[r.Class].Idempotency == Idempotent
-		if useless && s.now-r.stopRequestedAt > minStallGap { // asked again: a stalled server stops nothing
+		if useless && s.now-r.stopRequestedAt > minStallGap { // repeated, as a stalled server stops nothing
 			r.stopRequestedAt = s.now
 			s.emit(Action{Kind: ActionStop, ID: r.id})
 		}
--- a/logic/deadline_test.go
+++ b/logic/deadline_test.go
@@ -8,7 +8,7 @@
 	d.want(d.step(500*ms, tick()), ActionFail, 1)
 	out := d.step(10*ms, tick())
 	d.wantNone(out, ActionFail, 1)
-	d.wantNone(out, ActionStop, 1) // a started run that is not idempotent is not discarded
+	d.wantNone(out, ActionStop, 1) // a run that is not idempotent must not be stopped
 }
 
 func TestDeadlineWithoutAttemptTimeout(t *testing.T) {
@@ -33,7 +33,7 @@
 func TestNonIdempotentRunIsNeverStopped(t *testing.T) {
 	d := drive(t, testSettings())
 	d.step(0, arrival(1, 1, 300*ms), arrival(2, 2, 300*ms))
-	d.step(0, arrival(3, 0, 3000*ms)) // waits, so that stopping would help
+	d.step(0, arrival(3, 0, 3000*ms)) // queued, so that stopping a run would free a slot for it
 	var out []Action
 	for range 60 {
 		out = append(out, d.step(10*ms, tick())...)
--- a/logic/driver_test.go
+++ b/logic/driver_test.go
@@ -4,8 +4,8 @@
 
 const ms = Micros(1000)
 
-// testSettings is a small server with an idempotent class, one with keys that makes calls, and one that is not
-// idempotent.
+// testSettings returns the settings of a small server with an idempotent class, a class that is idempotent by key
+// and calls the dependency, and a class that is not idempotent.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -23,7 +23,7 @@
 	}
 }
 
-// driver steps a Server by hand.
+// driver steps a Server with explicit times and events.
 type driver struct {
 	t   *testing.T
 	s   *Server
@@ -48,7 +48,7 @@
 	return s
 }
 
-// step moves the clock and returns a copy of the actions.
+// step advances the clock, steps the server and returns a copy of the actions.
 func (d *driver) step(after Micros, events ...Event) []Action {
 	d.now += after
 	return append([]Action(nil), d.s.Step(d.now, events)...)
@@ -68,7 +68,7 @@
 	return Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 100 * ms}
 }
 
-// tick is a timer event with gauges of a server whose cores are busy.
+// tick returns a timer event with the gauges of a server whose cores are busy.
 func tick() Event {
 	return Event{Kind: EventTimer, TimerID: 1, Gauges: Gauges{CPUUtilization: 0.9, RunQueueLength: 2, MemoryUtilization: 0.1}}
 }
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// started returns the id of the first request that the actions start, or 0.
+// started returns the ID of the first request that the actions start, or 0.
 func started(actions []Action) RequestID {
 	for _, a := range actions {
 		if a.Kind == ActionRun {
@@ -109,7 +109,7 @@
 	}
 }
 
-// learn makes the class's run time known by one run.
+// learn runs one request, so that its class has an estimated run time.
 func (d *driver) learn(id RequestID, class int, elapsed Micros) {
 	d.t.Helper()
 	d.want(d.step(0, arrival(id, class, 3000*ms)), ActionRun, id)
--- a/logic/estimate_test.go
+++ b/logic/estimate_test.go
@@ -16,7 +16,7 @@
 
 func TestHintedRunTimeHasConstantPart(t *testing.T) {
 	d := drive(t, testSettings())
-	for id := RequestID(1); id <= 60; id++ { // 300 ms of waiting whatever the work
+	for id := RequestID(1); id <= 60; id++ { // each run waits for 300 ms in addition to its work
 		work := 50 * ms * Micros(1+id%4)
 		ev := arrival(id, 0, 3000*ms)
 		ev.Arrival.WorkHint = work
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestFirstSampleSuggestsNoSteepSlope: a first run that mostly waited must not make work that is four times as large
-// look hopeless.
+// TestFirstSampleSuggestsNoSteepSlope guards against an estimate that scales the waits of the first run with the work
+// hint: a request with four times the work would be expected to miss its bounds and be rejected.
 func TestFirstSampleSuggestsNoSteepSlope(t *testing.T) {
 	d := drive(t, testSettings())
 	ev := arrival(1, 0, 3000*ms)
@@ -44,16 +44,16 @@
 
 func TestOnlyCleanRunsAreSamples(t *testing.T) {
 	for name, ev := range map[string]Event{
-		"failed":    done(2, OutcomeFailed, ms),
-		"cancelled": done(2, OutcomeCanceled, ms),
-		"moot":      done(2, OutcomeNotStarted, ms),
+		"failed":      done(2, OutcomeFailed, ms),
+		"canceled":    done(2, OutcomeCanceled, ms),
+		"not started": done(2, OutcomeNotStarted, ms),
 	} {
 		d := drive(t, testSettings())
 		d.learn(1, 0, 300*ms)
 		d.step(0, arrival(2, 0, 3000*ms))
 		d.step(ms, ev)
 		if got := d.s.classes[0].RunTime.Mean; got != float64(300*ms) {
-			t.Errorf("%s: T_m moved to %v", name, got)
+			t.Errorf("%s: T_m changed to %v µs, want 300000", name, got)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	d.step(0, arrival(2, 0, 3000*ms), arrival(3, 0, 3000*ms))
 	d.step(1500*ms, done(2, OutcomeOK, 1500*ms), arrival(4, 0, 3000*ms), done(3, OutcomeOK, 1500*ms))
 	if got := d.s.classes[0].RunTime.Mean; got != float64(100*ms) {
-		t.Errorf("T_m took a sample from before the stall: %v", got)
+		t.Errorf("T_m is %v µs, want 100000: a run that started before the end of the stall was sampled", got)
 	}
 }
 
@@ -75,6 +75,6 @@
 	d.step(0, arrival(2, 1, 900*ms))
 	d.want(d.step(900*ms, tick()), ActionFail, 2)
 	if got := d.s.classes[1].RunTime.Mean; got <= before {
-		t.Errorf("T_m %.0f ms after a run abandoned at 900 ms, %.0f before", got/1e3, before/1e3)
+		t.Errorf("T_m %.0f ms after a run was abandoned at 900 ms, want above the %.0f before", got/1e3, before/1e3)
 	}
 }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -6,7 +6,7 @@
 	"sloehitch/logic"
 )
 
-// A server with two cores and one class of reads takes a request, runs it and learns that it is done.
+// A server with two cores and one class of reads starts a request and handles the end of its run.
 func Example() {
 	settings := logic.Settings{
 		Classes:   []logic.Class{{Name: "read", LatencyObjective: 500_000, ClientTimeout: 2_000_000, PriorityWeight: 1}},
--- a/logic/faults_test.go
+++ b/logic/faults_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The tests of this file combine two faults, and check the recovery from each.
+// The tests in this file combine two faults or check the recovery from one.
 
 func TestDrainWhileStalled(t *testing.T) {
 	d := drive(t, testSettings())
@@ -15,13 +15,13 @@
 				answered[a.ID]++
 			}
 			if a.Kind == ActionReject && a.ID == 1 {
-				t.Error("a started run that is not idempotent was rejected")
+				t.Error("request 1 was rejected although its run had started and is not idempotent")
 			}
 		}
 	}
 	for id := RequestID(1); id <= 3; id++ {
 		if id != 3 && answered[id] != 1 || answered[id] > 1 {
-			t.Errorf("request %d has %d answers at the kill", id, answered[id])
+			t.Errorf("request %d has %d answers when the process is killed", id, answered[id])
 		}
 	}
 }
@@ -36,12 +36,12 @@
 	}
 	d.step(0, burst...)
 	idle := tick()
-	idle.Gauges.RunQueueLength = 0 // a gauge that would raise the limit
+	idle.Gauges.RunQueueLength = 0 // would raise the run limit of a warm server
 	survives := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
 	for range 50 {
 		d.step(4*ms, idle)
 		if float64(d.s.running) > survives {
-			t.Fatalf("%d runs on a starting server that survives %.1f", d.s.running, survives)
+			t.Fatalf("%d runs on a starting server that sustains %.1f", d.s.running, survives)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 		out := d.step(10*ms, arrival(id, 0, 1500*ms))
 		for _, a := range out {
 			if a.Kind == ActionRun {
-				d.step(0, needs(a.ID)) // no call ever ends
+				d.step(0, needs(a.ID)) // the call never ends
 			}
 		}
 		most = max(most, d.s.callsInFlight)
@@ -67,7 +67,7 @@
 		}
 	}
 	if most == 0 || float64(most) > 2*cfg.CallConcurrencyLimit+1 {
-		t.Errorf("%d calls in flight under a limit of %v", most, cfg.CallConcurrencyLimit)
+		t.Errorf("up to %d calls in flight with a limit of %v", most, cfg.CallConcurrencyLimit)
 	}
 }
 
@@ -92,7 +92,7 @@
 	}
 	d.step(0, burst...)
 	if d.s.retryAfter() == 0 {
-		t.Fatal("no Retry-After with a long backlog")
+		t.Fatal("Retry-After is 0 with a long queue")
 	}
 	for range 100 {
 		var ended []Event
@@ -102,10 +102,10 @@
 		d.step(100*ms, append(ended, tick())...)
 	}
 	if n := len(d.s.byID); n != 0 {
-		t.Fatalf("%d requests left after the burst", n)
+		t.Fatalf("%d requests still in flight after the burst", n)
 	}
 	if d.s.retryAfter() != 0 || d.s.runLimit < float64(d.s.cfg.Cores) {
-		t.Errorf("Retry-After %v, limit %v after the burst", d.s.retryAfter(), d.s.runLimit)
+		t.Errorf("after the burst: Retry-After %v, want 0; run limit %v, want at least the cores", d.s.retryAfter(), d.s.runLimit)
 	}
 	d.want(d.step(10*ms, arrival(99, 0, 3000*ms)), ActionRun, 99)
 }
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -16,14 +16,14 @@
 		}
 	}
 	if !off || !rejected {
-		t.Fatalf("stall: health failed %v, rejected with the longest Retry-After %v", off, rejected)
+		t.Fatalf("during the stall: health failed %v, rejected with the longest Retry-After %v; want both", off, rejected)
 	}
 	on := false
 	for _, a := range d.step(10*ms, done(1, OutcomeOK, 3000*ms), done(2, OutcomeOK, 3000*ms)) {
 		on = on || a.Kind == ActionSetHealth && a.Healthy
 	}
 	if !on {
-		t.Error("health stays failed after the hang is over")
+		t.Error("the server is still unhealthy after the runs have completed")
 	}
 }
 
@@ -37,7 +37,7 @@
 		id++
 	}
 	if d.s.sentHealthy {
-		t.Fatal("healthy although all runs fail")
+		t.Fatal("the server is healthy although all runs fail")
 	}
 	for range 20 {
 		if ran := started(d.step(200*ms, arrival(id, 0, 3000*ms))); ran != 0 {
@@ -46,7 +46,7 @@
 		id++
 	}
 	if !d.s.sentHealthy {
-		t.Error("health stays failed although all probes went well")
+		t.Error("the server is still unhealthy although all probes succeeded")
 	}
 }
 
@@ -56,22 +56,22 @@
 		d.learn(id, 0, 50*ms)
 		d.step(900 * ms)
 	}
-	d.learn(21, 0, 800*ms) // one at a time: the gap says nothing
+	d.learn(21, 0, 800*ms) // one core is idle, so the completion gap is no sign of a stall
 	if got := d.s.classes[0].RunTime.Mean; got <= float64(50*ms) {
-		t.Errorf("T_m stayed at %v: the long run was taken for a stall", got)
+		t.Errorf("T_m is still %v µs: the long run was taken for a stall", got)
 	}
 }
 
 func TestStaleEstimateIsProbed(t *testing.T) {
 	d := drive(t, testSettings())
-	d.learn(1, 0, 2900*ms) // far above the objective: T_m alone rejects all
+	d.learn(1, 0, 2900*ms) // far above the objective: without probes every request would be rejected
 	id, ran := RequestID(2), RequestID(0)
 	for i := 0; i < 40 && ran == 0; i++ {
 		ran = started(d.step(100*ms, arrival(id, 0, 3000*ms)))
 		id++
 	}
 	if ran == 0 {
-		t.Fatal("no probe: a stale estimate rejects everything")
+		t.Fatal("no probe was started: the outdated estimate rejects every request")
 	}
 	d.step(50*ms, done(ran, OutcomeOK, 50*ms))
 	for range 3 {
@@ -83,7 +83,7 @@
 	d.want(d.step(4*ms, arrival(id, 0, 3000*ms)), ActionRun, id)
 }
 
-// lateArrival is a request that was read long after it reached the machine.
+// lateArrival returns the arrival of a request that was read the given time after it reached the machine.
 func lateArrival(id RequestID, age Micros) Event {
 	ev := arrival(id, 0, 2000*ms)
 	ev.Arrival.Age = age
@@ -109,7 +109,7 @@
 		}
 	}
 	if !failed {
-		t.Fatal("health good although everything is read 0.9 s late under an objective of 1 s")
+		t.Fatal("the server is healthy although requests are read after 0.9 s with an objective of 1 s")
 	}
 	idle := tick()
 	idle.Gauges.RunQueueLength = 0
@@ -118,7 +118,7 @@
 			return
 		}
 	}
-	t.Error("health did not return with nothing unread")
+	t.Error("the server is still unhealthy although no request is unread")
 }
 
 func TestPromptReadsKeepHealth(t *testing.T) {
@@ -126,7 +126,7 @@
 	d.step(0)
 	for id := RequestID(1); id <= 30; id++ {
 		if on, sent := health(d.step(50*ms, lateArrival(id, 100*ms))); sent && !on {
-			t.Fatal("health failed with reads 0.1 s old")
+			t.Fatal("the server is unhealthy although requests are read after 0.1 s")
 		}
 		d.step(10*ms, done(id, OutcomeOK, 10*ms))
 	}
--- a/logic/idletimeout.go
+++ b/logic/idletimeout.go
@@ -1,29 +1,30 @@
 package logic
 
-// Idle timeout of connections: between the caller's own and a quarter of it, or less where few callers come
-// back. It rises while reading takes more than its share of the cores, since a full connection table rejects
-// callers at no cost. It harms where one long-lived stream holds each connection.
+// Idle timeout of connections: between the callers' own idle timeout and a quarter of it, or less if few
+// callers return. It rises while reading takes more than its share of the cores, since a full connection
+// table rejects callers at no cost. Limitation: this is harmful if each connection carries one long-lived
+// stream.
 const (
-	idleTimeoutRange  = 4    // longest idle timeout over the shortest where all callers come back
-	idleTimeoutGain   = 0.4  // relative change a timer event, for each unit of reading off its target
-	intakeTargetShare = 0.35 // share of the cores that reading may take
-	minReturningShare = 0.1  // share of callers that come back, at the least
+	idleTimeoutRange  = 4    // ratio of the longest to the shortest idle timeout if all callers return
+	idleTimeoutGain   = 0.4  // relative change per timer event and unit of deviation from the target share
+	intakeTargetShare = 0.35 // target share of the cores for reading
+	minReturningShare = 0.1  // lower bound of the share of callers that return
 )
 
-// Relative changes of the idle timeout beyond which the new one is sent.
+// Ratios of the idle timeout to the one last sent, beyond which the new one is sent.
 const (
 	idleTimeoutRise = 1.25
 	idleTimeoutFall = 0.8
 )
 
-// connectionTimeout is the idle timeout of connections, in microseconds.
+// connectionTimeout holds the current idle timeout and the one last sent, in microseconds.
 type connectionTimeout struct {
 	idleTimeout     float64
 	sentIdleTimeout float64
 }
 
-// adjustIdleTimeout moves the idle timeout by what reading takes of the cores, and sends it where it has
-// changed.
+// adjustIdleTimeout adjusts the idle timeout to the share of the cores that reading takes, and sends it if it
+// has changed enough.
 func (s *Server) adjustIdleTimeout() {
 	intake := s.requestsBeingRead() / max(float64(s.cfg.Cores), s.gauges.RunQueueLength)
 	longest := float64(s.cfg.CallerIdleTimeout)
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// eventGenerator plays the host of one Server on generated, legal event sequences and checks the invariants
-// of the actions alone. It has no model of speed or load: work ends at random.
+// eventGenerator acts as the host of one Server. It generates valid event sequences and checks invariants of the
+// actions. It does not model speed or load: runs and calls end at random.
 type eventGenerator struct {
 	t        *testing.T
 	s        *Server
@@ -15,10 +15,10 @@
 	now      Micros
 	next     RequestID
 	live     map[RequestID]*trackedRequest
-	order    []RequestID // ids in order of arrival, for reproducible draws
+	order    []RequestID // IDs in order of arrival, for reproducible random draws
 	pending  []Event
 	timers   []timer
-	ranKey   map[uint64][]Micros // arrivals of the attempts of a key that ran
+	ranKey   map[uint64][]Micros // arrival times of the attempts that ran, by key
 	entries  map[uint64]keyEntry
 	drainAt  Micros
 	kill     Micros
@@ -44,7 +44,7 @@
 	answered, started    bool
 	running, coalesced   bool
 	atCall, callInFlight bool
-	callForbidden        bool // an earlier call that is not idempotent may have run
+	callForbidden        bool // an earlier call may have run and must not be repeated
 }
 
 func newEventGenerator(t *testing.T, cfg Settings, seed uint64) *eventGenerator {
@@ -179,19 +179,19 @@
 		delete(gen.entries, gen.keyOf[a.ID])
 	case ActionStop:
 		if gen.cfg.StopMode == StopOff {
-			gen.t.Fatal("stop where it is not allowed")
+			gen.t.Fatal("run stopped although the settings allow no stop")
 		}
 		if r != nil && r.running && r.answered && !r.atCall {
 			gen.done(a.ID, OutcomeCanceled)
 		}
 	case ActionSkipCall:
 		if gen.cfg.Classes[r.class].DegradedWeightShare == 0 {
-			gen.t.Fatal("skipped a call where that is not allowed")
+			gen.t.Fatal("call skipped although the request's class must not degrade")
 		}
 		r.atCall = false
 	case ActionSetLoadSignal:
 		if gen.cfg.SignalMode == SignalOff {
-			gen.t.Fatal("set a load signal where none is used")
+			gen.t.Fatal("load signal set although callers use none")
 		}
 	}
 	if r == nil {
@@ -204,7 +204,7 @@
 		r.coalesced = true
 	case ActionCall:
 		if r.callForbidden {
-			gen.t.Fatalf("call of %d was retried and is not idempotent", a.ID)
+			gen.t.Fatalf("call of request %d retried although it is not idempotent and may have run", a.ID)
 		}
 		r.callInFlight = true
 	case ActionReject, ActionFail:
@@ -218,15 +218,15 @@
 	}
 	c := gen.cfg.Classes[r.class]
 	if r.answered {
-		gen.t.Fatalf("run of %d after its answer", id)
+		gen.t.Fatalf("request %d started after it was answered", id)
 	}
 	if gen.kill > 0 && r.arrived > gen.drainAt+gen.cfg.DrainGrace {
-		gen.t.Fatalf("run of %d, which arrived past the drain's grace", id)
+		gen.t.Fatalf("request %d started although it arrived after the drain grace", id)
 	}
 	if c.Idempotency == IdempotentByKey {
 		for _, at := range gen.ranKey[r.key] {
 			if r.arrived-at < c.IdempotencyWindow && r.arrived > at-c.IdempotencyWindow {
-				gen.t.Fatalf("key %d ran twice within its window", r.key)
+				gen.t.Fatalf("key %d was run twice within its window", r.key)
 			}
 		}
 		gen.ranKey[r.key] = append(gen.ranKey[r.key], r.arrived)
@@ -236,10 +236,10 @@
 
 func (gen *eventGenerator) answer(a Action, r *trackedRequest) {
 	if r.answered {
-		gen.t.Fatalf("second answer for %d", a.ID)
+		gen.t.Fatalf("request %d answered twice", a.ID)
 	}
 	if a.Kind == ActionReject && r.started && gen.cfg.Classes[r.class].Idempotency != Idempotent {
-		gen.t.Fatalf("request %d is not idempotent and was rejected after a run", a.ID)
+		gen.t.Fatalf("request %d rejected after its run had started, although it is not idempotent", a.ID)
 	}
 	r.answered = true
 	gen.answered++
@@ -248,7 +248,7 @@
 	}
 }
 
-// check looks at what must hold after every step.
+// check verifies the invariants that must hold after every step.
 func (gen *eventGenerator) check() {
 	memory, onCores := 0.0, 0
 	for id, r := range gen.live {
@@ -261,10 +261,10 @@
 		}
 		memory += memoryKB
 		if !r.answered && gen.now > r.deadline+gen.cfg.ResponseGrace {
-			gen.t.Fatalf("request %d unanswered past its deadline", id)
+			gen.t.Fatalf("request %d unanswered after its deadline and grace", id)
 		}
 		if gen.kill > 0 && gen.now >= gen.kill && !r.answered {
-			gen.t.Fatalf("request %d unanswered at the kill", id)
+			gen.t.Fatalf("request %d unanswered when the process is killed", id)
 		}
 	}
 	speed := 1.0
@@ -272,7 +272,7 @@
 		speed = min(1, gen.cfg.SlowStartCapacity+(1-gen.cfg.SlowStartCapacity)*float64(gen.now-1<<40)/float64(gen.cfg.SlowStartDuration))
 	}
 	if most := float64(gen.cfg.Cores) * (1 + (gen.cfg.MaxConcurrencyPerCore-1)*speed); float64(onCores) > most {
-		gen.t.Fatalf("%d runs on cores that survive %.1f", onCores, most)
+		gen.t.Fatalf("%d runs on the cores, which sustain %.1f", onCores, most)
 	}
 	for _, e := range gen.entries {
 		if e.expires > gen.now {
@@ -280,26 +280,26 @@
 		}
 	}
 	if memory > gen.cfg.MemoryKB {
-		gen.t.Fatalf("memory %.0f of %.0f", memory, gen.cfg.MemoryKB)
+		gen.t.Fatalf("%.0f kB of memory in use, limit %.0f", memory, gen.cfg.MemoryKB)
 	}
 }
 
 func TestGeneratedSequencesKeepInvariants(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"plain":      func(*Settings) {},
-		"one core":   func(c *Settings) { c.Cores = 1 },
-		"no waits":   func(c *Settings) { c.DeadlinePropagated = false },
-		"no stop":    func(c *Settings) { c.StopMode = StopOff },
-		"freeze":     func(c *Settings) { c.StopMode = StopPause },
-		"dear keys":  func(c *Settings) { c.KeyEntryKB, c.MemoryKB = 400, 9000 },
-		"tight":      func(c *Settings) { c.MemoryKB = 3000 },
-		"few calls":  func(c *Settings) { c.CallConcurrencyLimit = 0.5 },
-		"floor":      func(c *Settings) { c.SignalMode = SignalPriorityFloor },
-		"weight":     func(c *Settings) { c.SignalMode = SignalWeight },
-		"long tick":  func(c *Settings) { c.StepInterval = 20000 },
-		"cold":       func(c *Settings) { c.SlowStart = true },
-		"cold calls": func(c *Settings) { c.SlowStart, c.CallConcurrencyLimit, c.SlowStartDuration = true, 50, 60000*ms },
-		"no tenants": func(c *Settings) { c.Tenants = nil },
+		"defaults":                   func(*Settings) {},
+		"one core":                   func(c *Settings) { c.Cores = 1 },
+		"deadlines not propagated":   func(c *Settings) { c.DeadlinePropagated = false },
+		"runs can't be stopped":      func(c *Settings) { c.StopMode = StopOff },
+		"runs can be paused":         func(c *Settings) { c.StopMode = StopPause },
+		"large key entries":          func(c *Settings) { c.KeyEntryKB, c.MemoryKB = 400, 9000 },
+		"little memory":              func(c *Settings) { c.MemoryKB = 3000 },
+		"low call limit":             func(c *Settings) { c.CallConcurrencyLimit = 0.5 },
+		"priority floor signal":      func(c *Settings) { c.SignalMode = SignalPriorityFloor },
+		"weight signal":              func(c *Settings) { c.SignalMode = SignalWeight },
+		"long step interval":         func(c *Settings) { c.StepInterval = 20000 },
+		"slow start":                 func(c *Settings) { c.SlowStart = true },
+		"slow start with many calls": func(c *Settings) { c.SlowStart, c.CallConcurrencyLimit, c.SlowStartDuration = true, 50, 60000*ms },
+		"no tenants":                 func(c *Settings) { c.Tenants = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testSettings()
@@ -325,7 +325,7 @@
 				gen.arrive()
 			}
 		}
-		if i/300%3 != 1 { // the work hangs for a third of the time
+		if i/300%3 != 1 { // nothing ends for a third of the time
 			gen.progress()
 		}
 		if i == steps*3/4 {
@@ -336,6 +336,6 @@
 	}
 	gen.check()
 	if gen.answered < 100 {
-		t.Fatalf("only %d requests answered: the sequence tests nothing", gen.answered)
+		t.Fatalf("only %d requests answered, want at least 100 for a meaningful sequence", gen.answered)
 	}
 }
--- a/logic/keys.go
+++ b/logic/keys.go
@@ -6,11 +6,12 @@
 //
 //	arrival + IdempotencyWindow + 2 steps
 //
-// Without room for the entry it never runs: a repeat could not be recognized. The entry of one that never ran
-// is deleted. A repeat that names its original is coalesced and gets the original's result; where the
-// original is still queued, the repeat takes over its place and its entry, and the original is rejected.
+// Without memory for the entry the request must not run, since its repeats could not be recognized. The entry
+// of a request that never ran is deleted. A repeat that names its original is coalesced and gets the
+// original's result. If the original is still queued, the repeat replaces it in the queue and takes over its
+// entry, and the original is rejected.
 
-// storeKey stores or renews the entry of a request, if it needs one and the memory has room.
+// storeKey stores or renews the entry of a request, if it needs one and there is memory for it.
 func (s *Server) storeKey(r *request) {
 	c := s.classes[r.Class]
 	if !c.needsKey() || r.keyExpiresAt == 0 && !s.fitsMemory(s.cfg.KeyEntryKB) {
@@ -38,14 +39,14 @@
 	s.emit(Action{Kind: ActionDeleteKey, ID: r.id})
 }
 
-// removeKeyExpiry stops counting a request's entry.
+// removeKeyExpiry stops counting a request's entry in the memory in use.
 func (s *Server) removeKeyExpiry(r *request) {
 	if at, found := slices.BinarySearch(s.keyExpiries, r.keyExpiresAt); found {
 		s.keyExpiries = slices.Delete(s.keyExpiries, at, at+1)
 	}
 }
 
-// removeExpiredKeys stops counting the entries that have expired.
+// removeExpiredKeys stops counting expired entries in the memory in use.
 func (s *Server) removeExpiredKeys() {
 	at, _ := slices.BinarySearch(s.keyExpiries, s.now)
 	s.keyExpiries = s.keyExpiries[at:]
--- a/logic/keys_test.go
+++ b/logic/keys_test.go
@@ -13,7 +13,7 @@
 	out := d.step(0, arrival(1, 1, 3000*ms))
 	keep := d.want(out, ActionStoreKey, 1)
 	if window := d.s.cfg.Classes[1].IdempotencyWindow; keep.Duration < window {
-		t.Errorf("entry lives %v, less than the window %v", keep.Duration, window)
+		t.Errorf("key entry is stored for %v µs, less than the window of %v", keep.Duration, window)
 	}
 	d.want(out, ActionRun, 1)
 	d.want(d.step(0, keyedRepeat(2, 1)), ActionCoalesce, 2)
@@ -52,11 +52,11 @@
 	d.step(0, arrival(1, 1, 3000*ms))
 	d.step(100*ms, done(1, OutcomeOK, 100*ms))
 	if n := len(d.s.keyExpiries); n != 1 {
-		t.Fatalf("%d entries, want 1", n)
+		t.Fatalf("%d key entries, want 1", n)
 	}
 	d.step(d.s.cfg.Classes[1].IdempotencyWindow+100*ms, tick())
 	if used := d.s.memoryInUse(); used != 0 {
-		t.Errorf("%v kB in use after all is over", used)
+		t.Errorf("%v kB in use after the key has expired, want 0", used)
 	}
 }
 
@@ -71,11 +71,11 @@
 		out = append(out, d.step(10*ms, tick())...)
 	}
 	if find(out, ActionRun, 3) != nil {
-		t.Fatal("3 ran: the test deletes no key")
+		t.Fatal("request 3 ran, so its key is not deleted")
 	}
 	d.want(out, ActionDeleteKey, 3)
 	want := d.s.byID[4].keyExpiresAt
 	if keys := d.s.keyExpiries; len(keys) != 1 || keys[0] != want {
-		t.Errorf("key expiries %v after a deletion, want only %v", keys, want)
+		t.Errorf("key expiries %v after the deletion, want only %v", keys, want)
 	}
 }
--- a/logic/learned.go
+++ b/logic/learned.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// LearnedState returns a copy of what this server has learned so far.
+// LearnedState returns a copy of the state that this server has learned so far.
 func (s *Server) LearnedState() LearnedState {
 	l := LearnedState{RunLimit: s.runLimit, CompletionGap: s.completionGap, CallTime: s.callTime,
 		MinCallTime: s.minCallTime, RejectedShare: s.rejectedShare,
@@ -17,8 +17,8 @@
 	return l
 }
 
-// RestoreLearned begins with what another server learned. The run limit stays bounded by what this server
-// survives (limit.go). It must be called before the first Step.
+// RestoreLearned initializes the server with the learned state of another one. The run limit stays bounded by
+// the concurrency that this server sustains (limit.go). It must be called before the first Step.
 func (s *Server) RestoreLearned(l LearnedState) {
 	s.runLimit = max(s.runLimit, l.RunLimit)
 	s.completionGap, s.rejectedShare = l.CompletionGap, l.RejectedShare
--- a/logic/learned_test.go
+++ b/logic/learned_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRestoreLearned: a server that restores what another learned knows it, and decides from its first request as that
-// one does: what can't be answered in time is rejected, where a server that knows nothing starts it.
+// TestRestoreLearned checks that a server with restored state uses it from its first request on: it rejects a request
+// that can't be answered in time, which a server without learned state starts.
 func TestRestoreLearned(t *testing.T) {
 	cfg := Settings{Cores: 1, MemoryKB: 1e6, MaxConcurrencyPerCore: 9, Classes: []Class{{Name: "read", LatencyObjective: 1e6, ClientTimeout: 2e6, PriorityWeight: 1}},
 		Tenants: []Tenant{{Name: "a", QuotaPerSecond: 100}}}
@@ -23,7 +23,7 @@
 		want ActionKind
 	}{{fresh, ActionRun}, {next, ActionReject}} {
 		c.s.Step(0, nil)
-		c.s.lastProbeAt = 0 // no probe is due
+		c.s.lastProbeAt = 0 // so that the request is not started as a probe
 		var got []ActionKind
 		for _, a := range c.s.Step(100, []Event{{Kind: EventArrival, ID: 1, Arrival: Arrival{Tenant: 0}}}) {
 			if a.Kind == ActionRun || a.Kind == ActionReject {
@@ -31,7 +31,7 @@
 			}
 		}
 		if !reflect.DeepEqual(got, []ActionKind{c.want}) {
-			t.Errorf("decided %v, want %v", got, c.want)
+			t.Errorf("action kinds %v, want %v", got, c.want)
 		}
 	}
 }
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -9,14 +9,14 @@
 	idle.Gauges.RunQueueLength = 1
 	d.want(d.step(4*ms, idle), ActionRun, 3)
 	if d.s.runLimit != 3 {
-		t.Errorf("limit %v after a rise, want 3", d.s.runLimit)
+		t.Errorf("run limit %v with idle cores and a queue, want 3", d.s.runLimit)
 	}
 	d.s.runLimit, d.s.runSlowdown = 8, Average{Mean: 2, Samples: 9}
 	busy := tick()
 	busy.Gauges.RunQueueLength = 9
 	d.step(4*ms, busy, done(1, OutcomeOK, 100*ms))
 	if d.s.runLimit >= 8 || d.s.runLimit < float64(d.s.cfg.Cores) {
-		t.Errorf("limit %v after runs slowed, want a lower one, not below the cores", d.s.runLimit)
+		t.Errorf("run limit %v after runs slowed down, want below 8 and at least the cores", d.s.runLimit)
 	}
 }
 
@@ -28,11 +28,11 @@
 	cold := d.s.maxConcurrency() * maxConcurrencyShare
 	d.step(cfg.SlowStartDuration + ms)
 	if warm := d.s.maxConcurrency() * maxConcurrencyShare; cold >= warm {
-		t.Errorf("limit while starting %v, warm %v", cold, warm)
+		t.Errorf("concurrency limit %v during slow start, want below the %v of a warm server", cold, warm)
 	}
 	survives := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
 	if cold >= survives {
-		t.Errorf("limit while starting %v is not below the %v that it survives", cold, survives)
+		t.Errorf("concurrency limit %v during slow start, want below the sustained %v", cold, survives)
 	}
 }
 
@@ -45,7 +45,7 @@
 		d.step(ms, needs(id))
 	}
 	if all := d.s.running + d.s.atCall; float64(all) > 2*d.s.maxConcurrency()*maxConcurrencyShare+1 {
-		t.Errorf("%d runs begun under a limit of %v", all, d.s.maxConcurrency()*maxConcurrencyShare)
+		t.Errorf("%d runs started with a limit of %v", all, d.s.maxConcurrency()*maxConcurrencyShare)
 	}
 }
 
@@ -59,19 +59,19 @@
 		d := drive(t, cfg)
 		d.step(0, d.reading(c.reads))
 		if got := d.s.runSlots(); got != c.slots {
-			t.Errorf("%v being read on 8 cores leave slots for %d runs, want %d", c.reads, got, c.slots)
+			t.Errorf("%v requests being read on 8 cores: %d run slots, want %d", c.reads, got, c.slots)
 		}
 	}
 	d := drive(t, cfg)
 	d.step(0, tick()) // the run queue was not measured
 	d.s.gauges.RunQueueLength = -1
 	if got := d.s.runSlots(); got != 8 {
-		t.Errorf("%d runs without a gauge, want 8", got)
+		t.Errorf("%d run slots without a measured run queue, want 8", got)
 	}
 }
 
-// TestSetResourceShare: a server with a share of the cores and the memory uses no more than that share, and all of
-// it once it has all again.
+// TestSetResourceShare checks that a server uses no more than its share of the cores and the memory, and all of them
+// once its share is 1 again.
 func TestSetResourceShare(t *testing.T) {
 	started := func(s *Server, now Micros, ids ...RequestID) (n int) {
 		var events []Event
@@ -89,17 +89,17 @@
 	s := newServer(t, cfg)
 	s.SetResourceShare(0.25)
 	if n := started(s, 0, 1, 2, 3, 4, 5, 6, 7, 8); n != 2 {
-		t.Errorf("%d of 8 cores used with a quarter of them", n)
+		t.Errorf("%d runs started with a quarter of 8 cores, want 2", n)
 	}
 	s.SetResourceShare(1)
 	if n := started(s, 1); n != 6 {
-		t.Errorf("%d more started with all of them", n)
+		t.Errorf("%d more runs started with all 8 cores, want 6", n)
 	}
-	cfg.MemoryKB = 100 // 9 requests of 10 KB fit
+	cfg.MemoryKB = 100 // room for 9 requests of 10 kB
 	s = newServer(t, cfg)
 	s.SetResourceShare(0.5)
 	started(s, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	if queued := len(s.byID); queued != 4 {
-		t.Errorf("%d requests in half of the memory, 4 fit", queued)
+		t.Errorf("%d requests in half of the memory, want 4", queued)
 	}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -29,8 +29,8 @@
 	connectionTimeout
 }
 
-// Step handles the events and then applies each rule once. now must not decrease. The actions are valid until
-// the next call.
+// Step handles the events and then applies each rule once. now must not decrease between calls. The returned
+// actions are valid until the next call.
 func (s *Server) Step(now Micros, events []Event) []Action {
 	s.advanceClock(now)
 	for i := range events {
@@ -40,7 +40,7 @@
 	s.answerExpired()
 	s.stopAnsweredRuns()
 	s.shedForMemory()
-	for s.running < s.runSlots() && s.startNext() { // a round of selection for each free slot
+	for s.running < s.runSlots() && s.startNext() { // one selection per free slot
 	}
 	s.shedHopeless()
 	s.admitCalls()
@@ -51,7 +51,7 @@
 
 func (s *Server) emit(a Action) { s.actions = append(s.actions, a) }
 
-// advanceClock moves the time and what depends on nothing else.
+// advanceClock sets the current time and updates the state that depends on time alone.
 func (s *Server) advanceClock(now Micros) {
 	s.actions = s.actions[:0]
 	if s.now < 0 {
@@ -66,7 +66,7 @@
 	s.refillQuotas(elapsed)
 }
 
-// handleEvent updates the state by one event.
+// handleEvent updates the state for one event.
 func (s *Server) handleEvent(ev *Event) {
 	switch r := s.byID[ev.ID]; {
 	case ev.Kind == EventArrival:
@@ -75,7 +75,7 @@
 		s.handleTimer(ev)
 	case ev.Kind == EventDrain:
 		s.startDrain(ev.TimeToKill)
-	case r == nil: // the request is over
+	case r == nil: // the request has already ended
 	case ev.Kind == EventRunEnded:
 		s.handleRunEnded(r, ev)
 	case ev.Kind == EventCanceled:
@@ -113,7 +113,7 @@
 	}
 }
 
-// handleTimer takes new gauges and adjusts what depends on them.
+// handleTimer stores new gauges and adjusts the state that depends on them.
 func (s *Server) handleTimer(ev *Event) {
 	s.timerDueAt, s.gauges = 0, ev.Gauges
 	s.updatePriorityFloor()
@@ -124,8 +124,8 @@
 	s.adjustIdleTimeout()
 }
 
-// handleRunEnded handles the end of a run or of a coalesced request. A request whose run the host stopped
-// unasked is answered.
+// handleRunEnded handles the end of a run or of a coalesced request. If the host stopped the run without an
+// ActionStop, the request is answered.
 func (s *Server) handleRunEnded(r *request, ev *Event) {
 	completed := ev.Outcome == OutcomeOK || ev.Outcome == OutcomeFailed
 	switch {
@@ -149,7 +149,7 @@
 	s.lowerRunLimit()
 }
 
-// setTimer asks for one timer while requests are in flight or the server is reported unhealthy.
+// setTimer requests a timer if none is set while requests are in flight or the server is reported unhealthy.
 func (s *Server) setTimer() {
 	if len(s.byID) == 0 && s.sentHealthy || s.timerDueAt != 0 {
 		return
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -17,12 +17,12 @@
 		return all
 	}
 	if !reflect.DeepEqual(play(), play()) {
-		t.Error("two servers differ on the same events")
+		t.Error("two servers returned different actions for the same events")
 	}
 }
 
-// TestSecondEndOfRequestIsIgnored guards against a host that reports the end of a queued request, and
-// does so twice.
+// TestSecondEndOfRequestIsIgnored guards against wrong counts after a host has reported the end of a queued
+// request twice.
 func TestSecondEndOfRequestIsIgnored(t *testing.T) {
 	for _, o := range []Outcome{OutcomeOK, OutcomeFailed, OutcomeCanceled, OutcomeNotStarted} {
 		cfg := Settings{Classes: []Class{{Name: "read", LatencyObjective: 500_000, ClientTimeout: 2_000_000, PriorityWeight: 1}},
@@ -51,7 +51,7 @@
 	}
 	d.step(4*ms, done(1, OutcomeCanceled, 0), done(2, OutcomeCanceled, 0), done(3, OutcomeCanceled, 0), done(4, OutcomeOK, 0))
 	if len(d.s.byID) != 0 || d.s.requestMemoryKB > 1e-6 {
-		t.Errorf("%d requests and %v kB left", len(d.s.byID), d.s.requestMemoryKB)
+		t.Errorf("%d requests and %v kB left after all were canceled and had ended", len(d.s.byID), d.s.requestMemoryKB)
 	}
 }
 
@@ -61,7 +61,7 @@
 	d := drive(t, cfg)
 	timer := find(d.step(0, arrival(1, 0, 500*ms)), ActionSetTimer, 0)
 	if timer == nil || timer.Duration > cfg.ResponseGrace {
-		t.Fatalf("timer %+v is later than the grace of an answer", timer)
+		t.Fatalf("timer %+v: want one within the response grace", timer)
 	}
 }
 
@@ -76,7 +76,7 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("%d timers armed for 20 requests", n)
+		t.Errorf("%d timers set for 20 requests, want 1", n)
 	}
 }
 
@@ -87,7 +87,7 @@
 	for range 20 {
 		for _, a := range d.step(30*ms, tick()) {
 			if a.Kind == ActionSetTimer {
-				t.Fatal("a timer with nothing in flight")
+				t.Fatal("timer set with no request in flight")
 			}
 		}
 	}
@@ -107,10 +107,10 @@
 	queued := len(s.queue)
 	events := []Event{tick()}
 	for b.Loop() {
-		s.Step(now, events) // the clock stands, so that the queue keeps its length
+		s.Step(now, events) // at the same time, so that the queue keeps its length
 	}
 	if queued < 500 || len(s.queue) != queued {
-		b.Fatalf("%d queued at first, %d at the end", queued, len(s.queue))
+		b.Fatalf("%d requests queued at the start, %d at the end", queued, len(s.queue))
 	}
 }
 
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -4,7 +4,7 @@
 
 func TestMemoryBoundsRuns(t *testing.T) {
 	cfg := testSettings()
-	cfg.MemoryKB = 130 // one run of 80 kB and a few queued requests
+	cfg.MemoryKB = 130 // room for one run of 80 kB and a few queued requests
 	d := drive(t, cfg)
 	out := d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms))
 	runs := 0
@@ -14,7 +14,7 @@
 		}
 	}
 	if runs != 1 {
-		t.Errorf("%d runs in memory for one", runs)
+		t.Errorf("%d runs started with memory for one", runs)
 	}
 }
 
@@ -33,9 +33,9 @@
 		}
 	}
 	if d.s.memoryInUse() > cfg.MemoryKB {
-		t.Errorf("%v kB in use of %v", d.s.memoryInUse(), cfg.MemoryKB)
+		t.Errorf("%v kB in use, limit %v", d.s.memoryInUse(), cfg.MemoryKB)
 	}
 	if rejected[0] <= rejected[2] {
-		t.Errorf("rejected by class %v: the class with more weight lost more", rejected)
+		t.Errorf("rejections by class %v: want more in class 0, which has less weight", rejected)
 	}
 }
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -6,19 +6,19 @@
 )
 
 // Order of the queue (FEFM, section II.C). Requests that can no longer meet D1 (admission.go) move to the
-// old-request queue for good. New requests come first, then those with more priority weight for each
-// microsecond of their expected run time T_m, then those that arrived earlier:
+// old-request queue for good. The new-request queue comes first. Within a queue, requests with more priority
+// weight per microsecond of expected run time T_m come first, and among equals those that arrived earlier:
 //
 //	density = PriorityWeight / T_m
 //
 // A request over its tenant's quota has only OverQuotaWeightShare of its weight, and a retry 0.3 of it. With
-// WeightPerWork the weight is not divided. Both queues stand in one slice, the new-request queue first.
+// WeightPerWork the weight is not divided. Both queues are stored in one slice, the new-request queue first.
 
-// retryWeightShare is the share of its weight that a retry or hedged request has: part of its latency
-// objective is spent, and how much is not told.
+// retryWeightShare is the share of its weight that a retry or hedged request has. It is below 1 because an
+// unknown part of the latency objective is already spent.
 const retryWeightShare = 0.3
 
-// sortQueue moves requests to the old-request queue and orders both queues.
+// sortQueue moves requests that can no longer meet D1 to the old-request queue and orders both queues.
 func (s *Server) sortQueue() {
 	for _, r := range s.queue {
 		d1, _ := s.queueBounds(r)
@@ -36,7 +36,7 @@
 	})
 }
 
-// computeWeightDensity returns the priority weight for each microsecond of expected run time.
+// computeWeightDensity returns the priority weight per microsecond of expected run time.
 func (s *Server) computeWeightDensity(r *request) float64 {
 	weight := s.classes[r.Class].PriorityWeight
 	if r.overQuota {
--- a/logic/reading_test.go
+++ b/logic/reading_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// reading has the gauges show so many requests being read beside what runs.
+// reading returns a timer event whose gauges show n requests being read in addition to those that run.
 func (d *driver) reading(n float64) Event {
 	ev := tick()
 	ev.Gauges.RunQueueLength = float64(d.s.running) + n
 	return ev
 }
 
-// read has requests arrive at the given interval while the gauges show so many being read.
+// read has 20 requests arrive at the given interval while the gauges show the given number being read.
 func (d *driver) read(from RequestID, gap Micros, reads float64) {
 	for id := from; id < from+20; id++ {
 		d.step(gap/2, d.reading(reads))
@@ -25,15 +25,15 @@
 		reads float64
 		slow  bool
 	}{
-		{"a read of 0.6 s on its own core", 600 * ms, 1, true},
-		{"a read of 0.02 s", 20 * ms, 1, false},
-		{"one beside many runs", 30 * ms, 6, false}, // 0.18 s, of which its part of the 2 cores is 0.06
-		{"nothing is read", 600 * ms, 0, false},
+		{"reading takes 0.6 s on a core of its own", 600 * ms, 1, true},
+		{"reading takes 0.02 s", 20 * ms, 1, false},
+		{"six share the cores", 30 * ms, 6, false}, // 0.18 s, 0.06 s with only a part of the 2 cores
+		{"nothing is being read", 600 * ms, 0, false},
 	} {
 		d := drive(t, testSettings())
 		d.read(100, c.gap, c.reads)
 		if got := d.s.readsSlowly(); got != c.slow {
-			t.Errorf("%s: slow is %v", c.name, got)
+			t.Errorf("%s: readsSlowly returned %v", c.name, got)
 		}
 	}
 }
--- a/logic/request.go
+++ b/logic/request.go
@@ -2,46 +2,46 @@
 
 import "slices"
 
-// requestState is where a request stands in its life.
+// requestState is the state of a request in its life cycle.
 type requestState int
 
 const (
-	stateQueued    requestState = iota // waits for a run slot
-	stateRunning                       // runs on a core
-	stateAtCall                        // its run waits for a call to be made or to end
-	stateCoalesced                     // waits for the result of its original
+	stateQueued    requestState = iota // waiting for a run slot
+	stateRunning                       // running on a core
+	stateAtCall                        // the run waits for a call to be made or to end
+	stateCoalesced                     // waiting for the result of the original attempt
 )
 
-// request is one attempt of a request that is not over.
+// request is one attempt of a request that has not ended.
 type request struct {
 	Arrival
 	id             RequestID
 	state          requestState
 	arrivedAt      Micros // when it reached the machine
-	firstAttemptAt Micros // when its first attempt arrived, at the latest
-	deadline       Micros // its answer must be given by then
-	answered       bool   // its answer was given or is not wanted any longer
+	firstAttemptAt Micros // latest time at which its first attempt can have arrived
+	deadline       Micros // time by which it must be answered
+	answered       bool   // its answer was given or is no longer wanted
 
-	inOldQueue    bool    // it can't meet D1 any longer
-	weightDensity float64 // priority weight for each microsecond of run time, as of the last sort
+	inOldQueue    bool    // it was unable to meet D1
+	weightDensity float64 // priority weight per microsecond of run time, as of the last sort
 	overQuota     bool    // it exceeds its tenant's quota
-	keyExpiresAt  Micros  // when its key entry expires; 0: it has none
+	keyExpiresAt  Micros  // when its key entry expires; 0: it has no entry
 
-	startedAt       Micros  // when its run started; negative: its run time is no sample
+	startedAt       Micros  // when its run started; negative: its run time is not sampled
 	sampleWeight    float64 // weight of its run time in the estimate
 	stopRequestedAt Micros  // when ActionStop was last returned for it
 
 	callInFlight     bool
 	callStartedAt    Micros
 	callReservation  Micros // longest time that the call in flight can stay at the dependency
-	callBlockedUntil Micros // its next call is not made before
-	failedCalls      int    // calls of its run that did not succeed
+	callBlockedUntil Micros // its next call is not made before this time
+	failedCalls      int    // unsuccessful calls of its run
 }
 
-// requestTable holds the requests that are not over.
+// requestTable holds the requests that have not ended.
 type requestTable struct {
 	byID            map[RequestID]*request
-	queue           []*request // queued; sortQueue orders it
+	queue           []*request // queued; ordered by sortQueue
 	active          []*request // running, at a call or coalesced
 	running         int        // requests in stateRunning
 	atCall          int        // requests in stateAtCall
@@ -61,7 +61,7 @@
 	s.requestMemoryKB += r.MemoryKB * (s.cfg.RunMemoryFactor - 1)
 }
 
-// removeUnlessRunning removes an answered request that has no run. One that runs stays until its run ends.
+// removeUnlessRunning removes an answered request unless it has a run, which keeps it until the run ends.
 func (s *Server) removeUnlessRunning(r *request) {
 	if r.state == stateQueued || r.state == stateCoalesced {
 		s.deleteKey(r)
@@ -69,7 +69,8 @@
 	}
 }
 
-// removeRequest removes a request that is over. A call in flight stays at the dependency for a while.
+// removeRequest removes a request that has ended. Its call in flight is counted as abandoned: it stays at the
+// dependency for up to AbandonedCallDuration.
 func (s *Server) removeRequest(r *request) {
 	switch r.state {
 	case stateRunning:
--- a/logic/shedding_test.go
+++ b/logic/shedding_test.go
@@ -6,7 +6,7 @@
 	d := drive(t, testSettings())
 	d.learn(1, 0, 500*ms)
 	d.step(0, arrival(2, 0, 3000*ms), arrival(3, 0, 3000*ms), arrival(4, 0, 3000*ms))
-	// 2 and 3 fill the cores; 4 waits past what D2 leaves for a run of 500 ms.
+	// Requests 2 and 3 occupy both cores. Request 4 waits until a run of 500 ms would end after D2.
 	busy := tick()
 	busy.Gauges.RunQueueLength = 5
 	d.wantNone(d.step(10*ms, busy), ActionRun, 4)
@@ -17,10 +17,10 @@
 		}
 	}
 	if rejected == nil {
-		t.Fatal("a request that cannot meet D2 was never rejected")
+		t.Fatal("request 4 was not rejected although it can't meet D2")
 	}
 	if d.now-5500*ms < Micros(minQueueTimeShare*1000)*ms {
-		t.Error("rejected before it was queued for its share of the objective")
+		t.Error("request 4 was rejected before it was queued for minQueueTimeShare of the objective")
 	}
 }
 
@@ -34,7 +34,7 @@
 	out := d.step(4*ms, late)
 	rejected := find(out, ActionReject, 500)
 	if rejected == nil {
-		t.Fatal("a request that is too late was not rejected at once")
+		t.Fatal("a request read 0.99 s after its arrival was not rejected at once")
 	}
 	if rejected.Duration != d.s.cfg.MaxRetryAfter || rejected.NoFailover {
 		t.Errorf("Retry-After %v, no failover %v; want the longest, and failover allowed", rejected.Duration, rejected.NoFailover)
@@ -58,7 +58,7 @@
 		want          bool
 	}{{true, 0.2, false}, {true, 0.4, true}, {false, 0.4, false}, {false, 0.7, true}} {
 		if got := last(c.retries, c.rejectedShare); got != c.want {
-			t.Errorf("retries %v, %v rejected: futile is %v", c.retries, c.rejectedShare, got)
+			t.Errorf("retries %v, rejected share %v: failover futile: %v", c.retries, c.rejectedShare, got)
 		}
 	}
 }
@@ -74,6 +74,6 @@
 		return d.s.retryAfter()
 	}
 	if fresh, old := advice(0), advice(400*ms); old < fresh+50*ms {
-		t.Errorf("Retry-After %v with requests read 0.4 s old, %v with fresh ones", old, fresh)
+		t.Errorf("Retry-After %v with requests read after 0.4 s, %v if read at once; want 50 ms more", old, fresh)
 	}
 }
--- a/logic/signal.go
+++ b/logic/signal.go
@@ -12,32 +12,32 @@
 //	SignalPriorityFloor     max(d, priority floor)
 //	SignalConcurrencyLimit  (1-d)·run limit·0.3·mean objective/mean T_m / effective callers
 //
-// with d = 0.98 while the server is faulty or draining, else 0. The priority floor is the rank below which as
-// many of the latest arrivals lie as are rejected beyond a share of 0.6. It decays, so that what it hides
-// returns, and it stays where calls are what is short.
+// with d = 0.98 while the server is faulty or draining, else 0. The priority floor is the rank below which
+// the share of recent arrivals equals the rejected share in excess of 0.6. It decays, so that requests below
+// it return, and it is not raised while calls are the bottleneck.
 const (
 	recentArrivalCount  = 32   // arrivals over which shares of the traffic are averaged
 	offeredWorkShare    = 0.3  // work offered to callers, as a share of what fits into the mean objective
-	maxDivertedShare    = 0.9  // share of the traffic that a backlog keeps away at most
-	faultyDivertedShare = 0.98 // share kept away while faulty or draining; the rest shows when it is over
-	loadSignalMinChange = 0.25 // relative change of the load signal that is sent
+	maxDivertedShare    = 0.9  // maximum share of the traffic that is diverted because of a backlog
+	faultyDivertedShare = 0.98 // share diverted while faulty or draining; the rest shows when a fault is over
+	loadSignalMinChange = 0.25 // relative change above which a new load signal is sent
 )
 
-// arrivalHistory is what is known of the latest arrivals.
+// arrivalHistory holds statistics of the most recent arrivals.
 type arrivalHistory struct {
 	recentArrivals []Arrival
 	retryShare     float64 // share of retries, 0 to 1
 	rejectedShare  Average // share of requests rejected, 0 to 1
 }
 
-// callerSignals is what callers were told last.
+// callerSignals holds the signals that were last sent to callers.
 type callerSignals struct {
 	sentHealthy    bool
-	sentLoadSignal float64 // negative: none
+	sentLoadSignal float64 // negative: none sent yet
 	priorityFloor  float64 // rank below which callers are asked to send nothing
 }
 
-// recordArrival takes an arrival into the shares of the traffic.
+// recordArrival adds an arrival to the statistics of recent traffic.
 func (s *Server) recordArrival(a Arrival) {
 	s.retryShare *= 1 - 1.0/recentArrivalCount
 	if a.Retry {
@@ -47,7 +47,7 @@
 	s.recentArrivals = s.recentArrivals[max(0, len(s.recentArrivals)-recentArrivalCount):]
 }
 
-// updateSignals sends health and load signal where they have changed.
+// updateSignals sends the health and load signals that have changed.
 func (s *Server) updateSignals() {
 	healthy := !s.stalledOrFailing() && s.readStaleness.Mean < unhealthyShare && !s.drainAnnounced()
 	if healthy != s.sentHealthy {
@@ -64,7 +64,7 @@
 	}
 }
 
-// loadSignal returns the value of the load signal, by what callers do with it.
+// loadSignal returns the value of the load signal for the current signal mode.
 func (s *Server) loadSignal() float64 {
 	diverted := 0.0
 	if s.stalledOrFailing() || s.drainAnnounced() {
@@ -93,8 +93,8 @@
 	return limit
 }
 
-// effectiveCallers returns the number of callers with equal traffic that the latest arrivals amount to (the
-// inverse Simpson index): an even split among all callers would starve those that send much.
+// effectiveCallers returns the effective number of callers among the recent arrivals (the inverse Simpson
+// index). Dividing the limit by the plain number of callers would starve those with the most traffic.
 func (s *Server) effectiveCallers() float64 {
 	pairs, arrivals := 0, map[int]int{}
 	for _, a := range s.recentArrivals {
@@ -104,7 +104,7 @@
 	return float64(len(s.recentArrivals)*len(s.recentArrivals)) / float64(max(1, pairs))
 }
 
-// updatePriorityFloor lowers the floor a little, and raises it to the ranks that are rejected anyway.
+// updatePriorityFloor decays the floor and raises it to cover the ranks that are being rejected.
 func (s *Server) updatePriorityFloor() {
 	s.priorityFloor *= 1 - 1.0/recentArrivalCount
 	rejected := int(max(0, s.rejectedShare.Mean-futileRejectedShare) * float64(len(s.recentArrivals)))
--- a/logic/signal_test.go
+++ b/logic/signal_test.go
@@ -9,12 +9,12 @@
 		d := drive(t, cfg)
 		sent := find(d.step(0, arrival(1, 0, 3000*ms)), ActionSetLoadSignal, 0) != nil
 		if sent != (sig != SignalOff) {
-			t.Errorf("signal %d: sent %v", sig, sent)
+			t.Errorf("signal mode %d: load signal sent: %v", sig, sent)
 		}
 	}
 }
 
-// rankedSettings is a server whose callers use a priority floor.
+// rankedSettings returns the settings of a server whose callers use a priority floor.
 func rankedSettings() Settings {
 	cfg := testSettings()
 	cfg.SignalMode = SignalPriorityFloor
@@ -26,7 +26,7 @@
 	d.learn(1000, 0, 900*ms)
 	for id := RequestID(1); id <= 60; id++ {
 		ev := arrival(id, 0, 3000*ms)
-		ev.Arrival.PriorityRank = float64(id%10) / 20 // reads take the lower half of the ranks
+		ev.Arrival.PriorityRank = float64(id%10) / 20 // reads have the lower half of the ranks
 		if id%6 == 0 {
 			ev = arrival(id, 1, 3000*ms)
 			ev.Arrival.PriorityRank = 0.5 + float64(id%10)/20
@@ -36,14 +36,14 @@
 	}
 	high := d.s.priorityFloor
 	if high <= 0.05 || high >= 0.95 {
-		t.Fatalf("floor %.2f with %.2f rejected: want it within the ranks of what arrives", high, d.s.rejectedShare.Mean)
+		t.Fatalf("floor %.2f with %.2f rejected, want it within the ranks of the arrivals", high, d.s.rejectedShare.Mean)
 	}
 	d.s.rejectedShare.Mean = 0
 	for range 300 { // 10 s without rejections
 		d.step(32*ms, tick())
 	}
 	if d.s.priorityFloor > 0.01 {
-		t.Errorf("floor %.2f 10 s after the last rejection", d.s.priorityFloor)
+		t.Errorf("floor %.2f 10 s after the last rejection, want at most 0.01", d.s.priorityFloor)
 	}
 }
 
@@ -58,7 +58,7 @@
 	d.s.rejectedShare.Mean, d.s.callCredit = 0.5, 0
 	d.s.updatePriorityFloor()
 	if d.s.priorityFloor != 0 {
-		t.Errorf("floor %.2f although calls are what is short", d.s.priorityFloor)
+		t.Errorf("floor %.2f, want 0 as calls are the bottleneck", d.s.priorityFloor)
 	}
 }
 
@@ -71,7 +71,7 @@
 		return d.s.loadSignal()
 	}
 	if fast, slow := sent(50*ms), sent(600*ms); slow >= fast {
-		t.Errorf("limit %v on a slow server, %v on a fast one", slow, fast)
+		t.Errorf("limit %v on a slow server, want below the %v of a fast one", slow, fast)
 	}
 }
 
@@ -94,6 +94,6 @@
 		uneven = append(uneven, max(0, i%20-10)*(i%2)) // caller 0 sends most
 	}
 	if a, b := sent(even), sent(uneven); b <= 1.5*a {
-		t.Errorf("limit %.2f with one heavy caller, %.2f with ten alike", b, a)
+		t.Errorf("limit %.2f with one caller that sends most, %.2f with ten equal callers; want over 1.5 times as much", b, a)
 	}
 }
