--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -1,33 +1,33 @@
 package node
 
-// Counts are totals since the start, for the log and the metrics.
+// Counts holds totals since the start of the process, for the log and the metrics.
 type Counts struct {
 	Read                     int
 	Served, Rejected, Failed int // final responses
 	Canceled                 int // by their callers, before a response
 	DeadlineExpired          int // answered by the deadline guard
-	Coalesced, Started       int // attempts that waited for their key's run; runs handed to the runner
-	Restored, RecordFailures int // runs of earlier processes; starts that could not be recorded
+	Coalesced, Started       int // attempts that waited for their key's run; runs passed to the runner
+	Restored, RecordFailures int // runs restored from earlier processes; starts that could not be recorded
 	WaitedElsewhere          int // attempts that waited for a run in another process
 	ServedFromElsewhere      int // attempts served with the result of a run in another process
 }
 
-// ClassCounts are totals of one class since the start.
+// ClassCounts holds totals of one class since the start of the process.
 type ClassCounts struct {
 	Served, Rejected, Failed int // final responses
-	Started                  int // runs handed to the runner
+	Started                  int // runs passed to the runner
 }
 
-// maxCountedClasses bounds the names of classes that are counted, among them those that callers made up.
+// maxCountedClasses limits the number of classes that are counted, since callers may send arbitrary class names.
 const maxCountedClasses = 512
 
-// countsOf returns the counts of r's class.
+// countsOf returns the counts of the request's class.
 func (n *Node) countsOf(r *request) *ClassCounts {
 	return n.countsByName(n.opts.Settings.Classes[r.Class].Name, true)
 }
 
-// countsByName returns the counts of a class, or nil if it is no class of the settings (known) and there is no space
-// for more.
+// countsByName returns the counts of a class, or nil if the class is not in the settings (known) and maxCountedClasses
+// classes are counted already.
 func (n *Node) countsByName(name string, known bool) *ClassCounts {
 	c := n.classCounts[name]
 	if c == nil && (known || len(n.classCounts) < maxCountedClasses) {
@@ -37,8 +37,8 @@
 	return c
 }
 
-// CountUnknownClass counts a request that a front end rejected for a class that the settings do not name, as long as
-// there is space for more names. (Balancers learn of a reconfiguration late.)
+// CountUnknownClass counts a request that a front end rejected because its class is not in the settings, for up to
+// maxCountedClasses names. Such requests occur while balancers have not yet learned of a reconfiguration.
 func (n *Node) CountUnknownClass(class string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// CountsByClass returns the counts of each class of the settings, and of any other that has counts, by name.
+// CountsByClass returns the counts by class name, for all classes of the settings and all other counted classes.
 func (n *Node) CountsByClass() map[string]ClassCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,7 +61,7 @@
 	return out
 }
 
-// InFlight returns how many requests run, and how many wait here to be run.
+// InFlight returns the number of running requests and the number of requests that wait to run in this process.
 func (n *Node) InFlight() (running, queued int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,7 +76,7 @@
 	return running, queued
 }
 
-// Totals returns the counts so far, the number of requests that admission knows and the number of keys in the table.
+// Totals returns the counts, the number of requests reported to admission and the number of keys in the key table.
 func (n *Node) Totals() (c Counts, inFlight, keys int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/deadline.go
+++ b/internal/node/deadline.go
@@ -7,22 +7,22 @@
 	"sloehitch/internal/admission"
 )
 
-// Deadline: a request is answered by its deadline, whatever admission and its run do.
+// The deadline guard answers each request that admission and its run have not answered by the deadline:
 //
 //	guard = deadline + limits.DeadlineGuardShare * settings.ResponseGrace
 //
-// deadline is the sooner of the class's timeout and the caller's, counted from the arrival; ResponseGrace is how long
-// after the deadline a response still counts. Admission answers first where it can: the guard leaves it
-// DeadlineGuardShare (0 to 1) of the grace. What the guard answers is rejected if nothing of it ran and failed
-// otherwise; one that waits for another's run may have run: failed. Its run goes on unless admission stops it; the
+// deadline is the earlier of the class's and the caller's timeout, counted from the arrival. ResponseGrace is the time
+// after the deadline in which a response is still valid. The guard leaves DeadlineGuardShare (0 to 1) of the grace to
+// admission, which normally answers first. The guard rejects a request that has not run and fails any other; a request
+// that waits for another attempt's run may have run, so it fails. A run continues unless admission stops it, and the
 // result of a keyed run is stored for retries.
 
-// guardDelay is how long after the deadline the guard answers.
+// guardDelay returns the time from the deadline to the guard's answer.
 func (n *Node) guardDelay() time.Duration {
 	return time.Duration(n.opts.Limits.DeadlineGuardShare * float64(duration(n.opts.Settings.ResponseGrace)))
 }
 
-// deadlineExpired answers a request that admission has not answered in time.
+// deadlineExpired answers a request that admission has not answered by its deadline.
 func (n *Node) deadlineExpired(r *request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,7 +34,7 @@
 	n.answerUndecided(r)
 }
 
-// Abort answers a request at once, whatever runs: its front end can't wait any longer.
+// Abort answers a request at once, in any stage, because its front end can't wait any longer.
 func (n *Node) Abort(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,13 +43,13 @@
 	}
 }
 
-// answerUndecided answers a request without a decision of admission, and reports that.
+// answerUndecided answers a request without a decision of admission, and reports it to admission as canceled.
 func (n *Node) answerUndecided(r *request) {
 	if r.stage == stageRecording {
 		n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RejectedRetryAfter})
 		return
 	}
-	status := StatusFailed // coalesced or elsewhere: the run that it waits for may have run
+	status := StatusFailed // also if coalesced or waiting for another process: that run may have started
 	if r.stage == stageQueued {
 		status = StatusRejected
 	}
@@ -58,8 +58,8 @@
 	n.abandonRun(r)
 }
 
-// Cancel reports that the caller of a request no longer waits for it. It gets no response; a run of it goes on unless
-// admission stops it.
+// Cancel reports that the caller of a request no longer waits for it. The request gets no response. Its run continues
+// unless admission stops it.
 func (n *Node) Cancel(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,7 +74,7 @@
 	n.reportCanceled(r)
 }
 
-// reportCanceled reports to admission that a request's caller no longer waits, and removes it if nothing of it runs.
+// reportCanceled reports to admission that a request's caller no longer waits, and removes the request if it has no run.
 func (n *Node) reportCanceled(r *request) {
 	if r.stage == stageElsewhere {
 		n.removeUnreported(r)
--- a/internal/node/dependency.go
+++ b/internal/node/dependency.go
@@ -7,8 +7,8 @@
 	"sloehitch/logic"
 )
 
-// CallRequested reports that a run waits for a call to the dependency. notice is the number of the notice that asked
-// for it, body what to send.
+// CallRequested reports that a run waits for a call to the dependency. notice is the number of the notice that
+// requested the call, body is the body of the call.
 func (n *Node) CallRequested(id string, notice uint64, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -21,7 +21,7 @@
 	n.opts.Admission.Report(admission.CallRequested(r.number))
 }
 
-// startCall makes the call that a run waits for, with the given timeout; 0: until the request's deadline.
+// startCall makes the call that a run waits for, with the given timeout, or until the request's deadline if it is 0.
 func (n *Node) startCall(r *request, timeout time.Duration) {
 	if r.stage != stageRunning || r.callNotice == 0 || r.callInFlight {
 		return
@@ -42,7 +42,7 @@
 	n.opts.Dependency.Call(r.ID, timeout, r.callBody, once, done)
 }
 
-// callEnded delivers a call's reply to its run, and reports to admission how the call ended.
+// callEnded delivers a call's reply to its run and reports the outcome to admission.
 func (n *Node) callEnded(number uint64, outcome admission.Outcome, elapsed time.Duration, reply []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,7 +59,7 @@
 	n.opts.Admission.Report(admission.CallEnded(number, outcome, elapsed))
 }
 
-// skipCall has a run continue without the call that it waits for.
+// skipCall continues a run without the call that it waits for.
 func (n *Node) skipCall(r *request) {
 	if r.callNotice == 0 {
 		return
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,19 +6,19 @@
 	"sloehitch/internal/admission"
 )
 
-// Draining, from the notice of shutdown on:
+// Draining, from the shutdown notice on:
 //
-//	read until notice + settings.DrainGrace             as without a shutdown
-//	read after the grace                                rejected; answered as its key's run if there was one
-//	at notice + stop - limits.KillMargin                all that is unanswered is answered
-//	read after that answer                              rejected
+//	read until notice + settings.DrainGrace             handled as without a shutdown
+//	read after the grace                                rejected; if its key has run, answered from that run
+//	at notice + stop - limits.KillMargin                all unanswered requests are answered
+//	read after that time                                rejected
 //
 // The times count from the notice, however late Drain is called. A request counts as read when its last byte has
-// come: its caller's stamp says when the first one did.
+// arrived; the caller's time stamp is that of its first byte.
 
-// Drain starts the graceful shutdown: the notice came at the given time, and the process is killed after stop from
-// then. If keepAdvertised is set nothing is reported to admission, as another process of this node goes on and
-// callers are not to be sent elsewhere. Only the first call counts.
+// Drain starts the graceful shutdown. The notice came at the given time, and the process will be killed when stop has
+// passed since the notice. If keepAdvertised is set, nothing is reported to admission, because another process of this
+// node continues and callers are not to be diverted to other nodes. Calls after the first have no effect.
 func (n *Node) Drain(notice time.Time, stop time.Duration, keepAdvertised bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -33,7 +33,7 @@
 	n.opts.Clock.AfterFunc(left-n.opts.Limits.KillMargin, n.answerAllForKill)
 }
 
-// answerAllForKill answers all that is unanswered shortly before the kill.
+// answerAllForKill answers all unanswered requests shortly before the process is killed.
 func (n *Node) answerAllForKill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,12 +44,12 @@
 	}
 }
 
-// pastDrainGrace reports whether a request was read too late to be started.
+// pastDrainGrace reports whether a request was read after the drain grace and must not be started.
 func (n *Node) pastDrainGrace(r *request) bool {
 	return !n.drainStartedAt.IsZero() && r.readAt.After(n.drainStartedAt.Add(duration(n.opts.Settings.DrainGrace)))
 }
 
-// answeredForKill reports whether answerAllForKill has run: nothing would answer what is read now.
+// answeredForKill reports whether answerAllForKill is due, so that it would not answer requests read from now on.
 func (n *Node) answeredForKill(now time.Time) bool {
 	return !n.drainStartedAt.IsZero() && !now.Before(n.killAt.Add(-n.opts.Limits.KillMargin))
 }
--- a/internal/node/elsewhere.go
+++ b/internal/node/elsewhere.go
@@ -4,32 +4,32 @@
 	"errors"
 )
 
-// While one process of a node replaces another, both serve requests and share their keys by a SharedJournal. An
-// attempt whose key another process holds is not run here and not reported to admission: it is answered as that
-// process's run is, now or when it ends.
+// While one process of a node replaces another, both serve requests and share their keys through a SharedJournal. An
+// attempt whose key is held by another process is not run here and not reported to admission. It is answered with the
+// outcome of the run in that process, at once or when the run ends:
 //
 //	the run has ended, its result is stored   served with the result
 //	the run has ended otherwise               failed, also if its process died before the end
-//	the run is in flight                      wait for its end, until the request's deadline
-//	the start was withdrawn                   as any new request
+//	the run is in flight                      waits for its end, until the request's deadline
+//	the start was withdrawn                   handled like a new request
 
-// SharedJournal is a Journal that other processes of this node write too, while one replaces another. Its RecordStart
+// SharedJournal is a Journal that other processes of this node also write to while one replaces another. Its RecordStart
 // reports ErrKeyHeld if one of them holds the key.
 type SharedJournal interface {
 	Journal
-	// Lookup returns what another process has recorded of record's key, record.Key and record.Class being all that it
-	// needs. It must not block for long.
+	// Lookup returns the record of another process for record.Key and record.Class; other fields are not used. It must
+	// not block for long.
 	Lookup(record RunRecord) (RunRecord, bool)
-	// NotifyOnChange calls done once, from another goroutine, when Lookup may say more than that the key's run has
-	// not ended.
+	// NotifyOnChange calls done once, from another goroutine, when the key's run may have ended or its start may have
+	// been withdrawn, so that Lookup may return another result.
 	NotifyOnChange(record RunRecord, done func())
 }
 
-// ErrKeyHeld is reported by a Journal for a start whose key another process holds: it may have run there, so an
-// attempt of it here is neither run nor rejected.
-var ErrKeyHeld = errors.New("the key is held by another process")
+// ErrKeyHeld is reported by a Journal for a start whose key is held by another process. The request may have run there,
+// so an attempt here is neither run nor rejected.
+var ErrKeyHeld = errors.New("idempotency key is held by another process of the node")
 
-// keyHeldElsewhere reports whether another process is known to hold r's key.
+// keyHeldElsewhere reports whether another process holds r's key, as far as the journal shows.
 func (n *Node) keyHeldElsewhere(r *request) bool {
 	s, ok := n.opts.Journal.(SharedJournal)
 	if !ok {
@@ -39,8 +39,8 @@
 	return held
 }
 
-// answerFromElsewhere answers an attempt from its key's run in another process, now or when that ends. It returns
-// false if no other process holds the key.
+// answerFromElsewhere answers an attempt from its key's run in another process, at once or when that run ends. It
+// returns false if no other process holds the key.
 func (n *Node) answerFromElsewhere(r *request) bool {
 	s, ok := n.opts.Journal.(SharedJournal)
 	if !ok {
@@ -67,7 +67,7 @@
 	return true
 }
 
-// removeUnreported forgets an answered attempt that admission does not know.
+// removeUnreported unregisters an answered attempt that is not reported to admission.
 func (n *Node) removeUnreported(r *request) {
 	r.stage = stageEnded
 	if n.byID[r.ID] == r {
@@ -75,7 +75,8 @@
 	}
 }
 
-// elsewhereChanged continues with an attempt that waits for its key's run in another process.
+// elsewhereChanged handles a change of the key for which an attempt waits in another process: it answers the attempt, or
+// reports it to admission if the start there was withdrawn.
 func (n *Node) elsewhereChanged(r *request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,22 +86,23 @@
 	n.reportArrival(r, n.opts.Clock.Now()) // the start was withdrawn
 }
 
-// moveElsewhere has a queued attempt that admission rejects wait for the process that has started its key meanwhile:
-// rejected, it would be sent to run on another node. It returns false if no process has.
+// moveElsewhere has a queued attempt that admission rejects wait for another process that has started its key in the
+// meantime. If the attempt were rejected, its caller would send it to another node, which would run it. It returns
+// false if no other process holds the key.
 func (n *Node) moveElsewhere(r *request) bool {
 	if r.settled || r.IdempotencyKey == "" || n.keys.started(r) || !n.keyHeldElsewhere(r) {
 		return false
 	}
-	delete(n.byNumber, r.number) // admission has forgotten it
+	delete(n.byNumber, r.number) // admission has removed it
 	n.releaseKey(r)
-	if !n.answerFromElsewhere(r) { // withdrawn just now
+	if !n.answerFromElsewhere(r) { // the start was withdrawn since the last Lookup
 		n.reportArrival(r, n.opts.Clock.Now())
 	}
 	return true
 }
 
-// keyTakenElsewhere has an attempt whose start could not be recorded, and all that wait for it, wait for the process
-// that holds their key.
+// keyTakenElsewhere handles an attempt whose start could not be recorded because another process holds its key: the
+// attempt, and all that are coalesced with it, wait for that process.
 func (n *Node) keyTakenElsewhere(r *request) {
 	n.unclaimStart(r)
 	for _, attempt := range append([]*request{r}, n.keys.release(r)...) {
@@ -109,7 +111,7 @@
 		switch {
 		case attempt.settled:
 			n.removeUnreported(attempt)
-		case !n.answerFromElsewhere(attempt): // withdrawn just now
+		case !n.answerFromElsewhere(attempt): // the start was withdrawn since RecordStart
 			n.reportArrival(attempt, n.opts.Clock.Now())
 		}
 	}
--- a/internal/node/elsewhere_test.go
+++ b/internal/node/elsewhere_test.go
@@ -9,7 +9,7 @@
 	"sloehitch/logic"
 )
 
-// sharedJournal is a journal that another process writes too; the test says what that process holds.
+// sharedJournal is a journal that another process also writes to. The test sets the records of that process.
 type sharedJournal struct {
 	*fakeJournal
 	held     map[string]RunRecord
@@ -24,7 +24,7 @@
 	s.watchers = append(s.watchers, done)
 }
 
-// resolve sets what the other process has recorded of the key "k" (nil: nothing any more), and notifies the watchers.
+// resolve sets the other process's record of the key "k" (nil: none) and notifies the watchers.
 func (s *sharedJournal) resolve(b *RunRecord) {
 	if delete(s.held, "k"); b != nil {
 		s.held["k"] = *b
@@ -36,7 +36,7 @@
 	}
 }
 
-// What the other process has recorded of the key "k".
+// Records of the other process for the key "k".
 var (
 	keyFingerprint  = fingerprintOf("book", &Request{})
 	runningThere    = RunRecord{Fingerprint: keyFingerprint}
@@ -47,31 +47,31 @@
 type elsewhereCase struct {
 	name string
 	play func(h *harness, s *sharedJournal)
-	work string // what the journal and the runner were asked for
+	work string // commands to the journal and the runner
 	want string // the responses of a, b and c
 }
 
 var elsewhereCases = []elsewhereCase{
-	{"served elsewhere", func(h *harness, s *sharedJournal) {
+	{"served with the result of the other process", func(h *harness, s *sharedJournal) {
 		s.held["k"] = servedThere
 		h.submit("a", classBook, "k", 0)
 	}, "", "[served r] [] []"},
-	{"ran elsewhere, no result stored", func(h *harness, s *sharedJournal) {
+	{"failed if the other process stored no result", func(h *harness, s *sharedJournal) {
 		s.held["k"] = resultLostThere
 		h.submit("a", classBook, "k", 0)
 	}, "", "[failed ] [] []"},
-	{"another fingerprint under its key", func(h *harness, s *sharedJournal) {
+	{"failed if the key has another fingerprint there", func(h *harness, s *sharedJournal) {
 		s.held["k"] = RunRecord{Ended: true, Succeeded: true, ResultStored: true, Result: []byte("r")}
 		h.submit("a", classBook, "k", 0)
 	}, "", "[failed ] [] []"},
-	{"runs elsewhere: two wait", func(h *harness, s *sharedJournal) {
+	{"two attempts wait for the run in the other process", func(h *harness, s *sharedJournal) {
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		h.submit("b", classBook, "k", 0)
-		s.resolve(&runningThere) // nothing new
+		s.resolve(&runningThere) // notification without a change
 		s.resolve(&servedThere)
 	}, "", "[served r] [served r] []"},
-	{"withdrawn elsewhere: runs here", func(h *harness, s *sharedJournal) {
+	{"run here after the other process has withdrawn its start", func(h *harness, s *sharedJournal) {
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		s.resolve(nil)
@@ -79,19 +79,19 @@
 		s.done["a"](nil)
 		h.RunEnded("a", logic.OutcomeOK, 0, []byte("own"))
 	}, "record start a, start a, record end(true own) a", "[served own] [] []"},
-	{"canceled, then ended elsewhere", func(h *harness, s *sharedJournal) {
+	{"no response if canceled while waiting", func(h *harness, s *sharedJournal) {
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		h.Cancel("a")
 		s.resolve(&servedThere)
 	}, "", "[] [] []"},
-	{"aborted, then ended elsewhere", func(h *harness, s *sharedJournal) {
+	{"failed if aborted while waiting", func(h *harness, s *sharedJournal) {
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		h.Abort("a")
 		s.resolve(&servedThere)
 	}, "", "[failed ] [] []"},
-	{"the other process was first by a moment: both attempts wait", func(h *harness, s *sharedJournal) {
+	{"attempt and coalesced attempt wait if the other process recorded its start first", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.submit("b", classBook, "k", 0)
@@ -100,13 +100,13 @@
 		s.done["a"](ErrKeyHeld)
 		s.resolve(&servedThere)
 	}, "record start a", "[served r] [served r] []"},
-	{"the other process was first and has ended", func(h *harness, s *sharedJournal) {
+	{"served if the other process recorded its start first and its run has ended", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		s.held["k"] = servedThere
 		s.done["a"](ErrKeyHeld)
 	}, "record start a", "[served r] [] []"},
-	{"the other process was first: canceled here", func(h *harness, s *sharedJournal) {
+	{"no response if canceled before the start was refused for the other process", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.Cancel("a")
@@ -114,7 +114,7 @@
 		s.done["a"](ErrKeyHeld)
 		s.resolve(&servedThere)
 	}, "record start a", "[] [] []"},
-	{"the other process was first and withdraws at once", func(h *harness, s *sharedJournal) {
+	{"run here if the other process recorded its start first and withdrew it", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		s.done["a"](ErrKeyHeld)
@@ -122,13 +122,13 @@
 		s.done["a"](nil)
 		h.RunEnded("a", logic.OutcomeOK, 0, []byte("own"))
 	}, "record start a, record start a, start a, record end(true own) a", "[served own] [] []"},
-	{"rejected as the other process starts", func(h *harness, s *sharedJournal) {
+	{"waits instead of being rejected if the other process has started the key", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		s.held["k"] = runningThere
 		h.decide("a", admission.Reject)
 		s.resolve(&servedThere)
 	}, "", "[served r] [] []"},
-	{"answered before the kill", func(h *harness, s *sharedJournal) {
+	{"failed before the kill while waiting", func(h *harness, s *sharedJournal) {
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		h.Drain(h.clock.now, time.Hour, true)
@@ -136,8 +136,9 @@
 	}, "", "[failed ] [] []"},
 }
 
-// TestKeyHeldElsewhere: an attempt whose key another process holds is not run here. It is answered as that run is, at
-// once or when it ends, and fails if that is not known by its deadline. If nothing ran there it is submitted as new.
+// TestKeyHeldElsewhere checks that an attempt whose key another process holds is not run here. It is answered with the
+// outcome of that run, at once or when the run ends, and fails if that is not known by its deadline. If the key did not
+// run there, the attempt is submitted as a new one.
 func TestKeyHeldElsewhere(t *testing.T) {
 	for _, c := range elsewhereCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -146,13 +147,13 @@
 			h.opts.Journal = s
 			c.play(h, s)
 			if got := h.runner.String(); got != c.work {
-				t.Errorf("asked for %q, want %q", got, c.work)
+				t.Errorf("commands %q, want %q", got, c.work)
 			}
 			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.want {
-				t.Errorf("responses %s, want %s", got, c.want)
+				t.Errorf("responses of a, b and c: %s, want %s", got, c.want)
 			}
 			if h.Unanswered() != 0 || len(h.byID) != 0 {
-				t.Errorf("%d owed, %d in flight at the end", h.Unanswered(), len(h.byID))
+				t.Errorf("%d requests unanswered and %d in flight at the end, want none", h.Unanswered(), len(h.byID))
 			}
 		})
 	}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -13,7 +13,7 @@
 	"sloehitch/logic"
 )
 
-// fixedClock stands until it is moved. Its timers are the system's.
+// fixedClock returns a fixed time that tests set. Its timers are those of the system clock.
 type fixedClock struct {
 	clock.System
 	now time.Time
@@ -21,7 +21,7 @@
 
 func (c *fixedClock) Now() time.Time { return c.now }
 
-// recorder is a runner and a client of the dependency that notes what it was asked for.
+// recorder is a Runner and a DependencyClient that records the commands it receives.
 type recorder struct{ asked []string }
 
 func (r *recorder) note(what, id string)                 { r.asked = append(r.asked, what+" "+id) }
@@ -36,15 +36,16 @@
 	r.note("call", id)
 }
 
-// harness is a Node whose decisions a test makes itself: Run does not run, and admission's decisions are ignored.
+// harness is a Node for which the test makes the decisions: Node.Run is not called and the admission controller is
+// closed.
 type harness struct {
 	*Node
 	clock     *fixedClock
 	runner    *recorder
-	responses map[string][]string // by request id
+	responses map[string][]string // by request ID
 }
 
-// Classes of a harness.
+// The classes of a harness.
 const (
 	classRead = iota // idempotent, may skip its calls
 	classBook        // idempotent by key
@@ -67,7 +68,7 @@
 	return &harness{New(Options{Settings: cfg, Admission: controller, Dependency: r, Clock: clock, Limits: limits.For(64, 256), Log: standin.DiscardLogger}), clock, r, map[string][]string{}}
 }
 
-// submit submits a request that arrives at the given time from now.
+// submit submits a request whose arrival time is the clock's time plus the given offset.
 func (h *harness) submit(id string, class int, key string, at time.Duration) {
 	h.Submit(Request{ID: id, Class: class, IdempotencyKey: key, ArrivedAt: h.clock.now.Add(at), Runner: h.runner},
 		func(a Response) {
@@ -75,7 +76,7 @@
 		})
 }
 
-// decide carries out a decision as if admission had made it.
+// decide has the Node carry out a decision as if admission had made it.
 func (h *harness) decide(id string, kind admission.DecisionKind) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -7,28 +7,28 @@
 	"sloehitch/logic"
 )
 
-// Idempotency: of all attempts under one idempotency key at most one runs within the key's window. (Key and
-// fingerprint are those of draft-ietf-httpapi-idempotency-key-header.)
+// Idempotency: of all attempts with the same idempotency key, at most one runs within the key's window. Key and
+// fingerprint are defined as in draft-ietf-httpapi-idempotency-key-header.
 //
 //	window of a key = [arrival of the attempt that ran, arrival + class.IdempotencyWindow + limits.KeyWindowSlack)
 //
-// The arrival is that of the caller's time stamp. KeyWindowSlack covers clocks and sockets that are not exact.
+// The arrival is the caller's time stamp. KeyWindowSlack covers the inaccuracy of clocks and socket time stamps.
 //
-// What becomes of an attempt, by the first line that holds:
+// An attempt is handled by the first line that applies:
 //
-//	another request's fingerprint is under its key   failed, KeyReused
+//	its key is stored with another fingerprint       failed, KeyReused
 //	its key ran in an earlier process of the node    served with the stored result, or failed without one
-//	another process holds its key                    as that process's run is answered (elsewhere.go)
-//	its key's run is in flight here                  coalesced: answered as that run is, when it ends
+//	another process holds its key                    answered as the run in that process (elsewhere.go)
+//	its key's run is in flight here                  coalesced: answered as that run when it ends
 //	its key's run has ended here                     served with the stored result, or failed without one
-//	nothing ran under its key                        it claims the key and runs once that is on record (journal.go)
+//	its key has not run                              it claims the key and runs once that is recorded (journal.go)
 //
-// A result of another protocol counts as none. A run of which nothing was started releases its key, and the attempts
-// coalesced with it are submitted anew. An attempt for whose key the table has no room is rejected: its retries could
-// not be recognized.
+// A result for another protocol counts as no result. A run that was not started releases its key, and the attempts
+// coalesced with it are submitted again. An attempt is rejected if the key table is full, because its retries could not
+// be recognized.
 
-// answerFromKeyTable answers an attempt whose key belongs to another request, or ran in an earlier process. It
-// returns false if neither is so.
+// answerFromKeyTable answers an attempt whose key belongs to another request or ran in an earlier process. It returns
+// false in all other cases.
 func (n *Node) answerFromKeyTable(r *request) bool {
 	r.fingerprint = fingerprintOf(n.opts.Settings.Classes[r.Class].Name, &r.Request)
 	e := n.keys.lookup(r)
@@ -47,7 +47,7 @@
 	return true
 }
 
-// startKeyed has an attempt claim its key and start, or wait for the one that has.
+// startKeyed claims an attempt's key and starts its run. If the key is already started, the attempt is coalesced.
 func (n *Node) startKeyed(r *request) {
 	e := n.keys.claim(r)
 	if e == nil {
@@ -66,13 +66,13 @@
 	n.startRun(r)
 }
 
-// coalesce answers an attempt as its key's run was answered, now or when that ends.
+// coalesce answers an attempt with the outcome of its key's run, at once or when that run ends.
 func (n *Node) coalesce(r *request) {
 	e := n.keys.lookup(r)
 	switch {
 	case r.stage != stageQueued || r.settled:
 	case r.IdempotencyKey == "" || e == nil || e.owner == r && !e.started:
-		// The attempt that it repeats was answered without a run meanwhile: this one may run.
+		// The attempt that it repeats was answered without a run in the meantime, so this one may run.
 		n.resubmit(r)
 	case e.finished:
 		n.answerCoalesced(r, e)
@@ -84,7 +84,7 @@
 	}
 }
 
-// answerCoalesced answers an attempt as its key's run was answered.
+// answerCoalesced answers an attempt with the outcome of its key's run.
 func (n *Node) answerCoalesced(r *request, e *keyEntry) {
 	r.stage = stageEnded
 	elapsed := n.opts.Clock.Now().Sub(r.reportedAt)
@@ -98,13 +98,13 @@
 	n.remove(r)
 }
 
-// completeKey takes in how the run of a key's owner ended: it answers the coalesced attempts, and stores and records
-// the result.
+// completeKey handles the end of the run of a key's owner: it answers the coalesced attempts, and stores and records the
+// result.
 func (n *Node) completeKey(r *request, e *keyEntry, outcome admission.Outcome, result []byte) {
 	if outcome == logic.OutcomeNotStarted {
 		detail := fmt.Errorf("request %s, key %s", r.ID, r.IdempotencyKey)
 		n.log.Warn("keyed run was not started; its key is released", detail)
-		e.started = false // remove hands the key to the attempts that wait for it
+		e.started = false // remove then releases the key and resubmits the attempts that wait for it
 		if n.opts.Journal != nil {
 			n.opts.Journal.Withdraw(n.runRecord(r))
 		}
@@ -118,7 +118,7 @@
 		n.answerCoalesced(waiting, e)
 	}
 	e.result = nil
-	// Without a stored result later attempts fail: they must not run.
+	// Without a stored result later attempts fail, since they must not run.
 	e.succeeded = e.succeeded && n.keys.storeResult(e, result, n.opts.Limits.StoredResultBytes)
 	if n.opts.Journal == nil {
 		return
@@ -131,19 +131,20 @@
 	n.opts.Journal.RecordEnd(record)
 }
 
-// releaseKey frees the key of a request under which nothing ran, and submits anew what waited for that.
+// releaseKey releases the key of a request that has not run, and resubmits the attempts that waited for the request.
 func (n *Node) releaseKey(r *request) {
 	for _, waiting := range n.keys.release(r) {
 		n.resubmit(waiting)
 	}
 }
 
-// keyMayHaveRun reports whether some attempt under r's key ran within its window: r is to be answered from that run.
+// keyMayHaveRun reports whether an attempt with r's key may have run within the window, so that r must be answered from
+// that run.
 func (n *Node) keyMayHaveRun(r *request) bool {
 	return r.IdempotencyKey != "" && (n.keys.started(r) || n.keyHeldElsewhere(r))
 }
 
-// mayHaveRun reports whether a request that is not idempotent was handed to its runner.
+// mayHaveRun reports whether the request is not idempotent and was passed to its runner.
 func (n *Node) mayHaveRun(r *request) bool {
 	return r.stage == stageRunning && n.opts.Settings.Classes[r.Class].Idempotency != logic.Idempotent
 }
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -8,34 +8,34 @@
 	"sloehitch/logic"
 )
 
-// RunRecord is what is recorded of a keyed request that was started.
+// RunRecord is the journal's record of a keyed request that was started.
 type RunRecord struct {
 	Key          string
-	Class        string // its name
+	Class        string // class name
 	Fingerprint  [sha256.Size]byte
-	ArrivedAt    time.Time     // when the attempt that ran reached the machine; the window counts from there
-	Window       time.Duration // within which its key must not run again
-	RequestID    string        // of that attempt
-	Ended        bool          // its run has ended
-	Succeeded    bool          // and went well
-	ResultStored bool          // and Result is what came of it
+	ArrivedAt    time.Time     // when the attempt that ran reached the machine; start of the window
+	Window       time.Duration // time from ArrivedAt within which the key must not run again
+	RequestID    string        // ID of the attempt that ran
+	Ended        bool          // the run has ended
+	Succeeded    bool          // the run has succeeded
+	ResultStored bool          // Result holds the result of the run
 	Result       []byte
-	Protocol     string // that can read Result
+	Protocol     string // protocol that can read Result
 }
 
-// Journal records which keyed requests were started, beyond the life of the process. Its methods must not block.
+// Journal durably records which keyed requests were started, for later processes. Its methods must not block.
 type Journal interface {
-	// RecordStart makes the start of a run durable. It calls done once, from another goroutine, when it is durable or
-	// failed (with ErrKeyHeld, see SharedJournal). If RecordStart returns an error, nothing was written and done is
-	// not called.
+	// RecordStart makes the start of a run durable. It calls done once, from another goroutine, when the record is
+	// durable or could not be written (ErrKeyHeld: see SharedJournal). If RecordStart returns an error, nothing was
+	// written and done is not called.
 	RecordStart(record RunRecord, done func(error)) error
 	// RecordEnd records the end of a run.
 	RecordEnd(record RunRecord)
-	// Withdraw takes back a RecordStart, durable or not, of which nothing was started.
+	// Withdraw revokes a RecordStart, durable or not, whose run was not started.
 	Withdraw(record RunRecord)
 }
 
-// runRecord is the record of a request's start.
+// runRecord returns the record of a request's start.
 func (n *Node) runRecord(r *request) RunRecord {
 	return RunRecord{
 		Key:         r.IdempotencyKey,
@@ -48,8 +48,8 @@
 	}
 }
 
-// Restore fills the key table with the record of a run in an earlier process. It is to be called before the first
-// Submit. A run that was started and of which no end is on record counts as run, as it may have.
+// Restore adds the record of a run in an earlier process to the key table. It must be called before the first Submit. A
+// run that was started and has no recorded end counts as ended without a result, since it may have run.
 func (n *Node) Restore(record RunRecord) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,7 +59,7 @@
 			class = i
 		}
 	}
-	// The owner stands for its key and protocol only: it is not in flight, and has no runner.
+	// The owner only carries its key and protocol: it is not in flight and has no runner.
 	owner := &request{Request: Request{
 		ID:             record.RequestID,
 		IdempotencyKey: record.Key,
@@ -76,7 +76,7 @@
 		arrivedAt:   record.ArrivedAt,
 		window:      record.Window,
 	}
-	// Without space for its result retries fail, as those of a run without a known end do.
+	// Without space for the result, retries fail like those of a run without a recorded end.
 	if record.Succeeded && record.ResultStored {
 		e.succeeded = n.keys.storeResult(e, record.Result, n.opts.Limits.StoredResultBytes)
 	}
@@ -84,11 +84,11 @@
 	n.counts.Restored++
 }
 
-// errRecordTimeout says that a start was not durable by the time it had to be.
-var errRecordTimeout = errors.New("the disk is too slow")
+// errRecordTimeout is the error for a start that did not become durable in time.
+var errRecordTimeout = errors.New("start not durable within the record timeout or by the request's deadline")
 
-// recordStart has the journal make a start durable; the run is started when that is done. A start that is not durable
-// within limits.RecordTimeout, or by the request's deadline, is withdrawn.
+// recordStart has the journal make a start durable, after which the run is started. A start that is not durable within
+// limits.RecordTimeout, or by the request's deadline, is withdrawn.
 func (n *Node) recordStart(r *request) {
 	r.stage = stageRecording
 	number := r.number
@@ -100,13 +100,13 @@
 	r.recordTimer = n.opts.Clock.AfterFunc(wait, func() { n.startRecorded(number, errRecordTimeout) })
 }
 
-// startRecorded continues with a request whose start is durable, or could not be made so.
+// startRecorded starts a request whose start is durable. If err is not nil, the start could not be made durable.
 func (n *Node) startRecorded(number uint64, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.byNumber[number]
 	if r == nil || r.stage != stageRecording {
-		return // withdrawn
+		return // the start was withdrawn
 	}
 	switch {
 	case errors.Is(err, ErrKeyHeld):
@@ -125,8 +125,7 @@
 	n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RejectedRetryAfter})
 }
 
-// withdrawStart answers a request whose start is being recorded, and releases its key: nothing of it has run, and
-// nothing will.
+// withdrawStart answers a request whose start is being recorded and releases its key: it has not run and will not run.
 func (n *Node) withdrawStart(r *request, response Response) {
 	n.unclaimStart(r)
 	n.opts.Journal.Withdraw(n.runRecord(r))
@@ -134,7 +133,7 @@
 	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 }
 
-// unclaimStart takes a request whose start is being recorded back to the queue.
+// unclaimStart returns a request whose start is being recorded to the queue and marks its key as not started.
 func (n *Node) unclaimStart(r *request) {
 	if r.recordTimer != nil {
 		r.recordTimer.Stop()
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -10,12 +10,12 @@
 	"sloehitch/logic"
 )
 
-// fakeJournal notes what it was asked for in the same list as the runner. A start is durable, or fails, when the test
-// calls done.
+// fakeJournal records the commands it receives in the same list as the runner. A start becomes durable, or fails, when
+// the test calls done.
 type fakeJournal struct {
 	*recorder
 	done map[string]func(error)
-	err  error // of RecordStart
+	err  error // returned by RecordStart
 }
 
 func (j *fakeJournal) RecordStart(b RunRecord, done func(error)) error {
@@ -32,7 +32,7 @@
 	h := newHarness(t)
 	j := &fakeJournal{recorder: h.runner, done: map[string]func(error){}}
 	h.opts.Journal = j
-	h.opts.Limits.RecordTimeout = time.Hour // no timer in these tests
+	h.opts.Limits.RecordTimeout = time.Hour // so that no timer expires in these tests
 	return h, j
 }
 
@@ -41,23 +41,23 @@
 type recordedStartCase struct {
 	name string
 	play func(h *harness, j *fakeJournal)
-	work string // what the journal and the runner were asked for
+	work string // commands to the journal and the runner
 	want string // the responses of a, b and c
 }
 
 var recordedStartCases = []recordedStartCase{
-	{"recorded, then started", func(h *harness, j *fakeJournal) {
+	{"keyed request is started after its start is recorded", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		j.done["a"](nil)
 		h.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 	}, "record start a, start a, record end(true r) a", "[served r] [] []"},
-	{"a read needs no record", func(h *harness, j *fakeJournal) {
+	{"idempotent request is started without a record", func(h *harness, j *fakeJournal) {
 		h.submit("a", classRead, "", 0)
 		h.decide("a", admission.Run)
 		h.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 	}, "start a", "[served r] [] []"},
-	{"the start can't be recorded", func(h *harness, j *fakeJournal) {
+	{"rejected and key released if the start can't be recorded", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		j.done["a"](errFull)
@@ -65,12 +65,12 @@
 		h.decide("b", admission.Run)
 		j.done["b"](nil)
 	}, "record start a, withdraw a, record start b, start b", "[rejected ] [] []"},
-	{"the journal refuses the start at once", func(h *harness, j *fakeJournal) {
+	{"rejected if RecordStart returns an error", func(h *harness, j *fakeJournal) {
 		j.err = errFull
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 	}, "record start a, withdraw a", "[rejected ] [] []"},
-	{"durable after the request was aborted", func(h *harness, j *fakeJournal) {
+	{"not started if durable after the request was aborted", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.Abort("a")
@@ -79,19 +79,19 @@
 		h.decide("b", admission.Run)
 		j.done["b"](nil)
 	}, "record start a, withdraw a, record start b, start b", "[rejected ] [] []"},
-	{"not durable in time", func(h *harness, j *fakeJournal) {
+	{"rejected if the start is not durable in time", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.startRecorded(h.byID["a"].number, errRecordTimeout)
 		j.done["a"](nil)
 	}, "record start a, withdraw a", "[rejected ] [] []"},
-	{"rejected while its start is recorded", func(h *harness, j *fakeJournal) {
+	{"start withdrawn if rejected while it is recorded", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.decide("a", admission.Reject)
 		j.done["a"](nil)
 	}, "record start a, withdraw a", "[rejected ] [] []"},
-	{"an attempt coalesced with a start that fails runs itself", func(h *harness, j *fakeJournal) {
+	{"attempt coalesced with a start that fails is run itself", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.submit("b", classBook, "k", 0)
 		h.decide("a", admission.Run)
@@ -101,7 +101,7 @@
 		j.done["b"](nil)
 		h.RunEnded("b", logic.OutcomeOK, 0, []byte("r"))
 	}, "record start a, withdraw a, record start b, start b, record end(true r) b", "[rejected ] [served r] []"},
-	{"canceled while its start is recorded: the run goes on for retries", func(h *harness, j *fakeJournal) {
+	{"started for retries if canceled while its start is recorded", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.Cancel("a")
@@ -110,27 +110,27 @@
 		h.submit("b", classBook, "k", 0)
 		h.decide("b", admission.Run)
 	}, "record start a, start a, record end(true r) a", "[] [served r] []"},
-	{"paused before it started", func(h *harness, j *fakeJournal) {
+	{"paused at its start if stopped while its start is recorded", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.decide("a", admission.Stop)
 		j.done["a"](nil)
 		h.decide("a", admission.Run)
 	}, "record start a, start a, stop a, resume a", "[] [] []"},
-	{"paused and resumed before it started", func(h *harness, j *fakeJournal) {
+	{"not paused if stopped and resumed while its start is recorded", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.decide("a", admission.Stop)
 		h.decide("a", admission.Run)
 		j.done["a"](nil)
 	}, "record start a, start a", "[] [] []"},
-	{"nothing was started", func(h *harness, j *fakeJournal) {
+	{"record withdrawn if the run was not started", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		j.done["a"](nil)
 		h.RunEnded("a", logic.OutcomeNotStarted, 0, nil)
 	}, "record start a, start a, withdraw a", "[failed ] [] []"},
-	{"answered for the kill while its start is recorded", func(h *harness, j *fakeJournal) {
+	{"start withdrawn if answered before the kill while it is recorded", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.Drain(h.clock.now, time.Minute, false)
@@ -139,24 +139,25 @@
 	}, "record start a, withdraw a", "[rejected ] [] []"},
 }
 
-// TestRecordedStart: a keyed run is started once its record is durable, or never.
+// TestRecordedStart checks that a keyed run is started only after its record is durable.
 func TestRecordedStart(t *testing.T) {
 	for _, c := range recordedStartCases {
 		t.Run(c.name, func(t *testing.T) {
 			h, j := newJournalHarness(t)
 			c.play(h, j)
 			if got := h.runner.String(); got != c.work {
-				t.Errorf("work: %s; want %s", got, c.work)
+				t.Errorf("commands: %s; want %s", got, c.work)
 			}
 			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.want {
-				t.Errorf("responses: %s; want %s", got, c.want)
+				t.Errorf("responses of a, b and c: %s; want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestRestored: a request that ran in an earlier process is neither run again in its window nor rejected, whatever
-// became of it; another content under its key is told apart; when its window has passed the key is free.
+// TestRestored checks that a request that was started in an earlier process is neither run again within its window nor
+// rejected, that a request with the same key and other content is recognized, and that the key can be used again after
+// the window.
 func TestRestored(t *testing.T) {
 	h, _ := newJournalHarness(t)
 	old := RunRecord{Key: "k", Class: "book", Fingerprint: fingerprintOf("book", &Request{}), ArrivedAt: h.clock.now.Add(-4 * time.Second), Window: 10 * time.Second}
@@ -173,7 +174,7 @@
 		id := fmt.Sprint("r", i)
 		h.submit(id, classBook, c.key, 0)
 		if got := fmt.Sprint(h.responses[id]); got != c.want {
-			t.Errorf("%s: %s, want %s", c.key, got, c.want)
+			t.Errorf("key %q: responses %s, want %s", c.key, got, c.want)
 		}
 	}
 	h.submit("a", classBook, "k", 0)
@@ -181,15 +182,15 @@
 	var reused bool
 	h.Submit(Request{ID: "c", Class: 1, IdempotencyKey: "k", Content: []byte("other"), ArrivedAt: h.clock.now, Runner: h.runner}, func(a Response) { reused = a.KeyReused })
 	if got := fmt.Sprint(h.responses["a"], h.responses["b"], reused, h.runner); got != "[failed ] [failed ] true " {
-		t.Errorf("%s", got)
+		t.Errorf("responses of a and b, reuse of c's key, commands: %s", got)
 	}
 	h.clock.now = h.clock.now.Add(6300 * time.Millisecond)
 	h.submit("d", classBook, "k", 0)
 	h.decide("d", admission.Run)
 	if got := h.runner.String(); got != "record start d" {
-		t.Errorf("after the window: %s", got)
+		t.Errorf("commands after the window: %s, want the start of d to be recorded", got)
 	}
 	if c, _, _ := h.Totals(); c.Restored != 5 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, want 5 restored", c)
 	}
 }
--- a/internal/node/keytable.go
+++ b/internal/node/keytable.go
@@ -7,29 +7,29 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// keyEntry is what this process knows of one key: the attempt that owns it and, once that was started, its run.
+// keyEntry is the state of one key in this process: the attempt that owns it and, once that was started, its run.
 type keyEntry struct {
 	owner       *request
 	fingerprint [sha256.Size]byte
 	started     bool
 	arrivedAt   time.Time     // of the attempt that was started, by its caller's time stamp
-	window      time.Duration // of its class, from arrivedAt
+	window      time.Duration // idempotency window of its class, from arrivedAt
 	finished    bool          // the run has ended
-	succeeded   bool          // and its result may be given to retries
-	restored    bool          // it ran in an earlier process
+	succeeded   bool          // the run has succeeded and its result may be returned to retries
+	restored    bool          // the key ran in an earlier process
 	result      []byte
-	coalesced   []*request // attempts that wait for the run's end
+	coalesced   []*request // attempts that wait for the end of the run
 }
 
-// retentionSlacks is how many times limits.KeyWindowSlack an entry is retained beyond its window: attempts are
-// assigned to windows by when they reached the machine, and may be read seconds after that.
+// retentionSlacks is the retention of an entry after its window, in units of limits.KeyWindowSlack. Attempts are
+// assigned to windows by their arrival at the machine and may be read seconds later.
 const retentionSlacks = 20
 
-// KeyRetentionMargin is for how long beyond its window a key is retained, here and in the journals.
+// KeyRetentionMargin returns how long a key is retained after its window, in the key table and in the journals.
 func KeyRetentionMargin(l limits.Limits) time.Duration { return retentionSlacks * l.KeyWindowSlack }
 
-// keyTable maps idempotency keys to their runs. It is bounded in entries and in bytes of results. The Node's lock
-// guards it.
+// keyTable maps idempotency keys to their runs. The number of entries and the bytes of stored results are bounded. It is
+// guarded by the Node's lock.
 type keyTable struct {
 	entries         map[string]*keyEntry
 	maxEntries      int
@@ -48,8 +48,8 @@
 	}
 }
 
-// inWindow reports whether an attempt that arrived at the given time belongs to the entry: always, while nothing was
-// started.
+// inWindow reports whether an attempt that arrived at the given time belongs to the entry. Any attempt does until one
+// is started.
 func (e *keyEntry) inWindow(arrivedAt time.Time, slack time.Duration) bool {
 	return !e.started || arrivedAt.Before(e.arrivedAt.Add(e.window+slack))
 }
@@ -63,7 +63,7 @@
 	return e
 }
 
-// original returns the attempt that the given one repeats. Where there is none it claims the key and returns nil.
+// original returns the attempt that the given one repeats. If there is none, it claims the key and returns nil.
 func (t *keyTable) original(r *request) *request {
 	if e := t.lookup(r); e != nil {
 		if e.owner == r {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// claim makes an attempt the owner of its key unless another one was started. It returns the key's entry, or nil if
-// the table is full.
+// claim makes an attempt the owner of its key unless an attempt with that key was started. It returns the key's entry,
+// or nil if the table is full.
 func (t *keyTable) claim(r *request) *keyEntry {
 	e := t.lookup(r)
 	switch {
@@ -84,7 +84,7 @@
 		return nil
 	case e == nil:
 		e = &keyEntry{owner: r, fingerprint: r.fingerprint}
-		t.remove(r.IdempotencyKey) // one whose window has passed
+		t.remove(r.IdempotencyKey) // an entry whose window has passed
 		t.entries[r.IdempotencyKey] = e
 	case !e.started:
 		e.owner = r
@@ -92,14 +92,14 @@
 	return e
 }
 
-// started reports whether some attempt under r's key was started within its window.
+// started reports whether an attempt with r's key was started within the window.
 func (t *keyTable) started(r *request) bool {
 	e := t.lookup(r)
 	return e != nil && e.started
 }
 
-// release takes an attempt of which nothing ran off the table. If it owned its key, the key is free and the attempts
-// that waited for it are returned.
+// release removes an attempt that has not run from the table. If the attempt owned its key, the key is released and
+// release returns the attempts that waited for it.
 func (t *keyTable) release(r *request) []*request {
 	e := t.entries[r.IdempotencyKey]
 	if r.IdempotencyKey == "" || e == nil {
@@ -118,7 +118,7 @@
 	return e.coalesced
 }
 
-// expire drops finished entries that no attempt still to be read can belong to.
+// expire removes finished entries that no attempt read from now on can belong to.
 func (t *keyTable) expire(now time.Time) {
 	for key, e := range t.entries {
 		if e.started && e.finished && now.After(e.arrivedAt.Add(e.window+retentionSlacks*t.slack)) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// storeResult keeps a result for retries. It returns false if the result is longer than maxBytes or there is no space
-// for it.
+// storeResult stores a result for retries. It returns false if the result is longer than maxBytes or the table has no
+// space for it.
 func (t *keyTable) storeResult(e *keyEntry, result []byte, maxBytes int) bool {
 	if len(result) > min(maxBytes, t.freeResultBytes) {
 		return false
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,7 +10,8 @@
 	"sloehitch/logic"
 )
 
-// TestRejectionStatus: a front end that can't submit an attempt whose key ran must not promise that it did not.
+// TestRejectionStatus checks that a front end that can't submit an attempt fails it if its key may have run within the
+// window, since a rejection would promise that it did not.
 func TestRejectionStatus(t *testing.T) {
 	h := newHarness(t)
 	h.submit("a", classBook, "k", 0)
@@ -25,24 +26,24 @@
 	}
 }
 
-// TestOutcomes: what the runner is asked for and what callers are answered, for each order of events that matters.
+// TestOutcomes checks the commands to the runner and the responses to the callers for different orders of events.
 func TestOutcomes(t *testing.T) {
 	for _, c := range outcomeCases {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
 			c.play(h)
 			if got := h.runner.String(); got != c.work {
-				t.Errorf("work: %s; want %s", got, c.work)
+				t.Errorf("commands: %s; want %s", got, c.work)
 			}
 			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.want {
-				t.Errorf("responses: %s; want %s", got, c.want)
+				t.Errorf("responses of a, b and c: %s; want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestCanceledAsItStarts: a request that is canceled while admission decides to start it does not count as running
-// for ever.
+// TestCanceledAsItStarts guards against lost run slots: a request that is canceled after admission has decided to start
+// it must not count as running forever.
 func TestCanceledAsItStarts(t *testing.T) {
 	h := newHarness(t)
 	g, err := admission.New(h.opts.Settings, admission.Options{Clock: h.clock})
@@ -61,7 +62,7 @@
 			picked <- d
 		}
 	}()
-	for i := range 20 { // far more than run at once on two cores
+	for i := range 20 { // far more than may run at once on two cores
 		id := fmt.Sprint(i)
 		h.submit(id, i%2, "k"+id, 0)
 		for {
@@ -69,10 +70,10 @@
 			select {
 			case d = <-picked:
 			case <-time.After(standin.WaitTimeout):
-				t.Fatalf("request %d is not started: the ones before it still count", i)
+				t.Fatalf("request %d was not started: canceled requests before it still count as running", i)
 			}
 			if d.Kind != admission.Run {
-				continue // it stores a key
+				continue // a StoreKey decision
 			}
 			h.Cancel(id)
 			h.ApplyDecision(d)
@@ -80,12 +81,12 @@
 		}
 	}
 	if got := h.runner.String(); got != "" {
-		t.Errorf("started: %s", got)
+		t.Errorf("commands to the runner: %s, want none", got)
 	}
 }
 
-// TestBeginResponse: a request whose response has begun can't be rejected any more. Only the response of a run that
-// is unanswered and need not be stored may begin.
+// TestBeginResponse checks that a response may begin only if its request runs, is unanswered and has no key, and that a
+// request whose response has begun is failed instead of rejected.
 func TestBeginResponse(t *testing.T) {
 	h := newHarness(t)
 	var got []Response
@@ -93,39 +94,39 @@
 		h.Submit(Request{ID: fmt.Sprint(i), Class: class, IdempotencyKey: "k", ArrivedAt: h.clock.now, Runner: h.runner}, func(a Response) { got = append(got, a) })
 	}
 	if h.BeginResponse("0") || h.BeginResponse("none") {
-		t.Error("the response of a request that does not run has begun")
+		t.Error("BeginResponse accepted a request that does not run")
 	}
 	for i := range 3 {
 		h.decide(fmt.Sprint(i), admission.Run)
 	}
 	first, again := h.BeginResponse("0"), h.BeginResponse("0")
 	if !first || !again || !h.BeginResponse("1") || h.BeginResponse("2") {
-		t.Error("the response of a run may not begin, or one that is stored for retries may")
+		t.Error("BeginResponse refused a running request, or accepted one whose response is stored for retries")
 	}
 	h.decide("0", admission.Reject)
 	h.RunEnded("1", logic.OutcomeOK, 0, nil)
 	if h.BeginResponse("0") {
-		t.Error("the response of an answered request has begun")
+		t.Error("BeginResponse accepted an answered request")
 	}
 	if len(got) != 2 || got[0].Status != StatusFailed || !got[0].ResponseStarted || got[1].Status != StatusServed || !got[1].ResponseStarted {
-		t.Errorf("%+v", got)
+		t.Errorf("responses %+v, want failed and served, both with ResponseStarted", got)
 	}
 }
 
-// TestAttemptTimeout: the deadline of a request is that of its caller, if it is sooner than its class's.
+// TestAttemptTimeout checks that a request's deadline is the earlier of its caller's and its class's.
 func TestAttemptTimeout(t *testing.T) {
 	h := newHarness(t)
 	for _, c := range []struct{ wait, want time.Duration }{{0, time.Minute}, {time.Second, time.Second}, {time.Hour, time.Minute}} {
 		id := fmt.Sprint(c.wait)
 		h.Submit(Request{ID: id, ArrivedAt: h.clock.now, AttemptTimeout: c.wait, Runner: h.runner}, func(Response) {})
 		if got := h.byID[id].deadline.Sub(h.clock.now); got != c.want {
-			t.Errorf("a timeout of %v: deadline after %v, want %v", c.wait, got, c.want)
+			t.Errorf("attempt timeout %v: deadline after %v, want %v", c.wait, got, c.want)
 		}
 	}
 }
 
-// TestStoredResultsAreBounded: a result beyond the limit is not stored, so its retry fails; what expires makes room
-// again.
+// TestStoredResultsAreBounded checks that a result for which there is no space is not stored, so that its retry fails,
+// and that expired keys release their space.
 func TestStoredResultsAreBounded(t *testing.T) {
 	h := newHarness(t)
 	h.keys.freeResultBytes = 5
@@ -138,17 +139,17 @@
 		id := fmt.Sprint(i)
 		run(id, []string{"k", "l", "k", "l"}[i])
 		if got := fmt.Sprint(h.responses[id]); got != want {
-			t.Errorf("%d: %s, want %s", i, got, want)
+			t.Errorf("request %d: responses %s, want %s", i, got, want)
 		}
 	}
 	h.clock.now = h.clock.now.Add(time.Hour)
 	h.Sweep()
 	if run("5", "l"); h.keys.freeResultBytes != 1 || len(h.keys.entries) != 1 || h.runner.String() != "start 0, start 1, start 5" {
-		t.Errorf("%d bytes left, %d keys after an hour; %s", h.keys.freeResultBytes, len(h.keys.entries), h.runner)
+		t.Errorf("after an hour: %d bytes free, want 1; %d keys, want 1; commands %s", h.keys.freeResultBytes, len(h.keys.entries), h.runner)
 	}
 }
 
-// TestTablesAreBounded: neither requests nor keys may take more than their limits.
+// TestTablesAreBounded checks the limits on requests in flight and on keys, and that Sweep empties both tables.
 func TestTablesAreBounded(t *testing.T) {
 	h := newHarness(t)
 	h.opts.Limits.MaxInFlight, h.keys.maxEntries = 3, 2
@@ -158,7 +159,7 @@
 		h.decide(id, admission.Run)
 	}
 	if got := h.runner.String(); got != "start 0, start 1" || len(h.byNumber) != 2 {
-		t.Errorf("%s, %d in flight; want two, as there is room for two keys", got, len(h.byNumber))
+		t.Errorf("commands %s, %d requests in flight; want two runs, as there is room for two keys", got, len(h.byNumber))
 	}
 	for i := range 5 {
 		h.submit(fmt.Sprint("r", i), classRead, "", 0)
@@ -167,7 +168,7 @@
 		t.Errorf("%d in flight, %d unanswered; want 3", len(h.byNumber), h.unanswered)
 	}
 	h.clock.now = h.clock.now.Add(time.Hour)
-	h.Sweep() // runs whose end was never reported
+	h.Sweep() // removes the runs whose end was never reported
 	h.Sweep()
 	if c, inFlight, keys := h.Totals(); inFlight != 0 || keys != 0 || c.Read != 10 {
 		t.Errorf("after an hour: %d in flight, %d keys, %+v", inFlight, keys, c)
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Status is how a request was answered.
+// Status says how a request was answered.
 type Status int
 
-// The statuses of a response. A rejection promises that the attempt never ran, so that it may be sent elsewhere.
+// The statuses of a response. A rejection promises that the attempt never ran, so that it may be sent to another node.
 const (
-	StatusServed   Status = iota // with the result of its own run, or of the run of its key
-	StatusRejected               // it never ran
-	StatusFailed                 // nothing is promised
+	StatusServed   Status = iota // answered with the result of its own run, or of its key's run
+	StatusRejected               // never ran
+	StatusFailed                 // may have run
 )
 
 // Response is the one final response to a request.
 type Response struct {
 	Status           Status
 	Result           []byte
-	RetryAfter       time.Duration // StatusRejected: how long to stay away; 0: not said
-	NoFailover       bool          // StatusRejected: no other node would accept it either
-	DeadlineExceeded bool          // StatusFailed: its deadline has come
-	KeyReused        bool          // StatusFailed: its key belongs to a request of another content
-	ResponseStarted  bool          // part of the result is with the caller: only its end is left to report
+	RetryAfter       time.Duration // StatusRejected: how long to wait before a retry; 0: unspecified
+	NoFailover       bool          // StatusRejected: no other node would accept the request either
+	DeadlineExceeded bool          // StatusFailed: the deadline has passed
+	KeyReused        bool          // StatusFailed: the key belongs to a request with different content
+	ResponseStarted  bool          // part of the result was passed to the caller: only its end remains to be reported
 }
 
-// respond gives a request its final response. Nothing else does. The rules:
+// respond sends the final response to a request. It is the only function that does:
 //
-//   - Only the first response counts.
-//   - A rejection says that the request never ran. It becomes a failure where its key may have run, where a request that
-//     is not idempotent was handed to its runner, and once part of the response is with the caller.
+//   - Any response after the first is dropped.
+//   - A rejection promises that the request never ran. It is turned into a failure if the request's key may have run, if
+//     the request is not idempotent and was passed to its runner, or if part of the response was passed to the caller.
 func (n *Node) respond(r *request, response Response) {
 	if r.settled {
 		return
@@ -61,7 +61,7 @@
 	n.markAnswered(r)
 }
 
-// markAnswered takes a request off those that are owed a response.
+// markAnswered stops the deadline timer of a request and no longer counts it as unanswered.
 func (n *Node) markAnswered(r *request) {
 	if r.deadlineTimer != nil {
 		r.deadlineTimer.Stop()
@@ -69,10 +69,10 @@
 	n.unanswered--
 }
 
-// BeginResponse says that the front end is about to pass on the first part of a run's response before the run has
-// ended. It returns false if nothing of it may be passed on: the request is answered or does not run, or its response
-// is to be stored for retries of its key. After it the request's final response, which comes by its deadline as
-// always, says only how the response ends.
+// BeginResponse reports that the front end is about to pass on the first part of a run's response before the run has
+// ended. It returns false if no part may be passed on: the request is answered or does not run, or its response is to
+// be stored for retries of its key. Afterwards, the request's final response, which still comes by its deadline, says
+// only how the response ends.
 func (n *Node) BeginResponse(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,8 +84,8 @@
 	return true
 }
 
-// RejectionStatus returns the status with which a front end is to answer a request of the named class and key (empty:
-// none) that it can't submit: StatusFailed if a request of that key may have run, StatusRejected otherwise.
+// RejectionStatus returns the status with which a front end must answer a request of the given class and key (empty:
+// none) that it can't submit: StatusFailed if a request with that key may have run, StatusRejected otherwise.
 func (n *Node) RejectionStatus(class, key string) Status {
 	if key == "" {
 		return StatusRejected
@@ -103,7 +103,7 @@
 	return StatusRejected
 }
 
-// Unanswered is the number of requests that are owed a response.
+// Unanswered returns the number of requests without a final response.
 func (n *Node) Unanswered() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// answerDecided answers a request as admission decided, and removes it if nothing of it runs.
+// answerDecided answers a request as admission decided, and removes it if it has no run.
 func (n *Node) answerDecided(r *request, response Response) {
 	if r.stage == stageRecording {
 		n.withdrawStart(r, response)
@@ -67,14 +67,15 @@
 	}
 }
 
-// rejectUnrun rejects a request that was to be started and may not be. It names no Retry-After: logic computes that
-// from its backlog when it rejects, and it had admitted this request. The caller may try another server at once.
+// rejectUnrun rejects a request that admission has started but that must not run. The response has no Retry-After: logic
+// computes that from its backlog when it rejects a request, and it has admitted this one. The caller may try another
+// server at once.
 func (n *Node) rejectUnrun(r *request) {
 	n.respond(r, Response{Status: StatusRejected})
 	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 }
 
-// startRun hands a request to its runner.
+// startRun passes a request to its runner.
 func (n *Node) startRun(r *request) {
 	if r.recordTimer != nil {
 		r.recordTimer.Stop()
@@ -90,7 +91,7 @@
 	}
 }
 
-// stopRun stops or pauses a run, or has it paused as soon as it starts.
+// stopRun stops or pauses a run. A run whose start is still being recorded is paused as soon as it starts.
 func (n *Node) stopRun(r *request) {
 	switch r.stage {
 	case stageRecording:
@@ -101,8 +102,8 @@
 	}
 }
 
-// RunEnded reports the end of a run: how it ended, how long it took and its result. The end of a run that is not in
-// flight is ignored.
+// RunEnded reports the end of a run with its outcome, duration and result. The end of a run that is not in flight is
+// ignored.
 func (n *Node) RunEnded(id string, outcome admission.Outcome, elapsed time.Duration, result []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,14 +116,13 @@
 	n.finishRun(r, outcome, elapsed, result)
 }
 
-// finishRun reports the end of a request's run to admission, and answers the request and all that were coalesced with
-// it.
+// finishRun reports the end of a request's run to admission, and answers the request and all attempts coalesced with it.
 func (n *Node) finishRun(r *request, outcome admission.Outcome, elapsed time.Duration, result []byte) {
 	n.opts.Admission.Report(admission.RunEnded(r.number, outcome, elapsed))
 	n.completeRun(r, outcome, result)
 }
 
-// completeRun is finishRun but for the report to admission.
+// completeRun does what finishRun does, without the report to admission.
 func (n *Node) completeRun(r *request, outcome admission.Outcome, result []byte) {
 	started := r.stage == stageRunning
 	r.stage = stageEnded
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -7,8 +7,8 @@
 	"sloehitch/logic"
 )
 
-// Submit takes a request that was read. reply gets its one final response, unless Cancel comes first; it is called
-// with the Node's lock held, possibly before Submit returns, and must not block.
+// Submit accepts a request that was read. reply is called with its one final response, unless Cancel is called before.
+// reply is called with the Node's lock held, possibly before Submit returns, and must not block.
 func (n *Node) Submit(attempt Request, reply func(Response)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -23,7 +23,7 @@
 	if r.IdempotencyKey != "" && n.answerFromKeyTable(r) {
 		return
 	}
-	// Past the grace a repeat of a run is answered from it even now.
+	// After the drain grace, a repeat of a request that may have run is still answered from that run.
 	tooLate := n.answeredForKill(now) || (n.pastDrainGrace(r) && !n.keyMayHaveRun(r))
 	if tooLate {
 		n.respond(r, Response{Status: StatusRejected, RetryAfter: duration(n.opts.Settings.MaxRetryAfter)})
@@ -37,8 +37,9 @@
 	n.reportArrival(r, now)
 }
 
-// rejectUntrackable answers a request that can't be registered: one whose id is in flight already, one beyond the
-// limit on requests, and a keyed one without a key, whose retries could not be recognized.
+// rejectUntrackable answers a request that can't be registered and reports whether it did: a request whose ID is in
+// flight already, a request beyond limits.Limits.MaxInFlight, or a keyed request without a key, whose retries could not
+// be recognized.
 func (n *Node) rejectUntrackable(r *request) bool {
 	idempotency := n.opts.Settings.Classes[r.Class].Idempotency
 	duplicate := n.byID[r.ID] != nil
@@ -46,7 +47,7 @@
 	keyMissing := idempotency == logic.IdempotentByKey && r.IdempotencyKey == ""
 	switch {
 	case duplicate && idempotency != logic.Idempotent:
-		// The first request of that id may run: a rejection would promise that it did not.
+		// The first request with that ID may have run, but a rejection would promise that it did not.
 		n.trace("request id already in flight", r)
 		n.respond(r, Response{Status: StatusFailed})
 	case duplicate, full, keyMissing:
@@ -57,7 +58,7 @@
 	return true
 }
 
-// reportArrival reports a request to admission, as of one that was read just now.
+// reportArrival reports a request to admission as if it had just been read.
 func (n *Node) reportArrival(r *request, now time.Time) {
 	n.lastNumber++
 	r.number, r.stage, r.reportedAt = n.lastNumber, stageQueued, now
@@ -81,19 +82,19 @@
 	n.opts.Admission.Report(admission.Arrived(r.number, arrival))
 }
 
-// unreport has admission forget a request of which nothing ran.
+// unreport removes a request that has not run from admission.
 func (n *Node) unreport(r *request) {
 	n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeNotStarted, 0))
 	delete(n.byNumber, r.number)
 }
 
-// resubmit reports a request that waited for another attempt, of which nothing ran, as a new one.
+// resubmit reports a request to admission as a new one, after the attempt that it waited for ended without a run.
 func (n *Node) resubmit(r *request) {
 	n.unreport(r)
 	n.reportArrival(r, n.opts.Clock.Now())
 }
 
-// remove forgets a request of which nothing runs and to which no response is owed.
+// remove unregisters a request that has no run and needs no response.
 func (n *Node) remove(r *request) {
 	if n.byNumber[r.number] != r {
 		return
@@ -107,6 +108,6 @@
 		n.opts.Dependency.Cancel(r.ID)
 	}
 	n.releaseKey(r)
-	// The key table holds on to its owners: drop what only a request in flight needs.
+	// The key table keeps a reference to the owner of a key: release what only a request in flight needs.
 	r.Body, r.Content, r.callBody, r.reply, r.deadlineTimer, r.recordTimer = nil, nil, nil, nil, nil, nil
 }
--- a/internal/node/unconfirmed.go
+++ b/internal/node/unconfirmed.go
@@ -5,10 +5,10 @@
 	"sloehitch/logic"
 )
 
-// DeliveryUnconfirmed reports that a command to a run may not have reached its runner: the start, or, where call is
-// not 0, the reply to the call of that notice. Neither is sent again, as the run may be on, or over with the report
-// of its end on the way. A run continues without its call where the class allows that: a skip names its call and
-// affects no other. What else comes of the run is waited for until the request's deadline.
+// DeliveryUnconfirmed reports that a command to a run may not have reached its runner: the start, or, if callNotice is
+// not 0, the reply to the call that this notice requested. Neither is sent again, as the run may be in progress, or may
+// have ended with the report of its end on the way. If the class allows it, the run continues without the call; the skip
+// command names the call and affects no other. Otherwise the end of the run is awaited until the request's deadline.
 func (n *Node) DeliveryUnconfirmed(id string, callNotice uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -24,8 +24,9 @@
 	r.unconfirmed = true
 }
 
-// abandonRun ends an unconfirmed run once its request is answered: admission would count it as running for ever. Its
-// key stays claimed, since it may have run. No failure is reported to admission, as none is known.
+// abandonRun ends an unconfirmed run once its request is answered, since admission would otherwise count it as running
+// forever. Its key stays claimed, since it may have run. It is not reported to admission as failed, since no failure is
+// known.
 func (n *Node) abandonRun(r *request) {
 	if !r.unconfirmed || !r.settled || r.stage != stageRunning {
 		return
