--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,6 +1,6 @@
 // Package admission serializes access to the logic.Server, a state machine without I/O or locks. A Controller collects
-// events (Report), steps logic on a goroutine of its own, and hands out its decisions (Next). It also keeps logic's
-// clock: a timer that logic has set is delivered together with the server's gauges.
+// events (Report), steps the logic.Server on its own goroutine and returns its decisions (Next). It also provides the
+// clock and the timer of the logic.Server; an expired timer is delivered together with the server's gauges.
 package admission
 
 import (
@@ -13,26 +13,26 @@
 	"sloehitch/logic"
 )
 
-// Options are what a Controller needs beside logic's settings.
+// Options configures a Controller, in addition to the settings of the logic.Server.
 type Options struct {
 	Seed  uint64
 	Clock clock.Clock
-	// OnDecision, if not nil, is given each decision from a callback of Clock. The Controller then has no goroutine
-	// of its own, all calls to it must come from the clock's callbacks, and Next is not to be used. It is for virtual
+	// OnDecision, if not nil, is called with each decision from a callback of Clock. The Controller then has no
+	// goroutine, all calls to it must come from the clock's callbacks, and Next must not be used. It is for virtual
 	// clocks.
 	OnDecision func(Decision)
-	// RequestGauges asks for the server's gauges; they are to be passed to ReportGauges. It must not block. Nil:
-	// there are none.
+	// RequestGauges requests the server's gauges, which the host then passes to ReportGauges. It must not block. Nil:
+	// there are no gauges.
 	RequestGauges func()
-	// GaugesTimeout is how long a due timer waits for the gauges. While the machine stands still none come, and
-	// logic, stepped then, would take the runs for stalled.
+	// GaugesTimeout is how long an expired timer waits for the gauges. While the machine is suspended no gauges arrive,
+	// and a step of the logic.Server at that time would take the runs for stalled.
 	GaugesTimeout time.Duration
-	LearnedState  *logic.LearnedState // of an earlier process of this node, to begin with; nil: none
+	LearnedState  *logic.LearnedState // initial state, from an earlier process of this node; nil: none
 }
 
-// Controller owns one logic.Server. New makes one and Close ends it. Its methods may be called from any goroutine
-// and, but for Next and LearnedState, never block. The logic.Server and the timer belong to the goroutine that runs
-// loop.
+// Controller owns one logic.Server. New creates a Controller and Close ends it. Its methods may be called from any
+// goroutine and, except Next and LearnedState, do not block. The logic.Server and the timer are used only by the
+// goroutine that runs loop.
 type Controller struct {
 	server *logic.Server
 	opts   Options
@@ -40,30 +40,30 @@
 	mu               sync.Mutex
 	events           []logic.Event
 	decisions        []Decision
-	ready            *sync.Cond // there are decisions, or the controller is closed
+	ready            *sync.Cond // signals that there are decisions or that the controller is closed
 	closed           bool
-	newSettings      *logic.Settings // to be applied before the next events; nil: none
-	newResourceShare float64         // likewise; 0: none
+	newSettings      *logic.Settings // applied before the next events; nil: none
+	newResourceShare float64         // applied before the next events; 0: none
 	learnedRequests  []chan logic.LearnedState
 
 	wake            chan struct{}
 	gauges          chan Gauges
-	timerDue        chan uint64 // numbers of timers
+	timerDue        chan uint64 // numbers of expired timers
 	timer           clock.Timer
-	timerNumber     uint64 // of the newest timer; older ones are void
-	timerID         uint64 // logic's name for it
-	stepScheduled   bool   // with OnDecision: a callback that steps logic is set
+	timerNumber     uint64 // number of the latest timer; earlier ones are ignored
+	timerID         uint64 // TimerID that the logic.Server gave its timer
+	stepScheduled   bool   // with OnDecision: a step is scheduled by a clock callback
 	done            chan struct{}
-	gaugesRequested bool // the timer is due and waits for gauges
+	gaugesRequested bool // the timer has expired and waits for gauges
 	lastStepAt      logic.Micros
 	lastGauges      Gauges
 
-	loadSignal  atomic.Uint64 // bits of a float64; NaN until logic sets it
+	loadSignal  atomic.Uint64 // bits of a float64; NaN until the logic.Server sets it
 	unhealthy   atomic.Bool
 	idleTimeout atomic.Int64 // nanoseconds
 }
 
-// New starts a Controller of a logic.Server with these settings.
+// New starts a Controller for a logic.Server with the given settings.
 func New(cfg logic.Settings, opts Options) (*Controller, error) {
 	server, err := logic.New(cfg, opts.Seed)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return c, nil
 }
 
-// Report passes events on to logic.
+// Report passes events to the logic.Server, which handles them in its next step.
 func (c *Controller) Report(events ...Event) {
 	c.mu.Lock()
 	for _, e := range events {
@@ -104,7 +104,8 @@
 	c.scheduleStep()
 }
 
-// ReportGauges passes on the gauges that RequestGauges asked for. Gauges that nothing waits for are dropped.
+// ReportGauges passes on the gauges that RequestGauges requested. It drops them if earlier gauges are still to be
+// handled.
 func (c *Controller) ReportGauges(gauges Gauges) {
 	if c.opts.OnDecision != nil {
 		c.opts.Clock.AfterFunc(0, func() { c.gaugesReceived(gauges) })
@@ -116,8 +117,8 @@
 	}
 }
 
-// Reconfigure has logic use new settings before any event reported after this call. cfg must have passed
-// logic.New's checks and keep the classes and tenants in their places (logic.Server.Reconfigure).
+// Reconfigure applies new settings before any event that is reported after this call. cfg must be valid for logic.New
+// and keep the indices of classes and tenants (logic.Server.Reconfigure).
 func (c *Controller) Reconfigure(cfg logic.Settings) {
 	c.mu.Lock()
 	c.newSettings = &cfg
@@ -125,8 +126,8 @@
 	c.scheduleStep()
 }
 
-// SetResourceShare has logic use a fraction of the cores and the memory, above 0 and at most 1: another process
-// of this node has the rest.
+// SetResourceShare limits the logic.Server to a fraction of the cores and the memory, above 0 and at most 1. Another
+// process of this node uses the rest.
 func (c *Controller) SetResourceShare(fraction float64) {
 	c.mu.Lock()
 	c.newResourceShare = fraction
@@ -134,8 +135,8 @@
 	c.scheduleStep()
 }
 
-// LearnedState returns what logic has learned so far. It waits for logic's next step, which is short. It
-// returns false if the controller is closed.
+// LearnedState returns the learned state of the logic.Server. It waits for the next step, which is short. It returns
+// false if the controller is closed.
 func (c *Controller) LearnedState() (logic.LearnedState, bool) {
 	if c.opts.OnDecision != nil {
 		return c.server.LearnedState(), true
@@ -153,8 +154,8 @@
 	}
 }
 
-// Next waits for the next decision and returns it. It returns false once the controller is closed and no decision is
-// left.
+// Next waits for the next decision and returns it. It returns false once the controller is closed and all decisions have
+// been returned.
 func (c *Controller) Next() (Decision, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,7 +172,7 @@
 	return d, true
 }
 
-// Close ends the controller.
+// Close stops the controller.
 func (c *Controller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,14 +183,14 @@
 	}
 }
 
-// LoadSignal returns the load signal for callers; false until logic sets one.
+// LoadSignal returns the load signal for callers, or false if none has been set.
 func (c *Controller) LoadSignal() (float64, bool) {
 	v := math.Float64frombits(c.loadSignal.Load())
 	return v, !math.IsNaN(v)
 }
 
-// Healthy is logic's answer to health checks.
+// Healthy reports whether health checks are to succeed.
 func (c *Controller) Healthy() bool { return !c.unhealthy.Load() }
 
-// IdleTimeout is how long an unused connection may stay open; 0: as long as its caller likes.
+// IdleTimeout returns how long an idle connection may stay open, or 0 for no limit.
 func (c *Controller) IdleTimeout() time.Duration { return time.Duration(c.idleTimeout.Load()) }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -22,32 +22,33 @@
 	return c
 }
 
-// TestReportAndNext: what is reported leads to decisions, and gauges that show idle cores let more requests run.
+// TestReportAndNext checks that reported arrivals lead to decisions and that gauges of idle cores let more requests run.
 func TestReportAndNext(t *testing.T) {
 	requested := make(chan struct{}, 100)
 	c := open(t, Options{GaugesTimeout: time.Hour, RequestGauges: func() { requested <- struct{}{} }})
 	c.Report(Arrived(1, Arrival{Tenant: -1, MemoryKB: 10}), Arrived(2, Arrival{Tenant: -1, MemoryKB: 10}))
 	for _, want := range []uint64{1, 2} {
 		if d, ok := c.Next(); !ok || d.Kind != Run || d.ID != want {
-			t.Fatalf("decided %+v, want to run %d", d, want)
+			t.Fatalf("decision %+v, want Run of request %d", d, want)
 		}
 	}
 	if v, set := c.LoadSignal(); !set || v != 0 || !c.Healthy() {
-		t.Errorf("signal %v %v, healthy %v", v, set, c.Healthy())
+		t.Errorf("load signal %v, set %v, healthy %v; want 0, true, true", v, set, c.Healthy())
 	}
-	<-requested // logic sets a timer while it has work, and waits for the gauges
+	<-requested // the timer has expired and waits for the gauges
 	c.Report(Arrived(3, Arrival{Tenant: -1, MemoryKB: 10}))
 	c.ReportGauges(Gauges{RunQueueLength: 0, CPUUtilization: 0})
 	if d, ok := c.Next(); !ok || d.Kind != Run || d.ID != 3 {
-		t.Errorf("decided %+v: gauges that show idle cores let one more run", d)
+		t.Errorf("decision %+v, want Run of request 3 after gauges that show idle cores", d)
 	}
 	c.Close()
 	if _, ok := c.Next(); ok {
-		t.Error("a decision of a closed controller")
+		t.Error("Next returned a decision of a closed controller")
 	}
 }
 
-// TestTimerWithoutGauges: a runtime that reports no gauges must not stop logic's clock, by which it answers.
+// TestTimerWithoutGauges checks that the timer is delivered although a runtime reports no gauges. Without the timer,
+// requests would not be answered at their deadlines.
 func TestTimerWithoutGauges(t *testing.T) {
 	c := open(t, Options{GaugesTimeout: time.Millisecond, RequestGauges: func() {}})
 	timeout := settings.Classes[0].ClientTimeout
@@ -55,10 +56,10 @@
 	for {
 		d, ok := c.Next()
 		if !ok {
-			t.Fatal("closed")
+			t.Fatal("the controller was closed before it answered the request")
 		}
 		if d.Kind == Reject || d.Kind == Fail {
-			return // it was answered with no other event than the timer
+			return // the timer was the only event after the arrival
 		}
 	}
 }
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -7,28 +7,28 @@
 	"sloehitch/logic"
 )
 
-// DecisionKind says what was decided about a request.
+// DecisionKind is the kind of a Decision.
 type DecisionKind int
 
 // The kinds of decisions.
 const (
-	Run       DecisionKind = iota // start it, or resume its paused run
-	Reject                        // final response: rejected, it never ran
+	Run       DecisionKind = iota // start the request, or resume its paused run
+	Reject                        // final response: rejected, never ran
 	Fail                          // final response: failed
-	Stop                          // stop or pause its run
-	Coalesce                      // answer it as the request that it repeats
-	StoreKey                      // put its idempotency key into the key table
-	DeleteKey                     // take it out
-	MakeCall                      // make the call to the dependency that its run waits for
-	SkipCall                      // continue its run without that call
+	Stop                          // stop or pause the run
+	Coalesce                      // answer the request like the one that it repeats
+	StoreKey                      // store the request's idempotency key in the key table
+	DeleteKey                     // delete the request's idempotency key from the key table
+	MakeCall                      // make the call to the dependency that the run waits for
+	SkipCall                      // continue the run without that call
 )
 
-// Decision is one thing that logic decided about one request.
+// Decision is a decision about one request.
 type Decision struct {
 	Kind       DecisionKind
 	ID         uint64
-	Duration   time.Duration // Reject: when to retry; MakeCall: the call's timeout; StoreKey: for how long
-	NoFailover bool          // Reject: no other node would accept it either
+	Duration   time.Duration // Reject: Retry-After; MakeCall: timeout of the call; StoreKey: lifetime of the entry
+	NoFailover bool          // Reject: no other node would accept the request either
 }
 
 var decisionKinds = map[logic.ActionKind]DecisionKind{
@@ -43,8 +43,8 @@
 	logic.ActionSkipCall:  SkipCall,
 }
 
-// decisionOf returns the decision that an action stands for. An action that concerns the server instead is carried
-// out, and the result is false.
+// decisionOf returns the decision for an action that concerns a request. It carries out any other action, which concerns
+// the server, and returns false.
 func (c *Controller) decisionOf(action logic.Action) (Decision, bool) {
 	switch action.Kind {
 	case logic.ActionSetTimer:
--- a/internal/admission/loop.go
+++ b/internal/admission/loop.go
@@ -6,7 +6,7 @@
 	"sloehitch/logic"
 )
 
-// scheduleStep has logic stepped soon.
+// scheduleStep schedules a step of the logic.Server as soon as possible.
 func (c *Controller) scheduleStep() {
 	if c.opts.OnDecision == nil {
 		select {
@@ -24,7 +24,7 @@
 	}
 }
 
-// loop steps logic until Close.
+// loop steps the logic.Server until Close is called.
 func (c *Controller) loop() {
 	for {
 		select {
@@ -42,7 +42,7 @@
 	}
 }
 
-// setTimer has timerFired called after d, in place of any timer set before.
+// setTimer sets the timer to call timerFired after d. It replaces an earlier timer.
 func (c *Controller) setTimer(d time.Duration) {
 	if c.timer != nil {
 		c.timer.Stop()
@@ -61,8 +61,8 @@
 	})
 }
 
-// timerFired asks for the gauges that a due timer is delivered with, or delivers it without those that did not come
-// in time.
+// timerFired requests gauges for the expired timer. If they were requested already and have not arrived in time, it
+// delivers the timer with the previous gauges.
 func (c *Controller) timerFired() {
 	if !c.gaugesRequested && c.opts.RequestGauges != nil {
 		c.gaugesRequested = true
@@ -73,14 +73,15 @@
 	c.step(true)
 }
 
-// gaugesReceived takes in gauges, and delivers the timer if it waited for them.
+// gaugesReceived stores gauges and delivers the timer if it waits for them.
 func (c *Controller) gaugesReceived(gauges Gauges) {
 	c.lastGauges = gauges
 	c.step(c.gaugesRequested)
 }
 
-// step applies what was asked of logic since the last step, steps it on the events since then and, if timerDue
-// is set, on its timer, and hands out its decisions.
+// step applies the settings and the resource share that were set since the last step, answers requests for the learned
+// state, steps the logic.Server with the events reported since then and, if timerDue is set, with its timer, and passes
+// on the resulting decisions.
 func (c *Controller) step(timerDue bool) {
 	c.mu.Lock()
 	events, closed, settings, learned, share := c.events, c.closed, c.newSettings, c.learnedRequests, c.newResourceShare
@@ -91,7 +92,7 @@
 	}
 	if settings != nil {
 		if err := c.server.Reconfigure(*settings); err != nil {
-			panic(err) // the caller has checked them: the classes of requests in flight would be lost
+			panic(err) // the caller has validated them; continuing would mix up the classes of requests in flight
 		}
 	}
 	if share > 0 {
@@ -107,12 +108,12 @@
 	if len(events) == 0 && share == 0 {
 		return
 	}
-	// The clock of logic never goes back, whatever is done to the system's.
+	// The time of the logic.Server must not decrease, even if the system clock is set back.
 	c.lastStepAt = max(c.lastStepAt, logic.Micros(c.opts.Clock.Now().UnixMicro()))
 	c.handOut(c.server.Step(c.lastStepAt, events))
 }
 
-// handOut carries out the actions that concern the server, and passes those that concern requests on to Next or
+// handOut carries out the actions that concern the server and passes the decisions about requests to Next or
 // OnDecision.
 func (c *Controller) handOut(actions []logic.Action) {
 	var decisions []Decision
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -9,10 +9,10 @@
 	"sloehitch/logic"
 )
 
-// absent is an optional field without a value.
+// absent marks an optional field without a value.
 const absent = "-"
 
-// lineFields reads the fields of a line one by one and keeps the first error.
+// lineFields parses the fields of a line one by one and keeps the first error.
 type lineFields struct {
 	rest string
 	err  error
@@ -24,10 +24,10 @@
 	return field
 }
 
-// invalid reports an invalid field.
+// invalid records the error of an invalid field, unless an earlier one is recorded.
 func (f *lineFields) invalid(name, value string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("bad %s %q", name, value)
+		f.err = fmt.Errorf("invalid %s %q", name, value)
 	}
 }
 
@@ -40,7 +40,7 @@
 	return value
 }
 
-// optional returns a field that may be absent, which is "".
+// optional returns a field that may be absent, or "" if it is.
 func (f *lineFields) optional() string {
 	if value := f.next(); value != absent {
 		return value
@@ -52,7 +52,7 @@
 	return f.parseUnsigned(name, f.required(name))
 }
 
-// optionalUnsigned returns 0 for an absent field.
+// optionalUnsigned returns an unsigned integer, or 0 if the field is absent.
 func (f *lineFields) optionalUnsigned(name string) uint64 {
 	value := f.optional()
 	if value == "" {
@@ -69,7 +69,7 @@
 	return n
 }
 
-// micros returns a time that must be there and is not negative.
+// micros returns a time that must be present and must not be negative.
 func (f *lineFields) micros(name string) logic.Micros {
 	value := f.required(name)
 	n, err := strconv.ParseInt(value, 10, 64)
@@ -79,7 +79,7 @@
 	return logic.Micros(n)
 }
 
-// optionalMicros returns 0 for an absent field.
+// optionalMicros returns a time, or 0 if the field is absent.
 func (f *lineFields) optionalMicros(name string) logic.Micros {
 	n := f.optionalUnsigned(name)
 	if n > math.MaxInt64 {
@@ -88,7 +88,7 @@
 	return logic.Micros(n)
 }
 
-// optionalFloat returns 0 for an absent field.
+// optionalFloat returns a finite number, or 0 if the field is absent.
 func (f *lineFields) optionalFloat(name string) float64 {
 	value := f.optional()
 	if value == "" {
@@ -106,7 +106,7 @@
 	return v
 }
 
-// done returns the first error of the line, or one for fields that are left over.
+// done returns the first error of the line, or an error if fields remain.
 func (f *lineFields) done() error {
 	if f.err == nil && f.rest != "" {
 		f.invalid("trailing text", f.rest)
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -1,7 +1,7 @@
-// Package simadapter runs servers of package logic under the simulator: it reads batches of messages, one message a
-// line, and writes the actions of each batch. It takes no decision.
+// Package simadapter runs servers of package logic for the simulator: it reads batches of messages, one message per
+// line, and writes the actions of each batch. It makes no decisions of its own.
 //
-// A batch carries a time. Every instance that it mentions takes one step at that time, in the order of the first
+// A batch carries a time. Every instance that the batch mentions takes one step at that time, in the order of first
 // mention.
 package simadapter
 
@@ -19,33 +19,33 @@
 // inputBufferSize is the size of the read buffer, in bytes.
 const inputBufferSize = 1 << 20
 
-// Errors of the order of messages.
+// Errors in the sequence of messages.
 var (
 	errEmptyLine   = errors.New("empty line inside a batch")
 	errNestedBatch = errors.New(messageBatchBegin + " inside a batch")
 )
 
-// instance is one server with its events of the current batch.
+// instance is one server with its events in the current batch.
 type instance struct {
 	id      string
-	server  *logic.Server // nil after its end
+	server  *logic.Server // nil after the instance has ended
 	names   *settings.NameIndex
 	events  []logic.Event
-	touched bool // mentioned by the current batch
+	touched bool // mentioned in the current batch
 }
 
 // session is the state of one connection to the simulator.
 type session struct {
 	instances map[string]*instance
-	touched   []*instance // mentioned by the current batch, in order of first mention
+	touched   []*instance // mentioned in the current batch, in order of first mention
 	now       logic.Micros
 	batch     string
 	inBatch   bool
 	output    []byte // of the current batch; the next one reuses the memory
 }
 
-// Serve answers batches from r on w until r ends. It returns an error that names the line of an invalid message; a
-// clean end of r is none.
+// Serve reads batches from r and writes their actions to w until r ends. It returns an error with the line number of an
+// invalid message, and nil if r ends outside a batch.
 func Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, inputBufferSize)
 	s := &session{instances: map[string]*instance{}}
@@ -60,7 +60,7 @@
 	}
 }
 
-// endOfInput returns nil for a clean end of the input.
+// endOfInput returns the error for the end of the input: nil at EOF outside a batch.
 func (s *session) endOfInput(err error, number int) error {
 	if !errors.Is(err, io.EOF) {
 		return err
@@ -116,7 +116,7 @@
 		}
 		return f.done()
 	case i == nil || i.server == nil:
-		return fmt.Errorf("%s for instance %s, which has not begun", message, id)
+		return fmt.Errorf("%s for instance %s, which is not running", message, id)
 	}
 	ev, err := parseEvent(message, f, i.names)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// startInstance starts a server, in place of one that ran under the same id.
+// startInstance starts a server. It replaces a server that runs with the same ID.
 func (s *session) startInstance(id string, f *lineFields) error {
 	seed := f.unsigned("seed")
 	cfg, names, err := parseSettings(f)
@@ -155,7 +155,7 @@
 	}
 }
 
-// endBatch steps the instances that the batch mentioned and writes their actions.
+// endBatch steps the instances mentioned in the batch and writes their actions.
 func (s *session) endBatch(f *lineFields, w io.Writer) error {
 	if err := f.done(); err != nil {
 		return err
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -14,7 +14,7 @@
 	"projects.count=1 projects.0.name=north projects.0.quota-per-s=10.0 rules.grace-to-answer=60000 " +
 	"servers=4 tick=4000"
 
-// serve runs the adapter on lines and returns what it wrote.
+// serve runs the adapter on the given input lines and returns its output.
 func serve(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -28,15 +28,15 @@
 		lines []string
 		want  []string
 	}{
-		"empty":                            {[]string{"MARK 5 1", "FLUSH"}, []string{"NEXT 1"}},
-		"starts and runs":                  {[]string{"MARK 5 1", begin, order, "FLUSH"}, []string{"HEALTH 3 1 1", "RUN 3 42", "NEXT 1"}},
-		"stores key before run":            {[]string{"MARK 5 1", begin, strings.Replace(order, "read", "write", 1), "FLUSH"}, []string{"STORE_KEY 3 42", "RUN 3 42"}},
-		"events of requests that are over": {[]string{"MARK 5 1", begin, "WORK_DONE 3 7 1 20", "GONE 3 8", "CALL_RESULT 3 9 3 80", "FLUSH"}, []string{"NEXT 1"}},
-		"shutdown and begin in a batch": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", begin, order, "FLUSH"},
+		"empty batch":                  {[]string{"MARK 5 1", "FLUSH"}, []string{"NEXT 1"}},
+		"arrival is run":               {[]string{"MARK 5 1", begin, order, "FLUSH"}, []string{"HEALTH 3 1 1", "RUN 3 42", "NEXT 1"}},
+		"key is stored before the run": {[]string{"MARK 5 1", begin, strings.Replace(order, "read", "write", 1), "FLUSH"}, []string{"STORE_KEY 3 42", "RUN 3 42"}},
+		"events of ended requests":     {[]string{"MARK 5 1", begin, "WORK_DONE 3 7 1 20", "GONE 3 8", "CALL_RESULT 3 9 3 80", "FLUSH"}, []string{"NEXT 1"}},
+		"instance restarted in one batch": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", begin, order, "FLUSH"},
 			[]string{"NEXT 1", "RUN 3 42", "NEXT 2"}},
-		"shutdown has no answer": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", "FLUSH"}, []string{"NEXT 1", "NEXT 2"}},
-		"gauges":                 {[]string{"MARK 5 1", begin, "FIRED 3 77 core_use:0.6,new_one:3,links:12", "FIRED 3 78 -", "FLUSH"}, []string{"NEXT 1"}},
-		"drain rejects":          {[]string{"MARK 5 1", begin, "QUIESCE 3 10", order, "FLUSH"}, []string{"SHED 3 42", "NEXT 1"}},
+		"ended instance has no actions":      {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", "FLUSH"}, []string{"NEXT 1", "NEXT 2"}},
+		"timer with and without gauges":      {[]string{"MARK 5 1", begin, "FIRED 3 77 core_use:0.6,new_one:3,links:12", "FIRED 3 78 -", "FLUSH"}, []string{"NEXT 1"}},
+		"arrival during a drain is rejected": {[]string{"MARK 5 1", begin, "QUIESCE 3 10", order, "FLUSH"}, []string{"SHED 3 42", "NEXT 1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, err := serve(t, c.lines...)
@@ -63,15 +63,15 @@
 		"unknown message":           {"HELLO 3 1", "HELLO"},
 		"unknown class":             {"ORDER 3 42 gold 24.5 - 77 2000000 north 0 0.25 - 1 50", "gold"},
 		"unknown tenant":            {"ORDER 3 42 read 24.5 - 77 2000000 south 0 0.25 - 1 50", "south"},
-		"bad number":                {"ORDER 3 42 read abc - 77 2000000 north 0 0.25 - 1 50", "abc"},
+		"invalid number":            {"ORDER 3 42 read abc - 77 2000000 north 0 0.25 - 1 50", "abc"},
 		"not finite":                {"ORDER 3 42 read NaN - 77 2000000 north 0 0.25 - 1 50", "NaN"},
-		"negative span":             {"ORDER 3 42 read 1 - 77 -5 north 0 0.25 - 1 50", "-5"},
+		"negative duration":         {"ORDER 3 42 read 1 - 77 -5 north 0 0.25 - 1 50", "-5"},
 		"unknown outcome":           {"WORK_DONE 3 42 9 20", "9"},
-		"missing part":              {"WORK_DONE 3", "request id"},
+		"missing field":             {"WORK_DONE 3", "request id"},
 		"trailing text":             {"GONE 3 42 why", "why"},
-		"not begun":                 {"GONE 4 42", "instance 4"},
-		"bad setting":               {strings.Replace(begin, "domain.cores=2", "domain.cores=two", 1), "domain.cores"},
-		"bad semantics":             {strings.Replace(begin, "dedup", "maybe", 1), "semantics"},
+		"instance not running":      {"GONE 4 42", "instance 4"},
+		"invalid setting":           {strings.Replace(begin, "domain.cores=2", "domain.cores=two", 1), "domain.cores"},
+		"invalid semantics":         {strings.Replace(begin, "dedup", "maybe", 1), "semantics"},
 		"invalid settings":          {strings.Replace(begin, "domain.cores=2", "domain.cores=0", 1), "cores"},
 		"negative time":             {strings.Replace(begin, "rules.grace-to-answer=60000", "rules.grace-to-answer=-1", 1), "grace-to-answer"},
 		"infinite":                  {begin + " rules.overload-factor=Inf", "overload-factor"},
@@ -86,7 +86,7 @@
 				t.Fatal("no error")
 			}
 			if msg := err.Error(); !strings.Contains(msg, "line 3") || !strings.Contains(msg, c.want) {
-				t.Errorf("message %q names neither line 3 nor %q", msg, c.want)
+				t.Errorf("error %q does not contain both \"line 3\" and %q", msg, c.want)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 
 func TestEndInsideBatch(t *testing.T) {
 	if _, err := serve(t, "MARK 5 1", begin); err == nil {
-		t.Error("no error where input ends inside a batch")
+		t.Error("no error although the input ends inside a batch")
 	}
 }
 
@@ -118,7 +118,7 @@
 		return kept
 	}
 	if a, b := strings.Join(only(alone), "\n"), strings.Join(only(both), "\n"); a != b {
-		t.Errorf("instance 3 acts differently beside instance 4:\n%s\nand\n%s", a, b)
+		t.Errorf("actions of instance 3 depend on instance 4; alone:\n%s\nwith instance 4:\n%s", a, b)
 	}
 }
 
@@ -127,12 +127,12 @@
 		more string
 		want float64
 	}{
-		"absent":      {"", 0},
-		"zero":        {"domain.downstream=one_for_all domain.calls-out=0.0 domain.calls-over=5000000", 0},
-		"under one":   {"domain.downstream=one_for_all domain.calls-out=0.25 domain.calls-over=5000000", 0.25},
-		"a tier":      {"domain.downstream=tier domain.calls-out=0.25 domain.calls-over=5000000", 0},
-		"nothing":     {"domain.downstream=off domain.calls-out=0.25 domain.calls-over=5000000", 0},
-		"dash is not": {"domain.downstream=one_for_all domain.calls-out=- domain.calls-over=5000000", 0},
+		"absent":                {"", 0},
+		"zero":                  {"domain.downstream=one_for_all domain.calls-out=0.0 domain.calls-over=5000000", 0},
+		"under one":             {"domain.downstream=one_for_all domain.calls-out=0.25 domain.calls-over=5000000", 0.25},
+		"dependency not shared": {"domain.downstream=tier domain.calls-out=0.25 domain.calls-over=5000000", 0},
+		"no dependency":         {"domain.downstream=off domain.calls-out=0.25 domain.calls-over=5000000", 0},
+		"dash as limit":         {"domain.downstream=one_for_all domain.calls-out=- domain.calls-over=5000000", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, rest, _ := strings.Cut(strings.TrimPrefix(begin, "BEGIN 3 "), " ")
--- a/internal/simadapter/settings.go
+++ b/internal/simadapter/settings.go
@@ -7,7 +7,7 @@
 	"sloehitch/logic"
 )
 
-// parseSettings reads the path=value pairs of an instance's settings.
+// parseSettings parses an instance's settings, which are path=value pairs.
 func parseSettings(f *lineFields) (logic.Settings, *settings.NameIndex, error) {
 	values := map[string]string{}
 	for _, pair := range strings.Fields(f.rest) {
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -9,10 +9,10 @@
 	"sloehitch/logic"
 )
 
-// This file maps the names and values of the simulator's wire to the terms of package logic. No other file of the
-// adapter uses them; package settings maps the keys of the settings.
+// This file maps the names and values of the simulator's wire protocol to the terms of package logic. No other file of
+// the package contains them. The keys of the settings are mapped by package settings.
 
-// Messages of a batch and of an instance's life.
+// Messages that begin and end batches and instances.
 const (
 	messageBatchBegin    = "MARK"
 	messageBatchEnd      = "FLUSH"
@@ -20,7 +20,7 @@
 	messageInstanceEnd   = "SHUTDOWN"
 )
 
-// Messages that are events.
+// Messages that carry events.
 const (
 	messageArrival    = "ORDER"
 	messageRunEnded   = "WORK_DONE"
@@ -31,20 +31,20 @@
 	messageDrain      = "QUIESCE"
 )
 
-// batchAnswered ends the answer to a batch.
+// batchAnswered is the last message of the answer to a batch.
 const batchAnswered = "NEXT"
 
-// Bits of the attributes of an arrival.
+// Bits of the attribute field of an arrival.
 const (
 	attributeHintValid = 1 << iota
 	attributeRetry
 )
 
-// outcomeByCode is the outcome of each code.
+// outcomeByCode maps the outcome codes of the wire to outcomes.
 var outcomeByCode = []logic.Outcome{logic.OutcomeFailed, logic.OutcomeOK, logic.OutcomeRejected, logic.OutcomeTimedOut,
 	logic.OutcomeUnreachable, logic.OutcomeReset, logic.OutcomeCanceled, logic.OutcomeNotStarted}
 
-// parseEvent reads the rest of a message that is an event.
+// parseEvent parses the remaining fields of a message that carries an event.
 func parseEvent(message string, f *lineFields, names *settings.NameIndex) (logic.Event, error) {
 	var ev logic.Event
 	if message != messageTimer && message != messageDrain {
@@ -90,7 +90,7 @@
 		f.invalid("kb", strconv.FormatFloat(a.MemoryKB, 'g', -1, 64))
 	}
 	a.WorkHint = f.optionalMicros("predicted")
-	f.optional() // route-key: no decision uses it
+	f.optional() // route-key, which no decision uses
 	a.AttemptTimeout = f.optionalMicros("time-budget")
 	if owner := f.optional(); owner != "" && owner != "0" {
 		if a.Tenant, known = names.Tenants[owner]; !known {
@@ -140,7 +140,7 @@
 	return g
 }
 
-// appendAction appends the line of an action.
+// appendAction appends the line for an action.
 func appendAction(b []byte, instance string, a logic.Action) []byte {
 	switch a.Kind {
 	case logic.ActionRun:
