--- a/logic/admission.go
+++ b/logic/admission.go
@@ -41,7 +41,7 @@
 	if c := s.classes[r.Class]; c.CallsDependency {
 		delay := s.callQueueDelay(r, s.atCall-s.callsInFlight)
 		if c.DegradedWeightShare > 0 {
-			delay = min(delay, callPatienceFactor*s.minCallTime) // after this wait the call is skipped
+			delay = min(delay, callWaitFactor*s.minCallTime) // after this wait the call is skipped
 		}
 		wait += delay
 	}
@@ -50,7 +50,7 @@
 
 // startNext starts the first queued request that meets D2 or may start as a probe, and reports whether it
 // started one. Requests ahead of it that don't meet D2 are rejected; on a faulty server that is left to
-// shedHopeless.
+// shedInfeasible.
 func (s *Server) startNext() bool {
 	for i := 0; i < len(s.queue); {
 		r := s.queue[i]
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-func TestNewQueueStartsWhatMeetsObjective(t *testing.T) {
-	d := drive(t, testSettings())
-	d.learn(1, 0, 300*ms)
-	d.want(d.step(0, arrival(2, 0, 3000*ms)), ActionRun, 2)
+func TestNewQueueStartsRequestThatMeetsObjective(t *testing.T) {
+	d := newDriver(t, testSettings())
+	d.completeRun(1, 0, 300*ms)
+	d.wantAction(d.step(0, arrival(2, 0, 3000*ms)), ActionRun, 2)
 }
 
 func TestLateBoundFollowsLateWeightShare(t *testing.T) {
-	d := drive(t, testSettings())
+	d := newDriver(t, testSettings())
 	r := &request{Arrival: Arrival{Class: 2}, deadline: 3000 * ms} // LateWeightShare 0.2: objective 1 s, client timeout 3 s
 	for _, c := range []struct {
 		running int
--- a/logic/attempts_test.go
+++ b/logic/attempts_test.go
@@ -5,7 +5,7 @@
 func TestNoEarlierAttemptsWithoutDeadlinePropagation(t *testing.T) {
 	cfg := testSettings()
 	cfg.DeadlinePropagated = false
-	d := drive(t, cfg)
+	d := newDriver(t, cfg)
 	for id := RequestID(1); id <= 40; id++ {
 		ev := arrival(id, 0, 0)
 		ev.Arrival.Age = 100 * ms
@@ -13,16 +13,16 @@
 			ev.Arrival.Age = 200 * ms // read later than the others, but not a retry
 		}
 		out := d.step(400*ms, ev)
-		d.want(out, ActionRun, id)
+		d.wantAction(out, ActionRun, id)
 		if id < 39 { // the last but one still runs, so that the last is not started as a probe
-			d.step(10*ms, done(id, OutcomeOK, 10*ms))
+			d.step(10*ms, runEnded(id, OutcomeOK, 10*ms))
 		}
 	}
 }
 
 // A request without an attempt timeout is taken for a first attempt, even if other requests have timeouts.
-func TestMissingAttemptTimeoutSpendsNothing(t *testing.T) {
-	d := drive(t, testSettings())
+func TestMissingAttemptTimeoutMeansFirstAttempt(t *testing.T) {
+	d := newDriver(t, testSettings())
 	for id := RequestID(1); id <= 40; id++ {
 		ev := arrival(id, 0, 0)
 		ev.Arrival.Age = 20 * ms
@@ -30,6 +30,6 @@
 		if r := d.s.byID[id]; r == nil || r.firstAttemptAt != r.arrivedAt || r.deadline != r.arrivedAt+3000*ms {
 			t.Fatalf("request %d: %+v", id, r)
 		}
-		d.step(0, Event{Kind: EventCanceled, ID: id}, done(id, OutcomeCanceled, 0))
+		d.step(0, Event{Kind: EventCanceled, ID: id}, runEnded(id, OutcomeCanceled, 0))
 	}
 }
--- a/logic/callbudget.go
+++ b/logic/callbudget.go
@@ -29,8 +29,8 @@
 	callBurstObjectiveShare = 0.2  // or this share of the mean objective at concurrency P, if more
 	callObjectiveShare      = 0.3  // share of an objective that a call may take or spend
 	reservedCalls           = 4    // mean call times that the lowest weight leaves to the highest
-	callPatienceFactor      = 6    // maximum wait of a call that may be skipped, in call times
-	callDebtDivisor         = 4    // the credit does not fall below -P·mean objective/callDebtDivisor
+	callWaitFactor          = 6    // maximum wait of a call that may be skipped, in call times
+	callOverdraftDivisor    = 4    // the credit does not fall below -P·mean objective/callOverdraftDivisor
 	maxCallBudgetShare      = 0.5  // share of what is left of L·W that one call may take
 )
 
@@ -62,7 +62,7 @@
 		late := float64(s.now)+delay+s.callTime.Mean > d2 && !s.mayProbeCall()
 		maySkip := s.classes[r.Class].DegradedWeightShare > 0
 		switch {
-		case maySkip && (late || delay > callPatienceFactor*s.minCallTime || timeout <= 0):
+		case maySkip && (late || delay > callWaitFactor*s.minCallTime || timeout <= 0):
 			s.skipCall(r)
 		case late:
 			s.rejectOrFail(r)
@@ -118,8 +118,8 @@
 	if c := s.classes[r.Class]; s.callTime.Samples > 0 {
 		if c.Idempotency == Idempotent { // if the reply is lost, the call can be retried or skipped
 			share := min(1, s.cfg.CallConcurrencyLimit) * callObjectiveShare
-			patience := max(callPatienceFactor*s.callTime.Mean, share*float64(c.LatencyObjective))
-			timeout = min(timeout, max(timerSteps*s.cfg.StepInterval, Micros(patience)))
+			maxDuration := max(callWaitFactor*s.callTime.Mean, share*float64(c.LatencyObjective))
+			timeout = min(timeout, max(timerSteps*s.cfg.StepInterval, Micros(maxDuration)))
 		} else if c.LateWeightShare == 0 && !shared {
 			timeout = min(timeout, max(1, r.firstAttemptAt+c.LatencyObjective-s.now))
 		}
@@ -178,7 +178,7 @@
 // not block calls for long.
 func (s *Server) spendCallTime(duration float64) {
 	spent := min(duration, callObjectiveShare*s.meanObjective)
-	s.callCredit = max(s.callCredit-spent, -s.plannedCallConcurrency()*s.meanObjective/callDebtDivisor)
+	s.callCredit = max(s.callCredit-spent, -s.plannedCallConcurrency()*s.meanObjective/callOverdraftDivisor)
 }
 
 // removeOldCalls removes the ended calls that the window no longer covers.
--- a/logic/callbudget_test.go
+++ b/logic/callbudget_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// dependency simulates the shared dependency for one server. All calls take the same time, and a call that timed
-// out stays in flight for the time linger. It records when calls were in flight.
+// dependency simulates the shared dependency for one server. All calls last for callDuration, and a call that timed
+// out stays in flight for abandonedDuration. It records when calls were in flight.
 type dependency struct {
-	takes, linger Micros
-	out           []simulatedCall
-	spans         [][2]Micros
+	callDuration, abandonedDuration Micros
+	inFlight                        []simulatedCall
+	intervals                       [][2]Micros
 }
 
 type simulatedCall struct {
@@ -19,32 +19,32 @@
 func (p *dependency) endedBy(now Micros) []Event {
 	var events []Event
 	var kept []simulatedCall
-	for _, c := range p.out {
-		end, outcome := c.from+p.takes, OutcomeOK
-		left := end
+	for _, c := range p.inFlight {
+		end, outcome := c.from+p.callDuration, OutcomeOK
+		releasedAt := end
 		if c.from+c.timeout < end {
-			end, outcome, left = c.from+c.timeout, OutcomeTimedOut, c.from+c.timeout+p.linger
+			end, outcome, releasedAt = c.from+c.timeout, OutcomeTimedOut, c.from+c.timeout+p.abandonedDuration
 		}
 		if end > now {
 			kept = append(kept, c)
 			continue
 		}
-		p.spans = append(p.spans, [2]Micros{c.from, left})
+		p.intervals = append(p.intervals, [2]Micros{c.from, releasedAt})
 		events = append(events, Event{Kind: EventCallEnded, ID: c.id, Outcome: outcome, Elapsed: end - c.from})
 	}
-	p.out = kept
+	p.inFlight = kept
 	return events
 }
 
 // maxMean returns the largest mean number of calls in flight over any window that ends when a call does.
-func (p *dependency) maxMean(span Micros) float64 {
+func (p *dependency) maxMean(window Micros) float64 {
 	most := 0.0
-	for _, last := range p.spans {
+	for _, last := range p.intervals {
 		until, sum := last[1], Micros(0)
-		for _, s := range p.spans {
-			sum += max(0, min(s[1], until)-max(s[0], until-span))
+		for _, s := range p.intervals {
+			sum += max(0, min(s[1], until)-max(s[0], until-window))
 		}
-		most = max(most, float64(sum)/float64(span))
+		most = max(most, float64(sum)/float64(window))
 	}
 	return most
 }
@@ -68,8 +68,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testSettings()
 			cfg.CallConcurrencyLimit, cfg.Cores, cfg.SlowStart, cfg.MemoryKB = c.share, 8, c.cold, 1e6
-			d := drive(t, cfg)
-			p := &dependency{takes: c.takes, linger: cfg.AbandonedCallDuration}
+			d := newDriver(t, cfg)
+			p := &dependency{callDuration: c.takes, abandonedDuration: cfg.AbandonedCallDuration}
 			calls := 0
 			var events []Event
 			for id := RequestID(1); id <= 2000; id++ {
@@ -79,17 +79,17 @@
 				for _, a := range out {
 					switch a.Kind {
 					case ActionRun:
-						events = append(events, needs(a.ID))
+						events = append(events, callNeeded(a.ID))
 					case ActionCall:
 						calls++
-						p.out = append(p.out, simulatedCall{a.ID, d.now, a.Duration})
+						p.inFlight = append(p.inFlight, simulatedCall{a.ID, d.now, a.Duration})
 					case ActionSkipCall:
-						events = append(events, done(a.ID, OutcomeOK, 50*ms))
+						events = append(events, runEnded(a.ID, OutcomeOK, 50*ms))
 					}
 				}
 				for _, e := range append([]Event(nil), events...) {
 					if e.Kind == EventCallEnded && e.Outcome == OutcomeOK {
-						events = append(events, done(e.ID, OutcomeOK, 50*ms))
+						events = append(events, runEnded(e.ID, OutcomeOK, 50*ms))
 					}
 				}
 			}
@@ -106,19 +106,19 @@
 func TestCallsStayWithinLimit(t *testing.T) {
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit, cfg.Cores = 0.5, 8
-	d := drive(t, cfg)
+	d := newDriver(t, cfg)
 	inFlight, most := 0.0, 0.0
 	mean := 0.0
 	for i := range RequestID(400) {
 		id := i + 1
-		out := d.step(25*ms, arrival(id, 1, 3000*ms), needs(id))
-		out = append(out, d.step(0, needs(id))...)
+		out := d.step(25*ms, arrival(id, 1, 3000*ms), callNeeded(id))
+		out = append(out, d.step(0, callNeeded(id))...)
 		for _, a := range out {
 			if a.Kind == ActionCall {
 				inFlight++
 			}
 			if a.Kind == ActionFail && d.s.byID[a.ID] != nil {
-				d.step(0, done(a.ID, OutcomeCanceled, 0))
+				d.step(0, runEnded(a.ID, OutcomeCanceled, 0))
 			}
 		}
 		mean += (inFlight - mean) * 25 / 5000
@@ -127,7 +127,7 @@
 			for _, r := range append([]*request(nil), d.s.active...) {
 				if r.callInFlight {
 					inFlight--
-					d.step(0, result(r.id, OutcomeOK), done(r.id, OutcomeOK, 500*ms))
+					d.step(0, callEnded(r.id, OutcomeOK), runEnded(r.id, OutcomeOK, 500*ms))
 				}
 			}
 		}
@@ -137,68 +137,68 @@
 	}
 }
 
-func TestCallTimeDebtEnds(t *testing.T) {
+func TestOverdrawnCallCreditRecovers(t *testing.T) {
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit = 0.5
-	d := drive(t, cfg)
+	d := newDriver(t, cfg)
 	d.step(0, arrival(1, 1, 3000*ms))
-	d.want(d.step(ms, needs(1)), ActionCall, 1)
+	d.wantAction(d.step(ms, callNeeded(1)), ActionCall, 1)
 	d.step(900*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 900 * ms})
-	d.step(ms, done(1, OutcomeOK, 950*ms))
+	d.step(ms, runEnded(1, OutcomeOK, 950*ms))
 	for id := RequestID(2); id < 100; id++ { // sparse traffic after a long call
 		out := d.step(500*ms, arrival(id, 1, 3000*ms))
-		if find(out, ActionRun, id) == nil {
+		if findAction(out, ActionRun, id) == nil {
 			continue
 		}
-		if find(d.step(ms, needs(id)), ActionCall, id) != nil {
+		if findAction(d.step(ms, callNeeded(id)), ActionCall, id) != nil {
 			return
 		}
 	}
 	t.Error("no call was made within 50 s of a long call")
 }
 
-// atLateCall has request 2, of the given class, wait for a call with 0.23 s left, while calls take 0.3 s. It returns the
-// actions of that step.
-func atLateCall(t *testing.T, class int) (*driver, []Action) {
+// waitForLateCall has request 2, of the given class, wait for a call with 0.23 s left, while calls take 0.3 s. It
+// returns the actions of that step.
+func waitForLateCall(t *testing.T, class int) (*driver, []Action) {
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit = 0.3
-	d := drive(t, cfg)
+	d := newDriver(t, cfg)
 	d.step(0, arrival(1, class, 3000*ms), arrival(2, class, 800*ms))
-	d.step(ms, needs(1))
+	d.step(ms, callNeeded(1))
 	d.step(300*ms, Event{Kind: EventCallEnded, ID: 1, Outcome: OutcomeOK, Elapsed: 300 * ms})
-	return d, d.step(150*ms, needs(2))
+	return d, d.step(150*ms, callNeeded(2))
 }
 
 func TestCallThatCannotEndInTimeIsAnsweredAtOnce(t *testing.T) {
-	d, out := atLateCall(t, 1)
-	d.want(out, ActionFail, 2)
-	if find(out, ActionCall, 2) != nil {
+	d, out := waitForLateCall(t, 1)
+	d.wantAction(out, ActionFail, 2)
+	if findAction(out, ActionCall, 2) != nil {
 		t.Error("call made although it can't end in time")
 	}
 }
 
 func TestLateCallIsSkippedWhereAllowed(t *testing.T) {
-	d, out := atLateCall(t, 0)
-	d.want(out, ActionSkipCall, 2)
+	d, out := waitForLateCall(t, 0)
+	d.wantAction(out, ActionSkipCall, 2)
 }
 
 func TestCallsAreSkippedBeforeLimit(t *testing.T) {
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit, cfg.Cores = 2, 8
-	d := drive(t, cfg)
-	var called, left int
+	d := newDriver(t, cfg)
+	var made, skipped int
 	for id := RequestID(1); id <= 6; id++ {
 		d.step(0, arrival(id, 0, 3000*ms))
-		for _, a := range d.step(ms, needs(id)) {
+		for _, a := range d.step(ms, callNeeded(id)) {
 			switch a.Kind {
 			case ActionCall:
-				called++
+				made++
 			case ActionSkipCall:
-				left++
+				skipped++
 			}
 		}
 	}
-	if called == 0 || left == 0 {
-		t.Errorf("%d calls made and %d skipped, want at least one of each", called, left)
+	if made == 0 || skipped == 0 {
+		t.Errorf("%d calls made and %d skipped, want at least one of each", made, skipped)
 	}
 }
--- a/logic/calls.go
+++ b/logic/calls.go
@@ -48,12 +48,12 @@
 	r.failedCalls++
 	c := s.classes[r.Class]
 	shared, neverRan := s.cfg.CallConcurrencyLimit > 0, ev.Outcome.NeverRan()
-	least := timerSteps * s.cfg.StepInterval
+	minBackoff := timerSteps * s.cfg.StepInterval
 	if shared && neverRan {
-		s.callsBlockedUntil = s.now + max(least, Micros(callPatienceFactor*s.callTime.Mean))
+		s.callsBlockedUntil = s.now + max(minBackoff, Micros(callWaitFactor*s.callTime.Mean))
 	} else if neverRan {
 		backoff := callRetryBackoff * float64(r.failedCalls) * s.callTime.Mean
-		r.callBlockedUntil = s.now + max(least, Micros(backoff))
+		r.callBlockedUntil = s.now + max(minBackoff, Micros(backoff))
 	}
 	switch {
 	case !shared && c.Idempotency == Idempotent && r.failedCalls <= maxCallRetries:
--- a/logic/deadline.go
+++ b/logic/deadline.go
@@ -13,9 +13,9 @@
 // answerExpired answers requests that reach their deadline, and all requests shortly before the kill.
 func (s *Server) answerExpired() {
 	margin := max(2*s.cfg.StepInterval, s.cfg.ResponseGrace)
-	killed := s.killAt > 0 && s.now >= s.killAt-2*margin
+	killImminent := s.killAt > 0 && s.now >= s.killAt-2*margin
 	for _, r := range slices.Concat(s.queue, s.active) {
-		if killed || s.now >= r.deadline-s.cfg.StepInterval {
+		if killImminent || s.now >= r.deadline-s.cfg.StepInterval {
 			s.rejectOrFail(r)
 		}
 	}
@@ -27,8 +27,8 @@
 		return
 	}
 	for _, r := range s.active {
-		useless := r.answered && r.state == stateRunning && s.classes[r.Class].Idempotency == Idempotent
-		if useless && s.now-r.stopRequestedAt > minStallGap { // repeated, as a stalled server stops nothing
+		stoppable := r.answered && r.state == stateRunning && s.classes[r.Class].Idempotency == Idempotent
+		if stoppable && s.now-r.stopRequestedAt > minStallGap { // repeated, as a stalled server stops nothing
 			r.stopRequestedAt = s.now
 			s.emit(Action{Kind: ActionStop, ID: r.id})
 		}
--- a/logic/driver_test.go
+++ b/logic/driver_test.go
@@ -30,7 +30,7 @@
 	now Micros
 }
 
-func drive(t *testing.T, cfg Settings) *driver {
+func newDriver(t *testing.T, cfg Settings) *driver {
 	t.Helper()
 	s, err := New(cfg, 1)
 	if err != nil {
@@ -58,23 +58,23 @@
 	return Event{Kind: EventArrival, ID: id, Arrival: Arrival{Class: class, Tenant: -1, MemoryKB: 10, AttemptTimeout: wait}}
 }
 
-func done(id RequestID, out Outcome, elapsed Micros) Event {
+func runEnded(id RequestID, out Outcome, elapsed Micros) Event {
 	return Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: elapsed}
 }
 
-func needs(id RequestID) Event { return Event{Kind: EventCallNeeded, ID: id} }
+func callNeeded(id RequestID) Event { return Event{Kind: EventCallNeeded, ID: id} }
 
-func result(id RequestID, out Outcome) Event {
+func callEnded(id RequestID, out Outcome) Event {
 	return Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 100 * ms}
 }
 
-// tick returns a timer event with the gauges of a server whose cores are busy.
-func tick() Event {
+// timerEvent returns a timer event with the gauges of a server whose cores are busy.
+func timerEvent() Event {
 	return Event{Kind: EventTimer, TimerID: 1, Gauges: Gauges{CPUUtilization: 0.9, RunQueueLength: 2, MemoryUtilization: 0.1}}
 }
 
-// find returns the first action of a kind for a request, or nil.
-func find(actions []Action, kind ActionKind, id RequestID) *Action {
+// findAction returns the first action of a kind for a request, or nil.
+func findAction(actions []Action, kind ActionKind, id RequestID) *Action {
 	for i := range actions {
 		if actions[i].Kind == kind && actions[i].ID == id {
 			return &actions[i]
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// started returns the ID of the first request that the actions start, or 0.
-func started(actions []Action) RequestID {
+// firstStarted returns the ID of the first request that the actions start, or 0.
+func firstStarted(actions []Action) RequestID {
 	for _, a := range actions {
 		if a.Kind == ActionRun {
 			return a.ID
@@ -93,25 +93,25 @@
 	return 0
 }
 
-func (d *driver) want(actions []Action, kind ActionKind, id RequestID) *Action {
+func (d *driver) wantAction(actions []Action, kind ActionKind, id RequestID) *Action {
 	d.t.Helper()
-	a := find(actions, kind, id)
+	a := findAction(actions, kind, id)
 	if a == nil {
 		d.t.Fatalf("no action %d for request %d in %+v", kind, id, actions)
 	}
 	return a
 }
 
-func (d *driver) wantNone(actions []Action, kind ActionKind, id RequestID) {
+func (d *driver) wantNoAction(actions []Action, kind ActionKind, id RequestID) {
 	d.t.Helper()
-	if find(actions, kind, id) != nil {
+	if findAction(actions, kind, id) != nil {
 		d.t.Fatalf("unexpected action %d for request %d in %+v", kind, id, actions)
 	}
 }
 
-// learn runs one request, so that its class has an estimated run time.
-func (d *driver) learn(id RequestID, class int, elapsed Micros) {
+// completeRun runs one request, so that its class has an estimated run time.
+func (d *driver) completeRun(id RequestID, class int, elapsed Micros) {
 	d.t.Helper()
-	d.want(d.step(0, arrival(id, class, 3000*ms)), ActionRun, id)
-	d.step(elapsed, done(id, OutcomeOK, elapsed))
+	d.wantAction(d.step(0, arrival(id, class, 3000*ms)), ActionRun, id)
+	d.step(elapsed, runEnded(id, OutcomeOK, elapsed))
 }
--- a/logic/estimate_test.go
+++ b/logic/estimate_test.go
@@ -3,11 +3,11 @@
 import "testing"
 
 func TestHintsScaleEstimate(t *testing.T) {
-	d := drive(t, testSettings())
+	d := newDriver(t, testSettings())
 	ev := arrival(1, 0, 3000*ms)
 	ev.Arrival.WorkHint = 100 * ms
 	d.step(0, ev)
-	d.step(200*ms, done(1, OutcomeOK, 200*ms))
+	d.step(200*ms, runEnded(1, OutcomeOK, 200*ms))
 	r := &request{Arrival: Arrival{Class: 0, WorkHint: 50 * ms}}
 	if got := d.s.expectedRunTime(r); got != float64(100*ms) {
 		t.Errorf("T_m for a hint of 50 ms is %v us, want 100000", got)
@@ -15,13 +15,13 @@
 }
 
 func TestHintedRunTimeHasConstantPart(t *testing.T) {
-	d := drive(t, testSettings())
+	d := newDriver(t, testSettings())
 	for id := RequestID(1); id <= 60; id++ { // each run waits for 300 ms in addition to its work
 		work := 50 * ms * Micros(1+id%4)
 		ev := arrival(id, 0, 3000*ms)
 		ev.Arrival.WorkHint = work
 		d.step(ms, ev)
-		d.step(work+300*ms, done(id, OutcomeOK, work+300*ms))
+		d.step(work+300*ms, runEnded(id, OutcomeOK, work+300*ms))
 	}
 	got := d.s.expectedRunTime(&request{Arrival: Arrival{Class: 0, WorkHint: 800 * ms}})
 	if got < 950e3 || got > 1300e3 {
@@ -29,27 +29,27 @@
 	}
 }
 
-// TestFirstSampleSuggestsNoSteepSlope guards against an estimate that scales the waits of the first run with the work
+// TestFirstHintedSampleLimitsSlope guards against an estimate that scales the waits of the first run with the work
 // hint: a request with four times the work would be expected to miss its bounds and be rejected.
-func TestFirstSampleSuggestsNoSteepSlope(t *testing.T) {
-	d := drive(t, testSettings())
+func TestFirstHintedSampleLimitsSlope(t *testing.T) {
+	d := newDriver(t, testSettings())
 	ev := arrival(1, 0, 3000*ms)
 	ev.Arrival.WorkHint = 50 * ms
 	d.step(0, ev)
-	d.step(350*ms, done(1, OutcomeOK, 350*ms))
+	d.step(350*ms, runEnded(1, OutcomeOK, 350*ms))
 	if got := d.s.expectedRunTime(&request{Arrival: Arrival{Class: 0, WorkHint: 200 * ms}}); got < 350e3 || got > 700e3 {
 		t.Errorf("T_m for 200 ms of work is %.0f ms, want 350 to 700", got/1e3)
 	}
 }
 
-func TestOnlyCleanRunsAreSamples(t *testing.T) {
+func TestOnlySuccessfulRunsAreSampled(t *testing.T) {
 	for name, ev := range map[string]Event{
-		"failed":      done(2, OutcomeFailed, ms),
-		"canceled":    done(2, OutcomeCanceled, ms),
-		"not started": done(2, OutcomeNotStarted, ms),
+		"failed":      runEnded(2, OutcomeFailed, ms),
+		"canceled":    runEnded(2, OutcomeCanceled, ms),
+		"not started": runEnded(2, OutcomeNotStarted, ms),
 	} {
-		d := drive(t, testSettings())
-		d.learn(1, 0, 300*ms)
+		d := newDriver(t, testSettings())
+		d.completeRun(1, 0, 300*ms)
 		d.step(0, arrival(2, 0, 3000*ms))
 		d.step(ms, ev)
 		if got := d.s.classes[0].RunTime.Mean; got != float64(300*ms) {
@@ -58,22 +58,22 @@
 	}
 }
 
-func TestSamplesFromBeforeStallAreSkipped(t *testing.T) {
-	d := drive(t, testSettings())
-	d.learn(1, 0, 100*ms)
+func TestRunsStartedBeforeStallEndAreNotSampled(t *testing.T) {
+	d := newDriver(t, testSettings())
+	d.completeRun(1, 0, 100*ms)
 	d.step(0, arrival(2, 0, 3000*ms), arrival(3, 0, 3000*ms))
-	d.step(1500*ms, done(2, OutcomeOK, 1500*ms), arrival(4, 0, 3000*ms), done(3, OutcomeOK, 1500*ms))
+	d.step(1500*ms, runEnded(2, OutcomeOK, 1500*ms), arrival(4, 0, 3000*ms), runEnded(3, OutcomeOK, 1500*ms))
 	if got := d.s.classes[0].RunTime.Mean; got != float64(100*ms) {
 		t.Errorf("T_m is %v µs, want 100000: a run that started before the end of the stall was sampled", got)
 	}
 }
 
-func TestAbandonedRunIsSample(t *testing.T) {
-	d := drive(t, testSettings())
-	d.learn(1, 1, 50*ms)
+func TestAbandonedRunRaisesEstimate(t *testing.T) {
+	d := newDriver(t, testSettings())
+	d.completeRun(1, 1, 50*ms)
 	before := d.s.classes[1].RunTime.Mean
 	d.step(0, arrival(2, 1, 900*ms))
-	d.want(d.step(900*ms, tick()), ActionFail, 2)
+	d.wantAction(d.step(900*ms, timerEvent()), ActionFail, 2)
 	if got := d.s.classes[1].RunTime.Mean; got <= before {
 		t.Errorf("T_m %.0f ms after a run was abandoned at 900 ms, want above the %.0f before", got/1e3, before/1e3)
 	}
--- a/logic/idletimeout.go
+++ b/logic/idletimeout.go
@@ -5,10 +5,10 @@
 // table rejects callers at no cost. Limitation: this is harmful if each connection carries one long-lived
 // stream.
 const (
-	idleTimeoutRange  = 4    // ratio of the longest to the shortest idle timeout if all callers return
-	idleTimeoutGain   = 0.4  // relative change per timer event and unit of deviation from the target share
-	intakeTargetShare = 0.35 // target share of the cores for reading
-	minReturningShare = 0.1  // lower bound of the share of callers that return
+	idleTimeoutRange   = 4    // ratio of the longest to the shortest idle timeout if all callers return
+	idleTimeoutGain    = 0.4  // relative change per timer event and unit of deviation from the target share
+	readingTargetShare = 0.35 // target share of the cores for reading
+	minReturningShare  = 0.1  // lower bound of the share of callers that return
 )
 
 // Ratios of the idle timeout to the one last sent, beyond which the new one is sent.
@@ -26,11 +26,12 @@
 // adjustIdleTimeout adjusts the idle timeout to the share of the cores that reading takes, and sends it if it
 // has changed enough.
 func (s *Server) adjustIdleTimeout() {
-	intake := s.requestsBeingRead() / max(float64(s.cfg.Cores), s.gauges.RunQueueLength)
+	readingShare := s.requestsBeingRead() / max(float64(s.cfg.Cores), s.gauges.RunQueueLength)
 	longest := float64(s.cfg.CallerIdleTimeout)
 	returning := 1 - s.effectiveCallers()/float64(max(1, len(s.recentArrivals)))
 	shortest := longest / idleTimeoutRange * max(minReturningShare, returning)
-	s.idleTimeout = min(longest, max(s.idleTimeout*(1+idleTimeoutGain*(intake-intakeTargetShare)), shortest))
+	s.idleTimeout = min(longest,
+		max(s.idleTimeout*(1+idleTimeoutGain*(readingShare-readingTargetShare)), shortest))
 	sent := s.sentIdleTimeout
 	if s.idleTimeout > idleTimeoutRise*sent || s.idleTimeout < idleTimeoutFall*sent {
 		s.sentIdleTimeout = s.idleTimeout
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -8,22 +8,22 @@
 // eventGenerator acts as the host of one Server. It generates valid event sequences and checks invariants of the
 // actions. It does not model speed or load: runs and calls end at random.
 type eventGenerator struct {
-	t        *testing.T
-	s        *Server
-	cfg      Settings
-	rng      *rand.Rand
-	now      Micros
-	next     RequestID
-	live     map[RequestID]*trackedRequest
-	order    []RequestID // IDs in order of arrival, for reproducible random draws
-	pending  []Event
-	timers   []timer
-	ranKey   map[uint64][]Micros // arrival times of the attempts that ran, by key
-	entries  map[uint64]keyEntry
-	drainAt  Micros
-	kill     Micros
-	keyOf    map[RequestID]uint64
-	answered int
+	t              *testing.T
+	s              *Server
+	cfg            Settings
+	rng            *rand.Rand
+	now            Micros
+	nextID         RequestID
+	inFlight       map[RequestID]*trackedRequest
+	order          []RequestID // IDs in order of arrival, for reproducible random draws
+	pending        []Event
+	timers         []timer
+	runArrivals    map[uint64][]Micros // arrival times of the attempts that ran, by key
+	entries        map[uint64]keyEntry
+	drainStartedAt Micros
+	killAt         Micros
+	keyOf          map[RequestID]uint64
+	answered       int
 }
 
 type timer struct {
@@ -52,8 +52,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &eventGenerator{t: t, s: s, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), now: 1 << 40, next: 1,
-		live: map[RequestID]*trackedRequest{}, ranKey: map[uint64][]Micros{}, entries: map[uint64]keyEntry{},
+	return &eventGenerator{t: t, s: s, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), now: 1 << 40, nextID: 1,
+		inFlight: map[RequestID]*trackedRequest{}, runArrivals: map[uint64][]Micros{}, entries: map[uint64]keyEntry{},
 		keyOf: map[RequestID]uint64{}}
 }
 
@@ -77,24 +77,24 @@
 	if c.Idempotency == IdempotentByKey {
 		r.key = uint64(gen.rng.IntN(40))
 		if e, ok := gen.entries[r.key]; ok && e.expires > r.arrived {
-			f := gen.live[e.id]
-			if f == nil && len(gen.ranKey[r.key]) > 0 || f != nil && !f.answered || f != nil && f.started {
+			f := gen.inFlight[e.id]
+			if f == nil && len(gen.runArrivals[r.key]) > 0 || f != nil && !f.answered || f != nil && f.started {
 				a.OriginalID = e.id
 			}
 		}
 	}
-	gen.live[gen.next] = r
-	gen.order = append(gen.order, gen.next)
-	gen.keyOf[gen.next] = r.key
-	gen.pending = append(gen.pending, Event{Kind: EventArrival, ID: gen.next, Arrival: a})
-	gen.next++
+	gen.inFlight[gen.nextID] = r
+	gen.order = append(gen.order, gen.nextID)
+	gen.keyOf[gen.nextID] = r.key
+	gen.pending = append(gen.pending, Event{Kind: EventArrival, ID: gen.nextID, Arrival: a})
+	gen.nextID++
 }
 
 // progress ends or advances a random share of the requests in flight.
 func (gen *eventGenerator) progress() {
 	kept := gen.order[:0]
 	for _, id := range gen.order {
-		if r := gen.live[id]; r != nil {
+		if r := gen.inFlight[id]; r != nil {
 			kept = append(kept, id)
 			gen.progressRequest(id, r)
 		}
@@ -123,7 +123,7 @@
 		r.answered = true
 		gen.pending = append(gen.pending, Event{Kind: EventCanceled, ID: id})
 		if !r.running {
-			delete(gen.live, id)
+			delete(gen.inFlight, id)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 		gen.answered++
 	}
 	gen.pending = append(gen.pending, Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: 200000})
-	delete(gen.live, id)
+	delete(gen.inFlight, id)
 }
 
 func (gen *eventGenerator) step() {
@@ -169,7 +169,7 @@
 }
 
 func (gen *eventGenerator) action(a Action) {
-	r := gen.live[a.ID]
+	r := gen.inFlight[a.ID]
 	switch a.Kind {
 	case ActionSetTimer:
 		gen.timers = append(gen.timers, timer{gen.now + a.Duration, a.TimerID})
@@ -220,16 +220,16 @@
 	if r.answered {
 		gen.t.Fatalf("request %d started after it was answered", id)
 	}
-	if gen.kill > 0 && r.arrived > gen.drainAt+gen.cfg.DrainGrace {
+	if gen.killAt > 0 && r.arrived > gen.drainStartedAt+gen.cfg.DrainGrace {
 		gen.t.Fatalf("request %d started although it arrived after the drain grace", id)
 	}
 	if c.Idempotency == IdempotentByKey {
-		for _, at := range gen.ranKey[r.key] {
+		for _, at := range gen.runArrivals[r.key] {
 			if r.arrived-at < c.IdempotencyWindow && r.arrived > at-c.IdempotencyWindow {
 				gen.t.Fatalf("key %d was run twice within its window", r.key)
 			}
 		}
-		gen.ranKey[r.key] = append(gen.ranKey[r.key], r.arrived)
+		gen.runArrivals[r.key] = append(gen.runArrivals[r.key], r.arrived)
 	}
 	r.running, r.started = true, true
 }
@@ -244,14 +244,14 @@
 	r.answered = true
 	gen.answered++
 	if !r.running {
-		delete(gen.live, a.ID)
+		delete(gen.inFlight, a.ID)
 	}
 }
 
 // check verifies the invariants that must hold after every step.
 func (gen *eventGenerator) check() {
 	memory, onCores := 0.0, 0
-	for id, r := range gen.live {
+	for id, r := range gen.inFlight {
 		if r.running && !r.atCall && !r.callInFlight {
 			onCores++
 		}
@@ -263,7 +263,7 @@
 		if !r.answered && gen.now > r.deadline+gen.cfg.ResponseGrace {
 			gen.t.Fatalf("request %d unanswered after its deadline and grace", id)
 		}
-		if gen.kill > 0 && gen.now >= gen.kill && !r.answered {
+		if gen.killAt > 0 && gen.now >= gen.killAt && !r.answered {
 			gen.t.Fatalf("request %d unanswered when the process is killed", id)
 		}
 	}
@@ -305,18 +305,18 @@
 			cfg := testSettings()
 			change(&cfg)
 			for seed := range uint64(6) {
-				playGenerated(t, cfg, seed)
+				runGenerated(t, cfg, seed)
 			}
 		})
 	}
 }
 
-func playGenerated(t *testing.T, cfg Settings, seed uint64) {
+func runGenerated(t *testing.T, cfg Settings, seed uint64) {
 	gen := newEventGenerator(t, cfg, seed)
 	const steps = 4000
 	for i := range steps {
 		gen.now += cfg.StepInterval * Micros(1+gen.rng.IntN(2))
-		if gen.kill > 0 && gen.now >= gen.kill-cfg.StepInterval {
+		if gen.killAt > 0 && gen.now >= gen.killAt-cfg.StepInterval {
 			break
 		}
 		busy := i/500%2 == 1
@@ -329,7 +329,7 @@
 			gen.progress()
 		}
 		if i == steps*3/4 {
-			gen.drainAt, gen.kill = gen.now, gen.now+4*cfg.DrainGrace
+			gen.drainStartedAt, gen.killAt = gen.now, gen.now+4*cfg.DrainGrace
 			gen.pending = append(gen.pending, Event{Kind: EventDrain, TimeToKill: 4 * cfg.DrainGrace})
 		}
 		gen.step()
--- a/logic/learned_test.go
+++ b/logic/learned_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestRestoreLearned checks that a server with restored state uses it from its first request on: it rejects a request
-// that can't be answered in time, which a server without learned state starts.
-func TestRestoreLearned(t *testing.T) {
+// TestRestoredServerDecidesByLearnedState checks that a server with restored state uses it from its first request on: it
+// rejects a request that can't be answered in time, which a server without learned state starts.
+func TestRestoredServerDecidesByLearnedState(t *testing.T) {
 	cfg := Settings{Cores: 1, MemoryKB: 1e6, MaxConcurrencyPerCore: 9, Classes: []Class{{Name: "read", LatencyObjective: 1e6, ClientTimeout: 2e6, PriorityWeight: 1}},
 		Tenants: []Tenant{{Name: "a", QuotaPerSecond: 100}}}
 	slow, fresh, next := newServer(t, cfg), newServer(t, cfg), newServer(t, cfg)
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -3,18 +3,18 @@
 import "testing"
 
 func TestRunLimitRisesAndFalls(t *testing.T) {
-	d := drive(t, testSettings())
+	d := newDriver(t, testSettings())
 	d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms), arrival(3, 0, 3000*ms))
-	idle := tick()
+	idle := timerEvent()
 	idle.Gauges.RunQueueLength = 1
-	d.want(d.step(4*ms, idle), ActionRun, 3)
+	d.wantAction(d.step(4*ms, idle), ActionRun, 3)
 	if d.s.runLimit != 3 {
 		t.Errorf("run limit %v with idle cores and a queue, want 3", d.s.runLimit)
 	}
 	d.s.runLimit, d.s.runSlowdown = 8, Average{Mean: 2, Samples: 9}
-	busy := tick()
+	busy := timerEvent()
 	busy.Gauges.RunQueueLength = 9
-	d.step(4*ms, busy, done(1, OutcomeOK, 100*ms))
+	d.step(4*ms, busy, runEnded(1, OutcomeOK, 100*ms))
 	if d.s.runLimit >= 8 || d.s.runLimit < float64(d.s.cfg.Cores) {
 		t.Errorf("run limit %v after runs slowed down, want below 8 and at least the cores", d.s.runLimit)
 	}
@@ -23,56 +23,56 @@
 func TestSlowStartLowersConcurrency(t *testing.T) {
 	cfg := testSettings()
 	cfg.SlowStart = true
-	d := drive(t, cfg)
+	d := newDriver(t, cfg)
 	d.step(0)
 	cold := d.s.maxConcurrency() * maxConcurrencyShare
 	d.step(cfg.SlowStartDuration + ms)
 	if warm := d.s.maxConcurrency() * maxConcurrencyShare; cold >= warm {
 		t.Errorf("concurrency limit %v during slow start, want below the %v of a warm server", cold, warm)
 	}
-	survives := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
-	if cold >= survives {
-		t.Errorf("concurrency limit %v during slow start, want below the sustained %v", cold, survives)
+	sustained := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
+	if cold >= sustained {
+		t.Errorf("concurrency limit %v during slow start, want below the sustained %v", cold, sustained)
 	}
 }
 
 func TestCallsInFlightCountTowardsConcurrency(t *testing.T) {
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit = 1000
-	d := drive(t, cfg)
+	d := newDriver(t, cfg)
 	for id := RequestID(1); id <= 40; id++ {
 		d.step(0, arrival(id, 1, 3000*ms))
-		d.step(ms, needs(id))
+		d.step(ms, callNeeded(id))
 	}
 	if all := d.s.running + d.s.atCall; float64(all) > 2*d.s.maxConcurrency()*maxConcurrencyShare+1 {
 		t.Errorf("%d runs started with a limit of %v", all, d.s.maxConcurrency()*maxConcurrencyShare)
 	}
 }
 
-func TestReadingGoesBeforeRunning(t *testing.T) {
+func TestReadingReducesRunSlots(t *testing.T) {
 	cfg := testSettings()
 	cfg.Cores = 8
 	for _, c := range []struct {
 		reads float64
 		slots int
 	}{{0, 8}, {4, 8}, {6, 6}, {8, 4}, {100, 1}} {
-		d := drive(t, cfg)
-		d.step(0, d.reading(c.reads))
+		d := newDriver(t, cfg)
+		d.step(0, d.readingGauges(c.reads))
 		if got := d.s.runSlots(); got != c.slots {
 			t.Errorf("%v requests being read on 8 cores: %d run slots, want %d", c.reads, got, c.slots)
 		}
 	}
-	d := drive(t, cfg)
-	d.step(0, tick()) // the run queue was not measured
+	d := newDriver(t, cfg)
+	d.step(0, timerEvent()) // the run queue was not measured
 	d.s.gauges.RunQueueLength = -1
 	if got := d.s.runSlots(); got != 8 {
 		t.Errorf("%d run slots without a measured run queue, want 8", got)
 	}
 }
 
-// TestSetResourceShare checks that a server uses no more than its share of the cores and the memory, and all of them
-// once its share is 1 again.
-func TestSetResourceShare(t *testing.T) {
+// TestResourceShareLimitsCoresAndMemory checks that a server uses no more than its share of the cores and the memory,
+// and all of them once its share is 1 again.
+func TestResourceShareLimitsCoresAndMemory(t *testing.T) {
 	started := func(s *Server, now Micros, ids ...RequestID) (n int) {
 		var events []Event
 		for _, id := range ids {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -42,7 +42,7 @@
 	s.shedForMemory()
 	for s.running < s.runSlots() && s.startNext() { // one selection per free slot
 	}
-	s.shedHopeless()
+	s.shedInfeasible()
 	s.admitCalls()
 	s.updateSignals()
 	s.setTimer()
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -7,11 +7,11 @@
 
 func TestSameEventsGiveSameActions(t *testing.T) {
 	play := func() (all []Action) {
-		d := drive(t, testSettings())
+		d := newDriver(t, testSettings())
 		for i := range RequestID(50) {
 			all = append(all, d.step(20*ms, arrival(i+1, int(i)%3, 2000*ms))...)
 			if i > 5 {
-				all = append(all, d.step(0, done(i-5, OutcomeOK, 100*ms))...)
+				all = append(all, d.step(0, runEnded(i-5, OutcomeOK, 100*ms))...)
 			}
 		}
 		return all
@@ -42,31 +42,31 @@
 	}
 }
 
-func TestCanceledRequestsLeaveNothing(t *testing.T) {
-	d := drive(t, testSettings())
+func TestCanceledRequestsAreRemoved(t *testing.T) {
+	d := newDriver(t, testSettings())
 	d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms))
 	d.step(0, arrival(3, 0, 3000*ms), arrival(4, 1, 3000*ms))
 	for id := RequestID(1); id <= 4; id++ {
 		d.step(4*ms, Event{Kind: EventCanceled, ID: id})
 	}
-	d.step(4*ms, done(1, OutcomeCanceled, 0), done(2, OutcomeCanceled, 0), done(3, OutcomeCanceled, 0), done(4, OutcomeOK, 0))
+	d.step(4*ms, runEnded(1, OutcomeCanceled, 0), runEnded(2, OutcomeCanceled, 0), runEnded(3, OutcomeCanceled, 0), runEnded(4, OutcomeOK, 0))
 	if len(d.s.byID) != 0 || d.s.requestMemoryKB > 1e-6 {
-		t.Errorf("%d requests and %v kB left after all were canceled and had ended", len(d.s.byID), d.s.requestMemoryKB)
+		t.Errorf("%d requests and %v kB left after all were canceled and ended", len(d.s.byID), d.s.requestMemoryKB)
 	}
 }
 
 func TestTimerFiresWithinResponseGrace(t *testing.T) {
 	cfg := testSettings()
 	cfg.StepInterval = 20 * ms
-	d := drive(t, cfg)
-	timer := find(d.step(0, arrival(1, 0, 500*ms)), ActionSetTimer, 0)
+	d := newDriver(t, cfg)
+	timer := findAction(d.step(0, arrival(1, 0, 500*ms)), ActionSetTimer, 0)
 	if timer == nil || timer.Duration > cfg.ResponseGrace {
 		t.Fatalf("timer %+v: want one within the response grace", timer)
 	}
 }
 
 func TestOneTimerPerServer(t *testing.T) {
-	d := drive(t, testSettings())
+	d := newDriver(t, testSettings())
 	n := 0
 	for id := range RequestID(20) {
 		for _, a := range d.step(0, arrival(id+1, 0, 3000*ms)) {
@@ -81,11 +81,11 @@
 }
 
 func TestIdleServerSetsNoTimer(t *testing.T) {
-	d := drive(t, testSettings())
+	d := newDriver(t, testSettings())
 	d.step(0, arrival(1, 0, 3000*ms))
-	d.step(50*ms, done(1, OutcomeOK, 50*ms))
+	d.step(50*ms, runEnded(1, OutcomeOK, 50*ms))
 	for range 20 {
-		for _, a := range d.step(30*ms, tick()) {
+		for _, a := range d.step(30*ms, timerEvent()) {
 			if a.Kind == ActionSetTimer {
 				t.Fatal("timer set with no request in flight")
 			}
@@ -105,7 +105,7 @@
 		s.Step(now, []Event{arrival(id, int(id)%3, 1e12)})
 	}
 	queued := len(s.queue)
-	events := []Event{tick()}
+	events := []Event{timerEvent()}
 	for b.Loop() {
 		s.Step(now, events) // at the same time, so that the queue keeps its length
 	}
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -5,7 +5,7 @@
 func TestMemoryBoundsRuns(t *testing.T) {
 	cfg := testSettings()
 	cfg.MemoryKB = 130 // room for one run of 80 kB and a few queued requests
-	d := drive(t, cfg)
+	d := newDriver(t, cfg)
 	out := d.step(0, arrival(1, 0, 3000*ms), arrival(2, 0, 3000*ms))
 	runs := 0
 	for _, a := range out {
@@ -18,16 +18,16 @@
 	}
 }
 
-func TestQueuedBurstStaysInMemory(t *testing.T) {
+func TestQueuedBurstStaysWithinMemory(t *testing.T) {
 	cfg := testSettings()
 	cfg.MemoryKB = 1000
-	d := drive(t, cfg)
-	var flood []Event
+	d := newDriver(t, cfg)
+	var burst []Event
 	for id := RequestID(1); id <= 200; id++ { // 2000 kB queued
-		flood = append(flood, arrival(id, int(id)%2*2, 3000*ms))
+		burst = append(burst, arrival(id, int(id)%2*2, 3000*ms))
 	}
 	rejected := map[int]int{}
-	for _, a := range d.step(0, flood...) {
+	for _, a := range d.step(0, burst...) {
 		if a.Kind == ActionReject {
 			rejected[int(a.ID)%2*2]++
 		}
--- a/logic/reading.go
+++ b/logic/reading.go
@@ -39,6 +39,6 @@
 // readsSlowly reports whether reading one request takes a core so long that hardly any request can be
 // answered in time.
 func (s *Server) readsSlowly() bool {
-	corePart := min(1, float64(s.cfg.Cores)/max(1, s.gauges.RunQueueLength))
-	return s.requestsBeingRead()*s.readInterval.Mean*corePart > slowReadShare*s.meanObjective
+	coreShare := min(1, float64(s.cfg.Cores)/max(1, s.gauges.RunQueueLength))
+	return s.requestsBeingRead()*s.readInterval.Mean*coreShare > slowReadShare*s.meanObjective
 }
--- a/logic/reading_test.go
+++ b/logic/reading_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// reading returns a timer event whose gauges show n requests being read in addition to those that run.
-func (d *driver) reading(n float64) Event {
-	ev := tick()
+// readingGauges returns a timer event whose gauges show n requests being read in addition to those that run.
+func (d *driver) readingGauges(n float64) Event {
+	ev := timerEvent()
 	ev.Gauges.RunQueueLength = float64(d.s.running) + n
 	return ev
 }
 
-// read has 20 requests arrive at the given interval while the gauges show the given number being read.
-func (d *driver) read(from RequestID, gap Micros, reads float64) {
+// arriveWhileReading has 20 requests arrive at the given interval while the gauges show the given number being read.
+func (d *driver) arriveWhileReading(from RequestID, gap Micros, reads float64) {
 	for id := from; id < from+20; id++ {
-		d.step(gap/2, d.reading(reads))
+		d.step(gap/2, d.readingGauges(reads))
 		d.step(gap-gap/2, arrival(id, 0, 3000*ms))
 	}
-	d.step(ms, d.reading(reads))
+	d.step(ms, d.readingGauges(reads))
 }
 
 func TestSlowServerIsDistinguishedFromCrowdedOne(t *testing.T) {
@@ -30,8 +30,8 @@
 		{"six share the cores", 30 * ms, 6, false}, // 0.18 s, 0.06 s with only a part of the 2 cores
 		{"nothing is being read", 600 * ms, 0, false},
 	} {
-		d := drive(t, testSettings())
-		d.read(100, c.gap, c.reads)
+		d := newDriver(t, testSettings())
+		d.arriveWhileReading(100, c.gap, c.reads)
 		if got := d.s.readsSlowly(); got != c.slow {
 			t.Errorf("%s: readsSlowly returned %v", c.name, got)
 		}
--- a/logic/shedding.go
+++ b/logic/shedding.go
@@ -15,7 +15,7 @@
 //	handleCallEnded  its call may have run and must not be retried
 //	admitCalls       its call can't end before D2 and may not be skipped
 //	startNext        it is the next to start and can't meet D2
-//	shedHopeless     the work ahead of it prevents it from meeting D2, or the server is faulty
+//	shedInfeasible   the work ahead of it prevents it from meeting D2, or the server is faulty
 //	shedForMemory    it is at the end of the queue and the memory in use exceeds the bound
 //	answerExpired    its deadline is reached, or the process is about to be killed
 //
@@ -33,9 +33,9 @@
 	futileRetryShare               = 0.15 // share of retries among the arrivals that counts as frequent
 )
 
-// shedHopeless rejects requests that can't meet D2 because of the work ahead of them. A faulty server rejects
-// all that have waited for minQueueTimeShare of their latency objective.
-func (s *Server) shedHopeless() {
+// shedInfeasible rejects requests that can't meet D2 because of the work ahead of them. A faulty server
+// rejects all that have waited for minQueueTimeShare of their latency objective.
+func (s *Server) shedInfeasible() {
 	ahead := 0.0
 	for i := 0; i < len(s.queue); {
 		r := s.queue[i]
@@ -73,8 +73,8 @@
 
 // failoverFutile reports whether other servers are expected to reject a request that is rejected here.
 func (s *Server) failoverFutile() bool {
-	shares := s.rejectedShare.Mean > futileRejectedShareWithRetries && s.retryShare > futileRetryShare
-	return !s.readsSlowly() && (shares || s.rejectedShare.Mean > futileRejectedShare)
+	manyRejected := s.rejectedShare.Mean > futileRejectedShareWithRetries && s.retryShare > futileRetryShare
+	return !s.readsSlowly() && (manyRejected || s.rejectedShare.Mean > futileRejectedShare)
 }
 
 // retryAfter returns how long a rejected caller is asked to wait.
--- a/logic/shedding_test.go
+++ b/logic/shedding_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-func TestRejectedFromOldQueue(t *testing.T) {
-	d := drive(t, testSettings())
-	d.learn(1, 0, 500*ms)
+func TestQueuedRequestThatCannotMeetD2IsRejected(t *testing.T) {
+	d := newDriver(t, testSettings())
+	d.completeRun(1, 0, 500*ms)
 	d.step(0, arrival(2, 0, 3000*ms), arrival(3, 0, 3000*ms), arrival(4, 0, 3000*ms))
 	// Requests 2 and 3 occupy both cores. Request 4 waits until a run of 500 ms would end after D2.
-	busy := tick()
+	busy := timerEvent()
 	busy.Gauges.RunQueueLength = 5
-	d.wantNone(d.step(10*ms, busy), ActionRun, 4)
+	d.wantNoAction(d.step(10*ms, busy), ActionRun, 4)
 	var rejected *Action
 	for range 100 {
-		if rejected = find(d.step(8*ms, busy), ActionReject, 4); rejected != nil {
+		if rejected = findAction(d.step(8*ms, busy), ActionReject, 4); rejected != nil {
 			break
 		}
 	}
@@ -25,14 +25,14 @@
 }
 
 func TestSlowServerRejectsButAllowsFailover(t *testing.T) {
-	d := drive(t, testSettings())
-	d.learn(1, 0, 100*ms)
-	d.read(100, 600*ms, 2)
+	d := newDriver(t, testSettings())
+	d.completeRun(1, 0, 100*ms)
+	d.arriveWhileReading(100, 600*ms, 2)
 	d.s.rejectedShare.Mean = 0.95
 	late := arrival(500, 0, 3000*ms)
 	late.Arrival.Age = 990 * ms // of an objective of 1 s
 	out := d.step(4*ms, late)
-	rejected := find(out, ActionReject, 500)
+	rejected := findAction(out, ActionReject, 500)
 	if rejected == nil {
 		t.Fatal("a request read 0.99 s after its arrival was not rejected at once")
 	}
@@ -42,8 +42,8 @@
 }
 
 func TestRetriesShowThatOtherServersRejectToo(t *testing.T) {
-	last := func(retries bool, rejectedShare float64) bool {
-		d := drive(t, testSettings())
+	futileAfterArrivals := func(retries bool, rejectedShare float64) bool {
+		d := newDriver(t, testSettings())
 		for id := RequestID(1); id <= 40; id++ {
 			ev := arrival(id, 0, 3000*ms)
 			ev.Arrival.Retry = retries && id%3 == 0
@@ -57,15 +57,15 @@
 		rejectedShare float64
 		want          bool
 	}{{true, 0.2, false}, {true, 0.4, true}, {false, 0.4, false}, {false, 0.7, true}} {
-		if got := last(c.retries, c.rejectedShare); got != c.want {
+		if got := futileAfterArrivals(c.retries, c.rejectedShare); got != c.want {
 			t.Errorf("retries %v, rejected share %v: failover futile: %v", c.retries, c.rejectedShare, got)
 		}
 	}
 }
 
 func TestUnreadRequestsCountInRetryAfter(t *testing.T) {
-	advice := func(age Micros) Micros {
-		d := drive(t, testSettings())
+	retryAfterWithAge := func(age Micros) Micros {
+		d := newDriver(t, testSettings())
 		for id := RequestID(1); id <= 30; id++ {
 			ev := arrival(id, 0, 3000*ms)
 			ev.Arrival.Age = age
@@ -73,7 +73,7 @@
 		}
 		return d.s.retryAfter()
 	}
-	if fresh, old := advice(0), advice(400*ms); old < fresh+50*ms {
-		t.Errorf("Retry-After %v with requests read after 0.4 s, %v if read at once; want 50 ms more", old, fresh)
+	if readAtOnce, readLate := retryAfterWithAge(0), retryAfterWithAge(400*ms); readLate < readAtOnce+50*ms {
+		t.Errorf("Retry-After %v with requests read after 0.4 s, %v if read at once; want 50 ms more", readLate, readAtOnce)
 	}
 }
--- a/logic/signal.go
+++ b/logic/signal.go
@@ -96,12 +96,12 @@
 // effectiveCallers returns the effective number of callers among the recent arrivals (the inverse Simpson
 // index). Dividing the limit by the plain number of callers would starve those with the most traffic.
 func (s *Server) effectiveCallers() float64 {
-	pairs, arrivals := 0, map[int]int{}
+	sumOfSquares, arrivals := 0, map[int]int{}
 	for _, a := range s.recentArrivals {
 		arrivals[a.CallerID]++
-		pairs += 2*arrivals[a.CallerID] - 1
+		sumOfSquares += 2*arrivals[a.CallerID] - 1
 	}
-	return float64(len(s.recentArrivals)*len(s.recentArrivals)) / float64(max(1, pairs))
+	return float64(len(s.recentArrivals)*len(s.recentArrivals)) / float64(max(1, sumOfSquares))
 }
 
 // updatePriorityFloor decays the floor and raises it to cover the ranks that are being rejected.
--- a/logic/signal_test.go
+++ b/logic/signal_test.go
@@ -3,13 +3,13 @@
 import "testing"
 
 func TestLoadSignalOnlyWhereUsed(t *testing.T) {
-	for _, sig := range []SignalMode{SignalOff, SignalPriorityFloor, SignalConcurrencyLimit, SignalWeight} {
+	for _, mode := range []SignalMode{SignalOff, SignalPriorityFloor, SignalConcurrencyLimit, SignalWeight} {
 		cfg := testSettings()
-		cfg.SignalMode = sig
-		d := drive(t, cfg)
-		sent := find(d.step(0, arrival(1, 0, 3000*ms)), ActionSetLoadSignal, 0) != nil
-		if sent != (sig != SignalOff) {
-			t.Errorf("signal mode %d: load signal sent: %v", sig, sent)
+		cfg.SignalMode = mode
+		d := newDriver(t, cfg)
+		sent := findAction(d.step(0, arrival(1, 0, 3000*ms)), ActionSetLoadSignal, 0) != nil
+		if sent != (mode != SignalOff) {
+			t.Errorf("signal mode %d: load signal sent: %v", mode, sent)
 		}
 	}
 }
@@ -22,8 +22,8 @@
 }
 
 func TestPriorityFloorFollowsRejectedRanks(t *testing.T) {
-	d := drive(t, rankedSettings())
-	d.learn(1000, 0, 900*ms)
+	d := newDriver(t, rankedSettings())
+	d.completeRun(1000, 0, 900*ms)
 	for id := RequestID(1); id <= 60; id++ {
 		ev := arrival(id, 0, 3000*ms)
 		ev.Arrival.PriorityRank = float64(id%10) / 20 // reads have the lower half of the ranks
@@ -32,7 +32,7 @@
 			ev.Arrival.PriorityRank = 0.5 + float64(id%10)/20
 		}
 		d.step(30*ms, ev)
-		d.step(2*ms, tick())
+		d.step(2*ms, timerEvent())
 	}
 	high := d.s.priorityFloor
 	if high <= 0.05 || high >= 0.95 {
@@ -40,15 +40,15 @@
 	}
 	d.s.rejectedShare.Mean = 0
 	for range 300 { // 10 s without rejections
-		d.step(32*ms, tick())
+		d.step(32*ms, timerEvent())
 	}
 	if d.s.priorityFloor > 0.01 {
 		t.Errorf("floor %.2f 10 s after the last rejection, want at most 0.01", d.s.priorityFloor)
 	}
 }
 
-func TestPriorityFloorStaysWhereCallsAreShort(t *testing.T) {
-	d := drive(t, rankedSettings())
+func TestPriorityFloorIsNotRaisedWhileCallsAreShort(t *testing.T) {
+	d := newDriver(t, rankedSettings())
 	d.s.callTime.add(float64(500*ms), 1)
 	for id := RequestID(1); id <= 40; id++ {
 		ev := arrival(id, 0, 3000*ms)
@@ -63,28 +63,28 @@
 }
 
 func TestSlowServerOffersLessConcurrency(t *testing.T) {
-	sent := func(run Micros) float64 {
-		d := drive(t, testSettings())
+	loadSignal := func(run Micros) float64 {
+		d := newDriver(t, testSettings())
 		for id := RequestID(1); id <= 3; id++ {
-			d.learn(id, int(id)-1, run)
+			d.completeRun(id, int(id)-1, run)
 		}
 		return d.s.loadSignal()
 	}
-	if fast, slow := sent(50*ms), sent(600*ms); slow >= fast {
+	if fast, slow := loadSignal(50*ms), loadSignal(600*ms); slow >= fast {
 		t.Errorf("limit %v on a slow server, want below the %v of a fast one", slow, fast)
 	}
 }
 
 func TestUnevenCallersShareLimitByTraffic(t *testing.T) {
-	sent := func(sources []int) float64 {
-		d := drive(t, testSettings())
+	loadSignal := func(sources []int) float64 {
+		d := newDriver(t, testSettings())
 		for id := RequestID(1); id <= 3; id++ {
-			d.learn(id, int(id)-1, 100*ms)
+			d.completeRun(id, int(id)-1, 100*ms)
 		}
-		for i, src := range sources {
+		for i, callerID := range sources {
 			ev := arrival(RequestID(100+i), 0, 3000*ms)
-			ev.Arrival.CallerID = src
-			d.step(100*ms, ev, done(RequestID(99+i), OutcomeOK, 100*ms))
+			ev.Arrival.CallerID = callerID
+			d.step(100*ms, ev, runEnded(RequestID(99+i), OutcomeOK, 100*ms))
 		}
 		return d.s.loadSignal()
 	}
@@ -93,7 +93,7 @@
 		even = append(even, i%10)
 		uneven = append(uneven, max(0, i%20-10)*(i%2)) // caller 0 sends most
 	}
-	if a, b := sent(even), sent(uneven); b <= 1.5*a {
+	if a, b := loadSignal(even), loadSignal(uneven); b <= 1.5*a {
 		t.Errorf("limit %.2f with one caller that sends most, %.2f with ten equal callers; want over 1.5 times as much", b, a)
 	}
 }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -34,7 +34,7 @@
 	return sources
 }
 
-func TestSourceFilesStayReadable(t *testing.T) {
+func TestSourceFilesStayWithinSizeLimits(t *testing.T) {
 	sources := sourceFiles(t)
 	for _, path := range sources {
 		text, err := os.ReadFile(path)
