--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// Next waits for the next decision and returns it. It returns false once the controller is closed and all decisions have
-// been returned.
+// Next waits for the next decision and returns it. It returns false once the controller is closed and all decisions
+// have been returned.
 func (c *Controller) Next() (Decision, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -11,10 +11,10 @@
 var settings = logic.Settings{Cores: 2, MemoryKB: 10000, RunMemoryFactor: 8, MaxConcurrencyPerCore: 5, ResponseGrace: 80000, StepInterval: 4000,
 	SignalMode: logic.SignalPriorityFloor, Classes: []logic.Class{{Name: "read", LatencyObjective: 400000, ClientTimeout: 600000, PriorityWeight: 1}}}
 
-func open(t *testing.T, o Options) *Controller {
+func newController(t *testing.T, opts Options) *Controller {
 	t.Helper()
-	o.Clock = clock.System{}
-	c, err := New(settings, o)
+	opts.Clock = clock.System{}
+	c, err := New(settings, opts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,10 +22,11 @@
 	return c
 }
 
-// TestReportAndNext checks that reported arrivals lead to decisions and that gauges of idle cores let more requests run.
-func TestReportAndNext(t *testing.T) {
+// TestReportedEventsLeadToDecisions checks that reported arrivals lead to decisions and that gauges of idle cores let
+// more requests run.
+func TestReportedEventsLeadToDecisions(t *testing.T) {
 	requested := make(chan struct{}, 100)
-	c := open(t, Options{GaugesTimeout: time.Hour, RequestGauges: func() { requested <- struct{}{} }})
+	c := newController(t, Options{GaugesTimeout: time.Hour, RequestGauges: func() { requested <- struct{}{} }})
 	c.Report(Arrived(1, Arrival{Tenant: -1, MemoryKB: 10}), Arrived(2, Arrival{Tenant: -1, MemoryKB: 10}))
 	for _, want := range []uint64{1, 2} {
 		if d, ok := c.Next(); !ok || d.Kind != Run || d.ID != want {
@@ -47,10 +48,10 @@
 	}
 }
 
-// TestTimerWithoutGauges checks that the timer is delivered although a runtime reports no gauges. Without the timer,
-// requests would not be answered at their deadlines.
-func TestTimerWithoutGauges(t *testing.T) {
-	c := open(t, Options{GaugesTimeout: time.Millisecond, RequestGauges: func() {}})
+// TestTimerIsDeliveredWithoutGauges checks that the timer is delivered although a runtime reports no gauges. Without
+// the timer, requests would not be answered at their deadlines.
+func TestTimerIsDeliveredWithoutGauges(t *testing.T) {
+	c := newController(t, Options{GaugesTimeout: time.Millisecond, RequestGauges: func() {}})
 	timeout := settings.Classes[0].ClientTimeout
 	c.Report(Arrived(1, Arrival{Tenant: -1, MemoryKB: 10, Age: timeout - 50000}))
 	for {
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -43,8 +43,8 @@
 	logic.ActionSkipCall:  SkipCall,
 }
 
-// decisionOf returns the decision for an action that concerns a request. It carries out any other action, which concerns
-// the server, and returns false.
+// decisionOf returns the decision for an action that concerns a request. It carries out any other action, which
+// concerns the server, and returns false.
 func (c *Controller) decisionOf(action logic.Action) (Decision, bool) {
 	switch action.Kind {
 	case logic.ActionSetTimer:
--- a/internal/admission/event.go
+++ b/internal/admission/event.go
@@ -23,7 +23,8 @@
 	return Event{logic.Event{Kind: logic.EventArrival, ID: logic.RequestID(id), Arrival: arrival}}
 }
 
-// RunEnded returns the event that a request's run, or its wait for another request's run, has ended after the given time.
+// RunEnded returns the event that a request's run, or its wait for another request's run, has ended after the given
+// time.
 func RunEnded(id uint64, outcome Outcome, elapsed time.Duration) Event {
 	return ended(logic.EventRunEnded, id, outcome, elapsed)
 }
--- a/internal/admission/loop.go
+++ b/internal/admission/loop.go
@@ -110,12 +110,12 @@
 	}
 	// The time of the logic.Server must not decrease, even if the system clock is set back.
 	c.lastStepAt = max(c.lastStepAt, logic.Micros(c.opts.Clock.Now().UnixMicro()))
-	c.handOut(c.server.Step(c.lastStepAt, events))
+	c.dispatch(c.server.Step(c.lastStepAt, events))
 }
 
-// handOut carries out the actions that concern the server and passes the decisions about requests to Next or
+// dispatch carries out the actions that concern the server and passes the decisions about requests to Next or
 // OnDecision.
-func (c *Controller) handOut(actions []logic.Action) {
+func (c *Controller) dispatch(actions []logic.Action) {
 	var decisions []Decision
 	for _, action := range actions {
 		if d, ok := c.decisionOf(action); ok {
--- a/internal/node/deadline.go
+++ b/internal/node/deadline.go
@@ -31,7 +31,7 @@
 	}
 	n.counts.DeadlineExpired++
 	n.log.Warn("request answered by the deadline guard", fmt.Errorf("request %s, deadline %v", r.ID, r.deadline))
-	n.answerUndecided(r)
+	n.answerWithoutDecision(r)
 }
 
 // Abort answers a request at once, in any stage, because its front end can't wait any longer.
@@ -39,12 +39,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r := n.byID[id]; r != nil && !r.settled {
-		n.answerUndecided(r)
+		n.answerWithoutDecision(r)
 	}
 }
 
-// answerUndecided answers a request without a decision of admission, and reports it to admission as canceled.
-func (n *Node) answerUndecided(r *request) {
+// answerWithoutDecision answers a request without a decision of admission, and reports it to admission as canceled.
+func (n *Node) answerWithoutDecision(r *request) {
 	if r.stage == stageRecording {
 		n.withdrawStart(r, Response{Status: StatusRejected, RetryAfter: n.opts.Limits.RejectedRetryAfter})
 		return
@@ -74,9 +74,10 @@
 	n.reportCanceled(r)
 }
 
-// reportCanceled reports to admission that a request's caller no longer waits, and removes the request if it has no run.
+// reportCanceled reports to admission that a request's caller no longer waits, and removes the request if it has no
+// run.
 func (n *Node) reportCanceled(r *request) {
-	if r.stage == stageElsewhere {
+	if r.stage == stageInOtherProcess {
 		n.removeUnreported(r)
 		return
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -30,16 +30,16 @@
 	if !keepAdvertised {
 		n.opts.Admission.Report(admission.Draining(left))
 	}
-	n.opts.Clock.AfterFunc(left-n.opts.Limits.KillMargin, n.answerAllForKill)
+	n.opts.Clock.AfterFunc(left-n.opts.Limits.KillMargin, n.answerAllBeforeKill)
 }
 
-// answerAllForKill answers all unanswered requests shortly before the process is killed.
-func (n *Node) answerAllForKill() {
+// answerAllBeforeKill answers all unanswered requests shortly before the process is killed.
+func (n *Node) answerAllBeforeKill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range n.byID {
 		if !r.settled {
-			n.answerUndecided(r)
+			n.answerWithoutDecision(r)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	return !n.drainStartedAt.IsZero() && r.readAt.After(n.drainStartedAt.Add(duration(n.opts.Settings.DrainGrace)))
 }
 
-// answeredForKill reports whether answerAllForKill is due, so that it would not answer requests read from now on.
-func (n *Node) answeredForKill(now time.Time) bool {
+// answeredBeforeKill reports whether answerAllBeforeKill is due, so that it would not answer requests read from now on.
+func (n *Node) answeredBeforeKill(now time.Time) bool {
 	return !n.drainStartedAt.IsZero() && !now.Before(n.killAt.Add(-n.opts.Limits.KillMargin))
 }
--- a/internal/node/elsewhere.go
+++ b/internal/node/elsewhere.go
@@ -13,8 +13,8 @@
 //	the run is in flight                      waits for its end, until the request's deadline
 //	the start was withdrawn                   handled like a new request
 
-// SharedJournal is a Journal that other processes of this node also write to while one replaces another. Its RecordStart
-// reports ErrKeyHeld if one of them holds the key.
+// SharedJournal is a Journal that other processes of this node also write to while one replaces another. Its
+// RecordStart reports ErrKeyHeld if one of them holds the key.
 type SharedJournal interface {
 	Journal
 	// Lookup returns the record of another process for record.Key and record.Class; other fields are not used. It must
@@ -29,8 +29,8 @@
 // so an attempt here is neither run nor rejected.
 var ErrKeyHeld = errors.New("idempotency key is held by another process of the node")
 
-// keyHeldElsewhere reports whether another process holds r's key, as far as the journal shows.
-func (n *Node) keyHeldElsewhere(r *request) bool {
+// keyHeldByOtherProcess reports whether another process holds r's key, as far as the journal shows.
+func (n *Node) keyHeldByOtherProcess(r *request) bool {
 	s, ok := n.opts.Journal.(SharedJournal)
 	if !ok {
 		return false
@@ -39,9 +39,9 @@
 	return held
 }
 
-// answerFromElsewhere answers an attempt from its key's run in another process, at once or when that run ends. It
+// answerFromOtherProcess answers an attempt from its key's run in another process, at once or when that run ends. It
 // returns false if no other process holds the key.
-func (n *Node) answerFromElsewhere(r *request) bool {
+func (n *Node) answerFromOtherProcess(r *request) bool {
 	s, ok := n.opts.Journal.(SharedJournal)
 	if !ok {
 		return false
@@ -53,9 +53,9 @@
 	case record.Fingerprint != r.fingerprint:
 		n.respond(r, Response{Status: StatusFailed, KeyReused: true})
 	case !record.Ended:
-		r.stage = stageElsewhere
+		r.stage = stageInOtherProcess
 		n.counts.WaitedElsewhere++
-		s.NotifyOnChange(n.runRecord(r), func() { n.elsewhereChanged(r) })
+		s.NotifyOnChange(n.runRecord(r), func() { n.otherProcessChanged(r) })
 		return true
 	case record.Succeeded && record.ResultStored && record.Protocol == r.Protocol:
 		n.counts.ServedFromElsewhere++
@@ -75,43 +75,43 @@
 	}
 }
 
-// elsewhereChanged handles a change of the key for which an attempt waits in another process: it answers the attempt, or
-// reports it to admission if the start there was withdrawn.
-func (n *Node) elsewhereChanged(r *request) {
+// otherProcessChanged handles a change of the key for which an attempt waits in another process: it answers the
+// attempt, or reports it to admission if the start there was withdrawn.
+func (n *Node) otherProcessChanged(r *request) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if r.settled || r.stage != stageElsewhere || n.answerFromElsewhere(r) {
+	if r.settled || r.stage != stageInOtherProcess || n.answerFromOtherProcess(r) {
 		return
 	}
 	n.reportArrival(r, n.opts.Clock.Now()) // the start was withdrawn
 }
 
-// moveElsewhere has a queued attempt that admission rejects wait for another process that has started its key in the
-// meantime. If the attempt were rejected, its caller would send it to another node, which would run it. It returns
+// waitForOtherProcess has a queued attempt that admission rejects wait for another process that has started its key in
+// the meantime. If the attempt were rejected, its caller would send it to another node, which would run it. It returns
 // false if no other process holds the key.
-func (n *Node) moveElsewhere(r *request) bool {
-	if r.settled || r.IdempotencyKey == "" || n.keys.started(r) || !n.keyHeldElsewhere(r) {
+func (n *Node) waitForOtherProcess(r *request) bool {
+	if r.settled || r.IdempotencyKey == "" || n.keys.started(r) || !n.keyHeldByOtherProcess(r) {
 		return false
 	}
 	delete(n.byNumber, r.number) // admission has removed it
 	n.releaseKey(r)
-	if !n.answerFromElsewhere(r) { // the start was withdrawn since the last Lookup
+	if !n.answerFromOtherProcess(r) { // the start was withdrawn since the last Lookup
 		n.reportArrival(r, n.opts.Clock.Now())
 	}
 	return true
 }
 
-// keyTakenElsewhere handles an attempt whose start could not be recorded because another process holds its key: the
-// attempt, and all that are coalesced with it, wait for that process.
-func (n *Node) keyTakenElsewhere(r *request) {
-	n.unclaimStart(r)
+// keyTakenByOtherProcess handles an attempt whose start could not be recorded because another process holds its key:
+// the attempt, and all that are coalesced with it, wait for that process.
+func (n *Node) keyTakenByOtherProcess(r *request) {
+	n.returnToQueue(r)
 	for _, attempt := range append([]*request{r}, n.keys.release(r)...) {
-		n.unreport(attempt)
+		n.removeFromAdmission(attempt)
 		attempt.stage = stageQueued
 		switch {
 		case attempt.settled:
 			n.removeUnreported(attempt)
-		case !n.answerFromElsewhere(attempt): // the start was withdrawn since RecordStart
+		case !n.answerFromOtherProcess(attempt): // the start was withdrawn since RecordStart
 			n.reportArrival(attempt, n.opts.Clock.Now())
 		}
 	}
--- a/internal/node/elsewhere_test.go
+++ b/internal/node/elsewhere_test.go
@@ -16,18 +16,18 @@
 	watchers []func()
 }
 
-func (s *sharedJournal) Lookup(b RunRecord) (RunRecord, bool) {
-	h, ok := s.held[b.Key]
-	return h, ok
+func (s *sharedJournal) Lookup(record RunRecord) (RunRecord, bool) {
+	held, ok := s.held[record.Key]
+	return held, ok
 }
-func (s *sharedJournal) NotifyOnChange(b RunRecord, done func()) {
+func (s *sharedJournal) NotifyOnChange(record RunRecord, done func()) {
 	s.watchers = append(s.watchers, done)
 }
 
-// resolve sets the other process's record of the key "k" (nil: none) and notifies the watchers.
-func (s *sharedJournal) resolve(b *RunRecord) {
-	if delete(s.held, "k"); b != nil {
-		s.held["k"] = *b
+// setRecord sets the other process's record of the key "k" (nil: none) and notifies the watchers.
+func (s *sharedJournal) setRecord(record *RunRecord) {
+	if delete(s.held, "k"); record != nil {
+		s.held["k"] = *record
 	}
 	watchers := s.watchers
 	s.watchers = nil
@@ -44,14 +44,14 @@
 	resultLostThere = RunRecord{Fingerprint: keyFingerprint, Ended: true, Succeeded: true}
 )
 
-type elsewhereCase struct {
-	name string
-	play func(h *harness, s *sharedJournal)
-	work string // commands to the journal and the runner
-	want string // the responses of a, b and c
+type otherProcessCase struct {
+	name          string
+	play          func(h *harness, s *sharedJournal)
+	wantCommands  string // commands to the journal and the runner
+	wantResponses string // the responses of a, b and c
 }
 
-var elsewhereCases = []elsewhereCase{
+var otherProcessCases = []otherProcessCase{
 	{"served with the result of the other process", func(h *harness, s *sharedJournal) {
 		s.held["k"] = servedThere
 		h.submit("a", classBook, "k", 0)
@@ -68,13 +68,13 @@
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		h.submit("b", classBook, "k", 0)
-		s.resolve(&runningThere) // notification without a change
-		s.resolve(&servedThere)
+		s.setRecord(&runningThere) // notification without a change
+		s.setRecord(&servedThere)
 	}, "", "[served r] [served r] []"},
 	{"run here after the other process has withdrawn its start", func(h *harness, s *sharedJournal) {
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
-		s.resolve(nil)
+		s.setRecord(nil)
 		h.decide("a", admission.Run)
 		s.done["a"](nil)
 		h.RunEnded("a", logic.OutcomeOK, 0, []byte("own"))
@@ -83,13 +83,13 @@
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		h.Cancel("a")
-		s.resolve(&servedThere)
+		s.setRecord(&servedThere)
 	}, "", "[] [] []"},
 	{"failed if aborted while waiting", func(h *harness, s *sharedJournal) {
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		h.Abort("a")
-		s.resolve(&servedThere)
+		s.setRecord(&servedThere)
 	}, "", "[failed ] [] []"},
 	{"attempt and coalesced attempt wait if the other process recorded its start first", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
@@ -98,7 +98,7 @@
 		h.decide("b", admission.Coalesce)
 		s.held["k"] = runningThere
 		s.done["a"](ErrKeyHeld)
-		s.resolve(&servedThere)
+		s.setRecord(&servedThere)
 	}, "record start a", "[served r] [served r] []"},
 	{"served if the other process recorded its start first and its run has ended", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
@@ -112,7 +112,7 @@
 		h.Cancel("a")
 		s.held["k"] = runningThere
 		s.done["a"](ErrKeyHeld)
-		s.resolve(&servedThere)
+		s.setRecord(&servedThere)
 	}, "record start a", "[] [] []"},
 	{"run here if the other process recorded its start first and withdrew it", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
@@ -126,31 +126,31 @@
 		h.submit("a", classBook, "k", 0)
 		s.held["k"] = runningThere
 		h.decide("a", admission.Reject)
-		s.resolve(&servedThere)
+		s.setRecord(&servedThere)
 	}, "", "[served r] [] []"},
 	{"failed before the kill while waiting", func(h *harness, s *sharedJournal) {
 		s.held["k"] = runningThere
 		h.submit("a", classBook, "k", 0)
 		h.Drain(h.clock.now, time.Hour, true)
-		h.answerAllForKill()
+		h.answerAllBeforeKill()
 	}, "", "[failed ] [] []"},
 }
 
-// TestKeyHeldElsewhere checks that an attempt whose key another process holds is not run here. It is answered with the
-// outcome of that run, at once or when the run ends, and fails if that is not known by its deadline. If the key did not
-// run there, the attempt is submitted as a new one.
-func TestKeyHeldElsewhere(t *testing.T) {
-	for _, c := range elsewhereCases {
+// TestKeyHeldByOtherProcessIsNotRun checks that an attempt whose key another process holds is not run here. It is
+// answered with the outcome of that run, at once or when the run ends, and fails if that is not known by its deadline.
+// If the key did not run there, the attempt is submitted as a new one.
+func TestKeyHeldByOtherProcessIsNotRun(t *testing.T) {
+	for _, c := range otherProcessCases {
 		t.Run(c.name, func(t *testing.T) {
 			h, j := newJournalHarness(t)
 			s := &sharedJournal{fakeJournal: j, held: map[string]RunRecord{}}
 			h.opts.Journal = s
 			c.play(h, s)
-			if got := h.runner.String(); got != c.work {
-				t.Errorf("commands %q, want %q", got, c.work)
+			if got := h.runner.String(); got != c.wantCommands {
+				t.Errorf("commands %q, want %q", got, c.wantCommands)
 			}
-			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.want {
-				t.Errorf("responses of a, b and c: %s, want %s", got, c.want)
+			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.wantResponses {
+				t.Errorf("responses of a, b and c: %s, want %s", got, c.wantResponses)
 			}
 			if h.Unanswered() != 0 || len(h.byID) != 0 {
 				t.Errorf("%d requests unanswered and %d in flight at the end, want none", h.Unanswered(), len(h.byID))
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -22,18 +22,18 @@
 func (c *fixedClock) Now() time.Time { return c.now }
 
 // recorder is a Runner and a DependencyClient that records the commands it receives.
-type recorder struct{ asked []string }
+type recorder struct{ commands []string }
 
-func (r *recorder) note(what, id string)                 { r.asked = append(r.asked, what+" "+id) }
-func (r *recorder) Start(id, _ string, _ []byte, _ bool) { r.note("start", id) }
-func (r *recorder) Stop(id string)                       { r.note("stop", id) }
-func (r *recorder) Resume(id string)                     { r.note("resume", id) }
-func (r *recorder) DeliverReply(id string, _ []byte)     { r.note("deliver", id) }
-func (r *recorder) SkipCall(id string, _ uint64)         { r.note("skip", id) }
-func (r *recorder) String() string                       { return strings.Join(r.asked, ", ") }
-func (r *recorder) Cancel(id string)                     { r.note("cancel", id) }
+func (r *recorder) record(command, id string)            { r.commands = append(r.commands, command+" "+id) }
+func (r *recorder) Start(id, _ string, _ []byte, _ bool) { r.record("start", id) }
+func (r *recorder) Stop(id string)                       { r.record("stop", id) }
+func (r *recorder) Resume(id string)                     { r.record("resume", id) }
+func (r *recorder) DeliverReply(id string, _ []byte)     { r.record("deliver", id) }
+func (r *recorder) SkipCall(id string, _ uint64)         { r.record("skip", id) }
+func (r *recorder) String() string                       { return strings.Join(r.commands, ", ") }
+func (r *recorder) Cancel(id string)                     { r.record("cancel", id) }
 func (r *recorder) Call(id string, _ time.Duration, _ []byte, _ bool, done func(admission.Outcome, time.Duration, []byte)) {
-	r.note("call", id)
+	r.record("call", id)
 }
 
 // harness is a Node for which the test makes the decisions: Node.Run is not called and the admission controller is
@@ -69,10 +69,10 @@
 }
 
 // submit submits a request whose arrival time is the clock's time plus the given offset.
-func (h *harness) submit(id string, class int, key string, at time.Duration) {
-	h.Submit(Request{ID: id, Class: class, IdempotencyKey: key, ArrivedAt: h.clock.now.Add(at), Runner: h.runner},
-		func(a Response) {
-			h.responses[id] = append(h.responses[id], fmt.Sprint(a.Status, " ", string(a.Result)))
+func (h *harness) submit(id string, class int, key string, offset time.Duration) {
+	h.Submit(Request{ID: id, Class: class, IdempotencyKey: key, ArrivedAt: h.clock.now.Add(offset), Runner: h.runner},
+		func(response Response) {
+			h.responses[id] = append(h.responses[id], fmt.Sprint(response.Status, " ", string(response.Result)))
 		})
 }
 
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -51,7 +51,7 @@
 func (n *Node) startKeyed(r *request) {
 	e := n.keys.claim(r)
 	if e == nil {
-		n.rejectUnrun(r)
+		n.rejectUnstarted(r)
 		return
 	}
 	if e.started {
@@ -98,8 +98,8 @@
 	n.remove(r)
 }
 
-// completeKey handles the end of the run of a key's owner: it answers the coalesced attempts, and stores and records the
-// result.
+// completeKey handles the end of the run of a key's owner: it answers the coalesced attempts, and stores and records
+// the result.
 func (n *Node) completeKey(r *request, e *keyEntry, outcome admission.Outcome, result []byte) {
 	if outcome == logic.OutcomeNotStarted {
 		detail := fmt.Errorf("request %s, key %s", r.ID, r.IdempotencyKey)
@@ -141,7 +141,7 @@
 // keyMayHaveRun reports whether an attempt with r's key may have run within the window, so that r must be answered from
 // that run.
 func (n *Node) keyMayHaveRun(r *request) bool {
-	return r.IdempotencyKey != "" && (n.keys.started(r) || n.keyHeldElsewhere(r))
+	return r.IdempotencyKey != "" && (n.keys.started(r) || n.keyHeldByOtherProcess(r))
 }
 
 // mayHaveRun reports whether the request is not idempotent and was passed to its runner.
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -110,7 +110,7 @@
 	}
 	switch {
 	case errors.Is(err, ErrKeyHeld):
-		n.keyTakenElsewhere(r)
+		n.keyTakenByOtherProcess(r)
 	case err != nil:
 		n.recordFailed(r, err)
 	default:
@@ -127,14 +127,14 @@
 
 // withdrawStart answers a request whose start is being recorded and releases its key: it has not run and will not run.
 func (n *Node) withdrawStart(r *request, response Response) {
-	n.unclaimStart(r)
+	n.returnToQueue(r)
 	n.opts.Journal.Withdraw(n.runRecord(r))
 	n.respond(r, response)
 	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 }
 
-// unclaimStart returns a request whose start is being recorded to the queue and marks its key as not started.
-func (n *Node) unclaimStart(r *request) {
+// returnToQueue returns a request whose start is being recorded to the queue and marks its key as not started.
+func (n *Node) returnToQueue(r *request) {
 	if r.recordTimer != nil {
 		r.recordTimer.Stop()
 	}
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -18,15 +18,15 @@
 	err  error // returned by RecordStart
 }
 
-func (j *fakeJournal) RecordStart(b RunRecord, done func(error)) error {
-	j.note("record start", b.RequestID)
-	j.done[b.RequestID] = done
+func (j *fakeJournal) RecordStart(record RunRecord, done func(error)) error {
+	j.record("record start", record.RequestID)
+	j.done[record.RequestID] = done
 	return j.err
 }
-func (j *fakeJournal) RecordEnd(b RunRecord) {
-	j.note(fmt.Sprintf("record end(%v %s)", b.Succeeded, b.Result), b.RequestID)
+func (j *fakeJournal) RecordEnd(record RunRecord) {
+	j.record(fmt.Sprintf("record end(%v %s)", record.Succeeded, record.Result), record.RequestID)
 }
-func (j *fakeJournal) Withdraw(b RunRecord) { j.note("withdraw", b.RequestID) }
+func (j *fakeJournal) Withdraw(record RunRecord) { j.record("withdraw", record.RequestID) }
 
 func newJournalHarness(t *testing.T) (*harness, *fakeJournal) {
 	h := newHarness(t)
@@ -36,13 +36,13 @@
 	return h, j
 }
 
-var errFull = errors.New("full")
+var errJournalFull = errors.New("full")
 
 type recordedStartCase struct {
-	name string
-	play func(h *harness, j *fakeJournal)
-	work string // commands to the journal and the runner
-	want string // the responses of a, b and c
+	name          string
+	play          func(h *harness, j *fakeJournal)
+	wantCommands  string // commands to the journal and the runner
+	wantResponses string // the responses of a, b and c
 }
 
 var recordedStartCases = []recordedStartCase{
@@ -60,13 +60,13 @@
 	{"rejected and key released if the start can't be recorded", func(h *harness, j *fakeJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
-		j.done["a"](errFull)
+		j.done["a"](errJournalFull)
 		h.submit("b", classBook, "k", 0)
 		h.decide("b", admission.Run)
 		j.done["b"](nil)
 	}, "record start a, withdraw a, record start b, start b", "[rejected ] [] []"},
 	{"rejected if RecordStart returns an error", func(h *harness, j *fakeJournal) {
-		j.err = errFull
+		j.err = errJournalFull
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 	}, "record start a, withdraw a", "[rejected ] [] []"},
@@ -96,7 +96,7 @@
 		h.submit("b", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.decide("b", admission.Coalesce)
-		j.done["a"](errFull)
+		j.done["a"](errJournalFull)
 		h.decide("b", admission.Run)
 		j.done["b"](nil)
 		h.RunEnded("b", logic.OutcomeOK, 0, []byte("r"))
@@ -134,42 +134,42 @@
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.Drain(h.clock.now, time.Minute, false)
-		h.answerAllForKill()
+		h.answerAllBeforeKill()
 		j.done["a"](nil)
 	}, "record start a, withdraw a", "[rejected ] [] []"},
 }
 
-// TestRecordedStart checks that a keyed run is started only after its record is durable.
-func TestRecordedStart(t *testing.T) {
+// TestKeyedRunStartsAfterItsRecordIsDurable checks that a keyed run is started only after its record is durable.
+func TestKeyedRunStartsAfterItsRecordIsDurable(t *testing.T) {
 	for _, c := range recordedStartCases {
 		t.Run(c.name, func(t *testing.T) {
 			h, j := newJournalHarness(t)
 			c.play(h, j)
-			if got := h.runner.String(); got != c.work {
-				t.Errorf("commands: %s; want %s", got, c.work)
+			if got := h.runner.String(); got != c.wantCommands {
+				t.Errorf("commands: %s; want %s", got, c.wantCommands)
 			}
-			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.want {
-				t.Errorf("responses of a, b and c: %s; want %s", got, c.want)
+			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.wantResponses {
+				t.Errorf("responses of a, b and c: %s; want %s", got, c.wantResponses)
 			}
 		})
 	}
 }
 
-// TestRestored checks that a request that was started in an earlier process is neither run again within its window nor
-// rejected, that a request with the same key and other content is recognized, and that the key can be used again after
-// the window.
-func TestRestored(t *testing.T) {
+// TestRestoredKeyIsNotRunWithinWindow checks that a request that was started in an earlier process is neither run again
+// within its window nor rejected, that a request with the same key and other content is recognized, and that the key
+// can be used again after the window.
+func TestRestoredKeyIsNotRunWithinWindow(t *testing.T) {
 	h, _ := newJournalHarness(t)
-	old := RunRecord{Key: "k", Class: "book", Fingerprint: fingerprintOf("book", &Request{}), ArrivedAt: h.clock.now.Add(-4 * time.Second), Window: 10 * time.Second}
-	h.Restore(old)
-	old.Key, old.Class = "l", "no longer there"
-	h.Restore(old)
-	old.Key, old.Class, old.Ended, old.Succeeded, old.ResultStored, old.Result, old.Protocol = "kept", "book", true, true, true, []byte("r"), ""
-	h.Restore(old)
-	old.Key, old.Protocol = "other protocol's", "x"
-	h.Restore(old)
-	old.Key, old.Protocol, old.Result = "no room", "", make([]byte, h.opts.Limits.StoredResultBytes+1)
-	h.Restore(old)
+	record := RunRecord{Key: "k", Class: "book", Fingerprint: fingerprintOf("book", &Request{}), ArrivedAt: h.clock.now.Add(-4 * time.Second), Window: 10 * time.Second}
+	h.Restore(record)
+	record.Key, record.Class = "l", "no longer there"
+	h.Restore(record)
+	record.Key, record.Class, record.Ended, record.Succeeded, record.ResultStored, record.Result, record.Protocol = "kept", "book", true, true, true, []byte("r"), ""
+	h.Restore(record)
+	record.Key, record.Protocol = "other protocol's", "x"
+	h.Restore(record)
+	record.Key, record.Protocol, record.Result = "no room", "", make([]byte, h.opts.Limits.StoredResultBytes+1)
+	h.Restore(record)
 	for i, c := range []struct{ key, want string }{{"kept", "[served r]"}, {"kept", "[served r]"}, {"other protocol's", "[failed ]"}, {"no room", "[failed ]"}} {
 		id := fmt.Sprint("r", i)
 		h.submit(id, classBook, c.key, 0)
--- a/internal/node/keytable.go
+++ b/internal/node/keytable.go
@@ -21,15 +21,17 @@
 	coalesced   []*request // attempts that wait for the end of the run
 }
 
-// retentionSlacks is the retention of an entry after its window, in units of limits.KeyWindowSlack. Attempts are
+// retentionSlackFactor is the retention of an entry after its window, in units of limits.KeyWindowSlack. Attempts are
 // assigned to windows by their arrival at the machine and may be read seconds later.
-const retentionSlacks = 20
+const retentionSlackFactor = 20
 
 // KeyRetentionMargin returns how long a key is retained after its window, in the key table and in the journals.
-func KeyRetentionMargin(l limits.Limits) time.Duration { return retentionSlacks * l.KeyWindowSlack }
+func KeyRetentionMargin(l limits.Limits) time.Duration {
+	return retentionSlackFactor * l.KeyWindowSlack
+}
 
-// keyTable maps idempotency keys to their runs. The number of entries and the bytes of stored results are bounded. It is
-// guarded by the Node's lock.
+// keyTable maps idempotency keys to their runs. The number of entries and the bytes of stored results are bounded. It
+// is guarded by the Node's lock.
 type keyTable struct {
 	entries         map[string]*keyEntry
 	maxEntries      int
@@ -121,7 +123,7 @@
 // expire removes finished entries that no attempt read from now on can belong to.
 func (t *keyTable) expire(now time.Time) {
 	for key, e := range t.entries {
-		if e.started && e.finished && now.After(e.arrivedAt.Add(e.window+retentionSlacks*t.slack)) {
+		if e.started && e.finished && now.After(e.arrivedAt.Add(e.window+retentionSlackFactor*t.slack)) {
 			t.remove(key)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -64,8 +64,8 @@
 	Clock      clock.Clock
 	Limits     limits.Limits
 	Log        *slog.Logger
-	// ObserveLatency, if not nil, is called for each served request with the time from its arrival at the machine to its
-	// response. It is called with the Node's lock held, so it must neither block nor call the Node.
+	// ObserveLatency, if not nil, is called for each served request with the time from its arrival at the machine to
+	// its response. It is called with the Node's lock held, so it must neither block nor call the Node.
 	ObserveLatency func(time.Duration)
 }
 
@@ -161,10 +161,10 @@
 	now := n.opts.Clock.Now()
 	n.keys.expire(now)
 	for _, r := range n.byNumber {
-		switch late := now.Sub(r.deadline); {
-		case r.unconfirmed && late > 0:
+		switch overdue := now.Sub(r.deadline); {
+		case r.unconfirmed && overdue > 0:
 			n.abandonRun(r)
-		case late > n.opts.Limits.OrphanTimeout: // the report of its end was lost with a connection
+		case overdue > n.opts.Limits.OrphanTimeout: // the report of its end was lost with a connection
 			n.finishRun(r, logic.OutcomeFailed, 0, nil)
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,9 +10,9 @@
 	"sloehitch/logic"
 )
 
-// TestRejectionStatus checks that a front end that can't submit an attempt fails it if its key may have run within the
-// window, since a rejection would promise that it did not.
-func TestRejectionStatus(t *testing.T) {
+// TestRejectionStatusIsFailedIfKeyMayHaveRun checks that a front end that can't submit an attempt fails it if its key
+// may have run within the window, since a rejection would promise that it did not.
+func TestRejectionStatusIsFailedIfKeyMayHaveRun(t *testing.T) {
 	h := newHarness(t)
 	h.submit("a", classBook, "k", 0)
 	before := h.RejectionStatus("book", "k")
@@ -26,40 +26,41 @@
 	}
 }
 
-// TestOutcomes checks the commands to the runner and the responses to the callers for different orders of events.
-func TestOutcomes(t *testing.T) {
+// TestCommandsAndResponses checks the commands to the runner and the responses to the callers for different orders of
+// events.
+func TestCommandsAndResponses(t *testing.T) {
 	for _, c := range outcomeCases {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
 			c.play(h)
-			if got := h.runner.String(); got != c.work {
-				t.Errorf("commands: %s; want %s", got, c.work)
+			if got := h.runner.String(); got != c.wantCommands {
+				t.Errorf("commands: %s; want %s", got, c.wantCommands)
 			}
-			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.want {
-				t.Errorf("responses of a, b and c: %s; want %s", got, c.want)
+			if got := fmt.Sprint(h.responses["a"], " ", h.responses["b"], " ", h.responses["c"]); got != c.wantResponses {
+				t.Errorf("responses of a, b and c: %s; want %s", got, c.wantResponses)
 			}
 		})
 	}
 }
 
-// TestCanceledAsItStarts guards against lost run slots: a request that is canceled after admission has decided to start
-// it must not count as running forever.
-func TestCanceledAsItStarts(t *testing.T) {
+// TestRequestCanceledBeforeStartDoesNotCountAsRunning guards against lost run slots: a request that is canceled after
+// admission has decided to start it must not count as running forever.
+func TestRequestCanceledBeforeStartDoesNotCountAsRunning(t *testing.T) {
 	h := newHarness(t)
-	g, err := admission.New(h.opts.Settings, admission.Options{Clock: h.clock})
+	controller, err := admission.New(h.opts.Settings, admission.Options{Clock: h.clock})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer g.Close()
-	h.opts.Admission = g
-	picked := make(chan admission.Decision)
+	defer controller.Close()
+	h.opts.Admission = controller
+	decisions := make(chan admission.Decision)
 	go func() {
 		for {
-			d, ok := g.Next()
+			d, ok := controller.Next()
 			if !ok {
 				return
 			}
-			picked <- d
+			decisions <- d
 		}
 	}()
 	for i := range 20 { // far more than may run at once on two cores
@@ -68,7 +69,7 @@
 		for {
 			var d admission.Decision
 			select {
-			case d = <-picked:
+			case d = <-decisions:
 			case <-time.After(standin.WaitTimeout):
 				t.Fatalf("request %d was not started: canceled requests before it still count as running", i)
 			}
@@ -85,9 +86,9 @@
 	}
 }
 
-// TestBeginResponse checks that a response may begin only if its request runs, is unanswered and has no key, and that a
-// request whose response has begun is failed instead of rejected.
-func TestBeginResponse(t *testing.T) {
+// TestBegunResponseIsNotRejected checks that a response may begin only if its request runs, is unanswered and has no
+// key, and that a request whose response has begun is failed instead of rejected.
+func TestBegunResponseIsNotRejected(t *testing.T) {
 	h := newHarness(t)
 	var got []Response
 	for i, class := range []int{classRead, classRead, classBook} {
@@ -113,8 +114,9 @@
 	}
 }
 
-// TestAttemptTimeout checks that a request's deadline is the earlier of its caller's and its class's.
-func TestAttemptTimeout(t *testing.T) {
+// TestDeadlineIsEarlierOfCallerAndClass checks that a request's deadline is the earlier of its caller's and its
+// class's.
+func TestDeadlineIsEarlierOfCallerAndClass(t *testing.T) {
 	h := newHarness(t)
 	for _, c := range []struct{ wait, want time.Duration }{{0, time.Minute}, {time.Second, time.Second}, {time.Hour, time.Minute}} {
 		id := fmt.Sprint(c.wait)
@@ -145,7 +147,7 @@
 	h.clock.now = h.clock.now.Add(time.Hour)
 	h.Sweep()
 	if run("5", "l"); h.keys.freeResultBytes != 1 || len(h.keys.entries) != 1 || h.runner.String() != "start 0, start 1, start 5" {
-		t.Errorf("after an hour: %d bytes free, want 1; %d keys, want 1; commands %s", h.keys.freeResultBytes, len(h.keys.entries), h.runner)
+		t.Errorf("after an hour: %d bytes free, %d keys, want 1 of each; commands %s", h.keys.freeResultBytes, len(h.keys.entries), h.runner)
 	}
 }
 
--- a/internal/node/outcomes_test.go
+++ b/internal/node/outcomes_test.go
@@ -8,10 +8,10 @@
 )
 
 type outcomeCase struct {
-	name string
-	play func(h *harness)
-	work string // commands to the runner and the dependency client
-	want string // the responses of a, b and c
+	name          string
+	play          func(h *harness)
+	wantCommands  string // commands to the runner and the dependency client
+	wantResponses string // the responses of a, b and c
 }
 
 var outcomeCases = []outcomeCase{
@@ -215,7 +215,7 @@
 		h.decide("b", admission.Run)
 		h.Cancel("c")
 		h.Drain(h.clock.now, time.Minute, false)
-		h.answerAllForKill()
+		h.answerAllBeforeKill()
 	}, "start b", "[rejected ] [failed ] []"},
 	{"call of a run that has ended is canceled", func(h *harness) {
 		h.submit("a", classRead, "", 0)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -32,11 +32,11 @@
 type stage int
 
 const (
-	stageQueued    stage = iota // reported to admission; it has no run
-	stageCoalesced              // waits for the result of another attempt's run
-	stageRecording              // waits for the record of its start to be durable; it has no run yet
-	stageRunning                // its run was started and has not ended
-	stageElsewhere              // waits for its key's run in another process; not reported to admission
+	stageQueued         stage = iota // reported to admission; it has no run
+	stageCoalesced                   // waits for the result of another attempt's run
+	stageRecording                   // waits for the record of its start to be durable; it has no run yet
+	stageRunning                     // its run was started and has not ended
+	stageInOtherProcess              // waits for its key's run in another process; not reported to admission
 	stageEnded
 )
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -13,9 +13,9 @@
 	case admission.Run:
 		n.startOrResume(r)
 	case admission.Reject:
-		n.answerDecided(r, Response{Status: StatusRejected, RetryAfter: d.Duration, NoFailover: d.NoFailover})
+		n.answerAsDecided(r, Response{Status: StatusRejected, RetryAfter: d.Duration, NoFailover: d.NoFailover})
 	case admission.Fail:
-		n.answerDecided(r, Response{Status: StatusFailed})
+		n.answerAsDecided(r, Response{Status: StatusFailed})
 	case admission.Stop:
 		n.stopRun(r)
 	case admission.Coalesce:
@@ -33,13 +33,13 @@
 	}
 }
 
-// answerDecided answers a request as admission decided, and removes it if it has no run.
-func (n *Node) answerDecided(r *request, response Response) {
+// answerAsDecided answers a request as admission decided, and removes it if it has no run.
+func (n *Node) answerAsDecided(r *request, response Response) {
 	if r.stage == stageRecording {
 		n.withdrawStart(r, response)
 		return
 	}
-	if response.Status == StatusRejected && r.stage == stageQueued && n.moveElsewhere(r) {
+	if response.Status == StatusRejected && r.stage == stageQueued && n.waitForOtherProcess(r) {
 		return
 	}
 	n.respond(r, response)
@@ -59,7 +59,7 @@
 		r.paused = false
 	case r.stage != stageQueued:
 	case n.pastDrainGrace(r):
-		n.rejectUnrun(r)
+		n.rejectUnstarted(r)
 	case r.IdempotencyKey != "":
 		n.startKeyed(r)
 	default:
@@ -67,10 +67,10 @@
 	}
 }
 
-// rejectUnrun rejects a request that admission has started but that must not run. The response has no Retry-After: logic
-// computes that from its backlog when it rejects a request, and it has admitted this one. The caller may try another
-// server at once.
-func (n *Node) rejectUnrun(r *request) {
+// rejectUnstarted rejects a request that admission has started but that must not run. The response has no Retry-After:
+// logic computes that from its backlog when it rejects a request, and it has admitted this one. The caller may try
+// another server at once.
+func (n *Node) rejectUnstarted(r *request) {
 	n.respond(r, Response{Status: StatusRejected})
 	n.finishRun(r, logic.OutcomeNotStarted, 0, nil)
 }
@@ -109,14 +109,15 @@
 	defer n.mu.Unlock()
 	r := n.byID[id]
 	if r == nil || r.stage != stageRunning {
-		n.traceUnknown("end of a run that is not in flight", id, outcome)
+		n.traceUnknownRun("end of a run that is not in flight", id, outcome)
 		return
 	}
 	n.trace("run ended", r, "outcome", outcome, "took", elapsed)
 	n.finishRun(r, outcome, elapsed, result)
 }
 
-// finishRun reports the end of a request's run to admission, and answers the request and all attempts coalesced with it.
+// finishRun reports the end of a request's run to admission, and answers the request and all attempts coalesced with
+// it.
 func (n *Node) finishRun(r *request, outcome admission.Outcome, elapsed time.Duration, result []byte) {
 	n.opts.Admission.Report(admission.RunEnded(r.number, outcome, elapsed))
 	n.completeRun(r, outcome, result)
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -24,14 +24,14 @@
 		return
 	}
 	// After the drain grace, a repeat of a request that may have run is still answered from that run.
-	tooLate := n.answeredForKill(now) || (n.pastDrainGrace(r) && !n.keyMayHaveRun(r))
+	tooLate := n.answeredBeforeKill(now) || (n.pastDrainGrace(r) && !n.keyMayHaveRun(r))
 	if tooLate {
 		n.respond(r, Response{Status: StatusRejected, RetryAfter: duration(n.opts.Settings.MaxRetryAfter)})
 		return
 	}
 	n.byID[r.ID] = r
 	r.deadlineTimer = n.opts.Clock.AfterFunc(r.deadline.Sub(now)+n.guardDelay(), func() { n.deadlineExpired(r) })
-	if r.IdempotencyKey != "" && !n.keys.started(r) && n.answerFromElsewhere(r) {
+	if r.IdempotencyKey != "" && !n.keys.started(r) && n.answerFromOtherProcess(r) {
 		return
 	}
 	n.reportArrival(r, now)
@@ -82,15 +82,15 @@
 	n.opts.Admission.Report(admission.Arrived(r.number, arrival))
 }
 
-// unreport removes a request that has not run from admission.
-func (n *Node) unreport(r *request) {
+// removeFromAdmission removes a request that has not run from admission.
+func (n *Node) removeFromAdmission(r *request) {
 	n.opts.Admission.Report(admission.RunEnded(r.number, logic.OutcomeNotStarted, 0))
 	delete(n.byNumber, r.number)
 }
 
 // resubmit reports a request to admission as a new one, after the attempt that it waited for ended without a run.
 func (n *Node) resubmit(r *request) {
-	n.unreport(r)
+	n.removeFromAdmission(r)
 	n.reportArrival(r, n.opts.Clock.Now())
 }
 
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -21,8 +21,8 @@
 	n.opts.Log.Debug(step, append(attributes, more...)...)
 }
 
-// traceUnknown logs a report about a run that is not in flight.
-func (n *Node) traceUnknown(what, id string, outcome admission.Outcome) {
+// traceUnknownRun logs a report about a run that is not in flight.
+func (n *Node) traceUnknownRun(what, id string, outcome admission.Outcome) {
 	if n.tracing {
 		n.opts.Log.Debug(what, "request", id, "outcome", outcome)
 	}
--- a/internal/node/unconfirmed.go
+++ b/internal/node/unconfirmed.go
@@ -7,8 +7,9 @@
 
 // DeliveryUnconfirmed reports that a command to a run may not have reached its runner: the start, or, if callNotice is
 // not 0, the reply to the call that this notice requested. Neither is sent again, as the run may be in progress, or may
-// have ended with the report of its end on the way. If the class allows it, the run continues without the call; the skip
-// command names the call and affects no other. Otherwise the end of the run is awaited until the request's deadline.
+// have ended with the report of its end on the way. If the class allows it, the run continues without the call; the
+// skip command names the call and affects no other. Otherwise the end of the run is awaited until the request's
+// deadline.
 func (n *Node) DeliveryUnconfirmed(id string, callNotice uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -27,17 +27,17 @@
 
 // instance is one server with its events in the current batch.
 type instance struct {
-	id      string
-	server  *logic.Server // nil after the instance has ended
-	names   *settings.NameIndex
-	events  []logic.Event
-	touched bool // mentioned in the current batch
+	id        string
+	server    *logic.Server // nil after the instance has ended
+	names     *settings.NameIndex
+	events    []logic.Event
+	mentioned bool // mentioned in the current batch
 }
 
 // session is the state of one connection to the simulator.
 type session struct {
 	instances map[string]*instance
-	touched   []*instance // mentioned in the current batch, in order of first mention
+	mentioned []*instance // mentioned in the current batch, in order of first mention
 	now       logic.Micros
 	batch     string
 	inBatch   bool
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	s.touch(i)
+	s.markMentioned(i)
 	i.events = append(i.events, ev)
 	return nil
 }
@@ -144,14 +144,14 @@
 		s.instances[id] = i
 	}
 	i.server, i.names, i.events = server, names, nil
-	s.touch(i)
+	s.markMentioned(i)
 	return nil
 }
 
-func (s *session) touch(i *instance) {
-	if !i.touched {
-		i.touched = true
-		s.touched = append(s.touched, i)
+func (s *session) markMentioned(i *instance) {
+	if !i.mentioned {
+		i.mentioned = true
+		s.mentioned = append(s.mentioned, i)
 	}
 }
 
@@ -161,8 +161,8 @@
 		return err
 	}
 	s.output = s.output[:0]
-	for _, i := range s.touched {
-		i.touched = false
+	for _, i := range s.mentioned {
+		i.mentioned = false
 		if i.server == nil {
 			continue
 		}
@@ -171,7 +171,7 @@
 		}
 		i.events = i.events[:0]
 	}
-	s.touched = s.touched[:0]
+	s.mentioned = s.mentioned[:0]
 	s.inBatch = false
 	s.output = fmt.Appendf(s.output, "%s %s\n", batchAnswered, s.batch)
 	_, err := w.Write(s.output)
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const begin = "BEGIN 3 99 az=a classes.count=2 classes.0.credit=1.0 classes.0.hard-limit=4000000 " +
+const beginLine = "BEGIN 3 99 az=a classes.count=2 classes.0.credit=1.0 classes.0.hard-limit=4000000 " +
 	"classes.0.name=read classes.0.objective=1000000 classes.0.semantics=retryable classes.0.window=0 " +
 	"classes.1.credit=4.0 classes.1.hard-limit=4000000 classes.1.name=write classes.1.objective=1000000 " +
 	"classes.1.semantics=dedup classes.1.window=6000000 domain.cores=2 domain.memory-kb=90000.0 " +
@@ -22,21 +22,21 @@
 	return out.String(), err
 }
 
-func TestBatches(t *testing.T) {
-	order := "ORDER 3 42 read 24.5 - 77 2000000 north 0 0.25 - 1 50"
+func TestBatchActions(t *testing.T) {
+	arrivalLine := "ORDER 3 42 read 24.5 - 77 2000000 north 0 0.25 - 1 50"
 	for name, c := range map[string]struct {
 		lines []string
 		want  []string
 	}{
 		"empty batch":                  {[]string{"MARK 5 1", "FLUSH"}, []string{"NEXT 1"}},
-		"arrival is run":               {[]string{"MARK 5 1", begin, order, "FLUSH"}, []string{"HEALTH 3 1 1", "RUN 3 42", "NEXT 1"}},
-		"key is stored before the run": {[]string{"MARK 5 1", begin, strings.Replace(order, "read", "write", 1), "FLUSH"}, []string{"STORE_KEY 3 42", "RUN 3 42"}},
-		"events of ended requests":     {[]string{"MARK 5 1", begin, "WORK_DONE 3 7 1 20", "GONE 3 8", "CALL_RESULT 3 9 3 80", "FLUSH"}, []string{"NEXT 1"}},
-		"instance restarted in one batch": {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", begin, order, "FLUSH"},
+		"arrival is run":               {[]string{"MARK 5 1", beginLine, arrivalLine, "FLUSH"}, []string{"HEALTH 3 1 1", "RUN 3 42", "NEXT 1"}},
+		"key is stored before the run": {[]string{"MARK 5 1", beginLine, strings.Replace(arrivalLine, "read", "write", 1), "FLUSH"}, []string{"STORE_KEY 3 42", "RUN 3 42"}},
+		"events of ended requests":     {[]string{"MARK 5 1", beginLine, "WORK_DONE 3 7 1 20", "GONE 3 8", "CALL_RESULT 3 9 3 80", "FLUSH"}, []string{"NEXT 1"}},
+		"instance restarted in one batch": {[]string{"MARK 5 1", beginLine, "FLUSH", "MARK 6 2", "SHUTDOWN 3", beginLine, arrivalLine, "FLUSH"},
 			[]string{"NEXT 1", "RUN 3 42", "NEXT 2"}},
-		"ended instance has no actions":      {[]string{"MARK 5 1", begin, "FLUSH", "MARK 6 2", "SHUTDOWN 3", "FLUSH"}, []string{"NEXT 1", "NEXT 2"}},
-		"timer with and without gauges":      {[]string{"MARK 5 1", begin, "FIRED 3 77 core_use:0.6,new_one:3,links:12", "FIRED 3 78 -", "FLUSH"}, []string{"NEXT 1"}},
-		"arrival during a drain is rejected": {[]string{"MARK 5 1", begin, "QUIESCE 3 10", order, "FLUSH"}, []string{"SHED 3 42", "NEXT 1"}},
+		"ended instance has no actions":      {[]string{"MARK 5 1", beginLine, "FLUSH", "MARK 6 2", "SHUTDOWN 3", "FLUSH"}, []string{"NEXT 1", "NEXT 2"}},
+		"timer with and without gauges":      {[]string{"MARK 5 1", beginLine, "FIRED 3 77 core_use:0.6,new_one:3,links:12", "FIRED 3 78 -", "FLUSH"}, []string{"NEXT 1"}},
+		"arrival during a drain is rejected": {[]string{"MARK 5 1", beginLine, "QUIESCE 3 10", arrivalLine, "FLUSH"}, []string{"SHED 3 42", "NEXT 1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, err := serve(t, c.lines...)
@@ -70,18 +70,18 @@
 		"missing field":             {"WORK_DONE 3", "request id"},
 		"trailing text":             {"GONE 3 42 why", "why"},
 		"instance not running":      {"GONE 4 42", "instance 4"},
-		"invalid setting":           {strings.Replace(begin, "domain.cores=2", "domain.cores=two", 1), "domain.cores"},
-		"invalid semantics":         {strings.Replace(begin, "dedup", "maybe", 1), "semantics"},
-		"invalid settings":          {strings.Replace(begin, "domain.cores=2", "domain.cores=0", 1), "cores"},
-		"negative time":             {strings.Replace(begin, "rules.grace-to-answer=60000", "rules.grace-to-answer=-1", 1), "grace-to-answer"},
-		"infinite":                  {begin + " rules.overload-factor=Inf", "overload-factor"},
-		"negative call limit":       {begin + " domain.downstream=one_for_all domain.calls-out=-0.5", "calls-out"},
-		"call limit without window": {begin + " domain.downstream=one_for_all domain.calls-out=0.5 domain.calls-over=0", "share of calls"},
-		"infinite weight":           {begin + " domain.degraded-worth=1e999,0", "degraded-worth"},
+		"invalid setting":           {strings.Replace(beginLine, "domain.cores=2", "domain.cores=two", 1), "domain.cores"},
+		"invalid semantics":         {strings.Replace(beginLine, "dedup", "maybe", 1), "semantics"},
+		"invalid settings":          {strings.Replace(beginLine, "domain.cores=2", "domain.cores=0", 1), "cores"},
+		"negative time":             {strings.Replace(beginLine, "rules.grace-to-answer=60000", "rules.grace-to-answer=-1", 1), "grace-to-answer"},
+		"infinite":                  {beginLine + " rules.overload-factor=Inf", "overload-factor"},
+		"negative call limit":       {beginLine + " domain.downstream=one_for_all domain.calls-out=-0.5", "calls-out"},
+		"call limit without window": {beginLine + " domain.downstream=one_for_all domain.calls-out=0.5 domain.calls-over=0", "share of calls"},
+		"infinite weight":           {beginLine + " domain.degraded-worth=1e999,0", "degraded-worth"},
 		"batch in batch":            {"MARK 6 2", "MARK"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := serve(t, "MARK 5 1", begin, c.line, "FLUSH")
+			_, err := serve(t, "MARK 5 1", beginLine, c.line, "FLUSH")
 			if err == nil {
 				t.Fatal("no error")
 			}
@@ -92,24 +92,24 @@
 	}
 }
 
-func TestEndInsideBatch(t *testing.T) {
-	if _, err := serve(t, "MARK 5 1", begin); err == nil {
+func TestEndInsideBatchIsError(t *testing.T) {
+	if _, err := serve(t, "MARK 5 1", beginLine); err == nil {
 		t.Error("no error although the input ends inside a batch")
 	}
 }
 
-func TestInstancesAreSeparate(t *testing.T) {
-	other := strings.Replace(begin, "BEGIN 3", "BEGIN 4", 1)
-	alone, err := serve(t, "MARK 5 1", begin, "FLUSH", "MARK 9 2", "ORDER 3 1 read 1 - - 2000000 - 0 0 - 1 0", "FLUSH")
+func TestInstancesAreIndependent(t *testing.T) {
+	other := strings.Replace(beginLine, "BEGIN 3", "BEGIN 4", 1)
+	alone, err := serve(t, "MARK 5 1", beginLine, "FLUSH", "MARK 9 2", "ORDER 3 1 read 1 - - 2000000 - 0 0 - 1 0", "FLUSH")
 	if err != nil {
 		t.Fatal(err)
 	}
-	both, err := serve(t, "MARK 5 1", begin, other, "FLUSH", "MARK 7 1", "QUIESCE 4 100", "FLUSH",
+	both, err := serve(t, "MARK 5 1", beginLine, other, "FLUSH", "MARK 7 1", "QUIESCE 4 100", "FLUSH",
 		"MARK 9 2", "ORDER 3 1 read 1 - - 2000000 - 0 0 - 1 0", "FLUSH")
 	if err != nil {
 		t.Fatal(err)
 	}
-	only := func(text string) (kept []string) {
+	linesOfInstance3 := func(text string) (kept []string) {
 		for _, l := range strings.Split(text, "\n") {
 			if f := strings.Fields(l); len(f) > 1 && f[1] == "3" {
 				kept = append(kept, l)
@@ -117,7 +117,7 @@
 		}
 		return kept
 	}
-	if a, b := strings.Join(only(alone), "\n"), strings.Join(only(both), "\n"); a != b {
+	if a, b := strings.Join(linesOfInstance3(alone), "\n"), strings.Join(linesOfInstance3(both), "\n"); a != b {
 		t.Errorf("actions of instance 3 depend on instance 4; alone:\n%s\nwith instance 4:\n%s", a, b)
 	}
 }
@@ -135,7 +135,7 @@
 		"dash as limit":         {"domain.downstream=one_for_all domain.calls-out=- domain.calls-over=5000000", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, rest, _ := strings.Cut(strings.TrimPrefix(begin, "BEGIN 3 "), " ")
+			_, rest, _ := strings.Cut(strings.TrimPrefix(beginLine, "BEGIN 3 "), " ")
 			s, _, err := parseSettings(&lineFields{rest: rest + " " + c.more})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -92,9 +92,9 @@
 	a.WorkHint = f.optionalMicros("predicted")
 	f.optional() // route-key, which no decision uses
 	a.AttemptTimeout = f.optionalMicros("time-budget")
-	if owner := f.optional(); owner != "" && owner != "0" {
-		if a.Tenant, known = names.Tenants[owner]; !known {
-			f.invalid("owner", owner)
+	if tenant := f.optional(); tenant != "" && tenant != "0" {
+		if a.Tenant, known = names.Tenants[tenant]; !known {
+			f.invalid("owner", tenant)
 		}
 	}
 	attributes := f.optionalUnsigned("attrs")
