--- a/internal/node/elsewhere_test.go
+++ b/internal/node/elsewhere_test.go
@@ -38,10 +38,10 @@
 
 // Records of the other process for the key "k".
 var (
-	keyFingerprint  = fingerprintOf("book", &Request{})
-	runningThere    = RunRecord{Fingerprint: keyFingerprint}
-	servedThere     = RunRecord{Fingerprint: keyFingerprint, Ended: true, Succeeded: true, ResultStored: true, Result: []byte("r")}
-	resultLostThere = RunRecord{Fingerprint: keyFingerprint, Ended: true, Succeeded: true}
+	keyFingerprint   = fingerprintOf("book", &Request{})
+	runningRecord    = RunRecord{Fingerprint: keyFingerprint}
+	servedRecord     = RunRecord{Fingerprint: keyFingerprint, Ended: true, Succeeded: true, ResultStored: true, Result: []byte("r")}
+	resultLostRecord = RunRecord{Fingerprint: keyFingerprint, Ended: true, Succeeded: true}
 )
 
 type otherProcessCase struct {
@@ -53,11 +53,11 @@
 
 var otherProcessCases = []otherProcessCase{
 	{"served with the result of the other process", func(h *harness, s *sharedJournal) {
-		s.held["k"] = servedThere
+		s.held["k"] = servedRecord
 		h.submit("a", classBook, "k", 0)
 	}, "", "[served r] [] []"},
 	{"failed if the other process stored no result", func(h *harness, s *sharedJournal) {
-		s.held["k"] = resultLostThere
+		s.held["k"] = resultLostRecord
 		h.submit("a", classBook, "k", 0)
 	}, "", "[failed ] [] []"},
 	{"failed if the key has another fingerprint there", func(h *harness, s *sharedJournal) {
@@ -65,14 +65,14 @@
 		h.submit("a", classBook, "k", 0)
 	}, "", "[failed ] [] []"},
 	{"two attempts wait for the run in the other process", func(h *harness, s *sharedJournal) {
-		s.held["k"] = runningThere
+		s.held["k"] = runningRecord
 		h.submit("a", classBook, "k", 0)
 		h.submit("b", classBook, "k", 0)
-		s.setRecord(&runningThere) // notification without a change
-		s.setRecord(&servedThere)
+		s.setRecord(&runningRecord) // notification without a change
+		s.setRecord(&servedRecord)
 	}, "", "[served r] [served r] []"},
 	{"run here after the other process has withdrawn its start", func(h *harness, s *sharedJournal) {
-		s.held["k"] = runningThere
+		s.held["k"] = runningRecord
 		h.submit("a", classBook, "k", 0)
 		s.setRecord(nil)
 		h.decide("a", admission.Run)
@@ -80,39 +80,39 @@
 		h.RunEnded("a", logic.OutcomeOK, 0, []byte("own"))
 	}, "record start a, start a, record end(true own) a", "[served own] [] []"},
 	{"no response if canceled while waiting", func(h *harness, s *sharedJournal) {
-		s.held["k"] = runningThere
+		s.held["k"] = runningRecord
 		h.submit("a", classBook, "k", 0)
 		h.Cancel("a")
-		s.setRecord(&servedThere)
+		s.setRecord(&servedRecord)
 	}, "", "[] [] []"},
 	{"failed if aborted while waiting", func(h *harness, s *sharedJournal) {
-		s.held["k"] = runningThere
+		s.held["k"] = runningRecord
 		h.submit("a", classBook, "k", 0)
 		h.Abort("a")
-		s.setRecord(&servedThere)
+		s.setRecord(&servedRecord)
 	}, "", "[failed ] [] []"},
 	{"attempt and coalesced attempt wait if the other process recorded its start first", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.submit("b", classBook, "k", 0)
 		h.decide("b", admission.Coalesce)
-		s.held["k"] = runningThere
+		s.held["k"] = runningRecord
 		s.done["a"](ErrKeyHeld)
-		s.setRecord(&servedThere)
+		s.setRecord(&servedRecord)
 	}, "record start a", "[served r] [served r] []"},
 	{"served if the other process recorded its start first and its run has ended", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
-		s.held["k"] = servedThere
+		s.held["k"] = servedRecord
 		s.done["a"](ErrKeyHeld)
 	}, "record start a", "[served r] [] []"},
 	{"no response if canceled before the start was refused for the other process", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.Cancel("a")
-		s.held["k"] = runningThere
+		s.held["k"] = runningRecord
 		s.done["a"](ErrKeyHeld)
-		s.setRecord(&servedThere)
+		s.setRecord(&servedRecord)
 	}, "record start a", "[] [] []"},
 	{"run here if the other process recorded its start first and withdrew it", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
@@ -124,12 +124,12 @@
 	}, "record start a, record start a, start a, record end(true own) a", "[served own] [] []"},
 	{"waits instead of being rejected if the other process has started the key", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
-		s.held["k"] = runningThere
+		s.held["k"] = runningRecord
 		h.decide("a", admission.Reject)
-		s.setRecord(&servedThere)
+		s.setRecord(&servedRecord)
 	}, "", "[served r] [] []"},
 	{"failed before the kill while waiting", func(h *harness, s *sharedJournal) {
-		s.held["k"] = runningThere
+		s.held["k"] = runningRecord
 		h.submit("a", classBook, "k", 0)
 		h.Drain(h.clock.now, time.Hour, true)
 		h.answerAllBeforeKill()
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -83,7 +83,7 @@
 	case message == messageBatchBegin:
 		return s.beginBatch(&f)
 	case !s.inBatch:
-		return fmt.Errorf("%q outside a batch", message)
+		return fmt.Errorf("message %q outside a batch", message)
 	case message == messageBatchEnd:
 		return s.endBatch(&f, w)
 	default:
--- a/logic/callbudget_test.go
+++ b/logic/callbudget_test.go
@@ -38,24 +38,24 @@
 
 // maxMean returns the largest mean number of calls in flight over any window that ends when a call does.
 func (p *dependency) maxMean(window Micros) float64 {
-	most := 0.0
+	maxMean := 0.0
 	for _, last := range p.intervals {
 		until, sum := last[1], Micros(0)
 		for _, s := range p.intervals {
 			sum += max(0, min(s[1], until)-max(s[0], until-window))
 		}
-		most = max(most, float64(sum)/float64(window))
+		maxMean = max(maxMean, float64(sum)/float64(window))
 	}
-	return most
+	return maxMean
 }
 
 func TestMeanCallConcurrencyStaysWithinLimit(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		share float64
-		takes Micros
-		class int
-		cold  bool
+		name         string
+		limit        float64
+		callDuration Micros
+		class        int
+		slowStart    bool
 	}{
 		{"limit below one, all calls time out", 0.3, 60000 * ms, 1, false},
 		{"limit below one, slow calls", 0.5, 900 * ms, 1, false},
@@ -67,9 +67,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testSettings()
-			cfg.CallConcurrencyLimit, cfg.Cores, cfg.SlowStart, cfg.MemoryKB = c.share, 8, c.cold, 1e6
+			cfg.CallConcurrencyLimit, cfg.Cores, cfg.SlowStart, cfg.MemoryKB = c.limit, 8, c.slowStart, 1e6
 			d := newDriver(t, cfg)
-			p := &dependency{callDuration: c.takes, abandonedDuration: cfg.AbandonedCallDuration}
+			p := &dependency{callDuration: c.callDuration, abandonedDuration: cfg.AbandonedCallDuration}
 			calls := 0
 			var events []Event
 			for id := RequestID(1); id <= 2000; id++ {
@@ -96,8 +96,8 @@
 			if calls == 0 {
 				t.Fatal("no call was made")
 			}
-			if most := p.maxMean(cfg.CallConcurrencyWindow); most > c.share {
-				t.Errorf("mean of %.2f calls in flight over %v µs, limit %v", most, cfg.CallConcurrencyWindow, c.share)
+			if mean := p.maxMean(cfg.CallConcurrencyWindow); mean > c.limit {
+				t.Errorf("mean of %.2f calls in flight over %v µs, limit %v", mean, cfg.CallConcurrencyWindow, c.limit)
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit, cfg.Cores = 0.5, 8
 	d := newDriver(t, cfg)
-	inFlight, most := 0.0, 0.0
+	inFlight, maxMean := 0.0, 0.0
 	mean := 0.0
 	for i := range RequestID(400) {
 		id := i + 1
@@ -122,7 +122,7 @@
 			}
 		}
 		mean += (inFlight - mean) * 25 / 5000
-		most = max(most, mean)
+		maxMean = max(maxMean, mean)
 		if i%16 == 15 { // all calls end at once
 			for _, r := range append([]*request(nil), d.s.active...) {
 				if r.callInFlight {
@@ -132,8 +132,8 @@
 			}
 		}
 	}
-	if most == 0 || most > cfg.CallConcurrencyLimit {
-		t.Errorf("mean number of calls in flight reached %.2f, want above 0 and at most %.2f", most, cfg.CallConcurrencyLimit)
+	if maxMean == 0 || maxMean > cfg.CallConcurrencyLimit {
+		t.Errorf("mean number of calls in flight reached %.2f, want above 0 and at most %.2f", maxMean, cfg.CallConcurrencyLimit)
 	}
 }
 
--- a/logic/configure.go
+++ b/logic/configure.go
@@ -5,8 +5,9 @@
 // Errors of New and Server.Reconfigure.
 var (
 	// ErrInvalidSettings is returned for settings that are out of range.
-	ErrInvalidSettings = errors.New("settings out of range: cores, memory, latency objectives and client " +
-		"timeouts must be above 0, durations must not be negative")
+	ErrInvalidSettings = errors.New("settings out of range: at least one class is required; cores, memory, " +
+		"latency objectives, client timeouts and the window of a call limit must be above 0, " +
+		"durations must not be negative")
 	// ErrClassesRemoved is returned for new settings that lack a class or change the number of tenants.
 	ErrClassesRemoved = errors.New("settings: a class was removed or the number of tenants changed")
 )
--- a/logic/faults_test.go
+++ b/logic/faults_test.go
@@ -50,7 +50,7 @@
 	cfg := testSettings()
 	cfg.CallConcurrencyLimit, cfg.Cores = 2, 4
 	d := newDriver(t, cfg)
-	most := 0
+	maxInFlight := 0
 	for i := range RequestID(300) {
 		id := i + 1
 		out := d.step(10*ms, arrival(id, 0, 1500*ms))
@@ -59,15 +59,15 @@
 				d.step(0, callNeeded(a.ID)) // the call never ends
 			}
 		}
-		most = max(most, d.s.callsInFlight)
+		maxInFlight = max(maxInFlight, d.s.callsInFlight)
 		for _, r := range append([]*request(nil), d.s.active...) {
 			if r.state == stateRunning {
 				d.step(0, runEnded(r.id, OutcomeOK, 20*ms))
 			}
 		}
 	}
-	if most == 0 || float64(most) > 2*cfg.CallConcurrencyLimit+1 {
-		t.Errorf("up to %d calls in flight with a limit of %v", most, cfg.CallConcurrencyLimit)
+	if maxInFlight == 0 || float64(maxInFlight) > 2*cfg.CallConcurrencyLimit+1 {
+		t.Errorf("up to %d calls in flight with a limit of %v", maxInFlight, cfg.CallConcurrencyLimit)
 	}
 }
 
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -271,8 +271,8 @@
 	if gen.cfg.SlowStart {
 		speed = min(1, gen.cfg.SlowStartCapacity+(1-gen.cfg.SlowStartCapacity)*float64(gen.now-1<<40)/float64(gen.cfg.SlowStartDuration))
 	}
-	if most := float64(gen.cfg.Cores) * (1 + (gen.cfg.MaxConcurrencyPerCore-1)*speed); float64(onCores) > most {
-		gen.t.Fatalf("%d runs on the cores, which sustain %.1f", onCores, most)
+	if maxRuns := float64(gen.cfg.Cores) * (1 + (gen.cfg.MaxConcurrencyPerCore-1)*speed); float64(onCores) > maxRuns {
+		gen.t.Fatalf("%d runs on the cores, which sustain %.1f", onCores, maxRuns)
 	}
 	for _, e := range gen.entries {
 		if e.expires > gen.now {
--- a/logic/learned_test.go
+++ b/logic/learned_test.go
@@ -10,18 +10,18 @@
 func TestRestoredServerDecidesByLearnedState(t *testing.T) {
 	cfg := Settings{Cores: 1, MemoryKB: 1e6, MaxConcurrencyPerCore: 9, Classes: []Class{{Name: "read", LatencyObjective: 1e6, ClientTimeout: 2e6, PriorityWeight: 1}},
 		Tenants: []Tenant{{Name: "a", QuotaPerSecond: 100}}}
-	slow, fresh, next := newServer(t, cfg), newServer(t, cfg), newServer(t, cfg)
-	slow.runLimit, slow.tenantTokens[0] = 4, 7
-	slow.classes[0].RunTime.add(5e6, runTimeSampleWeight)
-	slow.timeoutHistogram[3] = 2
-	next.RestoreLearned(slow.LearnedState())
-	if got, want := next.LearnedState(), slow.LearnedState(); !reflect.DeepEqual(got, want) {
+	trained, untrained, restored := newServer(t, cfg), newServer(t, cfg), newServer(t, cfg)
+	trained.runLimit, trained.tenantTokens[0] = 4, 7
+	trained.classes[0].RunTime.add(5e6, runTimeSampleWeight)
+	trained.timeoutHistogram[3] = 2
+	restored.RestoreLearned(trained.LearnedState())
+	if got, want := restored.LearnedState(), trained.LearnedState(); !reflect.DeepEqual(got, want) {
 		t.Errorf("restored %+v, want %+v", got, want)
 	}
 	for _, c := range []struct {
 		s    *Server
 		want ActionKind
-	}{{fresh, ActionRun}, {next, ActionReject}} {
+	}{{untrained, ActionRun}, {restored, ActionReject}} {
 		c.s.Step(0, nil)
 		c.s.lastProbeAt = 0 // so that the request is not started as a probe
 		var got []ActionKind
--- a/logic/limit_test.go
+++ b/logic/limit_test.go
@@ -25,14 +25,14 @@
 	cfg.SlowStart = true
 	d := newDriver(t, cfg)
 	d.step(0)
-	cold := d.s.maxConcurrency() * maxConcurrencyShare
+	slowStartLimit := d.s.maxConcurrency() * maxConcurrencyShare
 	d.step(cfg.SlowStartDuration + ms)
-	if warm := d.s.maxConcurrency() * maxConcurrencyShare; cold >= warm {
-		t.Errorf("concurrency limit %v during slow start, want below the %v of a warm server", cold, warm)
+	if warmLimit := d.s.maxConcurrency() * maxConcurrencyShare; slowStartLimit >= warmLimit {
+		t.Errorf("concurrency limit %v during slow start, want below the %v of a warm server", slowStartLimit, warmLimit)
 	}
 	sustained := float64(cfg.Cores) * (1 + (cfg.MaxConcurrencyPerCore-1)*cfg.SlowStartCapacity)
-	if cold >= sustained {
-		t.Errorf("concurrency limit %v during slow start, want below the sustained %v", cold, sustained)
+	if slowStartLimit >= sustained {
+		t.Errorf("concurrency limit %v during slow start, want below the sustained %v", slowStartLimit, sustained)
 	}
 }
 
@@ -53,13 +53,13 @@
 	cfg := testSettings()
 	cfg.Cores = 8
 	for _, c := range []struct {
-		reads float64
-		slots int
+		beingRead float64
+		slots     int
 	}{{0, 8}, {4, 8}, {6, 6}, {8, 4}, {100, 1}} {
 		d := newDriver(t, cfg)
-		d.step(0, d.readingGauges(c.reads))
+		d.step(0, d.readingGauges(c.beingRead))
 		if got := d.s.runSlots(); got != c.slots {
-			t.Errorf("%v requests being read on 8 cores: %d run slots, want %d", c.reads, got, c.slots)
+			t.Errorf("%v requests being read on 8 cores: %d run slots, want %d", c.beingRead, got, c.slots)
 		}
 	}
 	d := newDriver(t, cfg)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -49,7 +49,8 @@
 	for id := RequestID(1); id <= 4; id++ {
 		d.step(4*ms, Event{Kind: EventCanceled, ID: id})
 	}
-	d.step(4*ms, runEnded(1, OutcomeCanceled, 0), runEnded(2, OutcomeCanceled, 0), runEnded(3, OutcomeCanceled, 0), runEnded(4, OutcomeOK, 0))
+	d.step(4*ms, runEnded(1, OutcomeCanceled, 0), runEnded(2, OutcomeCanceled, 0),
+		runEnded(3, OutcomeCanceled, 0), runEnded(4, OutcomeOK, 0))
 	if len(d.s.byID) != 0 || d.s.requestMemoryKB > 1e-6 {
 		t.Errorf("%d requests and %v kB left after all were canceled and ended", len(d.s.byID), d.s.requestMemoryKB)
 	}
--- a/logic/reading_test.go
+++ b/logic/reading_test.go
@@ -10,20 +10,20 @@
 }
 
 // arriveWhileReading has 20 requests arrive at the given interval while the gauges show the given number being read.
-func (d *driver) arriveWhileReading(from RequestID, gap Micros, reads float64) {
+func (d *driver) arriveWhileReading(from RequestID, interval Micros, beingRead float64) {
 	for id := from; id < from+20; id++ {
-		d.step(gap/2, d.readingGauges(reads))
-		d.step(gap-gap/2, arrival(id, 0, 3000*ms))
+		d.step(interval/2, d.readingGauges(beingRead))
+		d.step(interval-interval/2, arrival(id, 0, 3000*ms))
 	}
-	d.step(ms, d.readingGauges(reads))
+	d.step(ms, d.readingGauges(beingRead))
 }
 
 func TestSlowServerIsDistinguishedFromCrowdedOne(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		gap   Micros
-		reads float64
-		slow  bool
+		name      string
+		interval  Micros
+		beingRead float64
+		slow      bool
 	}{
 		{"reading takes 0.6 s on a core of its own", 600 * ms, 1, true},
 		{"reading takes 0.02 s", 20 * ms, 1, false},
@@ -31,7 +31,7 @@
 		{"nothing is being read", 600 * ms, 0, false},
 	} {
 		d := newDriver(t, testSettings())
-		d.arriveWhileReading(100, c.gap, c.reads)
+		d.arriveWhileReading(100, c.interval, c.beingRead)
 		if got := d.s.readsSlowly(); got != c.slow {
 			t.Errorf("%s: readsSlowly returned %v", c.name, got)
 		}
--- a/logic/signal_test.go
+++ b/logic/signal_test.go
@@ -34,9 +34,9 @@
 		d.step(30*ms, ev)
 		d.step(2*ms, timerEvent())
 	}
-	high := d.s.priorityFloor
-	if high <= 0.05 || high >= 0.95 {
-		t.Fatalf("floor %.2f with %.2f rejected, want it within the ranks of the arrivals", high, d.s.rejectedShare.Mean)
+	floor := d.s.priorityFloor
+	if floor <= 0.05 || floor >= 0.95 {
+		t.Fatalf("floor %.2f with %.2f rejected, want it within the ranks of the arrivals", floor, d.s.rejectedShare.Mean)
 	}
 	d.s.rejectedShare.Mean = 0
 	for range 300 { // 10 s without rejections
