--- a/logic/driver_test.go
+++ b/logic/driver_test.go
@@ -4,8 +4,8 @@
 
 const ms = Micros(1000)
 
-// testSettings is a small server with an idempotent class, one with keys that makes calls, and one that is not
-// idempotent.
+// testSettings returns the settings of a small server with an idempotent class, a class that is idempotent by key
+// and calls the dependency, and a class that is not idempotent.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -23,14 +23,14 @@
 	}
 }
 
-// driver steps a Server by hand.
+// driver steps a Server with explicit times and events.
 type driver struct {
 	t   *testing.T
 	s   *Server
 	now Micros
 }
 
-func drive(t *testing.T, cfg Settings) *driver {
+func newDriver(t *testing.T, cfg Settings) *driver {
 	t.Helper()
 	s, err := New(cfg, 1)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return s
 }
 
-// step moves the clock and returns a copy of the actions.
+// step advances the clock, steps the server and returns a copy of the actions.
 func (d *driver) step(after Micros, events ...Event) []Action {
 	d.now += after
 	return append([]Action(nil), d.s.Step(d.now, events)...)
@@ -58,23 +58,23 @@
 	return Event{Kind: EventArrival, ID: id, Arrival: Arrival{Class: class, Tenant: -1, MemoryKB: 10, AttemptTimeout: wait}}
 }
 
-func done(id RequestID, out Outcome, elapsed Micros) Event {
+func runEnded(id RequestID, out Outcome, elapsed Micros) Event {
 	return Event{Kind: EventRunEnded, ID: id, Outcome: out, Elapsed: elapsed}
 }
 
-func needs(id RequestID) Event { return Event{Kind: EventCallNeeded, ID: id} }
+func callNeeded(id RequestID) Event { return Event{Kind: EventCallNeeded, ID: id} }
 
-func result(id RequestID, out Outcome) Event {
+func callEnded(id RequestID, out Outcome) Event {
 	return Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 100 * ms}
 }
 
-// tick is a timer event with gauges of a server whose cores are busy.
-func tick() Event {
+// timerEvent returns a timer event with the gauges of a server whose cores are busy.
+func timerEvent() Event {
 	return Event{Kind: EventTimer, TimerID: 1, Gauges: Gauges{CPUUtilization: 0.9, RunQueueLength: 2, MemoryUtilization: 0.1}}
 }
 
-// find returns the first action of a kind for a request, or nil.
-func find(actions []Action, kind ActionKind, id RequestID) *Action {
+// findAction returns the first action of a kind for a request, or nil.
+func findAction(actions []Action, kind ActionKind, id RequestID) *Action {
 	for i := range actions {
 		if actions[i].Kind == kind && actions[i].ID == id {
 			return &actions[i]
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// started returns the id of the first request that the actions start, or 0.
-func started(actions []Action) RequestID {
+// firstStarted returns the ID of the first request that the actions start, or 0.
+func firstStarted(actions []Action) RequestID {
 	for _, a := range actions {
 		if a.Kind == ActionRun {
 			return a.ID
@@ -93,25 +93,25 @@
 	return 0
 }
 
-func (d *driver) want(actions []Action, kind ActionKind, id RequestID) *Action {
+func (d *driver) wantAction(actions []Action, kind ActionKind, id RequestID) *Action {
 	d.t.Helper()
-	a := find(actions, kind, id)
+	a := findAction(actions, kind, id)
 	if a == nil {
 		d.t.Fatalf("no action %d for request %d in %+v", kind, id, actions)
 	}
 	return a
 }
 
-func (d *driver) wantNone(actions []Action, kind ActionKind, id RequestID) {
+func (d *driver) wantNoAction(actions []Action, kind ActionKind, id RequestID) {
 	d.t.Helper()
-	if find(actions, kind, id) != nil {
+	if findAction(actions, kind, id) != nil {
 		d.t.Fatalf("unexpected action %d for request %d in %+v", kind, id, actions)
 	}
 }
 
-// learn makes the class's run time known by one run.
-func (d *driver) learn(id RequestID, class int, elapsed Micros) {
+// completeRun runs one request, so that its class has an estimated run time.
+func (d *driver) completeRun(id RequestID, class int, elapsed Micros) {
 	d.t.Helper()
-	d.want(d.step(0, arrival(id, class, 3000*ms)), ActionRun, id)
-	d.step(elapsed, done(id, OutcomeOK, elapsed))
+	d.wantAction(d.step(0, arrival(id, class, 3000*ms)), ActionRun, id)
+	d.step(elapsed, runEnded(id, OutcomeOK, elapsed))
 }
--- a/logic/learned_test.go
+++ b/logic/learned_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// TestRestoreLearned: a server that restores what another learned knows it, and decides from its first request as that
-// one does: what can't be answered in time is rejected, where a server that knows nothing starts it.
-func TestRestoreLearned(t *testing.T) {
+// TestRestoredServerDecidesByLearnedState checks that a server with restored state uses it from its first request on: it
+// rejects a request that can't be answered in time, which a server without learned state starts.
+func TestRestoredServerDecidesByLearnedState(t *testing.T) {
 	cfg := Settings{Cores: 1, MemoryKB: 1e6, MaxConcurrencyPerCore: 9, Classes: []Class{{Name: "read", LatencyObjective: 1e6, ClientTimeout: 2e6, PriorityWeight: 1}},
 		Tenants: []Tenant{{Name: "a", QuotaPerSecond: 100}}}
-	slow, fresh, next := newServer(t, cfg), newServer(t, cfg), newServer(t, cfg)
-	slow.runLimit, slow.tenantTokens[0] = 4, 7
-	slow.classes[0].RunTime.add(5e6, runTimeSampleWeight)
-	slow.timeoutHistogram[3] = 2
-	next.RestoreLearned(slow.LearnedState())
-	if got, want := next.LearnedState(), slow.LearnedState(); !reflect.DeepEqual(got, want) {
+	trained, untrained, restored := newServer(t, cfg), newServer(t, cfg), newServer(t, cfg)
+	trained.runLimit, trained.tenantTokens[0] = 4, 7
+	trained.classes[0].RunTime.add(5e6, runTimeSampleWeight)
+	trained.timeoutHistogram[3] = 2
+	restored.RestoreLearned(trained.LearnedState())
+	if got, want := restored.LearnedState(), trained.LearnedState(); !reflect.DeepEqual(got, want) {
 		t.Errorf("restored %+v, want %+v", got, want)
 	}
 	for _, c := range []struct {
 		s    *Server
 		want ActionKind
-	}{{fresh, ActionRun}, {next, ActionReject}} {
+	}{{untrained, ActionRun}, {restored, ActionReject}} {
 		c.s.Step(0, nil)
-		c.s.lastProbeAt = 0 // no probe is due
+		c.s.lastProbeAt = 0 // so that the request is not started as a probe
 		var got []ActionKind
 		for _, a := range c.s.Step(100, []Event{{Kind: EventArrival, ID: 1, Arrival: Arrival{Tenant: 0}}}) {
 			if a.Kind == ActionRun || a.Kind == ActionReject {
@@ -31,7 +31,7 @@
 			}
 		}
 		if !reflect.DeepEqual(got, []ActionKind{c.want}) {
-			t.Errorf("decided %v, want %v", got, c.want)
+			t.Errorf("action kinds %v, want %v", got, c.want)
 		}
 	}
 }
