--- a/cmd/sloehitch/fleet_test.go
+++ b/cmd/sloehitch/fleet_test.go
@@ -27,7 +27,7 @@
 		{"the same again", "put release v1 --version 0 --by ann --why rollout", "", "release: version 2, not 0"},
 		{"a next version", "put release v2 --version 2 --by bob --why fix --id once", "revision 3", ""},
 		{"asked again", "put release v2 --version 2 --by bob --why fix --id once", "revision 3", ""},
-		{"another under its id", "put release v3 --version 3 --by bob --why fix --id once", "", "another request's"},
+		{"another under its id", "put release v3 --version 3 --by bob --why fix --id once", "", "was already used by another request"},
 		{"both", "put release v3 --delete --version 3 --by bob --why fix", "", "not both"},
 		{"no reason", "put release v3 --version 3 --by bob", "", "--why"},
 		{"show", "show rel", "release\t3\tv2", ""},
--- a/cmd/sloehitch/members_test.go
+++ b/cmd/sloehitch/members_test.go
@@ -68,9 +68,9 @@
 		{"a name with a slash", at + "members add n/2 --raft 127.0.0.1:1 --member-admin 127.0.0.1:2" + why, "", "a word without slashes"},
 		{"add", at + "members add n2 --raft 127.0.0.1:1 --member-admin 127.0.0.1:2" + why, "n2      learns  never", ""},
 		{"status of a learner", at + "status", "member n2 learns and has no vote", "exit"},
-		{"promote too soon", at + "members promote n2" + why, "", "n2 has not answered since this leader leads: it would have a vote and not use it"},
+		{"promote too soon", at + "members promote n2" + why, "", "n2 has not answered since the current leader was elected: it could not use its vote"},
 		{"remove a learner", at + "members remove n2" + why, "votes", ""},
-		{"remove the leader", at + "members remove " + leader + why, "", "give the lead to another first"},
+		{"remove the leader", at + "members remove " + leader + why, "", "transfer the leadership to another member first"},
 		{"lead", at + "members lead " + next + why, "", ""},
 		{"no reason", at + "members remove n2 --by ann", "", "--why"},
 		{"put", at + "put a 1 --version 0" + why, "revision", ""},
@@ -93,8 +93,8 @@
 	}
 	run([]try{
 		{"a folder", "store folder " + folder + " --name n0", "member n0 of the store ", ""},
-		{"another's folder", "store folder " + folder + " --name n1", "", "the folder is member n0's"},
-		{"no folder", "store folder " + dir + " --name n0", "", "no member's folder"},
+		{"another's folder", "store folder " + folder + " --name n1", "", "the data directory belongs to member n0, but this is member n1"},
+		{"no folder", "store folder " + dir + " --name n0", "", "not the data directory of a member"},
 		{"recover without knowing", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress, "", "Nothing was done"},
 		{"recover", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress + " --lose-the-rest", "now: member n0 alone, of a new store", ""},
 		{"recovered", "store folder " + folder + " --name n0", "one of 1 voters", ""},
--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -9,13 +9,14 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Bounds of what a request may ask.
+// Upper bounds of request bodies.
 const (
-	maxValueBytes       = 4 << 10 // of an operators' value
-	maxTransactionBytes = 1 << 20 // of a request's body in JSON
+	maxValueBytes       = 4 << 10 // bytes of an operators' value
+	maxTransactionBytes = 1 << 20 // bytes of a JSON request body
 )
 
-// retryAfterSeconds is the Retry-After of a request that finds no leader, or whose outcome is unknown.
+// retryAfterSeconds is the Retry-After header of a response if there is no leader or the outcome of the request is
+// unknown.
 const retryAfterSeconds = "1"
 
 // Handler returns the HTTP interface for operators and for the other members.
@@ -23,7 +24,8 @@
 //	GET /state        all values
 //	PUT /state/{key}  sets a value from the body
 //
-// registerDocumentRoutes and registerMemberRoutes list the others. What only the leader can do is redirected to it (307).
+// registerDocumentRoutes and registerMemberRoutes list the other paths. Requests that only the leader can serve are
+// redirected to it (307).
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /state", s.serveValues)
@@ -53,13 +55,13 @@
 	case errors.Is(err, ErrNotLeader) && elsewhere:
 		http.Redirect(w, r, "http://"+leader+r.URL.Path, http.StatusTemporaryRedirect)
 	case errors.Is(err, ErrNotLeader):
-		unavailable(w, "no leader yet")
+		unavailable(w, "no leader is known")
 	default:
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	}
 }
 
-// respond writes v, or the error. A request that only the leader can serve is redirected to it.
+// respond writes v, or the error if there is one. A request that only the leader can serve is redirected to it.
 func (s *Store) respond(w http.ResponseWriter, r *http.Request, v any, err error) {
 	leader, elsewhere := s.leaderElsewhere()
 	switch {
@@ -88,13 +90,13 @@
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
-// leaderElsewhere returns the address of the leader for operators, if it is another member and known.
+// leaderElsewhere returns the leader's address for operators if the leader is known and is another member.
 func (s *Store) leaderElsewhere() (adminAddress string, ok bool) {
 	leader, known := s.Leader()
 	return leader.AdminAddress, known && leader.AdminAddress != "" && leader.Name != s.opts.Name
 }
 
-// decodeBody reads a request's JSON, and answers the request itself where it can't.
+// decodeBody decodes a request's JSON body. If that fails, it sends the error response and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTransactionBytes))
 	d.DisallowUnknownFields()
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -17,40 +17,40 @@
 )
 
 const (
-	maxBackupBytes   = 64 << 20 // documents at their limits, with what is remembered beside them
-	restorePartBytes = 1 << 20  // of a backup in one entry of the log
+	maxBackupBytes   = 64 << 20 // enough for documents at their limits, with requests and history
+	restorePartBytes = 1 << 20  // bytes of a backup in one log entry
 )
 
-var errNoDocuments = errors.New("it holds no documents")
+var errNoDocuments = errors.New("it contains no documents")
 
-// restorePart is a part of a backup on its way to all members. The last one puts the backup into force.
+// restorePart is a part of a backup that is replicated to all members. The backup takes effect with the last part.
 type restorePart struct {
 	ID         string            `json:"id"`
 	Part       int               `json:"part"`
 	Parts      int               `json:"of"`
 	Data       []byte            `json:"data"`
-	Checksum   [sha256.Size]byte `json:"sum"`   // of the whole backup
-	TokenFloor uint64            `json:"floor"` // above all tokens that may have been granted, by the clock; each member puts it above those that it knows
+	Checksum   [sha256.Size]byte `json:"sum"`   // SHA-256 of the whole backup
+	TokenFloor uint64            `json:"floor"` // above all tokens granted, by the clock; each member raises it above the tokens that it knows
 }
 
-// partialBackup is the parts of a backup that have arrived.
+// partialBackup is the received parts of a backup.
 type partialBackup struct {
 	ID   string `json:"id"`
-	Next int    `json:"next"` // the part that is expected
+	Next int    `json:"next"` // number of the next part expected
 	Data []byte `json:"data"`
 }
 
-// restoreResult is the outcome of a part.
+// restoreResult is the outcome of applying a part.
 type restoreResult struct {
 	Revision uint64
-	Reason   string // why it was rejected; empty: it was not
+	Reason   string // why the part was rejected; empty: it was accepted
 }
 
-// tokenFloorAt returns a token floor above all that were granted before and none that will be for long: 65,536 tokens for each
-// second since 1970, which stays below 2^53, so that every reader of JSON can represent it.
+// tokenFloorAt returns a token floor that is above all tokens granted before now. It is 65,536 tokens for each second
+// since 1970, more than are granted, and stays below 2^53, so that every JSON decoder can represent it.
 func tokenFloorAt(now time.Time) uint64 { return uint64(max(0, now.Unix())) << 16 }
 
-// Backup writes the whole state, as of a Barrier. It returns ErrNotLeader on any member but the leader.
+// Backup writes the whole state as of a Barrier. It returns ErrNotLeader on any member but the leader.
 func (s *Store) Backup(w io.Writer) error {
 	if err := s.Barrier(); err != nil {
 		return err
@@ -65,17 +65,18 @@
 	return json.NewEncoder(w).Encode(backup)
 }
 
-// Restore has all members go back to a backup, and returns the revision from which the store goes on. What was changed since is
-// lost. The members, the store's id and the order of tokens stay: no token is granted again, and nobody holds a task. The backup
-// is replicated in parts and takes effect on all members with the last. Restore returns ErrNotLeader on any member but the
-// leader, ErrChangeRejected where another restore intervened, and ErrOutcomeUnknown where the backup may yet take effect.
+// Restore replaces the state of all members with a backup, and returns the revision from which the store continues.
+// Changes made since the backup are lost. The members, the store's id and the order of tokens are preserved: no token
+// is granted again, and no task is held. The backup is replicated in parts and takes effect on all members with the
+// last one. Restore returns ErrNotLeader on any member but the leader, ErrChangeRejected if another restore intervened,
+// and ErrOutcomeUnknown if the backup may still take effect.
 func (s *Store) Restore(from io.Reader, author, reason string) (revision uint64, err error) {
 	text, err := io.ReadAll(io.LimitReader(from, maxBackupBytes+1))
 	if err != nil {
 		return 0, err
 	}
 	if len(text) > maxBackupBytes {
-		return 0, fmt.Errorf("a backup of more than %d bytes is none of this store's", maxBackupBytes)
+		return 0, fmt.Errorf("backup too large: more than %d bytes", maxBackupBytes)
 	}
 	if _, err := s.decodeBackup(text); err != nil {
 		return 0, err
@@ -90,7 +91,7 @@
 	return revision, nil
 }
 
-// replicateBackup replicates a backup's parts, and returns the revision after the last.
+// replicateBackup replicates a backup's parts, and returns the revision after the last one.
 func (s *Store) replicateBackup(id string, text []byte) (revision uint64, err error) {
 	parts := slices.Collect(slices.Chunk(text, restorePartBytes))
 	part := restorePart{ID: id, Parts: len(parts), Checksum: sha256.Sum256(text), TokenFloor: tokenFloorAt(time.Now())}
@@ -122,7 +123,7 @@
 	return result.Revision, nil
 }
 
-// recordRestore puts a restore into the history.
+// recordRestore records a restore in the history.
 func (s *Store) recordRestore(id, author, reason string, revision uint64) error {
 	value := fmt.Sprintf("by %s at %s, to revision %d", author, time.Now().UTC().Format(time.RFC3339), revision)
 	_, err := s.propose(document.Transaction{
@@ -134,19 +135,19 @@
 	return err
 }
 
-// decodeBackup reads a complete backup.
+// decodeBackup decodes and checks a complete backup.
 func (s *Store) decodeBackup(text []byte) (snapshot, error) {
 	in, err := readSnapshot(bytes.NewReader(text))
 	if err == nil {
 		err = s.checkDocuments(in)
 	}
 	if err != nil {
-		return in, fmt.Errorf("this is no backup of a store: %w", err)
+		return in, fmt.Errorf("not a backup of a store: %w", err)
 	}
 	return in, nil
 }
 
-// checkDocuments returns an error where a snapshot's documents can't be loaded.
+// checkDocuments returns an error if a snapshot's documents can't be loaded.
 func (s *Store) checkDocuments(in snapshot) error {
 	if in.Documents == nil {
 		return errNoDocuments
@@ -158,7 +159,7 @@
 	return documents.Load(bytes.NewReader(in.Documents), 0)
 }
 
-// applyRestorePart takes a part; every member does, in the same order.
+// applyRestorePart applies a part of a backup. Every member applies the parts in the same order.
 func (s *Store) applyRestorePart(part restorePart) restoreResult {
 	s.mu.Lock()
 	text, complete, reason := s.stagePart(part)
@@ -170,7 +171,7 @@
 	revision, highestToken := s.documents.Revision(), s.documents.Leases().HighestToken()
 	s.mu.Unlock()
 	if sha256.Sum256(text) != part.Checksum {
-		return restoreResult{Reason: "what arrived is not what was sent"}
+		return restoreResult{Reason: "checksum of the received backup does not match"}
 	}
 	in, err := s.decodeBackup(text)
 	if err != nil {
@@ -189,15 +190,15 @@
 	return restoreResult{Revision: s.documents.Revision()}
 }
 
-// stagePart adds a part to those that have arrived, and returns the backup once it is complete; reason says why the part was
-// rejected, empty: it was not. The caller holds mu.
+// stagePart adds a part to those received before, and returns the backup once it is complete. reason is empty unless
+// the part was rejected. The caller holds mu.
 func (s *Store) stagePart(part restorePart) (text []byte, complete bool, reason string) {
 	if part.Part == 0 {
 		s.stagedBackup = &partialBackup{ID: part.ID}
 	}
 	staged := s.stagedBackup
 	if staged == nil || staged.ID != part.ID || staged.Next != part.Part || len(staged.Data)+len(part.Data) > maxBackupBytes {
-		return nil, false, "another restore has come between"
+		return nil, false, "another restore has intervened"
 	}
 	staged.Data = append(staged.Data, part.Data...)
 	staged.Next++
@@ -208,8 +209,8 @@
 	return staged.Data, true, ""
 }
 
-// documentsToDelete returns the store's own documents that came with a backup and are not among those that are kept, without
-// their values; the caller holds mu.
+// documentsToDelete returns, without values, the store's own documents that were loaded from a backup and are not in
+// kept. The caller holds mu.
 func (s *Store) documentsToDelete(kept []document.Document) (deleted []document.Document) {
 	for _, d := range slices.Concat(s.documents.List(internalPrefix), s.documents.List(memberPrefix)) {
 		if !slices.ContainsFunc(kept, func(k document.Document) bool { return k.Key == d.Key }) {
--- a/internal/store/backup_test.go
+++ b/internal/store/backup_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRestore: all go back to a backup; what came after is lost, no token is granted again, an earlier holder is rejected, and
-// watchers have to read anew.
+// TestRestore checks that a restore takes all members back to a backup: later changes are lost, no token is granted
+// again, an earlier holder of a lease is rejected, and watchers have to read all documents again.
 func TestRestore(t *testing.T) {
 	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
@@ -63,18 +63,18 @@
 	t.Helper()
 	wrongVersion := `{"values":{},"documents":{"revision":1,"documents":[{"key":"x","value":"","version":9}]}}`
 	for _, malformed := range []string{"", "{}", `{"documents":7}`, wrongVersion, string(backup[:len(backup)/2])} {
-		if _, err := client.Restore([]byte(malformed), "me", ""); err == nil || !strings.Contains(err.Error(), "no backup of a store") {
+		if _, err := client.Restore([]byte(malformed), "me", ""); err == nil || !strings.Contains(err.Error(), "not a backup of a store") {
 			t.Errorf("%.40q was restored: %v", malformed, err)
 		}
 	}
 }
 
-// checkRestored checks that all members have gone back twice.
+// checkRestored checks that all members have applied both restores.
 func (cluster *diskCluster) checkRestored(status ReadStatus) {
 	t := cluster.t
 	t.Helper()
 	for name := range cluster.stores {
-		waitFor(t, name+" to have gone back twice, and to know by whom", func() bool {
+		waitFor(t, name+" to apply both restores, with their records in the history", func() bool {
 			documents, current, err := cluster.stores[name].Documents("later", false)
 			return err == nil && current.Revision > status.Revision && len(documents) == 0
 		})
@@ -83,29 +83,29 @@
 	cluster.expectValue(t, KeyClosedNodes, "n9")
 }
 
-// checkTokensAfterRestore checks that nobody holds a task, and that no token is granted again.
+// checkTokensAfterRestore checks that no task is held, and that no token is granted again.
 func (cluster *diskCluster) checkTokensAfterRestore(highest uint64) {
 	t := cluster.t
 	t.Helper()
 	if _, err := cluster.requestLease("d", LeaseRequest{Action: LeaseAcquire, Holder: "B"}); err == nil {
-		t.Error("a task was granted at once: its owner of before may be at work")
+		t.Error("a lease was granted at once, although its holder before the restore may still be active")
 	}
 	if _, err := cluster.requestLease("d", LeaseRequest{Action: LeaseRenew, Holder: "A", Token: highest}); err == nil {
-		t.Error("an owner of before goes on")
+		t.Error("the holder before the restore renewed its lease")
 	}
 	record, err := cluster.requestLease("new", LeaseRequest{Action: LeaseAcquire, Holder: "B"})
 	if err != nil || record.Token <= highest {
-		t.Errorf("a task that the backup does not have: %+v, %v", record, err)
+		t.Errorf("a task that is not in the backup: %+v, %v", record, err)
 	}
 }
 
 func checkHistoryAfterRestore(t *testing.T, client Client, status ReadStatus) {
 	t.Helper()
 	if _, _, forgotten, err := client.Changes("", status.Revision-1, 0); err != nil || !forgotten {
-		t.Errorf("a watcher was not told to read anew: %v", err)
+		t.Errorf("a watcher was not told to read again: %v", err)
 	}
 	changes, _, _, err := client.Changes("", status.Revision, 0)
 	if err != nil || len(changes) == 0 || changes[0].Author != "me" || changes[0].Reason != "restore: a mistake" {
-		t.Errorf("the history has %+v, %v", changes, err)
+		t.Errorf("changes after the restore: %+v, %v", changes, err)
 	}
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/control/lease"
 )
 
-// BenchmarkChanges measures changes through the leader, on disk, by concurrent writers: an operators' value, and a transaction
-// under a task's token.
+// BenchmarkChanges measures changes by concurrent writers through the leader, on disk. A change is either an operators'
+// value, or a transaction with a task's token as its condition.
 func BenchmarkChanges(b *testing.B) {
 	for _, members := range []int{1, 3, 5} {
 		for _, writers := range []int{1, 16, 64} {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -15,17 +15,17 @@
 	"sloehitch/internal/store/document"
 )
 
-// ErrConflict means that a transaction was not committed, a lease not granted or a change of the members not made; nothing has
-// changed.
-var ErrConflict = errors.New("not made")
+// ErrConflict means that the store rejected a transaction, a lease request, a restore or a change of the members.
+// Nothing was changed.
+var ErrConflict = errors.New("request rejected")
 
-// errUnknownPath means that the version of the member that was asked does not know the request.
-var errUnknownPath = errors.New("not known to the version of the member that was asked")
+// errUnknownPath means that the version of the requested member does not support the path.
+var errUnknownPath = errors.New("path not supported by the member's version")
 
 // Client sends requests to one member, as an operator does. A request that only the leader can serve is redirected to it. It is
 // safe for concurrent use.
 type Client struct {
-	Address string // of the member, for operators
+	Address string // the member's address for operators
 	Timeout time.Duration
 }
 
@@ -40,14 +40,15 @@
 	return c.do(http.MethodPut, "/state/"+key, []byte(value), func(io.Reader) error { return nil })
 }
 
-// Commit commits a transaction. With an error that is not ErrConflict it may be committed all the same, and has to be requested
-// again under its id, of any member.
+// Commit commits a transaction. After an error other than ErrConflict the transaction may have been committed; the
+// caller has to repeat it with the same id, through any member.
 func (c Client) Commit(t document.Transaction) (r document.Result, err error) {
 	err = c.post("/transactions", t, &r)
 	return r, err
 }
 
-// RequestLease requests the lease of a task. ErrConflict: another holds it, or it is no longer held under this token.
+// RequestLease requests the lease of a task. It returns ErrConflict if another holder has it, or if it is no longer
+// held under the given token.
 func (c Client) RequestLease(task string, q LeaseRequest) (r lease.Record, err error) {
 	err = c.post("/duties/"+url.PathEscape(task), q, &r)
 	return r, err
@@ -60,7 +61,8 @@
 	return got.Leases, got.ReadStatus, err
 }
 
-// Documents returns the documents whose keys begin with a prefix, confirmed by a majority, or local: as the member has them.
+// Documents returns the documents whose keys begin with a prefix. The read is confirmed by a majority unless local is
+// set; a local read returns the member's own copy.
 func (c Client) Documents(prefix string, local bool) ([]document.Document, ReadStatus, error) {
 	path := "/documents?prefix=" + url.QueryEscape(prefix)
 	if local {
@@ -71,7 +73,7 @@
 	return got.Documents, got.ReadStatus, err
 }
 
-// Document returns one document, as Documents does; its version is 0 if there is none.
+// Document returns one document, read as by Documents. Its version is 0 if it does not exist.
 func (c Client) Document(key string, local bool) (document.Document, ReadStatus, error) {
 	documents, status, err := c.Documents(key, local)
 	for _, d := range documents {
@@ -82,15 +84,16 @@
 	return document.Document{Key: key}, status, err
 }
 
-// Changes waits for changes after a revision of the documents whose keys begin with a prefix. forgotten: not all of them are
-// remembered.
+// Changes waits for changes after a revision to the documents whose keys begin with a prefix. forgotten reports that
+// some of the changes are no longer remembered.
 func (c Client) Changes(prefix string, after uint64, wait time.Duration) (changes []document.Change, status ReadStatus, forgotten bool, err error) {
 	var got readResponse
 	err = c.get(fmt.Sprintf("/changes?prefix=%s&after=%d&wait_ms=%d", url.QueryEscape(prefix), after, wait.Milliseconds()), &got)
 	return got.Changes, got.ReadStatus, got.Forgotten, err
 }
 
-// Backup writes the whole state, confirmed by a majority. What was written before an error is of no use.
+// Backup writes the whole state, confirmed by a majority, to w. After an error, what was written is incomplete and
+// can't be restored.
 func (c Client) Backup(w io.Writer) error {
 	return c.do(http.MethodGet, "/backup", nil, func(r io.Reader) error {
 		_, err := io.Copy(w, r)
@@ -98,14 +101,15 @@
 	})
 }
 
-// Restore has all members go back to a backup. With an error that is not ErrConflict it may have taken effect.
+// Restore replaces the state of all members with a backup. After an error other than ErrConflict it may have taken
+// effect.
 func (c Client) Restore(backup []byte, author, reason string) (status ReadStatus, err error) {
 	path := "/restore?by=" + url.QueryEscape(author) + "&why=" + url.QueryEscape(reason)
 	err = c.do(http.MethodPost, path, backup, decodeInto(&status))
 	return status, err
 }
 
-// Members returns who keeps the store, as the leader sees it, or local: as the member does.
+// Members returns the membership as the leader sees it or, if local is set, as the requested member sees it.
 func (c Client) Members(local bool) (m Membership, err error) {
 	path := "/members"
 	if local {
@@ -115,8 +119,8 @@
 	return m, err
 }
 
-// ChangeMembers makes a change of the members. ErrConflict: it was rejected, and nothing has changed. With another error it may
-// be made all the same; it may be requested again.
+// ChangeMembers changes the members. ErrConflict means that the change was rejected and nothing was changed. After
+// another error it may have taken effect; it is safe to repeat.
 func (c Client) ChangeMembers(change MembershipChange) (m Membership, err error) {
 	err = c.post("/members", change, &m)
 	return m, err
@@ -134,12 +138,12 @@
 	return c.do(http.MethodPost, path, body, decodeInto(into))
 }
 
-// decodeInto returns a function that reads a response's JSON.
+// decodeInto returns a function that decodes a JSON response into a value.
 func decodeInto(into any) func(io.Reader) error {
 	return func(r io.Reader) error { return json.NewDecoder(r).Decode(into) }
 }
 
-// do sends a request, and has read take the body of its response.
+// do sends a request and passes the body of its response to read.
 func (c Client) do(method, path string, body []byte, read func(io.Reader) error) error {
 	req, err := http.NewRequest(method, "http://"+c.Address+path, bytes.NewReader(body))
 	if err != nil {
@@ -156,9 +160,9 @@
 	return read(resp.Body)
 }
 
-// responseError returns the error that a response stands for.
+// responseError returns the error for a response with an error status.
 func responseError(resp *http.Response, method, path string) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxValueBytes)) // the status says enough without it
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxValueBytes)) // after a read error, the status is reported without a text
 	switch resp.StatusCode {
 	case http.StatusNotFound:
 		return fmt.Errorf("%w: %s %s", errUnknownPath, method, path)
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -16,17 +16,17 @@
 	t.Helper()
 	for end := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// testCluster is members on loopback, each with an address for operators.
+// testCluster is a set of members on the loopback interface, each with an address for operators.
 type testCluster struct {
 	members []Member
 	stores  map[string]*Store
-	terms   lease.Terms // zero: the ordinary ones
-	mu      sync.Mutex  // over stores, where other goroutines look into them
+	terms   lease.Terms // zero: DefaultLeaseTerms
+	mu      sync.Mutex  // guards stores in tests that access it from other goroutines
 }
 
 func (cluster *testCluster) open(t testing.TB, name, dir string) *Store {
@@ -43,7 +43,7 @@
 	return newClusterOn(t, size, lease.Terms{}, func() string { return "" })
 }
 
-// newClusterOn starts members whose data directories are created by dir; "": in memory.
+// newClusterOn starts members whose data directories are returned by dir; "" means in memory.
 func newClusterOn(t testing.TB, size int, terms lease.Terms, dir func() string) *testCluster {
 	t.Helper()
 	cluster := &testCluster{stores: map[string]*Store{}, terms: terms}
@@ -95,12 +95,12 @@
 	})
 }
 
-// client returns a client of one member.
+// client returns a client for member i.
 func (cluster *testCluster) client(i int) Client {
 	return Client{cluster.members[i].AdminAddress, standin.WaitTimeout}
 }
 
-// stop closes a member.
+// stop closes a member's store.
 func (cluster *testCluster) stop(t testing.TB, name string) {
 	t.Helper()
 	if err := cluster.stores[name].Close(); err != nil {
--- a/internal/store/diskcluster_test.go
+++ b/internal/store/diskcluster_test.go
@@ -16,7 +16,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// diskCluster is members on disk that can be stopped, started again and added.
+// diskCluster is a set of members with data directories. Members can be stopped, restarted and added.
 type diskCluster struct {
 	*testCluster
 	t               *testing.T
@@ -26,12 +26,12 @@
 
 const (
 	shortElectionTimeout = 200 * time.Millisecond
-	// steadyElectionTimeout is for tests that expect a leader to stay: a leader that hears no majority for half of it steps down, as it has to, and on a
-	// busy machine heartbeats take over 100 ms.
+	// steadyElectionTimeout is for tests that expect the leader to stay. A leader steps down if it has no answers from a
+	// majority for half of the timeout, and on a busy machine heartbeats take over 100 ms.
 	steadyElectionTimeout = time.Second
 )
 
-// newDiskCluster starts members that begin together.
+// newDiskCluster starts members that bootstrap a store.
 func newDiskCluster(t *testing.T, size int, electionTimeout time.Duration) *diskCluster {
 	cluster := &diskCluster{testCluster: &testCluster{stores: map[string]*Store{}}, t: t, dirs: map[string]string{}, electionTimeout: electionTimeout}
 	for i := range size {
@@ -48,7 +48,8 @@
 	return cluster
 }
 
-// newMember returns a member with a data directory and addresses; the one for operators answers for as long as the test runs.
+// newMember returns a member with a data directory and addresses. Its address for operators is served until the end of
+// the test.
 func (cluster *diskCluster) newMember(name string) Member {
 	cluster.dirs[name] = cluster.t.TempDir()
 	admin := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +57,7 @@
 		s := cluster.stores[name]
 		cluster.mu.Unlock()
 		if s == nil {
-			http.Error(w, "not there", http.StatusBadGateway)
+			http.Error(w, "member not running", http.StatusBadGateway)
 			return
 		}
 		s.Handler().ServeHTTP(w, r)
@@ -96,7 +97,7 @@
 	}
 }
 
-// write writes a document through whichever member takes it.
+// write writes a document through whichever member accepts it.
 func (cluster *diskCluster) write(key, value string) (r document.Result) {
 	cluster.t.Helper()
 	waitFor(cluster.t, key+"="+value, func() bool {
@@ -111,17 +112,17 @@
 	return r
 }
 
-// requestLease requests a lease until the leader has answered, whichever member it is by then.
+// requestLease requests a lease until the leader has answered, whichever member that is.
 func (cluster *diskCluster) requestLease(task string, q LeaseRequest) (r lease.Record, err error) {
 	cluster.t.Helper()
-	waitFor(cluster.t, "an answer about task "+task, func() bool {
+	waitFor(cluster.t, "an answer to the lease request for task "+task, func() bool {
 		r, err = operator(cluster.members[0]).RequestLease(task, q)
 		return err == nil || errors.Is(err, ErrConflict)
 	})
 	return r, err
 }
 
-// set sets an operators' value through whichever member leads by then.
+// set sets an operators' value through whichever member is the leader.
 func (cluster *diskCluster) set(key, value string) {
 	cluster.t.Helper()
 	waitFor(cluster.t, key+"="+value, func() bool {
@@ -145,7 +146,7 @@
 	})
 }
 
-// changeMembers requests a change until it is made; it is rejected while it would not be safe.
+// changeMembers requests a change until it is accepted; it is rejected while it is not safe.
 func (cluster *diskCluster) changeMembers(action, name string, at Member) {
 	cluster.t.Helper()
 	waitFor(cluster.t, action+" "+name, func() bool {
@@ -163,7 +164,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			cluster.t.Fatalf("%s is excluded because of %q, want %q", name, last, reason)
+			cluster.t.Fatalf("%s: exclusion reason is %q, want one with %q", name, last, reason)
 		}
 	}
 }
@@ -176,5 +177,5 @@
 	return to
 }
 
-// operator returns a client of a member, as operators use it.
+// operator returns a client for a member, as used by operators.
 func operator(m Member) Client { return Client{m.AdminAddress, 5 * time.Second} }
--- a/internal/store/document/apply.go
+++ b/internal/store/document/apply.go
@@ -9,32 +9,32 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Rule: when a transaction is committed.
+// Rules for committing a transaction.
 //
-// Inputs: the transaction, and this state; never a clock, so that every member decides the same.
+// The inputs are the transaction and this state, never a clock, so that all members reach the same decision.
 //
-//  1. A transaction whose id is remembered is a duplicate: it gets the result of then, whatever has changed since; with another
-//     content it is rejected. The latest Limits.RememberedRequests ids are remembered.
-//  2. All conditions hold: a document still has a version, a task is still held under a token.
-//  3. Each lease was decided on the task's current record (lease.Table.BasedOnCurrent).
-//  4. Afterwards the state is within its limits, or no larger than before.
+//  1. A transaction whose id is remembered is a duplicate: it gets the result of the first one, whatever has changed
+//     since. If its content differs, it is rejected. The latest Limits.RememberedRequests ids are remembered.
+//  2. All conditions hold: a document still has the expected version, or a task is still held under the expected token.
+//  3. Each lease operation is based on the task's current record (lease.Table.BasedOnCurrent).
+//  4. After the transaction, the state is within its limits or no larger than before.
 //
-// The revision grows by one with each committed transaction and becomes the version of all that it sets.
+// Each committed transaction increments the revision, which becomes the version of all documents it sets.
 
-// request is what is remembered of one transaction.
+// request is the stored outcome of one transaction.
 type request struct {
 	ID     string   `json:"id"`
 	Digest [32]byte `json:"digest"`
 	Result Result   `json:"result"`
 }
 
-// Apply commits a transaction if its conditions hold, at most once for its id. now is this member's clock, from which leases
-// count.
+// Apply commits a transaction if its conditions hold, at most once per id. Leases are timed from now, a reading of this
+// member's clock.
 func (s *State) Apply(t Transaction, now lease.Instant) Result {
 	digest := requestDigest(t)
 	if previous, duplicate := s.requests[t.ID]; duplicate {
 		if previous.Digest != digest {
-			return Result{Revision: s.revision, Reason: fmt.Sprintf("id %q was another request's", t.ID)}
+			return Result{Revision: s.revision, Reason: fmt.Sprintf("id %q was already used by another request", t.ID)}
 		}
 		result := previous.Result
 		result.Duplicate = true
@@ -49,7 +49,8 @@
 	return result
 }
 
-// requestDigest distinguishes requests that use the same id; the time at which an attempt was received does not count.
+// requestDigest returns a digest that distinguishes requests with the same id. It leaves out the time at which an
+// attempt was received.
 func requestDigest(t Transaction) [sha256.Size]byte {
 	t.UnixMillis = 0
 	text, err := json.Marshal(t)
@@ -68,7 +69,7 @@
 	}
 }
 
-// rejectionReason says why a transaction can't be committed; empty: it can.
+// rejectionReason returns why a transaction can't be committed, or "" if it can.
 func (s *State) rejectionReason(t Transaction) string {
 	if err := s.Validate(t); err != nil {
 		return err.Error()
@@ -81,7 +82,7 @@
 	return s.operationsReason(t.Operations)
 }
 
-// unmetReason says why a condition does not hold; empty: it does.
+// unmetReason returns why a condition does not hold, or "" if it does.
 func (s *State) unmetReason(c Condition) string {
 	if c.Task != "" {
 		if r := s.leases.Get(c.Task); r.Token != c.Token || r.Holder == "" {
@@ -95,7 +96,7 @@
 	return ""
 }
 
-// operationsReason says why operations can't be carried out: a lease that is out of date, or a limit; empty: they can.
+// operationsReason returns why operations can't be applied (an outdated lease or an exceeded limit), or "" if they can.
 func (s *State) operationsReason(operations []Operation) string {
 	count, bytes := len(s.documents), s.totalBytes
 	for _, o := range operations {
@@ -120,7 +121,7 @@
 	return ""
 }
 
-// leaseReason says why a lease's record can't be applied; empty: it can.
+// leaseReason returns why a lease record can't be applied, or "" if it can.
 func (s *State) leaseReason(r lease.Record) string {
 	if !s.leases.BasedOnCurrent(r) {
 		return fmt.Sprintf("duty %s: changed meanwhile", r.Task)
@@ -131,7 +132,7 @@
 	return ""
 }
 
-// commit carries out a transaction that rejectionReason has no reason against.
+// commit applies a transaction for which rejectionReason returned no reason.
 func (s *State) commit(t Transaction, now lease.Instant) {
 	s.revision++
 	for _, o := range t.Operations {
--- a/internal/store/document/document.go
+++ b/internal/store/document/document.go
@@ -1,26 +1,27 @@
-// Package document is the state that the members of the store agree on: documents with versions, changed by transactions with
-// conditions, each committed at most once; the leases of tasks beside them; and the latest changes. It performs no I/O and reads
-// no clock: every member applies the same transactions in the same order and arrives at the same state.
+// Package document implements the replicated state of the store: versioned documents, the leases of tasks, and a
+// history of the latest changes. Documents are changed by conditional transactions, each of which is committed at most
+// once. The package performs no I/O and reads no clock: every member applies the same transactions in the same order
+// and arrives at the same state.
 //
 // The parts:
 //
 //   - Document, Transaction, Result, Change, Limits (this file): the types.
 //   - State (state.go): the documents of one member.
-//   - validate.go: the form of a transaction; apply.go: the rule by which one is committed.
-//   - history.go: the latest changes; snapshot.go: the state as bytes, and recovery.
+//   - validate.go: checks of a transaction's form; apply.go: the rules by which a transaction is committed.
+//   - history.go: the latest changes; snapshot.go: encoding, decoding and recovery of the state.
 package document
 
 import "sloehitch/internal/control/lease"
 
-// Limits keep the state small enough to be sent as one snapshot to a member that lags behind.
+// Limits bound the state, so that it can be sent as one snapshot to a member that lags behind.
 type Limits struct {
 	MaxKeyBytes        int
 	MaxValueBytes      int
-	MaxDocuments       int // and tasks with leases
-	MaxTotalBytes      int // of all keys and values together
-	MaxOperations      int // of one transaction, and as many conditions
-	RememberedRequests int // ids of the latest transactions, for duplicates
-	RememberedChanges  int // the latest
+	MaxDocuments       int // also the most tasks with leases
+	MaxTotalBytes      int // all keys and values together
+	MaxOperations      int // of one transaction; also the most conditions
+	RememberedRequests int // ids of the latest transactions, by which duplicates are recognized
+	RememberedChanges  int // latest changes in the history
 }
 
 // DefaultLimits are the limits of the daemon's store.
@@ -34,47 +35,47 @@
 	RememberedChanges:  2048,
 }
 
-// Bounds of a transaction's texts, in bytes.
+// Upper bounds of a transaction's texts, in bytes.
 const (
 	maxIDBytes     = 64
 	maxAuthorBytes = 256
 	maxReasonBytes = 1024
 )
 
-// Document is one value.
+// Document is a value with its key and version.
 type Document struct {
 	Key     string `json:"key"`
 	Value   string `json:"value"`
 	Version uint64 `json:"version"` // the revision at which it was last set
 }
 
-// bytes is what a document counts against Limits.MaxTotalBytes.
+// bytes returns the size of a document, which counts against Limits.MaxTotalBytes.
 func (d Document) bytes() int { return len(d.Key) + len(d.Value) }
 
-// Condition is what must hold for a transaction to be committed. Exactly one of Key and Task is set.
+// Condition must hold for a transaction to be committed. Exactly one of Key and Task is set.
 type Condition struct {
 	Key     string `json:"key,omitempty"`
-	Version uint64 `json:"version,omitempty"` // of the document; 0: there is none
+	Version uint64 `json:"version,omitempty"` // expected version of the document; 0: it must not exist
 	Task    string `json:"duty,omitempty"`
-	Token   uint64 `json:"token,omitempty"` // of the task's last grant, not released since
+	Token   uint64 `json:"token,omitempty"` // token of the task's last grant, which must not have been released since
 }
 
-// Operation changes one thing. Exactly one of Key and Lease is set.
+// Operation sets or deletes one document, or changes one lease. Exactly one of Key and Lease is set.
 type Operation struct {
 	Key    string        `json:"key,omitempty"`
 	Value  string        `json:"value,omitempty"`
 	Delete bool          `json:"delete,omitempty"`
 	Lease  *lease.Record `json:"lease,omitempty"`
-	// ExcludeFromHistory has the change not remembered: periodic reports would displace the changes that people made.
+	// ExcludeFromHistory keeps the change out of the history: periodic reports would displace the changes made by people.
 	ExcludeFromHistory bool `json:"passing,omitempty"`
 }
 
 // Transaction is committed as a whole or not at all.
 type Transaction struct {
-	ID         string      `json:"id"` // new with each request; the same for each attempt of one
+	ID         string      `json:"id"` // unique to a request; the same for all its attempts
 	Author     string      `json:"by"`
 	Reason     string      `json:"why"`
-	UnixMillis int64       `json:"at"` // when the member that took it received it; for people only
+	UnixMillis int64       `json:"at"` // when the proposing member received it; informational only
 	Conditions []Condition `json:"if,omitempty"`
 	Operations []Operation `json:"do"`
 }
@@ -82,12 +83,12 @@
 // Result is the outcome of a transaction.
 type Result struct {
 	Committed bool   `json:"made"`
-	Revision  uint64 `json:"revision"`         // committed: the new one, and the version of all that it set; else the current one
-	Reason    string `json:"reason,omitempty"` // why it was rejected
-	Duplicate bool   `json:"again,omitempty"`  // it was committed, or rejected, before; the result is that of then
+	Revision  uint64 `json:"revision"`         // if committed, the new revision and version of all documents set; else the current revision
+	Reason    string `json:"reason,omitempty"` // why the transaction was rejected
+	Duplicate bool   `json:"again,omitempty"`  // the transaction was decided on before; this is the result of that decision
 }
 
-// Change is one document set or deleted, or one lease.
+// Change is one document that was set or deleted, or one lease that changed.
 type Change struct {
 	Revision   uint64        `json:"revision"`
 	Key        string        `json:"key,omitempty"`
--- a/internal/store/document/document_test.go
+++ b/internal/store/document/document_test.go
@@ -26,7 +26,7 @@
 	return Transaction{ID: id, Author: "ops", Reason: "a test", Conditions: conditions, Operations: []Operation{{Key: key, Value: value}}}
 }
 
-// acquire has a lease granted, as a leader's decision that is committed.
+// acquire grants a lease as a leader does: it decides on the request and commits the decision.
 func acquire(t *testing.T, s *State, id, task, holder string, now lease.Instant) uint64 {
 	t.Helper()
 	r, err := s.Leases().Acquire(task, holder, now)
@@ -45,7 +45,7 @@
 	token := acquire(t, s, "2", "backup", "n1", 0)
 	for i, c := range []struct {
 		t      Transaction
-		reason string // empty: it is committed
+		reason string // empty: the transaction is committed
 	}{
 		{set("c0", "a", "y", Condition{Key: "a", Version: one.Revision}), ""},
 		{set("c1", "a", "z", Condition{Key: "a", Version: one.Revision}), "a: version 3, not 1"},
@@ -61,9 +61,9 @@
 		}
 	}
 	if s.Get("d").Version != 0 || s.Get("a").Value != "by the holder" {
-		t.Errorf("a transaction that was rejected left %+v and %+v", s.Get("d"), s.Get("a"))
+		t.Errorf("documents after rejected transactions: %+v and %+v", s.Get("d"), s.Get("a"))
 	}
-	acquire(t, s, "9", "backup", "n1", 0) // the same name again: a new process
+	acquire(t, s, "9", "backup", "n1", 0) // a new process of the same name
 	if got := s.Apply(set("10", "a", "late", Condition{Task: "backup", Token: token}), 0); got.Committed {
 		t.Error("a write under an old token was committed")
 	}
@@ -84,13 +84,13 @@
 	}
 	refused := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0)
 	if got := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0); refused.Committed || got.Reason != refused.Reason || !got.Duplicate {
-		t.Errorf("a repeat of what was rejected: %+v after %+v", got, refused)
+		t.Errorf("a repeat of a rejected request: %+v after %+v", got, refused)
 	}
 	for i := range 3 {
 		s.Apply(set(fmt.Sprint("more", i), "b", "x"), 0)
 	}
 	if len(s.requests) != 3 || len(s.requestOrder) != 3 {
-		t.Errorf("%d request ids are remembered, of 3", len(s.requests))
+		t.Errorf("%d request ids are remembered, want 3", len(s.requests))
 	}
 }
 
@@ -128,7 +128,7 @@
 		s.Apply(set(fmt.Sprint(i), fmt.Sprint("k", i), "v"), 0)
 	}
 	if _, ok := s.ChangesSince(1); ok {
-		t.Error("changes that are forgotten were returned as none")
+		t.Error("dropped changes were reported as no changes")
 	}
 	got, ok := s.ChangesSince(4)
 	if !ok || len(got) != 2 || got[0].Key != "k4" || got[1].Revision != 6 || got[0].Author != "ops" {
@@ -146,7 +146,7 @@
 	whole := save(t, s)
 	for _, bad := range [][]byte{whole[:len(whole)/2], []byte(`{"revision":1,"documents":[{"key":"a","version":9}]}`), nil} {
 		if err := s.Load(bytes.NewReader(bad), 0); err == nil || !slices.Equal(save(t, s), whole) {
-			t.Errorf("%.40q: %v, and the state changed", bad, err)
+			t.Errorf("%.40q: error %v, or the state changed", bad, err)
 		}
 	}
 	if got := s.LeaseRecords(); len(got) != 1 || got[0].Holder != "n1" || got[0].Token != 1 {
--- a/internal/store/document/history.go
+++ b/internal/store/document/history.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// ChangesSince returns the changes after a revision, oldest first. ok is false where some of them are no longer remembered, or
-// the revision lies ahead of this state's, as one of a store that was lost may: the caller has to read all documents anew.
+// ChangesSince returns the changes after a revision, oldest first. ok is false if some of them are no longer
+// remembered, or if the revision is ahead of this state, which happens after a loss of state. The caller then has to
+// read all documents again.
 func (s *State) ChangesSince(revision uint64) (changes []Change, ok bool) {
 	if revision < s.historyStart || revision > s.revision {
 		return nil, false
@@ -18,7 +19,7 @@
 // HistoryStart returns the revision after which all changes are remembered.
 func (s *State) HistoryStart() uint64 { return s.historyStart }
 
-// trimHistory forgets the oldest changes beyond the limit.
+// trimHistory drops the oldest changes beyond the limit.
 func (s *State) trimHistory() {
 	excess := len(s.changes) - s.limits.RememberedChanges
 	if excess <= 0 {
--- a/internal/store/document/model_test.go
+++ b/internal/store/document/model_test.go
@@ -12,8 +12,8 @@
 	"sloehitch/internal/control/lease"
 )
 
-// TestModel: over transactions of all kinds the state is what a map says, each id counts once, no token goes back, and a member
-// that begins with a snapshot at any point comes to the same bytes.
+// TestModel applies random transactions to a state and compares it with a map: each id counts once, no token goes back,
+// and a member that loads a snapshot at any point arrives at the same bytes.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := newModel(t)
@@ -22,16 +22,16 @@
 			m.step(r, i)
 		}
 		if m.copied != nil && !bytes.Equal(save(r, m.state), save(r, m.copied)) {
-			r.Fatalf("a member that began with a snapshot differs:\n%s\n%s", save(r, m.state), save(r, m.copied))
+			r.Fatalf("the state loaded from a snapshot differs:\n%s\n%s", save(r, m.state), save(r, m.copied))
 		}
 	})
 }
 
-// model is a state, and what it has to be.
+// model is a state with its expected content.
 type model struct {
 	t         *testing.T
 	state     *State
-	copied    *State // a member that began with a snapshot; nil: none yet
+	copied    *State // state loaded from a snapshot; nil: none yet
 	documents map[string]string
 	versions  map[string]uint64
 	done      []Transaction
@@ -50,7 +50,7 @@
 	return l
 }
 
-// step draws a transaction, applies it and compares.
+// step draws a transaction, applies it and compares the state with the model.
 func (m *model) step(r *rapid.T, i int) {
 	now := lease.Instant(i) * lease.Instant(time.Second)
 	tx := Transaction{ID: fmt.Sprint("t", i), Author: "p"}
--- a/internal/store/document/snapshot.go
+++ b/internal/store/document/snapshot.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/control/lease"
 )
 
-// encodedState is a state as a snapshot holds it.
+// encodedState is the form of a state in a snapshot.
 type encodedState struct {
 	Revision     uint64         `json:"revision"`
 	Documents    []Document     `json:"documents"`
@@ -19,7 +19,7 @@
 	TokenFloor   uint64         `json:"floor,omitempty"`
 }
 
-// Save writes the state. Equal states are written as equal bytes.
+// Save writes the state to w. Equal states are written as equal bytes.
 func (s *State) Save(w io.Writer) error {
 	out := encodedState{
 		Revision:     s.revision,
@@ -35,18 +35,18 @@
 	return json.NewEncoder(w).Encode(out)
 }
 
-// Load replaces the state by one that Save wrote. An error leaves it unchanged. Leases count from now.
+// Load replaces the state with one written by Save. On an error the state is unchanged. Leases are timed from now.
 func (s *State) Load(r io.Reader, now lease.Instant) error {
 	var in encodedState
 	if err := json.NewDecoder(r).Decode(&in); err != nil {
-		return fmt.Errorf("documents: %w", err)
+		return fmt.Errorf("decode document state: %w", err)
 	}
 	loaded := newState(s.limits, s.leases.EmptyCopy())
 	loaded.revision, loaded.changes, loaded.historyStart = in.Revision, in.Changes, in.HistoryStart
 	loaded.leases.SetTokenFloor(in.TokenFloor)
 	for _, d := range in.Documents {
 		if d.Version == 0 || d.Version > in.Revision {
-			return fmt.Errorf("documents: %q has version %d at revision %d", d.Key, d.Version, in.Revision)
+			return fmt.Errorf("decode document state: %q has version %d, not 1 to %d (the revision)", d.Key, d.Version, in.Revision)
 		}
 		loaded.documents[d.Key] = d
 		loaded.totalBytes += d.bytes()
@@ -63,10 +63,11 @@
 	return nil
 }
 
-// Recover must be called after the state was put back to an earlier one, as from a backup or from a minority of the members:
-// what was committed since is lost, and nothing of it may be confused with what follows. Revisions go on above revision, so that
-// watchers read all anew and no version stands for two values. Tokens go on above floor, and nobody holds a task
-// (lease.Table.Recover). The documents of keep replace those of their keys, or delete them where they have no value.
+// Recover must be called after the state was reset to an earlier one, for example from a backup or from a minority of
+// the members. Changes committed since are lost, and no later change may be mistaken for one of them. Revisions
+// continue above revision, so that watchers read everything again and no version denotes two values. Tokens continue
+// above floor, and no task is held afterwards (lease.Table.Recover). The documents in keep replace those with the same
+// keys; a document in keep without a value deletes its key.
 func (s *State) Recover(revision, floor uint64, keep []Document, now lease.Instant) {
 	s.revision = max(s.revision, revision) + 1
 	s.changes, s.historyStart = nil, s.revision
--- a/internal/store/document/state.go
+++ b/internal/store/document/state.go
@@ -9,16 +9,16 @@
 	"sloehitch/internal/control/lease"
 )
 
-// State is the documents of one member. It is not safe for concurrent use.
+// State holds one member's copy of the documents and leases. It is not safe for concurrent use.
 type State struct {
 	limits       Limits
 	leases       *lease.Table
-	tasks        map[string]bool // that ever had a lease
+	tasks        map[string]bool // tasks that ever had a lease
 	documents    map[string]Document
-	totalBytes   int // of the documents
+	totalBytes   int // size of all documents
 	revision     uint64
 	requests     map[string]request // by id
-	requestOrder []string           // their ids, oldest first
+	requestOrder []string           // ids of requests, oldest first
 	changes      []Change           // oldest first
 	historyStart uint64             // changes up to this revision are no longer remembered
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// Leases returns the table that a leader decides by. Its records change through transactions only.
+// Leases returns the table by which a leader decides on lease requests. Its records change only through transactions.
 func (s *State) Leases() *lease.Table { return s.leases }
 
 // Revision returns the number of transactions committed.
@@ -67,7 +67,7 @@
 	return list
 }
 
-// LeaseRecords returns the leases of all tasks that anybody ever held, sorted by task.
+// LeaseRecords returns the leases of all tasks that were ever held, sorted by task.
 func (s *State) LeaseRecords() []lease.Record {
 	var list []lease.Record
 	for _, task := range slices.Sorted(maps.Keys(s.tasks)) {
--- a/internal/store/document/validate.go
+++ b/internal/store/document/validate.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// Errors of a transaction's form.
+// Errors of malformed transactions.
 var (
-	errInvalidID    = errors.New("id: a word of 1 to 64 bytes, new with each request, is wanted")
-	errTextsTooLong = errors.New("by and why: at most 256 and 1024 bytes are kept")
+	errInvalidID    = errors.New("id: empty or longer than 64 bytes; each request needs a new id of 1 to 64 bytes")
+	errTextsTooLong = errors.New("by or why: too long; by may have at most 256 bytes, why at most 1024")
 )
 
-// Validate returns an error for a transaction that no member may be asked to apply: its form is wrong, or it is larger than the
-// limits allow, whatever the state.
+// Validate returns an error for a transaction that must not be proposed, whatever the state: it is malformed or exceeds
+// the limits.
 func (s *State) Validate(t Transaction) error {
 	if t.ID == "" || len(t.ID) > maxIDBytes {
 		return errInvalidID
@@ -22,23 +22,23 @@
 	}
 	maxOperations := s.limits.MaxOperations
 	if len(t.Operations) == 0 || len(t.Operations) > maxOperations || len(t.Conditions) > maxOperations {
-		return fmt.Errorf("do: 1 to %d operations are wanted, and as many conditions at most", maxOperations)
+		return fmt.Errorf("do: a transaction must have 1 to %d operations, and at most as many conditions", maxOperations)
 	}
 	if err := s.limits.validateOperations(t.Operations); err != nil {
 		return err
 	}
 	for i, c := range t.Conditions {
 		if (c.Key == "") == (c.Task == "") {
-			return fmt.Errorf("if[%d]: either a key or a duty is wanted", i)
+			return fmt.Errorf("if[%d]: the condition must name either a key or a duty, not both", i)
 		}
 	}
 	return nil
 }
 
-// target is what an operation changes.
+// target identifies the document or the lease that an operation changes.
 type target struct{ key, task string }
 
-// validateOperations returns an error where an operation's form is wrong, or two change the same thing.
+// validateOperations returns an error if an operation is malformed, or if two operations have the same target.
 func (l Limits) validateOperations(operations []Operation) error {
 	seen := map[target]bool{}
 	for i, o := range operations {
@@ -50,26 +50,28 @@
 			changed.task = o.Lease.Task
 		}
 		if seen[changed] {
-			return fmt.Errorf("do[%d]: %q is changed twice", i, changed.key+changed.task)
+			return fmt.Errorf("do[%d]: %q is changed twice in one transaction", i, changed.key+changed.task)
 		}
 		seen[changed] = true
 	}
 	return nil
 }
 
-// validateOperation returns an error where the form of the operation of an index is wrong.
+// validateOperation returns an error if the operation at index i is malformed.
 func (l Limits) validateOperation(i int, o Operation) error {
 	if (o.Key == "") == (o.Lease == nil) {
-		return fmt.Errorf("do[%d]: either a key or a lease is wanted", i)
+		return fmt.Errorf("do[%d]: the operation must have either a key or a lease, not both", i)
 	}
 	if o.Lease != nil {
 		named := o.Lease.Task != ""
 		if !named || len(o.Lease.Task) > l.MaxKeyBytes || len(o.Lease.Holder) > l.MaxKeyBytes || len(o.Lease.Successor) > l.MaxKeyBytes {
-			return fmt.Errorf("do[%d].lease: a duty and names of at most %d bytes are wanted", i, l.MaxKeyBytes)
+			return fmt.Errorf("do[%d].lease: a duty is required, and duty, holder and next may have at most %d bytes each",
+				i, l.MaxKeyBytes)
 		}
 	}
 	if len(o.Key) > l.MaxKeyBytes || len(o.Value) > l.MaxValueBytes {
-		return fmt.Errorf("do[%d]: a key of at most %d bytes and a value of at most %d are wanted", i, l.MaxKeyBytes, l.MaxValueBytes)
+		return fmt.Errorf("do[%d]: key or value too long; a key may have at most %d bytes, a value at most %d",
+			i, l.MaxKeyBytes, l.MaxValueBytes)
 	}
 	return nil
 }
--- a/internal/store/documentapi.go
+++ b/internal/store/documentapi.go
@@ -10,29 +10,30 @@
 	"sloehitch/internal/store/document"
 )
 
-// maxChangesWait bounds for how long a request waits for changes.
+// maxChangesWait is the longest that a request waits for changes.
 const maxChangesWait = 30 * time.Second
 
-// readResponse is what a read answers.
+// readResponse is the response to a read.
 type readResponse struct {
 	ReadStatus
 	Documents []document.Document `json:"documents,omitempty"`
 	Changes   []document.Change   `json:"changes,omitempty"`
 	Leases    []LeaseStatus       `json:"owners,omitempty"`
-	Forgotten bool                `json:"forgotten,omitempty"` // not all changes are remembered: the documents have to be read anew
+	Forgotten bool                `json:"forgotten,omitempty"` // some changes are no longer remembered: the documents have to be read again
 }
 
 // registerDocumentRoutes adds the paths of documents, transactions, changes and leases.
 //
-//	GET  /documents?prefix=P            confirmed by a majority; &local=1: of this member, with its age
-//	POST /transactions                  a document.Transaction; answers its Result
-//	GET  /changes?after=N&wait_ms=M     as soon as there are any; &prefix=P: of documents whose keys begin so
-//	GET  /backup                        the whole state, confirmed by a majority
-//	POST /restore?by=B&why=W            a backup, to which all members go back
-//	GET  /owners                        the leases of all tasks
-//	POST /duties/{duty}                 a LeaseRequest; answers the lease.Record
+//	GET  /documents?prefix=P            reads documents, confirmed by a majority; &local=1: this member's copy, with its age
+//	POST /transactions                  commits a document.Transaction; responds with its Result
+//	GET  /changes?after=N&wait_ms=M     waits for changes; &prefix=P: of documents whose keys begin with P
+//	GET  /backup                        returns the whole state, confirmed by a majority
+//	POST /restore?by=B&why=W            replaces the state of all members with a backup
+//	GET  /owners                        returns the leases of all tasks
+//	POST /duties/{duty}                 decides on a LeaseRequest; responds with the lease.Record
 //
-// 409: rejected, the body says why; 503: no leader, or the outcome is unknown, with Retry-After.
+// Status 409 means that the request was rejected, for the reason in the body. Status 503, with Retry-After, means that
+// there is no leader or that the outcome is unknown.
 func (s *Store) registerDocumentRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /documents", s.serveDocuments)
 	mux.HandleFunc("POST /transactions", s.serveTransaction)
@@ -67,7 +68,7 @@
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
 	waitMS, waitErr := strconv.ParseUint(q.Get("wait_ms"), 10, 32)
 	if err != nil || waitErr != nil && q.Has("wait_ms") {
-		http.Error(w, "after: a revision is wanted; wait_ms: milliseconds", http.StatusBadRequest)
+		http.Error(w, "after must be a revision, and wait_ms a number of milliseconds", http.StatusBadRequest)
 		return
 	}
 	wait := min(time.Duration(waitMS)*time.Millisecond, maxChangesWait, s.opts.CommitTimeout)
--- a/internal/store/documents.go
+++ b/internal/store/documents.go
@@ -10,19 +10,19 @@
 	"sloehitch/internal/store/document"
 )
 
-// ageUnknown is ReadStatus.AgeMS on a member that has not heard of a leader.
+// ageUnknown is ReadStatus.AgeMS on a member that has had no contact with a leader.
 const ageUnknown = -1
 
-// ReadStatus is how far a read can be relied on.
+// ReadStatus describes how current a read is.
 type ReadStatus struct {
 	Revision     uint64 `json:"revision"`
-	Confirmed    bool   `json:"confirmed"`        // the member led as it read, confirmed by a majority: nothing acknowledged before is missing
-	AgeMS        int64  `json:"age_ms,omitempty"` // else milliseconds since this member last heard of its leader; -1: it never did
+	Confirmed    bool   `json:"confirmed"`        // a majority confirmed the leader during the read: no earlier acknowledged change is missing
+	AgeMS        int64  `json:"age_ms,omitempty"` // otherwise milliseconds since this member's last contact with the leader; -1: none yet
 	HistoryStart uint64 `json:"from"`             // all changes after this revision are remembered
 }
 
-// Documents returns the documents whose keys begin with a prefix. A confirmed read blocks for a Barrier and returns its error on
-// any member but the leader; a local one never waits.
+// Documents returns the documents whose keys begin with a prefix. A confirmed read blocks for a Barrier, and returns
+// its error on any member but the leader. A local read never waits.
 func (s *Store) Documents(prefix string, confirmed bool) ([]document.Document, ReadStatus, error) {
 	if confirmed {
 		if err := s.Barrier(); err != nil {
@@ -34,7 +34,7 @@
 	return s.documents.List(prefix), s.readStatus(confirmed), nil
 }
 
-// readStatus returns how old this member's copy may be; the caller holds mu.
+// readStatus returns how current this member's copy is. The caller holds mu.
 func (s *Store) readStatus(confirmed bool) ReadStatus {
 	status := ReadStatus{
 		Revision:     s.documents.Revision(),
@@ -53,7 +53,7 @@
 	if r == nil {
 		return ageUnknown
 	}
-	if r.State() == raft.Leader { // it may have been deposed without knowing, for as long as its leader lease
+	if r.State() == raft.Leader { // it may have been deposed, and not know it for up to its leader lease
 		return s.leaderLease().Milliseconds()
 	}
 	last := r.LastContact()
@@ -63,10 +63,11 @@
 	return max(1, time.Since(last).Milliseconds())
 }
 
-// Changes returns what changed after a revision of the documents whose keys begin with a prefix; with an empty prefix also of
-// leases. It blocks until there is a change, and for wait at most. ok is false where not all of it is remembered: the documents
-// have to be read anew. A member that lags behind that revision, as one may that a watcher turns to from another, waits until it
-// has caught up; ok is false where it does not.
+// Changes returns the changes after a revision to the documents whose keys begin with a prefix; with an empty prefix,
+// also changes of leases. It blocks until there is a change, but at most for wait. ok is false if some of the changes
+// are no longer remembered: the caller has to read the documents again. If this member is behind the revision, as it
+// may be when a watcher switches to it from another member, Changes waits until the member has caught up; ok is false
+// if it has not by then.
 func (s *Store) Changes(prefix string, after uint64, wait time.Duration) (changes []document.Change, status ReadStatus, ok bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -13,8 +13,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestCommitsOncePerIDOnAnyMember: a transaction is committed once for its id through whichever member it is requested; its change
-// is watched and read on all of them, also after the leader died.
+// TestCommitsOncePerIDOnAnyMember checks that a transaction is committed once per id, whichever member receives the
+// requests, and that its change can be watched and read on all members, also after the leader has died.
 func TestCommitsOncePerIDOnAnyMember(t *testing.T) {
 	cluster := newCluster(t, 3)
 	leader := cluster.awaitLeader(t)
@@ -57,7 +57,7 @@
 	})
 }
 
-// checkRejected requests transactions that are not committed.
+// checkRejected sends transactions that must be rejected.
 func (cluster *testCluster) checkRejected(t *testing.T) {
 	t.Helper()
 	wrongVersion := tx("t2", "release", "v2", document.Condition{Key: "release", Version: 99})
@@ -67,11 +67,11 @@
 	record := lease.Record{Task: "d", Holder: "me", Token: 9, Serial: 1}
 	withLease := document.Transaction{ID: "t3", Operations: []document.Operation{{Lease: &record}}}
 	if _, err := cluster.client(1).Commit(withLease); err == nil || errors.Is(err, ErrConflict) {
-		t.Errorf("a lease by a transaction: %v", err)
+		t.Errorf("a transaction with a lease: %v", err)
 	}
 }
 
-// checkReads reads the document "release" from each member: confirmed, and as the member has it.
+// checkReads reads the document "release" from each member, confirmed and local.
 func (cluster *testCluster) checkReads(t *testing.T, value string) {
 	t.Helper()
 	for i, m := range cluster.members {
@@ -115,14 +115,15 @@
 	if owners, _ := s.Leases(); len(owners) != 1 || owners[0].Token != a.Token {
 		t.Errorf("owners %+v", owners)
 	}
-	// A snapshot from before there were documents.
+	// A snapshot written before documents existed.
 	if err := (*stateMachine)(s).Restore(io.NopCloser(bytes.NewReader([]byte(`{"closed":"n7"}`)))); err != nil || s.Get(KeyClosedNodes) != "n7" {
 		t.Errorf("an old snapshot: %v, closed %q", err, s.Get(KeyClosedNodes))
 	}
 }
 
-// TestAWatchOnAMemberThatIsBehind: a watcher resumes on a member that has not yet applied what the watcher has seen on another. The
-// member waits until it has caught up, and returns what changes then; it does not return at once as if no change were remembered.
+// TestAWatchOnAMemberThatIsBehind checks that a watcher can resume on a member that has not yet applied what the
+// watcher has seen on another. The member waits until it has caught up and returns the changes after that. It must not
+// return at once as if the changes were no longer remembered.
 func TestAWatchOnAMemberThatIsBehind(t *testing.T) {
 	s, err := Open(Options{Name: "n0", Logger: standin.DiscardLogger})
 	if err != nil {
@@ -133,7 +134,7 @@
 		t.Fatal(err)
 	}
 	if changes, _, ok := s.Changes("", first.Revision+1, 10*time.Millisecond); ok || len(changes) > 0 {
-		t.Errorf("%+v, ok %v from a member that does not catch up", changes, ok)
+		t.Errorf("%+v, ok %v from a member that stays behind", changes, ok)
 	}
 	type result struct {
 		changes []document.Change
@@ -151,6 +152,6 @@
 		}
 	}
 	if got := <-watched; !got.ok || len(got.changes) != 1 || got.changes[0].Value != "t3" {
-		t.Errorf("%+v, want the change after the one that the caller has", got)
+		t.Errorf("%+v, want the change after the requested revision", got)
 	}
 }
--- a/internal/store/encoding_test.go
+++ b/internal/store/encoding_test.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// encodedForm is a value and its JSON.
+// encodedForm is a value and its expected JSON.
 type encodedForm struct {
 	value any
 	json  string
@@ -32,7 +32,7 @@
 	encodedProgressJSON = `{"term":3,"entry_term":2,"index":20}`
 )
 
-// TestStoredForms: what the log, snapshots and data directories hold keeps its form.
+// TestStoredForms checks the JSON form of all that is stored in logs, snapshots and data directories.
 func TestStoredForms(t *testing.T) {
 	transaction := document.Transaction{
 		ID: "i", Author: "b", Reason: "w", UnixMillis: 5,
@@ -66,7 +66,8 @@
 	})
 }
 
-// TestRequestForms: requests and responses keep the form that operators and members of other versions know.
+// TestRequestForms checks the JSON form of requests and responses, which operators and members of other versions rely
+// on.
 func TestRequestForms(t *testing.T) {
 	status := LeaseStatus{Record: encodedRecord, RemainingMS: 8}
 	statusJSON := `{` + encodedRecordJSON + `,"left_ms":8}`
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -11,14 +11,15 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// errWrongPeer means that what answers at a member's address is not that member.
-var errWrongPeer = errors.New("not connected to the wrong peer")
+// errWrongPeer means that the process at a member's address was not verified to be that member.
+var errWrongPeer = errors.New("peer verification failed, not connected")
 
 func wrongPeerError(address raft.ServerAddress, format string, args ...any) error {
 	return fmt.Errorf("%w at %s: %s", errWrongPeer, address, fmt.Sprintf(format, args...))
 }
 
-// Identity returns what this member answers to another that asks who it is: quorum.DecideRejoin decides by it there.
+// Identity returns this member's answer to another member, requester, that asks for its identity. The requester passes
+// it to quorum.DecideRejoin.
 func (s *Store) Identity(asker string) quorum.PeerAnswer {
 	if !s.clustered {
 		return quorum.PeerAnswer{From: s.opts.Name}
@@ -43,47 +44,47 @@
 	return a
 }
 
-// identity asks a member who it is, and what it knows of the one that asks.
+// identity requests the identity of a member, and what it knows about requester.
 func (c Client) identity(asker string) (a quorum.PeerAnswer, err error) {
 	err = c.get("/identity?of="+url.QueryEscape(asker), &a)
-	if errors.Is(err, errUnknownPath) { // a version that does not know the question; the address tells several of them apart
+	if errors.Is(err, errUnknownPath) { // the member's version does not support the request; the address distinguishes several such members
 		return quorum.PeerAnswer{From: c.Address, Unsupported: true}, nil
 	}
 	return a, err
 }
 
-// verifyPeer returns an error where what answers at a member's address is of another store or has another name. A member that
-// can't be asked is connected to only if it was verified before.
+// verifyPeer returns an error if the process at a member's address belongs to another store or has another name. If the
+// member does not answer, it is connected to only if it was verified before.
 func (s *Store) verifyPeer(address raft.ServerAddress, timeout time.Duration) error {
 	m, known := s.memberAt(string(address))
 	if !known || m.AdminAddress == "" {
-		return nil // there is no way to ask it
+		return nil // it can't be asked
 	}
 	a, err := Client{m.AdminAddress, min(timeout, s.opts.ElectionTimeout)}.identity(s.opts.Name)
 	if err != nil {
 		if s.peers.isVerified(m) {
 			return nil
 		}
-		return wrongPeerError(address, "%s does not say who it is: %v", m.Name, err)
+		return wrongPeerError(address, "%s did not answer the identity request: %v", m.Name, err)
 	}
 	storeID := s.peers.localIdentity().StoreID
 	switch {
 	case a.Unsupported:
 	case a.From != m.Name:
-		return wrongPeerError(address, "it is %s, not %s", a.From, m.Name)
+		return wrongPeerError(address, "the peer is %s, not %s", a.From, m.Name)
 	case a.StoreID != "" && storeID != "" && a.StoreID != storeID:
-		return wrongPeerError(address, "%s is of the store %s, not %s", a.From, a.StoreID, storeID)
+		return wrongPeerError(address, "%s belongs to store %s, not %s", a.From, a.StoreID, storeID)
 	}
 	s.peers.markVerified(m)
 	return nil
 }
 
-// raftAddress returns where a member is reached: as this member's settings list it, since each may reach the others by a way of
-// its own, else as it was added.
+// raftAddress returns a member's address for the other members. An address in this member's settings takes precedence
+// over the one with which the member was added, since each member may reach the others by a different route.
 func (s *Store) raftAddress(id raft.ServerID) (raft.ServerAddress, error) {
 	m, known := s.member(string(id))
 	if !known {
-		return "", fmt.Errorf("store: no member %s is known", id)
+		return "", fmt.Errorf("store: unknown member %s", id)
 	}
 	return raft.ServerAddress(m.RaftAddress), nil
 }
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -10,13 +10,13 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// Events that Options.OnEvent gets.
+// Events that are passed to Options.OnEvent.
 const (
 	eventFollows = "follows"
 	eventLeads   = "leads"
 )
 
-// Leader returns the member that takes changes, if one is known. It does not wait.
+// Leader returns the leader, which accepts changes, if it is known. It does not wait.
 func (s *Store) Leader() (Member, bool) {
 	if !s.clustered {
 		return Member{Name: s.opts.Name}, true
@@ -32,7 +32,8 @@
 	return s.member(string(id))
 }
 
-// watchLeadership follows whether this member leads, until the store is closed.
+// watchLeadership calls startLeading and stopLeading when this member gains or loses the leadership, until the store
+// is closed.
 func (s *Store) watchLeadership(r *raft.Raft) {
 	for {
 		select {
@@ -47,7 +48,8 @@
 	}
 }
 
-// stopLeading has this member decide on leases no longer, and forget when the others last answered it as their leader.
+// stopLeading stops this member from deciding on leases, and resets the times of the other members' answers to it as
+// the leader.
 func (s *Store) stopLeading() {
 	s.mu.Lock()
 	if s.leading {
@@ -58,8 +60,9 @@
 	s.peers.resetContacts()
 }
 
-// startLeading has this member decide on leases. It must have applied all that was committed before, and restarts the count of
-// every lease, since it can't know when the previous leader began it. The store's first leader gives the store its id.
+// startLeading lets this member decide on leases. The member must have applied all entries committed before. It
+// restarts the timing of every lease, since it can't know when the previous leader granted or renewed it. The first
+// leader also assigns the store its id.
 func (s *Store) startLeading(r *raft.Raft) {
 	s.mu.Lock()
 	s.documents.Leases().StartLeading(s.clock())
@@ -77,7 +80,7 @@
 	}
 }
 
-// ensureStoreID proposes an id for a store that has none, and reports whether the store has one.
+// ensureStoreID proposes an id if the store has none, and reports whether the store has one.
 func (s *Store) ensureStoreID() bool {
 	s.mu.Lock()
 	id := s.documents.Get(storeIDKey).Value
@@ -95,14 +98,15 @@
 	return err == nil
 }
 
-// transferLeadership has another member lead before this one shuts down, and waits for up to an election timeout. Without it
-// nothing could be changed until an election, an election timeout or two later.
+// transferLeadership transfers the leadership to another member before this one shuts down, and waits for up to an
+// election timeout. Without the transfer, no change could be committed until the next election, one or two election
+// timeouts later.
 func (s *Store) transferLeadership(r *raft.Raft) {
 	transferred := make(chan error, 1)
 	go func() { transferred <- r.LeadershipTransfer().Error() }()
 	select {
 	case err := <-transferred:
-		s.opts.Logger.Info("leadership transfer before the shutdown has ended", "error", err)
+		s.opts.Logger.Info("leadership transfer before shutdown finished", "error", err)
 	case <-time.After(s.opts.ElectionTimeout):
 	}
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -8,8 +8,8 @@
 	"sloehitch/internal/store/document"
 )
 
-// Actions of a LeaseRequest, with their encoded values: "take" acquires a lease. The action's encoded name is "ask", which errors
-// quote (docs/glossary.md).
+// Actions of a LeaseRequest. In JSON, acquiring a lease is called "take" and the field of the action "ask", which
+// errors quote (docs/glossary.md).
 const (
 	LeaseAcquire  = "take"
 	LeaseRenew    = "renew"
@@ -20,18 +20,18 @@
 type LeaseRequest struct {
 	Action    string `json:"ask"` // LeaseAcquire, LeaseRenew or LeaseHandOver
 	Holder    string `json:"holder"`
-	Token     uint64 `json:"token,omitempty"` // of LeaseRenew and LeaseHandOver
-	Successor string `json:"to,omitempty"`    // of LeaseHandOver; empty: whoever acquires it next
+	Token     uint64 `json:"token,omitempty"` // for LeaseRenew and LeaseHandOver
+	Successor string `json:"to,omitempty"`    // for LeaseHandOver; empty: whoever acquires the lease next
 	Reason    string `json:"why,omitempty"`
 }
 
-// LeaseStatus is the lease of one task as a member sees it.
+// LeaseStatus is the lease of one task, as a member sees it.
 type LeaseStatus struct {
 	lease.Record
-	RemainingMS int64 `json:"left_ms"` // milliseconds until another may be granted it, on this member's clock; the leader's count decides
+	RemainingMS int64 `json:"left_ms"` // milliseconds until another may acquire it, by this member's clock; the leader's is decisive
 }
 
-// Leases returns the leases of all tasks that anybody ever held. It does not wait.
+// Leases returns the leases of all tasks that were ever held. It does not wait.
 func (s *Store) Leases() ([]LeaseStatus, ReadStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,9 +43,9 @@
 	return leases, s.readStatus(false)
 }
 
-// RequestLease decides on a request and has the decision committed. It blocks until a majority has it. It returns lease.ErrHeld,
-// lease.ErrLost or ErrNotLeader, and then nothing has changed; with ErrOutcomeUnknown the lease may be granted all the same. No
-// two requests are the same one: to acquire again what may have been granted brings a new token.
+// RequestLease decides on a request and commits the decision. It blocks until a majority has it. If it returns
+// lease.ErrHeld, lease.ErrLost or ErrNotLeader, nothing was changed; after ErrOutcomeUnknown the lease may have been
+// granted. Requests are not deduplicated: acquiring a lease again that may have been granted yields a new token.
 func (s *Store) RequestLease(task string, q LeaseRequest) (lease.Record, error) {
 	record, err := s.decideLease(task, q)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return record, nil
 }
 
-// decideLease decides on a request by this member's table of leases, if it leads.
+// decideLease decides on a request by this member's table of leases, if this member leads.
 func (s *Store) decideLease(task string, q LeaseRequest) (lease.Record, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,5 +86,5 @@
 	case LeaseHandOver:
 		return table.HandOver(task, q.Holder, q.Token, q.Successor)
 	}
-	return lease.Record{}, fmt.Errorf("ask %q: take, renew or hand-over is wanted", q.Action)
+	return lease.Record{}, fmt.Errorf("ask: unknown action %q; must be take, renew or hand-over", q.Action)
 }
--- a/internal/store/leases_test.go
+++ b/internal/store/leases_test.go
@@ -20,29 +20,30 @@
 		return err == nil
 	})
 	if _, err := cluster.client(1).RequestLease("backup", LeaseRequest{Action: LeaseAcquire, Holder: "B"}); !errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), "held by another: A, token 1") {
-		t.Errorf("a second owner: %v", err)
+		t.Errorf("a lease that is held by another: %v", err)
 	}
 	if _, err := cluster.client(2).Commit(tx("step 1", "backup/step", "1", underToken("backup", a.Token))); err != nil {
 		t.Error(err)
 	}
-	// A new leader can't know when the lease began: it counts anew, and nobody else gets it before.
+	// A new leader can't know when the lease was granted: it restarts the timing, and grants the lease to nobody else
+	// before its full duration is over.
 	cluster.stop(t, leader.Name)
 	next := cluster.awaitLeader(t)
 	client := Client{next.AdminAddress, standin.WaitTimeout}
 	began := time.Now()
 	var b lease.Record
-	waitFor(t, "the lease to lapse", func() bool {
+	waitFor(t, "the lease to expire", func() bool {
 		var err error
 		b, err = client.RequestLease("backup", LeaseRequest{Action: LeaseAcquire, Holder: "B"})
 		return err == nil
 	})
-	if took := time.Since(began); took < time.Second { // 2 s less what passed since the new leader began to count
+	if took := time.Since(began); took < time.Second { // 2 s, less the time since the new leader restarted the timing
 		t.Errorf("granted to another %v after the change of leader", took)
 	}
 	if b.Token != a.Token+1 {
 		t.Errorf("token %d after %d", b.Token, a.Token)
 	}
-	// The old owner wakes up late: its write and its renewal are rejected.
+	// The previous holder is still active: its write and its renewal are rejected.
 	if _, err := client.Commit(tx("step 2 of A", "backup/step", "2", underToken("backup", a.Token))); !errors.Is(err, ErrConflict) {
 		t.Errorf("a write under the old token: %v", err)
 	}
@@ -53,7 +54,7 @@
 		t.Error(err)
 	}
 	if _, err := client.RequestLease("backup", LeaseRequest{Action: LeaseAcquire, Holder: "A"}); !errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), "handed over to C") {
-		t.Errorf("another than the successor: %v", err)
+		t.Errorf("a holder other than the successor: %v", err)
 	}
 	c, err := client.RequestLease("backup", LeaseRequest{Action: LeaseAcquire, Holder: "C"})
 	if err != nil || c.Token != b.Token+1 {
--- a/internal/store/memberapi.go
+++ b/internal/store/memberapi.go
@@ -2,11 +2,11 @@
 
 import "net/http"
 
-// registerMemberRoutes adds the paths of the members.
+// registerMemberRoutes adds the paths for the membership.
 //
-//	GET  /members?local=1     Membership, as this member sees it; without local as the leader does
-//	POST /members             a MembershipChange; answers the Membership after it
-//	GET  /identity?of=NAME    a quorum.PeerAnswer to member NAME, which is about to take part
+//	GET  /members?local=1     returns the Membership as this member sees it; without local, as the leader does
+//	POST /members             makes a MembershipChange; responds with the resulting Membership
+//	GET  /identity?of=NAME    returns a quorum.PeerAnswer for the member NAME, which is about to start
 func (s *Store) registerMemberRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /members", s.serveMembers)
 	mux.HandleFunc("POST /members", s.serveMembershipChange)
--- a/internal/store/memberchange.go
+++ b/internal/store/memberchange.go
@@ -16,37 +16,38 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// Actions of a MembershipChange, with their encoded values. The action's encoded name is "do", which errors quote
+// Actions of a MembershipChange. In JSON, the field of the action is called "do", which errors quote
 // (docs/glossary.md).
 const (
-	MemberAdd     = "add"     // as a learner without a vote
+	MemberAdd     = "add"     // add a learner without a vote
 	MemberPromote = "promote" // give a learner a vote
 	MemberRemove  = "remove"
-	MemberLead    = "lead" // transfer the leadership to it
+	MemberLead    = "lead" // transfer the leadership to a member
 )
 
-// Documents by which a change of the members without a document of its own is in the history.
+// Documents that record changes of the members in the history if the change itself does not affect a document.
 const (
 	leadKey      = internalPrefix + "lead"
 	votersPrefix = internalPrefix + "voters/"
 )
 
-// MembershipChange is a change of one member.
+// MembershipChange is a request to change one member.
 type MembershipChange struct {
 	Action       string `json:"do"` // MemberAdd, MemberPromote, MemberRemove or MemberLead
 	Name         string `json:"name"`
-	RaftAddress  string `json:"raft,omitempty"`  // of MemberAdd: for the other members
-	AdminAddress string `json:"admin,omitempty"` // of MemberAdd: for operators
+	RaftAddress  string `json:"raft,omitempty"`  // for MemberAdd: address for the other members
+	AdminAddress string `json:"admin,omitempty"` // for MemberAdd: address for operators
 	Author       string `json:"by"`
 	Reason       string `json:"why"`
 }
 
-// ChangeMembers makes a change of the members, one at a time, and blocks until it is committed. It returns ErrNotLeader on any
-// member but the leader, ErrChangeRejected where the change is not safe (quorum.Group) or makes no sense, and ErrOutcomeUnknown
-// where it may yet be made; requested again it is made once. It is recorded in the history.
+// ChangeMembers makes a change of the members, one at a time, records it in the history, and blocks until it is
+// committed. It returns ErrNotLeader on any member but the leader, ErrChangeRejected if the change is not safe
+// (quorum.Group) or not possible, and ErrOutcomeUnknown if the change may still take effect. Repeating a change has no
+// further effect.
 func (s *Store) ChangeMembers(c MembershipChange) error {
 	if !s.clustered {
-		return fmt.Errorf("%w: this store is one process's alone; its settings name no members", ErrChangeRejected)
+		return fmt.Errorf("%w: the store is local to this process: its settings list no members", ErrChangeRejected)
 	}
 	r, err := s.raftNode()
 	if err != nil {
@@ -80,7 +81,7 @@
 	raft   *raft.Raft
 	change MembershipChange
 	group  quorum.Group
-	index  uint64 // of the entry that has the members
+	index  uint64 // index of the log entry with the current configuration of members
 }
 
 func (m memberChanger) run() error {
@@ -94,10 +95,10 @@
 	case MemberLead:
 		return m.transferLeadership()
 	}
-	return fmt.Errorf("do: %q: add, promote, remove or lead is wanted", m.change.Action)
+	return fmt.Errorf("do: unknown action %q; must be add, promote, remove or lead", m.change.Action)
 }
 
-// current returns the member as it was before the change.
+// current returns the member to be changed, as it was before the change.
 func (m memberChanger) current() (quorum.Member, bool) {
 	i := slices.IndexFunc(m.group.Members, func(o quorum.Member) bool { return o.Name == m.change.Name })
 	if i < 0 {
@@ -120,7 +121,7 @@
 	if err != nil { // strings always marshal
 		panic(err)
 	}
-	// Recorded first, so that all members know where it is reached.
+	// The document is written first, so that all members know the new member's addresses.
 	if err := m.record(document.Operation{Key: memberPrefix + c.Name, Value: string(text)}); err != nil {
 		return err
 	}
@@ -131,7 +132,7 @@
 	if err := m.group.CheckPromote(m.change.Name); err != nil {
 		return rejected(err)
 	}
-	member, _ := m.current() // CheckPromote rejects others
+	member, _ := m.current() // CheckPromote rejects unknown members
 	if member.Voter {
 		return nil
 	}
@@ -148,7 +149,7 @@
 	}
 	deletion := document.Operation{Key: memberPrefix + m.change.Name, Delete: true}
 	if _, exists := m.current(); !exists {
-		return m.record(deletion) // what an earlier attempt may have left
+		return m.record(deletion) // an earlier attempt may have left the document
 	}
 	if err := m.await(m.raft.RemoveServer(m.id(), m.index, m.store.opts.CommitTimeout)); err != nil {
 		return err
@@ -160,7 +161,7 @@
 	if err := m.group.CheckLeadershipTransfer(m.change.Name); err != nil {
 		return rejected(err)
 	}
-	member, _ := m.current() // CheckLeadershipTransfer rejects others
+	member, _ := m.current() // CheckLeadershipTransfer rejects unknown members
 	if member.Leader {
 		return nil
 	}
@@ -168,12 +169,12 @@
 		return err
 	}
 	if err := m.raft.LeadershipTransferToServer(m.id(), raft.ServerAddress(member.RaftAddress)).Error(); err != nil {
-		return fmt.Errorf("%w: %s did not take the lead: %w", ErrChangeRejected, m.change.Name, err)
+		return fmt.Errorf("%w: transfer of the leadership to %s failed: %w", ErrChangeRejected, m.change.Name, err)
 	}
 	return nil
 }
 
-// await blocks until a change is committed.
+// await blocks until a change of raft's configuration is committed.
 func (m memberChanger) await(future raft.Future) error {
 	err := future.Error()
 	if errors.Is(err, raft.ErrNotLeader) {
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// record puts the change into the history.
+// record commits an operation that records the change in the history.
 func (m memberChanger) record(o document.Operation) error {
 	c := m.change
 	result, err := m.store.propose(document.Transaction{
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -14,31 +14,31 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// Keys of the documents that the store keeps for itself.
+// Keys and key prefixes that are reserved for the store's own documents.
 const (
 	internalPrefix = "store/"
-	storeIDKey     = internalPrefix + "id" // the store's id: members of another are excluded
-	memberPrefix   = "member/"             // and a name: where a member that was added in service is reached, a Member
+	storeIDKey     = internalPrefix + "id" // the store's id, by which members of another store are excluded
+	memberPrefix   = "member/"             // followed by a name: a Member with the addresses of a member added while the store runs
 )
 
-// checkNotReserved returns an error for the keys that the store keeps for itself.
+// checkNotReserved returns an error for a key that is reserved for the store.
 func checkNotReserved(key string) error {
 	if strings.HasPrefix(key, internalPrefix) || strings.HasPrefix(key, memberPrefix) {
-		return fmt.Errorf("%s: the store keeps documents of %s and %s for itself", key, internalPrefix, memberPrefix)
+		return fmt.Errorf("%s: keys that begin with %s or %s are reserved for the store", key, internalPrefix, memberPrefix)
 	}
 	return nil
 }
 
-// Membership is who keeps the store, as one member sees it.
+// Membership is the members of the store, as one of them sees them.
 type Membership struct {
 	StoreID         string          `json:"store"`
-	ReportedBy      string          `json:"self"` // the member that answers
+	ReportedBy      string          `json:"self"` // the member that responds
 	Leader          string          `json:"leader"`
-	ExclusionReason string          `json:"out,omitempty"` // why the member that answers takes no part
-	Members         []quorum.Member `json:"members"`       // only the leader knows when they last answered, and how far they lag
+	ExclusionReason string          `json:"out,omitempty"` // why the responding member does not participate; empty: it does
+	Members         []quorum.Member `json:"members"`       // only the leader knows the times of their last answers and their lags
 }
 
-// Members returns who keeps the store, as this member sees it. It does not wait.
+// Members returns the membership as this member sees it. It does not wait.
 func (s *Store) Members() Membership {
 	m := Membership{ReportedBy: s.opts.Name}
 	if !s.clustered {
@@ -56,11 +56,11 @@
 	if leader, known := s.Leader(); known {
 		m.Leader = leader.Name
 	}
-	m.Members, _, _ = s.memberStatuses(r) // without a configuration no members are known
+	m.Members, _, _ = s.memberStatuses(r) // without a configuration, no members are known
 	return m
 }
 
-// configuredMember returns a member as this one's own settings list it.
+// configuredMember returns a member listed in this member's settings.
 func (s *Store) configuredMember(name string) (Member, bool) {
 	i := slices.IndexFunc(s.opts.Members, func(m Member) bool { return m.Name == name })
 	if i < 0 {
@@ -69,7 +69,7 @@
 	return s.opts.Members[i], true
 }
 
-// member returns a member by the settings, or as it was added in service.
+// member returns a member as listed in the settings or, failing that, as added while the store runs.
 func (s *Store) member(name string) (Member, bool) {
 	if m, listed := s.configuredMember(name); listed {
 		return m, true
@@ -85,7 +85,7 @@
 	return m, true
 }
 
-// memberAt returns the member that the others reach at an address.
+// memberAt returns the member with a given address for the other members.
 func (s *Store) memberAt(raftAddress string) (Member, bool) {
 	for _, m := range s.opts.Members {
 		if m.RaftAddress == raftAddress {
@@ -105,7 +105,7 @@
 	return Member{}, false
 }
 
-// memberStatuses returns the members as raft has them, sorted by name, and the index of the entry that says so.
+// memberStatuses returns the members in raft's configuration, sorted by name, and the index of its log entry.
 func (s *Store) memberStatuses(r *raft.Raft) (members []quorum.Member, index uint64, err error) {
 	c := r.GetConfiguration()
 	if err := c.Error(); err != nil {
@@ -123,7 +123,7 @@
 	return members, c.Index(), nil
 }
 
-// memberStatus returns a member without what only the leader knows.
+// memberStatus returns a member without the fields that only the leader knows.
 func (s *Store) memberStatus(server raft.Server) quorum.Member {
 	m := quorum.Member{
 		Name:         string(server.ID),
@@ -137,7 +137,7 @@
 	return m
 }
 
-// addContact adds what the leader, whose last entry is given, knows of a member.
+// addContact adds the fields that only the leader knows. last is the index of the leader's last log entry.
 func (s *Store) addContact(m *quorum.Member, last uint64) {
 	if m.Name == s.opts.Name {
 		m.Leader, m.SinceContact = true, 0
@@ -151,8 +151,8 @@
 	m.SinceContact, m.Lag = time.Since(p.lastContact), last-min(last, p.acknowledged)
 }
 
-// awaitAnswers waits until all members have answered since an instant, for two election timeouts at most: one that answered
-// shortly before may have died since.
+// awaitAnswers waits until all members have answered after since, for at most two election timeouts. Earlier answers do
+// not count, since a member may have died after them.
 func (s *Store) awaitAnswers(r *raft.Raft, since time.Time) (members []quorum.Member, index uint64, err error) {
 	for {
 		if members, index, err = s.memberStatuses(r); err != nil {
@@ -171,8 +171,8 @@
 	}
 }
 
-// fetchExclusionReasons asks members that do not answer the leader why they are excluded, if they are, and waits up to an election
-// timeout for each.
+// fetchExclusionReasons asks members that do not answer the leader whether and why they are excluded. It waits for each
+// up to an election timeout.
 func (s *Store) fetchExclusionReasons(members []quorum.Member, maxSilence time.Duration) {
 	var wg sync.WaitGroup
 	for i := range members {
--- a/internal/store/membershipwatch.go
+++ b/internal/store/membershipwatch.go
@@ -9,8 +9,8 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// watchMembership saves what is known of the other members, an election timeout late at most, and finds out whether this member
-// was removed, until the store is closed or the member is excluded.
+// watchMembership saves the progress of the other members once per election timeout, and detects whether this member
+// was removed. It returns when the store is closed or the member is excluded.
 func (s *Store) watchMembership(r *raft.Raft) {
 	tick := time.NewTicker(s.opts.ElectionTimeout)
 	defer tick.Stop()
@@ -35,15 +35,15 @@
 	}
 }
 
-// excludedByPeers asks the others whether this member may still take part, and stops it where it may not. Raft does not tell a
-// member that it was removed, so one that knows of no leader asks. It reads its data directory after the answers: it goes on
-// answering the others meanwhile, and they remember that.
+// excludedByPeers asks the others whether this member may still participate, and stops raft if it may not. Raft does
+// not notify a member of its removal, so a member that knows of no leader asks. It reads its data directory only after
+// the answers: it continues to acknowledge entries meanwhile, and the others may remember that progress.
 func (s *Store) excludedByPeers(r *raft.Raft) bool {
 	check := s.newStartCheck(quorum.Progress{}, false)
 	check.askPeers()
 	var err error
 	if check.local.Progress, check.local.Empty, err = s.storage.progress(); err != nil {
-		s.opts.Logger.Warn("data directory not readable", "error", err)
+		s.opts.Logger.Warn("data directory can't be read, exclusion not checked", "error", err)
 		return false
 	}
 	decision, reason := check.decide()
--- a/internal/store/peertracker.go
+++ b/internal/store/peertracker.go
@@ -15,42 +15,43 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// Keys beside raft's own in a member's data directory.
+// Keys in a member's data directory in addition to raft's own.
 const (
 	identityKey    = "identity"
-	progressPrefix = "k/" // and a member's name: its progress
+	progressPrefix = "k/" // followed by a member's name: that member's progress
 )
 
-// identity is whose data directory it is, as the directory holds it.
+// identity identifies the owner of a data directory, and is stored in it.
 type identity struct {
 	Name            string `json:"name"`
 	StoreID         string `json:"store"`
 	Voters          int    `json:"voters"`
-	ExclusionReason string `json:"out,omitempty"` // why this data directory may never take part again
+	ExclusionReason string `json:"out,omitempty"` // why this data directory may never be used again; empty: it may
 }
 
-// peerState is what is known of another member.
+// peerState is what is known about another member.
 type peerState struct {
 	progress     quorum.Progress
-	acknowledged uint64    // index of the entry that it acknowledged last
-	lastContact  time.Time // its last answer to this member's raft; zero: none
+	acknowledged uint64    // index of the last entry that it acknowledged
+	lastContact  time.Time // last message from it to this member's raft; zero: none
 }
 
-// peerTracker is what this member remembers of itself and of the others, apart from what was committed. It is safe for
-// concurrent use.
+// peerTracker keeps this member's identity and what it knows about the others, in addition to the replicated state. It
+// is safe for concurrent use.
 type peerTracker struct {
 	ledger *ledger.Store // nil: everything is kept in memory
 
 	mu            sync.Mutex
 	local         identity
 	peers         map[string]*peerState      // by name
-	verified      map[Member]bool            // members that have said who they are, with their addresses
-	savedLocal    identity                   // as it is in the data directory
-	savedProgress map[string]quorum.Progress // the same
-	removed       []string                   // members to be forgotten in the data directory too
+	verified      map[Member]bool            // members whose identity was verified at these addresses
+	savedLocal    identity                   // local, as last saved to the data directory
+	savedProgress map[string]quorum.Progress // progress of the peers, as last saved to the data directory
+	removed       []string                   // members whose progress is still to be deleted from the data directory
 }
 
-// openPeerTracker reads what a data directory remembers. It returns an error where the directory is another member's.
+// openPeerTracker loads the identity and the members' progress from a data directory. It returns an error if the
+// directory belongs to another member.
 func openPeerTracker(l *ledger.Store, name string, voters int) (*peerTracker, error) {
 	t := &peerTracker{
 		ledger:        l,
@@ -70,27 +71,28 @@
 		err = json.Unmarshal(text, &t.local)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("the folder does not say whose it is: %w", err)
+		return nil, fmt.Errorf("no readable identity in the data directory: %w", err)
 	}
 	if t.local.Name != name {
-		return nil, fmt.Errorf("the folder is member %s's, and this is member %s: set dir to its own folder, or the name in the configuration to %s", t.local.Name, name, t.local.Name)
+		return nil, fmt.Errorf("the data directory belongs to member %s, but this is member %s: "+
+			"set dir to this member's own directory, or the name in the configuration to %s", t.local.Name, name, t.local.Name)
 	}
 	t.savedLocal = t.local
 	return t, l.Scan([]byte(progressPrefix), t.loadProgress)
 }
 
-// loadProgress takes another member's progress from the data directory.
+// loadProgress loads another member's progress from the data directory.
 func (t *peerTracker) loadProgress(p ledger.Pair) error {
 	var progress quorum.Progress
 	if err := json.Unmarshal(p.Value, &progress); err != nil {
-		return fmt.Errorf("%s: %w", p.Key, err)
+		return fmt.Errorf("decode the progress under key %s: %w", p.Key, err)
 	}
 	name := string(p.Key[len(progressPrefix):])
 	t.peers[name], t.savedProgress[name] = &peerState{progress: progress}, progress
 	return nil
 }
 
-// save writes what has changed to the data directory.
+// save writes the changes since the last save to the data directory.
 func (t *peerTracker) save() error {
 	if t.ledger == nil {
 		return nil
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// unsaved returns what has changed since the last save; the caller holds mu.
+// unsaved returns a batch of the changes since the last save. The caller holds mu.
 func (t *peerTracker) unsaved() *ledger.Batch {
 	var b ledger.Batch
 	put := func(key string, v any) {
@@ -145,7 +147,7 @@
 	return t.local
 }
 
-// setStoreID takes the store's id, once there is one, and saves it.
+// setStoreID sets and saves the store's id. An empty id is ignored.
 func (t *peerTracker) setStoreID(id string) error {
 	t.mu.Lock()
 	learned := id != "" && t.local.StoreID != id
@@ -159,7 +161,7 @@
 	return t.save()
 }
 
-// excludePermanently saves why this data directory may never take part again.
+// excludePermanently saves the reason why this data directory may never be used again.
 func (t *peerTracker) excludePermanently(reason string) error {
 	t.mu.Lock()
 	t.local.ExclusionReason = reason
@@ -167,7 +169,7 @@
 	return t.save()
 }
 
-// recordProgress takes an answer or a request of another member's raft: how far it has answered for.
+// recordProgress records the progress that a request or response of another member's raft implies.
 func (t *peerTracker) recordProgress(name string, progress quorum.Progress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +184,7 @@
 	}
 }
 
-// peer returns what is known of another member.
+// peer returns what is known about another member.
 func (t *peerTracker) peer(name string) peerState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -192,21 +194,21 @@
 	return peerState{}
 }
 
-// markVerified notes that a member has said who it is, at its addresses.
+// markVerified records that a member's identity was verified at its addresses.
 func (t *peerTracker) markVerified(m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.verified[m] = true
 }
 
-// isVerified reports whether a member has said who it is, at its addresses.
+// isVerified reports whether a member's identity was verified at its addresses.
 func (t *peerTracker) isVerified(m Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.verified[m]
 }
 
-// resetContacts forgets when the others last answered: a new leader counts from the answers to itself.
+// resetContacts clears the times of the others' last answers, since a new leader must count only answers to itself.
 func (t *peerTracker) resetContacts() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -215,7 +217,7 @@
 	}
 }
 
-// setConfiguration takes the members as committed, and forgets all others.
+// setConfiguration takes over a committed configuration, and drops peers that are not in it.
 func (t *peerTracker) setConfiguration(c raft.Configuration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/store/propose.go
+++ b/internal/store/propose.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/store/document"
 )
 
-// change is one entry of raft's log: an operators' value, a transaction or a part of a restore.
+// change is the content of one log entry: an operators' value, a transaction or a part of a restore.
 type change struct {
 	Key         string                `json:"Key"`
 	Value       string                `json:"Value"`
@@ -20,12 +20,13 @@
 	Restore     *restorePart          `json:"Restore,omitempty"`
 }
 
-// errLeaseInTransaction means that a transaction of Commit has an operation on a lease. "do" is the encoded name of the operations.
-var errLeaseInTransaction = errors.New("do: leases are asked for by their own call")
+// errLeaseInTransaction means that a transaction passed to Commit has an operation on a lease. "do" is the JSON name of
+// the operations.
+var errLeaseInTransaction = errors.New("do: a transaction can't change a lease; request leases at /duties/{duty}")
 
-// Commit commits a transaction on all members, once for its id. It blocks until a majority has it. It returns ErrNotLeader on
-// any member but the leader, and ErrOutcomeUnknown where the transaction may yet be committed. A transaction whose conditions do
-// not hold is no error: Result tells.
+// Commit commits a transaction on all members, at most once per id. It blocks until a majority has it. It returns
+// ErrNotLeader on any member but the leader, and ErrOutcomeUnknown if the transaction may still be committed. Unmet
+// conditions are not an error, but are reported in the Result.
 func (s *Store) Commit(t document.Transaction) (document.Result, error) {
 	for _, o := range t.Operations {
 		if o.Lease != nil {
@@ -38,7 +39,7 @@
 	return s.propose(t)
 }
 
-// propose is Commit for all keys, and for leases.
+// propose commits a transaction like Commit, but allows reserved keys and leases.
 func (s *Store) propose(t document.Transaction) (document.Result, error) {
 	s.mu.Lock()
 	err := s.documents.Validate(t)
@@ -61,8 +62,8 @@
 	return result, nil
 }
 
-// replicate has a change applied by all members, and returns what the state machine returned for it here. It returns
-// ErrNotLeader, and then nothing has changed, or ErrOutcomeUnknown.
+// replicate has all members apply a change, and returns the response of this member's state machine. It returns
+// ErrNotLeader if nothing was changed, or ErrOutcomeUnknown.
 func (s *Store) replicate(c change) (any, error) {
 	r, err := s.raftNode()
 	if err != nil {
@@ -73,19 +74,19 @@
 		return nil, err
 	}
 	if len(entry) > limits.ForRaftLog.EntryBytes {
-		return nil, fmt.Errorf("%d bytes on record, %d at most are taken", len(entry), limits.ForRaftLog.EntryBytes)
+		return nil, fmt.Errorf("log entry too large: %d bytes, at most %d are allowed", len(entry), limits.ForRaftLog.EntryBytes)
 	}
 	future := r.Apply(entry, s.opts.CommitTimeout)
 	switch err := future.Error(); {
 	case errors.Is(err, raft.ErrNotLeader):
 		return nil, ErrNotLeader
-	case err != nil: // the leadership was lost meanwhile, or the timeout is over
+	case err != nil: // the leadership was lost meanwhile, or the timeout expired
 		return nil, fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
 	}
 	return future.Response(), nil
 }
 
-// applyTransaction applies a transaction here, and notifies the watchers of documents.
+// applyTransaction applies a transaction to this member's copy, and notifies the watchers of documents.
 func (s *Store) applyTransaction(t document.Transaction) document.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,8 +97,8 @@
 	return result
 }
 
-// Barrier blocks until this member's copy has all that was acknowledged before the call: the member leads, confirmed by a
-// majority, and has applied what was committed. It returns ErrNotLeader on any other member.
+// Barrier blocks until this member's copy contains all changes acknowledged before the call: a majority has confirmed
+// the member as the leader, and it has applied all committed entries. It returns ErrNotLeader on any other member.
 func (s *Store) Barrier() error {
 	if !s.clustered {
 		return nil
--- a/internal/store/quorum/memberchange_test.go
+++ b/internal/store/quorum/memberchange_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// group parses members: "L" the leader, "v" a voter, "l" a learner; then "!" has not answered for long, "?" never did, "b" lags
-// behind, "o" is excluded.
+// group parses members: "L" is the leader, "v" a voter, "l" a learner; the suffix "!" means that the member has not
+// answered for a minute, "?" that it never has, "b" that it lags behind, "o" that it is excluded.
 func group(text string) Group {
 	g := Group{MaxSilence: time.Second, MaxLag: 10}
 	for _, w := range strings.Fields(text) {
@@ -29,30 +29,30 @@
 	return g
 }
 
-// TestMemberChanges: which changes are safe, and what the others' errors say.
+// TestMemberChanges checks which changes are allowed, and the errors of those that are not.
 func TestMemberChanges(t *testing.T) {
 	for _, c := range []struct {
-		group, action, name, err string // err: a part of it; empty: it is allowed
+		group, action, name, err string // err: a part of the error; empty: the change is allowed
 	}{
 		{"a:L b:v c:v", "add", "d", ""},
-		{"a:L b:v c:v", "add", "b", ""}, // again
-		{"a:L b:v c:v", "add", "", "a word"},
-		{"a:L b:v c:v", "add", "x/y", "a word"},
-		{"a:L b:v c:v d:v e:v f:v g:l h:l i:l", "add", "j", "9 members at most"},
+		{"a:L b:v c:v", "add", "b", ""}, // already a member
+		{"a:L b:v c:v", "add", "", "not a word without slashes, commas and spaces"},
+		{"a:L b:v c:v", "add", "x/y", "not a word without slashes, commas and spaces"},
+		{"a:L b:v c:v d:v e:v f:v g:l h:l i:l", "add", "j", "maximum of 9 members"},
 		{"a:L b:v c:v d:l", "promote", "d", ""},
-		{"a:L b:v c:v d:v", "promote", "d", ""}, // again
+		{"a:L b:v c:v d:v", "promote", "d", ""}, // already a voter
 		{"a:L b:v c:v", "promote", "d", "add it first"},
 		{"a:L b:v c:v d:lb", "promote", "d", "11 entries behind"},
 		{"a:L b:v c:v d:l!", "promote", "d", "has not answered for 1m0s"},
 		{"a:L b:v c:v d:l?", "promote", "d", "has not answered since"},
 		{"a:L b:v c:v d:lo", "promote", "d", "an older copy"},
-		{"a:L b:v! c:v! d:l", "promote", "d", "2 of 4 voters would be there, and 3"},
+		{"a:L b:v! c:v! d:l", "promote", "d", "2 of 4 voters would be available, but a majority of 3"},
 		{"a:L b:v c:v! d:l", "promote", "d", ""},
-		{"a:L b:v c:v", "remove", "a", "give the lead"},
-		{"a:L", "remove", "a", "give the lead"},
+		{"a:L b:v c:v", "remove", "a", "transfer the leadership"},
+		{"a:L", "remove", "a", "transfer the leadership"},
 		{"a:L b:v c:v", "remove", "b", ""},
-		{"a:L b:v c:v", "remove", "d", ""}, // again
-		{"a:L b:v c:v!", "remove", "b", "without b 1 of 2 voters would be there, and 2 are needed to agree on anything: c has not answered for 1m0s"},
+		{"a:L b:v c:v", "remove", "d", ""}, // not a member
+		{"a:L b:v c:v!", "remove", "b", "without b 1 of 2 voters would be available, but a majority of 2 is required: c has not answered for 1m0s"},
 		{"a:L b:v c:v!", "remove", "c", ""},
 		{"a:L b:v! c:v! d:l", "remove", "d", ""},
 		{"a:L b:v", "remove", "b", ""},
@@ -61,7 +61,7 @@
 		{"a:L b:v c:v d:l", "lead", "d", "promote it first"},
 		{"a:L b:vb c:v", "lead", "b", "behind"},
 		{"a:L b:v? c:v", "lead", "b", "has not answered"},
-		{"a:L b:v c:v", "lead", "z", "no member"},
+		{"a:L b:v c:v", "lead", "z", "not a member"},
 	} {
 		g := group(c.group)
 		var err error
@@ -82,10 +82,10 @@
 	g := group("a:L b:v")
 	for _, c := range []struct{ name, raft, admin, err string }{
 		{"b", "b:9", "b:2", "remove it first"},
-		{"d", "b:1", "d:2", "has an address of b"},
-		{"d", "d:1", "a:2", "has an address of a"},
-		{"d", "d", "d:2", "raft: \"d\": an address"},
-		{"d", "d:1", ":2", "admin: \":2\": an address"},
+		{"d", "b:1", "d:2", "has the same address as b"},
+		{"d", "d:1", "a:2", "has the same address as a"},
+		{"d", "d", "d:2", "raft: \"d\" is not an address"},
+		{"d", "d:1", ":2", "admin: \":2\" is not an address"},
 		{"d", "d:0", "d:2", "raft"},
 	} {
 		if err := g.CheckAdd(Member{Name: c.name, RaftAddress: c.raft, AdminAddress: c.admin}); err == nil || !strings.Contains(err.Error(), c.err) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestChangeErrors: callers can tell the kinds of errors apart.
+// TestChangeErrors checks that each error is a ChangeError that wraps its kind.
 func TestChangeErrors(t *testing.T) {
 	g := group("a:L b:v c:v! d:lb e:l!")
 	for name, c := range map[string]struct{ err, kind error }{
--- a/internal/store/quorum/modelcheck/directory.go
+++ b/internal/store/quorum/modelcheck/directory.go
@@ -8,31 +8,32 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// server is a member in a configuration.
+// server is a member as listed in a configuration.
 type server struct {
 	name  string
 	voter bool
 }
 
-// entry is one of the log. At most one of transaction, servers and backup is set; none: a leader's first entry.
+// entry is an entry of the log. At most one of transaction, servers and backup is set. None is set in the first entry
+// of a leader.
 type entry struct {
 	term        uint64
-	write       int // number of a write, as its writer counts them; 0: it is none
+	write       int // number of the write, counted from 1; 0: the entry is not a write
 	transaction *document.Transaction
 	servers     []server
 	backup      []byte
-	tokenFloor  uint64 // of a backup
-	membersAt   int    // the entry that has the members as of this one, counted from 1
+	tokenFloor  uint64 // token floor of a backup
+	membersAt   int    // number of the entry that lists the members as of this one, counted from 1
 }
 
-// directory is what a member's data directory holds.
+// directory is the content of a member's data directory.
 type directory struct {
 	storeID            string
 	permanentExclusion string
 	term               uint64
 	votedFor           string
 	log                []entry
-	peers              map[string]quorum.Progress // of the others
+	peers              map[string]quorum.Progress // progress of the other members
 }
 
 func newDirectory() directory { return directory{peers: map[string]quorum.Progress{}} }
@@ -51,7 +52,7 @@
 	return p
 }
 
-// append appends an entry.
+// append appends an entry to the log.
 func (d *directory) append(e entry) {
 	e.membersAt = len(d.log) + 1
 	if e.servers == nil {
@@ -60,7 +61,8 @@
 	d.log = append(d.log, e)
 }
 
-// replaceLog makes the log equal to a leader's. Logs that agree on one entry agree on all before it (the raft paper, 5.3).
+// replaceLog makes the log equal to a leader's. Logs that agree on one entry agree on all entries before it (the raft
+// paper, 5.3).
 func (d *directory) replaceLog(log []entry) {
 	if n := len(d.log); n > 0 && n <= len(log) && log[n-1].term == d.log[n-1].term {
 		d.log = append(d.log, log[n:]...)
@@ -69,7 +71,7 @@
 	d.log = slices.Clone(log)
 }
 
-// servers returns the members as the log has them, and the entry that says so.
+// servers returns the members according to the log, and the number of the entry that lists them.
 func (d *directory) servers() ([]server, int) {
 	if len(d.log) == 0 {
 		return nil, 0
@@ -88,12 +90,12 @@
 	return n
 }
 
-// noteProgress notes how far another member has answered for.
+// noteProgress records the progress of another member.
 func (d *directory) noteProgress(name string, p quorum.Progress) {
 	d.peers[name] = d.peers[name].Max(p)
 }
 
-// forgetRemoved drops what is remembered of those that are no members any more.
+// forgetRemoved drops the recorded progress of removed members.
 func (d *directory) forgetRemoved() {
 	servers, _ := d.servers()
 	for name := range d.peers {
--- a/internal/store/quorum/modelcheck/faults.go
+++ b/internal/store/quorum/modelcheck/faults.go
@@ -7,7 +7,7 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// kill ends a member's process; its data directory stays.
+// kill ends a member's process. Its data directory is preserved.
 func (w *world) kill(m *member) {
 	m.running, m.participating, m.leading, m.commitIndex, m.exclusionReason = false, false, false, 0, ""
 	if w.mutant == mutantProgressInRAM {
@@ -15,7 +15,7 @@
 	}
 }
 
-// start has a member that starts ask the others, and follow the decision.
+// start has a starting member ask the others and act on quorum's decision.
 func (w *world) start(m *member) {
 	answers := w.answers(m)
 	decision, reason := quorum.DecideRejoin(quorum.LocalState{
@@ -43,7 +43,7 @@
 	}
 }
 
-// answers returns what the others that are reached answer to a member that starts.
+// answers returns the answers of all reachable members to a starting member.
 func (w *world) answers(m *member) (answers []quorum.PeerAnswer) {
 	for _, o := range w.members {
 		if o == m || !o.running || !w.reaches(m.name, o.name) {
@@ -62,7 +62,7 @@
 	return answers
 }
 
-// fault causes a fault.
+// fault injects a random fault.
 func (w *world) fault() {
 	m := w.randomMember()
 	switch w.rng.IntN(8) {
@@ -95,15 +95,15 @@
 
 func (w *world) heal() { clear(w.partitioned) }
 
-// mayLoseDirectory reports whether all others are there: what no member that can be asked remembers can't be found, and two lost
-// directories of three are a majority.
+// mayLoseDirectory reports whether a member may lose its data directory: all other members participate. The loss can't
+// be detected if no responsive member remembers the lost progress, and two lost directories of three are a majority.
 func (w *world) mayLoseDirectory(m *member) bool {
 	missing := func(o *member) bool { return o != m && !o.participating || o.voters() < 3 }
 	return !slices.ContainsFunc(w.members, missing) && m.running && m.olderCopy != nil
 }
 
-// loseDirectory has a member start on an empty directory, another store's or an older copy, as often as not after a power cut
-// that ends all processes at once.
+// loseDirectory restarts a member on an empty directory, another store's or an older copy. In half of the cases a power
+// cut first ends all processes at once.
 func (w *world) loseDirectory(m *member) {
 	w.heal()
 	w.kill(m)
@@ -126,7 +126,7 @@
 	w.start(m)
 }
 
-// foreignDirectory returns the data directory of another store's member of the same name.
+// foreignDirectory returns the data directory of a member of another store with the same name.
 func foreignDirectory(name string) directory {
 	d := newDirectory()
 	d.storeID, d.term = "another", 3
--- a/internal/store/quorum/modelcheck/memberchange.go
+++ b/internal/store/quorum/modelcheck/memberchange.go
@@ -12,7 +12,7 @@
 func raftAddress(name string) string  { return name + ":1" }
 func adminAddress(name string) string { return name + ":2" }
 
-// group returns the members as a leader sees them after it has just heard all that answer.
+// group returns the members as a leader sees them just after it has contacted all of them.
 func (w *world) group(m *member) quorum.Group {
 	g := quorum.Group{MaxLag: maxLag}
 	servers, _ := m.servers()
@@ -35,12 +35,12 @@
 	return g
 }
 
-// change has a leader change the members, if the rules allow it, and reports whether it does.
+// change has a leader change the members if the rules allow it, and reports whether it did.
 func (w *world) change(m *member, action, name string) bool {
 	w.replicate(m)
 	_, at := m.servers()
 	if !m.leading || m.commitIndex < at || m.commitIndex == 0 || m.log[m.commitIndex-1].term != m.term {
-		return false // one change at a time, and in its own term first
+		return false // the previous change and an entry of the leader's own term must be committed first
 	}
 	servers, err := w.changedServers(m, action, name)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return true
 }
 
-// changedServers returns the members after a change, or the rules' error.
+// changedServers returns the members after a change, or the error of the rules.
 func (w *world) changedServers(m *member, action, name string) ([]server, error) {
 	g := w.group(m)
 	servers, _ := m.servers()
@@ -87,7 +87,7 @@
 	return servers, nil
 }
 
-// checkMajority checks that a change of the voters leaves a majority that answers.
+// checkMajority checks that a change of the voters leaves a responsive majority.
 func (w *world) checkMajority(m *member, servers []server, votersBefore int, action, name string) {
 	answering, voters := 0, 0
 	for _, s := range servers {
@@ -100,6 +100,6 @@
 		}
 	}
 	if voters != votersBefore && answering < quorum.Majority(voters) {
-		w.fail("%s %s left %d of %d voters that answer", action, name, answering, voters)
+		w.fail("%s %s left %d of %d voters responsive", action, name, answering, voters)
 	}
 }
--- a/internal/store/quorum/modelcheck/modelcheck.go
+++ b/internal/store/quorum/modelcheck/modelcheck.go
@@ -1,10 +1,11 @@
-// Package modelcheck runs the rules of the store's members through random simulations: members that keep a log by majority, are
-// partitioned from one another, crash, come back on their data directories, on older copies of them, on empty ones or on another
-// store's; members that are added, promoted, given the leadership and removed in service; states that are put back to a backup,
-// and a majority that is lost for good.
+// Package modelcheck checks the rules for the store's members in random simulations. Members keep a log by majority;
+// they are partitioned from one another, crash, and restart on their data directories, on older copies of them, on
+// empty ones or on another store's. Members are added, promoted, given the leadership and removed while the store runs.
+// States are restored from a backup, and a majority is permanently lost.
 //
-// The rules are the real ones (packages quorum and document). The log below them is a plain model of raft (raft.go; Ongaro and
-// Ousterhout, "In search of an understandable consensus algorithm", 2014), in which one exchange of messages is one step.
+// The rules are the production code (packages quorum and document). The log below them is a simple model of raft
+// (raft.go; Ongaro and Ousterhout, "In search of an understandable consensus algorithm", 2014), in which one exchange
+// of messages is one step.
 package modelcheck
 
 import (
@@ -16,7 +17,7 @@
 	"sloehitch/internal/store/document"
 )
 
-// Mutants: faults of the rules.
+// Mutants: deliberate faults in the rules.
 const (
 	mutantOlderCopies     = "older copies let in"
 	mutantProgressInRAM   = "marks not on disk"
@@ -25,26 +26,26 @@
 	mutantNoTokenFloor    = "no floor after a restore"
 )
 
-// Mutants are the faults of the rules that a simulation can be run with, to show that it finds them.
+// Mutants are the faults that can be injected into the rules, to show that the simulation detects them.
 var Mutants = []string{mutantOlderCopies, mutantProgressInRAM, mutantMajorityIgnored, mutantVoteAtOnce, mutantNoTokenFloor}
 
 const (
-	stepDuration = 100 * time.Millisecond // what is known of the others is on disk after one
-	faultSteps   = 250                    // with faults
-	calmSteps    = 120                    // without
-	randomStream = 44                     // of the random numbers; the seed is the other half
+	stepDuration = 100 * time.Millisecond // after one step, the progress of other members is on disk
+	faultSteps   = 250                    // steps with faults
+	calmSteps    = 120                    // steps without faults, after those with faults
+	randomStream = 44                     // second half of the generator's seed; Run's seed is the first
 )
 
 var leaseTerms = lease.Terms{Duration: 2 * time.Second, MaxDrift: 0.02, SafetyMargin: 100 * time.Millisecond}
 
-// What happens in a simulation, as counted; besides the changes of the members.
+// Events counted in a simulation, in addition to the changes of the members.
 const (
 	eventExcluded  = "kept out"
 	eventAllKilled = "all killed"
-	eventRejected  = "refused" // a change of the members
+	eventRejected  = "refused" // a rejected change of the members
 	eventRestored  = "restored"
 	eventRecovered = "recovered"
-	eventWrites    = "writes" // that were acknowledged by the middle of the steps without faults
+	eventWrites    = "writes" // writes acknowledged by the middle of the steps without faults
 )
 
 // Changes of the members.
@@ -54,10 +55,10 @@
 	actionRemove  = "remove"
 )
 
-// Run runs the simulation of a seed: with faults for a while, then without. It returns what did not hold: something that was
-// acknowledged is gone, two members led in one term, a change left no majority that answers, a token or a revision went back, or
-// the store did not work at the end, with every member in it; empty: everything held. events counts what happened, to show what
-// the simulation covered. mutant is one of Mutants, or empty.
+// Run runs the simulation of a seed, first with faults and then without. It returns the first violation, or "" if there
+// is none: an acknowledged write is lost, two members lead in one term, a change leaves no responsive majority, a token
+// or a revision goes back, or at the end the store does not commit writes or lacks a member. events counts what
+// happened, to show what the simulation covered. mutant is one of Mutants, or empty.
 func Run(seed uint64, mutant string) (violation string, events map[string]int) {
 	w, err := newWorld(seed, mutant)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return w.unfinished(), w.events
 }
 
-// newWorld returns three or five members that begin together.
+// newWorld returns a world of three or five members that bootstrap a store.
 func newWorld(seed uint64, mutant string) (*world, error) {
 	w := &world{
 		rng:         rand.New(rand.NewPCG(seed, randomStream)),
@@ -111,7 +112,7 @@
 	return w, nil
 }
 
-// drawRecoveryStep returns the step at which the majority is lost for good; -1: it is not.
+// drawRecoveryStep returns the step at which the majority is permanently lost, or -1 if it is not.
 func (w *world) drawRecoveryStep() int {
 	if w.rng.IntN(4) != 0 {
 		return -1
@@ -119,7 +120,7 @@
 	return w.rng.IntN(faultSteps)
 }
 
-// step has faults happen, leaders write, others campaign and operators do their work.
+// step runs one step: faults are injected, leaders write, other members campaign and operators act.
 func (w *world) step() {
 	if !w.calm && w.rng.IntN(6) == 0 {
 		w.fault()
@@ -139,14 +140,15 @@
 	w.operate()
 }
 
-// unfinished says what the steps without faults did not mend; empty: they mended everything.
+// unfinished describes what has not recovered in the steps without faults, or returns "" if everything has.
 func (w *world) unfinished() string {
 	if w.acknowledgedWrites <= w.events[eventWrites] {
 		return fmt.Sprintf("nothing was committed in the last %d steps without faults", calmSteps/2)
 	}
 	for _, m := range w.members {
 		if !m.participating {
-			return fmt.Sprintf("%s is not in the store %d steps after the faults: %s", m.name, calmSteps, m.exclusionReason)
+			return fmt.Sprintf("%s does not participate in the store %d steps after the last fault: %s",
+				m.name, calmSteps, m.exclusionReason)
 		}
 	}
 	return ""
--- a/internal/store/quorum/modelcheck/modelcheck_test.go
+++ b/internal/store/quorum/modelcheck/modelcheck_test.go
@@ -7,8 +7,9 @@
 
 var seeds = flag.Int("walk.seeds", 100, "how many seeds are simulated")
 
-// TestMembers: whatever happens to members, nothing that was acknowledged is lost, no change leaves the store without a majority, and
-// tokens and revisions go on; each kind of event has happened often enough to show it.
+// TestMembers checks that in simulations with faults no acknowledged write is lost, no change leaves the store without
+// a majority, and tokens and revisions never go back. It also checks that each kind of event occurs in at least 1 % of
+// the seeds.
 func TestMembers(t *testing.T) {
 	seedsWith := map[string]int{}
 	for seed := range uint64(*seeds) {
@@ -23,12 +24,13 @@
 	t.Logf("of %d seeds: %v", *seeds, seedsWith)
 	for _, event := range []string{eventExcluded, eventAllKilled, actionAdd, actionPromote, actionRemove, eventRejected, eventRestored, eventRecovered, eventWrites} {
 		if seedsWith[event]*100 < *seeds {
-			t.Errorf("%s: in %d of %d seeds only", event, seedsWith[event], *seeds)
+			t.Errorf("%s: occurred in only %d of %d seeds", event, seedsWith[event], *seeds)
 		}
 	}
 }
 
-// TestMutants begins close to the seed at which each is found first, of those from 0 (docs/design/fleet.md).
+// TestMutants checks that the simulation detects each mutant. It starts shortly before the first seed, counted from 0,
+// at which each is found (docs/design/fleet.md).
 func TestMutants(t *testing.T) {
 	for mutant, first := range map[string]uint64{mutantOlderCopies: 0, mutantProgressInRAM: 130, mutantMajorityIgnored: 0, mutantVoteAtOnce: 0, mutantNoTokenFloor: 0} {
 		found := false
@@ -39,7 +41,7 @@
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found in 20 seeds from %d", mutant, first)
+			t.Errorf("%s: not detected in 20 seeds from %d", mutant, first)
 		}
 	}
 }
--- a/internal/store/quorum/modelcheck/operators.go
+++ b/internal/store/quorum/modelcheck/operators.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	maxMembers = 6       // up to which operators add new ones
-	minMembers = 3       // down to which they remove some
-	lostWrites = 1 << 20 // by which revisions and tokens go on after a recovery
+	maxMembers = 6       // operators add members only below this number
+	minMembers = 3       // operators remove healthy members only above this number
+	lostWrites = 1 << 20 // by which a recovery advances revisions and tokens
 )
 
-// operate does what the operators' pages say: processes are started, members that are excluded are removed and added anew, and
-// now and then a member is added or removed.
+// operate follows the operators' procedures: it starts processes, removes excluded members and adds them again, and
+// occasionally adds or removes a healthy member.
 func (w *world) operate() {
 	w.startProcesses()
 	i := slices.IndexFunc(w.members, func(m *member) bool { return m.leading && m.running })
@@ -43,7 +43,8 @@
 	}
 }
 
-// removeOrPromote removes a member that is excluded or can't have its vote, or promotes a learner, and reports whether it did.
+// removeOrPromote removes a member that is excluded or whose vote can't be used, or promotes a learner, and reports
+// whether it did.
 func (w *world) removeOrPromote(leader *member, servers []server) bool {
 	for _, s := range servers {
 		m := w.find(s.name)
@@ -62,7 +63,7 @@
 	return false
 }
 
-// addAnew adds a process that is no member, with an empty data directory, and reports whether it did.
+// addAnew adds a process that is not a member, with an empty data directory, and reports whether it did.
 func (w *world) addAnew(leader *member, servers []server) bool {
 	for _, m := range w.members {
 		isMember := slices.ContainsFunc(servers, func(s server) bool { return s.name == m.name })
@@ -80,7 +81,7 @@
 	return false
 }
 
-// addOrRemove starts a new member, or removes a healthy one.
+// addOrRemove starts the process of a new member, or removes a healthy member.
 func (w *world) addOrRemove(leader *member, servers []server) {
 	if len(w.members) < maxMembers && w.rng.IntN(2) == 0 {
 		name := fmt.Sprint("m", len(w.members))
@@ -93,8 +94,8 @@
 	}
 }
 
-// recover gives a lost majority up: all but a few of the members lose their data directories, and the furthest of those left
-// goes on alone.
+// recover simulates the permanent loss of a majority: all but a few members lose their data directories, and the most
+// advanced of the remaining ones continues alone.
 func (w *world) recover() {
 	survivor := w.furthestSurvivor()
 	if survivor == nil {
@@ -104,11 +105,11 @@
 		w.kill(m)
 		m.running, m.olderCopy = true, nil
 		if m != survivor {
-			m.directory, m.joining, m.exclusionReason = newDirectory(), true, "its folder is lost"
+			m.directory, m.joining, m.exclusionReason = newDirectory(), true, "its data directory is lost"
 		}
 	}
 	survivor.permanentExclusion = ""
-	survivor.storeID += "'" // another store from now on, with terms of its own
+	survivor.storeID += "'" // the survivor continues as another store with its own terms
 	clear(w.leaders)
 	survivor.peers, survivor.participating, survivor.joining = newDirectory().peers, true, false
 	survivor.append(entry{term: survivor.term + 1, servers: []server{{survivor.name, true}}})
@@ -117,8 +118,8 @@
 	w.events[eventRecovered]++
 }
 
-// furthestSurvivor draws how many members keep their data directories, and returns the one of the latest progress; nil: none
-// keeps one.
+// furthestSurvivor draws how many members keep their data directories, and returns the one of them with the latest
+// progress, or nil if none has a usable directory.
 func (w *world) furthestSurvivor() *member {
 	unusable := func(m *member) bool {
 		return m.exclusionReason != "" || m.permanentExclusion != "" || len(m.log) == 0
@@ -137,7 +138,8 @@
 	return furthest
 }
 
-// recoverState applies what the survivor has, committed or not, and moves revisions and tokens above all that may have been.
+// recoverState applies all entries of the survivor, committed or not, and advances revisions and tokens beyond any that
+// may have been issued.
 func (w *world) recoverState(survivor *member) {
 	var err error
 	if w.state, err = document.New(document.DefaultLimits, leaseTerms); err != nil {
@@ -151,7 +153,7 @@
 	w.state.Recover(w.state.Revision()+lostWrites, w.state.Leases().HighestToken()+lostWrites, nil, w.instant())
 	w.highestToken, w.revision = max(w.highestToken, highestToken), w.state.Revision()
 	if w.revision <= revision {
-		w.fail("revision %d after %d, as the majority was lost", w.revision, revision)
+		w.fail("revision %d after %d in the recovery from a lost majority", w.revision, revision)
 	}
 	w.committed = slices.Clone(survivor.log)
 }
--- a/internal/store/quorum/modelcheck/raft.go
+++ b/internal/store/quorum/modelcheck/raft.go
@@ -7,20 +7,20 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// The bounds by which a leader without answers of a majority steps down.
+// Bounds after which a leader without answers from a majority steps down.
 const (
-	contactTimeout = 5 * stepDuration // since a member's last answer
-	firstSteps     = 5                // of a leader, in which it does not step down
+	contactTimeout = 5 * stepDuration // most time since a member's last answer
+	firstSteps     = 5                // steps after its election in which a leader does not step down
 )
 
-// adoptTerm has a member act in a term.
+// adoptTerm moves a member to a term if that is later than its own.
 func (m *member) adoptTerm(term uint64) {
 	if term > m.term {
 		m.term, m.votedFor, m.leading = term, "", false
 	}
 }
 
-// campaign has a member run for the leadership.
+// campaign has a member stand for election.
 func (w *world) campaign(m *member) {
 	servers, _ := m.servers()
 	if !slices.Contains(servers, server{m.name, true}) {
@@ -49,7 +49,7 @@
 	m.append(entry{term: m.term})
 }
 
-// requestVote has a candidate ask another member for its vote, and reports whether the candidate gets it.
+// requestVote requests another member's vote for a candidate, and reports whether the candidate gets it.
 func (w *world) requestVote(candidate, o *member) bool {
 	request, response := w.exchange(candidate, o)
 	if !request || !o.participating {
@@ -69,7 +69,7 @@
 	return response
 }
 
-// replicate has a leader send its log to all members, and commit what a majority has.
+// replicate has a leader send its log to all members and commit the entries that a majority has.
 func (w *world) replicate(m *member) {
 	servers, _ := m.servers()
 	for _, s := range servers {
@@ -89,7 +89,7 @@
 	w.commitMajority(m)
 }
 
-// sendLog has a leader send its log to another member, and reports whether it learns that it is deposed.
+// sendLog has a leader send its log to another member, and reports whether the leader learns that it was deposed.
 func (w *world) sendLog(m, o *member) (deposed bool) {
 	request, response := w.exchange(m, o)
 	if !request || !o.participating || o.storeID != "" && o.storeID != m.storeID {
@@ -114,7 +114,7 @@
 	return false
 }
 
-// answering returns how many voters answer a leader, itself included.
+// answering returns the number of voters that answer a leader, itself included.
 func (w *world) answering(m *member) int {
 	servers, _ := m.servers()
 	n := 1
@@ -126,7 +126,7 @@
 	return n
 }
 
-// commitMajority commits the last entry of the leader's term that a majority has, and all before it.
+// commitMajority commits the last entry of the leader's term that a majority has, and all entries before it.
 func (w *world) commitMajority(m *member) {
 	servers, _ := m.servers()
 	for n := len(m.log); n > m.commitIndex && m.log[n-1].term == m.term; n-- {
@@ -145,7 +145,7 @@
 	}
 }
 
-// commit applies a member's first n entries, and checks them against those that were committed before.
+// commit applies a member's first n entries, and checks them against those committed before.
 func (w *world) commit(m *member, n int) {
 	for i := range min(n, len(w.committed)) {
 		if a, b := m.log[i], w.committed[i]; a.term != b.term || a.write != b.write {
--- a/internal/store/quorum/modelcheck/state.go
+++ b/internal/store/quorum/modelcheck/state.go
@@ -10,10 +10,10 @@
 
 const (
 	task         = "release"
-	documentKeys = 7 // that writes go to
+	documentKeys = 7 // number of documents that are written
 )
 
-// apply applies an entry to the state, as every member does.
+// apply applies a committed entry to the state, as every member does.
 func (w *world) apply(e entry) {
 	switch {
 	case e.transaction != nil:
@@ -46,7 +46,7 @@
 func (w *world) applyBackup(e entry) bool {
 	revision, highest := w.state.Revision(), w.state.Leases().HighestToken()
 	if err := w.state.Load(bytes.NewReader(e.backup), w.instant()); err != nil {
-		w.fail("a backup: %v", err)
+		w.fail("backup can't be loaded: %v", err)
 		return false
 	}
 	if w.mutant != mutantNoTokenFloor {
@@ -57,7 +57,7 @@
 	return true
 }
 
-// propose has a leader write something.
+// propose appends a lease request, a backup to be restored or a write to a leader's log, or takes a backup.
 func (w *world) propose(m *member) {
 	upToDate := m.commitIndex == len(w.committed) && len(m.log) == m.commitIndex
 	switch n := w.rng.IntN(10); {
--- a/internal/store/quorum/modelcheck/world.go
+++ b/internal/store/quorum/modelcheck/world.go
@@ -9,11 +9,11 @@
 	"sloehitch/internal/store/document"
 )
 
-// member is one process and its data directory.
+// member is one process with its data directory.
 type member struct {
 	name string
 	directory
-	olderCopy       *directory // of the data directory
+	olderCopy       *directory // an older copy of the data directory; nil: none
 	running         bool
 	participating   bool
 	joining         bool
@@ -22,35 +22,35 @@
 	leading      bool
 	stepsLed     int
 	commitIndex  int
-	lastContact  map[string]time.Duration // of a leader: the others' last answers
-	acknowledged map[string]int           // of a leader: the entries that the others have
+	lastContact  map[string]time.Duration // on a leader: time of the last answer of each other member
+	acknowledged map[string]int           // on a leader: number of entries that each other member has
 }
 
-// link is a pair of members, in order.
+// link is a pair of members, in alphabetical order.
 type link struct{ a, b string }
 
 func linkOf(a, b string) link { return link{min(a, b), max(a, b)} }
 
-// world is the members and what must hold of them.
+// world is the state of a simulation and what its checks need.
 type world struct {
 	rng         *rand.Rand
 	now         time.Duration
 	mutant      string
 	members     []*member
 	partitioned map[link]bool
-	calm        bool // no faults any more
+	calm        bool // no faults are injected any more
 
-	initialVoters      int               // as the settings list them
-	leaders            map[uint64]string // by term
+	initialVoters      int               // number of voters in the settings
+	leaders            map[uint64]string // leader of each term
 	committed          []entry
-	state              *document.State // after the committed entries
-	highestToken       uint64          // granted so far
+	state              *document.State // state after the committed entries
+	highestToken       uint64          // highest token granted so far
 	revision           uint64
 	backup             []byte
-	writes             int // that were proposed
+	writes             int // number of writes proposed
 	acknowledgedWrites int
 	events             map[string]int
-	violation          string // of what must hold; empty: none
+	violation          string // first violation; empty: none
 }
 
 func (w *world) fail(format string, args ...any) {
@@ -72,7 +72,7 @@
 
 func (w *world) reaches(a, b string) bool { return a == b || !w.partitioned[linkOf(a, b)] }
 
-// exchange says whether a request arrives, and whether its response does.
+// exchange returns whether a request arrives, and whether its response does.
 func (w *world) exchange(from, to *member) (request, response bool) {
 	if !to.running || !w.reaches(from.name, to.name) {
 		return false, false
--- a/internal/store/quorum/progress.go
+++ b/internal/store/quorum/progress.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// Progress is how far a member has answered for: the highest term that it acted in, and the last log entry that it
-// acknowledged. Neither goes back in an intact data directory: entries that a later leader replaces are replaced by entries of
-// a later term.
+// Progress is how far a member has committed itself towards the others: the highest term in which it acted and the last
+// log entry that it acknowledged. Neither goes back while its data directory is intact, since entries are replaced only
+// by entries of a later term.
 type Progress struct {
 	Term      uint64 `json:"term"`
 	EntryTerm uint64 `json:"entry_term"`
 	Index     uint64 `json:"index"`
 }
 
-// logAfter reports whether the entry of p is later than that of o, as raft compares logs (Ongaro and Ousterhout, "In search of
-// an understandable consensus algorithm", 2014, 5.4.1).
+// logAfter reports whether the last entry of p is later than that of o, in raft's order of logs (Ongaro and Ousterhout,
+// "In search of an understandable consensus algorithm", 2014, 5.4.1).
 func (p Progress) logAfter(o Progress) bool {
 	return p.EntryTerm > o.EntryTerm || p.EntryTerm == o.EntryTerm && p.Index > o.Index
 }
 
-// Max returns the later entry and the higher term of the two.
+// Max returns the later entry and the higher term of p and o.
 func (p Progress) Max(o Progress) Progress {
 	if o.logAfter(p) {
 		p.EntryTerm, p.Index = o.EntryTerm, o.Index
--- a/internal/store/quorum/quorum.go
+++ b/internal/store/quorum/quorum.go
@@ -1,12 +1,12 @@
-// Package quorum decides which changes of the store's members are safe, and which member that starts again may take part. It
-// performs no I/O and reads no clock: its callers pass in what the leader, or the starting member, knows.
+// Package quorum decides which changes of the store's members are safe, and whether a member that starts may
+// participate. It performs no I/O and reads no clock: its callers pass in what the leader or the starting member knows.
 //
 // The parts:
 //
 //   - Group, Member (this file): the members as the leader sees them.
-//   - memberchange.go: the rule for changes of the members.
-//   - Progress (progress.go): how far a member has answered for.
-//   - rejoin.go: the rule for a member that starts.
+//   - memberchange.go: the rules for changes of the members.
+//   - Progress (progress.go): the log position and term that a member has acknowledged.
+//   - rejoin.go: the rules for a member that starts.
 package quorum
 
 import (
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// MaxMembers bounds the members: with more of them each change waits for more answers, and nothing gets safer.
+// MaxMembers is the most members of a store. More of them would slow down each change, which waits for more answers,
+// without making the store safer.
 const MaxMembers = 9
 
 // Member is one member as the leader sees it.
@@ -24,21 +25,21 @@
 	Name            string        `json:"name"`
 	RaftAddress     string        `json:"raft"`             // for the other members
 	AdminAddress    string        `json:"admin"`            // for operators
-	Voter           bool          `json:"voter"`            // else it is a learner
-	SinceContact    time.Duration `json:"heard_ns"`         // since its last answer to the leader; below 0: none in this term of the leader
-	Lag             uint64        `json:"behind"`           // log entries that it has not acknowledged, as far as is known
-	ExclusionReason string        `json:"out,omitempty"`    // why it takes no part, as it reports itself; empty: it does
-	Leader          bool          `json:"leader,omitempty"` // it is the leader
+	Voter           bool          `json:"voter"`            // otherwise a learner
+	SinceContact    time.Duration `json:"heard_ns"`         // time since its last answer to the leader; below 0: none in the leader's term
+	Lag             uint64        `json:"behind"`           // log entries not known to be acknowledged by the member
+	ExclusionReason string        `json:"out,omitempty"`    // why it does not participate, by its own report; empty: it does
+	Leader          bool          `json:"leader,omitempty"` // this member is the leader
 }
 
-// Group is the members, and the bounds by which one of them counts as responsive and caught up.
+// Group is the members of a store, with the bounds within which a member counts as responsive and caught up.
 type Group struct {
 	Members    []Member
-	MaxSilence time.Duration // since the last answer of a responsive member
-	MaxLag     uint64        // log entries that a member may lag behind to be given a vote or the leadership
+	MaxSilence time.Duration // most time since the last answer of a responsive member
+	MaxLag     uint64        // most log entries that a member may lag behind and still be given a vote or the leadership
 }
 
-// Majority returns how many of a number of voters have to agree.
+// Majority returns the size of a majority of voters.
 func Majority(voters int) int { return voters/2 + 1 }
 
 func (g Group) find(name string) (Member, bool) {
@@ -49,7 +50,7 @@
 	return g.Members[i], true
 }
 
-// votersExcept returns the voters without the one of a name.
+// votersExcept returns the voters other than the one with the given name.
 func (g Group) votersExcept(name string) (voters []Member) {
 	for _, m := range g.Members {
 		if m.Voter && m.Name != name {
@@ -59,18 +60,18 @@
 	return voters
 }
 
-// responsive reports whether a member takes part now.
+// responsive reports whether a member participates and has answered recently.
 func (g Group) responsive(m Member) bool {
 	return m.ExclusionReason == "" && (m.Leader || m.SinceContact >= 0 && m.SinceContact <= g.MaxSilence)
 }
 
-// absenceReason says why a member does not take part, for people.
+// absenceReason describes, for operators, why a member is not responsive.
 func (g Group) absenceReason(m Member) string {
 	switch {
 	case m.ExclusionReason != "":
-		return fmt.Sprintf("%s is kept out (%s)", m.Name, m.ExclusionReason)
+		return fmt.Sprintf("%s is excluded (%s)", m.Name, m.ExclusionReason)
 	case m.SinceContact < 0:
-		return fmt.Sprintf("%s has not answered since this leader leads", m.Name)
+		return fmt.Sprintf("%s has not answered since the current leader was elected", m.Name)
 	default:
 		return fmt.Sprintf("%s has not answered for %v", m.Name, m.SinceContact.Round(time.Millisecond))
 	}
@@ -91,6 +92,6 @@
 	if responsive >= majority {
 		return nil
 	}
-	return rejectf(ErrNoMajority, "%d of %d voters would be there, and %d are needed to agree on anything: %s; have them back first",
+	return rejectf(ErrNoMajority, "%d of %d voters would be available, but a majority of %d is required: %s; bring them back first",
 		responsive, len(voters), majority, strings.Join(absent, ", "))
 }
--- a/internal/store/raftlog/encoding.go
+++ b/internal/store/raftlog/encoding.go
@@ -7,12 +7,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// Form of an entry: the version and the type, one byte each; the term, the time of appending (nanoseconds since 1970, zigzag;
-// 0: none) and the length of the extensions as varints; the extensions; the data.
+// Encoding of an entry: the version and the type, one byte each; the term, the time of appending (nanoseconds since
+// 1970, zigzag-encoded; 0: none) and the length of the extensions as varints; the extensions; the data.
 const (
 	entryVersion     = 1
 	entryHeaderBytes = 2
-	entryOverhead    = 24 // bytes allocated for the header and the varints; most entries need fewer
+	entryOverhead    = 24 // capacity allocated for the header and the varints, in bytes; most entries need fewer
 )
 
 func encodeEntry(e *raft.Log) []byte {
@@ -28,7 +28,7 @@
 	return append(append(b, e.Extensions...), e.Data...)
 }
 
-// decodeEntry reads an entry's bytes into e, which shares them. It returns ErrMalformedEntry for bytes of another form.
+// decodeEntry decodes b into e, which shares its memory. It returns ErrMalformedEntry for any other format.
 func decodeEntry(b []byte, index uint64, e *raft.Log) error {
 	if len(b) < entryHeaderBytes || b[0] != entryVersion {
 		return ErrMalformedEntry
--- a/internal/store/raftlog/encoding_test.go
+++ b/internal/store/raftlog/encoding_test.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// TestStoredForms: entries, keys and descriptions keep the form that data directories hold.
+// TestStoredForms checks that entries, keys and descriptions keep the format of existing data directories.
 func TestStoredForms(t *testing.T) {
 	meta := raft.SnapshotMeta{Version: 1, ID: "i", Index: 4, Term: 2, Size: 9}
 	text, err := json.Marshal(description{SnapshotMeta: meta, Parts: 3, Checksum: 7})
--- a/internal/store/raftlog/entries.go
+++ b/internal/store/raftlog/entries.go
@@ -16,24 +16,25 @@
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte{entryPrefix}, index) }
 
-// IsMonotonic reports that there are no gaps between entries (raft.MonotonicLogStore).
+// IsMonotonic implements raft.MonotonicLogStore: entries never have gaps.
 func (l *Log) IsMonotonic() bool { return true }
 
-// FirstIndex returns the lowest index, 0 without entries.
+// FirstIndex returns the lowest index, or 0 if there are no entries.
 func (l *Log) FirstIndex() (uint64, error) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.first, nil
 }
 
-// LastIndex returns the highest index, 0 without entries.
+// LastIndex returns the highest index, or 0 if there are no entries.
 func (l *Log) LastIndex() (uint64, error) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.last, nil
 }
 
-// GetLog reads an entry. It returns raft.ErrLogNotFound where there is none, and ErrMalformedEntry for one of another version.
+// GetLog reads an entry. It returns raft.ErrLogNotFound if there is none, and ErrMalformedEntry if its format is
+// unknown.
 func (l *Log) GetLog(index uint64, into *raft.Log) error {
 	value, err := l.ledger.Get(entryKey(index))
 	if errors.Is(err, ledger.ErrNotFound) {
@@ -51,8 +52,9 @@
 // StoreLog stores an entry.
 func (l *Log) StoreLog(entry *raft.Log) error { return l.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs stores entries, which must follow one another and those that are there, else it returns ErrNotContiguous. They may exceed what one flush takes; after a
-// power cut a first part of them is there.
+// StoreLogs stores entries with consecutive indexes that continue those stored before; otherwise it returns
+// ErrNotContiguous. Entries that exceed the size of one flush are written in several: after a power cut, only a first
+// part of them may be stored.
 func (l *Log) StoreLogs(logs []*raft.Log) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +68,8 @@
 	return nil
 }
 
-// storeBatch stores as many of the entries as one flush takes, at least one, and returns how many; the caller holds mu.
+// storeBatch stores as many of the entries as fit into one flush, at least one, and returns their number. The caller
+// holds mu.
 func (l *Log) storeBatch(logs []*raft.Log) (n int, err error) {
 	var b ledger.Batch
 	bytes, last := 0, l.last
@@ -93,9 +96,9 @@
 	return n, nil
 }
 
-// DeleteRange deletes the entries from low to high, both included, which must be the oldest or the newest, else it
-// returns ErrNotAtAnEnd. After a power cut
-// between two flushes the entries that are left follow one another without a gap.
+// DeleteRange deletes the entries from low to high, both included. The range must include the oldest or the newest
+// entry, otherwise it returns ErrNotAtAnEnd. After a power cut between two flushes the remaining entries still have no
+// gap.
 func (l *Log) DeleteRange(low, high uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +107,7 @@
 	case l.first == 0 || low > high:
 		return nil
 	case low != l.first && high != l.last:
-		return fmt.Errorf("raftlog: %w: entries %d to %d of %d to %d", ErrNotAtAnEnd, low, high, l.first, l.last)
+		return fmt.Errorf("raftlog: %w: entries %d to %d of a log of %d to %d", ErrNotAtAnEnd, low, high, l.first, l.last)
 	}
 	var err error
 	if low == l.first {
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// deleteOldest deletes the entries up to high, upwards; the caller holds mu.
+// deleteOldest deletes the entries up to high in ascending order. The caller holds mu.
 func (l *Log) deleteOldest(high uint64) error {
 	for l.first <= high {
 		var b ledger.Batch
@@ -141,7 +144,7 @@
 	return nil
 }
 
-// deleteNewest deletes the entries down to low, downwards; the caller holds mu.
+// deleteNewest deletes the entries down to low in descending order. The caller holds mu.
 func (l *Log) deleteNewest(low uint64) error {
 	for l.last >= low {
 		var b ledger.Batch
--- a/internal/store/raftlog/raftlog.go
+++ b/internal/store/raftlog/raftlog.go
@@ -1,19 +1,19 @@
-// Package raftlog keeps what a member of the store must not forget in a ledger: raft's log, its term and vote, and its snapshots
-// (Ongaro and Ousterhout, "In search of an understandable consensus algorithm", 2014, figure 2, "persistent state"). What a
-// call has returned from without an error is found again after any crash or power cut.
+// Package raftlog stores the persistent state of a member of the store in a ledger: raft's log, its term and vote, and
+// its snapshots (Ongaro and Ousterhout, "In search of an understandable consensus algorithm", 2014, figure 2,
+// "persistent state"). A change whose call returned without an error survives any crash or power cut.
 //
 // The parts:
 //
-//   - Log (this file): the data directory, raft's LogStore (entries.go) and StableStore (stable.go).
-//   - encoding.go: the form of an entry.
-//   - Snapshots (snapshots.go): raft's SnapshotStore, its sinks (sink.go) and readers (source.go).
+//   - Log (this file): the data directory; raft's LogStore (entries.go) and StableStore (stable.go).
+//   - encoding.go: the encoding of an entry.
+//   - Snapshots (snapshots.go): raft's SnapshotStore, with its sinks (sink.go) and readers (source.go).
 //
-// Keys, all in one ledger:
+// The keys, all in one ledger:
 //
-//   - 'l' and the index, eight bytes, big-endian: an entry
-//   - 's' and raft's own key: term, vote and the like
+//   - 'l' and the index (eight bytes, big-endian): an entry
+//   - 's' and raft's own key: the term, the vote and similar values
 //   - 'm' and an id: the description of a snapshot
-//   - 'p', an id, a zero byte and the part's number, four bytes, big-endian: a part of a snapshot
+//   - 'p', an id, a zero byte and the number of the part (four bytes, big-endian): a part of a snapshot
 package raftlog
 
 import (
@@ -29,21 +29,21 @@
 
 // Errors of the log and its snapshots.
 var (
-	// ErrMissingEntries means that entries are missing between others, as no power cut leaves them.
-	ErrMissingEntries = errors.New("entries are missing")
-	// ErrMalformedEntry means that an entry's bytes are not of this version's form.
-	ErrMalformedEntry = errors.New("not an entry of this version")
-	// ErrNotContiguous means that entries to be stored do not follow one another.
-	ErrNotContiguous = errors.New("entries do not follow one another")
+	// ErrMissingEntries means that there is a gap between entries, which a power cut can't cause.
+	ErrMissingEntries = errors.New("gap in the log entries")
+	// ErrMalformedEntry means that an entry is not encoded in this version's format.
+	ErrMalformedEntry = errors.New("entry is not in the format of this version")
+	// ErrNotContiguous means that entries to be stored do not have consecutive indexes.
+	ErrNotContiguous = errors.New("indexes of the entries are not consecutive")
 	// ErrNotAtAnEnd means that entries to be deleted are neither the oldest nor the newest.
-	ErrNotAtAnEnd = errors.New("neither the oldest nor the newest entries")
-	// ErrCorruptSnapshot means that a snapshot's bytes are not those that were written.
-	ErrCorruptSnapshot = errors.New("the bytes are not those that were written")
-	// ErrSnapshotFinished means that bytes were written to a snapshot that was closed or canceled.
-	ErrSnapshotFinished = errors.New("the snapshot is finished")
+	ErrNotAtAnEnd = errors.New("range includes neither the oldest nor the newest entry")
+	// ErrCorruptSnapshot means that a snapshot does not match its checksum.
+	ErrCorruptSnapshot = errors.New("checksum does not match the snapshot's content")
+	// ErrSnapshotFinished means that a snapshot was written to after it was closed or canceled.
+	ErrSnapshotFinished = errors.New("snapshot is already closed or canceled")
 )
 
-// First bytes of the keys.
+// The first byte of each kind of key.
 const (
 	entryPrefix    = 'l'
 	stablePrefix   = 's'
@@ -51,21 +51,21 @@
 	partPrefix     = 'p'
 )
 
-// Log is raft's log and stable store. Its methods may be called from any goroutine; each that changes something returns once
-// the change is durable.
+// Log is raft's log and stable store. It is safe for concurrent use. A method that changes something returns once the
+// change is durable.
 type Log struct {
 	ledger *ledger.Store
 	limits limits.RaftLog
 
 	mu            sync.RWMutex
-	first, last   uint64          // indexes of the entries; 0: there are none
-	openSnapshots map[string]bool // ids of snapshots that are being written
+	first, last   uint64          // indexes of the first and the last entry; 0: no entries
+	openSnapshots map[string]bool // ids of the snapshots being written
 
-	stopping chan struct{} // closed as raft is being shut down
+	stopping chan struct{} // closed by StopWaiting, before raft is shut down
 	stopOnce sync.Once
 }
 
-// Open opens a data directory. It returns the ledger's error, or ErrMissingEntries.
+// Open opens a data directory. It returns an error of the ledger, or ErrMissingEntries.
 func Open(fs disk.FS, lim limits.RaftLog, o ledger.Options) (*Log, error) {
 	s, err := ledger.Open(fs, o)
 	if err != nil {
@@ -81,17 +81,17 @@
 	return l, nil
 }
 
-// findEntries finds the first and the last entry, and returns an error where one between is missing.
+// findEntries finds the first and the last entry, and returns an error if there is a gap between them.
 func (l *Log) findEntries() error {
 	return l.ledger.Scan([]byte{entryPrefix}, func(p ledger.Pair) error {
 		if len(p.Key) != 1+indexBytes {
-			return fmt.Errorf("raftlog: a key of %d bytes among the entries", len(p.Key))
+			return fmt.Errorf("raftlog: entry key has %d bytes, which is not the length of an entry key", len(p.Key))
 		}
 		index := binary.BigEndian.Uint64(p.Key[1:])
 		if l.first == 0 {
 			l.first = index
 		} else if index != l.last+1 {
-			return fmt.Errorf("raftlog: %w: entry %d follows entry %d; what was agreed on is lost with them: take this member out and add it anew",
+			return fmt.Errorf("raftlog: %w: entry %d follows entry %d; committed changes may be lost: remove this member and add it again",
 				ErrMissingEntries, index, l.last)
 		}
 		l.last = index
@@ -99,11 +99,12 @@
 	})
 }
 
-// Ledger returns the ledger, for callers that keep something else in it under keys of their own.
+// Ledger returns the ledger, for callers that store other values in it under their own keys.
 func (l *Log) Ledger() *ledger.Store { return l.ledger }
 
-// StopWaiting must be called before raft is shut down: no call waits for the disk from then on.
+// StopWaiting ends the retries of SetUint64, so that they can't block raft's shutdown. It must be called before raft is
+// shut down.
 func (l *Log) StopWaiting() { l.stopOnce.Do(func() { close(l.stopping) }) }
 
-// Close closes the data directory. What was acknowledged is durable before.
+// Close closes the data directory. All acknowledged changes are durable before.
 func (l *Log) Close() error { return l.ledger.Close() }
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestLog: entries, deletions at both ends and raft's own values, before and after a restart.
+// TestLog checks entries, deletions at both ends and raft's own values, before and after a restart.
 func TestLog(t *testing.T) {
 	fs := simdisk.New(1)
 	l := open(t, fs)
@@ -68,21 +68,21 @@
 		t.Fatal(err)
 	}
 	if err := l.StoreLog(entry(42, 2)); !errors.Is(err, ErrNotContiguous) {
-		t.Error("a gap was taken")
+		t.Error("an entry after a gap was stored")
 	}
 	l.holds(t, 5, 40, 2)
 	if err := l.GetLog(4, &raft.Log{}); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Errorf("an entry that is not there: %v", err)
+		t.Errorf("an entry that does not exist: %v", err)
 	}
 	if err := l.DeleteRange(10, 20); !errors.Is(err, ErrNotAtAnEnd) {
-		t.Error("entries amid others were deleted")
+		t.Error("entries between others were deleted")
 	}
 	if err := errors.Join(l.DeleteRange(1, 9), l.DeleteRange(30, 99)); err != nil {
 		t.Fatal(err)
 	}
 	l.holds(t, 10, 29, 2)
 	if _, err := l.Get([]byte("term")); err == nil || err.Error() != "not found" {
-		t.Errorf("a value that is not there: %v", err)
+		t.Errorf("a value that does not exist: %v", err)
 	}
 	if err := errors.Join(l.SetUint64([]byte("term"), 7), l.Set([]byte("vote"), []byte("n1")), l.Close()); err != nil {
 		t.Fatal(err)
@@ -104,11 +104,12 @@
 	l.holds(t, 100, 100, 3)
 }
 
-// TestSnapshots: complete or not there, the newest few stay, a flipped bit is reported, and a log in use is no obstacle.
+// TestSnapshots checks that only complete snapshots are listed, that the newest ones are kept, that snapshots can be
+// written concurrently, and that corrupt content is reported.
 func TestSnapshots(t *testing.T) {
 	fs := simdisk.New(1)
 	l := open(t, fs)
-	begun := begin(t, l, 9, 250) // is still being written while others end
+	begun := begin(t, l, 9, 250) // still being written while others are completed
 	for i := uint64(1); i <= 4; i++ {
 		if err := begin(t, l, i, int(i)*333).Close(); err != nil {
 			t.Fatal(err)
@@ -120,7 +121,7 @@
 	if err := begun.Close(); err != nil {
 		t.Fatal(err)
 	}
-	begin(t, l, 10, 400) // never ends
+	begin(t, l, 10, 400) // is never completed
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -135,18 +136,18 @@
 			t.Errorf("snapshot %d: %d bytes, %v", m.Index, len(text), err)
 		}
 	}
-	if n := l.Ledger().Stats().Keys; n != 2+3+14 { // descriptions and parts: nothing is left of the others
+	if n := l.Ledger().Stats().Keys; n != 2+3+14 { // descriptions and parts of the kept snapshots; nothing remains of the others
 		t.Errorf("%d keys", n)
 	}
 	if err := l.Ledger().Put(partKey(metas[0].ID, 1), make([]byte, 100), time.Time{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := readSnapshot(t, l, metas[0].ID); !errors.Is(err, ErrCorruptSnapshot) {
-		t.Error("bytes that were not written were read")
+		t.Error("a corrupt snapshot was read without an error")
 	}
 }
 
-// begin begins a snapshot and writes its bytes, all equal to its index.
+// begin begins a snapshot and writes size bytes to it, all equal to its index.
 func begin(t *testing.T, l *Log, index uint64, size int) raft.SnapshotSink {
 	t.Helper()
 	s, err := l.Snapshots().Create(1, index, 2, raft.Configuration{Servers: []raft.Server{{ID: "n1"}}}, 1, nil)
@@ -172,8 +173,8 @@
 	return text, err
 }
 
-// TestCuts: the power is cut at random file operations of random work; what was acknowledged is there, entries have no gap,
-// and neither term nor vote goes back.
+// TestCuts cuts the power at random file operations of a random workload. It checks that acknowledged changes are
+// present, that entries have no gap, and that the term does not go back.
 func TestCuts(t *testing.T) {
 	for seed := range uint64(300) {
 		if violation := cuts(t, seed, options); violation != "" {
@@ -182,20 +183,20 @@
 	}
 }
 
-// TestMutantIsCaught: a log that acknowledges entries before they are durable is found out.
+// TestMutantIsCaught checks that TestCuts would detect a log that acknowledges entries before they are durable.
 func TestMutantIsCaught(t *testing.T) {
 	early := options
 	early.Flush = time.Hour
 	for seed := range uint64(20) {
 		if cuts(t, seed, early) != "" {
-			t.Logf("acknowledged before durable: caught by seed %d", seed)
+			t.Logf("acknowledged before durable: detected by seed %d", seed)
 			return
 		}
 	}
-	t.Error("acknowledged before durable: not caught within 20 seeds")
+	t.Error("acknowledged before durable: not detected within 20 seeds")
 }
 
-// cuts runs the simulation of a seed and returns what did not hold.
+// cuts runs the workload of a seed with a power cut, and returns the first violation, or "" if there is none.
 func cuts(t *testing.T, seed uint64, o ledger.Options) string {
 	r := rand.New(rand.NewPCG(seed, 5))
 	fs := simdisk.New(seed)
@@ -207,11 +208,11 @@
 		}
 		return simdisk.FaultNone
 	}
-	var first, last, term uint64 // acknowledged
+	var first, last, term uint64 // acknowledged state
 	low, high, goesTo := uint64(0), uint64(0), uint64(0)
 	for range 40 {
 		var err error
-		low, high, goesTo = first, last, term // what may be there, should this one be cut
+		low, high, goesTo = first, last, term // state that is allowed if this change is cut
 		switch k := r.IntN(4); {
 		case k < 2:
 			var logs []*raft.Log
@@ -233,7 +234,7 @@
 			}
 		default:
 			goesTo = term + 1
-			if err = l.Set([]byte("term"), binary.BigEndian.AppendUint64(nil, goesTo)); err == nil { // SetUint64 waits for a disk that works
+			if err = l.Set([]byte("term"), binary.BigEndian.AppendUint64(nil, goesTo)); err == nil { // not SetUint64, which retries until the disk works
 				term = goesTo
 			}
 		}
@@ -243,15 +244,15 @@
 	}
 	_ = l.Close() // fails after a power cut
 	l = openWith(t, fs.LosePower(seed), o)
-	defer func() { _ = l.Close() }() // a folder that is not used again
+	defer func() { _ = l.Close() }() // the directory is not used again
 	f, _ := l.FirstIndex()
 	n, _ := l.LastIndex()
 	if n < last || n > high || f < first && first > 0 || f > low {
-		return fmt.Sprintf("entries %d to %d are there, %d to %d were acknowledged", f, n, first, last)
+		return fmt.Sprintf("entries %d to %d are stored, %d to %d were acknowledged", f, n, first, last)
 	}
 	l.holds(t, f, n, 1)
 	if got, _ := l.GetUint64([]byte("term")); got < term || got > goesTo {
-		return fmt.Sprintf("term %d, acknowledged %d", got, term)
+		return fmt.Sprintf("term %d is stored, term %d was acknowledged", got, term)
 	}
 	return ""
 }
--- a/internal/store/raftlog/sink.go
+++ b/internal/store/raftlog/sink.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// sink takes a snapshot's bytes. It implements raft.SnapshotSink and is not safe for concurrent use.
+// sink writes a snapshot. It implements raft.SnapshotSink and is not safe for concurrent use.
 type sink struct {
 	log         *Log
 	description description
-	part        []byte // not yet written
+	part        []byte // bytes not yet written to the ledger
 	finished    bool
 }
 
 // ID returns the snapshot's id.
 func (s *sink) ID() string { return s.description.ID }
 
-// Write takes bytes, and writes each part that is complete.
+// Write buffers p and stores each part that is complete.
 func (s *sink) Write(p []byte) (int, error) {
 	if s.finished {
 		return 0, fmt.Errorf("raftlog: %w", ErrSnapshotFinished)
@@ -45,12 +45,12 @@
 	return err
 }
 
-// Close completes the snapshot, and removes those that it replaces.
+// Close completes the snapshot, and removes the older ones that are no longer kept.
 func (s *sink) Close() error {
 	if s.finished {
 		return nil
 	}
-	defer s.finish() // also where it fails: the next removeStaleSnapshots takes its parts
+	defer s.finish() // also on an error: the next removeStaleSnapshots then removes the parts
 	if len(s.part) > 0 {
 		if err := s.writePart(); err != nil {
 			return err
@@ -67,13 +67,14 @@
 	return s.log.removeStaleSnapshots()
 }
 
-// Cancel removes what was written.
+// Cancel removes the parts that were stored.
 func (s *sink) Cancel() error {
 	s.finish()
 	return s.log.removeStaleSnapshots()
 }
 
-// finish has removeStaleSnapshots no longer retain the snapshot's parts for being written.
+// finish marks the snapshot as no longer being written, so that removeStaleSnapshots removes its parts unless it is
+// complete.
 func (s *sink) finish() {
 	s.finished = true
 	s.log.mu.Lock()
--- a/internal/store/raftlog/snapshots.go
+++ b/internal/store/raftlog/snapshots.go
@@ -16,23 +16,23 @@
 	"sloehitch/internal/ledger"
 )
 
-// snapshotVersion is the only version of raft's snapshots that is known here.
+// snapshotVersion is the only supported version of raft's snapshots.
 const snapshotVersion = 1
 
-// partNumberBytes is the length of what follows the id in a part's key: a zero byte and the number.
+// partNumberBytes is the length of the suffix after the id in the key of a part: a zero byte and the number.
 const partNumberBytes = 1 + 4
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// description is what is stored of a complete snapshot. It is written after the last part, so that a power cut leaves no
-// incomplete snapshot.
+// description is the stored metadata of a complete snapshot. It is written after the last part, so that a power cut
+// never leaves an incomplete snapshot.
 type description struct {
 	raft.SnapshotMeta
 	Parts    uint32
-	Checksum uint64 `json:"Sum"` // CRC-64 (ECMA) of all bytes
+	Checksum uint64 `json:"Sum"` // CRC-64 (ECMA) of the content
 }
 
-// Snapshots is the snapshots in a log's data directory. It implements raft.SnapshotStore.
+// Snapshots gives access to the snapshots in a log's data directory. It implements raft.SnapshotStore.
 type Snapshots struct{ log *Log }
 
 // Snapshots returns the snapshots in the log's data directory.
@@ -48,7 +48,7 @@
 // Create begins a snapshot. It takes effect when its sink is closed.
 func (s Snapshots) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, cIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
 	if version != snapshotVersion {
-		return nil, fmt.Errorf("raftlog: snapshots of version %d are not known", version)
+		return nil, fmt.Errorf("raftlog: snapshot version %d is not supported", version)
 	}
 	id := fmt.Sprintf("%020d-%020d-%d", term, index, time.Now().UnixNano())
 	s.log.mu.Lock()
@@ -68,30 +68,30 @@
 	return metas, err
 }
 
-// Open opens a snapshot for reading. The reader returns ErrCorruptSnapshot at the end where the bytes are not those that were
-// written.
+// Open opens a snapshot for reading. At the end of the content, the reader returns ErrCorruptSnapshot if the checksum
+// does not match.
 func (s Snapshots) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	text, err := s.log.ledger.Get(descriptionKey(id))
 	if err != nil {
-		return nil, nil, fmt.Errorf("raftlog: snapshot %s: %w", id, err)
+		return nil, nil, fmt.Errorf("raftlog: open snapshot %s: %w", id, err)
 	}
 	var d description
 	if err := json.Unmarshal(text, &d); err != nil {
-		return nil, nil, fmt.Errorf("raftlog: snapshot %s: %w", id, err)
+		return nil, nil, fmt.Errorf("raftlog: open snapshot %s: %w", id, err)
 	}
-	view, err := s.log.ledger.Snapshot() // a newer snapshot may replace this one meanwhile
+	view, err := s.log.ledger.Snapshot() // reads stay consistent if a newer snapshot replaces this one meanwhile
 	if err != nil {
 		return nil, nil, err
 	}
 	return &d.SnapshotMeta, &source{view: view, description: d}, nil
 }
 
-// descriptions reads the descriptions of the complete snapshots, the newest first.
+// descriptions returns the descriptions of the complete snapshots, the newest first.
 func (l *Log) descriptions() (all []description, err error) {
 	err = l.ledger.Scan([]byte{snapshotPrefix}, func(p ledger.Pair) error {
 		var d description
 		if err := json.Unmarshal(p.Value, &d); err != nil {
-			return fmt.Errorf("raftlog: snapshot %s: %w", p.Key[1:], err)
+			return fmt.Errorf("raftlog: decode description of snapshot %s: %w", p.Key[1:], err)
 		}
 		all = append(all, d)
 		return nil
@@ -102,7 +102,8 @@
 	return all, err
 }
 
-// removeStaleSnapshots removes all but the newest complete snapshots, and the parts of snapshots that were never completed.
+// removeStaleSnapshots removes all but the newest complete snapshots, and the parts of incomplete snapshots that are
+// not being written.
 func (l *Log) removeStaleSnapshots() error {
 	all, err := l.descriptions()
 	if err != nil {
--- a/internal/store/raftlog/source.go
+++ b/internal/store/raftlog/source.go
@@ -17,7 +17,7 @@
 	part        []byte // not yet returned
 }
 
-// Read returns the snapshot's bytes, and ErrCorruptSnapshot at their end where the checksum differs.
+// Read reads the snapshot's content. At the end it returns ErrCorruptSnapshot if the checksum does not match.
 func (s *source) Read(p []byte) (int, error) {
 	for len(s.part) == 0 {
 		if s.nextPart == s.description.Parts {
@@ -25,7 +25,7 @@
 		}
 		part, err := s.view.Get(partKey(s.description.ID, s.nextPart))
 		if err != nil {
-			return 0, fmt.Errorf("raftlog: part %d of snapshot %s: %w", s.nextPart, s.description.ID, err)
+			return 0, fmt.Errorf("raftlog: read part %d of snapshot %s: %w", s.nextPart, s.description.ID, err)
 		}
 		s.nextPart++
 		s.checksum = crc64.Update(s.checksum, crcTable, part)
@@ -36,7 +36,7 @@
 	return n, nil
 }
 
-// end returns io.EOF where all bytes are those that were written.
+// end returns io.EOF if the checksum matches, and ErrCorruptSnapshot otherwise.
 func (s *source) end() error {
 	if s.checksum != s.description.Checksum {
 		return fmt.Errorf("raftlog: snapshot %s: %w", s.description.ID, ErrCorruptSnapshot)
--- a/internal/store/raftstorage.go
+++ b/internal/store/raftstorage.go
@@ -16,38 +16,39 @@
 	"sloehitch/internal/store/raftlog"
 )
 
-// Names in a member's data directory.
+// Names of files and directories in a member's data directory.
 const (
 	logDir        = "log"     // the ledger
-	legacyLogFile = "raft.db" // the log of earlier versions
+	legacyLogFile = "raft.db" // the log of earlier versions of the daemon
 )
 
-// Raft's key of the current term, and the text of the error where it is not stored.
+// Raft's key of the current term, and the text of the error if it is not stored.
 const (
 	currentTermKey = "CurrentTerm"
 	notFoundText   = "not found"
 )
 
-// errLegacyLog means that a data directory holds the log of a version that this one can't read.
+// errLegacyLog means that a data directory contains the log of an earlier version, which this version can't read.
 var errLegacyLog = errors.New("the log of an earlier version")
 
-// raftStorage is what a member must not forget.
+// raftStorage is a member's persistent state.
 type raftStorage struct {
-	log       *raftlog.Log // nil in memory
+	log       *raftlog.Log // nil if the state is kept in memory
 	logs      raft.LogStore
 	stable    raft.StableStore
 	snapshots raft.SnapshotStore
 }
 
-// openRaftStorage opens a member's data directory; without one everything is in memory.
+// openRaftStorage opens a member's data directory. If dir is empty, everything is kept in memory.
 func openRaftStorage(dir string, wrap func(disk.FS) disk.FS, log *slog.Logger) (raftStorage, error) {
 	if dir == "" {
 		memory := raft.NewInmemStore()
 		return raftStorage{logs: memory, stable: memory, snapshots: raft.NewInmemSnapshotStore()}, nil
 	}
 	if _, err := os.Stat(filepath.Join(dir, legacyLogFile)); err == nil {
-		return raftStorage{}, fmt.Errorf("%s has %s, %w, which this one does not read: "+
-			"keep a copy of the folder, empty it, set join = true and have this member added anew while the others serve (docs/operators/fleet.md)",
+		return raftStorage{}, fmt.Errorf("%s contains %s, %w, which this version can't read: "+
+			"keep a copy of the directory, empty it, set join = true and add this member again "+
+			"while the others serve (docs/operators/fleet.md)",
 			dir, legacyLogFile, errLegacyLog)
 	}
 	folder := filepath.Join(dir, logDir)
@@ -58,11 +59,11 @@
 	if err != nil {
 		return raftStorage{}, err
 	}
-	// No cache of entries: they may be large, and the system caches files.
+	// There is no cache of entries: they may be large, and the operating system caches files.
 	return raftStorage{log: l, logs: l, stable: l, snapshots: l.Snapshots()}, nil
 }
 
-// ledger returns the ledger of the data directory; nil in memory.
+// ledger returns the ledger of the data directory, or nil if the state is kept in memory.
 func (s raftStorage) ledger() *ledger.Store {
 	if s.log == nil {
 		return nil
@@ -70,7 +71,7 @@
 	return s.log.Ledger()
 }
 
-// progress returns how far the data directory goes, and whether it is empty.
+// progress returns the progress recorded in the data directory, and whether the directory is empty.
 func (s raftStorage) progress() (p quorum.Progress, empty bool, err error) {
 	exists, err := raft.HasExistingState(s.logs, s.stable, s.snapshots)
 	if err != nil || !exists {
@@ -91,7 +92,7 @@
 	return p, false, err
 }
 
-// lastEntry returns the progress of the log's last entry, zero where there is none.
+// lastEntry returns the progress of the log's last entry, or zero if the log is empty.
 func (s raftStorage) lastEntry() (p quorum.Progress, err error) {
 	last, err := s.logs.LastIndex()
 	if err != nil || last == 0 {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -20,21 +20,22 @@
 	"sloehitch/internal/store/quorum"
 )
 
-var errEmptyDataDir = errors.New("the folder is empty: there is nothing to go on from")
+var errEmptyDataDir = errors.New("the data directory is empty: there is no state to recover")
 
-// DataDirInfo is what a member's data directory holds, for operators who have to choose between several.
+// DataDirInfo describes the content of a member's data directory. Operators use it to choose the directory to recover
+// from.
 type DataDirInfo struct {
 	Name            string          `json:"name"`
 	StoreID         string          `json:"store"`
 	Voters          int             `json:"voters"`
 	Progress        quorum.Progress `json:"mark"`
-	ExclusionReason string          `json:"out,omitempty"` // why it was never to take part again: an older copy than others are
+	ExclusionReason string          `json:"out,omitempty"` // why the directory may never be used again, such as an older copy
 }
 
-// InspectDataDir reads the data directory of a member that does not run.
+// InspectDataDir reads the data directory of a stopped member.
 func InspectDataDir(dir, name string, log *slog.Logger) (DataDirInfo, error) {
 	if _, err := os.Stat(filepath.Join(dir, logDir)); err != nil {
-		return DataDirInfo{}, fmt.Errorf("no member's folder: %w", err)
+		return DataDirInfo{}, fmt.Errorf("not the data directory of a member: %w", err)
 	}
 	storage, err := openRaftStorage(dir, unwrappedFS, log)
 	if err != nil {
@@ -57,11 +58,11 @@
 	return DataDirInfo{local.Name, local.StoreID, local.Voters, progress, local.ExclusionReason}, err
 }
 
-// Recover has a member that does not run go on alone from its data directory, after the majority was lost for good, and returns
-// what the directory held before. What only the lost members had is lost with them: also acknowledged changes, if this member
-// did not have them yet. The store gets a new id, so that the lost members are excluded should they come back; revisions and
-// tokens go on far above all that may have been, and nobody holds a task. It must be done on one directory only: the one of the
-// latest progress by InspectDataDir.
+// Recover lets a stopped member continue alone from its data directory after the permanent loss of the majority, and
+// returns a description of the directory before the recovery. Changes that only the lost members had are lost,
+// including acknowledged ones. The store gets a new id, so that lost members are excluded if they return. Revisions and
+// tokens continue far above any that may have been issued, and no task is held. Recover must be called on one directory
+// only, the one with the latest progress by InspectDataDir.
 func Recover(dir string, self Member, log *slog.Logger) (before DataDirInfo, err error) {
 	storage, err := openRaftStorage(dir, unwrappedFS, log)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return before, storage.resetIdentity(identity{Name: self.Name, StoreID: storeID, Voters: 1})
 }
 
-// recoverState writes a snapshot of the state with one member and a new store id.
+// recoverState writes a snapshot of the state with a single member and a new store id.
 func (s raftStorage) recoverState(self Member, storeID string, log *slog.Logger) error {
 	recovered := &Store{
 		opts:             Options{Name: self.Name, LeaseTerms: DefaultLeaseTerms, Logger: log},
@@ -97,7 +98,7 @@
 	return raft.RecoverCluster(cfg, machine, s.logs, s.stable, s.snapshots, transport, alone)
 }
 
-// resetIdentity stores an identity, and forgets all other members.
+// resetIdentity stores an identity, and deletes the progress of all other members.
 func (s raftStorage) resetIdentity(local identity) error {
 	text, err := json.Marshal(local)
 	if err != nil { // strings and numbers always marshal
@@ -112,13 +113,13 @@
 	return errors.Join(err, s.ledger().Apply(&b))
 }
 
-// recoveryMachine is the state machine during a recovery.
+// recoveryMachine is the state machine that raft uses during a recovery.
 type recoveryMachine struct {
 	*stateMachine
 	storeID string
 }
 
-// Snapshot moves revisions and tokens above all that may have been, and copies the state.
+// Snapshot advances revisions and tokens beyond any that may have been issued, and copies the state.
 func (m *recoveryMachine) Snapshot() (raft.FSMSnapshot, error) {
 	s := (*Store)(m.stateMachine)
 	s.mu.Lock()
--- a/internal/store/recover_test.go
+++ b/internal/store/recover_test.go
@@ -8,8 +8,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestRecover: with the majority lost for good one member goes on from its data directory, alone, under a new id; revisions and
-// tokens go on above all that were; a lost member that comes back is excluded, and added anew with an empty directory.
+// TestRecover checks that after the permanent loss of the majority one member continues alone from its data directory,
+// under a new store id, with revisions and tokens above all earlier ones. A lost member that returns is excluded, and
+// can be added again with an empty directory.
 func TestRecover(t *testing.T) {
 	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
@@ -43,7 +44,7 @@
 	cluster.checkLostMember(s)
 }
 
-// recoverMember recovers n0 from its own data directory, and from no other.
+// recoverMember recovers n0 from its own data directory, after checking that other directories are rejected.
 func (cluster *diskCluster) recoverMember(storeID string) {
 	t := cluster.t
 	t.Helper()
@@ -51,7 +52,7 @@
 		t.Errorf("an empty directory was recovered: %v", err)
 	}
 	dir := cluster.dirs["n0"]
-	if _, err := Recover(dir, cluster.members[1], standin.DiscardLogger); err == nil || !strings.Contains(err.Error(), "member n0's") {
+	if _, err := Recover(dir, cluster.members[1], standin.DiscardLogger); err == nil || !strings.Contains(err.Error(), "belongs to member n0, but this is member n1") {
 		t.Errorf("another member's directory was recovered: %v", err)
 	}
 	if d, err := InspectDataDir(dir, "n0", standin.DiscardLogger); err != nil || d.Name != "n0" || d.StoreID != storeID || d.Voters != 3 || d.Progress.Index == 0 {
@@ -63,16 +64,16 @@
 	}
 }
 
-// checkLostMember has n1 come back: on its data directory it is excluded, on an empty one it is added anew.
+// checkLostMember restarts n1: with its old data directory it is excluded, with an empty one it can be added again.
 func (cluster *diskCluster) checkLostMember(leader *Store) {
 	t := cluster.t
 	t.Helper()
 	cluster.startMember("n1", false)
-	cluster.expectExclusion("n1", "another store's folder")
+	cluster.expectExclusion("n1", "another store's directory")
 	cluster.stopMember("n1")
 	cluster.dirs["n1"] = t.TempDir()
 	cluster.startMember("n1", true)
-	waitFor(t, "n1 to have found a store", func() bool { return cluster.stores["n1"].Members().ExclusionReason == "" })
+	waitFor(t, "n1 to find the store", func() bool { return cluster.stores["n1"].Members().ExclusionReason == "" })
 	n1 := cluster.members[1]
 	for _, action := range []string{MemberAdd, MemberPromote} {
 		waitFor(t, action, func() bool {
--- a/internal/store/start.go
+++ b/internal/store/start.go
@@ -13,15 +13,15 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// raftLogLevel is the lowest level of raft's own log lines that are logged.
+// raftLogLevel is the lowest level at which raft's own log lines are logged.
 const raftLogLevel = "WARN"
 
-// openMember opens this member's data directory and its link to the others. The member takes part at once where there are no
-// others to be asked, else as soon as enough have answered.
+// openMember opens this member's data directory and transport. If there are no other members to be asked, the member
+// participates at once, otherwise as soon as enough of them have answered.
 func (s *Store) openMember() error {
 	self, listed := s.configuredMember(s.opts.Name)
 	if !listed {
-		return fmt.Errorf("%s is not among the members", s.opts.Name)
+		return fmt.Errorf("%s is not in the list of members", s.opts.Name)
 	}
 	var err error
 	if s.storage, err = openRaftStorage(s.opts.Dir, s.opts.WrapFS, s.opts.Logger); err != nil {
@@ -49,19 +49,19 @@
 	if len(s.opts.Members) == 1 {
 		return s.startRaft(empty && !s.opts.Join)
 	}
-	s.setExclusionReason("it has not asked the others yet")
+	s.setExclusionReason("the other members have not been asked yet")
 	s.loops.Go(s.newStartCheck(progress, empty).run)
 	return nil
 }
 
-// startCheck is a member that asks the others whether it may take part (quorum.DecideRejoin).
+// startCheck determines whether this member may participate, by asking the others (quorum.DecideRejoin).
 type startCheck struct {
 	store   *Store
 	local   quorum.LocalState
-	answers map[string]quorum.PeerAnswer // by the name of who answered
+	answers map[string]quorum.PeerAnswer // by the name of the responding member
 }
 
-// newStartCheck returns the check of a member whose data directory goes so far.
+// newStartCheck returns a check for a data directory with the given progress.
 func (s *Store) newStartCheck(progress quorum.Progress, empty bool) *startCheck {
 	local := s.peers.localIdentity()
 	c := &startCheck{store: s, answers: map[string]quorum.PeerAnswer{}}
@@ -77,14 +77,14 @@
 		InMemory:           s.opts.Dir == "",
 	}
 	for _, m := range s.opts.Members {
-		if m.Name != local.Name && m.AdminAddress == "" { // there is no way to ask it
+		if m.Name != local.Name && m.AdminAddress == "" { // it can't be asked
 			c.answers[m.Name] = quorum.PeerAnswer{From: m.Name, Unsupported: true}
 		}
 	}
 	return c
 }
 
-// run asks until it is decided whether this member may take part, or the store is closed.
+// run asks the others until a decision is reached or the store is closed.
 func (c *startCheck) run() {
 	s := c.store
 	retry := time.NewTicker(s.opts.ElectionTimeout / 4)
@@ -117,16 +117,16 @@
 	s := c.store
 	c.storeExclusion(decision, reason)
 	s.opts.Logger.Error("this member is excluded from the store; the node continues to serve", "reason", reason)
-	_ = s.transport.Close() // nothing was sent over it
+	_ = s.transport.Close() // nothing was sent over the transport
 }
 
-// storeExclusion has the data directory remember a permanent exclusion.
+// storeExclusion stores a permanent exclusion in the data directory.
 func (c *startCheck) storeExclusion(decision quorum.Decision, reason string) {
 	if decision != quorum.DecisionExcludePermanently {
 		return
 	}
 	if err := c.store.peers.excludePermanently(reason); err != nil {
-		c.store.opts.Logger.Warn("reason for the exclusion not stored; after a restart this member asks the others again", "error", err)
+		c.store.opts.Logger.Warn("reason for the exclusion not stored; this member asks the others again after a restart", "error", err)
 	}
 }
 
@@ -134,13 +134,13 @@
 	s := c.store
 	if err := s.startRaft(c.local.Empty && !c.local.Joining); err != nil {
 		s.setExclusionReason(err.Error())
-		s.opts.Logger.Error("raft not started, this member takes no part in the store; the node continues to serve", "error", err)
-		_ = s.transport.Close() // nothing was sent over it
+		s.opts.Logger.Error("raft not started, this member does not participate in the store; the node continues to serve", "error", err)
+		_ = s.transport.Close() // nothing was sent over the transport
 	}
 }
 
-// askPeers asks all others at once, and waits up to an election timeout for each. The leader that they know of is asked too,
-// also where this member's settings do not list it.
+// askPeers asks all others concurrently, and waits up to an election timeout for each. It also asks the leader that
+// they report, even if this member's settings do not list it.
 func (c *startCheck) askPeers() {
 	asked := map[string]bool{}
 	addresses := c.adminAddresses()
@@ -158,7 +158,7 @@
 	}
 }
 
-// adminAddresses returns where the others that the settings list are asked.
+// adminAddresses returns the addresses for operators of the other members in the settings.
 func (c *startCheck) adminAddresses() (addresses []string) {
 	for _, m := range c.store.opts.Members {
 		if m.Name != c.store.opts.Name && m.AdminAddress != "" {
@@ -168,7 +168,8 @@
 	return addresses
 }
 
-// askAll asks at all addresses at once, notes the answers and returns the leaders' addresses that they name.
+// askAll sends requests to all addresses concurrently, records the answers, and returns the addresses of the leaders
+// that they report.
 func (c *startCheck) askAll(addresses []string) (leaders []string) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -188,8 +189,8 @@
 	return leaders
 }
 
-// startRaft has this member take part. bootstrap: all members of the settings begin with an empty data directory and the same
-// list, so that each may begin by itself.
+// startRaft starts raft, so that this member participates. If bootstrap is set, all members in the settings start with
+// an empty data directory and the same list, so that each can bootstrap by itself.
 func (s *Store) startRaft(bootstrap bool) error {
 	cfg := raftConfig(s.opts.Name, s.opts.Logger)
 	cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = s.opts.ElectionTimeout, s.opts.ElectionTimeout, s.leaderLease()
@@ -225,5 +226,5 @@
 	return cfg
 }
 
-// leaderLease returns after how long without answers of a majority a leader steps down.
+// leaderLease returns how long a leader stays leader without answers from a majority.
 func (s *Store) leaderLease() time.Duration { return s.opts.ElectionTimeout / 2 }
--- a/internal/store/start_test.go
+++ b/internal/store/start_test.go
@@ -12,8 +12,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestKeptOut: an older copy of a data directory, an empty one, another member's and another store's are distinguished from a
-// member's own.
+// TestKeptOut checks that a member is excluded if it starts on an older copy of its data directory, an empty one,
+// another member's or another store's, and participates with its own.
 func TestKeptOut(t *testing.T) {
 	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
@@ -31,7 +31,7 @@
 	cluster.startMember("n2", false)
 	cluster.expectExclusion("n2", "it is empty")
 	cluster.stopMember("n2")
-	if _, err := Open(Options{Name: "n1", Members: cluster.members, Dir: own, ElectionTimeout: time.Second, Logger: standin.DiscardLogger}); err == nil || !strings.Contains(err.Error(), "member n2's, and this is member n1") {
+	if _, err := Open(Options{Name: "n1", Members: cluster.members, Dir: own, ElectionTimeout: time.Second, Logger: standin.DiscardLogger}); err == nil || !strings.Contains(err.Error(), "belongs to member n2, but this is member n1") {
 		t.Errorf("another member's directory: %v", err)
 	}
 	cluster.checkOtherStore()
@@ -46,7 +46,8 @@
 	}
 }
 
-// checkOlderCopy starts n2 on an older copy of its data directory: it is excluded, also after a restart of all members.
+// checkOlderCopy starts n2 on an older copy of its data directory. It must be excluded, also after a restart of all
+// members.
 func (cluster *diskCluster) checkOlderCopy(older string) {
 	t := cluster.t
 	t.Helper()
@@ -56,25 +57,25 @@
 	if _, err := cluster.stores["n2"].Commit(tx("x", "x", "x")); !errors.Is(err, ErrNotLeader) || !strings.Contains(err.Error(), "older copy") {
 		t.Errorf("a change through an excluded member: %v", err)
 	}
-	waitFor(t, "its own report to be why nobody else can be removed", func() bool {
+	waitFor(t, "the removal of others to be rejected for the reason that n2 reports", func() bool {
 		reported := false
 		for _, name := range []string{"n0", "n1"} { // one of them leads
 			_, err := operator(cluster.members[1]).ChangeMembers(MembershipChange{Action: MemberRemove, Name: name, Author: "test"})
-			reported = reported || err != nil && strings.Contains(err.Error(), "n2 is kept out (") && strings.Contains(err.Error(), "it is an older copy")
+			reported = reported || err != nil && strings.Contains(err.Error(), "n2 is excluded (") && strings.Contains(err.Error(), "it is an older copy")
 		}
 		return reported
 	})
 	cluster.stopMember("n2")
 	cluster.stopMember("n0")
 	cluster.stopMember("n1")
-	cluster.startMember("n2", false) // none of those that remember is there
+	cluster.startMember("n2", false) // none of the members that remember its progress is running
 	cluster.expectExclusion("n2", "it is an older copy")
 	cluster.startMember("n0", false)
 	cluster.startMember("n1", false)
 	cluster.stopMember("n2")
 }
 
-// checkOtherStore starts n0 on the data directory of another store's n0, and stops it again.
+// checkOtherStore starts n0 on the data directory of another store's n0, which must be excluded, and stops it again.
 func (cluster *diskCluster) checkOtherStore() {
 	t := cluster.t
 	t.Helper()
@@ -85,12 +86,13 @@
 	own := cluster.dirs["n0"]
 	cluster.dirs["n0"] = other.dirs["n0"]
 	cluster.startMember("n0", false)
-	cluster.expectExclusion("n0", "another store's folder")
+	cluster.expectExclusion("n0", "another store's directory")
 	cluster.stopMember("n0")
 	cluster.dirs["n0"] = own
 }
 
-// TestOlderVersionsCountEach: members whose version does not know the question have answered each for itself.
+// TestOlderVersionsCountEach checks that members whose version does not support the identity request are counted as
+// separate answers.
 func TestOlderVersionsCountEach(t *testing.T) {
 	members := []Member{{Name: "n0", RaftAddress: standin.FreeAddress(t)}}
 	for i := range 4 {
@@ -107,5 +109,5 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeStore(t, s) })
-	waitFor(t, "two of four answers to be enough", func() bool { return s.raft.Load() != nil })
+	waitFor(t, "raft to start after two of four answers", func() bool { return s.raft.Load() != nil })
 }
--- a/internal/store/statemachine.go
+++ b/internal/store/statemachine.go
@@ -10,10 +10,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// stateMachine is the store as raft sees it. It implements raft.FSM and raft.ConfigurationStore.
+// stateMachine adapts the store to raft. It implements raft.FSM and raft.ConfigurationStore.
 type stateMachine Store
 
-// Apply applies a committed entry, and returns what the proposer gets.
+// Apply applies a committed entry, and returns the response for the proposer.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	s := (*Store)(m)
 	var c change
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// StoreConfiguration takes a committed change of the members. Nothing is remembered of a member that is removed: it may be added
-// anew, with an empty data directory.
+// StoreConfiguration applies a committed change of the members. Nothing is remembered about a removed member, since it
+// may be added again with an empty data directory.
 func (m *stateMachine) StoreConfiguration(_ uint64, c raft.Configuration) {
 	(*Store)(m).peers.setConfiguration(c)
 }
@@ -53,7 +53,7 @@
 	return copied, nil
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with a snapshot.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer func() { _ = from.Close() }() // only read from
 	in, err := readSnapshot(from)
@@ -63,7 +63,7 @@
 	return (*Store)(m).loadSnapshot(in)
 }
 
-// snapshot is the state as bytes: for a member that lags behind, and in a backup.
+// snapshot is the encoded state, which is sent to a member that lags behind and written to a backup.
 type snapshot struct {
 	Values    map[string]string `json:"values"`
 	Documents json.RawMessage   `json:"documents"`
@@ -78,11 +78,11 @@
 	return sink.Close()
 }
 
-// Release has nothing to release.
+// Release does nothing: there is nothing to release.
 func (snapshot) Release() {}
 
-// readSnapshot reads a snapshot, or a backup. Snapshots written before there were documents hold the values alone, and backups
-// written before they held the values hold the documents alone.
+// readSnapshot decodes a snapshot or a backup. Snapshots from before documents existed contain only the values, and
+// backups from before they included the values contain only the documents.
 func readSnapshot(from io.Reader) (in snapshot, err error) {
 	text, err := io.ReadAll(from)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return in, nil
 }
 
-// encodeDocuments returns the documents' bytes; the caller holds mu.
+// encodeDocuments returns the encoded documents. The caller holds mu.
 func (s *Store) encodeDocuments() (json.RawMessage, error) {
 	var documents bytes.Buffer
 	if err := s.documents.Save(&documents); err != nil {
@@ -107,7 +107,7 @@
 	return documents.Bytes(), nil
 }
 
-// loadSnapshot replaces the state by a snapshot.
+// loadSnapshot replaces the state with a snapshot.
 func (s *Store) loadSnapshot(in snapshot) error {
 	if in.Documents != nil {
 		if err := s.loadDocuments(in); err != nil {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// notifyDocumentWatchers wakes those that wait for a change of documents, and stores the store's id once this member has learned
-// it; the caller holds mu.
+// notifyDocumentWatchers wakes the goroutines that wait for a change of documents, and saves the store's id once this
+// member has learned it. The caller holds mu.
 func (s *Store) notifyDocumentWatchers() {
 	close(s.documentsChanged)
 	s.documentsChanged = make(chan struct{})
