--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,20 +1,22 @@
-// Package store keeps the daemon's changeable configuration and the operators' state, equal on all members that a deployment
-// names. Without members it is a map in memory. Reads are local and never wait; nothing that a request needs is written here.
+// Package store keeps the daemon's changeable configuration and the operators' state, replicated to all members that a
+// deployment names. Without members it is a map in memory. Reads are local and never wait. No request depends on a
+// write to the store.
 //
 // The parts:
 //
-//   - Store (this file): one member's copy. values.go, documents.go, leases.go and backup.go are what it keeps.
-//   - propose.go, statemachine.go: how a change is replicated by raft, and applied on each member.
-//   - leadership.go: what a member does as it becomes the leader, and hands the leadership over.
-//   - raftstorage.go, peertracker.go: what a member must not forget; transport.go, streamlayer.go: its links to the others.
-//   - start.go, identity.go: how a member asks the others whether it may take part; membershipwatch.go: how it finds out that
-//     it was removed.
+//   - Store (this file): one member's copy. Its contents are in values.go, documents.go, leases.go and backup.go.
+//   - propose.go, statemachine.go: how a change is replicated by raft and applied on each member.
+//   - leadership.go: what a member does when it becomes the leader, and the transfer of the leadership.
+//   - raftstorage.go, peertracker.go: a member's persistent state; transport.go, streamlayer.go: its connections to the
+//     others.
+//   - start.go, identity.go: how a member asks the others whether it may participate; membershipwatch.go: how it detects
+//     that it was removed.
 //   - members.go, memberchange.go: the members, and changes of them while the store runs.
-//   - recover.go: how one member goes on alone after the majority was lost for good.
+//   - recover.go: how one member continues alone after the permanent loss of the majority.
 //   - api.go, documentapi.go, memberapi.go: HTTP for operators and for the other members; client.go: its client.
 //
-// The rules by which members are changed, and may take part again, are in package quorum; those of leases in package
-// internal/control/lease; those of transactions in package document.
+// The rules by which members are changed and may rejoin are in package quorum, those of leases in package
+// internal/control/lease, those of transactions in package document.
 package store
 
 import (
@@ -35,21 +37,23 @@
 
 // Errors of requests to the store.
 var (
-	// ErrNotLeader means that another member must be asked; nothing has changed.
+	// ErrNotLeader means that the request must be sent to another member. Nothing was changed.
 	ErrNotLeader = errors.New("this member is not the leader")
-	// ErrOutcomeUnknown means that the change may or may not be made. Requested again under its id, it is made once.
-	ErrOutcomeUnknown = errors.New("not known whether the change was made: ask again under the same id")
-	// ErrChangeRejected means that a change of the members, or a restore, was rejected; nothing has changed.
-	ErrChangeRejected = errors.New("not done")
+	// ErrOutcomeUnknown means that the change may or may not take effect. Repeating the request with the same id applies
+	// it at most once.
+	ErrOutcomeUnknown = errors.New("outcome of the change is unknown: repeat the request with the same id")
+	// ErrChangeRejected means that a change of the members or a restore was rejected. Nothing was changed.
+	ErrChangeRejected = errors.New("change rejected")
 )
 
-// defaultMaxLag is the default of Options.MaxLag: what a member catches up with while a few changes are made.
+// defaultMaxLag is the default of Options.MaxLag: a lag that a member makes up for while a few changes are committed.
 const defaultMaxLag = 128 // log entries
 
-// DefaultLeaseTerms are the default of Options.LeaseTerms.
+// DefaultLeaseTerms is the default of Options.LeaseTerms.
 var DefaultLeaseTerms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.02, SafetyMargin: time.Second}
 
-// Member is one daemon that holds a copy. Its JSON is the form of the documents of members that were added in service.
+// Member is one daemon with a copy of the store. Its JSON form is stored in the documents of members that were added
+// while the store runs.
 type Member struct {
 	Name         string `toml:"name" json:"Name"`
 	RaftAddress  string `toml:"raft" json:"Raft"`   // for the other members
@@ -59,49 +63,49 @@
 // Options configure a member of the store.
 type Options struct {
 	Name            string
-	Members         []Member // all of them, this one included; none: the store is this process's alone
+	Members         []Member // all members, this one included; none: the store is local to this process
 	Dir             string   // the data directory; empty: everything is kept in memory
-	Join            bool     // with an empty data directory: wait to be added to an existing store, do not bootstrap one
+	Join            bool     // with an empty data directory: wait to be added to an existing store instead of bootstrapping one
 	Logger          *slog.Logger
-	CommitTimeout   time.Duration // for one change to be committed
-	ElectionTimeout time.Duration // of silence after which members elect a new leader
+	CommitTimeout   time.Duration // timeout for committing one change
+	ElectionTimeout time.Duration // time without contact from the leader after which members elect a new one
 	LeaseTerms      lease.Terms   // zero: DefaultLeaseTerms
-	MaxLag          uint64        // log entries that a member may lag behind to be given a vote or the leadership; 0: defaultMaxLag
+	MaxLag          uint64        // most log entries by which a member to be given a vote or the leadership may lag; 0: defaultMaxLag
 
 	Clock   lease.Clock            // nil: lease.Now
-	WrapFS  func(disk.FS) disk.FS  // wraps the data directory's file system; nil: it is used as it is
-	OnEvent func(faulthooks.Event) // is called when this member begins and ends to lead; must not block; nil: nothing is called
+	WrapFS  func(disk.FS) disk.FS  // wraps the data directory's file system; nil: not wrapped
+	OnEvent func(faulthooks.Event) // called when this member starts or stops leading; must not block; nil: not called
 }
 
-// Store is this member's copy. It is safe for concurrent use.
+// Store is this member's copy of the store. It is safe for concurrent use.
 type Store struct {
 	opts      Options
-	clustered bool // there are members; without any, this process agrees with itself
+	clustered bool // there are members; otherwise the store is local to this process
 	clock     lease.Clock
 
 	storage   raftStorage
 	transport *transport
-	raft      atomic.Pointer[raft.Raft] // nil while this member takes no part
+	raft      atomic.Pointer[raft.Raft] // nil while this member does not participate
 	peers     *peerTracker
 
 	done      chan struct{} // closed by Close
 	closeOnce sync.Once
 	loops     sync.WaitGroup
 
-	membershipMu sync.Mutex // one change of the members at a time
+	membershipMu sync.Mutex // serializes changes of the members
 
-	mu               sync.Mutex // guards what follows
+	mu               sync.Mutex // guards the fields below
 	values           map[string]string
 	watchers         []func(key, value string)
 	documents        *document.State
-	documentsChanged chan struct{}  // closed at the next change of documents
-	leading          bool           // this member leads and has restarted the count of leases
-	stagedBackup     *partialBackup // a backup that is being restored; nil: none
-	exclusionReason  string         // why this member takes no part, or not yet
+	documentsChanged chan struct{}  // closed and replaced at each change of documents
+	leading          bool           // this member leads and has restarted the timing of leases
+	stagedBackup     *partialBackup // the backup being restored; nil: none
+	exclusionReason  string         // why this member does not participate, or not yet
 }
 
-// Open returns this member's copy. It may return before the member takes part; Members tells whether it does. It returns an error
-// where the options, the data directory or the address for the other members can't be used.
+// Open returns this member's copy of the store. It may return before the member participates; Members reports whether
+// it does. It returns an error if the options, the data directory or the address for the other members can't be used.
 func Open(o Options) (*Store, error) {
 	s := &Store{
 		opts:             o.withDefaults(),
@@ -140,17 +144,18 @@
 	return o
 }
 
-// unwrappedFS returns a file system as it is.
+// unwrappedFS is the default of Options.WrapFS. It returns fs itself.
 func unwrappedFS(fs disk.FS) disk.FS { return fs }
 
-// raftNode returns this member's raft, or an error of kind ErrNotLeader where the member takes no part, or not yet.
+// raftNode returns this member's raft node, or an error that wraps ErrNotLeader if the member does not participate, or
+// not yet.
 func (s *Store) raftNode() (*raft.Raft, error) {
 	if r := s.raft.Load(); r != nil {
 		return r, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return nil, fmt.Errorf("%w, and takes no part in the store: %s", ErrNotLeader, s.exclusionReason)
+	return nil, fmt.Errorf("%w and does not participate in the store: %s", ErrNotLeader, s.exclusionReason)
 }
 
 func (s *Store) setExclusionReason(reason string) {
@@ -159,8 +164,8 @@
 	s.exclusionReason = reason
 }
 
-// Close stops this member; the other members go on. A leader first transfers its leadership, which takes up to an election
-// timeout.
+// Close stops this member; the other members continue. A leader first transfers its leadership, which takes up to an
+// election timeout.
 func (s *Store) Close() error {
 	var errs []error
 	s.closeOnce.Do(func() { close(s.done) })
@@ -181,7 +186,7 @@
 		errs = append(errs, s.transport.Close())
 	}
 	if s.peers != nil {
-		if err := s.peers.save(); err != nil { // loses an election timeout's worth at most: no reason to fail
+		if err := s.peers.save(); err != nil { // loses at most one election timeout of progress, which is no reason to fail
 			s.opts.Logger.Warn("progress of the other members not stored", "error", err)
 		}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -11,7 +11,7 @@
 func TestMembersAgree(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.awaitLeader(t)
-	for i, m := range cluster.members { // asked of any member, a change reaches the leader
+	for i, m := range cluster.members { // a change requested of any member reaches the leader
 		value := fmt.Sprintf("127.0.0.1:%d", 3000+i)
 		waitFor(t, "a change through "+m.Name, func() bool { return Client{m.AdminAddress, standin.WaitTimeout}.Set(KeyUwsgiServers, value) == nil })
 		cluster.expectValue(t, KeyUwsgiServers, value)
@@ -72,6 +72,6 @@
 		t.Errorf("watched %s", got)
 	}
 	if _, err := Open(Options{Name: "n9", Members: []Member{{Name: "n0", RaftAddress: "127.0.0.1:0"}}, Logger: standin.DiscardLogger}); err == nil {
-		t.Error("opened by no member")
+		t.Error("a store was opened under a name that is not a member")
 	}
 }
--- a/internal/store/streamlayer.go
+++ b/internal/store/streamlayer.go
@@ -7,18 +7,19 @@
 	"github.com/hashicorp/raft"
 )
 
-// dialRetryDelay is the delay between two attempts to reach a member.
+// dialRetryDelay is the delay between two attempts to connect to a member.
 const dialRetryDelay = 50 * time.Millisecond
 
-// streamLayer is the connections to the other members. It implements raft.StreamLayer.
+// streamLayer accepts and opens the connections between members. It implements raft.StreamLayer.
 type streamLayer struct {
 	net.Listener
 	verify func(raft.ServerAddress, time.Duration) error
 	done   <-chan struct{}
 }
 
-// Dial connects to a member that was verified. It retries until the timeout: raft doubles its backoff, up to 10 s, with each
-// connection that fails, so that a member which was away for seconds would be left waiting for as long again once it is back.
+// Dial verifies a member and connects to it. It retries until the timeout: raft doubles its backoff with each failed
+// connection, up to 10 s, so a member that was unreachable for seconds would otherwise wait as long again once it is
+// back.
 func (l *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	for deadline := time.Now().Add(timeout); ; {
 		conn, err := l.attempt(address, time.Until(deadline))
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -13,8 +13,8 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// transport is raft's link to the other members. It reports how far each has answered for, and connects only to peers that were
-// verified. It implements raft.Transport.
+// transport is raft's connection to the other members. It reports the progress of each, and connects only to verified
+// peers. It implements raft.Transport.
 type transport struct {
 	*raft.NetworkTransport
 	onProgress func(name string, p quorum.Progress)
@@ -24,21 +24,21 @@
 	closeOnce  sync.Once
 
 	voteMu      sync.Mutex
-	emptyFolder func() bool // this member has joined and its data directory is empty; nil: votes are not withheld
+	emptyFolder func() bool // reports whether the data directory of this member, which joins, is still empty; nil: votes are not withheld
 }
 
 // transportOptions configure a transport.
 type transportOptions struct {
-	address    string                                          // to listen at
-	timeout    time.Duration                                   // of one request to another member
-	maxPool    int                                             // idle connections to one member
-	logger     *slog.Logger                                    // of raft's own lines
-	addressOf  func(raft.ServerID) (raft.ServerAddress, error) // where a member is reached
-	verify     func(raft.ServerAddress, time.Duration) error   // is called before each connection
+	address    string                                          // address to listen on
+	timeout    time.Duration                                   // timeout of one request to another member
+	maxPool    int                                             // most idle connections to one member
+	logger     *slog.Logger                                    // logger for raft's own lines
+	addressOf  func(raft.ServerID) (raft.ServerAddress, error) // returns a member's address
+	verify     func(raft.ServerAddress, time.Duration) error   // called before each connection
 	onProgress func(name string, p quorum.Progress)            // must not block
 }
 
-// listen opens a transport.
+// listen opens a transport and starts to forward requests.
 func listen(o transportOptions) (*transport, error) {
 	listener, err := net.Listen("tcp", o.address)
 	if err != nil {
@@ -65,10 +65,11 @@
 // ServerAddr implements raft.ServerAddressProvider.
 func (p addressProvider) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) { return p(id) }
 
-// StopWaiting ends all attempts to reach other members. It must be called before raft is shut down, and may be called twice.
+// StopWaiting ends all attempts to connect to other members. It must be called before raft is shut down, and may be
+// called repeatedly.
 func (t *transport) StopWaiting() { t.stopOnce.Do(func() { close(t.done) }) }
 
-// Close closes the transport. It may be called twice.
+// Close closes the transport. It may be called repeatedly.
 func (t *transport) Close() (err error) {
 	t.StopWaiting()
 	t.closeOnce.Do(func() { err = t.NetworkTransport.Close() })
@@ -78,8 +79,8 @@
 // Consumer implements raft.Transport.
 func (t *transport) Consumer() <-chan raft.RPC { return t.incoming }
 
-// forwardRequests forwards the other members' requests to raft, and reports the progress of those that sent them. Requests for
-// votes are answered here while votes are withheld.
+// forwardRequests forwards the requests of other members to raft, and reports the senders' progress. While votes are
+// withheld, it rejects vote requests itself.
 func (t *transport) forwardRequests() {
 	for {
 		select {
@@ -100,7 +101,8 @@
 	}
 }
 
-// noteProgress reports how far the sender of a request is: a leader has on its disk what it sends, and a candidate its term.
+// noteProgress reports the progress that a request implies for its sender: a leader has stored the entries that it
+// sends, and a candidate its term.
 func (t *transport) noteProgress(command any) {
 	var sender []byte
 	var progress quorum.Progress
@@ -120,7 +122,7 @@
 	}
 }
 
-// refusal returns the response to a request for a vote while votes are withheld, else nil.
+// refusal returns the negative response to a vote request while votes are withheld, and nil otherwise.
 func (t *transport) refusal(command any) any {
 	switch command.(type) {
 	case *raft.RequestVoteRequest:
@@ -135,16 +137,16 @@
 	return nil
 }
 
-// withholdVotesWhile has the member grant no vote while its data directory is empty.
+// withholdVotesWhile makes this member grant no votes while dataDirEmpty returns true.
 func (t *transport) withholdVotesWhile(emptyFolder func() bool) {
 	t.voteMu.Lock()
 	defer t.voteMu.Unlock()
 	t.emptyFolder = emptyFolder
 }
 
-// withholdsVotes reports whether this member grants no vote. A member that has joined with an empty data directory may have had
-// a vote under its name, and those that have not learned of its removal still count it; until it has what was committed after
-// the removal, it can't tell which candidate lags behind.
+// withholdsVotes reports whether this member grants no votes. A member that joins with an empty data directory may have
+// had a vote under its name before, which members that have not learned of its removal still count. Until it has the
+// entries committed after the removal, it can't tell which candidate lags behind.
 func (t *transport) withholdsVotes() bool {
 	t.voteMu.Lock()
 	defer t.voteMu.Unlock()
@@ -154,7 +156,7 @@
 	return t.emptyFolder != nil
 }
 
-// acknowledged returns the progress that an answer to entries stands for.
+// acknowledged returns the progress that a response to entries implies for the responder.
 func acknowledged(request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse) quorum.Progress {
 	p := quorum.Progress{Term: response.Term}
 	if !response.Success {
@@ -209,7 +211,7 @@
 	return p, nil
 }
 
-// pipeline forwards the answers to entries and reports the progress that they stand for.
+// pipeline forwards the responses to entries, and reports the progress that they imply.
 type pipeline struct {
 	raft.AppendPipeline
 	out       chan raft.AppendFuture
--- a/internal/store/transport_test.go
+++ b/internal/store/transport_test.go
@@ -11,7 +11,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestNewFoldersDoNotVote: a member that has joined grants no vote until it has anything; then it is raft's to answer.
+// TestNewFoldersDoNotVote checks that a joining member grants no vote while its data directory is empty, and passes
+// vote requests to raft afterwards.
 func TestNewFoldersDoNotVote(t *testing.T) {
 	at := func() (*transport, raft.ServerAddress) {
 		address := standin.FreeAddress(t)
--- a/internal/store/values.go
+++ b/internal/store/values.go
@@ -11,16 +11,16 @@
 	"github.com/hashicorp/raft"
 )
 
-// Keys of the operators' values. There are no others, so their size is bounded.
+// Keys of the operators' values. No others are allowed, so the total size is bounded.
 const (
-	KeyClosedNodes  = "closed"        // names of the nodes that are out of service, separated by commas
-	KeyUwsgiServers = "uwsgi-servers" // addresses in place of the deployment file's, separated by commas
+	KeyClosedNodes  = "closed"        // names of the nodes out of service, separated by commas
+	KeyUwsgiServers = "uwsgi-servers" // addresses that replace those in the deployment file, separated by commas
 )
 
 // Errors of values.
 var (
 	errUnknownKey = errors.New("unknown key")
-	errNoNode     = errors.New("names no node")
+	errNoNode     = errors.New("no node named")
 )
 
 // validators check the values of each key. An empty value is always valid and clears the key.
@@ -45,27 +45,27 @@
 	return nil
 }
 
-// SplitList splits a list at its commas and spaces.
+// SplitList splits a list at commas and spaces.
 func SplitList(value string) []string {
 	return strings.FieldsFunc(value, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// Get returns the value of a key on this member, "" if it has none. It does not wait.
+// Get returns this member's value of a key, or "" if it has none. It does not wait.
 func (s *Store) Get(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.values[key]
 }
 
-// All returns a copy of all values on this member. It does not wait.
+// All returns a copy of this member's values. It does not wait.
 func (s *Store) All() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.values)
 }
 
-// Watch calls changed for each value that is set now and for each change to come, with the store locked: it must not block and
-// must not call the store.
+// Watch calls changed for each value that is currently set and for each later change. The store is locked during the
+// calls: changed must not block, and must not call the store.
 func (s *Store) Watch(changed func(key, value string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// applyValue sets a value here and calls the watchers.
+// applyValue sets a value in this member's copy and calls the watchers.
 func (s *Store) applyValue(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
