--- a/internal/idempotency/compositejournal/compositejournal.go
+++ b/internal/idempotency/compositejournal/compositejournal.go
@@ -1,10 +1,11 @@
-// Package compositejournal is the Node's journal where there are both a run log, which outlives the machine and which
-// one process at a time may write (package runlog), and keys shared by the processes of the node while one replaces
-// another (package keystore).
+// Package compositejournal combines two journals into the Node's journal: a durable run log, which only one process
+// at a time may write (package runlog), and the keys shared by the processes of the node while one replaces another
+// (package keystore).
 //
-// A start claims its key among the processes first and is made durable then. While the process that is replaced still
-// has the run log, the new one's records form a backlog here, which is written once the run log is attached: until
-// then they outlive the process, not the machine.
+// A start first claims its key among the processes and is then made durable. While the process that is being
+// replaced still has the run log, the new process keeps its records in a backlog, which is written once the run log
+// is attached. Until then, they survive a crash of the process through the shared keys, but not a failure of the
+// machine.
 package compositejournal
 
 import (
@@ -16,7 +17,8 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Journal is a node.SharedJournal over both. Its methods may be called from any goroutine and wait for no disk.
+// Journal is a node.SharedJournal that writes to both. It is safe for concurrent use, and its methods do not wait
+// for the disk.
 type Journal struct {
 	shared node.SharedJournal
 	logger *lograte.Logger
@@ -24,10 +26,11 @@
 	mu             sync.Mutex
 	log            node.Journal              // nil until AttachLog
 	backlog        map[string]node.RunRecord // records not yet written to log, by key
-	startsInFlight map[string]bool           // keys of starts being written from the backlog, unless superseded
+	startsInFlight map[string]bool           // keys of backlog starts being written that no newer record has superseded
 }
 
-// New returns a journal without a run log. logEvery is the time between two lines of logger on one kind of fault.
+// New returns a journal without a run log. logEvery is the minimum time between two log lines about the same kind of
+// error.
 func New(shared node.SharedJournal, logEvery time.Duration, logger *slog.Logger) *Journal {
 	return &Journal{
 		shared:         shared,
@@ -37,7 +40,7 @@
 	}
 }
 
-// AttachLog has the run log written from now on, first of all with the backlog.
+// AttachLog starts to write to the run log, beginning with the backlog.
 func (j *Journal) AttachLog(log node.Journal) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -45,54 +48,55 @@
 	j.writeBacklog()
 }
 
-// RetryBacklog writes once more what the run log could not take. The host calls it now and then.
+// RetryBacklog repeats writing the records that the run log did not accept. The daemon calls it periodically.
 func (j *Journal) RetryBacklog() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.writeBacklog()
 }
 
-// Backlog is the number of records not yet written to the run log.
+// Backlog returns the number of records not yet written to the run log.
 func (j *Journal) Backlog() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.backlog)
 }
 
-// writeBacklog hands the backlog to the run log. The caller holds mu.
+// writeBacklog passes the backlog to the run log. The caller holds mu.
 func (j *Journal) writeBacklog() {
 	if j.log == nil {
 		return
 	}
 	for key, record := range j.backlog {
 		if record.Ended {
-			j.log.RecordEnd(record) // the log repeats it by itself
+			j.log.RecordEnd(record) // the log retries it by itself
 			delete(j.backlog, key)
 			continue
 		}
 		j.startsInFlight[key] = true
 		if err := j.log.RecordStart(record, func(err error) { j.startReturned(record, err) }); err != nil {
 			delete(j.startsInFlight, key)
-			j.logger.Warn("start of a run during a hand-over is not on record yet", err)
-			return // the log's queue is full: the rest has its turn later
+			j.logger.Warn("start of a run during a hand-over not yet written to the run log", err)
+			return // the log's queue is full: the rest is retried later
 		}
 		delete(j.backlog, key)
 	}
 }
 
-// startReturned takes in how the write of a start from the backlog went. One that failed is put back, unless
-// something newer is known of its key.
+// startReturned handles the result of writing a start from the backlog. A failed start is put back into the backlog,
+// unless there is a newer record of its key.
 func (j *Journal) startReturned(record node.RunRecord, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if err != nil && j.startsInFlight[record.Key] {
-		j.logger.Warn("start of a run during a hand-over is not on record yet", err)
+		j.logger.Warn("start of a run during a hand-over not yet written to the run log", err)
 		j.backlog[record.Key] = record
 	}
 	delete(j.startsInFlight, record.Key)
 }
 
-// RecordStart claims record's key among the processes and then makes the start durable; done is given the first error.
+// RecordStart claims record's key among the processes and then makes the start durable. done is called with the
+// first error.
 func (j *Journal) RecordStart(record node.RunRecord, done func(error)) error {
 	return j.shared.RecordStart(record, func(err error) {
 		if err != nil {
@@ -114,7 +118,7 @@
 	})
 }
 
-// RecordEnd tells both that the run has ended.
+// RecordEnd records the end of a run in both journals.
 func (j *Journal) RecordEnd(record node.RunRecord) {
 	j.shared.RecordEnd(record)
 	j.mu.Lock()
@@ -123,11 +127,11 @@
 		j.backlog[record.Key] = record
 		return
 	}
-	j.forget(record.Key) // its start need not be written any more
+	j.forget(record.Key) // the start no longer needs to be written
 	j.log.RecordEnd(record)
 }
 
-// Withdraw takes a start back from both.
+// Withdraw withdraws a start from both journals.
 func (j *Journal) Withdraw(record node.RunRecord) {
 	j.shared.Withdraw(record)
 	j.mu.Lock()
@@ -138,24 +142,24 @@
 	}
 }
 
-// forget drops what is not yet written to the run log of a key. The caller holds mu.
+// forget drops a key's record from the backlog and its start in flight. The caller holds mu.
 func (j *Journal) forget(key string) {
 	delete(j.backlog, key)
 	delete(j.startsInFlight, key)
 }
 
-// Lookup returns what another process has recorded of record's key.
+// Lookup returns what another process has recorded for record's key.
 func (j *Journal) Lookup(record node.RunRecord) (node.RunRecord, bool) {
 	return j.shared.Lookup(record)
 }
 
-// NotifyOnChange calls done once when Lookup may say more.
+// NotifyOnChange calls done once when Lookup may report more.
 func (j *Journal) NotifyOnChange(record node.RunRecord, done func()) {
 	j.shared.NotifyOnChange(record, done)
 }
 
-// ShouldRestore reports whether the Node is to restore a record of the run log: not if another process runs its
-// key, or has recorded a result of it.
+// ShouldRestore reports whether the Node should restore a record from the run log. It should not if another process
+// runs the key or has recorded its result.
 func (j *Journal) ShouldRestore(record node.RunRecord) bool {
 	held, found := j.shared.Lookup(record)
 	return !found || held.Ended && !held.Succeeded
--- a/internal/idempotency/compositejournal/compositejournal_test.go
+++ b/internal/idempotency/compositejournal/compositejournal_test.go
@@ -11,14 +11,14 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// fakeJournal notes what one of the two was told.
+// fakeJournal records the calls to one of the two journals.
 type fakeJournal struct {
 	name      string
-	told      *[]string                 // by both, in order
-	returned  error                     // by RecordStart
-	result    error                     // that RecordStart passes to done
-	held      map[string]node.RunRecord // by other processes
-	callbacks []func()                  // of starts
+	told      *[]string                 // calls to both journals, in order
+	returned  error                     // error returned by RecordStart
+	result    error                     // error that RecordStart passes to done
+	held      map[string]node.RunRecord // records of other processes, by key
+	callbacks []func()                  // done callbacks of starts
 }
 
 func (f *fakeJournal) note(what string, b node.RunRecord) {
@@ -42,7 +42,7 @@
 	return held, ok
 }
 
-// runCallbacks calls done of all starts so far.
+// runCallbacks calls done for all pending starts.
 func (f *fakeJournal) runCallbacks() {
 	for len(f.callbacks) > 0 {
 		next := f.callbacks[0]
@@ -57,21 +57,23 @@
 	ended     = node.RunRecord{Key: "k", Ended: true}
 )
 
-// journalCase is a sequence of calls; start records the start of the run and calls all callbacks.
+// journalCase is a sequence of calls and its expected effect. The start passed to play records the start of the run
+// and calls all callbacks.
 type journalCase struct {
 	name    string
 	play    func(j *Journal, shared, log *fakeJournal, start func())
-	told    string // to the shared journal s and the run log r, in order
-	result  string // of the start
+	told    string // calls to the shared journal s and the run log r, in order
+	result  string // result of the start
 	backlog int
 }
 
 var journalCases = []journalCase{
-	{"both at once", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); start(); j.RecordEnd(ended) },
+	{"the log is attached first", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); start(); j.RecordEnd(ended) },
 		"s start k, r start k, s end k, r end k", "<nil>", 0},
 	{"the other process holds the key", func(j *Journal, s, r *fakeJournal, start func()) { j.AttachLog(r); s.result = node.ErrKeyHeld; start() },
 		"s start k", node.ErrKeyHeld.Error(), 0},
-	{"the log refuses the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.returned = errBroken; start() }, "s start k", "broken", 0},
+	{"the log rejects the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.returned = errBroken; start() },
+		"s start k", "broken", 0},
 	{"the log fails to write the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.result = errBroken; start() },
 		"s start k, r start k", "broken", 0},
 	{"started, then the log is attached", func(j *Journal, _, r *fakeJournal, start func()) { start(); j.AttachLog(r); r.runCallbacks() },
@@ -80,7 +82,7 @@
 		"s start k, s end k, r end k", "<nil>", 0},
 	{"started and withdrawn, then the log is attached", func(j *Journal, _, r *fakeJournal, start func()) { start(); j.Withdraw(started); j.AttachLog(r) },
 		"s start k, s withdraw k", "<nil>", 0},
-	{"the log is attached and refuses the backlog", func(j *Journal, _, r *fakeJournal, start func()) {
+	{"the log is attached and rejects the backlog", func(j *Journal, _, r *fakeJournal, start func()) {
 		start()
 		r.returned = errBroken
 		j.AttachLog(r)
@@ -94,7 +96,7 @@
 		j.AttachLog(r)
 		r.runCallbacks()
 	}, "s start k, r start k", "<nil>", 1},
-	{"the same, but the run has ended meanwhile", func(j *Journal, _, r *fakeJournal, start func()) {
+	{"the log fails to write the backlog, and the run has ended meanwhile", func(j *Journal, _, r *fakeJournal, start func()) {
 		start()
 		r.result = errBroken
 		j.AttachLog(r)
@@ -104,8 +106,8 @@
 	}, "s start k, r start k, s end k, r end k", "<nil>", 0},
 }
 
-// TestBothJournals: a start is made once both journals have it. What the run log missed while another process had it,
-// it is told in the end, and nothing that was withdrawn or has ended meanwhile is told wrongly.
+// TestBothJournals checks that a start succeeds once both journals have it. Records made before the run log is
+// attached are written to it afterwards, except those that were withdrawn or superseded by the end of the run.
 func TestBothJournals(t *testing.T) {
 	for _, c := range journalCases {
 		var told []string
@@ -120,13 +122,13 @@
 			log.runCallbacks()
 		})
 		if got := strings.Join(told, ", "); got != c.told || result != c.result || j.Backlog() != c.backlog {
-			t.Errorf("%s: told %q, result %s, backlog %d; want %q, %s, %d", c.name, got, result, j.Backlog(), c.told, c.result, c.backlog)
+			t.Errorf("%s: calls %q, result %s, backlog %d; want %q, %s, %d", c.name, got, result, j.Backlog(), c.told, c.result, c.backlog)
 		}
 	}
 }
 
-// TestShouldRestore: the Node is told of what the run log has, but for what another process runs or has recorded a
-// result of.
+// TestShouldRestore checks that the Node restores a record from the run log, unless another process runs its key or
+// has recorded its result.
 func TestShouldRestore(t *testing.T) {
 	var told []string
 	j := New(&fakeJournal{told: &told, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.DiscardLogger)
--- a/internal/idempotency/keystore/bench_test.go
+++ b/internal/idempotency/keystore/bench_test.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// BenchmarkClaim is the cost of a claim and its result beside so many keys of another process.
+// BenchmarkClaim measures a claim with its result, while another process holds the given number of keys.
 func BenchmarkClaim(b *testing.B) {
 	for _, keys := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint(keys, " keys"), func(b *testing.B) {
--- a/internal/idempotency/keystore/bounds_test.go
+++ b/internal/idempotency/keystore/bounds_test.go
@@ -14,8 +14,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestDamagedSegment: the segment of an exited process, cut at any byte or with any byte changed, stops nobody. No
-// key has a result that is not its own, and records after the damage still count.
+// TestDamagedSegment truncates the segment of an exited process at any byte, or changes any byte, and checks that a
+// Store still opens, that no key has the result of another, and that records after the damage take effect.
 func TestDamagedSegment(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old := open(t, dir, now.Now, nil)
@@ -43,7 +43,7 @@
 			if len(text) >= 16 && string(text[:8]) == string(intact[:8]) {
 				t.Fatalf("%s: %v", what, err)
 			}
-			_ = os.Remove(filepath.Join(dir, lockName)) // of another version, to the reader
+			_ = os.Remove(filepath.Join(dir, lockName)) // the header is not of this version
 			return
 		}
 		found := 0
@@ -57,14 +57,14 @@
 			}
 		}
 		if found < least {
-			t.Fatalf("%s: %d results, at least %d are intact", what, found, least)
+			t.Fatalf("%s: %d results found, at least %d are intact", what, found, least)
 		}
 		if err := c.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for i := range intact {
-		check(fmt.Sprintf("cut to %d", i), intact[:i], 0)
+		check(fmt.Sprintf("truncated to %d bytes", i), intact[:i], 0)
 		if i >= 16 {
 			b := append([]byte(nil), intact...)
 			b[i] ^= 0x41
@@ -74,8 +74,9 @@
 	check("intact", intact, 3)
 }
 
-// TestFolderIsBounded: beyond 75 % of the bytes results are left out; beyond all of them no key can be claimed. What
-// expires makes room. A folder that can't be written is an error of its own, not a key that is held.
+// TestFolderIsBounded checks that results are left out above 75 % of the maximum size, that no key can be claimed
+// above 100 %, that expired segments make room again, and that a folder that can't be written gives an error other
+// than node.ErrKeyHeld.
 func TestFolderIsBounded(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	small := func(l *limits.KeyStore) { l.TotalBytes, l.SegmentBytes = 4000, 1000 }
@@ -94,22 +95,22 @@
 	first, _ := next.Lookup(runRecord("0"))
 	last, ok := next.Lookup(runRecord(fmt.Sprint(n - 2)))
 	if !first.ResultStored || !ok || !last.Ended || last.ResultStored {
-		t.Errorf("the first result %v, the last %v %v", first.ResultStored, last.Ended, last.ResultStored)
+		t.Errorf("first result stored: %v; last run ended: %v, result stored: %v", first.ResultStored, last.Ended, last.ResultStored)
 	}
 	now.move(11*time.Second + 1)
 	settle(t, c)
 	b := runRecord("later")
 	if b.ArrivedAt = now.Now(); begin(t, c, b) != nil {
-		t.Error("no room once all has expired")
+		t.Error("no room after all records have expired")
 	}
 	long := runRecord("long")
 	long.ArrivedAt = now.Now()
 	if err := begin(t, c, long); err != nil {
 		t.Fatal(err)
 	}
-	end(t, c, long, strings.Repeat("x", 20<<10)) // beyond what is kept of one result
+	end(t, c, long, strings.Repeat("x", 20<<10)) // larger than limits.KeyStore.ResultBytes
 	if got, ok := next.Lookup(long); !ok || !got.Ended || got.ResultStored {
-		t.Errorf("a result too long: %+v, %v", got.ResultStored, ok)
+		t.Errorf("a result that is too long: stored %+v, found %v", got.ResultStored, ok)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
@@ -120,7 +121,7 @@
 	}
 }
 
-// TestStartAfterClose: a Store that was closed takes no start, and says so.
+// TestStartAfterClose checks that a closed Store rejects a start with ErrClosed.
 func TestStartAfterClose(t *testing.T) {
 	c := open(t, t.TempDir(), (&clock{now: start}).Now, nil)
 	if err := c.Close(); err != nil {
@@ -131,6 +132,6 @@
 		t.Errorf("a start after Close got %v, want ErrClosed", err)
 	}
 	if len(called) > 0 {
-		t.Error("a start that was not taken was reported as done")
+		t.Error("done was called for a rejected start")
 	}
 }
--- a/internal/idempotency/keystore/claim.go
+++ b/internal/idempotency/keystore/claim.go
@@ -9,45 +9,47 @@
 	"sloehitch/internal/node"
 )
 
-// Claiming a key. Records are written under the folder's lock, after all that other processes wrote before was read,
-// and are numbered in that order. Of each queued record, with B the bytes of all segments and Bmax =
-// limits.KeyStore.TotalBytes:
+// Rules for claiming a key. Records are written under the folder's lock, after all earlier records of other
+// processes were read, and are numbered in that order. With B the size of all segments and Bmax =
+// limits.KeyStore.TotalBytes, a queued record is handled as follows:
 //
 //	start, another process holds the key   node.ErrKeyHeld, until arrival + window + RetentionMargin or withdrawal
 //	start, B >= Bmax                       ErrFull, until Sweep drops expired segments: the node rejects the request
 //	start otherwise                        written: this process holds the key
 //	end or withdrawal of a key held here   written, whatever B is
-//	result, B >= 0.75 * Bmax               left out: room for claims goes first, as without one a request can't run
+//	result, B >= 0.75 * Bmax               left out: claims have priority, since a request can't run without one
 //
-// A start counts once its record is complete in the file; one that was cut by a full disk does not.
+// A start takes effect once its record is complete in the file. A record that was truncated because the disk was
+// full has no effect.
 
-// ErrFull is reported for a start while the folder holds as many bytes as it may, until Sweep drops expired segments.
-var ErrFull = errors.New("keystore: the folder is full")
+// ErrFull is reported for a start while the folder has reached its maximum size, until Sweep drops expired segments.
+var ErrFull = errors.New("keystore: folder has reached its maximum size")
 
-// ErrQueueFull is returned for a start while too many records wait to be written.
-var ErrQueueFull = errors.New("keystore: too many records are queued")
+// ErrQueueFull is returned for a start while too many records are queued.
+var ErrQueueFull = errors.New("keystore: too many records queued for writing")
 
 // ErrClosed is returned for a start after Close.
-var ErrClosed = errors.New("keystore: closed")
+var ErrClosed = errors.New("keystore: store is closed")
 
 // errNotHeld is the result of an end or withdrawal of a key that this process does not hold.
 var errNotHeld = errors.New("keystore: the key is not held by this process")
 
-// recordOverhead is about the bytes of a record without its result.
+// recordOverhead is the approximate size of a record without its result, in bytes.
 const recordOverhead = 96
 
-// resultsMaxPercent is the part of limits.KeyStore.TotalBytes beyond which results are left out.
+// resultsMaxPercent is the share of limits.KeyStore.TotalBytes from which on results are left out, in percent.
 const resultsMaxPercent = 75
 
-// pendingWrite is a record that waits to be written.
+// pendingWrite is a queued record.
 type pendingWrite struct {
 	record format.Record
-	done   func(error) // of a start; nil otherwise
+	done   func(error) // callback of a start; nil for other records
 }
 
 // RecordStart claims record's key. It calls done from another goroutine: with nil once this process holds the key,
-// with node.ErrKeyHeld if another one does, and with another error if that is unknown. It returns ErrQueueFull
-// if too many records are queued and ErrClosed after Close, and does not call done then.
+// with node.ErrKeyHeld if another process holds it, and with another error if the key could not be claimed. It
+// returns ErrQueueFull if too many records are queued and ErrClosed after Close; in these cases it does not call
+// done.
 func (s *Store) RecordStart(record node.RunRecord, done func(error)) error {
 	return s.enqueue(pendingWrite{format.Record{
 		Kind:        format.KindStarted,
@@ -57,8 +59,8 @@
 	}, done})
 }
 
-// RecordEnd records how the run of a key held by this process ended, with its result if that is no longer than
-// limits.KeyStore.ResultBytes. Without the result an attempt that comes to another process fails.
+// RecordEnd records how the run of a key held by this process ended, with its result if that is not longer than
+// limits.KeyStore.ResultBytes. An attempt that reaches another process fails if the result is missing.
 func (s *Store) RecordEnd(record node.RunRecord) {
 	r := format.Record{
 		Kind:        format.KindEnded,
@@ -71,10 +73,10 @@
 	if r.ResultStored = record.ResultStored && len(record.Result) <= s.opts.Limits.ResultBytes; r.ResultStored {
 		r.Result = record.Result
 	}
-	_ = s.enqueue(pendingWrite{record: r}) // closed: nobody waits
+	_ = s.enqueue(pendingWrite{record: r}) // the only error is ErrClosed, and no caller waits
 }
 
-// Withdraw releases a key held by this process under which nothing ran.
+// Withdraw releases a key held by this process whose run was not started.
 func (s *Store) Withdraw(record node.RunRecord) {
 	_ = s.enqueue(pendingWrite{record: format.Record{
 		Kind:      format.KindWithdrawn,
@@ -83,7 +85,8 @@
 	}})
 }
 
-// enqueue hands a record to writeLoop. Ends and withdrawals are not bounded: there are no more of them than starts.
+// enqueue queues a record for writeLoop. The number of queued ends and withdrawals is not limited, since there are
+// no more of them than starts.
 func (s *Store) enqueue(w pendingWrite) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +108,8 @@
 	}
 }
 
-// writeLoop writes queued records, sweeps when asked to, and reads the others' segments while there are watchers for
-// them, until Close.
+// writeLoop writes queued records, sweeps on request, and polls the other processes' segments while there are
+// watchers, until Close.
 func (s *Store) writeLoop() {
 	defer close(s.writerDone)
 	poll := time.NewTimer(time.Hour)
@@ -132,7 +135,8 @@
 	}
 }
 
-// flush writes all that is queued under the folder's lock, and then calls also, if not nil, with both locks held.
+// flush writes all queued records under the folder's lock. If also is not nil, it then calls also with both locks
+// held.
 func (s *Store) flush(also func()) {
 	s.mu.Lock()
 	empty := len(s.queue) == 0
@@ -146,7 +150,7 @@
 	s.queue = nil
 	var results []error
 	if err == nil {
-		// Unless all that the others hold is known no key can be said to be free.
+		// A key is known to be free only if all records of the other processes were read.
 		if err = s.readPeers(s.folder.generationChanged()); err == nil {
 			results = s.appendWrites(queue)
 		}
@@ -168,8 +172,8 @@
 	}
 }
 
-// appendWrites writes the records that may be written, and returns the result of each. The caller holds both locks and
-// has read all that others wrote.
+// appendWrites writes the records that are admitted, and returns the result for each record. The caller holds both
+// locks and has read all records of other processes.
 func (s *Store) appendWrites(writes []pendingWrite) []error {
 	results := make([]error, len(writes))
 	now := s.opts.Now()
@@ -200,13 +204,13 @@
 		}
 	}
 	if err != nil {
-		s.log.Warn("key records were not written", err)
+		s.log.Warn("key records not written", err)
 	}
 	return results
 }
 
-// admitWrites decides which records are written. It numbers those, sets the results of the others, and returns the
-// number of those that are written.
+// admitWrites decides which records are written. It numbers these, sets the results of the others, and returns how
+// many are to be written.
 func (s *Store) admitWrites(writes []pendingWrite, results []error, now time.Time) (admitted int) {
 	seq, bytes := s.peers.table.LastSeq(), s.totalBytes()
 	for i := range writes {
@@ -221,14 +225,14 @@
 		r.Seq = seq
 		bytes += int64(len(r.Result)) + recordOverhead
 		admitted++
-		s.noteRunning(r) // at once: the next record may be of the same key
+		s.noteRunning(r) // before the write, since the next record may be of the same key
 		s.longestRetention = max(s.longestRetention, time.Duration(r.ExpiresAt-now.UnixNano()))
 	}
 	s.peers.table.ObserveSeq(seq)
 	return admitted
 }
 
-// checkWrite says why a record must not be written; nil: it may be. bytes is the size of all segments.
+// checkWrite returns an error if a record must not be written. bytes is the size of all segments.
 func (s *Store) checkWrite(r *format.Record, bytes int64, now time.Time) error {
 	if r.Kind != format.KindStarted {
 		if !s.runningKeys[r.ID] {
@@ -245,8 +249,8 @@
 	return nil
 }
 
-// noteRunning notes what a record that is to be written says of its key: whether this process holds it and its run
-// has not ended.
+// noteRunning updates runningKeys for a record that is to be written: a start adds its key, an end or a withdrawal
+// removes it.
 func (s *Store) noteRunning(r *format.Record) {
 	if r.Kind == format.KindStarted {
 		s.runningKeys[r.ID] = true
@@ -255,8 +259,8 @@
 	}
 }
 
-// undoRunning undoes noteRunning for a record that was not written: a key that could not be released stays held,
-// as the other processes see it.
+// undoRunning reverts noteRunning for a record that was not written. A key that could not be released stays held,
+// since the other processes still consider it held.
 func (s *Store) undoRunning(r *format.Record) {
 	if r.Kind == format.KindStarted {
 		delete(s.runningKeys, r.ID)
@@ -265,10 +269,11 @@
 	}
 }
 
-// segmentAgeDivisor is the part of the longest retention for which a segment is written to at least.
+// segmentAgeDivisor divides the longest retention time; a segment is appended to for at least the quotient.
 const segmentAgeDivisor = 16
 
-// writableSegment returns the own segment to write to: a new one if the last one is too long, too old or cut.
+// writableSegment returns the own segment to append to. It creates a new one if the last one is too large or too
+// old, or if a write to it failed.
 func (s *Store) writableSegment(now time.Time) (*segment, error) {
 	var last *segment
 	if len(s.ownSegments) > 0 {
@@ -287,7 +292,7 @@
 		last.closeFile()
 	}
 	s.lastOrder++
-	s.folder.generation++ // this process's own change; those of others were read before
+	s.folder.generation++ // counts this process's own change; changes by others were read before
 	s.ownSegments, s.newestCreatedAt = append(s.ownSegments, created), now
 	return created, nil
 }
--- a/internal/idempotency/keystore/folder.go
+++ b/internal/idempotency/keystore/folder.go
@@ -15,24 +15,25 @@
 	"sloehitch/internal/idempotency/keystore/format"
 )
 
-// folder is what the processes of one node share: a lock file whose lock orders all records, a file that each process
-// holds locked for as long as it lives, and the segments of each.
+// folder is the directory shared by the processes of one node. It contains a lock file whose lock orders all
+// records, a file per process that the process keeps locked while it lives, and the segments of each process.
 type folder struct {
 	dir        string
-	owner      string   // the name of this process
-	lock       *os.File // its first 8 bytes are the generation
+	owner      string   // name of this process
+	lock       *os.File // the first 8 bytes of the file are the generation
 	alive      *os.File
-	generation uint64 // as last seen; it changes with each new process or segment; others list the folder only then
+	generation uint64 // last generation seen; others list the folder only if it has changed
 }
 
-// Files are named lock, OWNER.alive and OWNER.ORDER.log.
+// The files are named lock, OWNER.alive and OWNER.ORDER.log. The generation in the lock file changes with each new
+// process or segment.
 const (
 	lockName    = "lock"
 	aliveSuffix = ".alive"
 	logSuffix   = ".log"
 )
 
-// openFolder makes the folder where it is missing, and joins it. It waits for the lock.
+// openFolder creates the folder if it does not exist, and joins it. It waits for the lock.
 func openFolder(dir, owner string) (f *folder, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -46,7 +47,8 @@
 		return nil, err
 	}
 	defer f.releaseLock()
-	// Made and locked while no other process can look for those that have exited.
+	// The alive file is created and locked under the folder's lock, so that no other process checks it in between and
+	// takes this process for exited.
 	alive := filepath.Join(dir, owner+aliveSuffix)
 	if f.alive, err = os.OpenFile(alive, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err == nil {
 		err = flock(f.alive, syscall.LOCK_EX|syscall.LOCK_NB)
@@ -61,7 +63,7 @@
 	return f, nil
 }
 
-// flock is flock(2), repeated where a signal interrupts it.
+// flock calls flock(2), and repeats the call if a signal interrupts it.
 func flock(f *os.File, how int) error {
 	for {
 		if err := syscall.Flock(int(f.Fd()), how); !errors.Is(err, syscall.EINTR) {
@@ -70,13 +72,13 @@
 	}
 }
 
-// acquireLock waits until no other process holds the folder's lock. The kernel releases the lock of a process that
-// dies.
+// acquireLock blocks until it holds the folder's lock. The kernel releases the lock of a process that dies.
 func (f *folder) acquireLock() error { return flock(f.lock, syscall.LOCK_EX) }
 
 func (f *folder) releaseLock() { _ = flock(f.lock, syscall.LOCK_UN) }
 
-// advanceGeneration has the others look for new processes and segments. The caller holds the folder's lock.
+// advanceGeneration increments the generation, so that the other processes look for new processes and segments. The
+// caller holds the folder's lock.
 func (f *folder) advanceGeneration() error {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], f.readGeneration()+1)
@@ -84,7 +86,7 @@
 	return err
 }
 
-// generationChanged reports whether processes joined or segments were made since it was last called.
+// generationChanged reports whether processes have joined or segments were created since it was last called.
 func (f *folder) generationChanged() bool {
 	now := f.readGeneration()
 	before := f.generation
@@ -95,13 +97,13 @@
 func (f *folder) readGeneration() uint64 {
 	var b [8]byte
 	if _, err := f.lock.ReadAt(b[:], 0); err != nil {
-		return 0 // nobody has joined yet
+		return 0 // no process has joined yet
 	}
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// createSegment makes a segment of this process's own. The caller holds the folder's lock: the others can know of the
-// segment before the first record in it.
+// createSegment creates a segment of this process. The caller holds the folder's lock, so that the other processes
+// learn of the segment before it contains a record.
 func (f *folder) createSegment(order int) (*segment, error) {
 	path := filepath.Join(f.dir, fmt.Sprintf("%s.%08d%s", f.owner, order, logSuffix))
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
@@ -118,7 +120,7 @@
 	return &segment{owner: f.owner, order: order, path: path, file: file, size: format.HeaderSize, salt: salt}, nil
 }
 
-// list finds the other processes and their segments.
+// list returns the segments and the names of the other processes.
 func (f *folder) list() (found []*segment, owners []string, err error) {
 	entries, err := os.ReadDir(f.dir)
 	if err != nil {
@@ -139,23 +141,23 @@
 	return found, owners, nil
 }
 
-// hasExited reports whether a process has ended: its alive file is not locked, or gone. The caller holds the folder's
-// lock.
+// hasExited reports whether a process has exited: its alive file is not locked or does not exist. The caller holds
+// the folder's lock.
 func (f *folder) hasExited(owner string) bool {
 	file, err := os.OpenFile(filepath.Join(f.dir, owner+aliveSuffix), os.O_RDWR, 0)
 	if err != nil {
 		return errors.Is(err, fs.ErrNotExist)
 	}
-	defer func() { _ = file.Close() }() // and with it the lock
+	defer func() { _ = file.Close() }() // this also releases the lock
 	return flock(file, syscall.LOCK_EX|syscall.LOCK_NB) == nil
 }
 
-// removeAliveFile removes what a process that has ended left beside its segments.
+// removeAliveFile removes the alive file of a process that has exited or is about to.
 func (f *folder) removeAliveFile(owner string) {
 	_ = os.Remove(filepath.Join(f.dir, owner+aliveSuffix))
 }
 
-// close releases what marks this process as living.
+// close closes the lock file and the alive file, and so releases the lock that marks this process as alive.
 func (f *folder) close() {
 	for _, file := range []*os.File{f.alive, f.lock} {
 		if file != nil {
--- a/internal/idempotency/keystore/format/format.go
+++ b/internal/idempotency/keystore/format/format.go
@@ -1,5 +1,5 @@
-// Package format is the binary form of the key records that the processes of one node share: the header of a segment
-// and the records in it (docs/format-claims.md). It does no I/O.
+// Package format defines the binary format of the key records shared by the processes of one node: the header of a
+// segment and the records in it (docs/format-claims.md). It does no I/O.
 package format
 
 import (
@@ -8,57 +8,58 @@
 	"hash/crc32"
 )
 
-// Version is the version of a segment's form. A process can't share keys with one that writes another.
+// Version is the version of the segment format. A process can't share keys with one that writes another version.
 const Version = 1
 
 // HeaderSize is the size of a segment's header in bytes.
 const HeaderSize = 16
 
-// frameHeaderSize is the bytes before a record: its length and its checksum, 4 bytes each, little-endian.
+// frameHeaderSize is the size of the header before each record: its length and its checksum, 4 bytes each,
+// little-endian.
 const frameHeaderSize = 8
 
-// MaxRecord is the most bytes of a record: of the largest result that is stored and what stands before it.
+// MaxRecord is the maximum size of a record in bytes, enough for the largest stored result and the fields before it.
 const MaxRecord = 64 << 10
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	// ErrIncomplete says that the bytes end within a record: more may come.
-	ErrIncomplete = errors.New("keystore: the record is incomplete")
-	// ErrCorrupt says that the bytes are no record, whatever comes after them.
-	ErrCorrupt = errors.New("keystore: the record is corrupt")
-	// ErrVersion says that a segment is of another version, or of another program.
-	ErrVersion = errors.New("keystore: a segment of another version")
+	// ErrIncomplete means that the bytes end within a record, which may still be completed.
+	ErrIncomplete = errors.New("keystore: record is incomplete")
+	// ErrCorrupt means that the bytes are not a record, whatever follows them.
+	ErrCorrupt = errors.New("keystore: record is corrupt")
+	// ErrVersion means that a segment has another version, or was written by another program.
+	ErrVersion = errors.New("keystore: segment has another version")
 )
 
-// Kind says what a record reports of a key.
+// Kind is the event that a record reports for a key.
 type Kind byte
 
-// The kinds of records, as they are written.
+// The kinds of records, with their encoded values.
 const (
-	KindStarted   Kind = 1 + iota // its writer holds the key, and is about to start its run
+	KindStarted   Kind = 1 + iota // the writing process holds the key and is about to start its run
 	KindEnded                     // the run has ended
-	KindWithdrawn                 // nothing ran: the key is free
+	KindWithdrawn                 // the run was not started: the key is free
 )
 
-// ID stands for a key and its class: the first half of their SHA-256.
+// ID identifies a key and its class: the first half of their SHA-256.
 type ID [16]byte
 
 // Record reports one event of a key.
 type Record struct {
 	Kind         Kind
-	Seq          uint64 // the order of records over all processes
+	Seq          uint64 // sequence number over the records of all processes
 	ID           ID
-	ExpiresAt    int64    // Unix nanoseconds after which the record counts no more
+	ExpiresAt    int64    // Unix nanoseconds after which the record has no effect
 	Fingerprint  [32]byte // KindStarted and KindEnded: of the request's class and content
-	Succeeded    bool     // KindEnded: the run went well
-	ResultStored bool     // and Result is what came of it
-	Protocol     string   // that can read Result; 255 bytes at most
+	Succeeded    bool     // KindEnded: the run succeeded
+	ResultStored bool     // KindEnded: Result is the result of the run
+	Protocol     string   // protocol that can read Result; at most 255 bytes
 	Result       []byte
 }
 
-// Salt is a segment's own number, drawn at random, that goes into its checksums: a result that is made to look like
-// records is not taken for them where a reader has to search for the next intact one.
+// Salt is a random number of a segment that is included in its checksums. Without it, a result whose bytes imitate
+// records could be taken for records when a reader searches for the next intact one.
 type Salt uint64
 
 // Header returns the header of a segment.
@@ -66,8 +67,8 @@
 	return binary.LittleEndian.AppendUint64(append([]byte("SLCL"), Version, 0, 0, 0), uint64(s))
 }
 
-// ParseHeader returns the salt of a segment that begins with b. It returns ErrIncomplete or ErrVersion if b does not
-// begin as a segment of this version does.
+// ParseHeader returns the salt of a segment that begins with b. It returns ErrIncomplete if b is too short for a
+// header, and ErrVersion if it is not the header of this version.
 func ParseHeader(b []byte) (Salt, error) {
 	if len(b) < HeaderSize {
 		return 0, ErrIncomplete
@@ -79,11 +80,11 @@
 	return s, nil
 }
 
-// Sizes of records in bytes, without their frames' headers.
+// Sizes of records in bytes, without the frame headers.
 const (
-	fixedSize      = 1 + 8 + 16 + 8  // kind, seq, id, expiry: all of a withdrawal
-	startedSize    = fixedSize + 32  // and the fingerprint
-	endedFixedSize = startedSize + 2 // and flags and the length of the protocol's name; the name and the result follow
+	fixedSize      = 1 + 8 + 16 + 8  // kind, seq, id, expiry; the size of a withdrawal
+	startedSize    = fixedSize + 32  // the fingerprint is added
+	endedFixedSize = startedSize + 2 // the flags and the length of the protocol's name are added; the name and the result follow
 )
 
 const (
@@ -91,7 +92,7 @@
 	flagResultStored
 )
 
-// AppendRecord appends a record's frame to b.
+// AppendRecord appends the frame of a record to b.
 func (s Salt) AppendRecord(b []byte, r Record) []byte {
 	at := len(b)
 	b = append(b, make([]byte, frameHeaderSize)...)
@@ -120,7 +121,7 @@
 	return b
 }
 
-// checksum is the CRC-32C of a frame: over the salt, the record's length and the record.
+// checksum returns the CRC-32C of a frame, computed over the salt, the record's length and the record.
 func (s Salt) checksum(frame []byte) uint32 {
 	var salt [8]byte
 	binary.LittleEndian.PutUint64(salt[:], uint64(s))
@@ -128,8 +129,8 @@
 	return crc32.Update(c, castagnoli, frame[frameHeaderSize:])
 }
 
-// DecodeRecord reads the record at the beginning of b and returns how many bytes its frame takes. Result shares b's
-// memory. It returns ErrIncomplete if the record may go on beyond b, and ErrCorrupt if nothing that follows could
+// DecodeRecord decodes the record at the beginning of b, and returns the size of its frame. Result shares b's
+// memory. It returns ErrIncomplete if the record may continue after b, and ErrCorrupt if no further bytes could
 // complete it.
 func (s Salt) DecodeRecord(b []byte) (r Record, n int, err error) {
 	if len(b) < frameHeaderSize {
--- a/internal/idempotency/keystore/format/format_test.go
+++ b/internal/idempotency/keystore/format/format_test.go
@@ -15,8 +15,8 @@
 	{Kind: KindWithdrawn, Seq: 1 << 63, ID: ID{255}, ExpiresAt: 1 << 62},
 }
 
-// TestCutAndFlipped: a record reads back as it was; cut at any byte it is incomplete; with any bit flipped it is never
-// taken for a record, nor is it under another segment's salt.
+// TestCutAndFlipped checks that a record decodes as it was encoded, that it is incomplete if truncated at any byte,
+// and that it is rejected if any bit is flipped or if it has another segment's salt.
 func TestCutAndFlipped(t *testing.T) {
 	const salt = Salt(99)
 	for _, want := range records {
@@ -26,42 +26,43 @@
 			got.Result = want.Result
 		}
 		if err != nil || n != len(b) || !reflect.DeepEqual(got, want) {
-			t.Fatalf("%+v read back as %+v, %d of %d bytes, %v", want, got, n, len(b), err)
+			t.Fatalf("%+v decoded as %+v, %d of %d bytes, %v", want, got, n, len(b), err)
 		}
 		if _, _, err := Salt(98).DecodeRecord(b); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("under another salt: %v", err)
 		}
 		for i := range b {
 			if _, _, err := salt.DecodeRecord(b[:i]); !errors.Is(err, ErrIncomplete) {
-				t.Fatalf("cut to %d bytes: %v", i, err)
+				t.Fatalf("truncated to %d bytes: %v", i, err)
 			}
 			for bit := range 8 {
 				c := bytes.Clone(b)
 				c[i] ^= 1 << bit
 				if _, _, err := salt.DecodeRecord(c); err == nil {
-					t.Fatalf("kind %d is taken with bit %d of byte %d flipped", want.Kind, bit, i)
+					t.Fatalf("kind %d is accepted with bit %d of byte %d flipped", want.Kind, bit, i)
 				}
 			}
 		}
 	}
 }
 
-// TestHeader: a header reads back as it was; a cut one and one of another version are told apart.
+// TestHeader checks that a header decodes as it was encoded, and that a truncated one and one of another version
+// give different errors.
 func TestHeader(t *testing.T) {
 	header := Header(12)
 	if s, err := ParseHeader(header); s != 12 || err != nil {
 		t.Errorf("%d, %v", s, err)
 	}
 	if _, err := ParseHeader(header[:HeaderSize-1]); !errors.Is(err, ErrIncomplete) {
-		t.Errorf("cut: %v", err)
+		t.Errorf("truncated header: %v", err)
 	}
 	header[4]++
 	if _, err := ParseHeader(header); !errors.Is(err, ErrVersion) {
-		t.Errorf("of the next version: %v", err)
+		t.Errorf("header of the next version: %v", err)
 	}
 }
 
-// TestStoredForm: the bytes that processes of other versions of this program read.
+// TestStoredForm checks the encoded bytes, which processes of other versions of this program read.
 func TestStoredForm(t *testing.T) {
 	const salt = Salt(99)
 	if got, want := hex.EncodeToString(Header(salt)), "534c434c010000006300000000000000"; got != want {
--- a/internal/idempotency/keystore/inspect.go
+++ b/internal/idempotency/keystore/inspect.go
@@ -13,9 +13,9 @@
 	"sloehitch/internal/idempotency/keystore/keystate"
 )
 
-// Inspect returns a line of text on each process that has records in dir, as of now: whether it lives, its segments
-// and bytes, the keys that it holds and how many of them run. It waits for the folder's lock and changes nothing. It
-// is for operators, not for the processes themselves.
+// Inspect returns one line of text for each process that has joined dir or has records in it: whether the process
+// lives, the number and size of its segments, the keys that it holds as of now, and how many of them run. It waits
+// for the folder's lock and changes nothing. It is for operators only.
 func Inspect(dir string, now time.Time) ([]string, error) {
 	f := &folder{dir: dir}
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
--- a/internal/idempotency/keystore/keystate/table_test.go
+++ b/internal/idempotency/keystore/keystate/table_test.go
@@ -8,12 +8,12 @@
 	"sloehitch/internal/idempotency/keystore/format"
 )
 
-// TestAnyOrder: in whatever mix of the processes' orders records are read, the table comes to what they say in the
-// order in which they were written.
+// TestAnyOrder checks that the table does not depend on how the records of several processes are interleaved when
+// they are read: it arrives at the state given by the order in which they were written.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes, keys = 3, 3
-		holder := map[byte]int{} // who holds a key
+		holder := map[byte]int{} // holder of each key
 		told := map[int][]format.Record{}
 		want := map[byte]format.Record{}
 		for seq := uint64(1); seq <= uint64(rapid.IntRange(1, 30).Draw(t, "records")); seq++ {
@@ -49,14 +49,14 @@
 				t.Fatalf("key %d: %+v %v, want %+v by %d", key, c, ok, r, holder[key])
 			}
 			if _, ok := table.Lookup(format.ID{key}, 11); ok {
-				t.Fatalf("key %d is held after its end", key)
+				t.Fatalf("key %d is held after its expiry", key)
 			}
 		}
 		for segment := range processes + 1 {
 			table.ForgetSegment(segment)
 		}
 		if table.Len() != 0 {
-			t.Fatalf("%d keys are left of forgotten segments", table.Len())
+			t.Fatalf("%d keys remain after all segments were forgotten", table.Len())
 		}
 	})
 }
--- a/internal/idempotency/keystore/keystore.go
+++ b/internal/idempotency/keystore/keystore.go
@@ -1,13 +1,13 @@
 // Package keystore keeps the idempotency keys whose runs were started, and the results of those runs, in a folder
-// that the processes of one node share. While one process replaces another (both accept clients from the listener
-// that the platform holds) no key runs in both, and an attempt whose key the other process holds is answered from
-// that process's run.
+// shared by the processes of one node. While one process replaces another, both accept clients from the listener
+// that the platform holds. The package ensures that no key runs in both processes, and that an attempt whose key is
+// held by the other process is answered from that process's run.
 //
-// Each process appends records to segment files of its own (package format) and reads those of the others. A file
-// lock orders the records of all processes, so the first to record a start holds the key (package keystate; claim.go
-// has the rule). A Store is a node.SharedJournal for the time of a hand-over, not a record that outlives the machine:
-// the folder is meant for $TMPDIR, which the platform shares between the processes and does not empty. Nothing is
-// flushed to disk.
+// Each process appends records to its own segment files (package format) and reads those of the others. A file lock
+// orders the records of all processes, so that the first process to record a start holds the key (package keystate;
+// claim.go has the rules). A Store is a node.SharedJournal for the time of a hand-over. It is not a record that
+// survives a failure of the machine: nothing is flushed to disk, and the folder is meant to be in $TMPDIR, which the
+// platform shares between the processes and does not empty.
 package keystore
 
 import (
@@ -26,17 +26,17 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Options are what a Store needs.
+// Options configure a Store.
 type Options struct {
-	Dir             string        // shared by the processes of one node
-	RetentionMargin time.Duration // for how long beyond its window a key is held: attempts may be read late
+	Dir             string        // folder shared by the processes of one node
+	RetentionMargin time.Duration // time for which a key is held beyond its window, since attempts may be read late
 	Now             func() time.Time
 	Limits          limits.KeyStore
 	Log             *slog.Logger
 }
 
-// Store knows the keys held by this process and by the others of its node. It is the Node's node.SharedJournal. Its
-// methods may be called from any goroutine. Records are written by a goroutine of its own, many at once.
+// Store tracks the keys held by this process and by the other processes of its node. It implements
+// node.SharedJournal. It is safe for concurrent use. A background goroutine writes the records in batches.
 type Store struct {
 	opts       Options
 	log        *lograte.Logger
@@ -44,23 +44,23 @@
 	wake       chan struct{}
 	stop       chan struct{}
 	writerDone chan struct{}      // closed when writeLoop returns
-	sweeps     chan chan struct{} // requests to sweep; each is closed when its sweep is done
+	sweeps     chan chan struct{} // sweep requests; each channel is closed when its sweep is done
 
 	mu               sync.Mutex
 	queue            []pendingWrite
 	closed           bool
 	peers            peers
-	ownSegments      []*segment // the last one is written to
-	lastOrder        int        // of the own segments
+	ownSegments      []*segment // records are appended to the last one
+	lastOrder        int        // order of the last own segment
 	runningKeys      map[format.ID]bool
-	longestRetention time.Duration // of any record, when it was written
-	newestCreatedAt  time.Time     // of the last own segment
+	longestRetention time.Duration // longest time between the writing and the expiry of any record
+	newestCreatedAt  time.Time     // creation time of the last own segment
 	watchers         map[format.ID][]func()
 	readBuffer       []byte
 }
 
-// Open joins the processes that share the folder, and reads what they have recorded. It waits for the folder's lock.
-// Records that can't be read are an error: a key could run twice.
+// Open joins the processes that share the folder, and reads their records. It waits for the folder's lock. It
+// returns an error if records can't be read, since a key could then run twice.
 func Open(o Options) (*Store, error) {
 	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatUint(rand.Uint64(), 36)
 	s := &Store{
@@ -93,8 +93,8 @@
 	return s, nil
 }
 
-// Close writes what is queued and leaves the folder: the other processes take this one for exited. What it recorded
-// stays.
+// Close writes the queued records and leaves the folder: the other processes then treat this one as exited. Its
+// records stay.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -121,16 +121,16 @@
 	return nil
 }
 
-// Stats are a Store's figures.
+// Stats are statistics of a Store.
 type Stats struct {
 	OwnSegments, PeerSegments int
-	PeerKeys                  int   // known keys of the other processes
-	RunningKeys               int   // keys of this process whose runs have not ended
-	Bytes                     int64 // of all segments
-	WatchedKeys               int   // keys whose end in another process is waited for
+	PeerKeys                  int   // known keys of other processes
+	RunningKeys               int   // keys held by this process whose runs have not ended
+	Bytes                     int64 // size of all segments
+	WatchedKeys               int   // keys of other processes that callers wait for
 }
 
-// Stats returns the figures as of now.
+// Stats returns the current statistics.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// totalBytes is the size of all segments together.
+// totalBytes returns the size of all segments.
 func (s *Store) totalBytes() (sum int64) {
 	for _, seg := range s.ownSegments {
 		sum += seg.size
@@ -155,7 +155,7 @@
 	return sum
 }
 
-// keyID stands for a record's key and class.
+// keyID returns the ID of a record's key and class.
 func keyID(record node.RunRecord) (out format.ID) {
 	h := sha256.New()
 	h.Write([]byte(record.Class))
@@ -165,7 +165,7 @@
 	return out
 }
 
-// expiresAt is when a record's key is free again, in Unix nanoseconds.
+// expiresAt returns the time at which a record's key is free again, in Unix nanoseconds.
 func (s *Store) expiresAt(record node.RunRecord) int64 {
 	return record.ArrivedAt.Add(record.Window).Add(s.opts.RetentionMargin).UnixNano()
 }
--- a/internal/idempotency/keystore/keystore_test.go
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// clock is a clock that tests move.
+// clock is a clock that tests set.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -50,7 +50,7 @@
 	return node.RunRecord{Key: key, Class: "book", ArrivedAt: start, Window: 10 * time.Second, Fingerprint: [32]byte{1}, Protocol: "resp"}
 }
 
-// begin records a start and waits for the result.
+// begin records a start and waits for its result.
 func begin(t testing.TB, c *Store, b node.RunRecord) error {
 	t.Helper()
 	done := make(chan error, 1)
@@ -66,12 +66,13 @@
 	case v := <-c:
 		return v
 	case <-time.After(standin.WaitTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting on a channel")
 		panic("unreached")
 	}
 }
 
-// end records a result and waits until it is written: records are written in order.
+// end records a result and waits until it is written. Waiting for a sweep is enough, since records are written in
+// order.
 func end(t testing.TB, c *Store, b node.RunRecord, result string) {
 	t.Helper()
 	b.Ended, b.Succeeded, b.ResultStored, b.Result = true, true, true, []byte(result)
@@ -86,8 +87,8 @@
 	wait(t, swept)
 }
 
-// TestOneProcessHoldsAKey: of two processes only the first to record a start holds the key. The other gets the result
-// of its run, and may have the key once it was withdrawn or has expired.
+// TestOneProcessHoldsAKey checks that of two processes only the first to record a start holds the key. The other
+// gets the result of its run, and can claim the key once it was withdrawn or has expired.
 func TestOneProcessHoldsAKey(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
@@ -97,12 +98,12 @@
 			t.Fatal(err)
 		}
 		if err := begin(t, next, k); !errors.Is(err, node.ErrKeyHeld) {
-			t.Fatalf("two hold %s: %v", k.Key, err)
+			t.Fatalf("a second process claimed key %s: %v", k.Key, err)
 		}
 	}
 	other := a
 	if other.Class = "search"; begin(t, next, other) != nil {
-		t.Error("the same key of another class is not free")
+		t.Error("the same key of another class can't be claimed")
 	}
 	end(t, old, a, "visit 1")
 	if got, ok := next.Lookup(a); !ok || !got.Ended || !got.Succeeded || string(got.Result) != "visit 1" || got.Protocol != "resp" || got.Fingerprint != a.Fingerprint {
@@ -111,15 +112,16 @@
 	old.Withdraw(w)
 	settle(t, old)
 	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
-		t.Error("a withdrawn key is not free")
+		t.Error("a withdrawn key can't be claimed")
 	}
 	now.move(11*time.Second + 1)
 	if _, ok := next.Lookup(a); ok || begin(t, next, a) != nil {
-		t.Error("a key that has expired is not free")
+		t.Error("an expired key can't be claimed")
 	}
 }
 
-// TestNotifyOnChange: a process that waits for a key of another process is notified when its run ends or is withdrawn.
+// TestNotifyOnChange checks that a process that waits for another process's key is notified when the run ends or is
+// withdrawn.
 func TestNotifyOnChange(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
@@ -130,7 +132,7 @@
 			t.Fatal(err)
 		}
 		if got, ok := next.Lookup(k); !ok || got.Ended {
-			t.Fatalf("%s runs elsewhere: %+v, %v", k.Key, got, ok)
+			t.Fatalf("key %s, which runs in the other process: %+v, %v", k.Key, got, ok)
 		}
 		next.NotifyOnChange(k, func() { notified <- k.Key })
 	}
@@ -143,16 +145,16 @@
 		t.Errorf("notified of %s", k)
 	}
 	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
-		t.Error("a withdrawn key is not free")
+		t.Error("a withdrawn key can't be claimed")
 	}
 }
 
-// TestExchangeNotes: processes see each other, and the notes that each has left.
+// TestExchangeNotes checks that processes detect each other and read each other's notes.
 func TestExchangeNotes(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
 	if n := old.LiveProcesses(standin.WaitTimeout); n != 1 {
-		t.Errorf("the old process sees %d others", n)
+		t.Errorf("the old process counts %d other processes", n)
 	}
 	if notes := old.ExchangeNotes([]byte("from old")); len(notes) != 1 || len(notes[0]) != 0 {
 		t.Errorf("notes to the old process: %q", notes)
@@ -162,8 +164,9 @@
 	}
 }
 
-// TestProcessExits: a run that had not ended when its process exited counts as ended without success, and who waits
-// for it is notified. What the process recorded counts until it expires; then its files are gone.
+// TestProcessExits checks that a run that had not ended when its process exited counts as ended without success, and
+// that waiting processes are notified. The exited process's records stay in effect until they expire; then its files
+// are removed.
 func TestProcessExits(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
@@ -173,7 +176,7 @@
 	end(t, old, runRecord("b"), "visit")
 	notified := make(chan struct{})
 	if _, ok := next.Lookup(runRecord("a")); !ok {
-		t.Fatal("not held")
+		t.Fatal("key a is not held")
 	}
 	next.NotifyOnChange(runRecord("a"), func() { close(notified) })
 	if err := old.Close(); err != nil {
@@ -187,7 +190,7 @@
 	third := open(t, dir, now.Now, nil)
 	for _, c := range []*Store{next, third} {
 		if got, ok := c.Lookup(runRecord("a")); !ok || !got.Ended || got.Succeeded {
-			t.Errorf("unknown end: %+v, %v", got, ok)
+			t.Errorf("a run without a recorded end: %+v, %v", got, ok)
 		}
 		if got, ok := c.Lookup(runRecord("b")); !ok || string(got.Result) != "visit" {
 			t.Errorf("a result of an exited process: %+v, %v", got, ok)
@@ -202,11 +205,11 @@
 	left, _ := filepath.Glob(filepath.Join(dir, "*"+logSuffix))
 	alive, _ := filepath.Glob(filepath.Join(dir, "*"+aliveSuffix))
 	if s := next.Stats(); len(left) != 0 || len(alive) != 2 || s.PeerKeys != 0 || s.Bytes != 0 {
-		t.Errorf("left: %v %v %+v", left, alive, s)
+		t.Errorf("remaining segments %v, alive files %v, statistics %+v", left, alive, s)
 	}
 }
 
-// TestClockSetBack: a clock that is set back frees no key and stops no claim.
+// TestClockSetBack checks that setting the clock back frees no key and does not prevent claims.
 func TestClockSetBack(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
@@ -217,7 +220,7 @@
 	settle(t, old)
 	settle(t, next)
 	if err := begin(t, next, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
-		t.Errorf("a key that is held: %v", err)
+		t.Errorf("a claim of a held key: %v", err)
 	}
 	if err := begin(t, old, runRecord("b")); err != nil {
 		t.Error(err)
--- a/internal/idempotency/keystore/lookup.go
+++ b/internal/idempotency/keystore/lookup.go
@@ -9,9 +9,10 @@
 	"sloehitch/internal/node"
 )
 
-// Lookup returns what another process has recorded of record's key, as of now: whether its run has ended and what
-// came of it. A run whose process exited without recording the end has ended and did not succeed. Lookup reads what
-// the others have written since the last time, as a rule from memory, and waits for no lock but the Store's own.
+// Lookup returns what another process has recorded for record's key as of now: whether its run has ended, and its
+// result. A run whose process exited without recording its end counts as ended without success. Lookup reads the
+// records that other processes have added since the last read, usually from memory, and waits for no lock but the
+// Store's own.
 func (s *Store) Lookup(record node.RunRecord) (node.RunRecord, bool) {
 	key := keyID(record)
 	s.mu.Lock()
@@ -33,7 +34,7 @@
 	seg := s.peers.segments[claim.Location.Segment]
 	r, err := seg.readRecord(claim.Location.Offset, claim.Location.Size)
 	if err != nil || r.ID != key {
-		s.log.Warn("result recorded by another process can't be read", fmt.Errorf("%s: %w", seg.path, err))
+		s.log.Warn("result recorded by another process not readable", fmt.Errorf("%s: %w", seg.path, err))
 		return found, true
 	}
 	found.Succeeded, found.ResultStored = r.Succeeded, r.ResultStored
@@ -41,15 +42,15 @@
 	return found, true
 }
 
-// NotifyOnChange calls done once, from another goroutine, when Lookup may say more of record's key than that it runs
-// elsewhere.
+// NotifyOnChange calls done once, from another goroutine, when Lookup may report more about record's key than that
+// it is running in another process.
 func (s *Store) NotifyOnChange(record node.RunRecord, done func()) {
 	key := keyID(record)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	claim, ok := s.peers.table.Lookup(key, s.opts.Now().UnixNano())
 	if s.closed {
-		return // this process is about to end
+		return // this process is about to exit
 	}
 	if !ok || claim.Kind == format.KindEnded || s.peers.dead[claim.Owner] {
 		go done()
@@ -59,7 +60,7 @@
 	s.wakeWriter()
 }
 
-// notifyWatchers calls those who wait for a key.
+// notifyWatchers calls the callbacks registered for a key.
 func (s *Store) notifyWatchers(key format.ID) {
 	for _, done := range s.watchers[key] {
 		go done()
@@ -67,16 +68,16 @@
 	delete(s.watchers, key)
 }
 
-// refresh reads what others have written since the last time, without the folder's lock: a complete record
-// counts.
+// refresh reads the records that other processes have added since the last read. It does not need the folder's lock,
+// since only complete records take effect.
 func (s *Store) refresh() {
 	if err := s.readPeers(s.folder.generationChanged()); err != nil {
-		s.log.Warn("key records of another process can't be read", err)
+		s.log.Warn("key records of another process not readable", err)
 	}
 }
 
-// readPeers reads on in the others' segments; discover says that there may be new ones. The caller holds mu, or is
-// alone.
+// readPeers reads what was added to the other processes' segments. discover reports that there may be new segments.
+// The caller holds mu or has the only reference to the Store.
 func (s *Store) readPeers(discover bool) error {
 	var errs []error
 	if discover {
@@ -86,14 +87,14 @@
 	}
 	for _, seg := range s.peers.segments {
 		if seg.file == nil && seg.size > 0 {
-			continue // read to its end
+			continue // already read to its end
 		}
 		errs = append(errs, s.readSegment(seg))
 	}
 	return errors.Join(errs...)
 }
 
-// discoverPeers finds new processes and segments.
+// discoverPeers registers new processes and segments.
 func (s *Store) discoverPeers() error {
 	found, owners, err := s.folder.list()
 	if err != nil {
@@ -116,13 +117,13 @@
 	return nil
 }
 
-// readSegment takes in what a segment has more than when it was last read.
+// readSegment applies the records added to a segment since it was last read.
 func (s *Store) readSegment(seg *segment) error {
 	if s.readBuffer == nil {
 		s.readBuffer = make([]byte, readBufferSize)
 	}
 	owner := s.peers.processes[seg.owner]
-	last := s.peers.superseded(seg) || s.peers.dead[owner] // as of before it is read: nothing is added to it any more
+	last := s.peers.superseded(seg) || s.peers.dead[owner] // determined before the read: nothing is added to the segment after this point
 	skippedBefore := seg.skippedBytes
 	err := seg.read(s.readBuffer, last, func(r format.Record, at, size int64) {
 		seg.expiresAt = max(seg.expiresAt, r.ExpiresAt)
@@ -138,8 +139,8 @@
 		seg.closeFile()
 	}
 	if seg.skippedBytes > skippedBefore {
-		detail := fmt.Errorf("%s: %d bytes are no records", seg.path, seg.skippedBytes)
-		s.log.Warn("key records of another process are cut or damaged", detail)
+		detail := fmt.Errorf("%s: %d bytes skipped that are not records", seg.path, seg.skippedBytes)
+		s.log.Warn("key records of another process truncated or damaged", detail)
 	}
 	return err
 }
--- a/internal/idempotency/keystore/peers.go
+++ b/internal/idempotency/keystore/peers.go
@@ -2,14 +2,14 @@
 
 import "sloehitch/internal/idempotency/keystore/keystate"
 
-// peers is what a Store knows of the node's other processes. The Store's mu guards it.
+// peers is what a Store knows about the node's other processes. It is guarded by the Store's mu.
 type peers struct {
-	table      *keystate.Table // their keys
-	processes  map[string]int  // their numbers, by name
-	dead       map[int]bool    // which of them have exited, by number
+	table      *keystate.Table // keys of the other processes
+	processes  map[string]int  // numbers of the processes, by name
+	dead       map[int]bool    // processes that have exited, by number
 	segments   map[int]*segment
-	knownPaths map[string]bool // of their segments, expired ones included while their files exist
-	lastNumber int             // given to a process or segment
+	knownPaths map[string]bool // paths of their segments, including expired ones whose files still exist
+	lastNumber int             // last number given to a process or segment
 }
 
 func newPeers() peers {
@@ -22,7 +22,7 @@
 	}
 }
 
-// registerProcess gives another process a number.
+// registerProcess gives another process a number if it has none.
 func (p *peers) registerProcess(name string) {
 	if _, known := p.processes[name]; !known {
 		p.lastNumber++
@@ -30,7 +30,7 @@
 	}
 }
 
-// superseded reports whether the owner of a segment has begun a later one.
+// superseded reports whether the owner of a segment has created a later one.
 func (p *peers) superseded(seg *segment) bool {
 	for _, other := range p.segments {
 		if other.owner == seg.owner && other.order > seg.order {
--- a/internal/idempotency/keystore/processes.go
+++ b/internal/idempotency/keystore/processes.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// ExchangeNotes leaves a note of at most limits.KeyStore.NoteBytes bytes where the other processes find it, and
-// returns the notes of those that live; a process that has left none yet has an empty one. It costs one write, and
-// one read for each other process.
+// ExchangeNotes stores a note of at most limits.KeyStore.NoteBytes bytes for the other processes, and returns the
+// notes of those that live. The note of a process that has not stored one yet is empty. It costs one write, and one
+// read for each other process.
 func (s *Store) ExchangeNotes(note []byte) (others [][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -16,7 +16,7 @@
 		return nil
 	}
 	if _, err := s.folder.alive.WriteAt(note[:min(len(note), s.opts.Limits.NoteBytes)], 0); err != nil {
-		s.log.Warn("note to the node's other processes was not written", err)
+		s.log.Warn("note to the node's other processes not written", err)
 	}
 	s.refresh()
 	for name, number := range s.peers.processes {
@@ -25,15 +25,15 @@
 		}
 		text, err := os.ReadFile(filepath.Join(s.folder.dir, name+aliveSuffix))
 		if err != nil {
-			continue // it has exited
+			continue // the process has exited
 		}
 		others = append(others, text[:min(len(text), s.opts.Limits.NoteBytes)])
 	}
 	return others
 }
 
-// LiveProcesses returns the number of the node's other processes that live. It sweeps to find out, and waits for that
-// at most the given time; then the number is that of the last sweep.
+// LiveProcesses returns the number of the node's other live processes. It requests a sweep and waits for it up to
+// the given time; after that, it returns the number as of the last sweep.
 func (s *Store) LiveProcesses(wait time.Duration) (n int) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
--- a/internal/idempotency/keystore/processes_test.go
+++ b/internal/idempotency/keystore/processes_test.go
@@ -20,13 +20,13 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// killedKeys is how many keys the processes of TestKilledProcesses claim.
+// killedKeys is the number of keys that the processes of TestKilledProcesses claim.
 const killedKeys = 400
 
-// What the test binary is told when it is started as another process.
+// Environment variables for the test binary when it is started as another process.
 const (
-	envFullDisk = "CLAIMS_FULL"  // the folder for claimOnFullDisk
-	envChild    = "CLAIMS_CHILD" // the folder for claimUntilKilled
+	envFullDisk = "CLAIMS_FULL"  // folder for claimOnFullDisk
+	envChild    = "CLAIMS_CHILD" // folder for claimUntilKilled
 	envLog      = "CLAIMS_LOG"
 	envSeed     = "CLAIMS_SEED"
 )
@@ -46,8 +46,8 @@
 	os.Exit(m.Run())
 }
 
-// claimUntilKilled is one process of TestKilledProcesses: it claims keys in a random order, writes a line for each
-// that it "runs", and the result of each that another process ran, until it is killed.
+// claimUntilKilled runs in a child process of TestKilledProcesses. Until it is killed, it claims keys in a random
+// order, and logs a line for each key that it runs and the result of each key that another process ran.
 func claimUntilKilled(dir, log string, seed uint64) {
 	now := func() time.Time { return start }
 	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: limits.ForKeyStore(64), Log: standin.DiscardLogger})
@@ -84,10 +84,10 @@
 	fmt.Println("done")
 }
 
-// claimOnFullDisk is the process of TestFullDisk: its files can't grow beyond a size that cuts a record midway. It
-// writes a line for each key, on whether it holds it.
+// claimOnFullDisk runs in the child process of TestFullDisk, whose files can't grow beyond a size that truncates a
+// record. It prints a line for each key that reports whether the key is held.
 func claimOnFullDisk(dir string) {
-	signal.Ignore(syscall.SIGXFSZ) // the write fails then
+	signal.Ignore(syscall.SIGXFSZ) // so that the write fails instead
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 1000, Max: 1000}); err != nil {
 		panic(err)
 	}
@@ -107,11 +107,11 @@
 	}
 	group.Wait()
 	fmt.Println("done")
-	select {} // it lives until it is killed
+	select {} // stay alive until killed
 }
 
-// TestFullDisk: where the disk is full, a key that a process was told to hold is held, to the others too; one whose
-// record was cut is not, and the error reaches the caller.
+// TestFullDisk checks that with a full disk, a successful claim is visible to other processes, and that a key whose
+// record was truncated is not held and its claim returns an error.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	cmd := exec.Command(os.Args[0])
@@ -135,15 +135,15 @@
 		word, key, _ := strings.Cut(said.Text(), " ")
 		counts[word]++
 		if _, held := c.Lookup(runRecord(key)); held != (word == "held") {
-			t.Errorf("key %s: %s, to the other process %v", key, word, held)
+			t.Errorf("key %s: claimant reports %s, the other process sees held %v", key, word, held)
 		}
 	}
 	if counts["held"] < 5 || counts["not"] < 5 {
-		t.Errorf("%v: the test shows nothing", counts)
+		t.Errorf("%v: too few held or rejected keys for a meaningful test", counts)
 	}
 }
 
-// claimant is a process that runs claimUntilKilled.
+// claimant is a child process that runs claimUntilKilled.
 type claimant struct {
 	*exec.Cmd
 	out *bufio.Scanner
@@ -165,10 +165,10 @@
 	return c
 }
 
-// killAfter kills a claimant as soon as it has written so many lines.
+// killAfter kills a claimant once it has logged the given number of lines.
 func (c claimant) killAfter(t *testing.T, lines int) {
 	t.Helper()
-	c.out.Scan() // it is ready
+	c.out.Scan() // wait for "ready"
 	for written := 0; written < lines && written < killedKeys; {
 		text, _ := os.ReadFile(c.log)
 		written = strings.Count(string(text), "\n")
@@ -178,7 +178,7 @@
 	}
 }
 
-// readLog counts the runs of each key that a claimant has logged, and checks the results that it was given.
+// readLog counts the runs of each key in a claimant's log, and checks the results that the claimant received.
 func (c claimant) readLog(t *testing.T, seed uint64, runs map[string]int) {
 	t.Helper()
 	text, _ := os.ReadFile(c.log)
@@ -193,8 +193,9 @@
 	}
 }
 
-// TestKilledProcesses: three real processes claim the same keys at once, and two of them are killed at seeded points.
-// No key runs twice, and whoever is answered from a run in another process gets its own result.
+// TestKilledProcesses starts three processes that claim the same keys concurrently, and kills two of them at seeded
+// points. It checks that no key runs twice, and that an answer from a run in another process is the result of the
+// same key.
 func TestKilledProcesses(t *testing.T) {
 	for seed := range uint64(4) {
 		dir := t.TempDir()
@@ -220,7 +221,7 @@
 				t.Errorf("seed %d: key %s ran %d times", seed, k, n)
 			}
 		}
-		// At most one claim of each killed process was not followed by its run.
+		// Each killed process may have one claim whose run did not follow.
 		if len(runs) < killedKeys-2 {
 			t.Errorf("seed %d: %d of %d keys ran", seed, len(runs), killedKeys)
 		}
--- a/internal/idempotency/keystore/segment.go
+++ b/internal/idempotency/keystore/segment.go
@@ -10,26 +10,26 @@
 	"sloehitch/internal/idempotency/keystore/format"
 )
 
-// segment is a file of records. Its owner appends to the newest of its own; older ones never change.
+// segment is a file of records. A process appends only to its newest segment; older ones never change.
 type segment struct {
-	number         int    // this process's name for it
-	owner          string // the process that writes it
-	order          int    // its place among that process's segments
+	number         int    // number by which this process refers to it
+	owner          string // name of the process that writes it
+	order          int    // its position among the owner's segments
 	path           string
-	file           *os.File // nil once it is read to its end
-	size           int64    // bytes read, or written if it is this process's own
-	expiresAt      int64    // of its longest-lived record, in Unix nanoseconds
+	file           *os.File // nil once the segment has been read to its end
+	size           int64    // bytes read, or bytes written to an own segment
+	expiresAt      int64    // latest expiry of its records, in Unix nanoseconds
 	salt           format.Salt
-	foreignVersion bool  // it can't be read: its header is of another version
-	skippedBytes   int64 // that were no records
+	foreignVersion bool  // the segment can't be read, since its header has another version
+	skippedBytes   int64 // bytes skipped because they are not part of a record
 }
 
-// readBufferSize is enough for the longest record and then some, in bytes.
+// readBufferSize is the size of the read buffer in bytes, more than the longest record.
 const readBufferSize = format.MaxRecord + 4<<10
 
-// read reads on in another process's segment, and calls take with each complete record. A partial record is left for
-// the next time, unless last says that nothing will be added to it. Bytes that are no record are skipped: complete
-// records follow them.
+// read reads what was added to another process's segment, and calls take with each complete record. A partial record
+// is left for the next call, unless last reports that nothing will be added to the segment. Bytes that are not a
+// record are skipped, since complete records may follow them.
 func (s *segment) read(buffer []byte, last bool, take func(r format.Record, at, size int64)) error {
 	if s.foreignVersion {
 		return nil
@@ -37,7 +37,7 @@
 	if s.file == nil {
 		file, err := os.Open(s.path)
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // it had expired
+			return nil // the segment had expired and was removed
 		} else if err != nil {
 			return err
 		}
@@ -60,8 +60,8 @@
 	}
 }
 
-// decode takes complete records from b, which begins at s.size, and returns the bytes that they and what was skipped
-// take. last says that nothing comes after b.
+// decode calls take with each complete record in b, which begins at offset s.size, and returns the number of bytes
+// decoded or skipped. last reports that nothing follows b.
 func (s *segment) decode(b []byte, last bool, take func(r format.Record, at, size int64)) (used int64, err error) {
 	if s.size == 0 {
 		if s.salt, err = format.ParseHeader(b); errors.Is(err, format.ErrIncomplete) {
@@ -87,19 +87,19 @@
 	return used, nil
 }
 
-// append writes text at the end of an own segment. It returns how many of its bytes were written: complete records
-// among them count, whatever the error.
+// append appends text to an own segment. It returns how many of its bytes were written. Complete records among them
+// take effect, even if there was an error.
 func (s *segment) append(text []byte) (int, error) {
-	n, err := s.file.Write(text) // not WriteAt, which does not say how much stands where it fails midway
+	n, err := s.file.Write(text) // not WriteAt, which does not report how much was written before an error
 	s.size += int64(n)
 	if err != nil {
-		s.closeFile() // the part of a record that was cut must stay the last in its segment
+		s.closeFile() // nothing may follow a truncated record in its segment
 		return n, fmt.Errorf("keystore: %w", err)
 	}
 	return n, nil
 }
 
-// readRecord reads one record again.
+// readRecord reads the record at a known offset.
 func (s *segment) readRecord(at, size int64) (format.Record, error) {
 	file := s.file
 	if file == nil {
@@ -117,13 +117,13 @@
 	return r, err
 }
 
-// exists reports whether a segment's file is still there.
+// exists reports whether a segment's file still exists.
 func (s *segment) exists() bool {
 	_, err := os.Stat(s.path)
 	return err == nil
 }
 
-// closeFile closes a segment that is read or written to its end.
+// closeFile closes a segment's file once nothing more is read from or written to it.
 func (s *segment) closeFile() {
 	if s.file != nil {
 		_ = s.file.Close()
--- a/internal/idempotency/keystore/sweep.go
+++ b/internal/idempotency/keystore/sweep.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Sweep asks for segments whose records have all expired to be dropped, and for a look at which processes have
-// exited. It costs by the number of segments and of the records that are dropped. It does not wait.
+// Sweep requests that segments whose records have all expired are dropped, and that exited processes are detected.
+// Its cost grows with the number of segments and of dropped records. It does not wait.
 func (s *Store) Sweep() {
 	select {
 	case s.sweeps <- make(chan struct{}):
-	default: // the one before has not begun
+	default: // an earlier request is still queued
 	}
 }
 
-// sweep does what Sweep asks for. The caller holds both locks.
+// sweep carries out a request of Sweep. The caller holds both locks.
 func (s *Store) sweep() {
 	now := s.opts.Now().UnixNano()
 	for name, number := range s.peers.processes {
@@ -41,15 +41,15 @@
 	}
 }
 
-// dropPeerSegments drops the others' segments that have expired and that nothing is added to, and removes the files
-// of those whose process has exited. It returns the names of the processes that have segments left.
+// dropPeerSegments drops the expired segments of other processes to which nothing is added any more, and removes the
+// files of those whose process has exited. It returns the names of the processes that have segments left.
 func (s *Store) dropPeerSegments(now int64) (remaining map[string]bool) {
 	remaining = map[string]bool{}
 	for number, seg := range s.peers.segments {
 		dead := s.peers.dead[s.peers.processes[seg.owner]]
-		if dead && seg.file != nil { // a record that was cut by the process's end stays cut
+		if dead && seg.file != nil { // a record that was truncated when its process exited will not be completed
 			if err := s.readSegment(seg); err != nil {
-				s.log.Warn("key records of another process can't be read", err)
+				s.log.Warn("key records of another process not readable", err)
 			}
 		}
 		if seg.expiresAt >= now || seg.foreignVersion || !dead && !s.peers.superseded(seg) && seg.exists() {
@@ -66,7 +66,7 @@
 	return remaining
 }
 
-// forgetProcesses forgets the exited processes that have no segments left.
+// forgetProcesses removes the exited processes that have no segments left.
 func (s *Store) forgetProcesses(remaining map[string]bool) {
 	for name, number := range s.peers.processes {
 		if s.peers.dead[number] && !remaining[name] {
--- a/internal/idempotency/runlog/record.go
+++ b/internal/idempotency/runlog/record.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/node"
 )
 
-// keyPrefix keeps run records apart from what else is on the ledger. It is stored, as are the names in package
-// bookingpb.
+// keyPrefix separates run records from other records in the ledger. It is part of the stored format, as are the
+// names in package bookingpb.
 const keyPrefix = "booking/"
 
 // encode returns a batch that writes the record of a run.
@@ -30,18 +30,18 @@
 		Front:     record.Protocol,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("run record %q: %w", record.Key, err)
+		return nil, fmt.Errorf("encode run record %q: %w", record.Key, err)
 	}
 	batch := &ledger.Batch{}
 	batch.Put([]byte(keyPrefix+record.Key), value, record.ArrivedAt.Add(record.Window+l.retentionMargin))
 	return batch, nil
 }
 
-// decode reads the record of a run under its idempotency key.
+// decode decodes the record of the run with an idempotency key.
 func decode(key string, value []byte) (node.RunRecord, error) {
 	var v bookingpb.Booking
 	if err := proto.Unmarshal(value, &v); err != nil {
-		return node.RunRecord{}, fmt.Errorf("run record %q: %w", key, err)
+		return node.RunRecord{}, fmt.Errorf("decode run record %q: %w", key, err)
 	}
 	record := node.RunRecord{
 		Key:          key,
@@ -57,13 +57,13 @@
 	}
 	copied := copy(record.Fingerprint[:], v.Digest)
 	if copied != len(record.Fingerprint) || v.Stage == bookingpb.Booking_STAGE_UNSPECIFIED {
-		return node.RunRecord{}, fmt.Errorf("run record %q: no stage or no fingerprint", key)
+		return node.RunRecord{}, fmt.Errorf("decode run record %q: stage or fingerprint is missing", key)
 	}
 	return record, nil
 }
 
-// ForEach calls fn with each record that has not expired, in the order of their keys. It reads the disk. A record
-// that can't be read is an error: without it a request could run twice.
+// ForEach calls fn for each record that has not expired, in the order of the keys. It reads from disk. A record that
+// can't be read is an error: if it were skipped, its request could run twice.
 func (l *Log) ForEach(fn func(node.RunRecord)) error {
 	return l.store.Scan([]byte(keyPrefix), func(p ledger.Pair) error {
 		record, err := decode(string(p.Key[len(keyPrefix):]), p.Value)
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// readAll returns the records as text, and checks the fields that every record has in common.
+// readAll returns the records as text, and checks the fields that are the same in all records.
 func readAll(t *testing.T, l *Log) (list string) {
 	t.Helper()
 	if err := l.ForEach(func(b node.RunRecord) {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// TestRecovery: what was recorded is there after a power cut, and no more.
+// TestRecovery checks that after a power cut the log contains exactly what was recorded.
 func TestRecovery(t *testing.T) {
 	fs := simdisk.New(1)
 	s, l := open(t, fs)
@@ -77,7 +77,7 @@
 	ended.Ended = true
 	l.RecordEnd(ended)
 	l.Withdraw(runRecord("c"))
-	if err := s.Put([]byte("other/x"), []byte("not ours"), time.Time{}); err != nil { // in order, so all before is durable
+	if err := s.Put([]byte("other/x"), []byte("not ours"), time.Time{}); err != nil { // written in order, so all earlier writes are durable
 		t.Fatal(err)
 	}
 	_, l = open(t, fs.LosePower(1))
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestFullDisk: an end or a withdrawal that finds no room is written later, but never behind a newer start of its key.
+// TestFullDisk checks that an end or a withdrawal that fails on a full disk is written later, but never after a
+// newer start of its key.
 func TestFullDisk(t *testing.T) {
 	fs := simdisk.New(1)
 	s, l := open(t, fs)
@@ -104,7 +105,7 @@
 	}
 	l.Withdraw(runRecord("a"))
 	l.Withdraw(runRecord("b"))
-	standin.WaitFor(t, "both have failed", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(l.failedWrites) == 2 })
+	standin.WaitFor(t, "both writes to fail", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(l.failedWrites) == 2 })
 	fs.CapacityBytes = 0
 	recordStart(t, l, "b")
 	l.RetryFailed()
@@ -116,15 +117,15 @@
 	}
 }
 
-// TestLateFailure: a withdrawal that turns out to have failed while a newer start of its key is being written is not
-// repeated: it would have that start forgotten.
+// TestLateFailure checks that a withdrawal is not repeated if its failure becomes known only while a newer start of
+// its key is being written: the repeated withdrawal would remove that start.
 func TestLateFailure(t *testing.T) {
 	_, l := open(t, simdisk.New(1))
 	withdrawal := &ledger.Batch{}
 	withdrawal.Delete([]byte(keyPrefix + "a"))
 	l.newestWrite["a"] = withdrawal // being written
 	hold, entered := make(chan struct{}), make(chan struct{})
-	if err := l.RecordStart(runRecord("first"), func(error) { close(entered); <-hold }); err != nil { // keeps later callbacks back
+	if err := l.RecordStart(runRecord("first"), func(error) { close(entered); <-hold }); err != nil { // delays later callbacks
 		t.Fatal(err)
 	}
 	<-entered
@@ -143,11 +144,11 @@
 		t.Fatal(err)
 	}
 	if got := readAll(t, l); !strings.Contains(got, `"a" false`) || len(l.newestWrite)+len(l.failedWrites) != 0 {
-		t.Errorf("%s; %d being written, %d to be written again", got, len(l.newestWrite), len(l.failedWrites))
+		t.Errorf("%s; %d writes in progress, %d to be retried", got, len(l.newestWrite), len(l.failedWrites))
 	}
 }
 
-// TestCorruptRecord: a record that can't be read is an error, not a record less.
+// TestCorruptRecord checks that a record that can't be decoded is an error and is not skipped.
 func TestCorruptRecord(t *testing.T) {
 	s, l := open(t, simdisk.New(1))
 	for _, value := range []string{"\xff\xff", "", "\x08\x01"} {
@@ -160,7 +161,7 @@
 	}
 }
 
-// TestStoredForm: the bytes on the ledger that other versions of this program read.
+// TestStoredForm checks the bytes in the ledger, which other versions of this program read.
 func TestStoredForm(t *testing.T) {
 	s, l := open(t, simdisk.New(1))
 	recordStart(t, l, "a")
