--- a/internal/store/api.go
+++ b/internal/store/api.go
@@ -47,7 +47,7 @@
 	}
 	key := r.PathValue("key")
 	err = s.Set(key, string(value))
-	leader, elsewhere := s.leaderElsewhere()
+	leader, elsewhere := s.otherLeader()
 	switch {
 	case err == nil:
 		s.opts.Logger.Info("value set", "key", key, "value", string(value))
@@ -63,7 +63,7 @@
 
 // respond writes v, or the error if there is one. A request that only the leader can serve is redirected to it.
 func (s *Store) respond(w http.ResponseWriter, r *http.Request, v any, err error) {
-	leader, elsewhere := s.leaderElsewhere()
+	leader, elsewhere := s.otherLeader()
 	switch {
 	case err == nil:
 		s.writeJSON(w, v)
@@ -90,8 +90,8 @@
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
-// leaderElsewhere returns the leader's address for operators if the leader is known and is another member.
-func (s *Store) leaderElsewhere() (adminAddress string, ok bool) {
+// otherLeader returns the leader's address for operators if the leader is known and is another member.
+func (s *Store) otherLeader() (adminAddress string, ok bool) {
 	leader, known := s.Leader()
 	return leader.AdminAddress, known && leader.AdminAddress != "" && leader.Name != s.opts.Name
 }
--- a/internal/store/backup_test.go
+++ b/internal/store/backup_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// TestRestore checks that a restore takes all members back to a backup: later changes are lost, no token is granted
-// again, an earlier holder of a lease is rejected, and watchers have to read all documents again.
-func TestRestore(t *testing.T) {
+// TestRestoreReplacesStateOnAllMembers checks that a restore takes all members back to a backup: later changes are
+// lost, no token is granted again, an earlier holder of a lease is rejected, and watchers have to read all documents
+// again.
+func TestRestoreReplacesStateOnAllMembers(t *testing.T) {
 	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
 	leader := cluster.awaitLeader(t)
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -27,7 +27,7 @@
 					token := s.documents.Leases().Get("d").Token
 					var next atomic.Int64
 					var mu sync.Mutex
-					var took []time.Duration
+					var durations []time.Duration
 					var wg sync.WaitGroup
 					b.ResetTimer()
 					for range writers {
@@ -53,16 +53,16 @@
 									return
 								}
 								mu.Lock()
-								took = append(took, time.Since(began))
+								durations = append(durations, time.Since(began))
 								mu.Unlock()
 							}
 						}()
 					}
 					wg.Wait()
 					b.StopTimer()
-					slices.Sort(took)
-					b.ReportMetric(float64(len(took))/b.Elapsed().Seconds(), "changes/s")
-					b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
+					slices.Sort(durations)
+					b.ReportMetric(float64(len(durations))/b.Elapsed().Seconds(), "changes/s")
+					b.ReportMetric(float64(durations[len(durations)*99/100].Microseconds())/1000, "p99-ms")
 				})
 			}
 		}
--- a/internal/store/cluster_test.go
+++ b/internal/store/cluster_test.go
@@ -14,8 +14,8 @@
 
 func waitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("timed out waiting for " + what)
 		}
 	}
@@ -113,8 +113,8 @@
 	return document.Transaction{ID: id, Author: "ops", Conditions: conditions, Operations: []document.Operation{{Key: key, Value: value}}}
 }
 
-func underToken(duty string, token uint64) document.Condition {
-	return document.Condition{Task: duty, Token: token}
+func underToken(task string, token uint64) document.Condition {
+	return document.Condition{Task: task, Token: token}
 }
 
 // closeStore closes a store at the end of a test.
--- a/internal/store/diskcluster_test.go
+++ b/internal/store/diskcluster_test.go
@@ -159,11 +159,11 @@
 func (cluster *diskCluster) expectExclusion(name, reason string) {
 	cluster.t.Helper()
 	var last string
-	for end := time.Now().Add(standin.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(standin.WaitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if last = cluster.stores[name].Members().ExclusionReason; strings.Contains(last, reason) {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			cluster.t.Fatalf("%s: exclusion reason is %q, want one with %q", name, last, reason)
 		}
 	}
--- a/internal/store/document/document_test.go
+++ b/internal/store/document/document_test.go
@@ -13,9 +13,9 @@
 
 var terms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.01, SafetyMargin: time.Second}
 
-func state(t testing.TB, b Limits) *State {
+func newTestState(t testing.TB, limits Limits) *State {
 	t.Helper()
-	s, err := New(b, terms)
+	s, err := New(limits, terms)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,16 +39,16 @@
 	return r.Token
 }
 
-func TestConditions(t *testing.T) {
-	s := state(t, DefaultLimits)
-	one := s.Apply(set("1", "a", "x"), 0)
+func TestCommitsOnlyIfConditionsHold(t *testing.T) {
+	s := newTestState(t, DefaultLimits)
+	first := s.Apply(set("1", "a", "x"), 0)
 	token := acquire(t, s, "2", "backup", "n1", 0)
 	for i, c := range []struct {
 		t      Transaction
 		reason string // empty: the transaction is committed
 	}{
-		{set("c0", "a", "y", Condition{Key: "a", Version: one.Revision}), ""},
-		{set("c1", "a", "z", Condition{Key: "a", Version: one.Revision}), "a: version 3, not 1"},
+		{set("c0", "a", "y", Condition{Key: "a", Version: first.Revision}), ""},
+		{set("c1", "a", "z", Condition{Key: "a", Version: first.Revision}), "a: version 3, not 1"},
 		{set("c2", "b", "new", Condition{Key: "b"}), ""},
 		{set("c3", "b", "new", Condition{Key: "b"}), "b: version 4, not 0"},
 		{set("c4", "a", "by the holder", Condition{Task: "backup", Token: token}), ""},
@@ -72,19 +72,19 @@
 func TestCommitsOncePerID(t *testing.T) {
 	b := DefaultLimits
 	b.RememberedRequests = 3
-	s := state(t, b)
+	s := newTestState(t, b)
 	first := s.Apply(set("r", "a", "1"), 0)
 	s.Apply(set("other", "a", "2"), 0)
-	again := s.Apply(set("r", "a", "1"), 0)
-	if !again.Duplicate || again.Revision != first.Revision || s.Get("a").Value != "2" {
-		t.Errorf("a repeat: %+v, a is %q", again, s.Get("a").Value)
+	repeat := s.Apply(set("r", "a", "1"), 0)
+	if !repeat.Duplicate || repeat.Revision != first.Revision || s.Get("a").Value != "2" {
+		t.Errorf("a repeat: %+v, a is %q", repeat, s.Get("a").Value)
 	}
 	if got := s.Apply(set("r", "a", "3"), 0); got.Committed || !strings.Contains(got.Reason, "another request") {
 		t.Errorf("another request under the same id: %+v", got)
 	}
-	refused := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0)
-	if got := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0); refused.Committed || got.Reason != refused.Reason || !got.Duplicate {
-		t.Errorf("a repeat of a rejected request: %+v after %+v", got, refused)
+	rejected := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0)
+	if got := s.Apply(set("no", "a", "4", Condition{Key: "a", Version: 99}), 0); rejected.Committed || got.Reason != rejected.Reason || !got.Duplicate {
+		t.Errorf("a repeat of a rejected request: %+v after %+v", got, rejected)
 	}
 	for i := range 3 {
 		s.Apply(set(fmt.Sprint("more", i), "b", "x"), 0)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestLimitsAndForms(t *testing.T) {
+func TestRejectsMalformedAndOversizedTransactions(t *testing.T) {
 	b := Limits{MaxKeyBytes: 8, MaxValueBytes: 16, MaxDocuments: 2, MaxTotalBytes: 40, MaxOperations: 2, RememberedRequests: 10, RememberedChanges: 10}
 	for _, c := range []struct {
 		t      Transaction
@@ -111,7 +111,7 @@
 		{Transaction{ID: "x", Operations: []Operation{{Key: "c", Value: "third"}}}, "full: 2 documents"},
 		{Transaction{ID: "x", Operations: []Operation{{Key: "a", Value: "sixteen bytes ok"}, {Key: "b", Value: "sixteen bytes ok"}}}, ""},
 	} {
-		s := state(t, b)
+		s := newTestState(t, b)
 		s.Apply(set("1", "a", "1"), 0)
 		s.Apply(set("2", "b", "1"), 0)
 		if got := s.Apply(c.t, 0); got.Committed != (c.reason == "") || !strings.Contains(got.Reason, c.reason) {
@@ -120,10 +120,10 @@
 	}
 }
 
-func TestChangesSince(t *testing.T) {
+func TestChangesSinceReportsDroppedChanges(t *testing.T) {
 	b := DefaultLimits
 	b.RememberedChanges = 4
-	s := state(t, b)
+	s := newTestState(t, b)
 	for i := range 6 {
 		s.Apply(set(fmt.Sprint(i), fmt.Sprint("k", i), "v"), 0)
 	}
@@ -139,14 +139,14 @@
 	}
 }
 
-func TestMalformedSnapshotsLeaveTheState(t *testing.T) {
-	s := state(t, DefaultLimits)
+func TestMalformedSnapshotLeavesStateUnchanged(t *testing.T) {
+	s := newTestState(t, DefaultLimits)
 	s.Apply(set("1", "a", "1"), 0)
 	acquire(t, s, "2", "d", "n1", 0)
-	whole := save(t, s)
-	for _, bad := range [][]byte{whole[:len(whole)/2], []byte(`{"revision":1,"documents":[{"key":"a","version":9}]}`), nil} {
-		if err := s.Load(bytes.NewReader(bad), 0); err == nil || !slices.Equal(save(t, s), whole) {
-			t.Errorf("%.40q: error %v, or the state changed", bad, err)
+	snapshot := save(t, s)
+	for _, malformed := range [][]byte{snapshot[:len(snapshot)/2], []byte(`{"revision":1,"documents":[{"key":"a","version":9}]}`), nil} {
+		if err := s.Load(bytes.NewReader(malformed), 0); err == nil || !slices.Equal(save(t, s), snapshot) {
+			t.Errorf("%.40q: error %v, or the state changed", malformed, err)
 		}
 	}
 	if got := s.LeaseRecords(); len(got) != 1 || got[0].Holder != "n1" || got[0].Token != 1 {
--- a/internal/store/document/model_test.go
+++ b/internal/store/document/model_test.go
@@ -12,35 +12,35 @@
 	"sloehitch/internal/control/lease"
 )
 
-// TestModel applies random transactions to a state and compares it with a map: each id counts once, no token goes back,
-// and a member that loads a snapshot at any point arrives at the same bytes.
-func TestModel(t *testing.T) {
+// TestStateMatchesModel applies random transactions to a state and compares it with a map: each id counts once, no
+// token goes back, and a member that loads a snapshot at any point arrives at the same bytes.
+func TestStateMatchesModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := newModel(t)
 		n := rapid.IntRange(1, 40).Draw(r, "steps")
 		for i := range n {
 			m.step(r, i)
 		}
-		if m.copied != nil && !bytes.Equal(save(r, m.state), save(r, m.copied)) {
-			r.Fatalf("the state loaded from a snapshot differs:\n%s\n%s", save(r, m.state), save(r, m.copied))
+		if m.restored != nil && !bytes.Equal(save(r, m.state), save(r, m.restored)) {
+			r.Fatalf("the state loaded from a snapshot differs:\n%s\n%s", save(r, m.state), save(r, m.restored))
 		}
 	})
 }
 
 // model is a state with its expected content.
 type model struct {
-	t         *testing.T
-	state     *State
-	copied    *State // state loaded from a snapshot; nil: none yet
-	documents map[string]string
-	versions  map[string]uint64
-	done      []Transaction
-	token     uint64
+	t            *testing.T
+	state        *State
+	restored     *State // state loaded from a snapshot; nil: none yet
+	documents    map[string]string
+	versions     map[string]uint64
+	applied      []Transaction
+	highestToken uint64
 }
 
 func newModel(t *testing.T) *model {
 	m := &model{t: t, documents: map[string]string{}, versions: map[string]uint64{}}
-	m.state = state(t, m.limits())
+	m.state = newTestState(t, m.limits())
 	return m
 }
 
@@ -56,7 +56,7 @@
 	tx := Transaction{ID: fmt.Sprint("t", i), Author: "p"}
 	switch rapid.IntRange(0, 4).Draw(r, "kind") {
 	case 0:
-		if len(m.done) > 0 {
+		if len(m.applied) > 0 {
 			m.repeat(r, now)
 		}
 		return
@@ -72,8 +72,8 @@
 	m.apply(r, tx, now)
 	m.compare(r)
 	if rapid.IntRange(0, 9).Draw(r, "snapshot") == 0 {
-		m.copied = state(m.t, m.limits())
-		if err := m.copied.Load(bytes.NewReader(save(r, m.state)), now); err != nil {
+		m.restored = newTestState(m.t, m.limits())
+		if err := m.restored.Load(bytes.NewReader(save(r, m.state)), now); err != nil {
 			r.Fatal(err)
 		}
 	}
@@ -81,13 +81,13 @@
 
 // repeat applies a transaction that was applied before.
 func (m *model) repeat(r *rapid.T, now lease.Instant) {
-	tx := m.done[rapid.IntRange(0, len(m.done)-1).Draw(r, "which")]
+	tx := m.applied[rapid.IntRange(0, len(m.applied)-1).Draw(r, "which")]
 	before := m.state.Revision()
 	if got := m.state.Apply(tx, now); !got.Duplicate || m.state.Revision() != before {
 		r.Fatalf("a repeat of %s: %+v", tx.ID, got)
 	}
-	if m.copied != nil {
-		m.copied.Apply(tx, now)
+	if m.restored != nil {
+		m.restored.Apply(tx, now)
 	}
 }
 
@@ -111,9 +111,9 @@
 	if got.Committed != want {
 		r.Fatalf("%+v: %+v, want committed %v", tx, got, want)
 	}
-	m.done = append(m.done, tx)
-	if m.copied != nil {
-		m.copied.Apply(tx, now)
+	m.applied = append(m.applied, tx)
+	if m.restored != nil {
+		m.restored.Apply(tx, now)
 	}
 	if !got.Committed {
 		return
@@ -121,10 +121,10 @@
 	for _, o := range tx.Operations {
 		switch {
 		case o.Lease != nil:
-			if o.Lease.Token <= m.token {
-				r.Fatalf("token %d after %d", o.Lease.Token, m.token)
+			if o.Lease.Token <= m.highestToken {
+				r.Fatalf("token %d after %d", o.Lease.Token, m.highestToken)
 			}
-			m.token = o.Lease.Token
+			m.highestToken = o.Lease.Token
 		case o.Delete:
 			delete(m.documents, o.Key)
 			delete(m.versions, o.Key)
@@ -136,15 +136,15 @@
 
 // compare compares the state's documents with the model's.
 func (m *model) compare(r *rapid.T) {
-	have := map[string]string{}
+	got := map[string]string{}
 	for _, d := range m.state.List("") {
-		have[d.Key] = d.Value
+		got[d.Key] = d.Value
 		if d.Version != m.versions[d.Key] {
 			r.Fatalf("%s has version %d, want %d", d.Key, d.Version, m.versions[d.Key])
 		}
 	}
-	if !maps.Equal(have, m.documents) {
-		r.Fatalf("documents %v, want %v", have, m.documents)
+	if !maps.Equal(got, m.documents) {
+		r.Fatalf("documents %v, want %v", got, m.documents)
 	}
 }
 
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -29,9 +29,9 @@
 		return err == nil
 	})
 	for i := range 3 {
-		again, err := cluster.client(i).Commit(tx("t1", "release", "v1"))
-		if err != nil || !again.Duplicate || again.Revision != first.Revision {
-			t.Errorf("a repeat through member %d: %+v, %v", i, again, err)
+		repeat, err := cluster.client(i).Commit(tx("t1", "release", "v1"))
+		if err != nil || !repeat.Duplicate || repeat.Revision != first.Revision {
+			t.Errorf("a repeat through member %d: %+v, %v", i, repeat, err)
 		}
 	}
 	cluster.checkRejected(t)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestDocumentsOutliveARestartAndASnapshot(t *testing.T) {
+func TestDocumentsSurviveSnapshotAndRestart(t *testing.T) {
 	cluster := &testCluster{members: []Member{{Name: "n0", RaftAddress: standin.FreeAddress(t)}}, stores: map[string]*Store{}}
 	dir := t.TempDir()
 	s := cluster.open(t, "n0", dir)
@@ -97,7 +97,7 @@
 		a, err = s.RequestLease("d", LeaseRequest{Action: LeaseAcquire, Holder: "A"})
 		return err == nil
 	})
-	made, err := s.Commit(tx("1", "k", "v"))
+	committed, err := s.Commit(tx("1", "k", "v"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,10 +110,10 @@
 	cluster.awaitLeader(t)
 	waitFor(t, "a repeat after the restart", func() bool {
 		again, err := s.Commit(tx("1", "k", "v"))
-		return err == nil && again.Duplicate && again.Revision == made.Revision
+		return err == nil && again.Duplicate && again.Revision == committed.Revision
 	})
-	if owners, _ := s.Leases(); len(owners) != 1 || owners[0].Token != a.Token {
-		t.Errorf("owners %+v", owners)
+	if leases, _ := s.Leases(); len(leases) != 1 || leases[0].Token != a.Token {
+		t.Errorf("owners %+v", leases)
 	}
 	// A snapshot written before documents existed.
 	if err := (*stateMachine)(s).Restore(io.NopCloser(bytes.NewReader([]byte(`{"closed":"n7"}`)))); err != nil || s.Get(KeyClosedNodes) != "n7" {
@@ -121,10 +121,10 @@
 	}
 }
 
-// TestAWatchOnAMemberThatIsBehind checks that a watcher can resume on a member that has not yet applied what the
+// TestWatchWaitsForLaggingMember checks that a watcher can resume on a member that has not yet applied what the
 // watcher has seen on another. The member waits until it has caught up and returns the changes after that. It must not
 // return at once as if the changes were no longer remembered.
-func TestAWatchOnAMemberThatIsBehind(t *testing.T) {
+func TestWatchWaitsForLaggingMember(t *testing.T) {
 	s, err := Open(Options{Name: "n0", Logger: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/store/encoding_test.go
+++ b/internal/store/encoding_test.go
@@ -32,8 +32,8 @@
 	encodedProgressJSON = `{"term":3,"entry_term":2,"index":20}`
 )
 
-// TestStoredForms checks the JSON form of all that is stored in logs, snapshots and data directories.
-func TestStoredForms(t *testing.T) {
+// TestStoredFormats checks the JSON form of all that is stored in logs, snapshots and data directories.
+func TestStoredFormats(t *testing.T) {
 	transaction := document.Transaction{
 		ID: "i", Author: "b", Reason: "w", UnixMillis: 5,
 		Conditions: []document.Condition{{Key: "k", Version: 1}, {Task: "d", Token: 7}},
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestRequestForms checks the JSON form of requests and responses, which operators and members of other versions rely
+// TestRequestFormats checks the JSON form of requests and responses, which operators and members of other versions rely
 // on.
-func TestRequestForms(t *testing.T) {
+func TestRequestFormats(t *testing.T) {
 	status := LeaseStatus{Record: encodedRecord, RemainingMS: 8}
 	statusJSON := `{` + encodedRecordJSON + `,"left_ms":8}`
 	read := readResponse{
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -20,23 +20,23 @@
 
 // Identity returns this member's answer to another member, requester, that asks for its identity. The requester passes
 // it to quorum.DecideRejoin.
-func (s *Store) Identity(asker string) quorum.PeerAnswer {
+func (s *Store) Identity(requester string) quorum.PeerAnswer {
 	if !s.clustered {
 		return quorum.PeerAnswer{From: s.opts.Name}
 	}
-	a := quorum.PeerAnswer{From: s.opts.Name, StoreID: s.peers.localIdentity().StoreID, IsMember: true, Progress: s.peers.peer(asker).progress}
+	a := quorum.PeerAnswer{From: s.opts.Name, StoreID: s.peers.localIdentity().StoreID, IsMember: true, Progress: s.peers.peer(requester).progress}
 	r := s.raft.Load()
 	if r == nil {
 		return a
 	}
 	a.IsLeader, a.Term = r.State() == raft.Leader, r.CurrentTerm()
-	if leader, known := s.Leader(); known && leader.Name != asker {
+	if leader, known := s.Leader(); known && leader.Name != requester {
 		a.LeaderAdminAddress = leader.AdminAddress
 	}
 	if c := r.GetConfiguration(); c.Error() == nil && len(c.Configuration().Servers) > 0 {
 		a.IsMember = false
 		for _, m := range c.Configuration().Servers {
-			if string(m.ID) == asker {
+			if string(m.ID) == requester {
 				a.IsMember, a.IsVoter = true, m.Suffrage == raft.Voter
 			}
 		}
@@ -45,8 +45,8 @@
 }
 
 // identity requests the identity of a member, and what it knows about requester.
-func (c Client) identity(asker string) (a quorum.PeerAnswer, err error) {
-	err = c.get("/identity?of="+url.QueryEscape(asker), &a)
+func (c Client) identity(requester string) (a quorum.PeerAnswer, err error) {
+	err = c.get("/identity?of="+url.QueryEscape(requester), &a)
 	if errors.Is(err, errUnknownPath) { // the member's version does not support the request; the address distinguishes several such members
 		return quorum.PeerAnswer{From: c.Address, Unsupported: true}, nil
 	}
--- a/internal/store/leases_test.go
+++ b/internal/store/leases_test.go
@@ -10,7 +10,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-func TestOneOwnerAtATime(t *testing.T) {
+func TestLeaseHasOneHolderAtATime(t *testing.T) {
 	cluster := newClusterOn(t, 3, lease.Terms{Duration: 2 * time.Second, MaxDrift: 0.02, SafetyMargin: 200 * time.Millisecond}, func() string { return "" })
 	leader := cluster.awaitLeader(t)
 	var a lease.Record
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -159,8 +159,8 @@
 			return nil, 0, err
 		}
 		waited := time.Since(since)
-		outstanding := func(m quorum.Member) bool { return !m.Leader && (m.SinceContact < 0 || m.SinceContact > waited) }
-		if waited > 2*s.opts.ElectionTimeout || !slices.ContainsFunc(members, outstanding) {
+		unanswered := func(m quorum.Member) bool { return !m.Leader && (m.SinceContact < 0 || m.SinceContact > waited) }
+		if waited > 2*s.opts.ElectionTimeout || !slices.ContainsFunc(members, unanswered) {
 			return members, index, nil
 		}
 		select {
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// TestMembersInService checks changes of the members while the store runs. A member is added, catches up, and is given
-// a vote and the leadership; the former leader is removed and excluded; a change that would lose the majority is
-// rejected; and the history records all changes.
-func TestMembersInService(t *testing.T) {
+// TestChangesMembersWhileRunning checks changes of the members while the store runs. A member is added, catches up, and
+// is given a vote and the leadership; the former leader is removed and excluded; a change that would lose the majority
+// is rejected; and the history records all changes.
+func TestChangesMembersWhileRunning(t *testing.T) {
 	cluster := newDiskCluster(t, 3, steadyElectionTimeout)
 	cluster.write("a", "1")
 	n3 := cluster.newMember("n3")
@@ -43,13 +43,13 @@
 		t.Errorf("an unknown action: %v", err)
 	}
 	changes, _, _, err := operator(n3).Changes("", 0, 0)
-	var whys []string
+	var reasons []string
 	for _, c := range changes {
 		if c.Author == "test" && strings.HasSuffix(c.Reason, ": because") {
-			whys = append(whys, strings.TrimSuffix(c.Reason, ": because"))
+			reasons = append(reasons, strings.TrimSuffix(c.Reason, ": because"))
 		}
 	}
-	if got := strings.Join(whys, ", "); err != nil || got != "add n3, promote n3, lead n3, remove n0" {
+	if got := strings.Join(reasons, ", "); err != nil || got != "add n3, promote n3, lead n3, remove n0" {
 		t.Errorf("changes in the history: %s (%v)", got, err)
 	}
 }
--- a/internal/store/peertracker.go
+++ b/internal/store/peertracker.go
@@ -98,7 +98,7 @@
 		return nil
 	}
 	t.mu.Lock()
-	batch := t.unsaved()
+	batch := t.unsavedBatch()
 	local, progress := t.local, map[string]quorum.Progress{}
 	for name, p := range t.peers {
 		progress[name] = p.progress
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// unsaved returns a batch of the changes since the last save. The caller holds mu.
-func (t *peerTracker) unsaved() *ledger.Batch {
+// unsavedBatch returns a batch of the changes since the last save. The caller holds mu.
+func (t *peerTracker) unsavedBatch() *ledger.Batch {
 	var b ledger.Batch
 	put := func(key string, v any) {
 		text, err := json.Marshal(v)
--- a/internal/store/quorum/memberchange_test.go
+++ b/internal/store/quorum/memberchange_test.go
@@ -11,8 +11,8 @@
 // answered for a minute, "?" that it never has, "b" that it lags behind, "o" that it is excluded.
 func group(text string) Group {
 	g := Group{MaxSilence: time.Second, MaxLag: 10}
-	for _, w := range strings.Fields(text) {
-		name, kind, _ := strings.Cut(w, ":")
+	for _, field := range strings.Fields(text) {
+		name, kind, _ := strings.Cut(field, ":")
 		m := Member{Name: name, RaftAddress: name + ":1", AdminAddress: name + ":2", Voter: kind[0] != 'l', Leader: kind[0] == 'L'}
 		switch kind[1:] {
 		case "!":
@@ -29,8 +29,8 @@
 	return g
 }
 
-// TestMemberChanges checks which changes are allowed, and the errors of those that are not.
-func TestMemberChanges(t *testing.T) {
+// TestChecksMemberChanges checks which changes are allowed, and the errors of those that are not.
+func TestChecksMemberChanges(t *testing.T) {
 	for _, c := range []struct {
 		group, action, name, err string // err: a part of the error; empty: the change is allowed
 	}{
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestChangeErrors checks that each error is a ChangeError that wraps its kind.
-func TestChangeErrors(t *testing.T) {
+// TestChangeErrorsWrapTheirKind checks that each error is a ChangeError that wraps its kind.
+func TestChangeErrorsWrapTheirKind(t *testing.T) {
 	g := group("a:L b:v c:v! d:lb e:l!")
 	for name, c := range map[string]struct{ err, kind error }{
 		"no name":        {g.CheckAdd(Member{}), ErrInvalidMember},
--- a/internal/store/quorum/modelcheck/faults.go
+++ b/internal/store/quorum/modelcheck/faults.go
@@ -63,7 +63,7 @@
 }
 
 // fault injects a random fault.
-func (w *world) fault() {
+func (w *world) injectFault() {
 	m := w.randomMember()
 	switch w.rng.IntN(8) {
 	case 0, 1:
--- a/internal/store/quorum/modelcheck/modelcheck.go
+++ b/internal/store/quorum/modelcheck/modelcheck.go
@@ -30,10 +30,10 @@
 var Mutants = []string{mutantOlderCopies, mutantProgressInRAM, mutantMajorityIgnored, mutantVoteAtOnce, mutantNoTokenFloor}
 
 const (
-	stepDuration = 100 * time.Millisecond // after one step, the progress of other members is on disk
-	faultSteps   = 250                    // steps with faults
-	calmSteps    = 120                    // steps without faults, after those with faults
-	randomStream = 44                     // second half of the generator's seed; Run's seed is the first
+	stepDuration   = 100 * time.Millisecond // after one step, the progress of other members is on disk
+	faultSteps     = 250                    // steps with faults
+	faultFreeSteps = 120                    // steps without faults, after those with faults
+	randomStream   = 44                     // second half of the generator's seed; Run's seed is the first
 )
 
 var leaseTerms = lease.Terms{Duration: 2 * time.Second, MaxDrift: 0.02, SafetyMargin: 100 * time.Millisecond}
@@ -65,12 +65,12 @@
 		return err.Error(), nil
 	}
 	recoveryStep := w.drawRecoveryStep()
-	for step := range faultSteps + calmSteps {
+	for step := range faultSteps + faultFreeSteps {
 		w.now += stepDuration
 		if step == recoveryStep {
 			w.recover()
 		}
-		w.calm = step >= faultSteps
+		w.faultFree = step >= faultSteps
 		if step == faultSteps {
 			w.heal()
 		}
@@ -78,11 +78,11 @@
 		if w.violation != "" {
 			return w.violation, w.events
 		}
-		if step == faultSteps+calmSteps/2 {
+		if step == faultSteps+faultFreeSteps/2 {
 			w.events[eventWrites] = w.acknowledgedWrites
 		}
 	}
-	return w.unfinished(), w.events
+	return w.unrecovered(), w.events
 }
 
 // newWorld returns a world of three or five members that bootstrap a store.
@@ -122,33 +122,33 @@
 
 // step runs one step: faults are injected, leaders write, other members campaign and operators act.
 func (w *world) step() {
-	if !w.calm && w.rng.IntN(6) == 0 {
-		w.fault()
+	if !w.faultFree && w.rng.IntN(6) == 0 {
+		w.injectFault()
 	}
-	led := false
+	hasLeader := false
 	for _, m := range w.members {
 		if m.running && m.leading {
-			led = true
+			hasLeader = true
 			w.propose(m)
 			w.replicate(m)
 		}
 	}
 	m := w.members[w.rng.IntN(len(w.members))]
-	if m.participating && !m.leading && (!led || !w.calm && w.rng.IntN(20) == 0) {
+	if m.participating && !m.leading && (!hasLeader || !w.faultFree && w.rng.IntN(20) == 0) {
 		w.campaign(m)
 	}
-	w.operate()
+	w.runOperators()
 }
 
 // unfinished describes what has not recovered in the steps without faults, or returns "" if everything has.
-func (w *world) unfinished() string {
+func (w *world) unrecovered() string {
 	if w.acknowledgedWrites <= w.events[eventWrites] {
-		return fmt.Sprintf("nothing was committed in the last %d steps without faults", calmSteps/2)
+		return fmt.Sprintf("nothing was committed in the last %d steps without faults", faultFreeSteps/2)
 	}
 	for _, m := range w.members {
 		if !m.participating {
 			return fmt.Sprintf("%s does not participate in the store %d steps after the last fault: %s",
-				m.name, calmSteps, m.exclusionReason)
+				m.name, faultFreeSteps, m.exclusionReason)
 		}
 	}
 	return ""
--- a/internal/store/quorum/modelcheck/modelcheck_test.go
+++ b/internal/store/quorum/modelcheck/modelcheck_test.go
@@ -7,10 +7,10 @@
 
 var seeds = flag.Int("walk.seeds", 100, "how many seeds are simulated")
 
-// TestMembers checks that in simulations with faults no acknowledged write is lost, no change leaves the store without
-// a majority, and tokens and revisions never go back. It also checks that each kind of event occurs in at least 1 % of
-// the seeds.
-func TestMembers(t *testing.T) {
+// TestRulesHoldUnderFaults checks that in simulations with faults no acknowledged write is lost, no change leaves the
+// store without a majority, and tokens and revisions never go back. It also checks that each kind of event occurs in at
+// least 1 % of the seeds.
+func TestRulesHoldUnderFaults(t *testing.T) {
 	seedsWith := map[string]int{}
 	for seed := range uint64(*seeds) {
 		violation, events := Run(seed, "")
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestMutants checks that the simulation detects each mutant. It starts shortly before the first seed, counted from 0,
-// at which each is found (docs/design/fleet.md).
-func TestMutants(t *testing.T) {
+// TestDetectsMutants checks that the simulation detects each mutant. For each it starts shortly before the first seed
+// at which it is found, counted from 0 (docs/design/fleet.md).
+func TestDetectsMutants(t *testing.T) {
 	for mutant, first := range map[string]uint64{mutantOlderCopies: 0, mutantProgressInRAM: 130, mutantMajorityIgnored: 0, mutantVoteAtOnce: 0, mutantNoTokenFloor: 0} {
 		found := false
 		for seed := first; seed < first+20 && !found; seed++ {
--- a/internal/store/quorum/modelcheck/operators.go
+++ b/internal/store/quorum/modelcheck/operators.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	maxMembers = 6       // operators add members only below this number
-	minMembers = 3       // operators remove healthy members only above this number
-	lostWrites = 1 << 20 // by which a recovery advances revisions and tokens
+	maxMembers      = 6       // operators add members only below this number
+	minMembers      = 3       // operators remove healthy members only above this number
+	recoveryAdvance = 1 << 20 // by which a recovery advances revisions and tokens
 )
 
 // operate follows the operators' procedures: it starts processes, removes excluded members and adds them again, and
 // occasionally adds or removes a healthy member.
-func (w *world) operate() {
+func (w *world) runOperators() {
 	w.startProcesses()
 	i := slices.IndexFunc(w.members, func(m *member) bool { return m.leading && m.running })
 	if i < 0 {
@@ -24,17 +24,17 @@
 	}
 	leader := w.members[i]
 	servers, _ := leader.servers()
-	if w.removeOrPromote(leader, servers) || w.addAnew(leader, servers) {
+	if w.removeOrPromote(leader, servers) || w.addAgain(leader, servers) {
 		return
 	}
-	if !w.calm && w.rng.IntN(40) == 0 {
+	if !w.faultFree && w.rng.IntN(40) == 0 {
 		w.addOrRemove(leader, servers)
 	}
 }
 
 func (w *world) startProcesses() {
 	for _, m := range w.members {
-		if !m.running && (w.calm || w.rng.IntN(15) == 0) {
+		if !m.running && (w.faultFree || w.rng.IntN(15) == 0) {
 			m.running = true
 		}
 		if m.running && !m.participating && m.exclusionReason == "" {
@@ -50,7 +50,7 @@
 		m := w.find(s.name)
 		emptyVoter := s.voter && m.joining && len(m.log) == 0
 		switch {
-		case (m.exclusionReason != "" || emptyVoter) && (w.calm || w.rng.IntN(10) == 0):
+		case (m.exclusionReason != "" || emptyVoter) && (w.faultFree || w.rng.IntN(10) == 0):
 			if w.change(leader, actionRemove, m.name) {
 				return true
 			}
@@ -63,8 +63,8 @@
 	return false
 }
 
-// addAnew adds a process that is not a member, with an empty data directory, and reports whether it did.
-func (w *world) addAnew(leader *member, servers []server) bool {
+// addAgain adds a process that is not a member, with an empty data directory, and reports whether it did.
+func (w *world) addAgain(leader *member, servers []server) bool {
 	for _, m := range w.members {
 		isMember := slices.ContainsFunc(servers, func(s server) bool { return s.name == m.name })
 		if isMember || m.exclusionReason == "" && !m.joining {
@@ -124,13 +124,13 @@
 	unusable := func(m *member) bool {
 		return m.exclusionReason != "" || m.permanentExclusion != "" || len(m.log) == 0
 	}
-	left := slices.DeleteFunc(slices.Clone(w.members), unusable)
-	if len(left) == 0 {
+	candidates := slices.DeleteFunc(slices.Clone(w.members), unusable)
+	if len(candidates) == 0 {
 		return nil
 	}
-	left = left[:min(len(left), 1+w.rng.IntN(2))]
-	furthest := left[0]
-	for _, m := range left[1:] {
+	candidates = candidates[:min(len(candidates), 1+w.rng.IntN(2))]
+	furthest := candidates[0]
+	for _, m := range candidates[1:] {
 		if p := furthest.progress(); p.Max(m.progress()) != p.Max(quorum.Progress{Term: m.term}) {
 			furthest = m
 		}
@@ -150,7 +150,7 @@
 	for _, e := range survivor.log {
 		w.apply(e)
 	}
-	w.state.Recover(w.state.Revision()+lostWrites, w.state.Leases().HighestToken()+lostWrites, nil, w.instant())
+	w.state.Recover(w.state.Revision()+recoveryAdvance, w.state.Leases().HighestToken()+recoveryAdvance, nil, w.instant())
 	w.highestToken, w.revision = max(w.highestToken, highestToken), w.state.Revision()
 	if w.revision <= revision {
 		w.fail("revision %d after %d in the recovery from a lost majority", w.revision, revision)
--- a/internal/store/quorum/modelcheck/raft.go
+++ b/internal/store/quorum/modelcheck/raft.go
@@ -56,8 +56,9 @@
 		return false
 	}
 	o.adoptTerm(candidate.term)
-	mine, its := candidate.progress(), o.progress()
-	later := its.EntryTerm > mine.EntryTerm || its.EntryTerm == mine.EntryTerm && its.Index > mine.Index
+	candidateProgress, otherProgress := candidate.progress(), o.progress()
+	later := otherProgress.EntryTerm > candidateProgress.EntryTerm ||
+		otherProgress.EntryTerm == candidateProgress.EntryTerm && otherProgress.Index > candidateProgress.Index
 	if o.term > candidate.term || o.votedFor != "" || later || len(o.log) == 0 {
 		return false
 	}
@@ -82,7 +83,7 @@
 		}
 	}
 	m.stepsLed++
-	if m.stepsLed > firstSteps && w.answering(m) < quorum.Majority(m.voters()) {
+	if m.stepsLed > firstSteps && w.answeringVoters(m) < quorum.Majority(m.voters()) {
 		m.leading = false
 		return
 	}
@@ -115,7 +116,7 @@
 }
 
 // answering returns the number of voters that answer a leader, itself included.
-func (w *world) answering(m *member) int {
+func (w *world) answeringVoters(m *member) int {
 	servers, _ := m.servers()
 	n := 1
 	for _, s := range servers {
@@ -130,13 +131,13 @@
 func (w *world) commitMajority(m *member) {
 	servers, _ := m.servers()
 	for n := len(m.log); n > m.commitIndex && m.log[n-1].term == m.term; n-- {
-		have := 0
+		acknowledged := 0
 		for _, s := range servers {
 			if s.voter && (s.name == m.name || m.acknowledged[s.name] >= n) {
-				have++
+				acknowledged++
 			}
 		}
-		if have >= quorum.Majority(m.voters()) {
+		if acknowledged >= quorum.Majority(m.voters()) {
 			m.commitIndex = n
 			w.commit(m, n)
 			m.forgetRemoved()
--- a/internal/store/quorum/modelcheck/world.go
+++ b/internal/store/quorum/modelcheck/world.go
@@ -38,7 +38,7 @@
 	mutant      string
 	members     []*member
 	partitioned map[link]bool
-	calm        bool // no faults are injected any more
+	faultFree   bool // no faults are injected any more
 
 	initialVoters      int               // number of voters in the settings
 	leaders            map[uint64]string // leader of each term
@@ -77,7 +77,7 @@
 	if !to.running || !w.reaches(from.name, to.name) {
 		return false, false
 	}
-	if w.calm {
+	if w.faultFree {
 		return true, true
 	}
 	request = w.rng.IntN(12) > 0
--- a/internal/store/quorum/rejoin.go
+++ b/internal/store/quorum/rejoin.go
@@ -140,13 +140,13 @@
 
 // outdatedReason describes what the member has acknowledged and its data directory does not contain.
 func outdatedReason(local LocalState, a PeerAnswer) string {
-	what := "an older copy"
+	state := "an older copy"
 	if local.Empty {
-		what = "empty"
+		state = "empty"
 	}
 	return fmt.Sprintf("%s has acknowledged to %s %v, but its data directory has %v: it is %s; "+
 		"remove it from the store, empty the directory, set join = true and add it again",
-		local.Name, a.From, a.Progress, local.Progress, what)
+		local.Name, a.From, a.Progress, local.Progress, state)
 }
 
 // decideJoin returns whether a member that joins with an empty directory may participate. Only a leader of the latest
--- a/internal/store/quorum/rejoin_test.go
+++ b/internal/store/quorum/rejoin_test.go
@@ -10,10 +10,10 @@
 	known := PeerAnswer{From: "b", StoreID: "S", IsMember: true, Progress: Progress{3, 2, 20}}
 	intact := LocalState{Name: "a", StoreID: "S", Progress: Progress{3, 2, 20}, Voters: 3, PeerCount: 2}
 	empty := LocalState{Name: "a", Empty: true, Voters: 3}
-	joins := empty
-	joins.Joining = true
-	memory := empty
-	memory.InMemory = true
+	joining := empty
+	joining.Joining = true
+	inMemory := empty
+	inMemory.InMemory = true
 	with := func(a PeerAnswer, change func(*PeerAnswer)) PeerAnswer { change(&a); return a }
 	for _, c := range []struct {
 		name     string
@@ -32,7 +32,7 @@
 		{"an older copy by its term", intact, []PeerAnswer{known, with(known, func(a *PeerAnswer) { a.Progress.Term = 4 })}, DecisionExcludePermanently, "term 4"},
 		{"entries replaced by a later leader", LocalState{Name: "a", StoreID: "S", Progress: Progress{4, 4, 12}, Voters: 3}, []PeerAnswer{known}, DecisionStart, ""},
 		{"a lost directory", empty, []PeerAnswer{known}, DecisionExcludePermanently, "it is empty"},
-		{"in memory", memory, []PeerAnswer{known}, DecisionStart, ""},
+		{"in memory", inMemory, []PeerAnswer{known}, DecisionStart, ""},
 		{"joining, and a peer does not know of the name's removal", LocalState{Name: "a", Empty: true, Joining: true, Voters: 3}, []PeerAnswer{with(known, func(a *PeerAnswer) { a.Term = 3 }), {From: "c", StoreID: "S", IsMember: true, IsLeader: true, Term: 4}}, DecisionStart, ""},
 		{"joining, and the only leader that answers is deposed", LocalState{Name: "a", Empty: true, Joining: true, Voters: 3}, []PeerAnswer{with(known, func(a *PeerAnswer) { a.Term = 5 }), {From: "c", StoreID: "S", IsMember: true, IsLeader: true, Term: 4}}, DecisionWait, "no leader has confirmed yet"},
 		{"joining, and the name has a vote", LocalState{Name: "a", Empty: true, Joining: true, Voters: 3}, []PeerAnswer{with(known, func(a *PeerAnswer) { a.Term = 3 }), {From: "c", StoreID: "S", IsMember: true, IsVoter: true, IsLeader: true, Term: 4}}, DecisionWait, "c reports that a has a vote"},
@@ -44,9 +44,9 @@
 		{"added, and a follower does not know", intact, []PeerAnswer{with(known, func(a *PeerAnswer) { a.IsMember = false })}, DecisionStart, ""},
 		{"a name used twice", intact, []PeerAnswer{with(known, func(a *PeerAnswer) { a.From = "a" })}, DecisionExclude, "another process uses the name a"},
 		{"empty, not a member, not joining", empty, []PeerAnswer{{From: "b", StoreID: "S"}}, DecisionExclude, "set join = true"},
-		{"joining", joins, []PeerAnswer{{From: "b", StoreID: "S"}}, DecisionStart, ""},
-		{"joining, and there is no store yet", joins, []PeerAnswer{{From: "b"}}, DecisionWait, "no member of a store"},
-		{"joining, and the name's progress is remembered", joins, []PeerAnswer{known}, DecisionWait, "no leader has confirmed yet"},
+		{"joining", joining, []PeerAnswer{{From: "b", StoreID: "S"}}, DecisionStart, ""},
+		{"joining, and there is no store yet", joining, []PeerAnswer{{From: "b"}}, DecisionWait, "no member of a store"},
+		{"joining, and the name's progress is remembered", joining, []PeerAnswer{known}, DecisionWait, "no leader has confirmed yet"},
 	} {
 		decision, reason := DecideRejoin(c.local, c.answers)
 		if decision != c.decision || !strings.Contains(reason, c.reason) || c.reason == "" && reason != "" {
--- a/internal/store/raftlog/raftlog.go
+++ b/internal/store/raftlog/raftlog.go
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	l := &Log{ledger: s, limits: lim, openSnapshots: map[string]bool{}, stopping: make(chan struct{})}
-	if err = l.findEntries(); err == nil {
+	if err = l.loadIndexes(); err == nil {
 		err = l.removeStaleSnapshots()
 	}
 	if err != nil {
@@ -81,8 +81,8 @@
 	return l, nil
 }
 
-// findEntries finds the first and the last entry, and returns an error if there is a gap between them.
-func (l *Log) findEntries() error {
+// loadIndexes finds the first and the last entry, and returns an error if there is a gap between them.
+func (l *Log) loadIndexes() error {
 	return l.ledger.Scan([]byte{entryPrefix}, func(p ledger.Pair) error {
 		if len(p.Key) != 1+indexBytes {
 			return fmt.Errorf("raftlog: entry key has %d bytes, which is not the length of an entry key", len(p.Key))
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -19,15 +19,15 @@
 )
 
 var (
-	small   = limits.RaftLog{BatchBytes: 200, DeletionsPerFlush: 3, SnapshotPartBytes: 100, SnapshotsKept: 2}
-	options = ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true}
+	smallLimits = limits.RaftLog{BatchBytes: 200, DeletionsPerFlush: 3, SnapshotPartBytes: 100, SnapshotsKept: 2}
+	options     = ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true}
 )
 
 func open(t *testing.T, fs disk.FS) *Log { return openWith(t, fs, options) }
 
 func openWith(t *testing.T, fs disk.FS, o ledger.Options) *Log {
 	t.Helper()
-	l, err := Open(fs, small, o)
+	l, err := Open(fs, smallLimits, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	return &raft.Log{Index: index, Term: term, Type: raft.LogCommand, Data: fmt.Appendf(nil, "entry %d of term %d", index, term), Extensions: []byte("x"), AppendedAt: time.Unix(0, int64(index))}
 }
 
-func (l *Log) holds(t *testing.T, first, last, term uint64) {
+func (l *Log) expectEntries(t *testing.T, first, last, term uint64) {
 	t.Helper()
 	if f, _ := l.FirstIndex(); f != first {
 		t.Errorf("the first entry is %d, want %d", f, first)
@@ -55,11 +55,11 @@
 	}
 }
 
-// TestLog checks entries, deletions at both ends and raft's own values, before and after a restart.
-func TestLog(t *testing.T) {
+// TestLogSurvivesRestart checks entries, deletions at both ends and raft's own values, before and after a restart.
+func TestLogSurvivesRestart(t *testing.T) {
 	fs := simdisk.New(1)
 	l := open(t, fs)
-	l.holds(t, 0, 0, 0)
+	l.expectEntries(t, 0, 0, 0)
 	var logs []*raft.Log
 	for i := uint64(5); i < 40; i++ {
 		logs = append(logs, entry(i, 2))
@@ -70,7 +70,7 @@
 	if err := l.StoreLog(entry(42, 2)); !errors.Is(err, ErrNotContiguous) {
 		t.Error("an entry after a gap was stored")
 	}
-	l.holds(t, 5, 40, 2)
+	l.expectEntries(t, 5, 40, 2)
 	if err := l.GetLog(4, &raft.Log{}); !errors.Is(err, raft.ErrLogNotFound) {
 		t.Errorf("an entry that does not exist: %v", err)
 	}
@@ -80,7 +80,7 @@
 	if err := errors.Join(l.DeleteRange(1, 9), l.DeleteRange(30, 99)); err != nil {
 		t.Fatal(err)
 	}
-	l.holds(t, 10, 29, 2)
+	l.expectEntries(t, 10, 29, 2)
 	if _, err := l.Get([]byte("term")); err == nil || err.Error() != "not found" {
 		t.Errorf("a value that does not exist: %v", err)
 	}
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	l = open(t, fs)
-	l.holds(t, 10, 29, 2)
+	l.expectEntries(t, 10, 29, 2)
 	if n, err := l.GetUint64([]byte("term")); n != 7 || err != nil {
 		t.Errorf("term %d, %v", n, err)
 	}
@@ -101,27 +101,27 @@
 	if err := l.StoreLog(entry(100, 3)); err != nil {
 		t.Errorf("an entry after all were deleted: %v", err)
 	}
-	l.holds(t, 100, 100, 3)
+	l.expectEntries(t, 100, 100, 3)
 }
 
-// TestSnapshots checks that only complete snapshots are listed, that the newest ones are kept, that snapshots can be
-// written concurrently, and that corrupt content is reported.
-func TestSnapshots(t *testing.T) {
+// TestKeepsNewestCompleteSnapshots checks that only complete snapshots are listed, that the newest ones are kept, that
+// snapshots can be written concurrently, and that corrupt content is reported.
+func TestKeepsNewestCompleteSnapshots(t *testing.T) {
 	fs := simdisk.New(1)
 	l := open(t, fs)
-	begun := begin(t, l, 9, 250) // still being written while others are completed
+	unfinished := writeSnapshot(t, l, 9, 250) // still being written while others are completed
 	for i := uint64(1); i <= 4; i++ {
-		if err := begin(t, l, i, int(i)*333).Close(); err != nil {
+		if err := writeSnapshot(t, l, i, int(i)*333).Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := begin(t, l, 8, 300).Cancel(); err != nil {
+	if err := writeSnapshot(t, l, 8, 300).Cancel(); err != nil {
 		t.Fatal(err)
 	}
-	if err := begun.Close(); err != nil {
+	if err := unfinished.Close(); err != nil {
 		t.Fatal(err)
 	}
-	begin(t, l, 10, 400) // is never completed
+	writeSnapshot(t, l, 10, 400) // is never completed
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 }
 
 // begin begins a snapshot and writes size bytes to it, all equal to its index.
-func begin(t *testing.T, l *Log, index uint64, size int) raft.SnapshotSink {
+func writeSnapshot(t *testing.T, l *Log, index uint64, size int) raft.SnapshotSink {
 	t.Helper()
 	s, err := l.Snapshots().Create(1, index, 2, raft.Configuration{Servers: []raft.Server{{ID: "n1"}}}, 1, nil)
 	if err != nil {
@@ -173,22 +173,23 @@
 	return text, err
 }
 
-// TestCuts cuts the power at random file operations of a random workload. It checks that acknowledged changes are
-// present, that entries have no gap, and that the term does not go back.
-func TestCuts(t *testing.T) {
+// TestPowerLossKeepsAcknowledgedChanges cuts the power at random file operations of a random workload. It checks that
+// acknowledged changes are present, that entries have no gap, and that the term does not go back.
+func TestPowerLossKeepsAcknowledgedChanges(t *testing.T) {
 	for seed := range uint64(300) {
-		if violation := cuts(t, seed, options); violation != "" {
+		if violation := simulatePowerLoss(t, seed, options); violation != "" {
 			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// TestMutantIsCaught checks that TestCuts would detect a log that acknowledges entries before they are durable.
-func TestMutantIsCaught(t *testing.T) {
-	early := options
-	early.Flush = time.Hour
+// TestDetectsEarlyAcknowledgement checks that TestPowerLossKeepsAcknowledgedChanges would detect a log that
+// acknowledges entries before they are durable.
+func TestDetectsEarlyAcknowledgement(t *testing.T) {
+	delayedFlush := options
+	delayedFlush.Flush = time.Hour
 	for seed := range uint64(20) {
-		if cuts(t, seed, early) != "" {
+		if simulatePowerLoss(t, seed, delayedFlush) != "" {
 			t.Logf("acknowledged before durable: detected by seed %d", seed)
 			return
 		}
@@ -197,22 +198,22 @@
 }
 
 // cuts runs the workload of a seed with a power cut, and returns the first violation, or "" if there is none.
-func cuts(t *testing.T, seed uint64, o ledger.Options) string {
+func simulatePowerLoss(t *testing.T, seed uint64, o ledger.Options) string {
 	r := rand.New(rand.NewPCG(seed, 5))
 	fs := simdisk.New(seed)
 	l := openWith(t, fs, o)
-	cut := fs.OperationCount + 1 + r.IntN(60)
+	failingOperation := fs.OperationCount + 1 + r.IntN(60)
 	fs.InjectFault = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
-		if n == cut {
+		if n == failingOperation {
 			return simdisk.FaultPowerLoss
 		}
 		return simdisk.FaultNone
 	}
 	var first, last, term uint64 // acknowledged state
-	low, high, goesTo := uint64(0), uint64(0), uint64(0)
+	pendingFirst, pendingLast, pendingTerm := uint64(0), uint64(0), uint64(0)
 	for range 40 {
 		var err error
-		low, high, goesTo = first, last, term // state that is allowed if this change is cut
+		pendingFirst, pendingLast, pendingTerm = first, last, term // state that is allowed if this change is cut
 		switch k := r.IntN(4); {
 		case k < 2:
 			var logs []*raft.Log
@@ -220,22 +221,22 @@
 			for i := range uint64(1 + r.IntN(12)) {
 				logs = append(logs, entry(from+i, 1))
 			}
-			high = from + uint64(len(logs)) - 1
-			if low == 0 {
-				low = from
+			pendingLast = from + uint64(len(logs)) - 1
+			if pendingFirst == 0 {
+				pendingFirst = from
 			}
 			if err = l.StoreLogs(logs); err == nil {
-				first, last = low, high
+				first, last = pendingFirst, pendingLast
 			}
 		case k == 2 && last > first:
-			low = first + uint64(r.IntN(int(last-first)))
-			if err = l.DeleteRange(0, low-1); err == nil {
-				first = low
+			pendingFirst = first + uint64(r.IntN(int(last-first)))
+			if err = l.DeleteRange(0, pendingFirst-1); err == nil {
+				first = pendingFirst
 			}
 		default:
-			goesTo = term + 1
-			if err = l.Set([]byte("term"), binary.BigEndian.AppendUint64(nil, goesTo)); err == nil { // not SetUint64, which retries until the disk works
-				term = goesTo
+			pendingTerm = term + 1
+			if err = l.Set([]byte("term"), binary.BigEndian.AppendUint64(nil, pendingTerm)); err == nil { // not SetUint64, which retries until the disk works
+				term = pendingTerm
 			}
 		}
 		if err != nil {
@@ -247,11 +248,11 @@
 	defer func() { _ = l.Close() }() // the directory is not used again
 	f, _ := l.FirstIndex()
 	n, _ := l.LastIndex()
-	if n < last || n > high || f < first && first > 0 || f > low {
+	if n < last || n > pendingLast || f < first && first > 0 || f > pendingFirst {
 		return fmt.Sprintf("entries %d to %d are stored, %d to %d were acknowledged", f, n, first, last)
 	}
-	l.holds(t, f, n, 1)
-	if got, _ := l.GetUint64([]byte("term")); got < term || got > goesTo {
+	l.expectEntries(t, f, n, 1)
+	if got, _ := l.GetUint64([]byte("term")); got < term || got > pendingTerm {
 		return fmt.Sprintf("term %d is stored, term %d was acknowledged", got, term)
 	}
 	return ""
--- a/internal/store/raftlog/source.go
+++ b/internal/store/raftlog/source.go
@@ -21,7 +21,7 @@
 func (s *source) Read(p []byte) (int, error) {
 	for len(s.part) == 0 {
 		if s.nextPart == s.description.Parts {
-			return 0, s.end()
+			return 0, s.verifyChecksum()
 		}
 		part, err := s.view.Get(partKey(s.description.ID, s.nextPart))
 		if err != nil {
@@ -37,7 +37,7 @@
 }
 
 // end returns io.EOF if the checksum matches, and ErrCorruptSnapshot otherwise.
-func (s *source) end() error {
+func (s *source) verifyChecksum() error {
 	if s.checksum != s.description.Checksum {
 		return fmt.Errorf("raftlog: snapshot %s: %w", s.description.ID, ErrCorruptSnapshot)
 	}
--- a/internal/store/raftstorage.go
+++ b/internal/store/raftstorage.go
@@ -51,11 +51,11 @@
 			"while the others serve (docs/operators/fleet.md)",
 			dir, legacyLogFile, errLegacyLog)
 	}
-	folder := filepath.Join(dir, logDir)
-	if err := os.MkdirAll(folder, 0o700); err != nil {
+	logPath := filepath.Join(dir, logDir)
+	if err := os.MkdirAll(logPath, 0o700); err != nil {
 		return raftStorage{}, err
 	}
-	l, err := raftlog.Open(wrap(disk.Dir(folder)), limits.ForRaftLog, ledger.Options{Limits: limits.ForRaftLog.Ledger(), Log: log})
+	l, err := raftlog.Open(wrap(disk.Dir(logPath)), limits.ForRaftLog, ledger.Options{Limits: limits.ForRaftLog.Ledger(), Log: log})
 	if err != nil {
 		return raftStorage{}, err
 	}
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -93,9 +93,9 @@
 	}
 	cfg := raftConfig(self.Name, log)
 	address, transport := raft.NewInmemTransport(raft.ServerAddress(self.RaftAddress))
-	alone := raft.Configuration{Servers: []raft.Server{{ID: cfg.LocalID, Address: address}}}
+	configuration := raft.Configuration{Servers: []raft.Server{{ID: cfg.LocalID, Address: address}}}
 	machine := &recoveryMachine{(*stateMachine)(recovered), storeID}
-	return raft.RecoverCluster(cfg, machine, s.logs, s.stable, s.snapshots, transport, alone)
+	return raft.RecoverCluster(cfg, machine, s.logs, s.stable, s.snapshots, transport, configuration)
 }
 
 // resetIdentity stores an identity, and deletes the progress of all other members.
--- a/internal/store/recover_test.go
+++ b/internal/store/recover_test.go
@@ -8,10 +8,10 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestRecover checks that after the permanent loss of the majority one member continues alone from its data directory,
-// under a new store id, with revisions and tokens above all earlier ones. A lost member that returns is excluded, and
-// can be added again with an empty directory.
-func TestRecover(t *testing.T) {
+// TestRecoversFromLostMajority checks that after the permanent loss of the majority one member continues alone from its
+// data directory, under a new store id, with revisions and tokens above all earlier ones. A lost member that returns is
+// excluded, and can be added again with an empty directory.
+func TestRecoversFromLostMajority(t *testing.T) {
 	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
 	for name := range cluster.stores {
--- a/internal/store/start_test.go
+++ b/internal/store/start_test.go
@@ -12,9 +12,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestKeptOut checks that a member is excluded if it starts on an older copy of its data directory, an empty one,
-// another member's or another store's, and participates with its own.
-func TestKeptOut(t *testing.T) {
+// TestExcludesMemberOnWrongDataDir checks that a member is excluded if it starts on an older copy of its data
+// directory, an empty one, another member's or another store's, and participates with its own.
+func TestExcludesMemberOnWrongDataDir(t *testing.T) {
 	cluster := newDiskCluster(t, 3, shortElectionTimeout)
 	cluster.write("a", "1")
 	cluster.expectDocument("n2", "a", "1")
@@ -91,9 +91,9 @@
 	cluster.dirs["n0"] = own
 }
 
-// TestOlderVersionsCountEach checks that members whose version does not support the identity request are counted as
+// TestCountsEachPeerOfOlderVersion checks that members whose version does not support the identity request are counted as
 // separate answers.
-func TestOlderVersionsCountEach(t *testing.T) {
+func TestCountsEachPeerOfOlderVersion(t *testing.T) {
 	members := []Member{{Name: "n0", RaftAddress: standin.FreeAddress(t)}}
 	for i := range 4 {
 		m := Member{Name: fmt.Sprint("n", i+1), RaftAddress: standin.FreeAddress(t), AdminAddress: standin.FreeAddress(t)}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-func TestMembersAgree(t *testing.T) {
+func TestValuesReachAllMembers(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.awaitLeader(t)
 	for i, m := range cluster.members { // a change requested of any member reaches the leader
@@ -16,11 +16,11 @@
 		waitFor(t, "a change through "+m.Name, func() bool { return Client{m.AdminAddress, standin.WaitTimeout}.Set(KeyUwsgiServers, value) == nil })
 		cluster.expectValue(t, KeyUwsgiServers, value)
 	}
-	old := cluster.awaitLeader(t)
-	if err := cluster.stores[old.Name].Close(); err != nil {
+	previous := cluster.awaitLeader(t)
+	if err := cluster.stores[previous.Name].Close(); err != nil {
 		t.Error(err)
 	}
-	delete(cluster.stores, old.Name)
+	delete(cluster.stores, previous.Name)
 	next := cluster.awaitLeader(t)
 	waitFor(t, "a change after the leader died", func() bool { return cluster.stores[next.Name].Set(KeyClosedNodes, "n1") == nil })
 	cluster.expectValue(t, KeyClosedNodes, "n1")
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestStateOutlivesARestart(t *testing.T) {
+func TestValuesSurviveRestart(t *testing.T) {
 	cluster := &testCluster{members: []Member{{Name: "n0", RaftAddress: standin.FreeAddress(t)}}, stores: map[string]*Store{}}
 	dir := t.TempDir()
 	s := cluster.open(t, "n0", dir)
@@ -50,13 +50,13 @@
 	}
 }
 
-func TestAlone(t *testing.T) {
+func TestStoreWithoutMembersValidatesValues(t *testing.T) {
 	s, err := Open(Options{Name: "n0", Logger: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var seen []string
-	s.Watch(func(key, value string) { seen = append(seen, key+"="+value) })
+	var watched []string
+	s.Watch(func(key, value string) { watched = append(watched, key+"="+value) })
 	for _, c := range []struct {
 		key, value string
 		ok         bool
@@ -68,7 +68,7 @@
 			t.Errorf("%s=%s: %v", c.key, c.value, err)
 		}
 	}
-	if got := strings.Join(seen, " "); got != "closed=n1,n2 closed= uwsgi-servers=127.0.0.1:1, 127.0.0.1:2" {
+	if got := strings.Join(watched, " "); got != "closed=n1,n2 closed= uwsgi-servers=127.0.0.1:1, 127.0.0.1:2" {
 		t.Errorf("watched %s", got)
 	}
 	if _, err := Open(Options{Name: "n9", Members: []Member{{Name: "n0", RaftAddress: "127.0.0.1:0"}}, Logger: standin.DiscardLogger}); err == nil {
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -23,8 +23,8 @@
 	stopOnce   sync.Once
 	closeOnce  sync.Once
 
-	voteMu      sync.Mutex
-	emptyFolder func() bool // reports whether the data directory of this member, which joins, is still empty; nil: votes are not withheld
+	voteMu       sync.Mutex
+	dataDirEmpty func() bool // reports whether the joining member's data directory is still empty; nil: votes are not withheld
 }
 
 // transportOptions configure a transport.
@@ -85,9 +85,9 @@
 	for {
 		select {
 		case rpc := <-t.NetworkTransport.Consumer():
-			t.noteProgress(rpc.Command)
-			if refusal := t.refusal(rpc.Command); refusal != nil {
-				rpc.Respond(refusal, nil)
+			t.reportProgress(rpc.Command)
+			if rejection := t.rejectedVote(rpc.Command); rejection != nil {
+				rpc.Respond(rejection, nil)
 				continue
 			}
 			select {
@@ -101,9 +101,9 @@
 	}
 }
 
-// noteProgress reports the progress that a request implies for its sender: a leader has stored the entries that it
+// reportProgress reports the progress that a request implies for its sender: a leader has stored the entries that it
 // sends, and a candidate its term.
-func (t *transport) noteProgress(command any) {
+func (t *transport) reportProgress(command any) {
 	var sender []byte
 	var progress quorum.Progress
 	switch c := command.(type) {
@@ -123,7 +123,7 @@
 }
 
 // refusal returns the negative response to a vote request while votes are withheld, and nil otherwise.
-func (t *transport) refusal(command any) any {
+func (t *transport) rejectedVote(command any) any {
 	switch command.(type) {
 	case *raft.RequestVoteRequest:
 		if t.withholdsVotes() {
@@ -138,10 +138,10 @@
 }
 
 // withholdVotesWhile makes this member grant no votes while dataDirEmpty returns true.
-func (t *transport) withholdVotesWhile(emptyFolder func() bool) {
+func (t *transport) withholdVotesWhile(dataDirEmpty func() bool) {
 	t.voteMu.Lock()
 	defer t.voteMu.Unlock()
-	t.emptyFolder = emptyFolder
+	t.dataDirEmpty = dataDirEmpty
 }
 
 // withholdsVotes reports whether this member grants no votes. A member that joins with an empty data directory may have
@@ -150,10 +150,10 @@
 func (t *transport) withholdsVotes() bool {
 	t.voteMu.Lock()
 	defer t.voteMu.Unlock()
-	if t.emptyFolder != nil && !t.emptyFolder() {
-		t.emptyFolder = nil
+	if t.dataDirEmpty != nil && !t.dataDirEmpty() {
+		t.dataDirEmpty = nil
 	}
-	return t.emptyFolder != nil
+	return t.dataDirEmpty != nil
 }
 
 // acknowledged returns the progress that a response to entries implies for the responder.
@@ -202,11 +202,11 @@
 
 // AppendEntriesPipeline implements raft.Transport.
 func (t *transport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline, error) {
-	below, err := t.NetworkTransport.AppendEntriesPipeline(id, target)
+	inner, err := t.NetworkTransport.AppendEntriesPipeline(id, target)
 	if err != nil {
 		return nil, err
 	}
-	p := &pipeline{AppendPipeline: below, out: make(chan raft.AppendFuture), done: make(chan struct{})}
+	p := &pipeline{AppendPipeline: inner, responses: make(chan raft.AppendFuture), done: make(chan struct{})}
 	go p.forwardResponses(func(progress quorum.Progress) { t.onProgress(string(id), progress) })
 	return p, nil
 }
@@ -214,7 +214,7 @@
 // pipeline forwards the responses to entries, and reports the progress that they imply.
 type pipeline struct {
 	raft.AppendPipeline
-	out       chan raft.AppendFuture
+	responses chan raft.AppendFuture
 	done      chan struct{}
 	closeOnce sync.Once
 }
@@ -227,7 +227,7 @@
 				onProgress(acknowledged(f.Request(), f.Response()))
 			}
 			select {
-			case p.out <- f:
+			case p.responses <- f:
 			case <-p.done:
 				return
 			}
@@ -238,7 +238,7 @@
 }
 
 // Consumer implements raft.AppendPipeline.
-func (p *pipeline) Consumer() <-chan raft.AppendFuture { return p.out }
+func (p *pipeline) Consumer() <-chan raft.AppendFuture { return p.responses }
 
 // Close implements raft.AppendPipeline.
 func (p *pipeline) Close() error {
--- a/internal/store/transport_test.go
+++ b/internal/store/transport_test.go
@@ -11,10 +11,10 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestNewFoldersDoNotVote checks that a joining member grants no vote while its data directory is empty, and passes
+// TestJoiningMemberWithholdsVotes checks that a joining member grants no vote while its data directory is empty, and passes
 // vote requests to raft afterwards.
-func TestNewFoldersDoNotVote(t *testing.T) {
-	at := func() (*transport, raft.ServerAddress) {
+func TestJoiningMemberWithholdsVotes(t *testing.T) {
+	listenLocal := func() (*transport, raft.ServerAddress) {
 		address := standin.FreeAddress(t)
 		l, err := listen(transportOptions{
 			address:    address,
@@ -35,20 +35,20 @@
 		})
 		return l, raft.ServerAddress(address)
 	}
-	asks, _ := at()
-	joined, to := at()
-	var blank atomic.Bool
-	blank.Store(true)
-	joined.withholdVotesWhile(blank.Load)
+	candidate, _ := listenLocal()
+	joined, address := listenLocal()
+	var empty atomic.Bool
+	empty.Store(true)
+	joined.withholdVotesWhile(empty.Load)
 	go func() {
 		rpc := <-joined.Consumer()
 		rpc.Respond(&raft.RequestVoteResponse{Granted: true}, nil)
 	}()
 	for _, want := range []bool{false, true} {
 		var got raft.RequestVoteResponse
-		if err := asks.RequestVote(raft.ServerID(to), to, &raft.RequestVoteRequest{Term: 3}, &got); err != nil || got.Granted != want {
+		if err := candidate.RequestVote(raft.ServerID(address), address, &raft.RequestVoteRequest{Term: 3}, &got); err != nil || got.Granted != want {
 			t.Errorf("granted: %v, %v, want %v", got.Granted, err, want)
 		}
-		blank.Store(false)
+		empty.Store(false)
 	}
 }
