--- a/internal/idempotency/compositejournal/compositejournal_test.go
+++ b/internal/idempotency/compositejournal/compositejournal_test.go
@@ -14,28 +14,28 @@
 // fakeJournal records the calls to one of the two journals.
 type fakeJournal struct {
 	name      string
-	told      *[]string                 // calls to both journals, in order
-	returned  error                     // error returned by RecordStart
+	calls     *[]string                 // calls to both journals, in order
+	startErr  error                     // error returned by RecordStart
 	result    error                     // error that RecordStart passes to done
 	held      map[string]node.RunRecord // records of other processes, by key
 	callbacks []func()                  // done callbacks of starts
 }
 
-func (f *fakeJournal) note(what string, b node.RunRecord) {
-	*f.told = append(*f.told, f.name+" "+what+" "+b.Key)
+func (f *fakeJournal) record(what string, b node.RunRecord) {
+	*f.calls = append(*f.calls, f.name+" "+what+" "+b.Key)
 }
 
 func (f *fakeJournal) RecordStart(b node.RunRecord, done func(error)) error {
-	if f.returned != nil {
-		return f.returned
+	if f.startErr != nil {
+		return f.startErr
 	}
-	f.note("start", b)
+	f.record("start", b)
 	err := f.result
 	f.callbacks = append(f.callbacks, func() { done(err) })
 	return nil
 }
-func (f *fakeJournal) RecordEnd(b node.RunRecord)                   { f.note("end", b) }
-func (f *fakeJournal) Withdraw(b node.RunRecord)                    { f.note("withdraw", b) }
+func (f *fakeJournal) RecordEnd(b node.RunRecord)                   { f.record("end", b) }
+func (f *fakeJournal) Withdraw(b node.RunRecord)                    { f.record("withdraw", b) }
 func (f *fakeJournal) NotifyOnChange(_ node.RunRecord, done func()) { go done() }
 func (f *fakeJournal) Lookup(b node.RunRecord) (node.RunRecord, bool) {
 	held, ok := f.held[b.Key]
@@ -62,7 +62,7 @@
 type journalCase struct {
 	name    string
 	play    func(j *Journal, shared, log *fakeJournal, start func())
-	told    string // calls to the shared journal s and the run log r, in order
+	calls   string // calls to the shared journal s and the run log r, in order
 	result  string // result of the start
 	backlog int
 }
@@ -72,7 +72,7 @@
 		"s start k, r start k, s end k, r end k", "<nil>", 0},
 	{"the other process holds the key", func(j *Journal, s, r *fakeJournal, start func()) { j.AttachLog(r); s.result = node.ErrKeyHeld; start() },
 		"s start k", node.ErrKeyHeld.Error(), 0},
-	{"the log rejects the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.returned = errBroken; start() },
+	{"the log rejects the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.startErr = errBroken; start() },
 		"s start k", "broken", 0},
 	{"the log fails to write the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.result = errBroken; start() },
 		"s start k, r start k", "broken", 0},
@@ -84,9 +84,9 @@
 		"s start k, s withdraw k", "<nil>", 0},
 	{"the log is attached and rejects the backlog", func(j *Journal, _, r *fakeJournal, start func()) {
 		start()
-		r.returned = errBroken
+		r.startErr = errBroken
 		j.AttachLog(r)
-		r.returned = nil
+		r.startErr = nil
 		j.RetryBacklog()
 		r.runCallbacks()
 	}, "s start k, r start k", "<nil>", 0},
@@ -106,12 +106,12 @@
 	}, "s start k, r start k, s end k, r end k", "<nil>", 0},
 }
 
-// TestBothJournals checks that a start succeeds once both journals have it. Records made before the run log is
+// TestWritesBothJournals checks that a start succeeds once both journals have it. Records made before the run log is
 // attached are written to it afterwards, except those that were withdrawn or superseded by the end of the run.
-func TestBothJournals(t *testing.T) {
+func TestWritesBothJournals(t *testing.T) {
 	for _, c := range journalCases {
-		var told []string
-		shared, log := &fakeJournal{name: "s", told: &told}, &fakeJournal{name: "r", told: &told}
+		var calls []string
+		shared, log := &fakeJournal{name: "s", calls: &calls}, &fakeJournal{name: "r", calls: &calls}
 		j := New(shared, time.Second, standin.DiscardLogger)
 		result := ""
 		c.play(j, shared, log, func() {
@@ -121,8 +121,8 @@
 			shared.runCallbacks()
 			log.runCallbacks()
 		})
-		if got := strings.Join(told, ", "); got != c.told || result != c.result || j.Backlog() != c.backlog {
-			t.Errorf("%s: calls %q, result %s, backlog %d; want %q, %s, %d", c.name, got, result, j.Backlog(), c.told, c.result, c.backlog)
+		if got := strings.Join(calls, ", "); got != c.calls || result != c.result || j.Backlog() != c.backlog {
+			t.Errorf("%s: calls %q, result %s, backlog %d; want %q, %s, %d", c.name, got, result, j.Backlog(), c.calls, c.result, c.backlog)
 		}
 	}
 }
@@ -130,8 +130,8 @@
 // TestShouldRestore checks that the Node restores a record from the run log, unless another process runs its key or
 // has recorded its result.
 func TestShouldRestore(t *testing.T) {
-	var told []string
-	j := New(&fakeJournal{told: &told, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.DiscardLogger)
+	var calls []string
+	j := New(&fakeJournal{calls: &calls, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.DiscardLogger)
 	for key, want := range map[string]bool{"runs": false, "served": false, "lost": true, "unknown": true} {
 		if got := j.ShouldRestore(node.RunRecord{Key: key}); got != want {
 			t.Errorf("%s: %v", key, got)
--- a/internal/idempotency/keystore/bench_test.go
+++ b/internal/idempotency/keystore/bench_test.go
@@ -17,30 +17,30 @@
 			other, c := open(b, dir, now.Now, room), open(b, dir, now.Now, room)
 			for i := range keys {
 				k := runRecord(fmt.Sprint("other", i))
-				if err := begin(b, other, k); err != nil {
+				if err := recordStart(b, other, k); err != nil {
 					b.Fatal(err)
 				}
 				k.Ended, k.Succeeded, k.ResultStored, k.Result = true, true, true, make([]byte, 200)
 				other.RecordEnd(k)
 			}
-			settle(b, other)
-			settle(b, c)
+			awaitSweep(b, other)
+			awaitSweep(b, c)
 			b.ResetTimer()
 			for i := range b.N {
 				k := runRecord(fmt.Sprint("own", i))
 				if _, held := c.Lookup(k); held {
 					b.Fatal("held")
 				}
-				if err := begin(b, c, k); err != nil {
+				if err := recordStart(b, c, k); err != nil {
 					b.Fatal(err)
 				}
 				k.Ended, k.Succeeded, k.ResultStored, k.Result = true, true, true, make([]byte, 200)
 				c.RecordEnd(k)
 			}
 			b.StopTimer()
-			settle(b, c)
+			awaitSweep(b, c)
 			began := time.Now()
-			settle(b, c)
+			awaitSweep(b, c)
 			b.ReportMetric(float64(time.Since(began).Microseconds()), "us/sweep")
 		})
 	}
--- a/internal/idempotency/keystore/bounds_test.go
+++ b/internal/idempotency/keystore/bounds_test.go
@@ -14,17 +14,17 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestDamagedSegment truncates the segment of an exited process at any byte, or changes any byte, and checks that a
+// TestDamagedSegmentStillOpens truncates the segment of an exited process at any byte, or changes any byte, and checks that a
 // Store still opens, that no key has the result of another, and that records after the damage take effect.
-func TestDamagedSegment(t *testing.T) {
+func TestDamagedSegmentStillOpens(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old := open(t, dir, now.Now, nil)
 	keys := []string{"a", "b", "c"}
 	for _, k := range keys {
-		if err := begin(t, old, runRecord(k)); err != nil {
+		if err := recordStart(t, old, runRecord(k)); err != nil {
 			t.Fatal(err)
 		}
-		end(t, old, runRecord(k), "visit "+k)
+		recordEnd(t, old, runRecord(k), "visit "+k)
 	}
 	path := old.ownSegments[0].path
 	if err := old.Close(); err != nil {
@@ -74,10 +74,10 @@
 	check("intact", intact, 3)
 }
 
-// TestFolderIsBounded checks that results are left out above 75 % of the maximum size, that no key can be claimed
+// TestFolderSizeIsBounded checks that results are left out above 75 % of the maximum size, that no key can be claimed
 // above 100 %, that expired segments make room again, and that a folder that can't be written gives an error other
 // than node.ErrKeyHeld.
-func TestFolderIsBounded(t *testing.T) {
+func TestFolderSizeIsBounded(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	small := func(l *limits.KeyStore) { l.TotalBytes, l.SegmentBytes = 4000, 1000 }
 	c, next := open(t, dir, now.Now, small), open(t, dir, now.Now, small)
@@ -85,8 +85,8 @@
 	n := 0
 	for ; full == nil && n < 100; n++ {
 		b := runRecord(fmt.Sprint(n))
-		if full = begin(t, c, b); full == nil {
-			end(t, c, b, strings.Repeat("x", 200))
+		if full = recordStart(t, c, b); full == nil {
+			recordEnd(t, c, b, strings.Repeat("x", 200))
 		}
 	}
 	if s := c.Stats(); !errors.Is(full, ErrFull) || s.Bytes > 4000+400 || s.OwnSegments < 3 {
@@ -97,32 +97,32 @@
 	if !first.ResultStored || !ok || !last.Ended || last.ResultStored {
 		t.Errorf("first result stored: %v; last run ended: %v, result stored: %v", first.ResultStored, last.Ended, last.ResultStored)
 	}
-	now.move(11*time.Second + 1)
-	settle(t, c)
+	now.advance(11*time.Second + 1)
+	awaitSweep(t, c)
 	b := runRecord("later")
-	if b.ArrivedAt = now.Now(); begin(t, c, b) != nil {
+	if b.ArrivedAt = now.Now(); recordStart(t, c, b) != nil {
 		t.Error("no room after all records have expired")
 	}
 	long := runRecord("long")
 	long.ArrivedAt = now.Now()
-	if err := begin(t, c, long); err != nil {
+	if err := recordStart(t, c, long); err != nil {
 		t.Fatal(err)
 	}
-	end(t, c, long, strings.Repeat("x", 20<<10)) // larger than limits.KeyStore.ResultBytes
+	recordEnd(t, c, long, strings.Repeat("x", 20<<10)) // larger than limits.KeyStore.ResultBytes
 	if got, ok := next.Lookup(long); !ok || !got.Ended || got.ResultStored {
 		t.Errorf("a result that is too long: stored %+v, found %v", got.ResultStored, ok)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	now.move(time.Hour)
-	if err := begin(t, c, runRecord("z")); err == nil || errors.Is(err, node.ErrKeyHeld) {
+	now.advance(time.Hour)
+	if err := recordStart(t, c, runRecord("z")); err == nil || errors.Is(err, node.ErrKeyHeld) {
 		t.Errorf("without a folder: %v", err)
 	}
 }
 
-// TestStartAfterClose checks that a closed Store rejects a start with ErrClosed.
-func TestStartAfterClose(t *testing.T) {
+// TestRejectsStartAfterClose checks that a closed Store rejects a start with ErrClosed.
+func TestRejectsStartAfterClose(t *testing.T) {
 	c := open(t, t.TempDir(), (&clock{now: start}).Now, nil)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/idempotency/keystore/claim.go
+++ b/internal/idempotency/keystore/claim.go
@@ -117,15 +117,15 @@
 	for {
 		select {
 		case <-s.stop:
-			s.flush(nil)
+			s.writeQueue(nil)
 			return
 		case swept := <-s.sweeps:
-			s.flush(s.sweep)
+			s.writeQueue(s.sweep)
 			close(swept)
 		case <-s.wake:
 		case <-poll.C:
 		}
-		s.flush(nil)
+		s.writeQueue(nil)
 		s.mu.Lock()
 		if len(s.watchers) > 0 {
 			s.refresh()
@@ -137,7 +137,7 @@
 
 // flush writes all queued records under the folder's lock. If also is not nil, it then calls also with both locks
 // held.
-func (s *Store) flush(also func()) {
+func (s *Store) writeQueue(also func()) {
 	s.mu.Lock()
 	empty := len(s.queue) == 0
 	s.mu.Unlock()
@@ -200,7 +200,7 @@
 			seg.expiresAt = max(seg.expiresAt, r.ExpiresAt)
 		} else {
 			results[i] = err
-			s.undoRunning(r)
+			s.revertRunning(r)
 		}
 	}
 	if err != nil {
@@ -225,7 +225,7 @@
 		r.Seq = seq
 		bytes += int64(len(r.Result)) + recordOverhead
 		admitted++
-		s.noteRunning(r) // before the write, since the next record may be of the same key
+		s.markRunning(r) // before the write, since the next record may be of the same key
 		s.longestRetention = max(s.longestRetention, time.Duration(r.ExpiresAt-now.UnixNano()))
 	}
 	s.peers.table.ObserveSeq(seq)
@@ -249,9 +249,9 @@
 	return nil
 }
 
-// noteRunning updates runningKeys for a record that is to be written: a start adds its key, an end or a withdrawal
+// markRunning updates runningKeys for a record that is to be written: a start adds its key, an end or a withdrawal
 // removes it.
-func (s *Store) noteRunning(r *format.Record) {
+func (s *Store) markRunning(r *format.Record) {
 	if r.Kind == format.KindStarted {
 		s.runningKeys[r.ID] = true
 	} else {
@@ -259,9 +259,9 @@
 	}
 }
 
-// undoRunning reverts noteRunning for a record that was not written. A key that could not be released stays held,
+// revertRunning reverts markRunning for a record that was not written. A key that could not be released stays held,
 // since the other processes still consider it held.
-func (s *Store) undoRunning(r *format.Record) {
+func (s *Store) revertRunning(r *format.Record) {
 	if r.Kind == format.KindStarted {
 		delete(s.runningKeys, r.ID)
 	} else {
--- a/internal/idempotency/keystore/folder.go
+++ b/internal/idempotency/keystore/folder.go
@@ -20,8 +20,8 @@
 type folder struct {
 	dir        string
 	owner      string   // name of this process
-	lock       *os.File // the first 8 bytes of the file are the generation
-	alive      *os.File
+	lockFile   *os.File // the first 8 bytes of the file are the generation
+	aliveFile  *os.File
 	generation uint64 // last generation seen; others list the folder only if it has changed
 }
 
@@ -39,19 +39,19 @@
 		return nil, err
 	}
 	f = &folder{dir: dir, owner: owner}
-	if f.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+	if f.lockFile, err = os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return nil, err
 	}
 	if err := f.acquireLock(); err != nil {
-		_ = f.lock.Close()
+		_ = f.lockFile.Close()
 		return nil, err
 	}
 	defer f.releaseLock()
 	// The alive file is created and locked under the folder's lock, so that no other process checks it in between and
 	// takes this process for exited.
 	alive := filepath.Join(dir, owner+aliveSuffix)
-	if f.alive, err = os.OpenFile(alive, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err == nil {
-		err = flock(f.alive, syscall.LOCK_EX|syscall.LOCK_NB)
+	if f.aliveFile, err = os.OpenFile(alive, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err == nil {
+		err = flock(f.aliveFile, syscall.LOCK_EX|syscall.LOCK_NB)
 	}
 	if err == nil {
 		err = f.advanceGeneration()
@@ -73,16 +73,16 @@
 }
 
 // acquireLock blocks until it holds the folder's lock. The kernel releases the lock of a process that dies.
-func (f *folder) acquireLock() error { return flock(f.lock, syscall.LOCK_EX) }
+func (f *folder) acquireLock() error { return flock(f.lockFile, syscall.LOCK_EX) }
 
-func (f *folder) releaseLock() { _ = flock(f.lock, syscall.LOCK_UN) }
+func (f *folder) releaseLock() { _ = flock(f.lockFile, syscall.LOCK_UN) }
 
 // advanceGeneration increments the generation, so that the other processes look for new processes and segments. The
 // caller holds the folder's lock.
 func (f *folder) advanceGeneration() error {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], f.readGeneration()+1)
-	_, err := f.lock.WriteAt(b[:], 0)
+	_, err := f.lockFile.WriteAt(b[:], 0)
 	return err
 }
 
@@ -96,7 +96,7 @@
 
 func (f *folder) readGeneration() uint64 {
 	var b [8]byte
-	if _, err := f.lock.ReadAt(b[:], 0); err != nil {
+	if _, err := f.lockFile.ReadAt(b[:], 0); err != nil {
 		return 0 // no process has joined yet
 	}
 	return binary.LittleEndian.Uint64(b[:])
@@ -121,7 +121,7 @@
 }
 
 // list returns the segments and the names of the other processes.
-func (f *folder) list() (found []*segment, owners []string, err error) {
+func (f *folder) listPeers() (found []*segment, owners []string, err error) {
 	entries, err := os.ReadDir(f.dir)
 	if err != nil {
 		return nil, nil, err
@@ -159,7 +159,7 @@
 
 // close closes the lock file and the alive file, and so releases the lock that marks this process as alive.
 func (f *folder) close() {
-	for _, file := range []*os.File{f.alive, f.lock} {
+	for _, file := range []*os.File{f.aliveFile, f.lockFile} {
 		if file != nil {
 			_ = file.Close()
 		}
--- a/internal/idempotency/keystore/format/format_test.go
+++ b/internal/idempotency/keystore/format/format_test.go
@@ -15,9 +15,9 @@
 	{Kind: KindWithdrawn, Seq: 1 << 63, ID: ID{255}, ExpiresAt: 1 << 62},
 }
 
-// TestCutAndFlipped checks that a record decodes as it was encoded, that it is incomplete if truncated at any byte,
-// and that it is rejected if any bit is flipped or if it has another segment's salt.
-func TestCutAndFlipped(t *testing.T) {
+// TestRejectsTruncatedAndCorruptRecords checks that a record decodes as it was encoded, that it is incomplete if
+// truncated at any byte, and that it is rejected if any bit is flipped or if it has another segment's salt.
+func TestRejectsTruncatedAndCorruptRecords(t *testing.T) {
 	const salt = Salt(99)
 	for _, want := range records {
 		b := salt.AppendRecord(nil, want)
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestHeader checks that a header decodes as it was encoded, and that a truncated one and one of another version
-// give different errors.
-func TestHeader(t *testing.T) {
+// TestRejectsTruncatedAndForeignHeaders checks that a header decodes as it was encoded, and that a truncated one and
+// one of another version give different errors.
+func TestRejectsTruncatedAndForeignHeaders(t *testing.T) {
 	header := Header(12)
 	if s, err := ParseHeader(header); s != 12 || err != nil {
 		t.Errorf("%d, %v", s, err)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestStoredForm checks the encoded bytes, which processes of other versions of this program read.
-func TestStoredForm(t *testing.T) {
+// TestStoredFormat checks the encoded bytes, which processes of other versions of this program read.
+func TestStoredFormat(t *testing.T) {
 	const salt = Salt(99)
 	if got, want := hex.EncodeToString(Header(salt)), "534c434c010000006300000000000000"; got != want {
 		t.Errorf("header %s, want %s", got, want)
--- a/internal/idempotency/keystore/inspect.go
+++ b/internal/idempotency/keystore/inspect.go
@@ -22,14 +22,14 @@
 		return nil, nil
 	}
 	var err error
-	if f.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR, 0); err == nil {
+	if f.lockFile, err = os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR, 0); err == nil {
 		err = f.acquireLock()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("keystore: %w", err)
 	}
 	defer f.close()
-	found, owners, err := f.list()
+	found, owners, err := f.listPeers()
 	if err != nil {
 		return nil, fmt.Errorf("keystore: %w", err)
 	}
--- a/internal/idempotency/keystore/keystate/table_test.go
+++ b/internal/idempotency/keystore/keystate/table_test.go
@@ -8,13 +8,13 @@
 	"sloehitch/internal/idempotency/keystore/format"
 )
 
-// TestAnyOrder checks that the table does not depend on how the records of several processes are interleaved when
-// they are read: it arrives at the state given by the order in which they were written.
-func TestAnyOrder(t *testing.T) {
+// TestResultIsIndependentOfReadOrder checks that the table does not depend on how the records of several processes
+// are interleaved when they are read: it arrives at the state given by the order in which they were written.
+func TestResultIsIndependentOfReadOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes, keys = 3, 3
 		holder := map[byte]int{} // holder of each key
-		told := map[int][]format.Record{}
+		unread := map[int][]format.Record{}
 		want := map[byte]format.Record{}
 		for seq := uint64(1); seq <= uint64(rapid.IntRange(1, 30).Draw(t, "records")); seq++ {
 			key := byte(rapid.IntRange(1, keys).Draw(t, "key"))
@@ -33,14 +33,14 @@
 				r.Kind = format.KindEnded
 			}
 			want[key] = r
-			told[owner] = append(told[owner], r)
+			unread[owner] = append(unread[owner], r)
 		}
 		table := New()
-		for len(told) > 0 {
-			owner := rapid.SampledFrom(sortedKeys(told)).Draw(t, "read")
-			table.Apply(owner, told[owner][0], Location{Segment: owner})
-			if told[owner] = told[owner][1:]; len(told[owner]) == 0 {
-				delete(told, owner)
+		for len(unread) > 0 {
+			owner := rapid.SampledFrom(sortedKeys(unread)).Draw(t, "read")
+			table.Apply(owner, unread[owner][0], Location{Segment: owner})
+			if unread[owner] = unread[owner][1:]; len(unread[owner]) == 0 {
+				delete(unread, owner)
 			}
 		}
 		for key, r := range want {
--- a/internal/idempotency/keystore/keystore_test.go
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -24,7 +24,7 @@
 	return c.now
 }
 
-func (c *clock) move(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
@@ -51,16 +51,16 @@
 }
 
 // begin records a start and waits for its result.
-func begin(t testing.TB, c *Store, b node.RunRecord) error {
+func recordStart(t testing.TB, c *Store, b node.RunRecord) error {
 	t.Helper()
 	done := make(chan error, 1)
 	if err := c.RecordStart(b, func(err error) { done <- err }); err != nil {
 		return err
 	}
-	return wait(t, done)
+	return receive(t, done)
 }
 
-func wait[T any](t testing.TB, c <-chan T) T {
+func receive[T any](t testing.TB, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
@@ -73,18 +73,18 @@
 
 // end records a result and waits until it is written. Waiting for a sweep is enough, since records are written in
 // order.
-func end(t testing.TB, c *Store, b node.RunRecord, result string) {
+func recordEnd(t testing.TB, c *Store, b node.RunRecord, result string) {
 	t.Helper()
 	b.Ended, b.Succeeded, b.ResultStored, b.Result = true, true, true, []byte(result)
 	c.RecordEnd(b)
-	settle(t, c)
+	awaitSweep(t, c)
 }
 
-func settle(t testing.TB, c *Store) {
+func awaitSweep(t testing.TB, c *Store) {
 	t.Helper()
 	swept := make(chan struct{})
 	c.sweeps <- swept
-	wait(t, swept)
+	receive(t, swept)
 }
 
 // TestOneProcessHoldsAKey checks that of two processes only the first to record a start holds the key. The other
@@ -94,41 +94,41 @@
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
 	a, b, w := runRecord("a"), runRecord("b"), runRecord("w")
 	for _, k := range []node.RunRecord{a, b, w} {
-		if err := begin(t, old, k); err != nil {
+		if err := recordStart(t, old, k); err != nil {
 			t.Fatal(err)
 		}
-		if err := begin(t, next, k); !errors.Is(err, node.ErrKeyHeld) {
+		if err := recordStart(t, next, k); !errors.Is(err, node.ErrKeyHeld) {
 			t.Fatalf("a second process claimed key %s: %v", k.Key, err)
 		}
 	}
 	other := a
-	if other.Class = "search"; begin(t, next, other) != nil {
+	if other.Class = "search"; recordStart(t, next, other) != nil {
 		t.Error("the same key of another class can't be claimed")
 	}
-	end(t, old, a, "visit 1")
+	recordEnd(t, old, a, "visit 1")
 	if got, ok := next.Lookup(a); !ok || !got.Ended || !got.Succeeded || string(got.Result) != "visit 1" || got.Protocol != "resp" || got.Fingerprint != a.Fingerprint {
 		t.Errorf("the result of the other process: %+v, %v", got, ok)
 	}
 	old.Withdraw(w)
-	settle(t, old)
-	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
+	awaitSweep(t, old)
+	if _, ok := next.Lookup(w); ok || recordStart(t, next, w) != nil {
 		t.Error("a withdrawn key can't be claimed")
 	}
-	now.move(11*time.Second + 1)
-	if _, ok := next.Lookup(a); ok || begin(t, next, a) != nil {
+	now.advance(11*time.Second + 1)
+	if _, ok := next.Lookup(a); ok || recordStart(t, next, a) != nil {
 		t.Error("an expired key can't be claimed")
 	}
 }
 
-// TestNotifyOnChange checks that a process that waits for another process's key is notified when the run ends or is
-// withdrawn.
-func TestNotifyOnChange(t *testing.T) {
+// TestNotifiesWhenRunEndsOrIsWithdrawn checks that a process that waits for another process's key is notified when
+// the run ends or is withdrawn.
+func TestNotifiesWhenRunEndsOrIsWithdrawn(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
 	b, w := runRecord("b"), runRecord("w")
 	notified := make(chan string, 2)
 	for _, k := range []node.RunRecord{b, w} {
-		if err := begin(t, old, k); err != nil {
+		if err := recordStart(t, old, k); err != nil {
 			t.Fatal(err)
 		}
 		if got, ok := next.Lookup(k); !ok || got.Ended {
@@ -136,21 +136,21 @@
 		}
 		next.NotifyOnChange(k, func() { notified <- k.Key })
 	}
-	end(t, old, b, "visit 2")
-	if k := wait(t, notified); k != "b" {
+	recordEnd(t, old, b, "visit 2")
+	if k := receive(t, notified); k != "b" {
 		t.Errorf("notified of %s", k)
 	}
 	old.Withdraw(w)
-	if k := wait(t, notified); k != "w" {
+	if k := receive(t, notified); k != "w" {
 		t.Errorf("notified of %s", k)
 	}
-	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
+	if _, ok := next.Lookup(w); ok || recordStart(t, next, w) != nil {
 		t.Error("a withdrawn key can't be claimed")
 	}
 }
 
-// TestExchangeNotes checks that processes detect each other and read each other's notes.
-func TestExchangeNotes(t *testing.T) {
+// TestProcessesExchangeNotes checks that processes detect each other and read each other's notes.
+func TestProcessesExchangeNotes(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
 	if n := old.LiveProcesses(standin.WaitTimeout); n != 1 {
@@ -164,16 +164,16 @@
 	}
 }
 
-// TestProcessExits checks that a run that had not ended when its process exited counts as ended without success, and
-// that waiting processes are notified. The exited process's records stay in effect until they expire; then its files
-// are removed.
-func TestProcessExits(t *testing.T) {
+// TestRunOfExitedProcessCountsAsFailed checks that a run that had not ended when its process exited counts as ended
+// without success, and that waiting processes are notified. The exited process's records stay in effect until they
+// expire; then its files are removed.
+func TestRunOfExitedProcessCountsAsFailed(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
-	if err := errors.Join(begin(t, old, runRecord("a")), begin(t, old, runRecord("b"))); err != nil {
+	if err := errors.Join(recordStart(t, old, runRecord("a")), recordStart(t, old, runRecord("b"))); err != nil {
 		t.Fatal(err)
 	}
-	end(t, old, runRecord("b"), "visit")
+	recordEnd(t, old, runRecord("b"), "visit")
 	notified := make(chan struct{})
 	if _, ok := next.Lookup(runRecord("a")); !ok {
 		t.Fatal("key a is not held")
@@ -185,8 +185,8 @@
 	if notes := next.ExchangeNotes(nil); len(notes) != 0 {
 		t.Errorf("notes of a process that has exited: %q", notes)
 	}
-	settle(t, next)
-	wait(t, notified)
+	awaitSweep(t, next)
+	receive(t, notified)
 	third := open(t, dir, now.Now, nil)
 	for _, c := range []*Store{next, third} {
 		if got, ok := c.Lookup(runRecord("a")); !ok || !got.Ended || got.Succeeded {
@@ -195,13 +195,13 @@
 		if got, ok := c.Lookup(runRecord("b")); !ok || string(got.Result) != "visit" {
 			t.Errorf("a result of an exited process: %+v, %v", got, ok)
 		}
-		if err := begin(t, c, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
+		if err := recordStart(t, c, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
 			t.Errorf("a key that may have run: %v", err)
 		}
 	}
-	now.move(11*time.Second + 1)
-	settle(t, third)
-	settle(t, next)
+	now.advance(11*time.Second + 1)
+	awaitSweep(t, third)
+	awaitSweep(t, next)
 	left, _ := filepath.Glob(filepath.Join(dir, "*"+logSuffix))
 	alive, _ := filepath.Glob(filepath.Join(dir, "*"+aliveSuffix))
 	if s := next.Stats(); len(left) != 0 || len(alive) != 2 || s.PeerKeys != 0 || s.Bytes != 0 {
@@ -209,20 +209,20 @@
 	}
 }
 
-// TestClockSetBack checks that setting the clock back frees no key and does not prevent claims.
-func TestClockSetBack(t *testing.T) {
+// TestClockSetBackFreesNoKey checks that setting the clock back frees no key and does not prevent claims.
+func TestClockSetBackFreesNoKey(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
-	if err := begin(t, old, runRecord("a")); err != nil {
+	if err := recordStart(t, old, runRecord("a")); err != nil {
 		t.Fatal(err)
 	}
-	now.move(-time.Hour)
-	settle(t, old)
-	settle(t, next)
-	if err := begin(t, next, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
+	now.advance(-time.Hour)
+	awaitSweep(t, old)
+	awaitSweep(t, next)
+	if err := recordStart(t, next, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
 		t.Errorf("a claim of a held key: %v", err)
 	}
-	if err := begin(t, old, runRecord("b")); err != nil {
+	if err := recordStart(t, old, runRecord("b")); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/idempotency/keystore/lookup.go
+++ b/internal/idempotency/keystore/lookup.go
@@ -96,7 +96,7 @@
 
 // discoverPeers registers new processes and segments.
 func (s *Store) discoverPeers() error {
-	found, owners, err := s.folder.list()
+	found, owners, err := s.folder.listPeers()
 	if err != nil {
 		return err
 	}
--- a/internal/idempotency/keystore/processes.go
+++ b/internal/idempotency/keystore/processes.go
@@ -15,7 +15,7 @@
 	if s.closed {
 		return nil
 	}
-	if _, err := s.folder.alive.WriteAt(note[:min(len(note), s.opts.Limits.NoteBytes)], 0); err != nil {
+	if _, err := s.folder.aliveFile.WriteAt(note[:min(len(note), s.opts.Limits.NoteBytes)], 0); err != nil {
 		s.log.Warn("note to the node's other processes not written", err)
 	}
 	s.refresh()
--- a/internal/idempotency/keystore/processes_test.go
+++ b/internal/idempotency/keystore/processes_test.go
@@ -20,7 +20,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// killedKeys is the number of keys that the processes of TestKilledProcesses claim.
+// killedKeys is the number of keys that the processes of TestNoKeyRunsTwiceWhenProcessesAreKilled claim.
 const killedKeys = 400
 
 // Environment variables for the test binary when it is started as another process.
@@ -46,8 +46,9 @@
 	os.Exit(m.Run())
 }
 
-// claimUntilKilled runs in a child process of TestKilledProcesses. Until it is killed, it claims keys in a random
-// order, and logs a line for each key that it runs and the result of each key that another process ran.
+// claimUntilKilled runs in a child process of TestNoKeyRunsTwiceWhenProcessesAreKilled. Until it is killed, it
+// claims keys in a random order, and logs a line for each key that it runs and the result of each key that another
+// process ran.
 func claimUntilKilled(dir, log string, seed uint64) {
 	now := func() time.Time { return start }
 	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: limits.ForKeyStore(64), Log: standin.DiscardLogger})
@@ -84,8 +85,8 @@
 	fmt.Println("done")
 }
 
-// claimOnFullDisk runs in the child process of TestFullDisk, whose files can't grow beyond a size that truncates a
-// record. It prints a line for each key that reports whether the key is held.
+// claimOnFullDisk runs in the child process of TestTruncatedClaimOnFullDiskIsNotHeld, whose files can't grow beyond
+// a size that truncates a record. It prints a line for each key that reports whether the key is held.
 func claimOnFullDisk(dir string) {
 	signal.Ignore(syscall.SIGXFSZ) // so that the write fails instead
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 1000, Max: 1000}); err != nil {
@@ -110,9 +111,9 @@
 	select {} // stay alive until killed
 }
 
-// TestFullDisk checks that with a full disk, a successful claim is visible to other processes, and that a key whose
-// record was truncated is not held and its claim returns an error.
-func TestFullDisk(t *testing.T) {
+// TestTruncatedClaimOnFullDiskIsNotHeld checks that with a full disk, a successful claim is visible to other
+// processes, and that a key whose record was truncated is not held and its claim returns an error.
+func TestTruncatedClaimOnFullDiskIsNotHeld(t *testing.T) {
 	dir := t.TempDir()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), envFullDisk+"="+dir)
@@ -131,11 +132,11 @@
 	}()
 	c := open(t, dir, func() time.Time { return start }, nil)
 	counts := map[string]int{}
-	for said := bufio.NewScanner(out); said.Scan() && said.Text() != "done"; {
-		word, key, _ := strings.Cut(said.Text(), " ")
-		counts[word]++
-		if _, held := c.Lookup(runRecord(key)); held != (word == "held") {
-			t.Errorf("key %s: claimant reports %s, the other process sees held %v", key, word, held)
+	for output := bufio.NewScanner(out); output.Scan() && output.Text() != "done"; {
+		outcome, key, _ := strings.Cut(output.Text(), " ")
+		counts[outcome]++
+		if _, held := c.Lookup(runRecord(key)); held != (outcome == "held") {
+			t.Errorf("key %s: claimant reports %s, the other process sees held %v", key, outcome, held)
 		}
 	}
 	if counts["held"] < 5 || counts["not"] < 5 {
@@ -193,10 +194,10 @@
 	}
 }
 
-// TestKilledProcesses starts three processes that claim the same keys concurrently, and kills two of them at seeded
-// points. It checks that no key runs twice, and that an answer from a run in another process is the result of the
-// same key.
-func TestKilledProcesses(t *testing.T) {
+// TestNoKeyRunsTwiceWhenProcessesAreKilled starts three processes that claim the same keys concurrently, and kills
+// two of them at seeded points. It checks that no key runs twice, and that an answer from a run in another process
+// is the result of the same key.
+func TestNoKeyRunsTwiceWhenProcessesAreKilled(t *testing.T) {
 	for seed := range uint64(4) {
 		dir := t.TempDir()
 		random := rand.New(rand.NewPCG(seed, 1))
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -15,11 +15,11 @@
 	"sloehitch/internal/testing/standin"
 )
 
-var at = time.UnixMicro(1764576000123456)
+var arrivedAt = time.UnixMicro(1764576000123456)
 
 func open(t *testing.T, fs *simdisk.FS) (*ledger.Store, *Log) {
 	t.Helper()
-	s, err := ledger.Open(fs, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true, Now: func() time.Time { return at }})
+	s, err := ledger.Open(fs, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true, Now: func() time.Time { return arrivedAt }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 }
 
 func runRecord(key string) node.RunRecord {
-	return node.RunRecord{Key: key, Class: "book", Fingerprint: [32]byte{1, 31: 2}, ArrivedAt: at, Window: time.Minute, RequestID: "\xff" + key, Protocol: "resp"}
+	return node.RunRecord{Key: key, Class: "book", Fingerprint: [32]byte{1, 31: 2}, ArrivedAt: arrivedAt, Window: time.Minute, RequestID: "\xff" + key, Protocol: "resp"}
 }
 
 // recordStart records a start and waits until it is durable.
@@ -63,8 +63,8 @@
 	return list
 }
 
-// TestRecovery checks that after a power cut the log contains exactly what was recorded.
-func TestRecovery(t *testing.T) {
+// TestRecordsSurvivePowerLoss checks that after a power cut the log contains exactly what was recorded.
+func TestRecordsSurvivePowerLoss(t *testing.T) {
 	fs := simdisk.New(1)
 	s, l := open(t, fs)
 	for _, key := range []string{"a", "b\x00\xff", "c", "d"} {
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestFullDisk checks that an end or a withdrawal that fails on a full disk is written later, but never after a
-// newer start of its key.
-func TestFullDisk(t *testing.T) {
+// TestRetriesFailedWritesExceptSuperseded checks that an end or a withdrawal that fails on a full disk is written
+// later, but never after a newer start of its key.
+func TestRetriesFailedWritesExceptSuperseded(t *testing.T) {
 	fs := simdisk.New(1)
 	s, l := open(t, fs)
 	for _, key := range []string{"a", "b"} {
@@ -117,15 +117,15 @@
 	}
 }
 
-// TestLateFailure checks that a withdrawal is not repeated if its failure becomes known only while a newer start of
-// its key is being written: the repeated withdrawal would remove that start.
-func TestLateFailure(t *testing.T) {
+// TestDoesNotRepeatSupersededWithdrawal checks that a withdrawal is not repeated if its failure becomes known only
+// while a newer start of its key is being written: the repeated withdrawal would remove that start.
+func TestDoesNotRepeatSupersededWithdrawal(t *testing.T) {
 	_, l := open(t, simdisk.New(1))
 	withdrawal := &ledger.Batch{}
 	withdrawal.Delete([]byte(keyPrefix + "a"))
 	l.newestWrite["a"] = withdrawal // being written
-	hold, entered := make(chan struct{}), make(chan struct{})
-	if err := l.RecordStart(runRecord("first"), func(error) { close(entered); <-hold }); err != nil { // delays later callbacks
+	release, entered := make(chan struct{}), make(chan struct{})
+	if err := l.RecordStart(runRecord("first"), func(error) { close(entered); <-release }); err != nil { // delays later callbacks
 		t.Fatal(err)
 	}
 	<-entered
@@ -135,7 +135,7 @@
 	}
 	l.writeReturned("a", withdrawal, ledger.ErrNotWritten)
 	l.RetryFailed()
-	close(hold)
+	close(release)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestCorruptRecord checks that a record that can't be decoded is an error and is not skipped.
-func TestCorruptRecord(t *testing.T) {
+// TestForEachFailsOnCorruptRecord checks that a record that can't be decoded is an error and is not skipped.
+func TestForEachFailsOnCorruptRecord(t *testing.T) {
 	s, l := open(t, simdisk.New(1))
 	for _, value := range []string{"\xff\xff", "", "\x08\x01"} {
 		if err := s.Put([]byte(keyPrefix+"k"), []byte(value), time.Time{}); err != nil {
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestStoredForm checks the bytes in the ledger, which other versions of this program read.
-func TestStoredForm(t *testing.T) {
+// TestStoredFormat checks the bytes in the ledger, which other versions of this program read.
+func TestStoredFormat(t *testing.T) {
 	s, l := open(t, simdisk.New(1))
 	recordStart(t, l, "a")
 	ended := runRecord("b")
