--- a/internal/idempotency/keystore/claim.go
+++ b/internal/idempotency/keystore/claim.go
@@ -269,7 +269,8 @@
 	}
 }
 
-// segmentAgeDivisor divides the longest retention time; a segment is appended to for at least the quotient.
+// segmentAgeDivisor divides the longest retention time; the maximum age of a segment that is appended to is at least
+// the quotient.
 const segmentAgeDivisor = 16
 
 // writableSegment returns the own segment to append to. It creates a new one if the last one is too large or too
--- a/internal/store/quorum/modelcheck/faults.go
+++ b/internal/store/quorum/modelcheck/faults.go
@@ -95,8 +95,9 @@
 
 func (w *world) heal() { clear(w.partitioned) }
 
-// mayLoseDirectory reports whether a member may lose its data directory: all other members participate. The loss can't
-// be detected if no responsive member remembers the lost progress, and two lost directories of three are a majority.
+// mayLoseDirectory reports whether a member may lose its data directory: it has an older copy, and all other members
+// participate in a store of three or more voters. The loss can't be detected if no responsive member remembers the lost
+// progress, and two lost directories of three are a majority.
 func (w *world) mayLoseDirectory(m *member) bool {
 	missing := func(o *member) bool { return o != m && !o.participating || o.voters() < 3 }
 	return !slices.ContainsFunc(w.members, missing) && m.running && m.olderCopy != nil
--- a/internal/store/quorum/progress.go
+++ b/internal/store/quorum/progress.go
@@ -2,9 +2,8 @@
 
 import "fmt"
 
-// Progress is how far a member has committed itself towards the others: the highest term in which it acted and the last
-// log entry that it acknowledged. Neither goes back while its data directory is intact, since entries are replaced only
-// by entries of a later term.
+// Progress is what a member has acknowledged to the others: the highest term in which it acted, and the last log entry.
+// Neither goes back while its data directory is intact, since entries are replaced only by entries of a later term.
 type Progress struct {
 	Term      uint64 `json:"term"`
 	EntryTerm uint64 `json:"entry_term"`
