--- a/cmd/sloehitch/fleet_test.go
+++ b/cmd/sloehitch/fleet_test.go
@@ -27,7 +27,7 @@
 		{"put with an outdated version", "put release v1 --version 0 --by ann --why rollout", "", "release: version 2, not 0"},
 		{"put next version", "put release v2 --version 2 --by bob --why fix --id once", "revision 3", ""},
 		{"put repeated with its id", "put release v2 --version 2 --by bob --why fix --id once", "revision 3", ""},
-		{"another put with that id", "put release v3 --version 3 --by bob --why fix --id once", "", "another request's"},
+		{"another put with that id", "put release v3 --version 3 --by bob --why fix --id once", "", "was already used by another request"},
 		{"put with a value and --delete", "put release v3 --delete --version 3 --by bob --why fix", "", "not both"},
 		{"put without a reason", "put release v3 --version 3 --by bob", "", "--why"},
 		{"show", "show rel", "release\t3\tv2", ""},
--- a/internal/idempotency/compositejournal/compositejournal_test.go
+++ b/internal/idempotency/compositejournal/compositejournal_test.go
@@ -11,38 +11,38 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// fakeJournal notes what one of the two was told.
+// fakeJournal records the calls to one of the two journals.
 type fakeJournal struct {
 	name      string
-	told      *[]string                 // by both, in order
-	returned  error                     // by RecordStart
-	result    error                     // that RecordStart passes to done
-	held      map[string]node.RunRecord // by other processes
-	callbacks []func()                  // of starts
+	calls     *[]string                 // calls to both journals, in order
+	startErr  error                     // error returned by RecordStart
+	result    error                     // error that RecordStart passes to done
+	held      map[string]node.RunRecord // records of other processes, by key
+	callbacks []func()                  // done callbacks of starts
 }
 
-func (f *fakeJournal) note(what string, b node.RunRecord) {
-	*f.told = append(*f.told, f.name+" "+what+" "+b.Key)
+func (f *fakeJournal) record(what string, b node.RunRecord) {
+	*f.calls = append(*f.calls, f.name+" "+what+" "+b.Key)
 }
 
 func (f *fakeJournal) RecordStart(b node.RunRecord, done func(error)) error {
-	if f.returned != nil {
-		return f.returned
+	if f.startErr != nil {
+		return f.startErr
 	}
-	f.note("start", b)
+	f.record("start", b)
 	err := f.result
 	f.callbacks = append(f.callbacks, func() { done(err) })
 	return nil
 }
-func (f *fakeJournal) RecordEnd(b node.RunRecord)                   { f.note("end", b) }
-func (f *fakeJournal) Withdraw(b node.RunRecord)                    { f.note("withdraw", b) }
+func (f *fakeJournal) RecordEnd(b node.RunRecord)                   { f.record("end", b) }
+func (f *fakeJournal) Withdraw(b node.RunRecord)                    { f.record("withdraw", b) }
 func (f *fakeJournal) NotifyOnChange(_ node.RunRecord, done func()) { go done() }
 func (f *fakeJournal) Lookup(b node.RunRecord) (node.RunRecord, bool) {
 	held, ok := f.held[b.Key]
 	return held, ok
 }
 
-// runCallbacks calls done of all starts so far.
+// runCallbacks calls done for all pending starts.
 func (f *fakeJournal) runCallbacks() {
 	for len(f.callbacks) > 0 {
 		next := f.callbacks[0]
@@ -57,21 +57,23 @@
 	ended     = node.RunRecord{Key: "k", Ended: true}
 )
 
-// journalCase is a sequence of calls; start records the start of the run and calls all callbacks.
+// journalCase is a sequence of calls and its expected effect. The start passed to play records the start of the run
+// and calls all callbacks.
 type journalCase struct {
 	name    string
 	play    func(j *Journal, shared, log *fakeJournal, start func())
-	told    string // to the shared journal s and the run log r, in order
-	result  string // of the start
+	calls   string // calls to the shared journal s and the run log r, in order
+	result  string // result of the start
 	backlog int
 }
 
 var journalCases = []journalCase{
-	{"both at once", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); start(); j.RecordEnd(ended) },
+	{"the log is attached first", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); start(); j.RecordEnd(ended) },
 		"s start k, r start k, s end k, r end k", "<nil>", 0},
 	{"the other process holds the key", func(j *Journal, s, r *fakeJournal, start func()) { j.AttachLog(r); s.result = node.ErrKeyHeld; start() },
 		"s start k", node.ErrKeyHeld.Error(), 0},
-	{"the log refuses the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.returned = errBroken; start() }, "s start k", "broken", 0},
+	{"the log rejects the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.startErr = errBroken; start() },
+		"s start k", "broken", 0},
 	{"the log fails to write the start", func(j *Journal, _, r *fakeJournal, start func()) { j.AttachLog(r); r.result = errBroken; start() },
 		"s start k, r start k", "broken", 0},
 	{"started, then the log is attached", func(j *Journal, _, r *fakeJournal, start func()) { start(); j.AttachLog(r); r.runCallbacks() },
@@ -80,11 +82,11 @@
 		"s start k, s end k, r end k", "<nil>", 0},
 	{"started and withdrawn, then the log is attached", func(j *Journal, _, r *fakeJournal, start func()) { start(); j.Withdraw(started); j.AttachLog(r) },
 		"s start k, s withdraw k", "<nil>", 0},
-	{"the log is attached and refuses the backlog", func(j *Journal, _, r *fakeJournal, start func()) {
+	{"the log is attached and rejects the backlog", func(j *Journal, _, r *fakeJournal, start func()) {
 		start()
-		r.returned = errBroken
+		r.startErr = errBroken
 		j.AttachLog(r)
-		r.returned = nil
+		r.startErr = nil
 		j.RetryBacklog()
 		r.runCallbacks()
 	}, "s start k, r start k", "<nil>", 0},
@@ -94,7 +96,7 @@
 		j.AttachLog(r)
 		r.runCallbacks()
 	}, "s start k, r start k", "<nil>", 1},
-	{"the same, but the run has ended meanwhile", func(j *Journal, _, r *fakeJournal, start func()) {
+	{"the log fails to write the backlog, and the run has ended meanwhile", func(j *Journal, _, r *fakeJournal, start func()) {
 		start()
 		r.result = errBroken
 		j.AttachLog(r)
@@ -104,12 +106,12 @@
 	}, "s start k, r start k, s end k, r end k", "<nil>", 0},
 }
 
-// TestBothJournals: a start is made once both journals have it. What the run log missed while another process had it,
-// it is told in the end, and nothing that was withdrawn or has ended meanwhile is told wrongly.
-func TestBothJournals(t *testing.T) {
+// TestWritesBothJournals checks that a start succeeds once both journals have it. Records made before the run log is
+// attached are written to it afterwards, except those that were withdrawn or superseded by the end of the run.
+func TestWritesBothJournals(t *testing.T) {
 	for _, c := range journalCases {
-		var told []string
-		shared, log := &fakeJournal{name: "s", told: &told}, &fakeJournal{name: "r", told: &told}
+		var calls []string
+		shared, log := &fakeJournal{name: "s", calls: &calls}, &fakeJournal{name: "r", calls: &calls}
 		j := New(shared, time.Second, standin.DiscardLogger)
 		result := ""
 		c.play(j, shared, log, func() {
@@ -119,17 +121,17 @@
 			shared.runCallbacks()
 			log.runCallbacks()
 		})
-		if got := strings.Join(told, ", "); got != c.told || result != c.result || j.Backlog() != c.backlog {
-			t.Errorf("%s: told %q, result %s, backlog %d; want %q, %s, %d", c.name, got, result, j.Backlog(), c.told, c.result, c.backlog)
+		if got := strings.Join(calls, ", "); got != c.calls || result != c.result || j.Backlog() != c.backlog {
+			t.Errorf("%s: calls %q, result %s, backlog %d; want %q, %s, %d", c.name, got, result, j.Backlog(), c.calls, c.result, c.backlog)
 		}
 	}
 }
 
-// TestShouldRestore: the Node is told of what the run log has, but for what another process runs or has recorded a
-// result of.
+// TestShouldRestore checks that the Node restores a record from the run log, unless another process runs its key or
+// has recorded its result.
 func TestShouldRestore(t *testing.T) {
-	var told []string
-	j := New(&fakeJournal{told: &told, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.DiscardLogger)
+	var calls []string
+	j := New(&fakeJournal{calls: &calls, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.DiscardLogger)
 	for key, want := range map[string]bool{"runs": false, "served": false, "lost": true, "unknown": true} {
 		if got := j.ShouldRestore(node.RunRecord{Key: key}); got != want {
 			t.Errorf("%s: %v", key, got)
--- a/internal/idempotency/keystore/keystore_test.go
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// clock is a clock that tests move.
+// clock is a clock that tests set.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -24,7 +24,7 @@
 	return c.now
 }
 
-func (c *clock) move(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
@@ -50,109 +50,111 @@
 	return node.RunRecord{Key: key, Class: "book", ArrivedAt: start, Window: 10 * time.Second, Fingerprint: [32]byte{1}, Protocol: "resp"}
 }
 
-// begin records a start and waits for the result.
-func begin(t testing.TB, c *Store, b node.RunRecord) error {
+// begin records a start and waits for its result.
+func recordStart(t testing.TB, c *Store, b node.RunRecord) error {
 	t.Helper()
 	done := make(chan error, 1)
 	if err := c.RecordStart(b, func(err error) { done <- err }); err != nil {
 		return err
 	}
-	return wait(t, done)
+	return receive(t, done)
 }
 
-func wait[T any](t testing.TB, c <-chan T) T {
+func receive[T any](t testing.TB, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(standin.WaitTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting on a channel")
 		panic("unreached")
 	}
 }
 
-// end records a result and waits until it is written: records are written in order.
-func end(t testing.TB, c *Store, b node.RunRecord, result string) {
+// end records a result and waits until it is written. Waiting for a sweep is enough, since records are written in
+// order.
+func recordEnd(t testing.TB, c *Store, b node.RunRecord, result string) {
 	t.Helper()
 	b.Ended, b.Succeeded, b.ResultStored, b.Result = true, true, true, []byte(result)
 	c.RecordEnd(b)
-	settle(t, c)
+	awaitSweep(t, c)
 }
 
-func settle(t testing.TB, c *Store) {
+func awaitSweep(t testing.TB, c *Store) {
 	t.Helper()
 	swept := make(chan struct{})
 	c.sweeps <- swept
-	wait(t, swept)
+	receive(t, swept)
 }
 
-// TestOneProcessHoldsAKey: of two processes only the first to record a start holds the key. The other gets the result
-// of its run, and may have the key once it was withdrawn or has expired.
+// TestOneProcessHoldsAKey checks that of two processes only the first to record a start holds the key. The other
+// gets the result of its run, and can claim the key once it was withdrawn or has expired.
 func TestOneProcessHoldsAKey(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
 	a, b, w := runRecord("a"), runRecord("b"), runRecord("w")
 	for _, k := range []node.RunRecord{a, b, w} {
-		if err := begin(t, old, k); err != nil {
+		if err := recordStart(t, old, k); err != nil {
 			t.Fatal(err)
 		}
-		if err := begin(t, next, k); !errors.Is(err, node.ErrKeyHeld) {
-			t.Fatalf("two hold %s: %v", k.Key, err)
+		if err := recordStart(t, next, k); !errors.Is(err, node.ErrKeyHeld) {
+			t.Fatalf("a second process claimed key %s: %v", k.Key, err)
 		}
 	}
 	other := a
-	if other.Class = "search"; begin(t, next, other) != nil {
-		t.Error("the same key of another class is not free")
+	if other.Class = "search"; recordStart(t, next, other) != nil {
+		t.Error("the same key of another class can't be claimed")
 	}
-	end(t, old, a, "visit 1")
+	recordEnd(t, old, a, "visit 1")
 	if got, ok := next.Lookup(a); !ok || !got.Ended || !got.Succeeded || string(got.Result) != "visit 1" || got.Protocol != "resp" || got.Fingerprint != a.Fingerprint {
 		t.Errorf("the result of the other process: %+v, %v", got, ok)
 	}
 	old.Withdraw(w)
-	settle(t, old)
-	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
-		t.Error("a withdrawn key is not free")
+	awaitSweep(t, old)
+	if _, ok := next.Lookup(w); ok || recordStart(t, next, w) != nil {
+		t.Error("a withdrawn key can't be claimed")
 	}
-	now.move(11*time.Second + 1)
-	if _, ok := next.Lookup(a); ok || begin(t, next, a) != nil {
-		t.Error("a key that has expired is not free")
+	now.advance(11*time.Second + 1)
+	if _, ok := next.Lookup(a); ok || recordStart(t, next, a) != nil {
+		t.Error("an expired key can't be claimed")
 	}
 }
 
-// TestNotifyOnChange: a process that waits for a key of another process is notified when its run ends or is withdrawn.
-func TestNotifyOnChange(t *testing.T) {
+// TestNotifiesWhenRunEndsOrIsWithdrawn checks that a process that waits for another process's key is notified when
+// the run ends or is withdrawn.
+func TestNotifiesWhenRunEndsOrIsWithdrawn(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
 	b, w := runRecord("b"), runRecord("w")
 	notified := make(chan string, 2)
 	for _, k := range []node.RunRecord{b, w} {
-		if err := begin(t, old, k); err != nil {
+		if err := recordStart(t, old, k); err != nil {
 			t.Fatal(err)
 		}
 		if got, ok := next.Lookup(k); !ok || got.Ended {
-			t.Fatalf("%s runs elsewhere: %+v, %v", k.Key, got, ok)
+			t.Fatalf("key %s, which runs in the other process: %+v, %v", k.Key, got, ok)
 		}
 		next.NotifyOnChange(k, func() { notified <- k.Key })
 	}
-	end(t, old, b, "visit 2")
-	if k := wait(t, notified); k != "b" {
+	recordEnd(t, old, b, "visit 2")
+	if k := receive(t, notified); k != "b" {
 		t.Errorf("notified of %s", k)
 	}
 	old.Withdraw(w)
-	if k := wait(t, notified); k != "w" {
+	if k := receive(t, notified); k != "w" {
 		t.Errorf("notified of %s", k)
 	}
-	if _, ok := next.Lookup(w); ok || begin(t, next, w) != nil {
-		t.Error("a withdrawn key is not free")
+	if _, ok := next.Lookup(w); ok || recordStart(t, next, w) != nil {
+		t.Error("a withdrawn key can't be claimed")
 	}
 }
 
-// TestExchangeNotes: processes see each other, and the notes that each has left.
-func TestExchangeNotes(t *testing.T) {
+// TestProcessesExchangeNotes checks that processes detect each other and read each other's notes.
+func TestProcessesExchangeNotes(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
 	if n := old.LiveProcesses(standin.WaitTimeout); n != 1 {
-		t.Errorf("the old process sees %d others", n)
+		t.Errorf("the old process counts %d other processes", n)
 	}
 	if notes := old.ExchangeNotes([]byte("from old")); len(notes) != 1 || len(notes[0]) != 0 {
 		t.Errorf("notes to the old process: %q", notes)
@@ -162,18 +164,19 @@
 	}
 }
 
-// TestProcessExits: a run that had not ended when its process exited counts as ended without success, and who waits
-// for it is notified. What the process recorded counts until it expires; then its files are gone.
-func TestProcessExits(t *testing.T) {
+// TestRunOfExitedProcessCountsAsFailed checks that a run that had not ended when its process exited counts as ended
+// without success, and that waiting processes are notified. The exited process's records stay in effect until they
+// expire; then its files are removed.
+func TestRunOfExitedProcessCountsAsFailed(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
-	if err := errors.Join(begin(t, old, runRecord("a")), begin(t, old, runRecord("b"))); err != nil {
+	if err := errors.Join(recordStart(t, old, runRecord("a")), recordStart(t, old, runRecord("b"))); err != nil {
 		t.Fatal(err)
 	}
-	end(t, old, runRecord("b"), "visit")
+	recordEnd(t, old, runRecord("b"), "visit")
 	notified := make(chan struct{})
 	if _, ok := next.Lookup(runRecord("a")); !ok {
-		t.Fatal("not held")
+		t.Fatal("key a is not held")
 	}
 	next.NotifyOnChange(runRecord("a"), func() { close(notified) })
 	if err := old.Close(); err != nil {
@@ -182,44 +185,44 @@
 	if notes := next.ExchangeNotes(nil); len(notes) != 0 {
 		t.Errorf("notes of a process that has exited: %q", notes)
 	}
-	settle(t, next)
-	wait(t, notified)
+	awaitSweep(t, next)
+	receive(t, notified)
 	third := open(t, dir, now.Now, nil)
 	for _, c := range []*Store{next, third} {
 		if got, ok := c.Lookup(runRecord("a")); !ok || !got.Ended || got.Succeeded {
-			t.Errorf("unknown end: %+v, %v", got, ok)
+			t.Errorf("a run without a recorded end: %+v, %v", got, ok)
 		}
 		if got, ok := c.Lookup(runRecord("b")); !ok || string(got.Result) != "visit" {
 			t.Errorf("a result of an exited process: %+v, %v", got, ok)
 		}
-		if err := begin(t, c, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
+		if err := recordStart(t, c, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
 			t.Errorf("a key that may have run: %v", err)
 		}
 	}
-	now.move(11*time.Second + 1)
-	settle(t, third)
-	settle(t, next)
+	now.advance(11*time.Second + 1)
+	awaitSweep(t, third)
+	awaitSweep(t, next)
 	left, _ := filepath.Glob(filepath.Join(dir, "*"+logSuffix))
 	alive, _ := filepath.Glob(filepath.Join(dir, "*"+aliveSuffix))
 	if s := next.Stats(); len(left) != 0 || len(alive) != 2 || s.PeerKeys != 0 || s.Bytes != 0 {
-		t.Errorf("left: %v %v %+v", left, alive, s)
+		t.Errorf("remaining segments %v, alive files %v, statistics %+v", left, alive, s)
 	}
 }
 
-// TestClockSetBack: a clock that is set back frees no key and stops no claim.
-func TestClockSetBack(t *testing.T) {
+// TestClockSetBackFreesNoKey checks that setting the clock back frees no key and does not prevent claims.
+func TestClockSetBackFreesNoKey(t *testing.T) {
 	dir, now := t.TempDir(), &clock{now: start}
 	old, next := open(t, dir, now.Now, nil), open(t, dir, now.Now, nil)
-	if err := begin(t, old, runRecord("a")); err != nil {
+	if err := recordStart(t, old, runRecord("a")); err != nil {
 		t.Fatal(err)
 	}
-	now.move(-time.Hour)
-	settle(t, old)
-	settle(t, next)
-	if err := begin(t, next, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
-		t.Errorf("a key that is held: %v", err)
+	now.advance(-time.Hour)
+	awaitSweep(t, old)
+	awaitSweep(t, next)
+	if err := recordStart(t, next, runRecord("a")); !errors.Is(err, node.ErrKeyHeld) {
+		t.Errorf("a claim of a held key: %v", err)
 	}
-	if err := begin(t, old, runRecord("b")); err != nil {
+	if err := recordStart(t, old, runRecord("b")); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -15,11 +15,11 @@
 	"sloehitch/internal/testing/standin"
 )
 
-var at = time.UnixMicro(1764576000123456)
+var arrivedAt = time.UnixMicro(1764576000123456)
 
 func open(t *testing.T, fs *simdisk.FS) (*ledger.Store, *Log) {
 	t.Helper()
-	s, err := ledger.Open(fs, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true, Now: func() time.Time { return at }})
+	s, err := ledger.Open(fs, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true, Now: func() time.Time { return arrivedAt }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 }
 
 func runRecord(key string) node.RunRecord {
-	return node.RunRecord{Key: key, Class: "book", Fingerprint: [32]byte{1, 31: 2}, ArrivedAt: at, Window: time.Minute, RequestID: "\xff" + key, Protocol: "resp"}
+	return node.RunRecord{Key: key, Class: "book", Fingerprint: [32]byte{1, 31: 2}, ArrivedAt: arrivedAt, Window: time.Minute, RequestID: "\xff" + key, Protocol: "resp"}
 }
 
 // recordStart records a start and waits until it is durable.
@@ -47,7 +47,7 @@
 	}
 }
 
-// readAll returns the records as text, and checks the fields that every record has in common.
+// readAll returns the records as text, and checks the fields that are the same in all records.
 func readAll(t *testing.T, l *Log) (list string) {
 	t.Helper()
 	if err := l.ForEach(func(b node.RunRecord) {
@@ -63,8 +63,8 @@
 	return list
 }
 
-// TestRecovery: what was recorded is there after a power cut, and no more.
-func TestRecovery(t *testing.T) {
+// TestRecordsSurvivePowerLoss checks that after a power cut the log contains exactly what was recorded.
+func TestRecordsSurvivePowerLoss(t *testing.T) {
 	fs := simdisk.New(1)
 	s, l := open(t, fs)
 	for _, key := range []string{"a", "b\x00\xff", "c", "d"} {
@@ -77,7 +77,7 @@
 	ended.Ended = true
 	l.RecordEnd(ended)
 	l.Withdraw(runRecord("c"))
-	if err := s.Put([]byte("other/x"), []byte("not ours"), time.Time{}); err != nil { // in order, so all before is durable
+	if err := s.Put([]byte("other/x"), []byte("not ours"), time.Time{}); err != nil { // written in order, so all earlier writes are durable
 		t.Fatal(err)
 	}
 	_, l = open(t, fs.LosePower(1))
@@ -87,8 +87,9 @@
 	}
 }
 
-// TestFullDisk: an end or a withdrawal that finds no room is written later, but never behind a newer start of its key.
-func TestFullDisk(t *testing.T) {
+// TestRetriesFailedWritesExceptSuperseded checks that an end or a withdrawal that fails on a full disk is written
+// later, but never after a newer start of its key.
+func TestRetriesFailedWritesExceptSuperseded(t *testing.T) {
 	fs := simdisk.New(1)
 	s, l := open(t, fs)
 	for _, key := range []string{"a", "b"} {
@@ -104,7 +105,7 @@
 	}
 	l.Withdraw(runRecord("a"))
 	l.Withdraw(runRecord("b"))
-	standin.WaitFor(t, "both have failed", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(l.failedWrites) == 2 })
+	standin.WaitFor(t, "both writes to fail", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(l.failedWrites) == 2 })
 	fs.CapacityBytes = 0
 	recordStart(t, l, "b")
 	l.RetryFailed()
@@ -116,15 +117,15 @@
 	}
 }
 
-// TestLateFailure: a withdrawal that turns out to have failed while a newer start of its key is being written is not
-// repeated: it would have that start forgotten.
-func TestLateFailure(t *testing.T) {
+// TestDoesNotRepeatSupersededWithdrawal checks that a withdrawal is not repeated if its failure becomes known only
+// while a newer start of its key is being written: the repeated withdrawal would remove that start.
+func TestDoesNotRepeatSupersededWithdrawal(t *testing.T) {
 	_, l := open(t, simdisk.New(1))
 	withdrawal := &ledger.Batch{}
 	withdrawal.Delete([]byte(keyPrefix + "a"))
 	l.newestWrite["a"] = withdrawal // being written
-	hold, entered := make(chan struct{}), make(chan struct{})
-	if err := l.RecordStart(runRecord("first"), func(error) { close(entered); <-hold }); err != nil { // keeps later callbacks back
+	release, entered := make(chan struct{}), make(chan struct{})
+	if err := l.RecordStart(runRecord("first"), func(error) { close(entered); <-release }); err != nil { // delays later callbacks
 		t.Fatal(err)
 	}
 	<-entered
@@ -134,7 +135,7 @@
 	}
 	l.writeReturned("a", withdrawal, ledger.ErrNotWritten)
 	l.RetryFailed()
-	close(hold)
+	close(release)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -143,12 +144,12 @@
 		t.Fatal(err)
 	}
 	if got := readAll(t, l); !strings.Contains(got, `"a" false`) || len(l.newestWrite)+len(l.failedWrites) != 0 {
-		t.Errorf("%s; %d being written, %d to be written again", got, len(l.newestWrite), len(l.failedWrites))
+		t.Errorf("%s; %d writes in progress, %d to be retried", got, len(l.newestWrite), len(l.failedWrites))
 	}
 }
 
-// TestCorruptRecord: a record that can't be read is an error, not a record less.
-func TestCorruptRecord(t *testing.T) {
+// TestForEachFailsOnCorruptRecord checks that a record that can't be decoded is an error and is not skipped.
+func TestForEachFailsOnCorruptRecord(t *testing.T) {
 	s, l := open(t, simdisk.New(1))
 	for _, value := range []string{"\xff\xff", "", "\x08\x01"} {
 		if err := s.Put([]byte(keyPrefix+"k"), []byte(value), time.Time{}); err != nil {
@@ -160,8 +161,8 @@
 	}
 }
 
-// TestStoredForm: the bytes on the ledger that other versions of this program read.
-func TestStoredForm(t *testing.T) {
+// TestStoredFormat checks the bytes in the ledger, which other versions of this program read.
+func TestStoredFormat(t *testing.T) {
 	s, l := open(t, simdisk.New(1))
 	recordStart(t, l, "a")
 	ended := runRecord("b")
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -13,8 +13,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestCommitsOncePerIDOnAnyMember: a transaction is committed once for its id through whichever member it is requested; its change
-// is watched and read on all of them, also after the leader died.
+// TestCommitsOncePerIDOnAnyMember checks that a transaction is committed once per id, whichever member receives the
+// requests, and that its change can be watched and read on all members, also after the leader has died.
 func TestCommitsOncePerIDOnAnyMember(t *testing.T) {
 	cluster := newCluster(t, 3)
 	leader := cluster.awaitLeader(t)
@@ -29,9 +29,9 @@
 		return err == nil
 	})
 	for i := range 3 {
-		again, err := cluster.client(i).Commit(tx("t1", "release", "v1"))
-		if err != nil || !again.Duplicate || again.Revision != first.Revision {
-			t.Errorf("a repeat through member %d: %+v, %v", i, again, err)
+		repeat, err := cluster.client(i).Commit(tx("t1", "release", "v1"))
+		if err != nil || !repeat.Duplicate || repeat.Revision != first.Revision {
+			t.Errorf("a repeat through member %d: %+v, %v", i, repeat, err)
 		}
 	}
 	cluster.checkRejected(t)
@@ -57,7 +57,7 @@
 	})
 }
 
-// checkRejected requests transactions that are not committed.
+// checkRejected sends transactions that must be rejected.
 func (cluster *testCluster) checkRejected(t *testing.T) {
 	t.Helper()
 	wrongVersion := tx("t2", "release", "v2", document.Condition{Key: "release", Version: 99})
@@ -67,11 +67,11 @@
 	record := lease.Record{Task: "d", Holder: "me", Token: 9, Serial: 1}
 	withLease := document.Transaction{ID: "t3", Operations: []document.Operation{{Lease: &record}}}
 	if _, err := cluster.client(1).Commit(withLease); err == nil || errors.Is(err, ErrConflict) {
-		t.Errorf("a lease by a transaction: %v", err)
+		t.Errorf("a transaction with a lease: %v", err)
 	}
 }
 
-// checkReads reads the document "release" from each member: confirmed, and as the member has it.
+// checkReads reads the document "release" from each member, confirmed and local.
 func (cluster *testCluster) checkReads(t *testing.T, value string) {
 	t.Helper()
 	for i, m := range cluster.members {
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestDocumentsOutliveARestartAndASnapshot(t *testing.T) {
+func TestDocumentsSurviveSnapshotAndRestart(t *testing.T) {
 	cluster := &testCluster{members: []Member{{Name: "n0", RaftAddress: standin.FreeAddress(t)}}, stores: map[string]*Store{}}
 	dir := t.TempDir()
 	s := cluster.open(t, "n0", dir)
@@ -97,7 +97,7 @@
 		a, err = s.RequestLease("d", LeaseRequest{Action: LeaseAcquire, Holder: "A"})
 		return err == nil
 	})
-	made, err := s.Commit(tx("1", "k", "v"))
+	committed, err := s.Commit(tx("1", "k", "v"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,20 +110,21 @@
 	cluster.awaitLeader(t)
 	waitFor(t, "a repeat after the restart", func() bool {
 		again, err := s.Commit(tx("1", "k", "v"))
-		return err == nil && again.Duplicate && again.Revision == made.Revision
+		return err == nil && again.Duplicate && again.Revision == committed.Revision
 	})
-	if owners, _ := s.Leases(); len(owners) != 1 || owners[0].Token != a.Token {
-		t.Errorf("owners %+v", owners)
+	if leases, _ := s.Leases(); len(leases) != 1 || leases[0].Token != a.Token {
+		t.Errorf("owners %+v", leases)
 	}
-	// A snapshot from before there were documents.
+	// A snapshot written before documents existed.
 	if err := (*stateMachine)(s).Restore(io.NopCloser(bytes.NewReader([]byte(`{"closed":"n7"}`)))); err != nil || s.Get(KeyClosedNodes) != "n7" {
 		t.Errorf("an old snapshot: %v, closed %q", err, s.Get(KeyClosedNodes))
 	}
 }
 
-// TestAWatchOnAMemberThatIsBehind: a watcher resumes on a member that has not yet applied what the watcher has seen on another. The
-// member waits until it has caught up, and returns what changes then; it does not return at once as if no change were remembered.
-func TestAWatchOnAMemberThatIsBehind(t *testing.T) {
+// TestWatchWaitsForLaggingMember checks that a watcher can resume on a member that has not yet applied what the
+// watcher has seen on another. The member waits until it has caught up and returns the changes after that. It must not
+// return at once as if the changes were no longer remembered.
+func TestWatchWaitsForLaggingMember(t *testing.T) {
 	s, err := Open(Options{Name: "n0", Logger: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +134,7 @@
 		t.Fatal(err)
 	}
 	if changes, _, ok := s.Changes("", first.Revision+1, 10*time.Millisecond); ok || len(changes) > 0 {
-		t.Errorf("%+v, ok %v from a member that does not catch up", changes, ok)
+		t.Errorf("%+v, ok %v from a member that stays behind", changes, ok)
 	}
 	type result struct {
 		changes []document.Change
@@ -151,6 +152,6 @@
 		}
 	}
 	if got := <-watched; !got.ok || len(got.changes) != 1 || got.changes[0].Value != "t3" {
-		t.Errorf("%+v, want the change after the one that the caller has", got)
+		t.Errorf("%+v, want the change after the requested revision", got)
 	}
 }
--- a/internal/store/encoding_test.go
+++ b/internal/store/encoding_test.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/store/quorum"
 )
 
-// encodedForm is a value and its JSON.
+// encodedForm is a value and its expected JSON.
 type encodedForm struct {
 	value any
 	json  string
@@ -32,8 +32,8 @@
 	encodedProgressJSON = `{"term":3,"entry_term":2,"index":20}`
 )
 
-// TestStoredForms: what the log, snapshots and data directories hold keeps its form.
-func TestStoredForms(t *testing.T) {
+// TestStoredFormats checks the JSON form of all that is stored in logs, snapshots and data directories.
+func TestStoredFormats(t *testing.T) {
 	transaction := document.Transaction{
 		ID: "i", Author: "b", Reason: "w", UnixMillis: 5,
 		Conditions: []document.Condition{{Key: "k", Version: 1}, {Task: "d", Token: 7}},
@@ -66,8 +66,9 @@
 	})
 }
 
-// TestRequestForms: requests and responses keep the form that operators and members of other versions know.
-func TestRequestForms(t *testing.T) {
+// TestRequestFormats checks the JSON form of requests and responses, which operators and members of other versions rely
+// on.
+func TestRequestFormats(t *testing.T) {
 	status := LeaseStatus{Record: encodedRecord, RemainingMS: 8}
 	statusJSON := `{` + encodedRecordJSON + `,"left_ms":8}`
 	read := readResponse{
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -19,15 +19,15 @@
 )
 
 var (
-	small   = limits.RaftLog{BatchBytes: 200, DeletionsPerFlush: 3, SnapshotPartBytes: 100, SnapshotsKept: 2}
-	options = ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true}
+	smallLimits = limits.RaftLog{BatchBytes: 200, DeletionsPerFlush: 3, SnapshotPartBytes: 100, SnapshotsKept: 2}
+	options     = ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true}
 )
 
 func open(t *testing.T, fs disk.FS) *Log { return openWith(t, fs, options) }
 
 func openWith(t *testing.T, fs disk.FS, o ledger.Options) *Log {
 	t.Helper()
-	l, err := Open(fs, small, o)
+	l, err := Open(fs, smallLimits, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	return &raft.Log{Index: index, Term: term, Type: raft.LogCommand, Data: fmt.Appendf(nil, "entry %d of term %d", index, term), Extensions: []byte("x"), AppendedAt: time.Unix(0, int64(index))}
 }
 
-func (l *Log) holds(t *testing.T, first, last, term uint64) {
+func (l *Log) expectEntries(t *testing.T, first, last, term uint64) {
 	t.Helper()
 	if f, _ := l.FirstIndex(); f != first {
 		t.Errorf("the first entry is %d, want %d", f, first)
@@ -55,11 +55,11 @@
 	}
 }
 
-// TestLog: entries, deletions at both ends and raft's own values, before and after a restart.
-func TestLog(t *testing.T) {
+// TestLogSurvivesRestart checks entries, deletions at both ends and raft's own values, before and after a restart.
+func TestLogSurvivesRestart(t *testing.T) {
 	fs := simdisk.New(1)
 	l := open(t, fs)
-	l.holds(t, 0, 0, 0)
+	l.expectEntries(t, 0, 0, 0)
 	var logs []*raft.Log
 	for i := uint64(5); i < 40; i++ {
 		logs = append(logs, entry(i, 2))
@@ -68,27 +68,27 @@
 		t.Fatal(err)
 	}
 	if err := l.StoreLog(entry(42, 2)); !errors.Is(err, ErrNotContiguous) {
-		t.Error("a gap was taken")
+		t.Error("an entry after a gap was stored")
 	}
-	l.holds(t, 5, 40, 2)
+	l.expectEntries(t, 5, 40, 2)
 	if err := l.GetLog(4, &raft.Log{}); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Errorf("an entry that is not there: %v", err)
+		t.Errorf("an entry that does not exist: %v", err)
 	}
 	if err := l.DeleteRange(10, 20); !errors.Is(err, ErrNotAtAnEnd) {
-		t.Error("entries amid others were deleted")
+		t.Error("entries between others were deleted")
 	}
 	if err := errors.Join(l.DeleteRange(1, 9), l.DeleteRange(30, 99)); err != nil {
 		t.Fatal(err)
 	}
-	l.holds(t, 10, 29, 2)
+	l.expectEntries(t, 10, 29, 2)
 	if _, err := l.Get([]byte("term")); err == nil || err.Error() != "not found" {
-		t.Errorf("a value that is not there: %v", err)
+		t.Errorf("a value that does not exist: %v", err)
 	}
 	if err := errors.Join(l.SetUint64([]byte("term"), 7), l.Set([]byte("vote"), []byte("n1")), l.Close()); err != nil {
 		t.Fatal(err)
 	}
 	l = open(t, fs)
-	l.holds(t, 10, 29, 2)
+	l.expectEntries(t, 10, 29, 2)
 	if n, err := l.GetUint64([]byte("term")); n != 7 || err != nil {
 		t.Errorf("term %d, %v", n, err)
 	}
@@ -101,26 +101,27 @@
 	if err := l.StoreLog(entry(100, 3)); err != nil {
 		t.Errorf("an entry after all were deleted: %v", err)
 	}
-	l.holds(t, 100, 100, 3)
+	l.expectEntries(t, 100, 100, 3)
 }
 
-// TestSnapshots: complete or not there, the newest few stay, a flipped bit is reported, and a log in use is no obstacle.
-func TestSnapshots(t *testing.T) {
+// TestKeepsNewestCompleteSnapshots checks that only complete snapshots are listed, that the newest ones are kept, that
+// snapshots can be written concurrently, and that corrupt content is reported.
+func TestKeepsNewestCompleteSnapshots(t *testing.T) {
 	fs := simdisk.New(1)
 	l := open(t, fs)
-	begun := begin(t, l, 9, 250) // is still being written while others end
+	unfinished := writeSnapshot(t, l, 9, 250) // still being written while others are completed
 	for i := uint64(1); i <= 4; i++ {
-		if err := begin(t, l, i, int(i)*333).Close(); err != nil {
+		if err := writeSnapshot(t, l, i, int(i)*333).Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := begin(t, l, 8, 300).Cancel(); err != nil {
+	if err := writeSnapshot(t, l, 8, 300).Cancel(); err != nil {
 		t.Fatal(err)
 	}
-	if err := begun.Close(); err != nil {
+	if err := unfinished.Close(); err != nil {
 		t.Fatal(err)
 	}
-	begin(t, l, 10, 400) // never ends
+	writeSnapshot(t, l, 10, 400) // is never completed
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -135,19 +136,19 @@
 			t.Errorf("snapshot %d: %d bytes, %v", m.Index, len(text), err)
 		}
 	}
-	if n := l.Ledger().Stats().Keys; n != 2+3+14 { // descriptions and parts: nothing is left of the others
+	if n := l.Ledger().Stats().Keys; n != 2+3+14 { // descriptions and parts of the kept snapshots; nothing remains of the others
 		t.Errorf("%d keys", n)
 	}
 	if err := l.Ledger().Put(partKey(metas[0].ID, 1), make([]byte, 100), time.Time{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := readSnapshot(t, l, metas[0].ID); !errors.Is(err, ErrCorruptSnapshot) {
-		t.Error("bytes that were not written were read")
+		t.Error("a corrupt snapshot was read without an error")
 	}
 }
 
-// begin begins a snapshot and writes its bytes, all equal to its index.
-func begin(t *testing.T, l *Log, index uint64, size int) raft.SnapshotSink {
+// begin begins a snapshot and writes size bytes to it, all equal to its index.
+func writeSnapshot(t *testing.T, l *Log, index uint64, size int) raft.SnapshotSink {
 	t.Helper()
 	s, err := l.Snapshots().Create(1, index, 2, raft.Configuration{Servers: []raft.Server{{ID: "n1"}}}, 1, nil)
 	if err != nil {
@@ -172,46 +173,47 @@
 	return text, err
 }
 
-// TestCuts: the power is cut at random file operations of random work; what was acknowledged is there, entries have no gap,
-// and neither term nor vote goes back.
-func TestCuts(t *testing.T) {
+// TestPowerLossKeepsAcknowledgedChanges cuts the power at random file operations of a random workload. It checks that
+// acknowledged changes are present, that entries have no gap, and that the term does not go back.
+func TestPowerLossKeepsAcknowledgedChanges(t *testing.T) {
 	for seed := range uint64(300) {
-		if violation := cuts(t, seed, options); violation != "" {
+		if violation := simulatePowerLoss(t, seed, options); violation != "" {
 			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// TestMutantIsCaught: a log that acknowledges entries before they are durable is found out.
-func TestMutantIsCaught(t *testing.T) {
-	early := options
-	early.Flush = time.Hour
+// TestDetectsEarlyAcknowledgement checks that TestPowerLossKeepsAcknowledgedChanges would detect a log that
+// acknowledges entries before they are durable.
+func TestDetectsEarlyAcknowledgement(t *testing.T) {
+	delayedFlush := options
+	delayedFlush.Flush = time.Hour
 	for seed := range uint64(20) {
-		if cuts(t, seed, early) != "" {
-			t.Logf("acknowledged before durable: caught by seed %d", seed)
+		if simulatePowerLoss(t, seed, delayedFlush) != "" {
+			t.Logf("acknowledged before durable: detected by seed %d", seed)
 			return
 		}
 	}
-	t.Error("acknowledged before durable: not caught within 20 seeds")
+	t.Error("acknowledged before durable: not detected within 20 seeds")
 }
 
-// cuts runs the simulation of a seed and returns what did not hold.
-func cuts(t *testing.T, seed uint64, o ledger.Options) string {
+// cuts runs the workload of a seed with a power cut, and returns the first violation, or "" if there is none.
+func simulatePowerLoss(t *testing.T, seed uint64, o ledger.Options) string {
 	r := rand.New(rand.NewPCG(seed, 5))
 	fs := simdisk.New(seed)
 	l := openWith(t, fs, o)
-	cut := fs.OperationCount + 1 + r.IntN(60)
+	failingOperation := fs.OperationCount + 1 + r.IntN(60)
 	fs.InjectFault = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
-		if n == cut {
+		if n == failingOperation {
 			return simdisk.FaultPowerLoss
 		}
 		return simdisk.FaultNone
 	}
-	var first, last, term uint64 // acknowledged
-	low, high, goesTo := uint64(0), uint64(0), uint64(0)
+	var first, last, term uint64 // acknowledged state
+	pendingFirst, pendingLast, pendingTerm := uint64(0), uint64(0), uint64(0)
 	for range 40 {
 		var err error
-		low, high, goesTo = first, last, term // what may be there, should this one be cut
+		pendingFirst, pendingLast, pendingTerm = first, last, term // state that is allowed if this change is cut
 		switch k := r.IntN(4); {
 		case k < 2:
 			var logs []*raft.Log
@@ -219,22 +221,22 @@
 			for i := range uint64(1 + r.IntN(12)) {
 				logs = append(logs, entry(from+i, 1))
 			}
-			high = from + uint64(len(logs)) - 1
-			if low == 0 {
-				low = from
+			pendingLast = from + uint64(len(logs)) - 1
+			if pendingFirst == 0 {
+				pendingFirst = from
 			}
 			if err = l.StoreLogs(logs); err == nil {
-				first, last = low, high
+				first, last = pendingFirst, pendingLast
 			}
 		case k == 2 && last > first:
-			low = first + uint64(r.IntN(int(last-first)))
-			if err = l.DeleteRange(0, low-1); err == nil {
-				first = low
+			pendingFirst = first + uint64(r.IntN(int(last-first)))
+			if err = l.DeleteRange(0, pendingFirst-1); err == nil {
+				first = pendingFirst
 			}
 		default:
-			goesTo = term + 1
-			if err = l.Set([]byte("term"), binary.BigEndian.AppendUint64(nil, goesTo)); err == nil { // SetUint64 waits for a disk that works
-				term = goesTo
+			pendingTerm = term + 1
+			if err = l.Set([]byte("term"), binary.BigEndian.AppendUint64(nil, pendingTerm)); err == nil { // not SetUint64, which retries until the disk works
+				term = pendingTerm
 			}
 		}
 		if err != nil {
@@ -243,15 +245,15 @@
 	}
 	_ = l.Close() // fails after a power cut
 	l = openWith(t, fs.LosePower(seed), o)
-	defer func() { _ = l.Close() }() // a folder that is not used again
+	defer func() { _ = l.Close() }() // the directory is not used again
 	f, _ := l.FirstIndex()
 	n, _ := l.LastIndex()
-	if n < last || n > high || f < first && first > 0 || f > low {
-		return fmt.Sprintf("entries %d to %d are there, %d to %d were acknowledged", f, n, first, last)
+	if n < last || n > pendingLast || f < first && first > 0 || f > pendingFirst {
+		return fmt.Sprintf("entries %d to %d are stored, %d to %d were acknowledged", f, n, first, last)
 	}
-	l.holds(t, f, n, 1)
-	if got, _ := l.GetUint64([]byte("term")); got < term || got > goesTo {
-		return fmt.Sprintf("term %d, acknowledged %d", got, term)
+	l.expectEntries(t, f, n, 1)
+	if got, _ := l.GetUint64([]byte("term")); got < term || got > pendingTerm {
+		return fmt.Sprintf("term %d is stored, term %d was acknowledged", got, term)
 	}
 	return ""
 }
--- a/internal/store/transport_test.go
+++ b/internal/store/transport_test.go
@@ -11,9 +11,10 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestNewFoldersDoNotVote: a member that has joined grants no vote until it has anything; then it is raft's to answer.
-func TestNewFoldersDoNotVote(t *testing.T) {
-	at := func() (*transport, raft.ServerAddress) {
+// TestJoiningMemberWithholdsVotes checks that a joining member grants no vote while its data directory is empty, and passes
+// vote requests to raft afterwards.
+func TestJoiningMemberWithholdsVotes(t *testing.T) {
+	listenLocal := func() (*transport, raft.ServerAddress) {
 		address := standin.FreeAddress(t)
 		l, err := listen(transportOptions{
 			address:    address,
@@ -34,20 +35,20 @@
 		})
 		return l, raft.ServerAddress(address)
 	}
-	asks, _ := at()
-	joined, to := at()
-	var blank atomic.Bool
-	blank.Store(true)
-	joined.withholdVotesWhile(blank.Load)
+	candidate, _ := listenLocal()
+	joined, address := listenLocal()
+	var empty atomic.Bool
+	empty.Store(true)
+	joined.withholdVotesWhile(empty.Load)
 	go func() {
 		rpc := <-joined.Consumer()
 		rpc.Respond(&raft.RequestVoteResponse{Granted: true}, nil)
 	}()
 	for _, want := range []bool{false, true} {
 		var got raft.RequestVoteResponse
-		if err := asks.RequestVote(raft.ServerID(to), to, &raft.RequestVoteRequest{Term: 3}, &got); err != nil || got.Granted != want {
+		if err := candidate.RequestVote(raft.ServerID(address), address, &raft.RequestVoteRequest{Term: 3}, &got); err != nil || got.Granted != want {
 			t.Errorf("granted: %v, %v, want %v", got.Granted, err, want)
 		}
-		blank.Store(false)
+		empty.Store(false)
 	}
 }
