--- a/internal/control/disruption/budget.go
+++ b/internal/control/disruption/budget.go
@@ -10,7 +10,7 @@
 
 // How many members of a group may be unavailable at once.
 //
-// Inputs: the group's size (members) and the one bound that is set. allowed =
+// Inputs: the group's size in members, and the one bound that the budget sets. The allowed number is
 //
 //	max_unavailable            most_out (members)
 //	max_unavailable_fraction   floor(most_out_share * size)
@@ -23,11 +23,11 @@
 const (
 	// maxBudgets is how many budgets one fleet may have.
 	maxBudgets = 64
-	// fractionTolerance (members) makes up for binary fractions: a fraction of 0.1 of 10 members is 1.
+	// fractionTolerance, in members, compensates for the rounding of binary fractions: 0.1 of 10 members must be 1.
 	fractionTolerance = 1e-9
 )
 
-// The scopes of a budget, as they are written in its "group".
+// Scopes of a budget: the values of its "group" setting.
 const (
 	scopeFleet   = "fleet"
 	scopeZone    = "zone"
@@ -38,17 +38,17 @@
 var scopes = []string{scopeFleet, scopeZone, scopeKind, scopeService}
 
 var (
-	errNegativeCount   = errors.New("0 or more is wanted")
-	errFractionOutside = errors.New("a share from 0 to 1 is wanted")
+	errNegativeCount   = errors.New("most_out and least_in must be 0 or more")
+	errFractionOutside = errors.New("most_out_share and least_in_share must be from 0 to 1")
 )
 
 // Budget bounds how many members of each group of a scope may be unavailable at once. Exactly one of the four
 // bounds is set.
 type Budget struct {
-	// Scope is "fleet" (all nodes), "zone", "kind" or "service" (upstream servers). There is one group for
-	// each value that members have for the scope.
+	// Scope is "fleet" (all nodes), "zone", "kind" or "service" (upstream servers). Members with the same label
+	// value for the scope form one group.
 	Scope string `toml:"group" json:"group"`
-	// ScopeValue restricts the budget to the group of one value. Empty: every group of the scope.
+	// ScopeValue restricts the budget to the group with this label value. If empty, it bounds every group of the scope.
 	ScopeValue string `toml:"only" json:"only,omitempty"`
 	// MaxUnavailable is a number of members, 0 or more.
 	MaxUnavailable *int `toml:"most_out" json:"most_out,omitempty"`
@@ -65,11 +65,11 @@
 	bounds, boundErr := b.bounds()
 	switch {
 	case !slices.Contains(scopes, b.Scope):
-		return fmt.Errorf("group is %q; write one of %s", b.Scope, strings.Join(scopes, ", "))
+		return fmt.Errorf("unknown group %q: must be one of %s", b.Scope, strings.Join(scopes, ", "))
 	case b.Scope == scopeFleet && b.ScopeValue != "":
-		return fmt.Errorf("only is %q, and there is one fleet; leave it out", b.ScopeValue)
+		return fmt.Errorf("only is %q: must be empty for the group \"fleet\"", b.ScopeValue)
 	case bounds != 1:
-		return fmt.Errorf("%d bounds are set; write one of most_out, most_out_share, least_in, least_in_share", bounds)
+		return fmt.Errorf("%d bounds are set: exactly one of most_out, most_out_share, least_in, least_in_share is required", bounds)
 	}
 	return boundErr
 }
@@ -90,7 +90,7 @@
 			continue
 		}
 		set++
-		if inRange := *fraction >= 0 && *fraction <= 1; !inRange { // NaN is not
+		if inRange := *fraction >= 0 && *fraction <= 1; !inRange { // NaN is out of range
 			err = errFractionOutside
 		}
 	}
@@ -111,16 +111,16 @@
 	return max(0, size-int(math.Ceil(*b.MinAvailableFraction*float64(size)-fractionTolerance)))
 }
 
-// Budgets are all budgets of a fleet. A member that no budget covers is never granted anything: without
-// budgets nothing may go out of service.
+// Budgets are all budgets of a fleet. A member that no budget covers is never granted a permit, so without
+// budgets no member may go out of service.
 type Budgets []Budget
 
-// Validate returns an error that names everything that is wrong with the budgets, or nil.
+// Validate returns an error that lists all problems of the budgets, or nil.
 func (bs Budgets) Validate() error {
 	type target struct{ scope, value string }
 	var errs []error
 	if len(bs) > maxBudgets {
-		errs = append(errs, fmt.Errorf("%d rules, %d at most are taken", len(bs), maxBudgets))
+		errs = append(errs, fmt.Errorf("%d budgets exceed the limit of %d", len(bs), maxBudgets))
 	}
 	numberOf := map[target]int{}
 	for i, b := range bs {
@@ -130,7 +130,7 @@
 		}
 		t := target{b.Scope, b.ScopeValue}
 		if earlier, found := numberOf[t]; found {
-			errs = append(errs, fmt.Errorf("budget %d: group %q only %q is bounded by budget %d already", number, b.Scope, b.ScopeValue, earlier))
+			errs = append(errs, fmt.Errorf("budget %d: group %q only %q is already bounded by budget %d", number, b.Scope, b.ScopeValue, earlier))
 		}
 		numberOf[t] = number
 	}
--- a/internal/control/disruption/group.go
+++ b/internal/control/disruption/group.go
@@ -10,35 +10,36 @@
 //
 // Inputs: the budgets, and each member's labels and Availability. A member belongs to the group "fleet" if it
 // is a node, and to one group of each other scope for which it has a label. It counts as unavailable in all
-// of its groups unless its Availability is Available; so what is not known to be in service uses a budget up.
-// A member that is out without a permit counts as involuntary: nobody knows when it is back.
+// of its groups unless its Availability is Available, so a member that is not known to be in service counts
+// against the budget. A member that is unavailable without a permit counts as involuntary: it is not known
+// when it will be back.
 
-// Availability says whether a member is in service, and if not, why it counts as unavailable. Its text is
+// Availability is whether a member is in service, and if it is not, why it counts as unavailable. Its text is
 // shown to operators.
 type Availability string
 
-// The availabilities.
+// Availabilities of a member.
 const (
 	Available   Availability = ""
 	HoldsPermit Availability = "permit"    // may be out of service at any moment
-	Draining    Availability = "draining"  // goes out by itself: shut down or evacuated
+	Draining    Availability = "draining"  // out of service without a permit: shut down or evacuated
 	Silent      Availability = "silent"    // does not report (failure detector)
 	NotReady    Availability = "not ready" // reports that it is not ready or not healthy
 	WarmingUp   Availability = "warming"   // has been in service for less than the minimum ready time
 	Unknown     Availability = "unknown"   // its report cannot be read, or it has not been observed for long enough
 )
 
-// Member is something that can be unavailable: a node, or an upstream server.
+// Member is a node or an upstream server.
 type Member struct {
 	Name string
 	// Labels are the member's groups by scope: "zone", "kind", "service".
 	Labels       map[string]string
 	Availability Availability
-	// SinceMS is from when it has been unavailable, Unix milliseconds, as far as is known; for display only.
+	// SinceMS is when the member became unavailable, Unix milliseconds, if known; for display only.
 	SinceMS int64
 }
 
-// group is the members that one budget bounds together.
+// group is a set of members that one budget bounds together.
 type group struct {
 	name           string
 	size           int // members
@@ -46,11 +47,11 @@
 	unavailable    []*Member
 	// involuntary is how many of the unavailable members hold no permit.
 	involuntary int
-	// reserved is set when an earlier request waits for this group: later requests may not use its headroom.
+	// reserved is set if an earlier request waits for this group, so that later requests may not use its headroom.
 	reserved bool
 }
 
-// headroom returns how many more members may become unavailable; below 0 the budget is exceeded.
+// headroom returns how many more members may become unavailable. It is negative if the budget is exceeded.
 func (g *group) headroom() int { return g.maxUnavailable - len(g.unavailable) }
 
 // rejection describes the group as the reason for a rejection.
@@ -68,7 +69,7 @@
 	groupsOf map[string][]*group // by member name, in the order of the budgets
 }
 
-// indexGroups sorts members into the groups of the budgets. It keeps pointers into members.
+// indexGroups assigns the members to the groups of the budgets. The index keeps pointers into members.
 func indexGroups(budgets Budgets, members []Member) *groupIndex {
 	index := &groupIndex{members: map[string]*Member{}, groupsOf: map[string][]*group{}}
 	groupsByBudget := make([]map[string]*group, len(budgets)) // by label value
@@ -100,7 +101,7 @@
 	return index
 }
 
-// covers says whether the budget bounds the member, and returns the label value that names the member's group.
+// covers reports whether the budget bounds the member, and returns the label value of the member's group.
 func (b Budget) covers(member *Member) (value string, covered bool) {
 	value = member.Labels[b.Scope]
 	if b.Scope == scopeFleet {
@@ -137,8 +138,8 @@
 	return exceeded
 }
 
-// Headroom returns, by group name, how many more members may become unavailable now. It is negative where a
-// budget is exceeded.
+// Headroom returns, by group name, how many more members may become unavailable now. It is negative for a
+// group that exceeds its budget.
 func Headroom(budgets Budgets, members []Member) map[string]int {
 	headroom := map[string]int{}
 	for _, groups := range indexGroups(budgets, members).groupsOf {
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -62,9 +62,9 @@
 	if out, errs := run(fleet + "drain n9 --by me --why test"); !strings.Contains(errs, "no such node has reported") {
 		t.Errorf("%s%s", out, errs)
 	}
-	set("[[budget]]\ngroup = \"rack\"\nmost_out = 1\n", "write one of fleet, zone, kind, service")
+	set("[[budget]]\ngroup = \"rack\"\nmost_out = 1\n", `unknown group \"rack\": must be one of fleet, zone, kind, service`)
 	run(fleet + "drain n1 --by me --why test")
-	see("no budget bounds a group of it; set one first")
+	see("no disruption budget covers it; set one first")
 	set("[[budget]]\ngroup = \"fleet\"\nmost_out = 1\n[[budget]]\ngroup = \"service\"\nmost_out = 1\n", "2 budgets")
 	health := func(want string) {
 		t.Helper()
