--- a/internal/control/drainpermit/agent_transactions.go
+++ b/internal/control/drainpermit/agent_transactions.go
@@ -6,7 +6,7 @@
 )
 
 // StartTransaction returns the transaction of an ActionStart, which starts the permit. It is committed only
-// if the drain request and the permit are as observed, and neither everything nor its release is halted.
+// if the drain request and the permit are unchanged since the observation, and no halt covers the request.
 func StartTransaction(node string, o Observation, started fleetstate.Permit, id string) document.Transaction {
 	permitKey := fleetstate.PermitKey(node)
 	t := document.Transaction{ID: id, Author: node, Reason: "begins to go out: " + o.Request.Reason,
@@ -22,8 +22,8 @@
 	return t
 }
 
-// ActionTransaction returns the transaction of any other action that is one. It is committed only if what it
-// changes is as observed.
+// ActionTransaction returns the transaction of any other action that writes to the store. It is committed only
+// if the documents that it changes are unchanged since the observation.
 func ActionTransaction(node string, o Observation, a Action, id string) document.Transaction {
 	permitKey, requestKey := fleetstate.PermitKey(node), fleetstate.RequestKey(node)
 	requestUnchanged := document.Condition{Key: requestKey, Version: o.RequestVersion}
--- a/internal/control/drainpermit/controller.go
+++ b/internal/control/drainpermit/controller.go
@@ -10,37 +10,37 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Controller decides on the permits of the whole fleet. One process decides at a time, under a lease; another
-// may take over at any moment, since all that a controller remembers is since when it has seen what it would
-// remove. It is not safe for concurrent use.
+// Controller decides on the permits of the whole fleet. One process decides at a time, under a lease. Another
+// process may take over at any moment: the only state of a controller is since when it has observed the permits
+// that it may remove. It is not safe for concurrent use.
 type Controller struct {
 	Terms    lease.Terms   // of the start window
-	MinReady time.Duration // for which a node is to be in service and healthy before it counts as available
+	MinReady time.Duration // for which a node must be in service and healthy before it counts as available
 
 	firstSeen map[string]lease.Instant // by permit ID
 }
 
-// Decision is what a controller changes, by member name. Each list is sorted and becomes transactions
-// (Decision.Transactions).
+// Decision holds the changes that a controller makes, by member name. Each list is sorted and becomes
+// transactions (Decision.Transactions).
 type Decision struct {
 	Grant         []string // members whose drain request gets a permit
 	Remove        []string // members whose permit ends
 	MarkReturning []string // upstream servers whose permit becomes PermitReturning
-	Requeue       []string // members whose permit ends and whose drain request goes to the end of the queue
+	Requeue       []string // members whose permit ends and whose drain request moves to the end of the queue
 	Expire        []string // members whose drain request expires
-	// Rejected says why other drain requests get no permit now.
+	// Rejected are the drain requests that get no permit now, with the reasons.
 	Rejected []disruption.Rejection
-	// BudgetMembers are the members as the budgets counted them, sorted by name.
+	// BudgetMembers are the members as they count against the budgets, sorted by name.
 	BudgetMembers []disruption.Member
 }
 
-// Empty says whether nothing is to be changed.
+// Empty reports whether the decision changes nothing.
 func (d Decision) Empty() bool {
 	return len(d.Grant)+len(d.Remove)+len(d.MarkReturning)+len(d.Expire) == 0
 }
 
-// Decide returns what is to be changed by a view, which a majority must have confirmed. What is removed
-// counts as out until the next call: its removal may not commit.
+// Decide returns the changes for a view, which a majority must have confirmed. A member whose permit is removed
+// still counts as unavailable until the next call, because the removal may not be committed.
 func (c *Controller) Decide(view fleetstate.View, now lease.Instant) (d Decision) {
 	c.decidePermits(view, now, &d)
 	requests := decideRequests(view, &d)
--- a/internal/control/drainpermit/controller_transactions.go
+++ b/internal/control/drainpermit/controller_transactions.go
@@ -8,10 +8,10 @@
 	"sloehitch/internal/store/document"
 )
 
-// Transactions returns the transactions of a decision, in the order in which they are to be made. Each is
-// committed only while the author holds the lease and only if what it was decided on has the given versions.
-// Removals, returns and expiries are one transaction each, because each stands for itself; all grants are
-// one, with the document that changes with each grant.
+// Transactions returns the transactions of a decision, in the order in which they must be committed. Each is
+// committed only while the author holds the lease, and only if the documents that it was decided on have the
+// given versions. Each removal, return and expiry is a transaction of its own, because they are independent.
+// All grants are one transaction, which also writes the document that changes with each grant.
 func (d Decision) Transactions(
 	view fleetstate.View, versions fleetstate.Versions, task string, token uint64, author string, newID func() string,
 ) (transactions []document.Transaction) {
@@ -32,7 +32,7 @@
 	return transactions
 }
 
-// decisionWriter makes the transactions of one decision.
+// decisionWriter builds the transactions of one decision.
 type decisionWriter struct {
 	view     fleetstate.View
 	versions fleetstate.Versions
@@ -47,7 +47,8 @@
 		Conditions: []document.Condition{w.lease, w.versions.Unchanged(key)}, Operations: operations}
 }
 
-// remove deletes a permit; requeue also writes its drain request anew, which gives it a later version.
+// remove deletes a permit. With requeue it also rewrites the drain request, which gives it a later version and
+// so moves it to the end of the queue.
 func (w decisionWriter) remove(name string, requeue bool) document.Transaction {
 	permitKey, requestKey := fleetstate.PermitKey(name), fleetstate.RequestKey(name)
 	t := w.transaction("a permit ends", permitKey, document.Operation{Key: permitKey, Delete: true})
@@ -70,8 +71,8 @@
 	return w.transaction("its time is over", key, document.Operation{Key: key, Delete: true})
 }
 
-// grant writes the permits of all names. Its conditions cover everything that the budgets were decided on:
-// the grants before it, the budgets, the halt of everything, and each member's drain request and permit.
+// grant writes the permits of all names. Its conditions cover everything that the grants were decided on: the
+// previous grant, the budgets, the halt of the whole fleet, and each member's drain request and permit.
 func (w decisionWriter) grant(names []string) document.Transaction {
 	t := w.transaction("granted", fleetstate.LastGrantKey, document.Operation{Key: fleetstate.LastGrantKey, Value: strings.Join(names, " ")})
 	t.Conditions = append(t.Conditions, w.versions.Unchanged(fleetstate.BudgetsKey), w.versions.Unchanged(fleetstate.HaltKeyPrefix+fleetstate.HaltAll))
@@ -83,7 +84,7 @@
 		permit := fleetstate.Permit{ID: w.newID(), RequestID: w.view.Requests[name].ID, State: fleetstate.PermitGranted,
 			GrantedBy: w.author, Token: w.lease.Token, Labels: labels[name], SinceMS: w.view.NowMS}
 		if fleetstate.IsUpstream(name) {
-			permit.State = fleetstate.PermitOutOfService // nobody starts it: nodes stop using the server as they read the permit
+			permit.State = fleetstate.PermitOutOfService // never started: nodes stop using the server once they read the permit
 		}
 		t.Conditions = append(t.Conditions, w.versions.Unchanged(fleetstate.RequestKey(name)), w.versions.Unchanged(fleetstate.PermitKey(name)))
 		t.Operations = append(t.Operations, document.Operation{Key: fleetstate.PermitKey(name), Value: fleetstate.Encode(permit)})
--- a/internal/control/drainpermit/grant.go
+++ b/internal/control/drainpermit/grant.go
@@ -7,17 +7,18 @@
 
 // Which drain requests get a permit, and which expire.
 //
-// Inputs: drain requests without a permit, halts, the liveness of nodes, and the budgets with the members as they
-// count (View.BudgetMembers). A request expires at its ExpiresAtMS by the reader's clock. One that has
-// failed, is halted, or whose node does not report (it could not start its permit) is not considered. The
-// others are granted as far as the budgets allow (package disruption), at most MaxGrantsPerTransaction at a
-// time.
+// Inputs: drain requests without a permit, halts, the liveness of nodes, and the budgets with the members that
+// count against them (View.BudgetMembers). A request expires at its ExpiresAtMS by the reader's clock. A request
+// is not considered if it has failed, if it is halted, or if its node does not report and so could not start
+// the permit. The others are granted as far as the budgets allow (package disruption), at most
+// MaxGrantsPerTransaction at a time.
 
-// MaxGrantsPerTransaction is how many permits one transaction grants at most, so that it stays within the
-// store's limits (document.Limits.MaxOperations).
+// MaxGrantsPerTransaction is the maximum number of permits that one transaction grants, so that it stays within
+// the store's limits (document.Limits.MaxOperations).
 const MaxGrantsPerTransaction = 24
 
-// decideRequests expires and rejects drain requests, and returns those that the budgets decide on.
+// decideRequests adds expired and ineligible drain requests to the decision, and returns the others, which are
+// subject to the budgets.
 func decideRequests(view fleetstate.View, d *Decision) (requests []disruption.Request) {
 	liveness := map[string]disruption.Availability{}
 	for _, m := range view.Members {
@@ -32,8 +33,7 @@
 		case view.IsHalted(request):
 			d.reject(name, request, "halted")
 		case liveness[name] != disruption.Available:
-			// Operators read this text: "begin" means that the node would start its permit.
-			d.reject(name, request, "it is "+string(liveness[name])+" and could not begin")
+			d.reject(name, request, "it is "+string(liveness[name])+" and could not start a permit")
 		default:
 			requests = append(requests, disruption.Request{
 				Member: name, RequestedBy: request.RequestedBy, Urgent: request.Urgent, Order: view.RequestOrder[name]})
@@ -48,7 +48,7 @@
 		Request: disruption.Request{Member: name, RequestedBy: request.RequestedBy}, Reason: reason})
 }
 
-// grant has the budgets decide.
+// grant decides on the requests by the budgets.
 func (c *Controller) grant(view fleetstate.View, requests []disruption.Request, d *Decision) {
 	d.BudgetMembers = view.BudgetMembers(c.MinReady)
 	decided := disruption.Decide(view.Budgets, d.BudgetMembers, requests)
--- a/internal/control/drainpermit/modelcheck/candidate.go
+++ b/internal/control/drainpermit/modelcheck/candidate.go
@@ -10,20 +10,20 @@
 	"sloehitch/internal/store/document"
 )
 
-// candidates is how many processes take turns at a task.
-const candidates = 3
+// candidateCount is how many processes compete for the lease of a task.
+const candidateCount = 3
 
-// silentAfter is without how long a report a candidate takes a node for silent.
+// silentAfter is the age of a node's last report from which a candidate counts the node as silent.
 const silentAfter = 2 * time.Second
 
-// candidate is a process that takes turns at a task.
+// candidate is a process that competes for the lease of a task.
 type candidate struct {
 	name         string
 	token        uint64
 	heldUntil    time.Duration
 	stalledUntil time.Duration
 	clockRate    float64
-	firstSeen    map[string]time.Duration // by node, since it holds the lease
+	firstSeen    map[string]time.Duration // by node: when this candidate first read its report under the current lease
 	busyUntil    time.Duration
 }
 
@@ -31,7 +31,7 @@
 	return candidate{name: fmt.Sprint("c", i), clockRate: w.randomClockRate(), firstSeen: map[string]time.Duration{}}
 }
 
-// isRunning says whether a candidate does not stall now. It may make it stall.
+// isRunning reports whether a candidate is not stalled now. It may start a stall.
 func (w *world) isRunning(c *candidate) bool {
 	switch {
 	case c.stalledUntil > w.now:
@@ -43,8 +43,8 @@
 	return true
 }
 
-// holdLease acquires or renews the lease of a task. It says whether the candidate holds it now, and whether
-// it does since just now.
+// holdLease acquires or renews the lease of a task. It returns whether the candidate holds the lease now, and
+// whether this call acquired it.
 func (w *world) holdLease(c *candidate, task string) (held, acquired bool) {
 	commit := func(record lease.Record, err error) bool {
 		if err == nil {
@@ -66,16 +66,16 @@
 	return true, false
 }
 
-// stall draws for how long a candidate stalls between reading and writing.
-func (w *world) stall() time.Duration {
+// randomStall draws the duration of a candidate's stall between reading and writing; 0 for none.
+func (w *world) randomStall() time.Duration {
 	if !w.faultsOver && w.random.IntN(10) == 0 {
 		return w.randomDelay(2)
 	}
 	return 0
 }
 
-// send has a candidate send transactions after a delay. It does not wait for the answers longer than a
-// second, so what it has sent may still be committed while it decides anew.
+// send sends a candidate's transactions after a delay. The candidate waits for the answers for at most a second,
+// so the transactions may still be committed after it has made its next decision.
 func (w *world) send(c *candidate, transactions []document.Transaction, delay time.Duration) {
 	for _, t := range transactions {
 		c.busyUntil = w.now + delay + time.Second
@@ -99,7 +99,7 @@
 	return view, versions
 }
 
-// liveness is a node's liveness as a candidate sees it.
+// liveness returns a node's liveness as a candidate observes it.
 func (w *world) liveness(c *candidate, n *node) disruption.Availability {
 	firstSeen, known := c.firstSeen[n.name]
 	if !known {
--- a/internal/control/drainpermit/modelcheck/checks.go
+++ b/internal/control/drainpermit/modelcheck/checks.go
@@ -9,9 +9,9 @@
 )
 
 // checkBudgets checks that no more members of a group are out of service voluntarily than its budget allows.
-// A node counts from when it goes out until it has been back, healthy, for most of the minimum ready time.
+// A node counts from when it goes out until it has been back and healthy for most of the minimum ready time.
 func (w *world) checkBudgets() {
-	const backAfter = minReady * 9 / 10 // the node measures on a clock of its own
+	const backAfter = minReady * 9 / 10 // less than minReady, because the node measures on its own clock, which may run fast
 	var members []disruption.Member
 	for _, n := range w.nodes {
 		member := disruption.Member{Name: n.name, Labels: map[string]string{"zone": n.zone}}
@@ -23,20 +23,20 @@
 		members = append(members, member)
 	}
 	if exceeded := disruption.Exceeded(w.budgets, members); len(exceeded) > 0 {
-		w.fail("too many out by choice: %v", exceeded)
+		w.fail("more nodes voluntarily out of service than the budgets allow: %v", exceeded)
 	}
 }
 
-// checkHalts checks that a node that goes out of service by a request does not do so after a halt was acknowledged.
+// checkHalts checks that no halt of the request was acknowledged before the node goes out of service for it.
 func (w *world) checkHalts(n *node, request *fleetstate.DrainRequest) {
-	for _, what := range []string{fleetstate.HaltAll, request.ReleaseName} {
-		if at, halted := w.haltedAt[what]; halted && what != "" {
-			w.fail("%s began to go out, %v after a halt of %q was acknowledged", n.name, w.now-at, what)
+	for _, haltName := range []string{fleetstate.HaltAll, request.ReleaseName} {
+		if at, halted := w.haltedAt[haltName]; halted && haltName != "" {
+			w.fail("%s went out of service %v after a halt of %q was acknowledged", n.name, w.now-at, haltName)
 		}
 	}
 }
 
-// drainDocuments returns the documents of drains whose keys end with suffix.
+// drainDocuments returns the drain requests or permits, by the suffix of their keys.
 func (w *world) drainDocuments(suffix string) (docs []document.Document) {
 	for _, d := range w.store.List(fleetstate.DrainKeyPrefix) {
 		if strings.HasSuffix(d.Key, suffix) {
@@ -46,7 +46,7 @@
 	return docs
 }
 
-// idle says whether every request has come to its end, nobody is out of service, and the release has ended.
+// idle reports whether no drain request and no permit is left, except failed requests, and the release has ended.
 func (w *world) idle() bool {
 	if w.rollout != nil && !w.rollout.ended(w) {
 		return false
--- a/internal/control/drainpermit/modelcheck/granter.go
+++ b/internal/control/drainpermit/modelcheck/granter.go
@@ -14,7 +14,7 @@
 	controller drainpermit.Controller
 }
 
-// runGranter takes a granter's turn.
+// runGranter runs a granter for a tick.
 func (w *world) runGranter(g *granter) {
 	if g.busyUntil > w.now {
 		return
@@ -35,17 +35,17 @@
 		g.busyUntil += time.Duration(w.random.IntN(1500)) * time.Millisecond
 	}
 	transactions := decision.Transactions(view, versions, grantTask, g.token, "keeper", w.newID)
-	delay := w.stall()
+	delay := w.randomStall()
 	for i := range transactions {
 		w.mutateGrant(&transactions[i])
 	}
 	w.send(&g.candidate, transactions, delay)
 }
 
-// mutateGrant changes a granter's transaction to what a faulty program would send.
+// mutateGrant applies the mutant to a granter's transaction.
 func (w *world) mutateGrant(t *document.Transaction) {
 	switch {
-	case w.mutant == mutantGrantsOnOldCount && len(t.Conditions) > 3:
+	case w.mutant == mutantGrantsOnStaleCount && len(t.Conditions) > 3:
 		t.Conditions = slices.DeleteFunc(t.Conditions, isGrantGuard)
 	case w.mutant == mutantRemovesStarted && t.Reason == removedReason:
 		t.Conditions = nil
--- a/internal/control/drainpermit/modelcheck/mutants.go
+++ b/internal/control/drainpermit/modelcheck/mutants.go
@@ -5,20 +5,20 @@
 	"sloehitch/internal/store/document"
 )
 
-// removedReason is the reason of the transaction that removes a permit.
+// removedReason is the reason of transactions that remove a permit.
 const removedReason = "a permit ends"
 
-// The mutants of the drains.
+// Mutants of drains.
 const (
 	mutantIgnoresHalt          = "halt not looked at"
-	mutantStartsOldPermit      = "old permit still good"
+	mutantStartsStalePermit    = "old permit still good"
 	mutantIgnoresWindow        = "window not counted"
-	mutantGrantsOnOldCount     = "counted before others were granted"
+	mutantGrantsOnStaleCount   = "counted before others were granted"
 	mutantRemovesStarted       = "lapse frees a begun permit"
 	mutantWarmingUpIsAvailable = "warming counts as in"
 )
 
-// The mutants of releases.
+// Mutants of releases.
 const (
 	mutantRequestIgnoresHalt    = "halt not looked at before a step"
 	mutantRequestWithoutLease   = "step of an overtaken owner"
@@ -26,27 +26,27 @@
 	mutantUnpairedAnalysis      = "judgement without pairing"
 )
 
-// Mutants are the faults of the program that Run and RunFleet can be given.
+// Mutants are the program faults that Run and RunFleet can simulate.
 var Mutants = []string{
-	mutantIgnoresHalt, mutantStartsOldPermit, mutantIgnoresWindow, mutantGrantsOnOldCount, mutantRemovesStarted, mutantWarmingUpIsAvailable,
+	mutantIgnoresHalt, mutantStartsStalePermit, mutantIgnoresWindow, mutantGrantsOnStaleCount, mutantRemovesStarted, mutantWarmingUpIsAvailable,
 }
 
-// ReleaseMutants are the faults of the program that RunRelease can be given.
+// ReleaseMutants are the program faults that RunRelease can simulate.
 var ReleaseMutants = []string{
 	mutantRequestIgnoresHalt, mutantRequestWithoutLease, mutantRollbackIgnoresBudget, mutantUnpairedAnalysis,
 }
 
-// isGrantGuard says whether a condition keeps grants from being decided on an old count.
+// isGrantGuard reports whether a condition prevents grants that were decided on an outdated count.
 func isGrantGuard(c document.Condition) bool {
 	return c.Key == fleetstate.LastGrantKey || c.Task != ""
 }
 
-// mutateStart changes the transaction that starts a permit to what a faulty program would send.
+// mutateStart applies the mutant to a transaction that starts a permit.
 func (w *world) mutateStart(t *document.Transaction) {
 	if w.mutant == mutantIgnoresHalt {
 		t.Conditions = t.Conditions[:2]
 	}
-	if w.mutant == mutantStartsOldPermit {
+	if w.mutant == mutantStartsStalePermit {
 		t.Conditions = nil
 	}
 }
--- a/internal/control/drainpermit/modelcheck/node.go
+++ b/internal/control/drainpermit/modelcheck/node.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// busyRequests is how many requests a node in service has in flight; out of service it finishes one in a tick.
+	// busyRequests is how many requests a node in service has in flight. Out of service it finishes one per tick.
 	busyRequests = 5
-	// replacementDowntime is how long a process that is replaced is down.
+	// replacementDowntime is how long a node is down while its process is replaced.
 	replacementDowntime = time.Second
 	maxReplaceAttempts  = 2
 )
@@ -22,13 +22,13 @@
 	name  string
 	zone  string
 	agent *drainpermit.Agent
-	// incarnation counts the node's processes: what was meant for an earlier one is dropped.
+	// incarnation counts the node's processes. Events for an earlier process are dropped.
 	incarnation    int
 	clockRate      float64
 	stalledUntil   time.Duration
-	restartAt      time.Duration // 0: its process runs
+	restartAt      time.Duration // 0 while its process runs
 	version        string
-	nextVersion    string // of the process that starts next; empty: the same
+	nextVersion    string // of the next process; empty if unchanged
 	unhealthyUntil time.Duration
 	healthySince   time.Duration // in service and healthy
 	observation    drainpermit.Observation
@@ -37,16 +37,15 @@
 
 	served, failed uint64 // requests, since its process started
 	processStart   time.Duration
-	random         *rand.Rand // of its requests
+	random         *rand.Rand // for the outcomes of its requests
 
 	reported     fleetstate.NodeReport // the last report that reached the store
-	reportedAt   time.Duration         // when that was
-	outOfService bool                  // by a permit, as seen from outside
-	voluntary    bool                  // it went out of service by a permit, and has not been back for the minimum ready time
+	reportedAt   time.Duration         // when the last report reached the store
+	outOfService bool                  // under a permit, as observed from outside
+	voluntary    bool                  // it went out of service under a permit, and has not been back for the minimum ready time
 }
 
-// whenRunning runs something at a node once it does not stall any more, and not at all if another process has
-// taken its place.
+// whenRunning calls do once the node is no longer stalled, or never if the process has been replaced by then.
 func (w *world) whenRunning(n *node, incarnation int, do func()) {
 	var run func()
 	run = func() {
@@ -61,7 +60,7 @@
 	run()
 }
 
-// observe has a node read its request and permit: as one member has them, so they may be old when they arrive.
+// observe reads a node's request and permit from one member of the store. They may be stale on arrival.
 func (w *world) observe(n *node) {
 	o := drainpermit.Observation{Revision: w.store.Revision()}
 	if d := w.store.Get(fleetstate.RequestKey(n.name)); d.Version > 0 {
@@ -80,7 +79,7 @@
 
 func (w *world) healthy(n *node) bool { return n.unhealthyUntil <= w.now && w.now-n.healthySince >= 0 }
 
-// runAgent carries out a node's next action.
+// runAgent carries out the next action of a node's agent.
 func (w *world) runAgent(n *node) {
 	now := w.clock(n.clockRate)
 	o := n.observation
@@ -103,7 +102,8 @@
 	}
 }
 
-// startPermit asks for the permit to be started, and has the node go out of service by the answer.
+// startPermit sends the transaction that starts the permit. The node goes out of service if the agent says so on
+// the answer.
 func (w *world) startPermit(n *node, o drainpermit.Observation, a drainpermit.Action) {
 	incarnation := n.incarnation
 	t := drainpermit.StartTransaction(n.name, o, a.Permit, w.newID())
@@ -120,8 +120,8 @@
 	})
 }
 
-// replaceProcess asks for the replacement to be written down, and has another process take the node's place
-// by the answer.
+// replaceProcess sends the transaction that records the replacement. If it is committed, the node's process is
+// replaced.
 func (w *world) replaceProcess(n *node, o drainpermit.Observation, a drainpermit.Action) {
 	incarnation := n.incarnation
 	w.apply(drainpermit.ActionTransaction(n.name, o, a, w.newID()), func(result document.Result, answered bool) {
@@ -147,13 +147,13 @@
 	w.counts[countOutOfService]++
 }
 
-// kill ends a node's process; another one starts after the downtime.
+// kill ends a node's process. The next one starts after the downtime.
 func (w *world) kill(n *node, downtime time.Duration) {
 	n.incarnation++
 	n.restartAt, n.outOfService, n.observed = w.now+downtime, false, false
 }
 
-// minReady is the minimum ready time that the program uses.
+// minReady returns the minimum ready time that the program uses.
 func (w *world) minReady() time.Duration {
 	if w.mutant == mutantWarmingUpIsAvailable {
 		return 0
@@ -172,7 +172,7 @@
 		DeployedVersion: n.version, Terms: LeaseTerms, MinReady: w.minReady(), MaxReplaceAttempts: maxReplaceAttempts})
 }
 
-// report has a node send its report to the store.
+// report sends a node's report to the store.
 func (w *world) report(n *node) {
 	r := fleetstate.NodeReport{State: "ready", Healthy: w.healthy(n), InServiceMS: (w.now - n.healthySince).Milliseconds(), Zone: n.zone,
 		DeployedVersion: n.version, ProcessStartMS: (n.processStart + time.Second).Milliseconds(), Served: n.served, Failed: n.failed}
@@ -187,7 +187,7 @@
 	}
 }
 
-// stepNode runs a node's process for a tick, or restarts it.
+// stepNode runs a node's process for a tick, or starts the next process when it is due.
 func (w *world) stepNode(n *node) {
 	if n.restartAt > 0 {
 		if n.restartAt <= w.now {
--- a/internal/control/drainpermit/modelcheck/operator.go
+++ b/internal/control/drainpermit/modelcheck/operator.go
@@ -7,35 +7,35 @@
 	"sloehitch/internal/control/fleetstate"
 )
 
-// releaseName is the name of the release, in runs that have one, and in requests of operators that act as one.
+// releaseName is the name of the release in runs with a release, and in operators' requests that imitate one.
 const releaseName = "r"
 
-// halts are what operators halt.
+// halts are the names of the halts that operators set.
 var halts = []string{fleetstate.HaltAll, releaseName}
 
-// halt has an operator halt something. The halt is acknowledged after a lease duration, once no start window
-// is open, unless it was resumed or halted again meanwhile.
-func (w *world) halt(what string) {
-	key := fleetstate.HaltKeyPrefix + what
+// halt sets a halt as an operator. It is acknowledged after a lease duration, when no start window is open any
+// more, unless it was ended or set again meanwhile.
+func (w *world) halt(haltName string) {
+	key := fleetstate.HaltKeyPrefix + haltName
 	w.write(key, "op")
 	at, version := w.now, w.store.Get(key).Version
 	w.after(LeaseTerms.Duration, func() {
-		if w.store.Get(key).Version == version && w.haltedAt[what] == 0 {
+		if w.store.Get(key).Version == version && w.haltedAt[haltName] == 0 {
 			w.counts[countHalted]++
-			w.haltedAt[what] = at + LeaseTerms.Duration
+			w.haltedAt[haltName] = at + LeaseTerms.Duration
 		}
 	})
 }
 
-// resume has an operator end a halt.
-func (w *world) resume(what string) {
-	delete(w.haltedAt, what)
-	if key := fleetstate.HaltKeyPrefix + what; w.store.Get(key).Version > 0 {
+// resume ends a halt as an operator.
+func (w *world) resume(haltName string) {
+	delete(w.haltedAt, haltName)
+	if key := fleetstate.HaltKeyPrefix + haltName; w.store.Get(key).Version > 0 {
 		w.write(key, "")
 	}
 }
 
-// runOperator has an operator request, withdraw, halt or resume something.
+// runOperator carries out a random action of an operator: it requests or withdraws a drain, halts or resumes.
 func (w *world) runOperator() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	key := fleetstate.RequestKey(n.name)
@@ -47,15 +47,15 @@
 	case x == 12:
 		w.halt(halts[w.random.IntN(len(halts))])
 	case x < 18:
-		for _, what := range halts {
+		for _, haltName := range halts {
 			if w.random.IntN(2) == 0 {
-				w.resume(what)
+				w.resume(haltName)
 			}
 		}
 	}
 }
 
-// randomRequest draws a drain request: of an operator, with or without an end, or as of a release.
+// randomRequest draws a drain request: of an operator, with or without an expiry, or in the name of a release.
 func (w *world) randomRequest() fleetstate.DrainRequest {
 	request := fleetstate.DrainRequest{ID: w.newID(), RequestedBy: "op", Urgent: w.random.IntN(4) == 0}
 	if w.random.IntN(2) == 0 {
--- a/internal/control/drainpermit/modelcheck/release_candidate.go
+++ b/internal/control/drainpermit/modelcheck/release_candidate.go
@@ -10,22 +10,22 @@
 	"sloehitch/internal/store/document"
 )
 
-// canaryOptions allow no false alarm in ten thousand releases.
+// canaryOptions limit false alarms to one in ten thousand releases, because no run may find a good version worse.
 var canaryOptions = canary.Options{FalseAlarmProbability: 0.0001, MaxAnalyses: 1000, MinIntervals: 8}
 
-// recordedIntervals is how many intervals a controller keeps.
+// recordedIntervals is the capacity of a controller's recorder.
 const recordedIntervals = 400
 
-// releaseCandidate is a candidate for the task of controlling the release.
-type releaseCandidate struct {
+// controllerCandidate is a candidate for the task of controlling the release.
+type controllerCandidate struct {
 	candidate
 	controller release.Controller
 	recorder   *canary.Recorder
 	recordedAt time.Duration
 }
 
-// runReleaseCandidate takes a candidate's turn at controlling the release.
-func (w *world) runReleaseCandidate(c *releaseCandidate) {
+// runControllerCandidate runs a candidate for the control of the release for a tick.
+func (w *world) runControllerCandidate(c *controllerCandidate) {
 	if c.busyUntil > w.now {
 		return
 	}
@@ -61,7 +61,7 @@
 			w.counts[countFoundWorse]++
 		}
 	}
-	delay := w.stall()
+	delay := w.randomStall()
 	transactions := decision.Transactions(r, view, versions, c.token, c.name, w.newID)
 	for i := range transactions {
 		w.mutateReleaseRequest(&transactions[i])
@@ -76,12 +76,12 @@
 	}
 	verdict := canary.Analyze(canaryOptions, nodes)
 	if verdict.Worse && w.rollout.targetVersion == goodVersion {
-		w.fail("a good version is called worse: %s", verdict.Reason)
+		w.fail("the canary analysis found a good version worse: %s", verdict.Reason)
 	}
 	return verdict
 }
 
-// mutateReleaseRequest changes a controller's request to what a faulty program would send.
+// mutateReleaseRequest applies the mutant to a transaction of the release controller that writes a request.
 func (w *world) mutateReleaseRequest(t *document.Transaction) {
 	if isRequest := len(t.Conditions) > 2 && len(t.Operations) == 1 && !t.Operations[0].Delete; !isRequest {
 		return
@@ -102,8 +102,8 @@
 	}
 }
 
-// freezeUnchanged returns the nodes with all intervals of those that are not updated as their first was: what
-// is compared with them is compared with the past.
+// freezeUnchanged returns the nodes with all intervals of those that are not updated replaced by their first
+// known one, so that updated nodes are compared with past values of their peers.
 func freezeUnchanged(nodes []canary.NodeSeries) []canary.NodeSeries {
 	frozen := slices.Clone(nodes)
 	for i := range frozen {
--- a/internal/control/drainpermit/modelcheck/rollout.go
+++ b/internal/control/drainpermit/modelcheck/rollout.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	goodVersion, badVersion = "good", "bad" // what a release may be to; the bad one fails more requests
-	soak                    = 8 * time.Second
+	goodVersion, badVersion = "good", "bad" // possible target versions of a release; the bad one fails more requests
+	soakDuration            = 8 * time.Second
 	canaryInterval          = 500 * time.Millisecond
 	returnTimeout           = 40 * time.Second
 	waveGrowth              = 2
 	releaseKey              = release.KeyPrefix + releaseName
-	// baselineDuration is how long operators wait with the release, so that there are intervals to compare with.
+	// baselineDuration is how long operators wait before the release, so that there are intervals to compare with.
 	baselineDuration = 8 * time.Second
 )
 
-// Requests that nodes serve.
+// Load on the nodes, and failure rates of their requests.
 const (
 	requestsPerTick       = 20
 	failureRate           = 0.005
@@ -31,11 +31,11 @@
 	upstreamFaultDuration = 15 * time.Second
 )
 
-// rollout is a release through a fleet, and what the checks know of it.
+// rollout is the release of a run, with the candidates that control it.
 type rollout struct {
 	targetVersion    string
-	controllers      []*releaseCandidate
-	upstreamFaultsAt []time.Duration // when upstream servers begin to fail requests, of all nodes alike
+	controllers      []*controllerCandidate
+	upstreamFaultsAt []time.Duration // when upstream servers begin to fail requests, equally for all nodes
 	started          bool
 }
 
@@ -45,8 +45,8 @@
 	if w.random.IntN(3) == 0 {
 		r.targetVersion = badVersion
 	}
-	for i := range candidates {
-		r.controllers = append(r.controllers, &releaseCandidate{candidate: w.newCandidate(i)})
+	for i := range candidateCount {
+		r.controllers = append(r.controllers, &controllerCandidate{candidate: w.newCandidate(i)})
 	}
 	for range upstreamFaults {
 		r.upstreamFaultsAt = append(r.upstreamFaultsAt, time.Duration(w.random.IntN(100))*time.Second)
@@ -54,7 +54,7 @@
 	w.rollout = r
 }
 
-// failureRate is the fraction of requests that fails on a node with a good version.
+// failureRate returns the fraction of requests that fail on a node with a good version.
 func (c *rollout) failureRate(now time.Duration) float64 {
 	for _, from := range c.upstreamFaultsAt {
 		if now >= from && now < from+upstreamFaultDuration {
@@ -64,7 +64,7 @@
 	return failureRate
 }
 
-// serveRequests has a node serve requests for a tick.
+// serveRequests serves a node's requests for a tick.
 func (w *world) serveRequests(n *node) {
 	if w.rollout == nil || !w.healthy(n) {
 		return
@@ -82,7 +82,8 @@
 	}
 }
 
-// randomOf returns a node's own random numbers, so that the requests that it serves change nothing else of the run.
+// randomOf returns a node's own random number generator, so that the requests that it serves do not influence the
+// rest of the run.
 func (w *world) randomOf(n *node) *rand.Rand {
 	if n.random == nil {
 		n.random = rand.New(rand.NewPCG(w.random.Uint64(), 27))
@@ -90,7 +91,7 @@
 	return n.random
 }
 
-// readRelease returns the release as it is stored; version 0: it is not started.
+// readRelease returns the stored release. The version is 0 if the release is not started.
 func (w *world) readRelease() (r release.Release, version uint64) {
 	d := w.store.Get(releaseKey)
 	if d.Version > 0 {
@@ -116,23 +117,23 @@
 	}
 	for _, c := range w.rollout.controllers {
 		if w.isRunning(&c.candidate) {
-			w.runReleaseCandidate(c)
+			w.runControllerCandidate(c)
 		}
 	}
 }
 
-// startRelease has an operator start the release.
+// startRelease starts the release as an operator.
 func (w *world) startRelease() {
 	w.rollout.started = true
 	view, _ := w.readView(&candidate{firstSeen: map[string]time.Duration{}})
 	r := release.Release{Name: releaseName, TargetVersion: w.rollout.targetVersion, RequestedBy: "op", State: release.Running,
-		SoakMS: soak.Milliseconds(), ReturnTimeoutMS: returnTimeout.Milliseconds()}
+		SoakMS: soakDuration.Milliseconds(), ReturnTimeoutMS: returnTimeout.Milliseconds()}
 	r.Waves, r.PreviousVersions = release.PlanWaves(view.Members, r.TargetVersion, waveGrowth)
 	w.write(releaseKey, fleetstate.Encode(r))
 }
 
-// runReleaseOperator may have an operator halt, resume or roll back the release, or drain a node, while there
-// are faults.
+// runReleaseOperator carries out a random action of an operator, or none: it halts, resumes or rolls back the
+// release, or drains a node.
 func (w *world) runReleaseOperator(r release.Release) {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	key := fleetstate.RequestKey(n.name)
@@ -142,8 +143,8 @@
 	case x < 5:
 		w.halt(fleetstate.HaltAll)
 	case x < 25:
-		for _, what := range halts {
-			w.resume(what)
+		for _, haltName := range halts {
+			w.resume(haltName)
 		}
 	case x == 25:
 		if r.State == release.Running || r.State == release.Completed {
@@ -157,7 +158,7 @@
 	}
 }
 
-// rollBack has an operator roll the release back.
+// rollBack rolls the release back as an operator.
 func (w *world) rollBack(r release.Release) {
 	w.counts[countRolledBack]++
 	r.State = release.RollingBack
@@ -165,8 +166,8 @@
 	w.resume(releaseName)
 }
 
-// settleRelease has operators withdraw failed requests once the faults are over, and roll back a release that
-// has halted by itself, or resume its rollback.
+// settleRelease acts as the operators after the end of the faults: it withdraws failed requests, and rolls back a
+// release that has halted by itself or resumes its rollback.
 func (w *world) settleRelease(r release.Release) {
 	for _, d := range w.drainDocuments("/ask") {
 		if decodeCached(w, w.requests, d).FailureReason != "" {
@@ -183,10 +184,10 @@
 	}
 }
 
-// checkReleaseRequests checks a committed transaction: a node is requested for the release only with the
-// version that the release's state wants, and not after a halt was acknowledged.
+// checkReleaseRequests checks a committed transaction: it may request a node for the release only with the
+// version that the release's state calls for, and not after a halt was acknowledged.
 func (w *world) checkReleaseRequests(t document.Transaction) {
-	if w.rollout == nil || t.Reason == removedReason { // that requeues a request
+	if w.rollout == nil || t.Reason == removedReason { // removing a permit may rewrite an existing request
 		return
 	}
 	for _, operation := range t.Operations {
@@ -197,10 +198,10 @@
 		w.counts[countRequests]++
 		r, _ := w.readRelease()
 		if (request.TargetVersion == r.TargetVersion) != (r.State == release.Running) {
-			w.fail("%s is asked to become %q while the release to %q is %s", operation.Key, request.TargetVersion, r.TargetVersion, r.State)
+			w.fail("%s requests version %q while the release to %q is %s", operation.Key, request.TargetVersion, r.TargetVersion, r.State)
 		}
 		if at, halted := w.haltedAt[request.ReleaseName]; halted {
-			w.fail("%s is asked for %v after a halt was acknowledged", operation.Key, w.now-at)
+			w.fail("%s was requested %v after a halt was acknowledged", operation.Key, w.now-at)
 		}
 	}
 }
@@ -214,7 +215,7 @@
 	return request, err == nil
 }
 
-// ended says whether the release has ended, and checks that the nodes run the version that its state wants.
+// ended reports whether the release has ended, and checks that the nodes run the version that its state calls for.
 func (c *rollout) ended(w *world) bool {
 	r, version := w.readRelease()
 	if version == 0 || r.Active() {
@@ -225,13 +226,13 @@
 		_, canRollBack := r.PreviousVersions[n.name]
 		updated := n.version == r.TargetVersion
 		if n.restartAt == 0 && updated != completed && (canRollBack || completed) {
-			w.fail("the release is %s, and %s runs %q", r.State, n.name, n.version)
+			w.fail("the release is %s, but %s runs version %q", r.State, n.name, n.version)
 		}
 	}
 	return true
 }
 
-// describeRelease says how far the release is, for a violation.
+// describeRelease formats the status of the release for a violation.
 func (w *world) describeRelease() string {
 	r, _ := w.readRelease()
 	view, _ := w.readView(&candidate{firstSeen: map[string]time.Duration{}})
--- a/internal/control/drainpermit/modelcheck/run.go
+++ b/internal/control/drainpermit/modelcheck/run.go
@@ -11,17 +11,17 @@
 	"sloehitch/internal/store/document"
 )
 
-// How long a run lasts, in simulated time.
+// Duration of a run, in simulated time.
 const (
 	faultsDuration = 60 * time.Second
-	// endDuration and endDurationPerNode are what a run without faults may take until all has come to its end.
+	// endDuration and endDurationPerNode bound how long a run may take after the faults until all requests have ended.
 	endDuration        = 30 * time.Second
 	endDurationPerNode = 20 * time.Second
-	// releaseDurationPerNode is what a release may take beside that, there and back.
+	// releaseDurationPerNode is the additional time for a release and its rollback.
 	releaseDurationPerNode = 4 * 60 * time.Second
 )
 
-// Sizes of fleets, in nodes. Every largeFleetEvery-th seed has a large one.
+// Sizes of fleets, in nodes. Every largeFleetEvery-th seed has a large fleet.
 const (
 	maxNodes        = 9
 	maxZones        = 3
@@ -29,25 +29,25 @@
 	largeFleetEvery = 50
 )
 
-// Run runs the fleet of a seed: with faults for a while, then without, by the end of which every request must
-// have come to its end. It returns what did not hold, or "": more nodes out of service voluntarily than a
-// budget allows, a node that went out after a halt was acknowledged, or requests that did not end. counts
-// says how often what has happened. mutant is one of Mutants, or empty. It may be called concurrently.
+// Run simulates the fleet of a seed, first with faults, then without until every request must have ended. It
+// returns the first violation, or "": more nodes voluntarily out of service than a budget allows, a node that
+// went out of service after a halt was acknowledged, or requests that did not end. counts has the number of
+// events by kind. mutant is one of Mutants, or empty. It may be called concurrently.
 func Run(seed uint64, mutant string) (violation string, counts map[string]int) {
 	return run(seed, mutant, 0, false)
 }
 
-// RunFleet is Run with a fleet of the given number of nodes; 0: as the seed has it.
+// RunFleet is like Run with a fleet of the given number of nodes. If nodes is 0, the seed determines the size.
 func RunFleet(nodes int, seed uint64, mutant string) (violation string, counts map[string]int) {
 	return run(seed, mutant, nodes, false)
 }
 
-// RunRelease is Run with a release through the fleet, of a good or a bad version: its controllers stall and
-// take each other's place, and operators halt it, resume it, roll it back and drain nodes meanwhile. Beside
-// the budgets and halts it checks that no node is requested for the release after its halt was acknowledged,
-// or with a version that contradicts the release's state; that a good version is never found worse, whatever
-// the upstream servers do; and that in the end all nodes run the version that they should, or none do. mutant
-// is one of ReleaseMutants, or empty.
+// RunRelease is like Run with a release of a good or a bad version to the fleet. The candidates for its control
+// stall and replace each other, and operators halt, resume and roll back the release and drain nodes meanwhile.
+// In addition to the budgets and halts, it checks that no node is requested for the release after a halt was
+// acknowledged, or with a version that contradicts the release's state; that a good version is never found
+// worse, whatever the upstream servers do; and that in the end all nodes run the target version, or none does.
+// mutant is one of ReleaseMutants, or empty.
 func RunRelease(seed uint64, mutant string) (violation string, counts map[string]int) {
 	return run(seed, mutant, 0, true)
 }
@@ -69,10 +69,10 @@
 	if w.idle() {
 		return "", w.counts
 	}
-	return w.unfinished(), w.counts
+	return w.describeUnfinished(), w.counts
 }
 
-// newWorld draws the world of a seed.
+// newWorld draws the fleet and the first state of the run from a seed.
 func newWorld(seed uint64, mutant string, nodes int, withRelease bool) (*world, error) {
 	w := &world{
 		random:   rand.New(rand.NewPCG(seed, 26)),
@@ -95,7 +95,7 @@
 		size = nodes
 	}
 	w.addNodes(size)
-	for i := range candidates {
+	for i := range candidateCount {
 		w.granters = append(w.granters, &granter{candidate: w.newCandidate(i)})
 	}
 	w.setBudgets()
@@ -118,12 +118,12 @@
 	}
 }
 
-// setBudgets draws the budgets, and writes them to the store.
+// setBudgets draws the budgets and writes them to the store.
 func (w *world) setBudgets() {
-	inFleet, inZone := 1+w.random.IntN(max(1, len(w.nodes)/2)), 1
-	w.budgets = disruption.Budgets{{Scope: "fleet", MaxUnavailable: &inFleet}}
+	maxInFleet, maxInZone := 1+w.random.IntN(max(1, len(w.nodes)/2)), 1
+	w.budgets = disruption.Budgets{{Scope: "fleet", MaxUnavailable: &maxInFleet}}
 	if w.zones > 1 {
-		w.budgets = append(w.budgets, disruption.Budget{Scope: "zone", MaxUnavailable: &inZone})
+		w.budgets = append(w.budgets, disruption.Budget{Scope: "zone", MaxUnavailable: &maxInZone})
 	}
 	w.store.Apply(document.Transaction{ID: w.newID(),
 		Operations: []document.Operation{{Key: fleetstate.BudgetsKey, Value: fleetstate.Encode(w.budgets)}}}, 0)
@@ -152,7 +152,7 @@
 	w.checkBudgets()
 }
 
-// endFaults ends the faults: operators resume what is halted and withdraw their drains, and releases go on.
+// endFaults ends the faults. Operators end all halts and withdraw their drains; releases continue.
 func (w *world) endFaults() {
 	w.faultsOver = true
 	for _, d := range w.store.List(fleetstate.HaltKeyPrefix) {
@@ -167,7 +167,7 @@
 	}
 }
 
-// runEvents runs all events that are due, those too that they add, in the order in which they were added.
+// runEvents runs all events that are due, including those that they add, in the order in which they were added.
 func (w *world) runEvents() {
 	for i := 0; i < len(w.queue); i++ {
 		event := w.queue[i]
@@ -175,21 +175,21 @@
 			continue
 		}
 		w.queue = slices.Delete(w.queue, i, i+1)
-		i = -1 // an event may add others that are due
+		i = -1 // start again: the event may have added others that are due
 		event.run()
 	}
 }
 
-// unfinished describes what has not come to its end.
-func (w *world) unfinished() string {
-	took := w.now - faultsDuration
+// describeUnfinished describes the requests, permits and release that have not ended.
+func (w *world) describeUnfinished() string {
+	elapsed := w.now - faultsDuration
 	if w.rollout != nil {
-		return fmt.Sprintf("%v after the faults: %s", took, w.describeRelease())
+		return fmt.Sprintf("release not ended %v after the end of the faults: %s", elapsed, w.describeRelease())
 	}
-	left := map[string]string{}
+	remaining := map[string]string{}
 	for _, d := range w.store.List(fleetstate.DrainKeyPrefix) {
-		left[d.Key] = d.Value
+		remaining[d.Key] = d.Value
 	}
-	return fmt.Sprintf("%v after the faults of %d nodes in %d zones, %d of them out at most, there are %v",
-		took, len(w.nodes), w.zones, *w.budgets[0].MaxUnavailable, left)
+	return fmt.Sprintf("drains not ended %v after the end of the faults (%d nodes in %d zones, at most %d may be unavailable): %v",
+		elapsed, len(w.nodes), w.zones, *w.budgets[0].MaxUnavailable, remaining)
 }
--- a/internal/control/drainpermit/modelcheck/run_test.go
+++ b/internal/control/drainpermit/modelcheck/run_test.go
@@ -7,20 +7,20 @@
 
 var seeds = flag.Int("walk.seeds", 60, "how many fleets are simulated")
 
-// expectCounted checks that each event has happened in at least one of every so many runs: otherwise they
-// show little.
+// expectCounted checks that each event has happened in at least one of every so many runs. Without the events the
+// runs would not exercise the checks.
 func expectCounted(t *testing.T, runsWith map[string]int, runs, every int, events ...string) {
 	t.Helper()
 	for _, event := range events {
 		if runsWith[event]*every < runs {
-			t.Errorf("%s: in %d of %d runs only", event, runsWith[event], runs)
+			t.Errorf("event %q happened in only %d of %d runs", event, runsWith[event], runs)
 		}
 	}
 }
 
-// TestDrains: whatever happens, no more nodes are out of service voluntarily than the budgets allow, nothing
-// starts after a halt was acknowledged, and every request comes to its end once the faults are over.
-func TestDrains(t *testing.T) {
+// TestDrainsKeepBudgetsAndEnd: under faults, no more nodes are voluntarily out of service than the budgets allow,
+// and no node goes out of service after a halt was acknowledged. After the faults every request ends.
+func TestDrainsKeepBudgetsAndEnd(t *testing.T) {
 	runsWith, total := map[string]int{}, map[string]int{}
 	for seed := range uint64(*seeds) {
 		violation, counts := Run(seed, "")
@@ -32,17 +32,18 @@
 			total[event] += n
 		}
 	}
-	t.Logf("of %d fleets: %v; in all %v", *seeds, runsWith, total)
+	t.Logf("%d fleets: runs with each event %v, total events %v", *seeds, runsWith, total)
 	expectCounted(t, runsWith, *seeds, 10, countOutOfService, countRejected, countReplaced, countHalted, countGranters, countKilled)
 }
 
-// TestMutants begins close to the seed at which each is seen first (docs/design/drains.md has all of them from 1).
-func TestMutants(t *testing.T) {
+// TestMutantsAreDetected checks that each mutant is detected. It starts close to the first seed that detects the
+// mutant, to be fast (docs/design/drains.md has the runs of all mutants from seed 1).
+func TestMutantsAreDetected(t *testing.T) {
 	for mutant, first := range map[string]uint64{
 		mutantIgnoresHalt:          5,
-		mutantStartsOldPermit:      5,
+		mutantStartsStalePermit:    5,
 		mutantIgnoresWindow:        1075,
-		mutantGrantsOnOldCount:     88,
+		mutantGrantsOnStaleCount:   88,
 		mutantRemovesStarted:       282,
 		mutantWarmingUpIsAvailable: 5,
 	} {
@@ -54,15 +55,15 @@
 			}
 		}
 		if !found {
-			t.Errorf("%s: not seen in 20 seeds from %d", mutant, first)
+			t.Errorf("mutant %q: not detected in 20 seeds from %d", mutant, first)
 		}
 	}
 }
 
-// TestReleases: a release goes through the fleet or back, whatever happens; a bad one is seen, a good one is
-// never found worse.
-func TestReleases(t *testing.T) {
-	runsWith, runs := map[string]int{}, max(1, *seeds/5) // each takes some ten times as long
+// TestReleasesCompleteOrRollBack: under faults, a release updates all nodes or is rolled back. The analysis finds
+// bad versions, and never finds a good one worse.
+func TestReleasesCompleteOrRollBack(t *testing.T) {
+	runsWith, runs := map[string]int{}, max(1, *seeds/5) // a run takes about ten times as long as one of TestDrainsKeepBudgetsAndEnd
 	for seed := range uint64(runs) {
 		violation, counts := RunRelease(seed, "")
 		if violation != "" {
@@ -72,12 +73,12 @@
 			runsWith[event]++
 		}
 	}
-	t.Logf("of %d releases: %v", runs, runsWith)
+	t.Logf("%d releases: runs with each event %v", runs, runsWith)
 	expectCounted(t, runsWith, runs, 12, countRequests, countReplaced, countHalted, countControllers, countKilled, countRolledBack, countFoundWorse)
 }
 
-// TestReleaseMutants has the first seed at which each is seen.
-func TestReleaseMutants(t *testing.T) {
+// TestReleaseMutantsAreDetected checks that each mutant is detected, at the first seed that detects it.
+func TestReleaseMutantsAreDetected(t *testing.T) {
 	for mutant, seed := range map[string]uint64{
 		mutantRequestIgnoresHalt:    26,
 		mutantRequestWithoutLease:   75,
@@ -85,7 +86,7 @@
 		mutantUnpairedAnalysis:      21,
 	} {
 		if violation, _ := RunRelease(seed, mutant); violation == "" {
-			t.Errorf("%s: not seen at seed %d", mutant, seed)
+			t.Errorf("mutant %q: not detected at seed %d", mutant, seed)
 		}
 	}
 }
--- a/internal/control/drainpermit/modelcheck/world.go
+++ b/internal/control/drainpermit/modelcheck/world.go
@@ -11,7 +11,7 @@
 	"sloehitch/internal/store/document"
 )
 
-// LeaseTerms are those of the start window and of the leases in every fleet.
+// LeaseTerms are the terms of the start window and of all leases.
 var LeaseTerms = lease.Terms{Duration: 3 * time.Second, MaxDrift: 0.02, SafetyMargin: 300 * time.Millisecond}
 
 const (
@@ -20,7 +20,7 @@
 	grantTask = "permits"
 )
 
-// What is counted, so that tests can tell that it has happened often enough.
+// Events that are counted, so that tests can check that they have happened often enough.
 const (
 	countOutOfService   = "out"
 	countRejected       = "refused"
@@ -35,7 +35,7 @@
 	countHaltedByItself = "halted by itself"
 )
 
-// timedEvent is something that happens at a later time.
+// timedEvent is a function to be run at a simulated time.
 type timedEvent struct {
 	at  time.Duration
 	run func()
@@ -51,17 +51,17 @@
 	zones    int
 	nodes    []*node
 	granters []*granter
-	rollout  *rollout // nil: nodes are drained by operators only
+	rollout  *rollout // nil if only operators drain nodes
 	budgets  disruption.Budgets
 	mutant   string
-	// faultsOver says that there are no more faults: every request must now come to its end.
+	// faultsOver is set once there are no more faults, so that every request must end.
 	faultsOver bool
 	lastID     int
 	haltedAt   map[string]time.Duration // by halt: when it was acknowledged
 	requests   map[string]cached[fleetstate.DrainRequest]
 	permits    map[string]cached[fleetstate.Permit]
 	counts     map[string]int
-	violation  string // the first; empty: none
+	violation  string // the first violation, or empty
 }
 
 func (w *world) newID() string {
@@ -76,20 +76,20 @@
 	}
 }
 
-// after runs something later.
+// after schedules run after a delay.
 func (w *world) after(delay time.Duration, run func()) {
 	w.queue = append(w.queue, timedEvent{w.now + delay, run})
 }
 
-// clock returns the present on a clock that goes at the given rate.
+// clock returns the current time of a clock that runs at the given rate.
 func (w *world) clock(rate float64) lease.Instant { return lease.Instant(float64(w.now) * rate) }
 
-// randomClockRate draws the rate of a clock: as fast or as slow as is allowed for.
+// randomClockRate draws the rate of a clock: the fastest or the slowest that the lease terms allow for.
 func (w *world) randomClockRate() float64 {
 	return 1 + LeaseTerms.MaxDrift*(2*float64(w.random.IntN(2))-1)
 }
 
-// randomDelay draws up to the given number of lease durations.
+// randomDelay draws a delay of up to the given number of lease durations.
 func (w *world) randomDelay(leaseDurations int) time.Duration {
 	return time.Duration(w.random.Float64() * float64(time.Duration(leaseDurations)*LeaseTerms.Duration))
 }
@@ -103,8 +103,8 @@
 	return time.Duration(x * x * x * x * float64(LeaseTerms.Duration+LeaseTerms.Duration/5)), w.random.IntN(20) > 0
 }
 
-// apply sends a transaction to the store. done is called once: with the answer, or after a lease duration
-// with answered false.
+// apply sends a transaction to the store. done is called once: with the answer, or with answered false if there
+// is none after a lease duration.
 func (w *world) apply(t document.Transaction, done func(result document.Result, answered bool)) {
 	finished := false
 	once := func(result document.Result, answered bool) func() {
@@ -131,7 +131,7 @@
 	})
 }
 
-// write has an operator write or delete (empty value) a document. Operators get their answer at once.
+// write writes a document as an operator, or deletes it if the value is empty. Operators are answered at once.
 func (w *world) write(key, value string) {
 	w.store.Apply(document.Transaction{ID: w.newID(), Author: "op",
 		Operations: []document.Operation{{Key: key, Value: value, Delete: value == ""}}}, lease.Instant(w.now))
@@ -143,13 +143,13 @@
 		Operations: []document.Operation{{Key: key, Delete: true}}}, lease.Instant(w.now))
 }
 
-// cached is a document as it was decoded last.
+// cached is the last decoded version of a document.
 type cached[T any] struct {
 	version uint64
 	value   T
 }
 
-// decodeCached decodes a document, once for each of its versions.
+// decodeCached decodes a document, each version only once.
 func decodeCached[T fleetstate.DrainRequest | fleetstate.Permit | disruption.Budgets](w *world, cache map[string]cached[T], d document.Document) T {
 	if c, found := cache[d.Key]; found && c.version == d.Version {
 		return c.value
--- a/internal/control/drainpermit/next_action.go
+++ b/internal/control/drainpermit/next_action.go
@@ -10,23 +10,23 @@
 
 // When a node starts its permit, goes out of service, is replaced, comes back and returns the permit.
 //
-// Inputs: the node's drain request and permit, its callers' requests in flight, its health, and since when it has been in
-// service and healthy.
+// Inputs: the node's drain request and permit, its callers' requests in flight, its health, and since when it
+// has been in service and healthy. By the state of the permit:
 //
-//   - No permit: it is in service.
-//   - Granted: it starts the permit if the drain request still wants it out, and returns it otherwise.
-//   - Started, by this process: it goes out of service within HolderDuration (package lease) of having asked.
-//     Started by the process before it: this one may not go out, because the window may be over, and comes
-//     back instead.
-//   - Out of service: for a release, once no caller's request is in flight, its process is replaced, at most
-//     MaxReplaceAttempts times; then the drain request fails. It enters service once the drain request is gone, or when
-//     it runs the release's target version.
-//   - Returning: it returns the permit once it has been in service and healthy for MinReady.
+//   - No permit: the node is in service.
+//   - Granted: the node starts the permit if the drain request still exists, and returns it otherwise.
+//   - Started by this process: the node goes out of service within HolderDuration (package lease) of sending
+//     the start transaction. Started by the previous process: this process may not go out, because the window
+//     may have ended, and marks the permit as returning instead.
+//   - Out of service: for a release, the node's process is replaced once no caller's request is in flight, at
+//     most MaxReplaceAttempts times; then the drain request fails. The node enters service once the drain
+//     request is gone, or when it runs the release's target version.
+//   - Returning: the node returns the permit once it has been in service and healthy for MinReady.
 //
-// Why: the permit is returned last, since from then on another node may go out in its place. An observation
-// from before the agent's last write is ignored, and so is everything while a write is pending.
+// Why: the permit is returned last, because from then on another node may go out of service. Observations from
+// before the agent's last write are ignored, and so are all observations while a write is pending.
 
-// NextAction returns what the node is to do by what it observes now, or ActionNone.
+// NextAction returns the node's next action for an observation, or one of kind ActionNone.
 func (a *Agent) NextAction(o Observation, now lease.Instant) Action {
 	a.trackHealth(o.Healthy, now)
 	if a.writePending || o.Revision < a.minRevision {
@@ -35,24 +35,24 @@
 	if o.Permit == nil {
 		return a.withoutPermit()
 	}
-	wanted := o.Request != nil && o.Request.ID == o.Permit.RequestID && o.Request.FailureReason == ""
+	requestActive := o.Request != nil && o.Request.ID == o.Permit.RequestID && o.Request.FailureReason == ""
 	if o.Permit.State == fleetstate.PermitGranted {
-		return a.startOrReturn(*o.Permit, wanted, now)
+		return a.startOrReturn(*o.Permit, requestActive, now)
 	}
 	a.adopt(*o.Permit)
-	updated := wanted && o.Request.ReleaseName != "" && o.Request.TargetVersion == a.options.DeployedVersion
+	updated := requestActive && o.Request.ReleaseName != "" && o.Request.TargetVersion == a.options.DeployedVersion
 	switch {
-	case a.outOfService && (!wanted || updated):
+	case a.outOfService && (!requestActive || updated):
 		return Action{Kind: ActionEnterService}
 	case a.outOfService:
 		return a.whileOutOfService(o)
-	case wanted && !updated && !a.mustStay && o.Permit.State != fleetstate.PermitReturning:
+	case requestActive && !updated && !a.mustStayInService && o.Permit.State != fleetstate.PermitReturning:
 		return a.leaveOrFail(o)
 	}
-	return a.returnPermit(o, wanted, now)
+	return a.returnPermit(o, requestActive, now)
 }
 
-// trackHealth keeps since when the process has been in service and healthy.
+// trackHealth tracks since when the process has been in service and healthy.
 func (a *Agent) trackHealth(healthy bool, now lease.Instant) {
 	inService := !a.outOfService && healthy
 	if inService && !a.healthy {
@@ -61,8 +61,8 @@
 	a.healthy = inService
 }
 
-// withoutPermit has a process that is out of service enter it: its permit was deleted by an operator, or the
-// store was restored to a state from before it.
+// withoutPermit returns the node to service if it is out of service without a permit: an operator deleted the
+// permit, or the store was restored to a state from before the permit.
 func (a *Agent) withoutPermit() Action {
 	a.startedLate, a.permitID = false, ""
 	if a.outOfService {
@@ -71,25 +71,25 @@
 	return Action{}
 }
 
-// startOrReturn starts a granted permit, or returns it if the drain request no longer wants the node out.
-func (a *Agent) startOrReturn(permit fleetstate.Permit, wanted bool, now lease.Instant) Action {
-	if !wanted {
+// startOrReturn starts a granted permit, or returns it unused if its drain request no longer holds.
+func (a *Agent) startOrReturn(permit fleetstate.Permit, requestActive bool, now lease.Instant) Action {
+	if !requestActive {
 		return a.awaitWrite(Action{Kind: ActionReturnPermit, NeverUsed: true})
 	}
 	permit.State, permit.StartWindowMS = fleetstate.PermitStarted, a.options.Terms.Duration.Milliseconds()
-	a.startRequestedAt, a.startedLate, a.mustStay, a.permitID = now, false, false, permit.ID
+	a.startRequestedAt, a.startedLate, a.mustStayInService, a.permitID = now, false, false, permit.ID
 	return a.awaitWrite(Action{Kind: ActionStart, Permit: permit})
 }
 
-// adopt takes over a permit that the process before this one started. That process may have gone out of
-// service by it, and this one may not do so now: its window is over.
+// adopt takes over a permit that the previous process started. That process may have gone out of service under
+// it. This one may not, because the start window may have ended.
 func (a *Agent) adopt(permit fleetstate.Permit) {
 	if a.permitID != permit.ID {
-		a.permitID, a.startedLate, a.mustStay = permit.ID, false, permit.State == fleetstate.PermitStarted
+		a.permitID, a.startedLate, a.mustStayInService = permit.ID, false, permit.State == fleetstate.PermitStarted
 	}
 }
 
-// leaveOrFail goes out of service, or fails the drain request of a release after too many replacements.
+// leaveOrFail takes the node out of service, or fails a release's drain request after MaxReplaceAttempts.
 func (a *Agent) leaveOrFail(o Observation) Action {
 	if o.Request.ReleaseName == "" || o.Permit.ReplaceAttempts < a.options.MaxReplaceAttempts {
 		return Action{Kind: ActionLeaveService}
@@ -103,8 +103,8 @@
 	return a.awaitWrite(Action{Kind: ActionFailRequest, Request: failed})
 }
 
-// whileOutOfService writes down that the node is out, and replaces the process of a release once no caller's
-// request is in flight.
+// whileOutOfService records in the permit that the node is out of service. For a release, it then replaces the
+// process once no caller's request is in flight.
 func (a *Agent) whileOutOfService(o Observation) Action {
 	permit := *o.Permit
 	switch {
@@ -120,8 +120,8 @@
 	return a.awaitWrite(Action{Kind: ActionReplaceProcess, Permit: permit})
 }
 
-// returnPermit writes down that the node is in service again, and returns the permit after MinReady.
-func (a *Agent) returnPermit(o Observation, wanted bool, now lease.Instant) Action {
+// returnPermit records in the permit that the node is in service again, and returns the permit after MinReady.
+func (a *Agent) returnPermit(o Observation, requestActive bool, now lease.Instant) Action {
 	if o.Permit.State != fleetstate.PermitReturning {
 		permit := *o.Permit
 		permit.State = fleetstate.PermitReturning
@@ -130,10 +130,11 @@
 	if !a.healthy || time.Duration(now-a.healthySince) < a.options.MinReady {
 		return Action{}
 	}
-	return a.awaitWrite(Action{Kind: ActionReturnPermit, RequestDone: wanted && o.Request.ReleaseName != "" && !a.startedLate})
+	return a.awaitWrite(Action{Kind: ActionReturnPermit, RequestDone: requestActive && o.Request.ReleaseName != "" && !a.startedLate})
 }
 
-// awaitWrite returns an action that is a transaction: nothing else is done until its result is reported.
+// awaitWrite returns an action that is a transaction. NextAction returns no other action until its result is
+// reported.
 func (a *Agent) awaitWrite(action Action) Action {
 	a.writePending = true
 	return action
--- a/internal/control/drainpermit/remove.go
+++ b/internal/control/drainpermit/remove.go
@@ -11,19 +11,19 @@
 // When the controller removes a permit.
 //
 // Inputs: permits and drain requests, halts, the start window (lease.Terms.Duration), and since when this
-// controller has seen a permit.
+// controller has observed a permit.
 //
-//   - A node's permit that is granted and not started is removed if its drain request is gone, replaced by another,
-//     failed or halted; and if it has not been started for a whole start window. In that last case its
-//     drain request goes to the end of the queue.
-//   - An upstream server's permit becomes PermitReturning once its drain request is gone or replaced, and is
-//     removed once every node that reports has used the server, and found it healthy, for MinReady.
+//   - A node's permit that is granted and not started is removed if its drain request is gone, replaced by
+//     another, failed or halted. It is also removed if it has not been started for a whole start window, and
+//     then its drain request moves to the end of the queue.
+//   - An upstream server's permit becomes PermitReturning once its drain request is gone or replaced. It is
+//     removed once every reporting node has used the server, and found it healthy, for MinReady.
 //
-// Why: the transaction that removes a permit is made only if the permit is unchanged, and so is the one that
-// starts it. Only one of them is committed, and no clocks are compared. A node returns a started permit
-// itself (next_action.go). Nobody starts an upstream server's permit, so the controller returns it.
+// Why: the transactions that remove and that start a permit both require that the permit is unchanged. So only
+// one of them is committed, and no clocks are compared. A node returns a started permit itself
+// (next_action.go). An upstream server's permit is never started, so the controller returns it.
 
-// decidePermits decides on all permits that exist.
+// decidePermits decides on all existing permits.
 func (c *Controller) decidePermits(view fleetstate.View, now lease.Instant, d *Decision) {
 	r := permitReview{Controller: c, view: view, now: now, firstSeen: map[string]lease.Instant{}, decision: d}
 	for name, permit := range view.Permits {
@@ -37,7 +37,7 @@
 	c.firstSeen = r.firstSeen
 }
 
-// permitReview is one look of a controller at all permits.
+// permitReview is one pass of a controller over all permits.
 type permitReview struct {
 	*Controller
 	view      fleetstate.View
@@ -62,10 +62,10 @@
 // decideUpstream decides on an upstream server's permit.
 func (r permitReview) decideUpstream(name string, permit fleetstate.Permit) {
 	request, requested := r.view.Requests[name]
-	wanted := requested && request.ID == permit.RequestID
+	requestActive := requested && request.ID == permit.RequestID
 	switch {
 	case permit.State != fleetstate.PermitReturning:
-		if !wanted {
+		if !requestActive {
 			r.decision.MarkReturning = append(r.decision.MarkReturning, name)
 		}
 	case r.upstreamInUse(name):
@@ -75,9 +75,9 @@
 	}
 }
 
-// observedFor returns for how long the controller has looked at the permit in the branch that calls this
-// (granted and not started, or its upstream server in use again) without a break, and notes that it does so
-// now. A look that takes another branch begins the time anew.
+// observedFor returns for how long the controller has observed the permit without a break in the state of the
+// caller (granted and not started, or its upstream server in use again), and records this observation. A pass
+// that finds the permit in another state restarts the measurement.
 func (r permitReview) observedFor(permit fleetstate.Permit) time.Duration {
 	first, seen := r.Controller.firstSeen[permit.ID]
 	if !seen {
@@ -87,8 +87,8 @@
 	return time.Duration(r.now - first)
 }
 
-// upstreamInUse says whether all nodes use an upstream server again; one that no node reports any more counts
-// as used.
+// upstreamInUse reports whether all nodes use an upstream server again. A server that no node reports any more
+// counts as in use.
 func (r permitReview) upstreamInUse(name string) bool {
 	i := slices.IndexFunc(r.view.Members, func(m fleetstate.ObservedMember) bool { return m.Name == name })
 	return i < 0 || r.view.Members[i].InUseByAll()
