--- a/internal/control/release/advance.go
+++ b/internal/control/release/advance.go
@@ -10,27 +10,27 @@
 	"sloehitch/internal/control/lease"
 )
 
-// When the nodes of a wave are asked for, and when the next wave begins.
+// When the nodes of a wave are requested, and when the next wave begins.
 //
 // Inputs: the nodes of the current wave with their requests, permits and reports, the canary verdict, and SoakMS.
 //
-//   - All nodes of the wave that are not updated are asked for at once; how many go out at once is up to the
-//     budgets. The very first node is asked for only after SoakMS of watching.
-//   - The next wave begins once every node of the wave is updated and available (or gone from the fleet)
-//     without a break for SoakMS, or for inconclusiveSoakFactor times as long while the verdict is not
-//     conclusive. That is noted.
+//   - All nodes of the wave that are not updated are requested at once. The budgets determine how many go out of
+//     service at once. The first node of the release is requested only after the fleet was observed for SoakMS.
+//   - The next wave begins once every node of the wave has been updated and available, or gone from the fleet,
+//     without a break for SoakMS. While the verdict is not conclusive this takes inconclusiveSoakFactor times as
+//     long, and the release gets a note.
 //
 // Why: the canary analysis compares nodes with themselves before the update, so it needs intervals from
-// before. A zone without nodes to compare with must not stop a release; it is watched for longer.
+// before. A zone without nodes to compare with must not stop a release, so it is observed for longer.
 
-// inconclusiveSoakFactor is how many times SoakMS a wave is watched without a conclusive verdict.
+// inconclusiveSoakFactor multiplies the soak time of a wave that has no conclusive verdict.
 const inconclusiveSoakFactor = 3
 
-// waveProgress is how far the nodes of the current wave are.
+// waveProgress is the progress of the nodes of a wave.
 type waveProgress struct {
 	requests []NodeRequest // to be written
 	pending  int           // nodes that are not updated and available yet
-	failure  string        // why the release is to halt
+	failure  string        // why the release must halt
 }
 
 // advance decides by the progress of the current wave.
@@ -52,7 +52,7 @@
 	return c.nextWave(r, verdict, now)
 }
 
-// inspectWave looks at the nodes of the current wave up to the first whose request has failed.
+// inspectWave returns the progress of the current wave. It stops at the first node whose request has failed.
 func inspectWave(
 	r Release, view fleetstate.View, members map[string]fleetstate.ObservedMember, minReady time.Duration,
 ) (progress waveProgress) {
@@ -68,7 +68,7 @@
 			if m.Report.Availability(minReady) != disruption.Available {
 				progress.pending++
 			}
-		case idle && !known: // it left the fleet
+		case idle && !known: // the node left the fleet
 		case idle:
 			progress.requests = append(progress.requests, NodeRequest{Node: node, TargetVersion: r.TargetVersion})
 			progress.pending++
@@ -79,7 +79,7 @@
 	return progress
 }
 
-// nothingUpdated says whether no node of the release is updated yet.
+// nothingUpdated reports whether no node of the release is updated yet.
 func nothingUpdated(r Release, members map[string]fleetstate.ObservedMember) bool {
 	if r.CurrentWave > 0 {
 		return false
--- a/internal/control/release/canary_reports.go
+++ b/internal/control/release/canary_reports.go
@@ -8,8 +8,8 @@
 	"sloehitch/internal/control/fleetstate"
 )
 
-// CanaryReports returns the reports of all nodes as the canary analysis of the release records them. A node
-// is in service for the analysis once it has been so for minReady.
+// CanaryReports converts the reports of all nodes for the canary analysis of the release. A node counts as in
+// service once it has been available for minReady.
 func (r Release) CanaryReports(view fleetstate.View, minReady time.Duration) (reports []canary.NodeReport) {
 	for _, m := range view.Members {
 		if m.Service != "" {
--- a/internal/control/release/controller.go
+++ b/internal/control/release/controller.go
@@ -8,27 +8,27 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Decision is what is to be changed of a release: at most one of its three parts is set.
+// Decision holds the changes that a controller makes for a release. At most one of its fields is set.
 type Decision struct {
 	Requests   []NodeRequest
 	HaltReason string   // why the release halts by itself
-	Updated    *Release // the release as it is to be written
+	Updated    *Release // the release to write
 }
 
-// Empty says whether nothing is to be changed.
+// Empty reports whether the decision changes nothing.
 func (d Decision) Empty() bool {
 	return d.HaltReason == "" && d.Updated == nil && len(d.Requests) == 0
 }
 
-// NodeRequest is a drain request to be written for a node, or to be withdrawn.
+// NodeRequest is a drain request to write or to withdraw for a node.
 type NodeRequest struct {
 	Node          string
 	TargetVersion string
-	Withdraw      bool // delete the request that there is
+	Withdraw      bool // delete the existing request
 }
 
-// Controller decides on one release. What it remembers is since when it has seen something, on its own
-// process's clock; another process that takes over counts anew. It is not safe for concurrent use.
+// Controller decides on one release. Its state is since when it has observed conditions, on the clock of its
+// process. Another process that takes over starts these measurements again. It is not safe for concurrent use.
 type Controller struct {
 	watching      bool
 	watchingSince lease.Instant
@@ -37,14 +37,14 @@
 	readyWave      int
 	waveReadySince lease.Instant
 
-	outSince map[string]lease.Instant // since when a permit has been seen as started, by permit ID
+	outOfServiceSince map[string]lease.Instant // when a permit was first observed as started, by permit ID
 }
 
-// Decide returns what is to be changed by a view, which a majority must have confirmed, and by the verdict on
-// the nodes updated so far. It must be called with the same release each time.
+// Decide returns the changes for a view, which a majority must have confirmed, and for the verdict on the nodes
+// updated so far. It must be called with the same release each time.
 func (c *Controller) Decide(r Release, view fleetstate.View, verdict canary.Verdict, minReady time.Duration, now lease.Instant) Decision {
 	if view.Halted[fleetstate.HaltAll] || view.Halted[r.Name] || !r.Active() {
-		c.waveReady, c.outSince = false, nil
+		c.waveReady, c.outOfServiceSince = false, nil
 		return Decision{}
 	}
 	if !c.watching {
--- a/internal/control/release/halt.go
+++ b/internal/control/release/halt.go
@@ -14,38 +14,38 @@
 
 // When a release halts by itself.
 //
-// Inputs: permits and since when this controller has seen them started, the canary verdict, and the liveness
-// of updated nodes. It halts if
+// Inputs: permits and since when this controller has observed them as started, the canary verdict, and the
+// liveness of updated nodes. A release halts if
 //
-//   - a node of the release has been out of service for more than ReturnTimeoutMS, forwards or back;
-//   - the updated nodes are worse than the others (package canary), unless it is rolling back;
-//   - an updated node is silent or its report cannot be decoded, unless it is rolling back;
+//   - a node of the release has been out of service for more than ReturnTimeoutMS, also during a rollback;
+//   - the updated nodes are worse than the others (package canary), unless the release is rolling back;
+//   - an updated node is silent or its report cannot be decoded, unless the release is rolling back;
 //   - a node's request failed (advance.go and rollback.go).
 //
-// Why: what happens to nodes that do not report is not known, so it counts as bad.
+// Why: the state of nodes that do not report is not known, so it counts as bad.
 
 // overdueNode describes the first node of the release that has been out of service for too long, or returns "".
 func (c *Controller) overdueNode(r Release, view fleetstate.View, now lease.Instant) (reason string) {
-	outSince := map[string]lease.Instant{}
+	outOfServiceSince := map[string]lease.Instant{}
 	for _, node := range slices.Sorted(maps.Keys(view.Permits)) {
 		permit := view.Permits[node]
 		if view.Requests[node].ReleaseName != r.Name || permit.State == fleetstate.PermitGranted {
 			continue
 		}
-		since, known := c.outSince[permit.ID]
+		since, known := c.outOfServiceSince[permit.ID]
 		if !known {
 			since = now
 		}
-		outSince[permit.ID] = since
+		outOfServiceSince[permit.ID] = since
 		if reason == "" && time.Duration(now-since) > r.returnTimeout() {
 			reason = fmt.Sprintf("%s is not back %v after it went out (%s)", node, r.returnTimeout(), permit.State)
 		}
 	}
-	c.outSince = outSince
+	c.outOfServiceSince = outOfServiceSince
 	return reason
 }
 
-// badVersion says why the target version is not to go to further nodes, or returns "".
+// badVersion returns why no further nodes may be updated to the target version, or "".
 func badVersion(r Release, members map[string]fleetstate.ObservedMember, verdict canary.Verdict) string {
 	if verdict.Worse {
 		return "worse: " + verdict.Reason
--- a/internal/control/release/release.go
+++ b/internal/control/release/release.go
@@ -10,24 +10,24 @@
 	"sloehitch/internal/store/document"
 )
 
-// KeyPrefix followed by a release's name, is the key of its document.
+// KeyPrefix is the prefix of the keys of releases. The name of the release follows it.
 const KeyPrefix = "release/"
 
-// TaskName is the name of the leased task whose holder takes releases through the fleet.
+// TaskName is the name of the leased task whose holder controls releases.
 const TaskName = "release"
 
-// State is what a release is doing.
+// State is the state of a release.
 type State string
 
-// The states of a release. A halt is a document of its own (fleetstate.HaltKeyPrefix) and leaves the state as it is.
+// States of a release. A halt is a separate document (fleetstate.HaltKeyPrefix) and does not change the state.
 const (
 	Running     State = "running"
 	RollingBack State = "back"   // updated nodes get their previous version back, the latest wave first
 	Completed   State = "over"   // all nodes are updated
-	RolledBack  State = "undone" // all nodes that can have their previous version
+	RolledBack  State = "undone" // all nodes with a previous version run it again
 )
 
-// Release is a release as it is stored.
+// Release is the stored document of a release.
 type Release struct {
 	Name          string `json:"name"`
 	TargetVersion string `json:"to"` // what nodes report as deployed once they are updated
@@ -36,21 +36,21 @@
 	RequestedAtMS int64  `json:"at"` // Unix milliseconds; for display only
 	// Waves are names of nodes, in the order in which they are updated.
 	Waves [][]string `json:"waves"`
-	// PreviousVersions is what each node reported as deployed before. A node without an entry cannot be rolled back.
+	// PreviousVersions is the version that each node reported before. A node without an entry cannot be rolled back.
 	PreviousVersions map[string]string `json:"from"`
 	State            State             `json:"state"`
 	CurrentWave      int               `json:"wave"` // index into Waves
-	// SoakMS is for how long a wave is watched once all of it is back, milliseconds.
+	// SoakMS is how long a wave is observed after all its nodes are back in service, milliseconds.
 	SoakMS int64 `json:"soak_ms"`
-	// ReturnTimeoutMS is the time in which a node should be back from when it went out of service, milliseconds.
+	// ReturnTimeoutMS is the time from going out of service within which a node must be back, milliseconds.
 	ReturnTimeoutMS int64 `json:"late_ms"`
-	// DrainTimeoutMS is the time in which a node should have finished its requests, milliseconds. 0: any.
+	// DrainTimeoutMS is the time within which a node should have finished its requests, milliseconds. 0 means no limit.
 	DrainTimeoutMS int64 `json:"within_ms"`
-	// Note is for operators: why it halted, or what they should know of the last wave.
+	// Note is for operators: why the release halted, or a remark on the last wave.
 	Note string `json:"note,omitempty"`
 }
 
-// Active says whether the release is under way, forwards or back; it may be halted.
+// Active reports whether the release is running or rolling back. It may be halted.
 func (r Release) Active() bool { return r.State == Running || r.State == RollingBack }
 
 func (r Release) soak() time.Duration { return time.Duration(r.SoakMS) * time.Millisecond }
@@ -59,7 +59,7 @@
 	return time.Duration(r.ReturnTimeoutMS) * time.Millisecond
 }
 
-// Validate returns an error that says why a release cannot be carried out, or nil.
+// Validate returns an error if the release cannot be carried out.
 func (r Release) Validate() error {
 	nodes := map[string]bool{}
 	for _, wave := range r.Waves {
@@ -72,21 +72,21 @@
 	}
 	switch {
 	case r.Name == "" || r.Name == fleetstate.HaltAll || strings.ContainsAny(r.Name, "/ "):
-		return fmt.Errorf("name %q: a word without slashes and spaces is wanted, and not %q", r.Name, fleetstate.HaltAll)
+		return fmt.Errorf("release name %q must be a word without slashes and spaces, and not %q", r.Name, fleetstate.HaltAll)
 	case r.TargetVersion == "":
-		return fmt.Errorf("to what is missing: the release that nodes are to report")
+		return fmt.Errorf("target version (to) is missing")
 	case len(nodes) == 0:
-		return fmt.Errorf("no node is left to change: all report %q", r.TargetVersion)
+		return fmt.Errorf("no node to update: all nodes report version %q", r.TargetVersion)
 	case r.SoakMS < 0 || r.ReturnTimeoutMS <= 0:
-		return fmt.Errorf("soak and late: times are wanted, the second above 0")
+		return fmt.Errorf("soak time must be 0 or more, and return timeout (late) above 0")
 	}
 	return nil
 }
 
-// Decode decodes a release's document. It returns an error if there is none.
+// Decode decodes a release's document. It returns an error if the document does not exist.
 func Decode(d document.Document) (r Release, err error) {
 	if d.Version == 0 {
-		return r, fmt.Errorf("there is no %s", d.Key)
+		return r, fmt.Errorf("document %s does not exist", d.Key)
 	}
 	return r, json.Unmarshal([]byte(d.Value), &r)
 }
--- a/internal/control/release/rollback.go
+++ b/internal/control/release/rollback.go
@@ -10,13 +10,13 @@
 // How a release rolls back.
 //
 // Inputs: the nodes of all waves with their requests, permits and deployed versions, and their previous
-// versions. Waves go back one after the other, the latest first. In a wave, requests that are not needed any
-// more (for the target version, or failed) are withdrawn, and updated nodes are asked to go back to their
-// previous version. The wave before it follows once nothing is requested or permitted in it. When no wave has
-// anything left the release is RolledBack.
+// versions. Waves are rolled back one after the other, the latest first. In a wave, requests for the target
+// version and failed requests are withdrawn, and updated nodes are requested to return to their previous
+// version. The wave before it follows once the wave has no requests and permits left. When this holds for all
+// waves the release is RolledBack.
 //
-// A node without a previous version keeps the target version, and the note says so. A failed request to go
-// back halts the rollback.
+// A node without a previous version keeps the target version, and the release's note names it. A failed request
+// for a previous version halts the rollback.
 
 // rollBack returns the next step of a rollback.
 func rollBack(r Release, view fleetstate.View, members map[string]fleetstate.ObservedMember) Decision {
@@ -31,27 +31,28 @@
 	}
 	next := r
 	next.State, next.CurrentWave = RolledBack, 0
-	if stuck := withoutPreviousVersion(r, members); len(stuck) > 0 {
-		next.Note = "can't go back, since nobody knows to what: " + strings.Join(stuck, ", ")
+	if irreversible := withoutPreviousVersion(r, members); len(irreversible) > 0 {
+		next.Note = "can't go back, since nobody knows to what: " + strings.Join(irreversible, ", ")
 	}
 	return Decision{Updated: &next}
 }
 
-// inspectRollback looks at the nodes of a wave up to the first whose request to go back has failed.
+// inspectRollback returns the progress of rolling back a wave. It stops at the first node whose request for its
+// previous version has failed.
 func inspectRollback(r Release, wave []string, view fleetstate.View, members map[string]fleetstate.ObservedMember) (progress waveProgress) {
 	for _, node := range wave {
 		request, requested := view.Requests[node]
 		_, permitted := view.Permits[node]
 		previous, canRollBack := r.PreviousVersions[node]
-		ours := requested && request.ReleaseName == r.Name
+		ownRequest := requested && request.ReleaseName == r.Name
 		failed := request.FailureReason != ""
-		forwards := request.TargetVersion == r.TargetVersion
+		forTargetVersion := request.TargetVersion == r.TargetVersion
 		switch {
-		case ours && failed && !forwards:
+		case ownRequest && failed && !forTargetVersion:
 			return waveProgress{failure: failedRequest(node, request)}
-		case ours && (forwards || failed):
+		case ownRequest && (forTargetVersion || failed):
 			progress.requests = append(progress.requests, NodeRequest{Node: node, Withdraw: true})
-		case ours, permitted:
+		case ownRequest, permitted:
 		case members[node].Report.DeployedVersion == r.TargetVersion && canRollBack && !requested:
 			progress.requests = append(progress.requests, NodeRequest{Node: node, TargetVersion: previous})
 		default:
--- a/internal/control/release/status.go
+++ b/internal/control/release/status.go
@@ -6,20 +6,20 @@
 	"sloehitch/internal/control/fleetstate"
 )
 
-// Status is how far a release is.
+// Status is the progress of a release.
 type Status struct {
 	Name   string
 	State  State
 	Halted bool
-	// Nodes is how many nodes the release has, Updated how many of them run the target version.
+	// Nodes is the number of nodes of the release, Updated the number of those that run the target version.
 	Nodes, Updated int
-	// OutOfService and Waiting are how many of its requests have a started permit, and how many have none.
+	// OutOfService is the number of its requests with a started permit, Waiting that of its other requests.
 	OutOfService, Waiting int
-	// Wave is the number of the current wave, from 1, of Waves in all.
+	// Wave is the number of the current wave, counted from 1, and Waves the number of all waves.
 	Wave, Waves int
 }
 
-// StatusOf returns how far a release is by a view.
+// StatusOf returns the progress of a release in a view.
 func StatusOf(r Release, view fleetstate.View) Status {
 	halted := view.Halted[r.Name] || view.Halted[fleetstate.HaltAll]
 	status := Status{Name: r.Name, State: r.State, Halted: halted, Wave: r.CurrentWave + 1, Waves: len(r.Waves)}
@@ -46,10 +46,10 @@
 	return status
 }
 
-// FormatStatus returns how far a release is as one line for operators.
+// FormatStatus formats the progress of a release as one line for operators.
 func FormatStatus(r Release, view fleetstate.View) string {
 	s := StatusOf(r, view)
-	line := fmt.Sprintf("%s to %s: %s, wave %d of %d, %d of %d nodes changed, %d out, %d wait",
+	line := fmt.Sprintf("%s to %s: %s, wave %d of %d, %d of %d nodes updated, %d out of service, %d waiting",
 		r.Name, r.TargetVersion, r.State, s.Wave, s.Waves, s.Updated, s.Nodes, s.OutOfService, s.Waiting)
 	if s.Halted {
 		line += ", HALTED"
--- a/internal/control/release/transactions.go
+++ b/internal/control/release/transactions.go
@@ -7,10 +7,10 @@
 	"sloehitch/internal/store/document"
 )
 
-// Transactions returns the transactions of a decision, in the order in which they are to be made. Each is
+// Transactions returns the transactions of a decision, in the order in which they must be committed. Each is
 // committed only while the author holds the lease of the task with the given fencing token, and only if the
-// release has the version that was read. A request is also a condition of nothing being halted. newID returns
-// a unique ID for each transaction and request.
+// release has the version that was read. The transaction of a request is also committed only if no halt covers
+// it. newID returns a unique ID for each transaction and request.
 func (d Decision) Transactions(
 	r Release, view fleetstate.View, versions fleetstate.Versions, token uint64, author string, newID func() string,
 ) (transactions []document.Transaction) {
@@ -28,7 +28,7 @@
 	return transactions
 }
 
-// transactionWriter makes the transactions of one decision.
+// transactionWriter builds the transactions of one decision.
 type transactionWriter struct {
 	release  Release
 	view     fleetstate.View
@@ -48,11 +48,11 @@
 }
 
 func (w transactionWriter) halt(reason string) document.Transaction {
-	noted := w.release
-	noted.Note = reason
+	withNote := w.release
+	withNote.Note = reason
 	t := w.transaction("halted: "+reason,
 		document.Operation{Key: w.haltKey(), Value: w.author + ": " + reason},
-		document.Operation{Key: w.key(), Value: fleetstate.Encode(noted)})
+		document.Operation{Key: w.key(), Value: fleetstate.Encode(withNote)})
 	t.Conditions = append(t.Conditions, document.Condition{Key: w.haltKey()})
 	return t
 }
@@ -61,7 +61,8 @@
 	return w.transaction(fmt.Sprintf("%s, wave %d", r.State, r.CurrentWave+1), document.Operation{Key: w.key(), Value: fleetstate.Encode(r)})
 }
 
-// request writes or withdraws a node's drain request, only if that is as it was read and nothing is halted.
+// request writes or withdraws a node's drain request, provided that the request has not changed since it was read
+// and that no halt covers it.
 func (w transactionWriter) request(nr NodeRequest) document.Transaction {
 	key := fleetstate.RequestKey(nr.Node)
 	reason := "takes its ask for " + nr.Node + " back"
--- a/internal/control/release/waves.go
+++ b/internal/control/release/waves.go
@@ -9,15 +9,15 @@
 
 // How the nodes are divided into waves.
 //
-// Inputs: the nodes with their zones, and a growth factor. Zones are taken one after the other, sorted by
-// name, and nodes within a zone by name. The first wave of the first zone has one node, that of each further
-// zone max(1, growth); each wave after that is larger by the factor, and by one node at least.
+// Inputs: the nodes with their zones, and a growth factor. Zones are updated one after the other, sorted by
+// name, and so are the nodes within a zone. The first wave of the first zone has one node, that of each further
+// zone max(1, growth) nodes. Each following wave is larger by the factor, and by at least one node.
 //
-// Why: the first node shows whether the version works at all, at the least risk; and while one zone is
-// updated, the others serve.
+// Why: the first node shows with the least risk whether the version works at all. While one zone is updated, the
+// others serve.
 
 // PlanWaves returns the waves of a release to the target version, and the version that each node reports now.
-// It leaves out upstream servers, and nodes that report the target version already.
+// It omits upstream servers, and nodes that already report the target version.
 func PlanWaves(members []fleetstate.ObservedMember, targetVersion string, growth float64) (waves [][]string, previousVersions map[string]string) {
 	zones := map[string][]string{}
 	previousVersions = map[string]string{}
--- a/internal/control/release/waves_test.go
+++ b/internal/control/release/waves_test.go
@@ -7,10 +7,10 @@
 	"sloehitch/internal/control/fleetstate"
 )
 
-func TestPlanWaves(t *testing.T) {
+func TestPlanWavesGrowZoneByZone(t *testing.T) {
 	var nodes []fleetstate.ObservedMember
 	for i := range 9 {
-		nodes = append(nodes, node(fmt.Sprint("n", i), string(rune('a'+i%2))))
+		nodes = append(nodes, newNode(fmt.Sprint("n", i), string(rune('a'+i%2))))
 	}
 	nodes[3].Report.DeployedVersion = "v2"
 	nodes[5].Report.DeployedVersion = ""
