--- a/internal/control/canary/differences.go
+++ b/internal/control/canary/differences.go
@@ -1,17 +1,16 @@
 package canary
 
-// What is compared with what.
+// How a node is compared with its peers.
 //
-// For an updated node and a metric, in each interval i in which the node's value and that of at least one
-// peer are known,
+// For an updated node and a metric, in each interval i in which the values of the node and of at least one peer
+// are known,
 //
 //	difference(i) = value of the node - mean of its peers' values
 //
-// Peers are the other nodes of its zone that are not updated in i. Intervals up to the one before the node's
-// update are "before", those from UpdatedFrom on "after"; the one between, in which the node was updated, is
-// neither.
+// Peers are the other nodes of its zone that are not updated in i. Intervals that ended before the node's update
+// are "before", those from UpdatedFrom on are "after". The interval of the update itself is neither.
 
-// pairedDifferences returns the differences of a node to its peers, before and after its update.
+// pairedDifferences returns the differences of a node from its peers, before and after its update.
 func pairedDifferences(m metric, n NodeSeries, nodes []NodeSeries) (before, after []float64) {
 	for i, interval := range n.Intervals {
 		if !n.Known[i] {
@@ -33,7 +32,7 @@
 	return before, after
 }
 
-// peerMean returns the mean value of a node's peers in interval i, and whether there is one.
+// peerMean returns the mean value of a node's peers in interval i, and whether any peer has a value.
 func peerMean(m metric, n NodeSeries, nodes []NodeSeries, i int) (value float64, known bool) {
 	sum, count := 0.0, 0
 	for _, peer := range nodes {
--- a/internal/control/canary/metrics.go
+++ b/internal/control/canary/metrics.go
@@ -2,27 +2,28 @@
 
 import "math"
 
-// metric is a figure of a node that is compared. Higher is worse.
+// metric is a measure by which nodes are compared. Higher is worse.
 type metric struct {
 	name string
-	unit string // as it is shown
-	// value returns the figure of one interval, and whether the interval has it.
+	unit string // for display
+	// value returns the metric of one interval, and whether the interval has it.
 	value func(Interval) (value float64, known bool)
-	// minEffect is the least difference that matters, however certain a smaller one is.
+	// minEffect is the smallest difference that matters. A smaller one is ignored, however certain it is.
 	minEffect float64
 	// detectableEffect is the difference that must be distinguishable from chance before a verdict is conclusive.
 	detectableEffect float64
-	// smoothed says that a value is computed over Options.SmoothingIntervals intervals.
+	// smoothed is set if a value is computed over Options.SmoothingIntervals intervals.
 	smoothed bool
 }
 
-// minRequests is the fewest requests (in one interval) of which a fraction is computed.
+// minRequests is the minimum number of requests in an interval for which a fraction is computed.
 const minRequests = 5
 
-// minP99MS (milliseconds) is what a shorter latency counts as, so that its logarithm is finite.
+// minP99MS, in milliseconds, is the lower bound of the latency, so that its logarithm is finite.
 const minP99MS = 0.01
 
-// The latency is compared by its logarithm: a factor between two versions is the same at any load.
+// metrics are all metrics. The latency is compared by its logarithm, because the ratio between two versions does
+// not depend on the load.
 var metrics = []metric{
 	{
 		name: "failed share", value: fraction(func(s Interval) float64 { return s.Failed }),
@@ -38,11 +39,11 @@
 	},
 }
 
-// fraction returns the value function of a part of all requests.
+// fraction returns a value function for a part of all requests.
 func fraction(part func(Interval) float64) func(Interval) (float64, bool) {
 	return func(s Interval) (float64, bool) {
-		all := s.Served + s.Rejected + s.Failed
-		return part(s) / max(all, 1), all >= minRequests
+		total := s.Served + s.Rejected + s.Failed
+		return part(s) / max(total, 1), total >= minRequests
 	}
 }
 
--- a/internal/control/canary/recorder.go
+++ b/internal/control/canary/recorder.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Recorder makes intervals of the counts that nodes report since their processes started. It is not safe for
-// concurrent use.
+// Recorder divides the counts that nodes report, which start with their processes, into intervals. It is not safe
+// for concurrent use.
 type Recorder struct {
 	capacity  int // intervals
 	nodes     map[string]*nodeRecord
@@ -17,7 +17,7 @@
 type nodeRecord struct {
 	NodeSeries
 	lastTotal      Interval
-	processStartMS int64 // Unix milliseconds; 0: it has not reported yet
+	processStartMS int64 // Unix milliseconds; 0 if it has not reported yet
 	reported       bool  // in the last interval
 }
 
@@ -26,17 +26,17 @@
 	return &Recorder{capacity: capacity, nodes: map[string]*nodeRecord{}}
 }
 
-// NodeReport is what a node reports.
+// NodeReport is the report of a node at the end of an interval.
 type NodeReport struct {
 	Name, Zone string
-	// Total is the counts since the process started; its P99MS is that of the interval.
+	// Total has the counts since the process started, and the P99MS of the interval.
 	Total          Interval
 	ProcessStartMS int64 // Unix milliseconds
-	InService      bool  // for the minimum ready time
+	InService      bool  // for at least the minimum ready time
 	Updated        bool  // it runs the new version
 }
 
-// Record ends an interval with the given reports. A node without a report is unknown in it.
+// Record ends an interval with the given reports. The interval is unknown for a node without a report.
 func (r *Recorder) Record(reports []NodeReport) {
 	r.intervals++
 	present := map[string]bool{}
@@ -53,7 +53,7 @@
 	r.dropOldest()
 }
 
-// record ends the interval of one node.
+// record ends the interval for one node.
 func (r *Recorder) record(report NodeReport) {
 	n := r.nodes[report.Name]
 	if n == nil {
@@ -66,7 +66,7 @@
 	}
 	known := report.InService && n.reported && report.ProcessStartMS == n.processStartMS
 	restarted := n.processStartMS != 0 && report.ProcessStartMS != n.processStartMS
-	if report.Updated && n.UpdatedFrom == 0 && n.reported { // the interval of the update counts neither as before nor as after it
+	if report.Updated && n.UpdatedFrom == 0 && n.reported { // the interval of the update is neither before nor after
 		n.UpdatedFrom, restarted = r.intervals+1, false
 	}
 	n.append(report.Total.since(n.lastTotal), known, restarted)
@@ -80,12 +80,12 @@
 	n.Restarted = append(n.Restarted, restarted)
 }
 
-// since returns what was counted since an earlier total.
+// since returns the counts since an earlier total.
 func (s Interval) since(earlier Interval) Interval {
 	return Interval{Served: s.Served - earlier.Served, Rejected: s.Rejected - earlier.Rejected, Failed: s.Failed - earlier.Failed, P99MS: s.P99MS}
 }
 
-// dropOldest drops the intervals above the recorder's capacity.
+// dropOldest drops the oldest intervals in excess of the recorder's capacity.
 func (r *Recorder) dropOldest() {
 	excess := r.intervals - r.capacity
 	if excess <= 0 {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Nodes returns the recorded series, sorted by node name. They share memory with the recorder: they are valid
-// until the next Record.
+// Nodes returns the recorded series, sorted by node name. They share memory with the recorder and are valid until
+// the next call of Record.
 func (r *Recorder) Nodes() (nodes []NodeSeries) {
 	for _, n := range r.nodes {
 		nodes = append(nodes, n.NodeSeries)
--- a/internal/control/canary/restarts_test.go
+++ b/internal/control/canary/restarts_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestExcessRestarts: a process that restarts once or twice proves nothing, nor do restarts that the other
-// nodes have as well; one that restarts again and again does.
-func TestExcessRestarts(t *testing.T) {
+// TestRepeatedRestartsAreWorse: a version is found worse if its node restarts repeatedly, but not for one or two
+// restarts, nor if the other nodes restart as well.
+func TestRepeatedRestartsAreWorse(t *testing.T) {
 	for _, c := range []struct {
 		updated, others int
 		worse           bool
@@ -31,7 +31,7 @@
 			recorder.Record(reports)
 		}
 		if verdict := Analyze(Options{FalseAlarmProbability: 0.01, MaxAnalyses: 200, MinIntervals: 8}, recorder.Nodes()); verdict.Worse != c.worse || c.worse && !strings.Contains(verdict.Reason, "started anew 5 times") {
-			t.Errorf("%d restarts of an updated node and %d of others: %+v", c.updated, c.others, verdict)
+			t.Errorf("%d restarts of the updated node and %d of the others: unexpected verdict %+v", c.updated, c.others, verdict)
 		}
 	}
 }
--- a/internal/control/canary/series.go
+++ b/internal/control/canary/series.go
@@ -1,30 +1,32 @@
 package canary
 
-// Interval is what a node counted in one interval of time, in requests.
+// Interval has the requests that a node counted in one interval of time.
 type Interval struct {
 	Served, Rejected, Failed float64
-	P99MS                    float64 // 99th percentile of latency, milliseconds; 0: not known
+	P99MS                    float64 // 99th percentile of latency, milliseconds; 0 if not known
 }
 
-// NodeSeries is one node's intervals, oldest first. Intervals[i] is of the same time in the series of every node.
+// NodeSeries has the intervals of one node, oldest first. The same index is the same time in the series of all
+// nodes.
 type NodeSeries struct {
 	Name, Zone string
 	Intervals  []Interval
-	// Known says of each interval whether its counts are known. They are not while the node was out of service
-	// or silent.
+	// Known is, for each interval, whether its counts are known. They are not known for the time in which the node
+	// was out of service or silent.
 	Known []bool
-	// Restarted says of each interval whether the node's process was restarted in it, for another reason than
-	// its update.
+	// Restarted is, for each interval, whether the node's process was restarted in it for another reason than its
+	// update.
 	Restarted []bool
-	// UpdatedFrom is the index of the first interval that counts as after the update. 0: the node is not updated.
+	// UpdatedFrom is the index of the first interval that counts as after the update. It is 0 if the node is not
+	// updated.
 	UpdatedFrom int
-	// InService says that the node is back in service since its update, so that it takes part in the analysis.
+	// InService is set if the node is in service again after its update, so that the analysis includes it.
 	InService bool
 }
 
-// updatedIn says whether interval i counts as after the node's update.
+// updatedIn reports whether interval i counts as after the node's update.
 func (n NodeSeries) updatedIn(i int) bool { return n.UpdatedFrom > 0 && i >= n.UpdatedFrom }
 
-// unchangedIn says whether interval i is wholly from before the node's update. The interval in which it was
-// updated is neither.
+// unchangedIn reports whether interval i is entirely from before the node's update. The interval of the update
+// itself is neither before nor after.
 func (n NodeSeries) unchangedIn(i int) bool { return n.UpdatedFrom == 0 || i < n.UpdatedFrom-1 }
--- a/internal/control/canary/statistics.go
+++ b/internal/control/canary/statistics.go
@@ -11,7 +11,7 @@
 	return sum / float64(len(x))
 }
 
-// residualDeviation returns the standard deviation of residuals, from which the given number of means was subtracted.
+// residualDeviation returns the standard deviation of residuals from which the given number of means was subtracted.
 func residualDeviation(residuals []float64, means int) float64 {
 	sum := 0.0
 	for _, v := range residuals {
@@ -20,9 +20,9 @@
 	return math.Sqrt(sum / float64(max(1, len(residuals)-means)))
 }
 
-// studentQuantile returns the quantile of Student's distribution with the given degrees of freedom where the
-// normal distribution has z (Abramowitz and Stegun, 26.7.5). From seven degrees on it is within some
-// hundredths.
+// studentQuantile returns the quantile of Student's distribution with the given degrees of freedom for the
+// probability at which the normal distribution has the quantile z (Abramowitz and Stegun, 26.7.5). With seven or
+// more degrees its error is a few hundredths.
 func studentQuantile(z float64, degrees int) float64 {
 	n := float64(max(1, degrees))
 	z3, z5 := z*z*z, z*z*z*z*z
