--- a/internal/control/fleetstate/documents.go
+++ b/internal/control/fleetstate/documents.go
@@ -13,7 +13,7 @@
 const (
 	// DrainKeyPrefix, followed by a member's name and "/ask" or "/permit", is the key of a DrainRequest or a Permit.
 	DrainKeyPrefix = "out/"
-	// HaltKeyPrefix, followed by a release's name or HaltAll, is the key of a halt. While it exists nothing
+	// HaltKeyPrefix, followed by a release's name or HaltAll, is the key of a halt. While it exists, no drain
 	// that it covers is started.
 	HaltKeyPrefix = "halt/"
 	// LastGrantKey is the key of a document that changes with every grant. It is a condition of every grant,
@@ -35,52 +35,53 @@
 // PermitKey returns the key of a member's permit.
 func PermitKey(member string) string { return DrainKeyPrefix + member + permitKeySuffix }
 
-// RequestMember returns the member whose drain request has the given key, and whether the key is that of a request.
+// RequestMember returns the member whose drain request has the given key. isRequest is false for other keys.
 func RequestMember(key string) (member string, isRequest bool) {
 	member, isDrain := strings.CutPrefix(key, DrainKeyPrefix)
 	member, isRequest = strings.CutSuffix(member, requestKeySuffix)
 	return member, isDrain && isRequest
 }
 
-// PermitMember returns the member whose permit has the given key, and whether the key is that of a permit.
+// PermitMember returns the member whose permit has the given key. isPermit is false for other keys.
 func PermitMember(key string) (member string, isPermit bool) {
 	member, isDrain := strings.CutPrefix(key, DrainKeyPrefix)
 	member, isPermit = strings.CutSuffix(member, permitKeySuffix)
 	return member, isDrain && isPermit
 }
 
-// DrainRequest asks that a node or an upstream server go out of service.
+// DrainRequest asks for a node or an upstream server to be taken out of service.
 type DrainRequest struct {
 	ID            string `json:"id"` // unique to each request
 	RequestedBy   string `json:"by"`
 	Reason        string `json:"why"`
 	RequestedAtMS int64  `json:"at"` // Unix milliseconds; for display only
 	Urgent        bool   `json:"urgent,omitempty"`
-	// ExpiresAtMS is when the request ends by itself, Unix milliseconds. 0: it does not.
+	// ExpiresAtMS is when the request expires, Unix milliseconds. 0 means never.
 	ExpiresAtMS int64 `json:"until,omitempty"`
-	// DrainTimeoutMS is the time in milliseconds in which the node should have finished its requests. 0: any.
+	// DrainTimeoutMS is the time in milliseconds within which the node should have finished its requests. 0 means
+	// no limit.
 	DrainTimeoutMS int64 `json:"within_ms,omitempty"`
-	// ReleaseName is the release on whose behalf the node is drained. Empty: an operator's drain, which ends
-	// when the request is deleted.
+	// ReleaseName is the release on whose behalf the node is drained. It is empty for an operator's drain, which
+	// ends when the request is deleted.
 	ReleaseName string `json:"release,omitempty"`
-	// TargetVersion is, for a release, the version that the node is to run when it comes back.
+	// TargetVersion is, for a release, the version that the node must run when it comes back.
 	TargetVersion string `json:"to,omitempty"`
-	// FailureReason says why the request failed. It is not granted again.
+	// FailureReason is why the request failed. A failed request is not granted again.
 	FailureReason string `json:"failed,omitempty"`
 }
 
-// PermitState is how far a permit has come.
+// PermitState is the state of a permit.
 type PermitState string
 
-// The states of a permit, in order.
+// States of a permit, in order.
 const (
-	PermitGranted      PermitState = "granted" // the node may ask the store to start it
+	PermitGranted      PermitState = "granted" // the node may start it
 	PermitStarted      PermitState = "begun"   // started: the node may go out of service at any moment within its start window
 	PermitOutOfService PermitState = "out"     // the node reports that it is out of service
 	PermitReturning    PermitState = "back"    // the node is in service again, for less than the minimum ready time
 )
 
-// Permit is a member's right to be out of service.
+// Permit allows a member to be out of service.
 type Permit struct {
 	ID        string      `json:"id"`
 	RequestID string      `json:"ask"`
@@ -91,23 +92,23 @@
 	Labels map[string]string `json:"labels,omitempty"`
 	// ReplaceAttempts is how often the node's process was replaced.
 	ReplaceAttempts int `json:"tries,omitempty"`
-	// StartWindowMS is the start window of a started permit in milliseconds: the node goes out within it or
-	// not at all.
+	// StartWindowMS is the start window of a started permit in milliseconds: the node goes out of service within it
+	// or not at all.
 	StartWindowMS int64 `json:"window_ms,omitempty"`
 	// SinceMS is when this state was entered, Unix milliseconds by the clock of the writer; for display only.
 	SinceMS int64 `json:"since"`
 }
 
 // errTrailingData is returned for a document of more than one value.
-var errTrailingData = errors.New("it can't be read: there is more than one")
+var errTrailingData = errors.New("cannot decode the document: it has more than one JSON value")
 
-// Decode decodes the value of a document. It returns an error for fields that it does not know: half of a
-// document is another one.
+// Decode decodes the value of a document. It returns an error for unknown fields, because ignoring them would
+// change the meaning of the document.
 func Decode[T DrainRequest | Permit | disruption.Budgets](text string) (value T, err error) {
 	d := json.NewDecoder(strings.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&value); err != nil {
-		return value, fmt.Errorf("it can't be read: %w", err)
+		return value, fmt.Errorf("cannot decode the document: %w", err)
 	}
 	if d.More() {
 		return value, errTrailingData
@@ -115,8 +116,8 @@
 	return value, nil
 }
 
-// Encode returns the value of a document. It panics on values that JSON has no form for, which no document of
-// this package is.
+// Encode returns the value of a document. It panics on values that JSON cannot represent, which the documents of
+// this package never have.
 func Encode(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/control/fleetstate/documents_test.go
+++ b/internal/control/fleetstate/documents_test.go
@@ -7,41 +7,41 @@
 	"sloehitch/internal/store/document"
 )
 
-func TestDecode(t *testing.T) {
+func TestDecodeRejectsInvalidRequest(t *testing.T) {
 	for _, c := range []struct{ text, err string }{
 		{`{"id":"a","by":"ann","why":"disk","at":5}`, ""},
 		{`{"id":"a","until":7,"within_ms":3,"release":"r","to":"v2","failed":"no"}`, ""},
-		{`{"id":"a"`, "can't be read"},
-		{`{"id":"a","noon":1}`, "noon"},
-		{`{"id":"a"}{"id":"b"}`, "more than one"},
+		{`{"id":"a"`, "cannot decode the document: unexpected EOF"},
+		{`{"id":"a","noon":1}`, `cannot decode the document: json: unknown field "noon"`},
+		{`{"id":"a"}{"id":"b"}`, "cannot decode the document: it has more than one JSON value"},
 	} {
 		request, err := Decode[DrainRequest](c.text)
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%s: %v, want %q", c.text, err, c.err)
+			t.Errorf("%s: error %v, want %q", c.text, err, c.err)
 		}
 		if err == nil && request.ID != "a" {
-			t.Errorf("%s: %+v", c.text, request)
+			t.Errorf("%s: decoded as %+v, want the ID a", c.text, request)
 		}
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestKeysYieldTheirMembers(t *testing.T) {
 	if member, found := RequestMember(RequestKey("n1")); !found || member != "n1" {
-		t.Errorf("request of %q, %v", member, found)
+		t.Errorf("request of %q, %v, want n1", member, found)
 	}
 	if member, found := PermitMember(PermitKey(UpstreamName("a:1"))); !found || !IsUpstream(member) || UpstreamAddress(member) != "a:1" {
-		t.Errorf("permit of %q, %v", member, found)
+		t.Errorf("permit of %q, %v, want the upstream server a:1", member, found)
 	}
 	for _, key := range []string{PermitKey("n1"), "node/n1/ask", "out/n1"} {
 		if member, found := RequestMember(key); found {
-			t.Errorf("%s: a request of %q", key, member)
+			t.Errorf("key %s counts as a request of %q", key, member)
 		}
 	}
 }
 
-// TestDecodeView: a permit that cannot be decoded counts as out of service, and what else cannot be decoded
-// is left out and named.
-func TestDecodeView(t *testing.T) {
+// TestDecodeViewCountsUndecodablePermitAsOut: a permit that cannot be decoded counts as out of service. Other
+// documents that cannot be decoded are omitted. The error names all of them.
+func TestDecodeViewCountsUndecodablePermitAsOut(t *testing.T) {
 	view, versions, err := DecodeView([]document.Document{
 		{Key: RequestKey("n1"), Value: `{"id":"a"}`, Version: 3},
 		{Key: RequestKey("n2"), Value: `{`, Version: 4},
--- a/internal/control/fleetstate/report.go
+++ b/internal/control/fleetstate/report.go
@@ -6,14 +6,14 @@
 	"sloehitch/internal/control/disruption"
 )
 
-// The states that a node reports.
+// States that a node reports.
 const (
 	nodeReady        = "ready"
 	nodeOutOfService = "out of service"
 	nodeLeaving      = "leaving"
 )
 
-// NodeReport is the part of a node's report that drains and releases are decided by.
+// NodeReport is the part of a node's report on which drains and releases are decided.
 type NodeReport struct {
 	State           string  `json:"state"` // "ready", "out of service", "leaving" or "starting"
 	Healthy         bool    `json:"well"`
@@ -28,13 +28,13 @@
 	Rejected        uint64  `json:"refused"` // requests since the process started
 	Failed          uint64  `json:"errors"`  // requests since the process started
 	P99MS           float64 `json:"p99_ms"`  // 99th percentile of latency, milliseconds
-	// DrainOverdue says that the node is out of service and still has requests after its drain timeout.
+	// DrainOverdue is set if the node is out of service and still has requests after its drain timeout.
 	DrainOverdue bool `json:"overdue,omitempty"`
-	// Upstreams are the servers of the node's pool, by address.
+	// Upstreams are the upstream servers in the node's pool, by address.
 	Upstreams map[string]UpstreamStatus `json:"below,omitempty"`
 }
 
-// UpstreamStatus is an upstream server as one node sees it.
+// UpstreamStatus is the status of an upstream server as observed by one node.
 type UpstreamStatus struct {
 	Routable bool `json:"uses"` // the node may send requests to it
 	InFlight int  `json:"open"` // the node's requests there
@@ -46,8 +46,8 @@
 	return map[string]string{"zone": r.Zone, "kind": r.Kind}
 }
 
-// Availability returns the node's availability by its own report, whatever permit it holds. A node counts as
-// available once it has been in service and healthy for minReady.
+// Availability returns the node's availability according to its report, regardless of any permit. A node counts
+// as available once it has been in service and healthy for minReady.
 func (r NodeReport) Availability(minReady time.Duration) disruption.Availability {
 	switch {
 	case r.State == nodeLeaving || r.State == nodeOutOfService:
--- a/internal/control/fleetstate/upstream.go
+++ b/internal/control/fleetstate/upstream.go
@@ -7,12 +7,12 @@
 	"sloehitch/internal/control/disruption"
 )
 
-// Whether an upstream server is available, and whether one that is drained is out of service.
+// When an upstream server is available, and when a drained one is out of service.
 //
-// Inputs: the reports of the nodes that have it in their pool. It is available if at least half of the nodes
-// that report and may send to it find it healthy. It is out of service, confirmed, once every node has
-// reported that it no longer sends to it and has no request in flight there; a silent node cannot confirm
-// that.
+// Inputs: the reports of the nodes that have the server in their pool. It is available if at least half of the
+// nodes that report and may send to it find it healthy. It is confirmed to be out of service once every node has
+// reported that it no longer sends to the server and has no request in flight there. A silent node cannot
+// confirm that.
 
 // upstreamNamePrefix, followed by an address, is the member name of an upstream server.
 const upstreamNamePrefix = "server:"
@@ -20,7 +20,7 @@
 // UpstreamName returns the member name of the upstream server with the given address.
 func UpstreamName(address string) string { return upstreamNamePrefix + address }
 
-// IsUpstream says whether a member name is that of an upstream server, not of a node.
+// IsUpstream reports whether a member name is that of an upstream server, not of a node.
 func IsUpstream(name string) bool { return strings.HasPrefix(name, upstreamNamePrefix) }
 
 // UpstreamAddress returns the address of the upstream server with the given member name.
@@ -33,8 +33,8 @@
 	Liveness disruption.Availability // of the node
 }
 
-// WithUpstreams returns the view with the upstream servers that any node reports, as members of the given
-// service, sorted by address.
+// WithUpstreams returns the view with the reported upstream servers added as members of the given service, sorted
+// by address.
 func (v View) WithUpstreams(service string) View {
 	upstreams := map[string]*ObservedMember{}
 	var addresses []string
@@ -59,27 +59,27 @@
 
 // upstreamAvailability returns the availability of an upstream server.
 func (m ObservedMember) upstreamAvailability() disruption.Availability {
-	healthy, all := 0, 0
+	healthy, routable := 0, 0
 	for _, user := range m.UpstreamUsers {
 		if user.Liveness != disruption.Available || !user.Routable {
 			continue
 		}
-		all++
+		routable++
 		if user.Healthy {
 			healthy++
 		}
 	}
 	switch {
-	case all == 0:
+	case routable == 0:
 		return disruption.Unknown
-	case 2*healthy < all:
+	case 2*healthy < routable:
 		return disruption.NotReady
 	}
 	return disruption.Available
 }
 
-// DrainConfirmed says whether every node has reported that it no longer uses the upstream server. If not, it
-// returns the nodes that may still send to it or have requests there, and those that are silent.
+// DrainConfirmed reports whether every node has reported that it no longer uses the upstream server. Otherwise it
+// returns the nodes that may still send to the server or have requests there, and those that are silent.
 func (m ObservedMember) DrainConfirmed() (confirmed bool, sending, silent []string) {
 	for _, user := range m.UpstreamUsers {
 		switch {
@@ -92,7 +92,7 @@
 	return len(sending)+len(silent) == 0, sending, silent
 }
 
-// InUseByAll says whether every node that reports routes to the upstream server and finds it healthy.
+// InUseByAll reports whether every node that reports routes to the upstream server and finds it healthy.
 func (m ObservedMember) InUseByAll() bool {
 	return !slices.ContainsFunc(m.UpstreamUsers, func(user UpstreamUser) bool {
 		return user.Liveness == disruption.Available && (!user.Routable || !user.Healthy)
--- a/internal/control/fleetstate/view.go
+++ b/internal/control/fleetstate/view.go
@@ -11,40 +11,40 @@
 	"sloehitch/internal/store/document"
 )
 
-// View is the fleet as it is decided on: all documents as of one revision that a majority confirmed, and what
-// the reader's failure detector says of the nodes.
+// View is the state of the fleet on which drains and releases are decided: all documents at one revision that a
+// majority confirmed, and the liveness of the nodes by the reader's failure detector.
 type View struct {
 	Budgets  disruption.Budgets
 	Members  []ObservedMember
 	Requests map[string]DrainRequest // by member
-	// RequestOrder is the version of each member's request: an older request has a lower one.
+	// RequestOrder is the version of each member's request. Older requests have lower versions.
 	RequestOrder map[string]uint64
 	Permits      map[string]Permit // by member
 	Halted       map[string]bool   // by release name, or HaltAll
 	NowMS        int64             // Unix milliseconds by the reader's clock, by which requests expire
 }
 
-// ObservedMember is a node or an upstream server as the reader of a view sees it.
+// ObservedMember is a node or an upstream server as observed by the reader of a view.
 type ObservedMember struct {
 	Name       string
 	Report     NodeReport
 	Unreadable bool // its report cannot be decoded
 	// Liveness is Silent, or Unknown until the reader's failure detector has seen a new report; Available otherwise.
 	Liveness disruption.Availability
-	SinceMS  int64 // Unix milliseconds, as far as is known; for display only
+	SinceMS  int64 // when this state began, Unix milliseconds, if known; for display only
 
-	// Service is the service of an upstream server. Empty: the member is a node.
+	// Service is the service of an upstream server. It is empty for a node.
 	Service string
 	// UpstreamUsers are the nodes that have the upstream server in their pool.
 	UpstreamUsers []UpstreamUser
 }
 
-// IsHalted says whether a halt keeps the request from being started.
+// IsHalted reports whether a halt covers the request.
 func (v View) IsHalted(r DrainRequest) bool {
 	return v.Halted[HaltAll] || r.ReleaseName != "" && v.Halted[r.ReleaseName]
 }
 
-// Versions are the versions of documents when they were read, by key. 0: there was none.
+// Versions are the versions of documents when they were read, by key. 0 means that the document did not exist.
 type Versions map[string]uint64
 
 // Unchanged returns the condition that a document still has the version that was read.
@@ -52,20 +52,21 @@
 	return document.Condition{Key: key, Version: v[key]}
 }
 
-// Decoder is how DecodeView decodes documents; it may cache them by version.
+// Decoder decodes documents for DecodeView. It may cache them by version.
 type Decoder struct {
 	Request func(document.Document) (DrainRequest, error)
 	Permit  func(document.Document) (Permit, error)
 }
 
-// DefaultDecoder decodes every document anew.
+// DefaultDecoder decodes documents without a cache.
 var DefaultDecoder = Decoder{
 	Request: func(d document.Document) (DrainRequest, error) { return Decode[DrainRequest](d.Value) },
 	Permit:  func(d document.Document) (Permit, error) { return Decode[Permit](d.Value) },
 }
 
-// DecodeView returns the view of all documents without its members, and the documents' versions. It leaves
-// out what cannot be decoded and returns an error that names it.
+// DecodeView returns the view of all documents, without its members, and the documents' versions. It omits
+// documents that cannot be decoded, and returns an error that names them. A permit that cannot be decoded counts
+// as out of service.
 func DecodeView(docs []document.Document, decoder Decoder, nowMS int64) (View, Versions, error) {
 	v := View{Requests: map[string]DrainRequest{}, RequestOrder: map[string]uint64{}, Permits: map[string]Permit{},
 		Halted: map[string]bool{}, NowMS: nowMS}
@@ -80,7 +81,7 @@
 	return v, versions, errors.Join(errs...)
 }
 
-// decode adds a document to the view. It passes over those that drains are not decided by.
+// decode adds a document to the view. It ignores documents on which no drain is decided.
 func (v *View) decode(d document.Document, decoder Decoder) (err error) {
 	if member, found := strings.CutPrefix(d.Key, DrainKeyPrefix); found {
 		return v.decodeDrain(d, member, decoder)
@@ -111,15 +112,15 @@
 	}
 	permit, err := decoder.Permit(d)
 	if err != nil {
-		permit = Permit{State: PermitOutOfService} // it counts as out, whatever it is
+		permit = Permit{State: PermitOutOfService} // counts as out of service, whatever its state is
 	}
 	v.Permits[member] = permit
 	return err
 }
 
-// BudgetMembers returns the members as budgets count them, sorted by name: by their permit first, then by
-// what is known of them. Members of which only a permit is known count too. A node counts as available once
-// it has been in service and healthy for minReady.
+// BudgetMembers returns the members as they count against budgets, sorted by name. A member with a permit counts
+// as such; the availability of others follows from their reports and liveness. Members of which only a permit is
+// known are included. A node counts as available once it has been in service and healthy for minReady.
 func (v View) BudgetMembers(minReady time.Duration) (members []disruption.Member) {
 	observed := map[string]bool{}
 	for _, m := range v.Members {
@@ -153,7 +154,7 @@
 	return m.Report.Labels()
 }
 
-// lacksLabels says whether the member's report does not tell its groups, so that those of its permit count.
+// lacksLabels reports whether the member's report does not have its groups, so that those of its permit are used.
 func (m ObservedMember) lacksLabels() bool {
 	return m.Unreadable || m.Service == "" && m.Report.Zone == "" && m.Report.Kind == ""
 }
