--- a/internal/control/desiredstate/follower.go
+++ b/internal/control/desiredstate/follower.go
@@ -4,15 +4,15 @@
 //
 // Inputs: the document's version (a revision of the store; for an absent document the revision at which it
 // was absent), and the version applied last. A document is applied if its version is higher and its text can
-// be parsed. A version is rejected once, and ignored when it is seen again.
+// be parsed. A version is rejected once, and ignored when it is observed again.
 //
 // Why: versions only grow, so the newest state wins in whatever order documents are observed, and a lagging
-// member cannot take a node back. The caller checks the fencing token, which keeps out a task that has lost
-// its lease.
+// member of the store cannot revert a node to an older state. The caller checks the fencing token, which rejects
+// states of a task that has lost its lease.
 
-// Applied is the state that a node applied last, as the node persists it before it applies it.
+// Applied is the state that a node applied last. The node persists it before applying it.
 type Applied struct {
-	Version uint64 `json:"version"` // of the document, or the revision at which there was none
+	Version uint64 `json:"version"` // of the document, or the revision at which it was absent
 	State   State  `json:"state"`
 }
 
@@ -22,25 +22,25 @@
 	rejectedVersion uint64 // the last version that was rejected
 }
 
-// NewFollower returns a follower that continues from what the node applied last; the zero value if it has
-// applied nothing.
+// NewFollower returns a follower that continues from the state that the node applied last. last is the zero value
+// if the node has applied none.
 func NewFollower(last Applied) *Follower { return &Follower{applied: last} }
 
 // LastApplied returns the state that was applied last.
 func (f *Follower) LastApplied() Applied { return f.applied }
 
-// Decision is what to do with an observed document.
+// Decision is the decision on an observed document.
 type Decision int
 
-// The decisions.
+// Decisions of a Follower.
 const (
-	Ignore Decision = iota // it is not newer than what was applied, or was rejected before
-	Apply                  // it is to be applied, if its fencing token is accepted
-	Reject                 // it cannot be applied; the state applied last stays
+	Ignore Decision = iota // the document is not newer than the applied state, or was rejected before
+	Apply                  // the document must be applied if its fencing token is accepted
+	Reject                 // the document cannot be applied; the state applied last stays
 )
 
-// Observe decides on a document as it was read at a revision of the store. version is 0 if there was none.
-// The error explains a Reject. The caller reports what came of an Apply by MarkApplied or MarkRejected.
+// Observe decides on a document that was read at a revision of the store. version is 0 if the document was absent.
+// The error explains a Reject. After an Apply the caller must call MarkApplied or MarkRejected.
 func (f *Follower) Observe(text string, version, revision uint64) (Applied, Decision, error) {
 	absent := version == 0
 	if absent {
--- a/internal/control/desiredstate/follower_test.go
+++ b/internal/control/desiredstate/follower_test.go
@@ -5,51 +5,51 @@
 	"testing"
 )
 
-// TestFollower: in whatever order documents are observed, how often, and from however stale a member, what is
-// applied never goes back and ends at the newest.
-func TestFollower(t *testing.T) {
+// TestFollowerNeverGoesBackAndEndsAtNewest: in whatever order and however often documents are observed, and however
+// stale they are, the applied version never decreases, and the newest state is applied in the end.
+func TestFollowerNeverGoesBackAndEndsAtNewest(t *testing.T) {
 	type observation struct {
 		text              string
 		version, revision uint64
 	}
 	for seed := range uint64(2000) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		var all []observation
+		var observations []observation
 		newest := Applied{}
-		for v := uint64(1 + r.IntN(5)); len(all) < 12; v += uint64(1 + r.IntN(5)) {
+		for v := uint64(1 + r.IntN(5)); len(observations) < 12; v += uint64(1 + r.IntN(5)) {
 			switch r.IntN(4) {
 			case 0:
-				all = append(all, observation{"", 0, v})
+				observations = append(observations, observation{"", 0, v})
 				newest = Applied{v, State{}}
 			case 1:
-				all = append(all, observation{"{", v, v})
+				observations = append(observations, observation{"{", v, v})
 			default:
 				out := r.IntN(2) == 0
-				all = append(all, observation{map[bool]string{true: `{"out":true}`, false: `{"out":false}`}[out], v, v})
+				observations = append(observations, observation{map[bool]string{true: `{"out":true}`, false: `{"out":false}`}[out], v, v})
 				newest = Applied{v, State{OutOfService: out}}
 			}
 		}
 		f := NewFollower(Applied{})
 		for i := range 100 {
-			at := r.IntN(len(all))
+			index := r.IntN(len(observations))
 			if i >= 90 {
-				at = len(all) - 1 - (i-90)%len(all) // in the end all of them, the newest first
+				index = len(observations) - 1 - (i-90)%len(observations) // the last ten observations start with the newest
 			}
 			before := f.LastApplied()
-			switch a, v, _ := f.Observe(all[at].text, all[at].version, all[at].revision); v {
+			switch next, decision, _ := f.Observe(observations[index].text, observations[index].version, observations[index].revision); decision {
 			case Apply:
-				if a.Version <= before.Version {
-					t.Fatalf("seed %d: version %d after %d", seed, a.Version, before.Version)
+				if next.Version <= before.Version {
+					t.Fatalf("seed %d: version %d was applied after version %d", seed, next.Version, before.Version)
 				}
-				f.MarkApplied(a)
+				f.MarkApplied(next)
 			case Reject:
-				if all[at].text != "{" {
-					t.Fatalf("seed %d: %q was refused", seed, all[at].text)
+				if observations[index].text != "{" {
+					t.Fatalf("seed %d: valid document %q was rejected", seed, observations[index].text)
 				}
 			}
 		}
 		if f.LastApplied().State != newest.State {
-			t.Fatalf("seed %d: ends at %+v, want %+v", seed, f.LastApplied(), newest)
+			t.Fatalf("seed %d: last applied %+v, want %+v", seed, f.LastApplied(), newest)
 		}
 	}
 }
--- a/internal/control/desiredstate/state.go
+++ b/internal/control/desiredstate/state.go
@@ -1,6 +1,6 @@
-// Package desiredstate decides what a node does with the state that the fleet wants it to have. The state is
-// a document of the replicated store; a node may read it from a member that lags behind, so documents arrive
-// late, repeatedly and out of order. The package has no I/O and no clock.
+// Package desiredstate decides which desired states a node applies. A desired state is a document of the replicated
+// store. A node may read it from a member that lags behind, so documents arrive late, repeatedly and out of order.
+// The package has no I/O and no clock.
 package desiredstate
 
 import (
@@ -10,12 +10,12 @@
 	"strings"
 )
 
-// KeyPrefix followed by a node's name, is the key of the document with the node's desired state.
+// KeyPrefix is the prefix of the keys of desired states. The name of the node follows it.
 const KeyPrefix = "desired/"
 
-// State is the desired state of a node. Its zero value is that of a node without a document.
+// State is the desired state of a node. The zero value applies to a node without a document.
 type State struct {
-	// OutOfService asks the node to fail its health checks. It still serves the requests that come.
+	// OutOfService makes the node fail its health checks. It still serves requests that arrive.
 	OutOfService bool `json:"out"`
 	// Task is the leased task on whose behalf the state was written, and Token the fencing token of its lease.
 	// Both are zero for a state that an operator wrote.
@@ -27,18 +27,18 @@
 
 // Errors of Parse.
 var (
-	errTrailingData  = errors.New("the wished state can't be read: there is more than one")
-	errTaskWithToken = errors.New("the wished state is of a duty without a token, or of a token without a duty")
+	errTrailingData  = errors.New("cannot decode the desired state: it has more than one JSON value")
+	errTaskWithToken = errors.New("desired state has a duty without a token, or a token without a duty")
 )
 
-// Parse decodes a document. It returns an error for fields that it does not know: half of a desired state is
-// another one.
+// Parse decodes a document. It returns an error for unknown fields, because ignoring them would change the meaning
+// of the desired state.
 func Parse(text string) (State, error) {
 	var s State
 	d := json.NewDecoder(strings.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		return State{}, fmt.Errorf("the wished state can't be read: %w", err)
+		return State{}, fmt.Errorf("cannot decode the desired state: %w", err)
 	}
 	if d.More() {
 		return State{}, errTrailingData
--- a/internal/control/fleet/backup.go
+++ b/internal/control/fleet/backup.go
@@ -13,13 +13,13 @@
 	"sloehitch/internal/store"
 )
 
-// The steps of the backup task.
+// Steps of the backup task.
 const (
 	backupStepWrite = "write"
 	backupStepPrune = "prune"
 )
 
-// backup runs a step of the backup task: it writes a backup, or removes old ones.
+// backup runs a step of the backup task: it writes a backup or removes old ones.
 func (p *Participant) backup(_ context.Context, a leasedtask.Action) error {
 	if a.Step == backupStepPrune {
 		return p.pruneBackups()
@@ -27,8 +27,8 @@
 	return p.writeBackup(a)
 }
 
-// writeBackup writes a backup under a temporary name and renames it. The name has the fencing token, so what
-// a node still writes after it has lost the lease is a file of its own and does no harm.
+// writeBackup writes a backup under a temporary name and renames it. The final name contains the fencing token, so
+// a node that still writes after it has lost the lease cannot overwrite the backup of another node.
 func (p *Participant) writeBackup(a leasedtask.Action) error {
 	if err := os.MkdirAll(p.options.BackupDir, 0o700); err != nil {
 		return err
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// copyStore writes all documents of the store, from the first member that can confirm them.
+// copyStore writes all documents of the store, read from the first member that can confirm them by a majority.
 func (p *Participant) copyStore(to *os.File) error {
 	return p.tryMembers(func(c store.Client) error {
 		if _, err := to.Seek(0, io.SeekStart); err != nil {
--- a/internal/control/fleet/backup_test.go
+++ b/internal/control/fleet/backup_test.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/control/leasedtask"
 )
 
-// TestPruneBackups: the newest backups stay, and so does what is no backup.
-func TestPruneBackups(t *testing.T) {
+// TestPruneBackupsKeepsNewest: pruning keeps the newest backups, and files that are not backups.
+func TestPruneBackupsKeepsNewest(t *testing.T) {
 	dir := t.TempDir()
 	p := &Participant{options: Options{BackupDir: dir, BackupsKept: 2}}
 	task := PeriodicTask{Name: "backup", Interval: time.Hour, Steps: []string{"write"}}
@@ -29,15 +29,15 @@
 	if err := p.pruneBackups(); err != nil {
 		t.Fatal(err)
 	}
-	left, err := os.ReadDir(dir)
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var have []string
-	for _, e := range left {
-		have = append(have, e.Name())
+	var remaining []string
+	for _, e := range entries {
+		remaining = append(remaining, e.Name())
 	}
-	if want := append(slices.Clone(names[2:]), "notes.txt"); !slices.Equal(have, want) {
-		t.Errorf("left %v, want %v", have, want)
+	if want := append(slices.Clone(names[2:]), "notes.txt"); !slices.Equal(remaining, want) {
+		t.Errorf("files after pruning: %v, want %v", remaining, want)
 	}
 }
--- a/internal/control/fleet/condition_timer.go
+++ b/internal/control/fleet/condition_timer.go
@@ -6,7 +6,7 @@
 	"sloehitch/internal/control/lease"
 )
 
-// conditionTimer measures for how long a condition has held without a break. It is not safe for concurrent use.
+// conditionTimer measures how long a condition has held without interruption. It is not safe for concurrent use.
 type conditionTimer struct {
 	since lease.Instant
 	holds bool
@@ -20,7 +20,7 @@
 	t.holds = holds
 }
 
-// Duration returns for how long the condition has held; 0 if it does not.
+// Duration returns how long the condition has held, or 0 if it does not hold.
 func (t *conditionTimer) Duration(now lease.Instant) time.Duration {
 	if !t.holds {
 		return 0
--- a/internal/control/fleet/desired_state.go
+++ b/internal/control/fleet/desired_state.go
@@ -10,19 +10,19 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// observeState takes in the desired state's document as it was read at a revision; version 0: there was none.
-// An error asks for it to be read again.
+// observeState handles the desired state's document as it was read at a revision. version is 0 if the document was
+// absent. After an error the document must be read again.
 type observeState func(text string, version, revision uint64) error
 
-// followDesiredState applies what the store has as this node's desired state, until the context ends. While
-// the store cannot be reached the node stays as it is.
+// followDesiredState applies this node's desired state from the store until the context ends. While the store is
+// unreachable the node keeps its state.
 func (p *Participant) followDesiredState(ctx context.Context) {
 	key := desiredstate.KeyPrefix + p.options.Name
 	var revision uint64
 	read := false // the document has been read, and changes since the revision are known
 	for ctx.Err() == nil {
 		var err error
-		c, turn := p.preferredClient()
+		c, memberIndex := p.preferredClient()
 		if !read {
 			revision, err = readDesiredState(c, key, p.observeDesiredState)
 			read = err == nil
@@ -31,14 +31,14 @@
 			revision, read, err = watchDesiredState(c, key, revision, p.observeDesiredState)
 		}
 		if err != nil {
-			p.skipMember(turn)
+			p.skipMember(memberIndex)
 			p.pause(ctx)
 		}
 	}
 }
 
-// observeDesiredState applies a document, and logs what came of it. The error is errNotPersisted: a rejected
-// state stays rejected.
+// observeDesiredState applies a document and logs the result. It returns only errors that wrap errNotPersisted,
+// because reading a rejected state again does not help.
 func (p *Participant) observeDesiredState(text string, version, revision uint64) error {
 	p.mu.Lock()
 	applied, err := p.applier.observe(text, version, revision)
@@ -60,8 +60,8 @@
 	return err
 }
 
-// readDesiredState reads the document as one member has it, which may be older than what was applied. It
-// returns the revision to watch from.
+// readDesiredState reads the document from one member, which may be older than the applied state. It returns the
+// revision to watch from.
 func readDesiredState(c store.Client, key string, observe observeState) (revision uint64, err error) {
 	d, status, err := c.Document(key, true)
 	if err != nil {
@@ -73,9 +73,8 @@
 	return status.Revision, observe(d.Value, d.Version, status.Revision)
 }
 
-// watchDesiredState waits for changes of the document after a revision, and returns the revision to watch
-// from next. complete is false if the member does not remember all changes in between, so that the document
-// must be read again.
+// watchDesiredState waits for changes of the document after a revision, and returns the revision to watch from
+// next. complete is false if changes may have been missed, so that the document must be read again.
 func watchDesiredState(c store.Client, key string, after uint64, observe observeState) (revision uint64, complete bool, err error) {
 	changes, status, forgotten, err := c.Changes(key, after, c.Timeout/2)
 	if err != nil {
@@ -83,7 +82,7 @@
 	}
 	for _, change := range changes {
 		switch {
-		case change.Key != key: // of a node whose name begins with this one's
+		case change.Key != key: // of a node whose name has this node's name as a prefix
 			continue
 		case change.Deleted:
 			err = observe("", 0, change.Revision)
--- a/internal/control/fleet/desired_state_test.go
+++ b/internal/control/fleet/desired_state_test.go
@@ -14,9 +14,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestFollowDesiredState: a node applies its own desired state and no other node's, and keeps it while the
-// store cannot be reached.
-func TestFollowDesiredState(t *testing.T) {
+// TestFollowsOwnDesiredStateOnly: a node applies its own desired state and not that of a node whose name begins
+// with its own, ignores invalid documents, and follows again after its connections to the store were closed.
+func TestFollowsOwnDesiredStateOnly(t *testing.T) {
 	s, err := store.Open(store.Options{Name: "s", CommitTimeout: time.Second, Logger: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
@@ -48,10 +48,10 @@
 		select {
 		case got := <-applied:
 			if got != out {
-				t.Errorf("out: %v, want %v", got, out)
+				t.Errorf("applied out of service: %v, want %v", got, out)
 			}
 		case <-time.After(standin.WaitTimeout):
-			t.Fatal("nothing was applied")
+			t.Fatal("no desired state was applied")
 		}
 	}
 	put("n10", `{"out":true}`)
@@ -63,13 +63,13 @@
 	admin.CloseClientConnections()
 	put("n1", `{"out":true,"by":"ann"}`)
 	expect(true)
-	standin.WaitFor(t, "the report to say so", func() bool {
+	standin.WaitFor(t, "the node to report the applied state", func() bool {
 		docs, _, _ := s.Documents("node/n1", true)
 		return len(docs) == 1 && strings.Contains(docs[0].Value, `"out":true`)
 	})
 	cancel()
 	<-done
 	if len(applied) > 0 {
-		t.Error("more states were applied than were written")
+		t.Error("more desired states were applied than were written")
 	}
 }
--- a/internal/control/fleet/drain.go
+++ b/internal/control/fleet/drain.go
@@ -14,31 +14,31 @@
 // UpstreamService is the service that the servers of a node's uwsgi pool belong to in disruption budgets.
 const UpstreamService = "uwsgi"
 
-// drainReadTicks is after how many ticks of the retry delay a node reads its request and permit although no
-// change was notified.
+// drainReadTicks is after how many ticks of the retry delay a node reads its request and permit even without a
+// notification of a change.
 const drainReadTicks = 20
 
-// DrainOptions are how a node goes out of service under drain permits. The functions are called from a
+// DrainOptions configure how a node goes out of service under drain permits. The functions are called from a
 // goroutine of the participant.
 type DrainOptions struct {
 	Zone, Kind      string
 	DeployedVersion string
-	MinReady        time.Duration // in service and healthy, before the node counts as available
-	// MaxReplaceAttempts is how often the node's process is replaced for one request; 0 counts as 1.
+	MinReady        time.Duration // for which the node must be in service and healthy before it counts as available
+	// MaxReplaceAttempts is how often the node's process is replaced for one request. 0 counts as 1.
 	MaxReplaceAttempts int
 
-	InFlight     func() int  // returns the requests that are running and queued
-	Healthy      func() bool // says whether the node is ready and healthy
+	InFlight     func() int  // returns the number of running and queued requests
+	Healthy      func() bool // reports whether the node is ready and healthy
 	LeaveService func()      // takes the node out of service; must not block
-	EnterService func()      // puts it back into service; must not block
+	EnterService func()      // puts the node back into service; must not block
 
-	// Upstreams returns the upstream servers as this node sees them, by address. nil: it has none.
+	// Upstreams returns the upstream servers as observed by this node, by address. It is nil if there are none.
 	Upstreams func() map[string]fleetstate.UpstreamStatus
-	// ExcludeUpstreams has the node send no requests to the given addresses, and to all others again. It must
-	// not block. nil: it has none.
+	// ExcludeUpstreams stops requests to the given addresses, and allows them to all others again. It must not
+	// block. It is nil if the node has no upstream servers.
 	ExcludeUpstreams func(addresses []string)
-	// ReplaceProcess has the process replaced by another version, after which the process ends. It returns an
-	// error if that could not be done, and may block. nil: nothing is configured that could.
+	// ReplaceProcess replaces the process by another version, after which the process ends. It returns an error if
+	// that fails, and may block. It is nil if no replacement is configured.
 	ReplaceProcess func(ctx context.Context, version string) error
 }
 
@@ -50,12 +50,12 @@
 	drain       *DrainOptions
 	agent       *drainpermit.Agent
 	observation drainpermit.Observation
-	observed    bool // there is an observation
-	readTicks   int  // until the store is read again
+	observed    bool // the observation has been read at least once
+	readTicks   int  // ticks until the store is read again
 }
 
-// runDrainAgent does what the node's agent decides by the node's request and permit, until the context ends.
-// While the store cannot be reached the node stays as it is.
+// runDrainAgent carries out the actions of the node's agent until the context ends. While the store is unreachable
+// the node keeps its state.
 func (p *Participant) runDrainAgent(ctx context.Context) {
 	drain := p.options.Drain
 	agent := drainpermit.NewAgent(drainpermit.AgentOptions{
@@ -82,7 +82,7 @@
 	}
 }
 
-// observe reads the store if it is time, and the node's own condition.
+// observe updates the observation: the documents if a read is due, and the node's own condition.
 func (a *drainAgent) observe() {
 	if a.readTicks <= 0 {
 		observation, err := a.readDrain()
@@ -99,7 +99,8 @@
 	a.drainOverdue = a.agent.DrainOverdue(a.observation, a.clock())
 }
 
-// act carries out actions until there is none, or one has changed the store: that is read first.
+// act carries out actions until there are none, or until one has written to the store, which must then be read
+// before the next action.
 func (a *drainAgent) act(ctx context.Context) {
 	for a.observed && ctx.Err() == nil {
 		action := a.agent.NextAction(a.observation, a.clock())
@@ -113,16 +114,16 @@
 	}
 }
 
-// readDrain reads this node's request and permit as the preferred member has them.
+// readDrain reads this node's request and permit from the preferred member.
 func (a *drainAgent) readDrain() (o drainpermit.Observation, err error) {
 	node := a.options.Name
-	c, turn := a.preferredClient()
+	c, memberIndex := a.preferredClient()
 	docs, status, err := c.Documents(fleetstate.DrainKeyPrefix+node+"/", true)
 	if err == nil && status.AgeMS < 0 {
 		err = errNoLeader
 	}
 	if err != nil {
-		a.skipMember(turn)
+		a.skipMember(memberIndex)
 		return o, err
 	}
 	o.Revision = status.Revision
@@ -145,7 +146,7 @@
 	return o, nil
 }
 
-// carryOut does what the agent decided, and says whether it was a transaction.
+// carryOut carries out an action, and reports whether it was a transaction.
 func (a *drainAgent) carryOut(ctx context.Context, action drainpermit.Action) (wrote bool) {
 	action.Permit.SinceMS = a.options.Now().UnixMilli()
 	switch action.Kind {
@@ -202,21 +203,21 @@
 	case err != nil:
 		a.log.Warn("could not start the drain permit", err)
 	default:
-		a.tellLate()
+		a.reportUnusedPermit()
 	}
 }
 
-// tellLate reports a permit that nobody went out of service by.
-func (a *drainAgent) tellLate() {
+// reportUnusedPermit reports a permit under which the node did not go out of service.
+func (a *drainAgent) reportUnusedPermit() {
 	a.options.OnEvent(faulthooks.Event{What: eventPermitLate, ID: a.permitID()})
 	a.addPermitCount(permitsLate, 1)
 }
 
-// write commits any other transaction, and replaces the process if that is what it was for.
+// write commits any other transaction, and then replaces the process if the action is ActionReplaceProcess.
 func (a *drainAgent) write(ctx context.Context, action drainpermit.Action) {
-	if action.Kind == drainpermit.ActionReturnPermit { // told before it is returned: from then on another node may go out in its place
+	if action.Kind == drainpermit.ActionReturnPermit { // the event comes first: once the permit is returned another node may go out
 		if action.NeverUsed {
-			a.tellLate()
+			a.reportUnusedPermit()
 		} else {
 			a.options.OnEvent(faulthooks.Event{What: eventPermitReturned, ID: a.permitID()})
 		}
@@ -232,7 +233,7 @@
 	}
 }
 
-// replaceProcess has this process replaced. It returns if that fails, or once the process is about to end.
+// replaceProcess replaces this process. It returns if that fails, or when the process is about to end.
 func (a *drainAgent) replaceProcess(ctx context.Context, version string) {
 	err := errNoReplacement
 	if a.drain.ReplaceProcess != nil {
--- a/internal/control/fleet/events.go
+++ b/internal/control/fleet/events.go
@@ -1,15 +1,14 @@
 package fleet
 
-// The events that a participant tells of (faulthooks.Event). Test rigs read them from files, so their text
-// does not change.
+// Events of a participant (faulthooks.Event). Test rigs read them from files, so their texts must not change.
 const (
 	eventLeaseHeld      = "holds"
 	eventLeaseGivenUp   = "gives"
 	eventStepRun        = "does"
 	eventStateApplied   = "applied"
 	eventPermitStarted  = "begins out"
-	eventPermitResumed  = "goes on out" // a permit that a process before this one started
-	eventPermitLate     = "late"        // a permit that nobody went out by
+	eventPermitResumed  = "goes on out" // out of service under a permit that a previous process started
+	eventPermitLate     = "late"        // the node did not go out of service under the permit
 	eventPermitReturned = "warm"
 	eventInService      = "enters"
 	eventReplaced       = "replaced"
--- a/internal/control/fleet/failure_detector.go
+++ b/internal/control/fleet/failure_detector.go
@@ -12,18 +12,19 @@
 
 // When a node counts as silent.
 //
-// Inputs: the versions of the nodes' reports, each time they are read, and the instant of reading on this
-// process's clock. A node is
+// Inputs: the versions of the nodes' reports at each reading, and the instant of the reading on this process's
+// clock. A node is
 //
-//	silent  if now - (instant at which its report was last seen to change) >= timeout
-//	alive   if its report has been seen to change, and it is not silent; or if it has no report any more
+//	silent  if now - (instant at which its report was last observed to change) >= timeout
+//	alive   if its report has been observed to change and it is not silent, or if it has no report any more
 //
-// A node counts from when it is first observed, so one that has just been observed is neither silent nor alive.
+// The first observation of a node starts its timeout. Until its report changes or the timeout ends, the node is
+// neither silent nor alive.
 //
-// Why: only changes on this process's clock are compared. The times in reports are of other clocks, which may
-// be wrong.
+// Why: only changes observed on this process's clock are compared. The times in reports are of other clocks, which
+// may be wrong.
 
-// FailureDetector keeps when nodes were last seen to report. It has no I/O and is not safe for concurrent use.
+// FailureDetector records when the reports of nodes last changed. It has no I/O and is not safe for concurrent use.
 type FailureDetector struct {
 	timeout time.Duration
 	reports map[string]lastReport // by node
@@ -38,7 +39,7 @@
 // SilentNode is a node that counts as silent.
 type SilentNode struct {
 	Node    string
-	Silence time.Duration // since its report was last seen to change
+	Silence time.Duration // since its report was last observed to change
 }
 
 // NewFailureDetector returns a detector that counts a node as silent once its report has not changed for timeout.
@@ -46,7 +47,7 @@
 	return &FailureDetector{timeout: timeout, reports: map[string]lastReport{}}
 }
 
-// Observe takes in all reports as they are read now. Nodes without a report are forgotten.
+// Observe records all reports as they are read now. It forgets nodes without a report.
 func (d *FailureDetector) Observe(reports []document.Document, now lease.Instant) {
 	present := map[string]bool{}
 	for _, report := range reports {
@@ -74,7 +75,7 @@
 	return silent
 }
 
-// Alive says whether a node counts as alive now.
+// Alive reports whether a node counts as alive now.
 func (d *FailureDetector) Alive(node string, now lease.Instant) bool {
 	last, known := d.reports[node]
 	return !known || last.changed && time.Duration(now-last.observedAt) < d.timeout
--- a/internal/control/fleet/grant_task.go
+++ b/internal/control/fleet/grant_task.go
@@ -17,7 +17,7 @@
 	"sloehitch/internal/store/document"
 )
 
-// grantTaskName is the task that grants drain permits.
+// grantTaskName is the name of the task that grants drain permits.
 const grantTaskName = "permits"
 
 // grantTask grants drain permits while this node holds the task's lease.
@@ -27,18 +27,18 @@
 	controller drainpermit.Controller
 }
 
-// runGrantTask takes part in granting permits until the context ends.
+// runGrantTask runs the task of granting permits, whenever this node holds its lease, until the context ends.
 func (p *Participant) runGrantTask(ctx context.Context) {
 	t := &grantTask{}
 	t.leasedLoop = &leasedLoop{Participant: p, task: grantTaskName, keyPrefix: fleetstate.DrainKeyPrefix, runTurn: t.decide, reset: func() {
-		t.detector = NewFailureDetector(p.options.SilentAfter) // nodes are unknown until they report again
+		t.detector = NewFailureDetector(p.options.SilentAfter) // nodes count as unknown until they report again
 		t.controller = drainpermit.Controller{Terms: p.options.LeaseTerms, MinReady: p.options.Drain.MinReady}
 		p.updateStats(func(stats *Stats) { stats.Grants = nil })
 	}}
 	t.run(ctx)
 }
 
-// decide reads the fleet's state and commits what the controller decides.
+// decide reads the fleet's state and commits the controller's decision.
 func (t *grantTask) decide(token uint64) (idle bool, err error) {
 	state, err := t.readState(t.detector)
 	if err != nil {
@@ -48,7 +48,7 @@
 	grants := grantStatsOf(state.view, decision.BudgetMembers)
 	t.updateStats(func(stats *Stats) { stats.Grants = grants })
 	for _, transaction := range decision.Transactions(state.view, state.versions, grantTaskName, token, t.options.Name, rand.Text) {
-		if err := t.transactWhileHeld(transaction); err != nil && !errors.Is(err, store.ErrConflict) { // what has changed is decided on anew
+		if err := t.transactWhileHeld(transaction); err != nil && !errors.Is(err, store.ErrConflict) { // a conflict is decided again
 			return false, fmt.Errorf("%s: %w", transaction.Reason, err)
 		}
 	}
@@ -57,15 +57,15 @@
 	return len(state.view.Requests)+len(state.view.Permits) == 0, nil
 }
 
-// fleetState is all documents of the store as of one revision that a majority confirmed, and the view that
-// they add up to.
+// fleetState has all documents of the store at one revision that a majority confirmed, and the view that is decoded
+// from them.
 type fleetState struct {
 	view     fleetstate.View
 	versions fleetstate.Versions
 	docs     []document.Document
 }
 
-// readState reads the fleet's state, with the nodes' liveness by the given failure detector.
+// readState reads the fleet's state and determines the nodes' liveness by the given failure detector.
 func (p *Participant) readState(detector *FailureDetector) (state fleetState, err error) {
 	if state.docs, err = p.documents(""); err != nil {
 		return state, err
@@ -85,7 +85,7 @@
 	return state, nil
 }
 
-// observeMembers decodes the nodes' reports and adds their liveness.
+// observeMembers decodes the nodes' reports and determines their liveness.
 func (p *Participant) observeMembers(detector *FailureDetector, reports []document.Document) (members []fleetstate.ObservedMember) {
 	now := p.clock()
 	detector.Observe(reports, now)
@@ -99,7 +99,7 @@
 	return members
 }
 
-// observeMember decodes a node's report. silence has the nodes that are silent now.
+// observeMember decodes a node's report and determines its liveness. silence has the nodes that are silent now.
 func (p *Participant) observeMember(
 	detector *FailureDetector, report document.Document, silence map[string]time.Duration, now lease.Instant,
 ) fleetstate.ObservedMember {
--- a/internal/control/fleet/halt.go
+++ b/internal/control/fleet/halt.go
@@ -10,35 +10,34 @@
 	"sloehitch/internal/store/document"
 )
 
-// When a halt holds everywhere.
+// When a halt is in force on all nodes.
 //
-// Inputs: the permits that the halt covers, and the time since it was committed, on this process's clock. A
-// halt holds once each permit that is started and not yet out of service was started more than its start
-// window (StartWindowMS) ago at the latest:
+// Inputs: the permits that the halt covers, and the time since the halt was committed, on this process's clock. A
+// halt is in force once no start window (StartWindowMS) of a permit is open. A window counts as open if
 //
-//	open = state is started, and time since the halt < start window
+//	the permit is started and not yet out of service, and time since the halt < start window
 //
-// Why: a permit cannot be started after the halt, since its absence is a condition of that. A node counts its
-// window from before it asked, so the window of a permit that was started before the halt ends before this
-// wait does, however late the process wakes up.
+// Why: a permit cannot be started after the halt, because that transaction requires that there is no halt. A node
+// measures its window from before it sends the transaction. So the window of a permit that was started before the
+// halt ends before this wait does, however long the node's process was stalled.
 
-// haltPollInterval is how often the permits are read while a window is open.
+// haltPollInterval is the interval at which the permits are read while a window is open.
 const haltPollInterval = 50 * time.Millisecond
 
-// Halt keeps a release, or everything (fleetstate.HaltAll), from being started. It returns once that holds
-// everywhere, and how many permits there are. It blocks for a start window at most. With an error it may be
-// halted all the same: ask again.
+// Halt halts a release, or all drains and releases (fleetstate.HaltAll). It returns once the halt is in force on
+// all nodes, with the number of permits that exist. It blocks for at most a start window. After an error the halt
+// may have been committed nevertheless, so the call must be repeated.
 func Halt(client store.Client, name, by, reason string) (permits int, err error) {
 	t := document.Transaction{ID: rand.Text(), Author: by, Reason: "halt " + name + ": " + reason,
 		Operations: []document.Operation{{Key: fleetstate.HaltKeyPrefix + name, Value: by + ": " + reason}}}
 	if _, err := client.Commit(t); err != nil {
-		return 0, fmt.Errorf("%w; it may have been halted: ask again until it is certain", err)
+		return 0, fmt.Errorf("%w; the halt may have been committed: repeat it until it succeeds", err)
 	}
 	haltedAt := time.Now()
 	for {
 		docs, _, err := client.Documents(fleetstate.DrainKeyPrefix, false)
 		if err != nil {
-			return 0, fmt.Errorf("%w; it is halted, and what was begun before may still go out: ask again until it is certain", err)
+			return 0, fmt.Errorf("%w; the halt is committed, but nodes with a started permit may still go out: repeat it until it succeeds", err)
 		}
 		view, _, err := fleetstate.DecodeView(docs, fleetstate.DefaultDecoder, haltedAt.UnixMilli())
 		if err != nil {
@@ -51,7 +50,8 @@
 	}
 }
 
-// startWindowOpen says whether a node may still go out of service by a permit that was started before the halt.
+// startWindowOpen reports whether a node may still go out of service under a permit that was started before the
+// halt.
 func startWindowOpen(view fleetstate.View, halt string, haltedAt time.Time) bool {
 	for member, permit := range view.Permits {
 		covered := halt == fleetstate.HaltAll || view.Requests[member].ReleaseName == halt
--- a/internal/control/fleet/job_runner.go
+++ b/internal/control/fleet/job_runner.go
@@ -13,18 +13,17 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// jobRun drives the runner of one job. What the runner asks for is carried out in goroutines of their own, so
-// that the lease is renewed while a step goes on. Its results are handed to run by deliver, so the runner is
-// used by one goroutine only.
+// jobRun drives the runner of one job. Its actions are carried out in separate goroutines, so that the lease is
+// renewed while a step runs. They hand their results to run by deliver, so only one goroutine uses the runner.
 type jobRun struct {
 	*Participant
 	task    PeriodicTask
 	runner  *leasedtask.Runner
-	results chan func() // each hands one result to the runner
+	results chan func() // each function hands one result to the runner
 	ended   chan struct{}
 }
 
-// runJob takes part in a job until the runner stops.
+// runJob runs a job, as far as this node holds its lease, until the runner stops.
 func (p *Participant) runJob(ctx context.Context, task PeriodicTask, job leasedtask.Job) {
 	runner, err := leasedtask.NewRunner(job, p.options.LeaseTerms)
 	if err != nil {
@@ -36,7 +35,7 @@
 	r.run(ctx, job)
 }
 
-// run does what the runner asks for until it stops.
+// run carries out the runner's actions until it stops.
 func (r *jobRun) run(ctx context.Context, job leasedtask.Job) {
 	done := ctx.Done()
 	for {
@@ -76,7 +75,7 @@
 	}
 }
 
-// carryOut does what the runner asks for, and reports the result.
+// carryOut carries out an action and delivers its result.
 func (r *jobRun) carryOut(ctx context.Context, a leasedtask.Action) {
 	switch a.Kind {
 	case leasedtask.ActionAcquire:
--- a/internal/control/fleet/lease_requests.go
+++ b/internal/control/fleet/lease_requests.go
@@ -5,15 +5,15 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// The actions of a store.LeaseRequest.
+// Actions of a store.LeaseRequest.
 const (
 	leaseAcquire  = "take"
 	leaseRenew    = "renew"
 	leaseHandOver = "hand-over"
 )
 
-// handOverLease gives a task's lease up, so that another node need not wait for it to expire. If the request
-// fails it expires.
+// handOverLease releases a task's lease, so that another node need not wait until it expires. If the request fails,
+// the lease expires.
 func (p *Participant) handOverLease(task string, token uint64, reason string) {
 	p.options.OnEvent(faulthooks.Event{What: eventLeaseGivenUp, Duty: task, N: token})
 	_, err := p.requestLease(task, store.LeaseRequest{Action: leaseHandOver, Holder: p.options.Name, Token: token, Reason: reason})
--- a/internal/control/fleet/leased_loop.go
+++ b/internal/control/fleet/leased_loop.go
@@ -13,24 +13,23 @@
 )
 
 const (
-	// maxIdleTurns is how many turns in a row a node keeps a lease with nothing to do.
+	// maxIdleTurns is for how many successive idle turns a node keeps the lease.
 	maxIdleTurns = 20
-	// waitingDelayFactor is how many times the retry delay a node waits between turns without the lease.
+	// waitingDelayFactor multiplies the retry delay between turns while the lease is not held.
 	waitingDelayFactor = 4
 )
 
-var errLeaseLost = errors.New("the lease of the task is not held any more")
+var errLeaseLost = errors.New("lease of the task is no longer held")
 
-// leasedLoop runs a continuous task on one node at a time, for as long as there is anything to do. It has no
-// jobs: what is done in each turn follows from the documents, in transactions under the fencing token of the
-// lease.
+// leasedLoop runs a continuous task on one node at a time, as long as there is anything to do. The task has no jobs:
+// each turn decides by the documents, and commits transactions under the fencing token of the lease.
 type leasedLoop struct {
 	*Participant
 	task      string
-	keyPrefix string // of the documents that give it something to do
-	// reset forgets what an earlier holder of the lease in this process has seen.
+	keyPrefix string // of the documents that the task works on
+	// reset discards the task's state from an earlier lease of this process.
 	reset func()
-	// runTurn does what there is to do. idle says that there was nothing.
+	// runTurn runs one turn of the task. idle is set if there was nothing to do.
 	runTurn func(token uint64) (idle bool, err error)
 
 	claim     *lease.Claim
@@ -38,7 +37,7 @@
 	delay     time.Duration // until the next turn
 }
 
-// run takes turns until the context ends; then it hands the lease over.
+// run runs turns until the context ends, and then hands the lease over.
 func (l *leasedLoop) run(ctx context.Context) {
 	l.resetClaim()
 	defer l.handOver("this node leaves")
@@ -57,7 +56,7 @@
 	l.reset()
 }
 
-// handOver gives the lease up, if it is held.
+// handOver hands the lease over if it is held.
 func (l *leasedLoop) handOver(reason string) {
 	if token, held := l.claim.Holds(l.clock()); held {
 		l.claim.Stop()
@@ -66,7 +65,7 @@
 	l.resetClaim()
 }
 
-// turn acquires or renews the lease, and runs a turn of the task if it is held.
+// turn acquires or renews the lease if necessary, and runs a turn of the task if the lease is held.
 func (l *leasedLoop) turn() {
 	l.delay = l.options.RetryDelay
 	token, held := l.claim.Holds(l.clock())
@@ -83,23 +82,23 @@
 	}
 	idle, err := l.runTurn(token)
 	if err != nil {
-		l.log.Warn("a turn of a task failed", fmt.Errorf("%s: %w", l.task, err))
+		l.log.Warn("turn of a continuous task failed", fmt.Errorf("%s: %w", l.task, err))
 	}
 	l.countIdle(idle)
 }
 
-// hasWork says whether there are documents that give the task something to do, as the preferred member has them.
+// hasWork reports whether the preferred member has documents that the task works on.
 func (l *leasedLoop) hasWork() bool {
-	c, turn := l.preferredClient()
+	c, memberIndex := l.preferredClient()
 	docs, _, err := c.Documents(l.keyPrefix, true)
 	if err != nil {
-		l.skipMember(turn)
+		l.skipMember(memberIndex)
 	}
 	return len(docs) > 0
 }
 
-// acquire acquires the lease, or renews the one that is held. It returns whether the task may be run now, and
-// under which token.
+// acquire acquires the lease, or renews it if renew is set. It returns the fencing token, and whether the lease is
+// held now.
 func (l *leasedLoop) acquire(token uint64, renew bool) (newToken uint64, held bool) {
 	request := store.LeaseRequest{Action: leaseAcquire, Holder: l.options.Name}
 	if renew {
@@ -121,7 +120,7 @@
 	return l.claim.Holds(l.clock())
 }
 
-// countIdle hands the lease over after too many turns with nothing to do.
+// countIdle counts successive idle turns, and hands the lease over after more than maxIdleTurns.
 func (l *leasedLoop) countIdle(idle bool) {
 	if !idle {
 		l.idleTurns = 0
--- a/internal/control/fleet/next_job_test.go
+++ b/internal/control/fleet/next_job_test.go
@@ -7,12 +7,12 @@
 	"sloehitch/internal/control/leasedtask"
 )
 
-func TestNextJob(t *testing.T) {
+func TestNextJobIsDueBySlot(t *testing.T) {
 	task := PeriodicTask{Name: "backup", Interval: time.Hour, Steps: []string{"write"}}
 	noon := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	first, due := task.nextJob(leasedtask.Record{}, noon, time.Second, false)
 	if !due || first.Predecessor != "" {
-		t.Fatalf("the first: %+v, %v", first, due)
+		t.Fatalf("first job: %+v, due %v, want it due and without a predecessor", first, due)
 	}
 	for _, c := range []struct {
 		name      string
@@ -20,9 +20,9 @@
 		at        time.Time
 		endedHere bool
 		due       bool
-		id        string // empty: a new one
+		id        string // of the wanted job; empty for a new one
 	}{
-		{"started: it continues, whatever its slot", leasedtask.Record{JobID: first.ID, State: leasedtask.StateStarted}, noon.Add(9 * time.Hour), false, true, first.ID},
+		{"a started job is due in any slot", leasedtask.Record{JobID: first.ID, State: leasedtask.StateStarted}, noon.Add(9 * time.Hour), false, true, first.ID},
 		{"completed, in the same slot", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(59 * time.Minute), true, false, ""},
 		{"completed, in the next slot", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(61 * time.Minute), true, true, ""},
 		{"completed by another node, in the first half of the next slot", leasedtask.Record{JobID: first.ID, State: leasedtask.StateCompleted}, noon.Add(61 * time.Minute), false, false, ""},
@@ -33,7 +33,7 @@
 	} {
 		j, due := task.nextJob(c.record, c.at, time.Second, c.endedHere)
 		if due != c.due || due && c.id != "" && j.ID != c.id || due && c.id == "" && (j.ID <= first.ID || j.Predecessor != first.ID) {
-			t.Errorf("%s: %+v, due %v", c.name, j, due)
+			t.Errorf("%s: unexpected job %+v, due %v", c.name, j, due)
 		}
 	}
 }
--- a/internal/control/fleet/options.go
+++ b/internal/control/fleet/options.go
@@ -21,52 +21,52 @@
 	ReportInterval time.Duration // between reports of the node
 	SilentAfter    time.Duration // without a new report, after which a node counts as silent
 	RequestTimeout time.Duration // of one request to a member of the store
-	RetryDelay     time.Duration // after a request that failed, and between turns of a task
+	RetryDelay     time.Duration // after a failed request, and between turns of a task
 	LeaseTerms     lease.Terms   // of the tasks' leases, and of the start window of drain permits
 
-	// NodeState returns what the node reports of itself. It is called from another goroutine.
+	// NodeState returns the node's own fields of its report. It is called from another goroutine.
 	NodeState func() map[string]any
 
-	// Ledger persists the desired state that was applied last, and fencing tokens. nil: they are forgotten
-	// with the process.
+	// Ledger persists the last applied desired state and fencing tokens. If nil, they are lost when the process
+	// ends.
 	Ledger *ledger.Store
-	// ApplyDesiredState applies a desired state. It must not block, and cannot fail. nil: nothing is applied.
+	// ApplyDesiredState applies a desired state. It must not block, and cannot fail. If nil, no state is applied.
 	ApplyDesiredState func(desiredstate.State)
 
-	Clock lease.Clock      // nil: lease.Now
-	Now   func() time.Time // nil: time.Now
-	// OnEvent is called with what this node believes and does. nil: with nothing.
+	Clock lease.Clock      // lease.Now if nil
+	Now   func() time.Time // time.Now if nil
+	// OnEvent, if not nil, is called for the events that test rigs check.
 	OnEvent func(faulthooks.Event)
-	// OnReport is called after each report, with how long it took and how it ended. nil: it is not.
+	// OnReport, if not nil, is called after each report with its duration and its error.
 	OnReport func(took time.Duration, err error)
 
-	// Drain is how this node goes out of service under drain permits. nil: it never does, and neither grants
-	// permits nor runs releases.
+	// Drain configures how this node goes out of service under drain permits. If nil, it never does, and neither
+	// grants permits nor runs releases.
 	Drain *DrainOptions
 
-	BackupDir      string        // where backups of the store are written
-	BackupInterval time.Duration // 0: this node writes no backups
-	BackupsKept    int           // the newest, when older ones are removed
+	BackupDir      string        // directory for backups of the store
+	BackupInterval time.Duration // 0 if this node writes no backups
+	BackupsKept    int           // how many of the newest backups pruning keeps
 
 	Log *slog.Logger
 }
 
-// Validate returns an error that names everything that is wrong with the options, or nil.
+// Validate returns an error that lists all problems of the options, or nil.
 func (o *Options) Validate() error {
 	var errs []error
-	want := func(ok bool, what string) {
+	require := func(ok bool, message string) {
 		if !ok {
-			errs = append(errs, errors.New(what))
+			errs = append(errs, errors.New(message))
 		}
 	}
-	want(o.Name != "" && !strings.Contains(o.Name, "/"), "a name without slashes is wanted")
-	want(len(o.StoreMembers) > 0, "members: the operators' addresses of the store's members are wanted")
-	want(o.ReportInterval > 0 && o.SilentAfter >= 2*o.ReportInterval, "silent must be at least twice as long as every, which must be above 0")
-	want(o.BackupInterval == 0 || o.BackupDir != "" && o.BackupsKept > 0, "backups need a folder, and how many to keep")
+	require(o.Name != "" && !strings.Contains(o.Name, "/"), "name must not be empty or contain slashes")
+	require(len(o.StoreMembers) > 0, "members must have the operator addresses of the store's members")
+	require(o.ReportInterval > 0 && o.SilentAfter >= 2*o.ReportInterval, "silent must be at least twice as long as every, which must be above 0")
+	require(o.BackupInterval == 0 || o.BackupDir != "" && o.BackupsKept > 0, "backups need a directory and the number of backups to keep")
 	return errors.Join(append(errs, o.LeaseTerms.Validate())...)
 }
 
-// setDefaults fills in the functions that may be left out.
+// setDefaults sets the optional functions that are nil.
 func (o *Options) setDefaults() {
 	if o.ApplyDesiredState == nil {
 		o.ApplyDesiredState = func(desiredstate.State) {}
--- a/internal/control/fleet/participant.go
+++ b/internal/control/fleet/participant.go
@@ -11,28 +11,29 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Participant is one node's part in the fleet. Its exported methods may be called concurrently.
+// Participant connects one node to the fleet. Its exported methods may be called concurrently.
 type Participant struct {
 	options   Options
 	log       *lograte.Logger
 	clock     lease.Clock
 	startedAt time.Time
 
-	// preferredMember counts up: modulo the number of members it is the member of the store that is asked first.
+	// preferredMember only grows. Modulo the number of members, it is the index of the member of the store to which
+	// requests are sent first.
 	preferredMember atomic.Int64
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the following fields
 	detector     *FailureDetector
-	lastSweep    lease.Instant     // when this node last ran the sweep; 0: never
-	endedJobs    map[string]string // by task: the job that this node ended last
+	lastSweep    lease.Instant     // when this node last ran the sweep; 0 if never
+	endedJobs    map[string]string // last job that this node ended, by task
 	applier      *stateApplier
 	inService    conditionTimer // in service and healthy
 	drainOverdue bool
 	stats        Stats
 }
 
-// New returns a participant that does nothing until Serve. It returns an error for options that cannot be
-// used, and if the state in the ledger cannot be read.
+// New returns a participant, which is idle until Serve. It applies the desired state that is in the ledger. It
+// returns an error for invalid options, and if the state in the ledger cannot be read.
 func New(o Options) (*Participant, error) {
 	if err := o.Validate(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -54,8 +55,8 @@
 	}, nil
 }
 
-// Serve reports the node and runs the fleet's tasks until the context ends; then it hands leases over. It
-// blocks, and is called once.
+// Serve reports the node and runs the fleet's tasks until the context ends, and then hands leases over. It blocks,
+// and must be called only once.
 func (p *Participant) Serve(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, run := range p.loops() {
@@ -74,7 +75,7 @@
 	wg.Wait()
 }
 
-// loops returns what Serve runs beside the reports. Each runs until its context ends.
+// loops returns the functions that Serve runs concurrently with the reports. Each runs until its context ends.
 func (p *Participant) loops() (loops []func(context.Context)) {
 	for _, task := range p.periodicTasks() {
 		loops = append(loops, func(ctx context.Context) { p.runPeriodicTask(ctx, task) })
--- a/internal/control/fleet/periodic_task.go
+++ b/internal/control/fleet/periodic_task.go
@@ -14,23 +14,25 @@
 // taskKeyPrefix, followed by a task's name, is the key of the record of the task's job (leasedtask.Record).
 const taskKeyPrefix = "duty/"
 
-// dueChecksPerInterval is how often in a task's interval a node looks whether a job is due, if the retry delay is not shorter.
+// dueChecksPerInterval is how often per interval of a task a node checks whether a job is due. If the retry delay is
+// shorter, it determines the period instead.
 const dueChecksPerInterval = 4
 
-// PeriodicTask is a task that one node runs for the fleet, one job in each interval.
+// PeriodicTask is a task that one node runs for the fleet, one job per interval.
 type PeriodicTask struct {
 	Name     string
 	Interval time.Duration
 	Steps    []string // of each job, in order
-	// RunStep runs a step under a fencing token. It is called in a goroutine of its own, and may be called
-	// again for a step that was run before. It must make its changes under the token.
+	// RunStep runs a step under a fencing token. It is called in a separate goroutine, possibly repeatedly for the
+	// same step. It must make its changes under the token.
 	RunStep func(ctx context.Context, a leasedtask.Action) error
 }
 
-// runPeriodicTask runs the task's jobs when they are due and this node holds the lease, until the context ends.
+// runPeriodicTask runs the task's jobs when they are due, as far as this node holds the lease, until the context
+// ends.
 func (p *Participant) runPeriodicTask(ctx context.Context, task PeriodicTask) {
 	for ctx.Err() == nil {
-		record, _, err := p.readTaskRecord(task.Name, true) // may be old: the runner reads it again, confirmed
+		record, _, err := p.readTaskRecord(task.Name, true) // may be stale: the runner reads it again, confirmed
 		if err != nil {
 			p.log.Warn("cannot read the record of a task", fmt.Errorf("%s: %w", task.Name, err))
 		} else if job, due := task.nextJob(record, p.options.Now(), p.options.RetryDelay, p.endedHere(task.Name, record)); due {
@@ -43,15 +45,15 @@
 	}
 }
 
-// readTaskRecord reads how far a task's job is, and the document's version: confirmed by a majority, or
-// (local) as the preferred member has it.
+// readTaskRecord reads the record of a task's job, and the document's version: confirmed by a majority, or, with
+// local, from the preferred member alone.
 func (p *Participant) readTaskRecord(task string, local bool) (record leasedtask.Record, version uint64, err error) {
 	key := taskKeyPrefix + task
 	var doc document.Document
 	if local {
-		c, turn := p.preferredClient()
+		c, memberIndex := p.preferredClient()
 		if doc, _, err = c.Document(key, true); err != nil {
-			p.skipMember(turn)
+			p.skipMember(memberIndex)
 		}
 	} else {
 		err = p.tryMembers(func(c store.Client) (err error) {
@@ -65,7 +67,7 @@
 	return record, doc.Version, json.Unmarshal([]byte(doc.Value), &record)
 }
 
-// endedHere says whether this process ended the job on record.
+// endedHere reports whether this process ended the job on record.
 func (p *Participant) endedHere(task string, record leasedtask.Record) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/fleet/release_requests.go
+++ b/internal/control/fleet/release_requests.go
@@ -12,16 +12,15 @@
 	"sloehitch/internal/store/document"
 )
 
-// How often a rollback is attempted while the release's controller writes at the same time, and the delay
-// between attempts.
+// A rollback is retried if the release's controller writes at the same time.
 const (
 	rollBackAttempts   = 5
 	rollBackRetryDelay = 20 * time.Millisecond
 )
 
-// StartRelease writes a release to the store; the holder of the release task's lease takes it through the
-// fleet. The error is store.ErrConflict if a release of that name is under way. One that has ended is
-// overwritten. It blocks for the client's timeout.
+// StartRelease writes a release to the store. The holder of the release task's lease then rolls it out to the fleet.
+// The error is store.ErrConflict if a release of that name is active, or if it is halted. A release that has ended
+// is overwritten. StartRelease blocks for at most the client's timeout per request.
 func StartRelease(client store.Client, r release.Release) error {
 	if err := r.Validate(); err != nil {
 		return err
@@ -33,7 +32,7 @@
 	if existing.Version > 0 {
 		earlier, err := release.Decode(existing)
 		if err != nil || earlier.Active() {
-			return fmt.Errorf("%w: there is a release %s that is not over", store.ErrConflict, r.Name)
+			return fmt.Errorf("%w: release %s exists and has not ended", store.ErrConflict, r.Name)
 		}
 	}
 	reason := "release " + r.Name + " to " + r.TargetVersion + ": " + r.Reason
@@ -43,8 +42,8 @@
 	return err
 }
 
-// RollBackRelease has a release roll back: updated nodes get their previous version back, the latest wave
-// first, under the same budgets. A halt of the release ends. It blocks for some of the client's timeouts.
+// RollBackRelease makes a release roll back: updated nodes get their previous version back, the latest wave first,
+// under the same budgets. It ends a halt of the release. It blocks for up to a few times the client's timeout.
 func RollBackRelease(client store.Client, name, by, reason string) error {
 	for range rollBackAttempts {
 		if err := tryRollBack(client, name, by, reason); !errors.Is(err, store.ErrConflict) {
@@ -52,11 +51,11 @@
 		}
 		time.Sleep(rollBackRetryDelay)
 	}
-	return fmt.Errorf("%w: it changes all the time; ask again", store.ErrConflict)
+	return fmt.Errorf("%w: the release changed during every attempt; try again", store.ErrConflict)
 }
 
-// tryRollBack reads the release and writes it as rolling back. The error is store.ErrConflict if it has
-// changed meanwhile.
+// tryRollBack reads the release and writes it as rolling back. The error is store.ErrConflict if the release has
+// changed in between.
 func tryRollBack(client store.Client, name, by, reason string) error {
 	existing, _, err := client.Document(release.KeyPrefix+name, false)
 	if err != nil {
--- a/internal/control/fleet/release_task.go
+++ b/internal/control/fleet/release_task.go
@@ -17,17 +17,17 @@
 	"sloehitch/internal/testing/faulthooks"
 )
 
-// The terms of the canary analysis of a release (canary.Options).
+// Parameters of the canary analysis of a release (canary.Options).
 const (
 	canaryFalseAlarmProbability = 0.01
 	canaryMaxAnalyses           = 200
 	canaryMinIntervals          = 8
 	canaryRecordedIntervals     = 400
-	// canaryReportsPerInterval is how many reports of a node make an interval.
+	// canaryReportsPerInterval is the length of an interval in reports of a node.
 	canaryReportsPerInterval = 2
 )
 
-// releaseTask takes releases through the fleet while this node holds the task's lease.
+// releaseTask controls releases while this node holds the task's lease.
 type releaseTask struct {
 	*leasedLoop
 	detector        *FailureDetector
@@ -36,7 +36,7 @@
 	intervalEndedAt lease.Instant
 }
 
-// runReleaseTask takes part in releases until the context ends.
+// runReleaseTask runs the task of controlling releases, whenever this node holds its lease, until the context ends.
 func (p *Participant) runReleaseTask(ctx context.Context) {
 	t := &releaseTask{}
 	t.leasedLoop = &leasedLoop{Participant: p, task: release.TaskName, keyPrefix: release.KeyPrefix, runTurn: t.advanceReleases, reset: func() {
@@ -47,12 +47,12 @@
 	t.run(ctx)
 }
 
-// canaryInterval is how long an interval of the canary analysis is.
+// canaryInterval returns the length of an interval of the canary analysis.
 func (p *Participant) canaryInterval() time.Duration {
 	return canaryReportsPerInterval * p.options.ReportInterval
 }
 
-// canaryOptions are the terms by which releases are analyzed.
+// canaryOptions returns the options of the canary analysis.
 func (p *Participant) canaryOptions() canary.Options {
 	interval := p.canaryInterval()
 	return canary.Options{
@@ -63,7 +63,7 @@
 	}
 }
 
-// advanceReleases decides on each release that is under way, and commits what is decided.
+// advanceReleases decides on each active release, and commits the decisions.
 func (t *releaseTask) advanceReleases(token uint64) (idle bool, err error) {
 	state, err := t.readState(t.detector)
 	if err != nil {
@@ -75,24 +75,24 @@
 		t.intervalEndedAt = now
 	}
 	idle = true
-	var underWay []release.Status
+	var active []release.Status
 	for _, d := range state.docs {
 		r, found := t.activeRelease(d)
 		if !found {
 			continue
 		}
 		idle = false
-		underWay = append(underWay, release.StatusOf(r, state.view))
+		active = append(active, release.StatusOf(r, state.view))
 		if err := t.advance(r, state, intervalEnds, token, now); err != nil {
 			return false, err
 		}
 	}
-	t.updateStats(func(stats *Stats) { stats.Releases = underWay })
+	t.updateStats(func(stats *Stats) { stats.Releases = active })
 	return idle, nil
 }
 
-// activeRelease decodes a document. found is false if it is not a release, or one that is not under way or
-// cannot be used.
+// activeRelease decodes a document. found is false if the document is not a release, or if the release is not active
+// or not valid.
 func (t *releaseTask) activeRelease(d document.Document) (r release.Release, found bool) {
 	if !strings.HasPrefix(d.Key, release.KeyPrefix) {
 		return r, false
@@ -105,7 +105,7 @@
 	return r, r.Active()
 }
 
-// advance records an interval of the release if one ends now, and commits what its controller decides.
+// advance records an interval of the release if one ends now, and commits the decision of its controller.
 func (t *releaseTask) advance(r release.Release, state fleetState, intervalEnds bool, token uint64, now lease.Instant) error {
 	if t.controllers[r.Name] == nil {
 		t.controllers[r.Name], t.recorders[r.Name] = &release.Controller{}, canary.NewRecorder(canaryRecordedIntervals)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// applyDecision commits a decision, and logs it.
+// applyDecision commits and logs a decision.
 func (t *releaseTask) applyDecision(r release.Release, decision release.Decision, state fleetState, token uint64) error {
 	for _, transaction := range decision.Transactions(r, state.view, state.versions, token, t.options.Name, rand.Text) {
 		if err := t.transactWhileHeld(transaction); err != nil {
--- a/internal/control/fleet/report.go
+++ b/internal/control/fleet/report.go
@@ -15,13 +15,13 @@
 // publishReport writes this node's report to the store.
 func (p *Participant) publishReport() {
 	text, err := json.Marshal(p.report())
-	began := time.Now()
+	start := time.Now()
 	if err == nil {
 		_, err = p.transact(document.Transaction{ID: rand.Text(), Author: p.options.Name, Reason: "report",
 			Operations: []document.Operation{{Key: nodeKeyPrefix + p.options.Name, Value: string(text), ExcludeFromHistory: true}}})
 	}
 	if p.options.OnReport != nil {
-		p.options.OnReport(time.Since(began), err)
+		p.options.OnReport(time.Since(start), err)
 	}
 	result := reportsMade
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// report returns the report's encoded fields. What the node says of itself overrides what is known here.
+// report returns the report's encoded fields. The fields of Options.NodeState override those of the same name.
 func (p *Participant) report() map[string]any {
 	report := map[string]any{"version": p.options.Version, "since": p.startedAt.UnixMilli(), "pid": os.Getpid()}
 	p.mu.Lock()
@@ -53,7 +53,7 @@
 	return report
 }
 
-// addDrainReport adds what the drain rules read (fleetstate.NodeReport).
+// addDrainReport adds the fields on which drains are decided (fleetstate.NodeReport).
 func (p *Participant) addDrainReport(report map[string]any) {
 	drain := p.options.Drain
 	report["zone"], report["kind"], report["release"] = drain.Zone, drain.Kind, drain.DeployedVersion
@@ -68,7 +68,7 @@
 	}
 }
 
-// inServiceFor returns for how long the node has been in service and healthy.
+// inServiceFor returns how long the node has been in service and healthy.
 func (p *Participant) inServiceFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/fleet/silent_marks.go
+++ b/internal/control/fleet/silent_marks.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// sweepTaskName is the task that marks silent nodes.
+	// sweepTaskName is the name of the task that marks silent nodes.
 	sweepTaskName = "sweep"
 	// silentKeyPrefix, followed by a node's name, is the key of the mark on a silent node.
 	silentKeyPrefix = "silent/"
-	// sweepIntervals is for how many intervals after a sweep this node goes on reading the reports.
+	// sweepIntervals is for how many intervals after a sweep this node continues to read the reports.
 	sweepIntervals = 4
 )
 
 // silentMark is the document that marks a silent node.
 type silentMark struct {
-	By    string `json:"by"`    // the node that marked it
+	By    string `json:"by"`    // name of the node that marked it
 	Since int64  `json:"since"` // Unix milliseconds, by the clock of the node that marked it
 }
 
-// observeReportsWhileSweeping reads the reports on the node that runs the sweep. If every node read all of
-// them, reads would grow with the square of the number of nodes.
+// observeReportsWhileSweeping reads all reports on the node that runs the sweep. If every node read all of them, the
+// reads would grow with the square of the number of nodes.
 func (p *Participant) observeReportsWhileSweeping() {
 	p.mu.Lock()
 	sweeping := p.lastSweep != 0 && p.clock() < p.lastSweep.Add(sweepIntervals*p.options.SilentAfter)
@@ -76,15 +76,14 @@
 	if len(operations) == 0 {
 		return nil
 	}
-	operations = operations[:min(len(operations), document.DefaultLimits.MaxOperations)] // the next sweep does the rest
+	operations = operations[:min(len(operations), document.DefaultLimits.MaxOperations)] // the rest is left to the next sweep
 	_, err = p.transact(document.Transaction{ID: a.ID + "/" + rand.Text(), Author: p.options.Name, Reason: sweepTaskName,
 		Conditions: []document.Condition{{Task: sweepTaskName, Token: a.Token}}, Operations: operations})
 	return err
 }
 
-// removeMarks returns the operations that remove the marks of nodes that are alive, and which nodes are
-// marked. A node that this process has only just observed is not alive yet, so it keeps the mark that another
-// process has set.
+// removeMarks returns the operations that remove the marks of nodes that are alive, and the marked nodes. A node that
+// this process has observed only once does not count as alive, so it keeps a mark that another process has set.
 func (p *Participant) removeMarks(marks []document.Document) (operations []document.Operation, marked map[string]bool) {
 	marked = map[string]bool{}
 	for _, mark := range marks {
--- a/internal/control/fleet/state_applier.go
+++ b/internal/control/fleet/state_applier.go
@@ -14,19 +14,20 @@
 // appliedKey is the ledger key of the state that was applied last.
 const appliedKey = "desired"
 
-// errNotPersisted says that a state was not applied because it could not be persisted. It is to be observed again.
-var errNotPersisted = errors.New("it can't be kept")
+// errNotPersisted is returned for a state that was not applied because it could not be persisted. The document must
+// be observed again.
+var errNotPersisted = errors.New("desired state could not be persisted")
 
-// stateApplier applies the node's desired state: it persists a state before it applies it, and rejects one
-// whose fencing token is stale. It is not safe for concurrent use.
+// stateApplier applies the node's desired state. It persists a state before applying it, and rejects states whose
+// fencing token is stale. It is not safe for concurrent use.
 type stateApplier struct {
-	ledger   *ledger.Store // nil: what was applied is forgotten with the process
+	ledger   *ledger.Store // if nil, the applied state is lost when the process ends
 	guard    *fencing.Guard
 	follower *desiredstate.Follower
 	apply    func(desiredstate.State)
 }
 
-// newStateApplier continues from the state in the ledger, which it applies again before the store is heard of.
+// newStateApplier continues from the state in the ledger, which it applies again without waiting for the store.
 func newStateApplier(l *ledger.Store, apply func(desiredstate.State)) (*stateApplier, error) {
 	s := &stateApplier{ledger: l, apply: apply}
 	last, err := readApplied(l)
@@ -47,7 +48,7 @@
 	return s, nil
 }
 
-// readApplied reads the state that was applied last; the zero value if there is none.
+// readApplied reads the state that was applied last. It returns the zero value if there is none.
 func readApplied(l *ledger.Store) (last desiredstate.Applied, err error) {
 	if l == nil {
 		return last, nil
@@ -60,14 +61,14 @@
 		err = json.Unmarshal(text, &last)
 	}
 	if err != nil {
-		return last, fmt.Errorf("the state applied last can't be read: %w", err)
+		return last, fmt.Errorf("cannot read the last applied desired state from the ledger: %w", err)
 	}
 	return last, nil
 }
 
-// observe takes in the node's document as it was read at a revision; version 0: there was none. It says
-// whether a state was applied, and if not, why. The error is reported once for each version, and
-// errNotPersisted each time.
+// observe handles the node's document as it was read at a revision. version is 0 if the document was absent. It
+// returns whether a state was applied, and an error if the document was rejected. An error is returned only once
+// per version, except errNotPersisted, which is returned each time.
 func (s *stateApplier) observe(text string, version, revision uint64) (applied bool, err error) {
 	next, decision, err := s.follower.Observe(text, version, revision)
 	if decision != desiredstate.Apply {
@@ -89,7 +90,7 @@
 	return false, fmt.Errorf("%w: %w", errNotPersisted, err)
 }
 
-// persistAndApply applies a state once it is persisted, so that a process that starts anew continues from it.
+// persistAndApply applies a state after persisting it, so that the node's next process continues from it.
 func (s *stateApplier) persistAndApply(next desiredstate.Applied) error {
 	if s.ledger != nil {
 		text, err := json.Marshal(next)
--- a/internal/control/fleet/state_applier_test.go
+++ b/internal/control/fleet/state_applier_test.go
@@ -14,9 +14,9 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// TestStateApplier: a stale fencing token is rejected, once, also after the power was cut; the node continues
-// from what it applied last without the store.
-func TestStateApplier(t *testing.T) {
+// TestStaleTokenIsRejectedAfterPowerFailure: a stale fencing token is rejected and reported once, also after a
+// power failure. After a restart the node continues from the last applied state without the store.
+func TestStaleTokenIsRejectedAfterPowerFailure(t *testing.T) {
 	disk := simdisk.New(1)
 	var applied []string
 	open := func() (*stateApplier, *ledger.Store) {
@@ -38,24 +38,24 @@
 		err     string
 	}{
 		{`{"out":true,"by":"ann"}`, 3, true, ""},
-		{`{"out":false,"by":"ann"}`, 2, false, ""}, // from a member that is behind
+		{`{"out":false,"by":"ann"}`, 2, false, ""}, // from a member of the store that lags behind
 		{`{"out":false,"duty":"drain","token":5}`, 4, true, ""},
 		{`{"out":true,"duty":"drain","token":4}`, 5, false, "token 4 comes after token 5"},
-		{`{"out":true,"duty":"drain","token":4}`, 5, false, ""}, // reported once
-		{`{"out":maybe}`, 6, false, "can't be read"},
+		{`{"out":true,"duty":"drain","token":4}`, 5, false, ""}, // reported only once
+		{`{"out":maybe}`, 6, false, "cannot decode the desired state: invalid character 'm'"},
 		{`{"out":true,"duty":"drain","token":5}`, 7, true, ""},
 	} {
 		ok, err := applier.observe(c.text, c.version, c.version)
 		if ok != c.applied || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%s at %d: %v, %v", c.text, c.version, ok, err)
+			t.Errorf("%s at version %d: applied %v, error %v", c.text, c.version, ok, err)
 		}
 	}
 	disk.InjectFault = func(int, simdisk.Op, string) simdisk.Fault { return simdisk.FaultNoSpace }
 	if ok, err := applier.observe(`{"out":false,"by":"ann"}`, 8, 8); ok || !errors.Is(err, errNotPersisted) || applier.follower.LastApplied().Version != 7 {
-		t.Errorf("a full disk: %v, %v, %+v", ok, err, applier.follower.LastApplied())
+		t.Errorf("on a full disk: applied %v, error %v, last applied %+v; want errNotPersisted and version 7", ok, err, applier.follower.LastApplied())
 	}
 	disk = disk.LosePower(1)
-	_ = l.Close() // its disk is gone
+	_ = l.Close() // fails: its disk has lost power
 	applier, l = open()
 	defer func() {
 		if err := l.Close(); err != nil {
@@ -63,20 +63,20 @@
 		}
 	}()
 	if got := strings.Join(applied, " "); got != "true false true true" {
-		t.Errorf("applied %s", got)
+		t.Errorf("applied states %s, want true false true, and true again after the restart", got)
 	}
 	var stale *fencing.StaleTokenError
 	if _, err := applier.observe(`{"out":false,"duty":"drain","token":4}`, 8, 8); !errors.As(err, &stale) || stale.HighestSeen != 5 {
-		t.Errorf("a token from before the cut: %v", err)
+		t.Errorf("a token that was stale before the power failure: %v, want a StaleTokenError with highest token 5", err)
 	}
 	if ok, err := applier.observe("", 0, 9); !ok || err != nil || applier.follower.LastApplied().State.OutOfService {
-		t.Errorf("the document is gone: %v, %v", ok, err)
+		t.Errorf("after the document was deleted: applied %v, error %v, want the node in service", ok, err)
 	}
 }
 
-// TestTokenNotDurable: a node that keeps fencing tokens only until the next power cut accepts a stale one.
-// That is the mutant that TestStateApplier must see.
-func TestTokenNotDurable(t *testing.T) {
+// TestStaleTokenIsAcceptedWithoutDurableTokens: a node that loses its fencing tokens in a power failure accepts a
+// stale token. This mutant shows that TestStaleTokenIsRejectedAfterPowerFailure depends on durable tokens.
+func TestStaleTokenIsAcceptedWithoutDurableTokens(t *testing.T) {
 	disk := simdisk.New(1)
 	for i, token := range []int{5, 4} {
 		l, err := ledger.Open(disk, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true, Flush: time.Hour})
@@ -89,9 +89,9 @@
 		}
 		ok, err := applier.observe(fmt.Sprintf(`{"out":true,"duty":"drain","token":%d}`, token), uint64(10+i), uint64(10+i))
 		if !ok || err != nil {
-			t.Errorf("token %d after a cut: %v, %v: the mutant is not one", token, ok, err)
+			t.Errorf("token %d after a power failure: applied %v, error %v; want it accepted by the mutant", token, ok, err)
 		}
 		disk = disk.LosePower(1)
-		_ = l.Close() // its disk is gone
+		_ = l.Close() // fails: its disk has lost power
 	}
 }
--- a/internal/control/fleet/stats.go
+++ b/internal/control/fleet/stats.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/control/release"
 )
 
-// The keys of Stats.Reports and Stats.Permits, which are values of metric labels.
+// Keys of Stats.Reports and Stats.Permits, which are values of metric labels.
 const (
 	reportsMade     = "made"
 	reportsFailed   = "failed"
@@ -19,26 +19,26 @@
 	permitsRemoved  = "freed"
 )
 
-// Stats are what this node has done in the fleet since its process started, and what it knows of the tasks
+// Stats are the statistics of this node's participation in the fleet since its process started, and of the tasks
 // whose leases it holds.
 type Stats struct {
 	OutOfService bool // this node is out of service under a permit
-	DrainOverdue bool // and still has requests after its drain timeout
+	DrainOverdue bool // this node is out of service and still has requests after its drain timeout
 	// Reports counts reports to the store: "made", "failed".
 	Reports map[string]uint64
-	// Permits counts permits. Of this node: "begun", "late", "replaced"; granted by it: "granted", "freed".
+	// Permits counts permits. Of this node: "begun", "late", "replaced"; granted or removed by it: "granted", "freed".
 	Permits map[string]uint64
 	// Grants is nil unless this node grants permits.
 	Grants *GrantStats
-	// Releases are those that this node takes through the fleet.
+	// Releases are the active releases that this node controls.
 	Releases []release.Status
 }
 
-// GrantStats are what the node that grants permits sees.
+// GrantStats are the statistics of the node that grants permits.
 type GrantStats struct {
 	Waiting     int // requests without a permit
 	Permits     map[fleetstate.PermitState]int
-	Unavailable map[disruption.Availability]int // nodes and upstream servers that count as out
+	Unavailable map[disruption.Availability]int // nodes and upstream servers that count as unavailable
 }
 
 // Stats returns the current statistics.
@@ -50,7 +50,7 @@
 	return stats
 }
 
-// updateStats changes the statistics. change must not block.
+// updateStats changes the statistics under the lock. change must not block.
 func (p *Participant) updateStats(change func(stats *Stats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 	p.updateStats(func(stats *Stats) { stats.Permits[key] += uint64(n) })
 }
 
-// grantStatsOf counts a view, and its members as the budgets count them.
+// grantStatsOf returns the statistics of a view, and of its members as they count against the budgets.
 func grantStatsOf(view fleetstate.View, members []disruption.Member) *GrantStats {
 	stats := &GrantStats{Permits: map[fleetstate.PermitState]int{}, Unavailable: map[disruption.Availability]int{}}
 	for name := range view.Requests {
--- a/internal/control/fleet/upstream_exclusion.go
+++ b/internal/control/fleet/upstream_exclusion.go
@@ -10,25 +10,25 @@
 )
 
 var (
-	errNoLeader     = errors.New("the member asked has heard of no leader")
-	errMemberBehind = errors.New("the member asked is behind, or has heard of no leader")
+	errNoLeader     = errors.New("store member knows of no leader")
+	errMemberBehind = errors.New("store member is behind or knows of no leader")
 )
 
-// followExcludedUpstreams keeps this node from sending requests to upstream servers with a drain permit,
-// until the context ends. While the store cannot be reached the last known servers stay excluded.
+// followExcludedUpstreams stops requests of this node to upstream servers with a drain permit, until the context
+// ends. While the store is unreachable the last known servers stay excluded.
 func (p *Participant) followExcludedUpstreams(ctx context.Context) {
 	keyPrefix := fleetstate.DrainKeyPrefix + fleetstate.UpstreamName("")
 	changed := p.watchChanges(ctx, keyPrefix)
-	var revision uint64 // as of which the servers were read last
+	var revision uint64 // at which the permits were last read
 	for {
-		c, turn := p.preferredClient()
+		c, memberIndex := p.preferredClient()
 		docs, status, err := c.Documents(keyPrefix, true)
 		if err == nil && (status.AgeMS < 0 || status.Revision < revision) {
 			err = errMemberBehind
 		}
 		var retry <-chan time.Time
 		if err != nil {
-			p.skipMember(turn)
+			p.skipMember(memberIndex)
 			retry = time.After(p.options.RetryDelay)
 		} else {
 			p.options.Drain.ExcludeUpstreams(excludedUpstreams(docs))
@@ -43,8 +43,8 @@
 	}
 }
 
-// excludedUpstreams returns the addresses of the upstream servers with a permit to be out of service. A
-// permit that cannot be decoded counts as one: to send a healthy server nothing is the lesser harm.
+// excludedUpstreams returns the addresses of the upstream servers with a permit to be out of service. A permit that
+// cannot be decoded counts as one, because not using a healthy server does less harm than using a drained one.
 func excludedUpstreams(docs []document.Document) (addresses []string) {
 	for _, d := range docs {
 		name, isPermit := fleetstate.PermitMember(d.Key)
--- a/internal/control/fleet/watch.go
+++ b/internal/control/fleet/watch.go
@@ -2,18 +2,18 @@
 
 import "context"
 
-// watchChanges returns a channel that receives when documents whose keys begin with keyPrefix may have
-// changed, until the context ends. The channel holds one notification: a receiver that is late gets one for
-// all changes.
+// watchChanges returns a channel that receives a notification when documents whose keys begin with keyPrefix may have
+// changed, until the context ends. The channel buffers one notification, so a slow receiver gets a single one for
+// several changes.
 func (p *Participant) watchChanges(ctx context.Context, keyPrefix string) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	go func() {
 		var revision uint64
 		for ctx.Err() == nil {
-			c, turn := p.preferredClient()
+			c, memberIndex := p.preferredClient()
 			changes, status, forgotten, err := c.Changes(keyPrefix, revision, c.Timeout/2)
 			if err != nil {
-				p.skipMember(turn)
+				p.skipMember(memberIndex)
 				p.pause(ctx)
 				continue
 			}
