--- a/internal/frontend/connlimit/eviction.go
+++ b/internal/frontend/connlimit/eviction.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// The eviction rule: which connection gives its slot to a new one when all slots are held.
+// The eviction rule selects the connection that loses its slot to a new one when all slots are held.
 //
-// Inputs: each connection's state, the time since it entered the state or was last used, newcomerGrace and
-// idleGrace, and the number of slots reserved for new connections. The first of these that there is:
+// Inputs: each connection's state, the time since it entered the state or was last used, newGrace and
+// idleGrace, and the number of slots reserved for new connections. The first of these that exists is evicted:
 //
-//  1. an idle connection whose grace is over, if the longest silent new connection is still in its grace and
-//     fewer than reservedForNew connections are new, or if none is new: those after one message first (as a
-//     rule health checks, which are done), then the least recently used;
-//  2. the longest silent new connection, as soon as its grace is over;
-//  3. the idle connection whose grace is over first, then.
+//  1. an idle connection past its grace period, if no connection is new, or if the oldest new connection is
+//     still within its grace period and fewer than reservedForNew connections are new. Connections that have
+//     carried one message go first (usually health checks, which are complete), then the least recently used;
+//  2. the oldest new connection, as soon as its grace period ends;
+//  3. the idle connection whose grace period ends first, as soon as it ends.
 //
-// Active connections are never evicted: an answer is owed on them. Without the bound on new connections a
-// crowd of silent ones would keep everybody else waiting for one grace after another.
+// Active connections are never evicted, since an answer is still due on them. Without the bound on new
+// connections, many silent ones would make every other peer wait for one grace period after another.
 
-// newSlotsDivisor is the part of the slots that is reserved for new connections: one in so many.
+// newSlotsDivisor sets the share of the slots that is reserved for new connections: 1/newSlotsDivisor.
 const newSlotsDivisor = 8
 
-// reservedSlots returns how many of the slots are reserved for new connections.
+// reservedSlots returns the number of slots that are reserved for new connections.
 func reservedSlots(capacity int) int { return max(1, capacity/newSlotsDivisor) }
 
-// evictionCandidate returns the connection to evict and how long to wait until it may be; nil if all are
-// active. The caller holds mu.
+// evictionCandidate returns the connection to evict and how long to wait before evicting it, or nil if all
+// connections are active. The caller holds mu.
 func (l *Limiter) evictionCandidate() (candidate *Slot, wait time.Duration) {
 	now := time.Now()
 	c := l.candidates(now)
@@ -40,16 +40,17 @@
 	return c.oldestNew, newWait
 }
 
-// candidates are the connections that the rule chooses from; nil where there is none of a kind.
+// candidates are the connections that the eviction rule selects from. A slot is nil if there is no connection
+// of its kind.
 type candidates struct {
-	oldestNew    *Slot // the longest silent new connection
-	newCount     int   // new connections
-	expiredIdle  *Slot // the first in order of the idle connections whose grace is over
-	nextIdle     *Slot // of the others the one whose grace is over first
-	nextIdleWait time.Duration
+	oldestNew    *Slot         // the new connection that has been silent for the longest time
+	newCount     int           // number of new connections
+	expiredIdle  *Slot         // among idle connections past their grace period, the first to evict
+	nextIdle     *Slot         // among the other idle connections, the one whose grace period ends first
+	nextIdleWait time.Duration // until the grace period of nextIdle ends
 }
 
-// candidates finds what the rule chooses from; the caller holds mu.
+// candidates returns the connections that the eviction rule selects from; the caller holds mu.
 func (l *Limiter) candidates(now time.Time) (c candidates) {
 	for s := range l.held {
 		graceLeft := l.graceOf(s) - now.Sub(s.since)
@@ -71,7 +72,7 @@
 	return c
 }
 
-// evictedBefore says whether an idle connection is evicted before another one whose grace is over too.
+// evictedBefore reports whether s is evicted before other, where both are idle and past their grace period.
 func (s *Slot) evictedBefore(other *Slot) bool {
 	if s.state != other.state {
 		return s.state < other.state
@@ -79,7 +80,7 @@
 	return s.since.Before(other.since)
 }
 
-// graceOf returns how long a connection that is not active may keep its slot after it was last used.
+// graceOf returns how long an inactive connection keeps its slot after it was last used.
 func (l *Limiter) graceOf(s *Slot) time.Duration {
 	if s.state == StateIdle {
 		return l.idleGrace
--- a/internal/frontend/connlimit/limiter.go
+++ b/internal/frontend/connlimit/limiter.go
@@ -1,5 +1,6 @@
-// Package connlimit bounds the connections of a front. Each connection holds a slot; where all are taken, the
-// eviction rule (eviction.go) says which connection gives its slot to a new one, and when.
+// Package connlimit limits the number of connections of a front end. Each connection holds a slot. When all
+// slots are taken, the eviction rule (eviction.go) decides which connection loses its slot to a new one, and
+// when.
 package connlimit
 
 import (
@@ -12,41 +13,41 @@
 
 // The states of a connection. The order is that of eviction among idle connections.
 const (
-	StateNew          State = iota // no complete message has come on it yet
-	StateIdleAfterOne              // one message has come, and no request is open on it
-	StateIdle                      // more messages have come, and no request is open on it
-	StateActive                    // a request is open on it, or an answer is still to be written: it is never evicted
+	StateNew          State = iota // no complete message has been received
+	StateIdleAfterOne              // one message has been received, and no request is open
+	StateIdle                      // several messages have been received, and no request is open
+	StateActive                    // a request is open or an answer is not yet written: never evicted
 )
 
-// Limiter hands out the slots of one front. Its methods may be called from any goroutine.
+// Limiter allocates the slots of one front end. It is safe for concurrent use.
 type Limiter struct {
-	newGrace  time.Duration // how long a connection may stay in StateNew or StateIdleAfterOne before it can be evicted
-	idleGrace time.Duration // the same for StateIdle
+	newGrace  time.Duration // grace period before a connection in StateNew or StateIdleAfterOne can be evicted
+	idleGrace time.Duration // grace period before a connection in StateIdle can be evicted
 
 	mu             sync.Mutex
-	capacity       int // slots
+	capacity       int // number of slots
 	reservedForNew int // while fewer new connections than this hold slots, idle ones are evicted before them
 	held           map[*Slot]struct{}
 }
 
-// Slot is one connection's claim to be open. It is held from a successful acquisition until Release or
+// Slot is one connection's permission to stay open. It is held from a successful acquisition until Release or
 // eviction.
 type Slot struct {
 	limiter *Limiter
-	evict   func()
+	evict   func() // closes the connection
 	state   State
 	since   time.Time // when the connection entered its state, or was last used
 }
 
-// New returns a limiter of the given capacity in slots. newcomerGrace and idleGrace are the times for which a
-// connection keeps its slot though it has nothing open (eviction.go).
+// New returns a limiter with the given number of slots. newGrace and idleGrace are the times for which a
+// connection without open requests keeps its slot (eviction.go).
 func New(capacity int, newGrace, idleGrace time.Duration) *Limiter {
 	return &Limiter{capacity: capacity, newGrace: newGrace, idleGrace: idleGrace, reservedForNew: reservedSlots(capacity),
 		held: map[*Slot]struct{}{}}
 }
 
-// Resize sets the capacity. Connections that hold slots beyond it keep them; new ones evict others until the
-// capacity is met.
+// Resize sets the number of slots. If more are held, their connections keep them, and new connections evict
+// others until the new capacity is met.
 func (l *Limiter) Resize(capacity int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,15 +61,15 @@
 	return len(l.held)
 }
 
-// NewSlot returns a slot that is not held yet; SetState returns false on it until it is acquired. evict
-// closes its connection when the slot is given to another one; it is called without the limiter's lock, from
-// the goroutine of the connection that takes the slot.
+// NewSlot returns a slot that is not held yet; SetState returns false on it until it is acquired. evict must
+// close the connection; it is called when another connection takes the slot, without the limiter's lock and
+// from the goroutine of that other connection.
 func (l *Limiter) NewSlot(evict func()) *Slot {
 	return &Slot{limiter: l, evict: evict, since: time.Now()}
 }
 
 // Acquire returns a held slot, evicting another connection if none is free. It blocks until the eviction rule
-// lets one go, and returns nil at once if all connections are active.
+// allows an eviction, and returns nil at once if all connections are active.
 func (l *Limiter) Acquire(evict func()) *Slot {
 	s := l.NewSlot(evict)
 	if !s.AcquireWithin(unboundedWait) {
@@ -80,11 +81,11 @@
 // unboundedWait is longer than any wait for a slot.
 const unboundedWait = time.Hour
 
-// pollInterval is how often a waiting connection looks for a slot that was released early.
+// pollInterval is how often a waiting connection checks whether a slot was released early.
 const pollInterval = 5 * time.Millisecond
 
-// AcquireWithin acquires the slot as Limiter.Acquire does, and blocks for the timeout at most. It returns
-// false if no slot can be had in that time, at once if all connections are active.
+// AcquireWithin acquires the slot as Limiter.Acquire does, and blocks for at most the timeout. It returns false
+// if no slot becomes available in that time, and at once if all connections are active.
 func (s *Slot) AcquireWithin(timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); ; {
 		acquired, wait, possible := s.tryAcquire()
@@ -94,12 +95,12 @@
 		case !possible, wait > 0 && !time.Now().Before(deadline):
 			return false
 		}
-		time.Sleep(min(wait, pollInterval)) // a wait of 0: a connection was evicted, and its slot is free
+		time.Sleep(min(wait, pollInterval)) // wait is 0 after an eviction: the slot is free now
 	}
 }
 
-// AcquireWithinGrace acquires the slot as Limiter.Acquire does if one is free, or will be within the grace of
-// new connections; it blocks for that long at most. It returns false at once if it would take longer.
+// AcquireWithinGrace acquires the slot as Limiter.Acquire does if one is free or can be freed within the grace
+// period of new connections, for which it blocks at most. It returns false at once if it would take longer.
 func (s *Slot) AcquireWithinGrace() bool {
 	for {
 		acquired, wait, possible := s.tryAcquire()
@@ -113,8 +114,9 @@
 	}
 }
 
-// tryAcquire takes a free slot, or else evicts a connection if one can be evicted now. Otherwise it returns
-// how long it takes until the first can be, if any can.
+// tryAcquire takes a free slot. If there is none, it evicts a connection that can be evicted now, and the slot
+// is free for the next attempt. Otherwise it returns how long to wait until a connection can be evicted, and
+// whether one ever can.
 func (s *Slot) tryAcquire() (acquired bool, wait time.Duration, possible bool) {
 	l := s.limiter
 	l.mu.Lock()
@@ -136,8 +138,8 @@
 	return false, max(0, wait), candidate != nil
 }
 
-// SetState records what the connection is doing from now on. It returns false if the slot is not held,
-// because it was evicted or never acquired: then the latest message on the connection must not be served.
+// SetState sets the state of the slot's connection. It returns false if the slot is not held, because the
+// connection was evicted or never acquired it; the latest message on the connection must not be served then.
 func (s *Slot) SetState(state State) bool {
 	s.limiter.mu.Lock()
 	defer s.limiter.mu.Unlock()
@@ -146,7 +148,7 @@
 	return held
 }
 
-// Release frees the slot. It has no effect on one that is not held.
+// Release frees the slot. It has no effect if the slot is not held.
 func (s *Slot) Release() {
 	s.limiter.mu.Lock()
 	defer s.limiter.mu.Unlock()
--- a/internal/frontend/connlimit/limiter_test.go
+++ b/internal/frontend/connlimit/limiter_test.go
@@ -14,18 +14,18 @@
 	for _, c := range []struct {
 		name    string
 		others  []other
-		evicted int // the connection that is; -1: none, and there is no slot
+		evicted int // index of the connection to be evicted; -1: no connection is, and no slot is granted
 	}{
-		{"the longest silent new one", []other{{StateNew, old}, {StateNew, 2 * old}, {StateIdle, 3 * old}}, 1},
-		{"the longest idle one", []other{{StateIdle, old}, {StateActive, 3 * old}, {StateIdle, 2 * old}}, 2},
-		{"one just used, after its grace", []other{{StateActive, old}, {StateIdle, 0}, {StateActive, old}}, 1},
-		{"one just used after one message, after its grace", []other{{StateIdle, 0}, {StateIdleAfterOne, 0}, {StateActive, old}}, 1},
-		{"one idle after one message, before one just used", []other{{StateIdle, 0}, {StateIdleAfterOne, -50 * time.Millisecond}, {StateActive, old}}, 1},
-		{"all active", []other{{StateActive, old}, {StateActive, old}, {StateActive, old}}, -1},
-		{"idle after one message before idle after more", []other{{StateIdle, 2 * old}, {StateIdleAfterOne, old}, {StateActive, 3 * old}}, 1},
-		{"a new one, after its grace", []other{{StateActive, old}, {StateNew, 0}, {StateIdle, 0}}, 1},
-		// Waiting for each new one in turn would let a crowd of them keep everybody else out.
-		{"not a new one while few of them hold slots", []other{{StateNew, 0}, {StateIdle, old}, {StateActive, old}, {StateActive, old}, {StateActive, old},
+		{"oldest new connection past its grace", []other{{StateNew, old}, {StateNew, 2 * old}, {StateIdle, 3 * old}}, 1},
+		{"least recently used idle connection", []other{{StateIdle, old}, {StateActive, 3 * old}, {StateIdle, 2 * old}}, 2},
+		{"idle connection that was just used, after its grace", []other{{StateActive, old}, {StateIdle, 0}, {StateActive, old}}, 1},
+		{"idle connection after one message, after its shorter grace", []other{{StateIdle, 0}, {StateIdleAfterOne, 0}, {StateActive, old}}, 1},
+		{"idle connection after one message, before one that was just used", []other{{StateIdle, 0}, {StateIdleAfterOne, -50 * time.Millisecond}, {StateActive, old}}, 1},
+		{"no connection if all are active", []other{{StateActive, old}, {StateActive, old}, {StateActive, old}}, -1},
+		{"idle connection after one message, before one idle for longer after several", []other{{StateIdle, 2 * old}, {StateIdleAfterOne, old}, {StateActive, 3 * old}}, 1},
+		{"new connection, after its grace", []other{{StateActive, old}, {StateNew, 0}, {StateIdle, 0}}, 1},
+		// If each new connection's grace were waited for in turn, many of them would block all other peers.
+		{"idle connection while few new ones hold slots", []other{{StateNew, 0}, {StateIdle, old}, {StateActive, old}, {StateActive, old}, {StateActive, old},
 			{StateActive, old}, {StateActive, old}, {StateActive, old}, {StateActive, old}, {StateActive, old}, {StateActive, old}, {StateActive, old}, {StateActive, old}, {StateActive, old},
 			{StateActive, old}, {StateActive, old}}, 1},
 	} {
@@ -40,17 +40,17 @@
 		startedAt := time.Now()
 		s := limiter.Acquire(func() {})
 		if (s == nil) != (c.evicted < 0) || evicted != c.evicted || limiter.InUse() != len(c.others) {
-			t.Errorf("%s: %d was evicted, slot %v, %d in use", c.name, evicted, s != nil, limiter.InUse())
+			t.Errorf("%s: connection %d was evicted, slot granted: %v, %d slots in use", c.name, evicted, s != nil, limiter.InUse())
 		}
 		if s == nil {
 			continue
 		}
 		minWait := map[State]time.Duration{StateNew: 9, StateIdleAfterOne: 9, StateIdle: 199}[c.others[c.evicted].state] * time.Millisecond
 		if c.others[c.evicted].since == 0 && time.Since(startedAt) < minWait {
-			t.Errorf("%s: it got no grace", c.name)
+			t.Errorf("%s: the connection was evicted before its grace period ended", c.name)
 		}
 		if slots[c.evicted].SetState(StateActive) || !s.SetState(StateActive) {
-			t.Errorf("%s: the evicted one still has a slot, or the new one has none", c.name)
+			t.Errorf("%s: the evicted connection still holds its slot, or the new one holds none", c.name)
 		}
 		s.Release()
 		if limiter.InUse() != len(c.others)-1 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestResize: a smaller capacity evicts no active connection and grants no slot until one is free; a larger
-// one grants it at once.
+// TestResize checks that a reduced capacity evicts no active connection and grants no slot until one is free,
+// and that an increased capacity grants a slot at once.
 func TestResize(t *testing.T) {
 	limiter := New(3, 10*time.Millisecond, time.Hour)
 	var slots []*Slot
@@ -71,14 +71,14 @@
 	}
 	limiter.Resize(2)
 	if limiter.InUse() != 3 || limiter.Acquire(func() {}) != nil {
-		t.Errorf("%d slots in use of 2, after 3 were", limiter.InUse())
+		t.Errorf("%d slots in use after a resize from 3 to 2, or another one was granted; want 3 in use", limiter.InUse())
 	}
 	slots[0].Release()
 	if limiter.Acquire(func() {}) != nil {
-		t.Error("a third slot of two")
+		t.Error("a third slot was granted at a capacity of 2")
 	}
 	limiter.Resize(3)
 	if limiter.Acquire(func() {}) == nil {
-		t.Error("no slot though one is free")
+		t.Error("no slot was granted at a capacity of 3 with 2 in use")
 	}
 }
--- a/internal/frontend/gracefulclose/close.go
+++ b/internal/frontend/gracefulclose/close.go
@@ -1,6 +1,6 @@
-// Package gracefulclose closes TCP connections and listeners without a reset. A socket that is closed over
-// unread bytes, or a listener that is closed over connections in its accept queue, resets the connection, and
-// answers that are on their way to the peer are lost with it.
+// Package gracefulclose closes TCP connections and listeners without a reset. Closing a socket with unread
+// bytes, or a listener with connections in its accept queue, resets those connections, and answers that are
+// still in transit to the peer are lost.
 package gracefulclose
 
 import (
@@ -11,17 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// CloseWrite ends a connection's sending side: what was written is delivered, then the peer reads the end of
-// the stream. It does not block, and has no effect on a connection without a half-close.
+// CloseWrite shuts down the sending side of a connection: what was written is delivered, then the peer reads
+// the end of the stream. It does not block, and has no effect on a connection that can't be half-closed.
 func CloseWrite(c net.Conn) {
 	if c, ok := c.(interface{ CloseWrite() error }); ok {
-		_ = c.CloseWrite() // one that is closed already needs no more
+		_ = c.CloseWrite() // an error means that the connection is closed already
 	}
 }
 
-// CloseWriteAndDiscard ends the sending side and discards what the peer still sends. It blocks until the peer
-// has ended its side too, the timeout is over or maxBytes have come. The caller still has to close the
-// connection.
+// CloseWriteAndDiscard shuts down the sending side and discards what the peer still sends. It blocks until the
+// peer has shut down its side too, the timeout has expired or maxBytes have been read. The caller still has to
+// close the connection.
 func CloseWriteAndDiscard(c net.Conn, timeout time.Duration, maxBytes int) {
 	CloseWrite(c)
 	if c.SetReadDeadline(time.Now().Add(timeout)) != nil {
@@ -35,12 +35,12 @@
 	}
 }
 
-// pollInterval is how often CloseWriteAndWait looks whether the peer has ended its side.
+// pollInterval is how often CloseWriteAndWait checks whether the peer has shut down its side.
 const pollInterval = 5 * time.Millisecond
 
-// CloseWriteAndWait ends the sending side and blocks until the peer has ended its side too, or the timeout is
-// over. What the peer still sends is left unread: a request that is read is owed an answer, and none can
-// follow. The caller still has to close the connection.
+// CloseWriteAndWait shuts down the sending side and blocks until the peer has shut down its side too, or the
+// timeout has expired. What the peer still sends is left unread: every request that is read must be answered,
+// and no answer can be sent any more. The caller still has to close the connection.
 func CloseWriteAndWait(c net.Conn, timeout time.Duration) {
 	CloseWrite(c)
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && !peerClosed(c); {
@@ -48,8 +48,7 @@
 	}
 }
 
-// peerClosed reports whether the peer has ended its side, which can be seen without reading what it sent
-// before.
+// peerClosed reports whether the peer has shut down its side. It does not read what the peer sent before.
 func peerClosed(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -57,7 +56,7 @@
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
-		return true // it is closed
+		return true // the connection is closed
 	}
 	closed := false
 	err = control.Control(func(fd uintptr) {
--- a/internal/frontend/gracefulclose/listener.go
+++ b/internal/frontend/gracefulclose/listener.go
@@ -10,9 +10,9 @@
 )
 
 // HasPendingConnections reports whether connections wait in a listener's accept queue. If none does and
-// shutdown is set, the very next system call shuts the queue, so that no connection can come in between and
-// be reset. It does not block, and returns false for a listener that is closed or has no descriptor of its
-// own.
+// shutdown is set, the very next system call shuts the listener down, so that no connection can arrive in
+// between and be reset. It does not block, and returns false for a listener that is closed or exposes no file
+// descriptor.
 func HasPendingConnections(ln net.Listener, shutdown bool) (pending bool) {
 	raw, ok := ln.(syscall.Conn)
 	if !ok {
@@ -30,7 +30,7 @@
 		}
 		pending = err == nil && n > 0 && state[0].Revents&unix.POLLIN != 0
 		if err == nil && !pending && shutdown {
-			_ = unix.Shutdown(int(fd), unix.SHUT_RDWR) // it fails only on a closed listener
+			_ = unix.Shutdown(int(fd), unix.SHUT_RDWR) // fails only on a closed listener
 		}
 	})
 	return pending && err == nil
--- a/internal/frontend/gracefulclose/read.go
+++ b/internal/frontend/gracefulclose/read.go
@@ -11,15 +11,15 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// ErrNoData is returned when nothing has arrived on a connection.
+// ErrNoData is returned when a connection has no unread data.
 var ErrNoData = errors.New("no data has arrived")
 
-// ReadAvailable reads what has arrived on a connection, without waiting for more; net.Conn's Read would not
-// return it after the read deadline. It returns ErrNoData if nothing has arrived, io.EOF at the end of the
-// stream. If closeWrite is set, the system call after a read that found nothing ends the sending side, so
-// that no request can arrive in between and get no answer. On a connection without a descriptor of its own,
-// such as one of TLS, nothing has arrived. Transient errors are retried (package sockerr); it blocks for that
-// long at most.
+// ReadAvailable reads data that has arrived on a connection, without waiting for more; net.Conn's Read does not
+// return it after the read deadline. It returns ErrNoData if nothing has arrived, and io.EOF at the end of the
+// stream. If closeWrite is set, the very next system call after a read that found nothing shuts down the
+// sending side, so that no request can arrive in between and remain unanswered. On a connection that exposes no
+// file descriptor, such as a TLS connection, it returns ErrNoData. Transient errors are retried (package
+// sockerr), and it blocks only for those retries.
 func ReadAvailable(c net.Conn, b []byte, closeWrite bool) (n int, err error) {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -32,16 +32,16 @@
 	return sockerr.RetryRead(func() (int, error) { return readAvailable(control, b, closeWrite) })
 }
 
-// readDescriptor is read(2); tests replace it.
+// readDescriptor calls read(2); tests replace it.
 var readDescriptor = unix.Read
 
-// readAvailable is one attempt of ReadAvailable.
+// readAvailable makes one attempt of ReadAvailable.
 func readAvailable(control syscall.RawConn, b []byte, closeWrite bool) (n int, err error) {
 	var readErr error
 	err = control.Control(func(fd uintptr) {
 		n, readErr = readDescriptor(int(fd), b)
 		if errors.Is(readErr, unix.EAGAIN) && closeWrite {
-			_ = unix.Shutdown(int(fd), unix.SHUT_WR) // it fails only on a connection that has ended
+			_ = unix.Shutdown(int(fd), unix.SHUT_WR) // fails only on a connection that has ended
 		}
 	})
 	switch {
--- a/internal/frontend/gracefulclose/read_test.go
+++ b/internal/frontend/gracefulclose/read_test.go
@@ -12,8 +12,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// connected returns both ends of a connection.
-func connected(t *testing.T) (ours, peer net.Conn) {
+// connect returns both ends of a TCP connection.
+func connect(t *testing.T) (ours, peer net.Conn) {
 	t.Helper()
 	ln := standin.Listen(t)
 	peer, err := net.Dial("tcp", ln.Addr().String())
@@ -28,11 +28,10 @@
 	return ours, peer
 }
 
-// TestReadAvailableRetriesTransientErrors: the system is short of buffers just as a connection that is being
-// closed is read for the last time. An error that was taken for the end of the connection would leave a
-// request on it unread.
+// TestReadAvailableRetriesTransientErrors: the system runs out of buffers during the last read of a connection
+// that is being closed. If the error were taken for the end of the connection, a request would stay unread.
 func TestReadAvailableRetriesTransientErrors(t *testing.T) {
-	ours, peer := connected(t)
+	ours, peer := connect(t)
 	if _, err := io.WriteString(peer, "request"); err != nil {
 		t.Fatal(err)
 	}
@@ -52,26 +51,26 @@
 		n, err = ReadAvailable(ours, b, false)
 	}
 	if err != nil || string(b[:n]) != "request" {
-		t.Errorf("%q, %v, want the request", b[:max(0, n)], err)
+		t.Errorf("read %q, %v, want the request", b[:max(0, n)], err)
 	}
 }
 
-// TestReadAvailableClosesWrite: if nothing has arrived the sending side ends if asked for, and only then; the
-// end of the stream is reported.
+// TestReadAvailableClosesWrite checks that the sending side is shut down if nothing has arrived and closeWrite
+// is set, and only then, and that the end of the stream is reported.
 func TestReadAvailableClosesWrite(t *testing.T) {
-	ours, peer := connected(t)
+	ours, peer := connect(t)
 	b := make([]byte, 64)
 	if n, err := ReadAvailable(ours, b, false); n != 0 || !errors.Is(err, ErrNoData) {
-		t.Errorf("%d, %v where nothing has come", n, err)
+		t.Errorf("read %d bytes, %v, before anything was sent; want 0 and ErrNoData", n, err)
 	}
 	if _, err := io.WriteString(ours, "answer"); err != nil {
-		t.Errorf("%v: the sending side is shut down unasked", err)
+		t.Errorf("write failed though closeWrite was not set: %v", err)
 	}
 	if _, err := ReadAvailable(ours, b, true); !errors.Is(err, ErrNoData) {
 		t.Error(err)
 	}
 	if got, err := io.ReadAll(peer); err != nil || string(got) != "answer" {
-		t.Errorf("%q, %v, want the answer and the end", got, err)
+		t.Errorf("the peer read %q, %v, want the answer and the end of the stream", got, err)
 	}
 	_ = peer.Close()
 	_, err := ReadAvailable(ours, b, true)
@@ -79,12 +78,12 @@
 		_, err = ReadAvailable(ours, b, true)
 	}
 	if !errors.Is(err, io.EOF) {
-		t.Errorf("%v, want the peer's end", err)
+		t.Errorf("after the peer closed: %v, want io.EOF", err)
 	}
 	one, other := net.Pipe()
 	defer func() { _ = one.Close() }()
 	defer func() { _ = other.Close() }()
 	if _, err := ReadAvailable(one, b, true); !errors.Is(err, ErrNoData) {
-		t.Errorf("%v on a connection without a descriptor", err)
+		t.Errorf("on a connection without a file descriptor: %v, want ErrNoData", err)
 	}
 }
--- a/internal/frontend/resp/closing.go
+++ b/internal/frontend/resp/closing.go
@@ -7,31 +7,32 @@
 	"sloehitch/internal/frontend/gracefulclose"
 )
 
-// The closing rule: when a connection may be closed from this side. A request that was read is owed an
-// answer, and an answer must not be lost to a reset.
+// The closing rule defines when a connection may be closed from this side. Every request that was read must be
+// answered, and no answer may be lost to a reset.
 //
-//  1. The peer is asked first: on a connection without open requests that was not used for the node's idle
-//     timeout, on every one while the node drains. It sends no new requests then, and closes the connection
-//     once all are answered.
-//  2. One that is asked, has nothing open and is not closed within limits.PeerCloseTimeout is no longer read
-//     (framedConn.stopReading): what has arrived by then is still answered. The same goes for one that was
-//     evicted, and for all at shutdown.
-//  3. A connection that is no longer read is closed once every request on it is answered and written; at once
-//     if its peer is gone or too much output is unread (output.go), as nobody would get the answers.
-//  4. It is closed by ending the sending side; the peer has limits.CloseTimeout to end its side, one without
-//     a slot a tenth of that.
+//  1. The peer is asked first to close the connection: when it has no open requests and was not used for the
+//     node's idle timeout, or while the node drains. The peer then sends no new requests, and closes the
+//     connection once all are answered.
+//  2. If the peer does not close a connection without open requests within limits.PeerCloseTimeout, it is no
+//     longer read (framedConn.stopReading); data that has arrived by then is still answered. The same applies
+//     to evicted connections, and to all connections at shutdown.
+//  3. A connection that is no longer read is closed once every request on it is answered and the answers are
+//     written. It is closed at once if its peer is gone or has left too many answers unread (output.go), as
+//     nobody would receive the answers.
+//  4. Closing shuts down the sending side first; the peer has limits.CloseTimeout to shut down its side, and a
+//     tenth of that if the connection has no slot.
 
-// unadmittedCloseDivisor is the part of limits.CloseTimeout that a connection without a slot has: one in so
-// many.
+// unadmittedCloseDivisor sets the share of limits.CloseTimeout that a connection without a slot gets:
+// 1/unadmittedCloseDivisor.
 const unadmittedCloseDivisor = 10
 
-// endCause says why the reading of a connection ended.
+// endCause is the reason why reading from a connection ended.
 type endCause int
 
 const (
-	endedByPeer     endCause = iota // it left, or the connection broke: nobody waits for what is open
-	endedLocally                    // the connection is being closed from this side: what was read is still answered
-	endedByBadInput                 // what can't be decoded came, or a message was not complete in time
+	endedByPeer     endCause = iota // the peer closed the connection, or it broke: nobody waits for open requests
+	endedLocally                    // this side is closing the connection: requests read so far are still answered
+	endedByBadInput                 // malformed data was received, or a message was not complete in time
 )
 
 func endCauseOf(err error) endCause {
@@ -46,8 +47,9 @@
 	return endedByPeer
 }
 
-// endReading takes the end of reading. If the peer left, its open requests are canceled. If it sent what
-// can't be decoded, they are answered at once, without waiting for their runs, and the connection closes.
+// endReading handles the end of reading. If the peer closed the connection, its open requests are canceled. If
+// it sent malformed data, they are answered at once, without waiting for their runs, and the connection is
+// closed.
 func (c *conn) endReading(err error) {
 	why := endCauseOf(err)
 	c.mu.Lock()
@@ -63,9 +65,9 @@
 	c.closeIfDone()
 	c.mu.Unlock()
 	if why == endedByBadInput {
-		c.front.log.Warn("malformed input; closing the connection", err)
+		c.front.log.Warn("closing a connection because of malformed input", err)
 	} else {
-		c.front.opts.Log.Debug("no longer reading from a connection", "peer", c.socket.RemoteAddr(), "error", err, "open", ids)
+		c.front.opts.Log.Debug("reading from a connection ended", "peer", c.socket.RemoteAddr(), "error", err, "open", ids)
 	}
 	for _, id := range ids {
 		switch why {
@@ -77,9 +79,9 @@
 	}
 }
 
-// answersOwed reports whether an answer is owed on the connection or still to be written. If none is, the
-// connection is about to end, and its peer is no longer asked to close it.
-func (c *conn) answersOwed() bool {
+// answersDue reports whether an answer is due on the connection or not yet written. If none is, the connection
+// is about to be closed, and the peer is not asked to close it any more.
+func (c *conn) answersDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.hasWork() {
@@ -91,8 +93,8 @@
 	return false
 }
 
-// closeIfIdle asks the peer to close a connection that has been idle for longer than the timeout (0: none),
-// or any while draining, and ends one that was asked and is not closed in time.
+// closeIfIdle asks the peer to close a connection that has been idle for longer than the timeout (0: no limit),
+// or any connection while draining. It stops reading if the peer was asked before and did not close in time.
 func (c *conn) closeIfIdle(now time.Time, idleTimeout time.Duration, draining bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,12 +112,11 @@
 // requestClose asks the balancer to close the connection; the caller holds mu.
 func (c *conn) requestClose(now time.Time) {
 	c.closeRequestedAt = now
-	c.front.opts.Log.Debug("asking the peer to close the connection", "peer", c.socket.RemoteAddr())
+	c.front.opts.Log.Debug("asking the peer to close its connection", "peer", c.socket.RemoteAddr())
 	c.enqueue(closeTag, wordClose, nil, nil)
 }
 
-// closeIfDone closes the connection once nothing more is read and all answers are written; the caller holds
-// mu.
+// closeIfDone closes the connection if reading has ended and all answers are written; the caller holds mu.
 func (c *conn) closeIfDone() {
 	if c.closing || !c.readEnded || !c.writeEnded && c.hasWork() {
 		return
@@ -129,10 +130,10 @@
 	go c.closeGracefully()
 }
 
-// closeGracefully ends the sending side and gives the peer time to end its side before it closes the socket.
+// closeGracefully shuts down the sending side, waits for the peer to do the same, and closes the socket.
 func (c *conn) closeGracefully() {
 	c.socket.flushed.Store(true)
-	c.front.evictions.trim()
+	c.front.evictions.closeExcess()
 	timeout := c.front.opts.Limits.CloseTimeout
 	if c.socket.unadmitted {
 		timeout /= unadmittedCloseDivisor
--- a/internal/frontend/resp/closing_test.go
+++ b/internal/frontend/resp/closing_test.go
@@ -12,40 +12,40 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestRequestCrossesCloseOfIdleConnection: a request that crosses the close of an idle connection is left
-// unread, and the close does not reset what was answered before, though that is still unread.
-func TestRequestCrossesCloseOfIdleConnection(t *testing.T) {
-	f, d, ln := startFront(t, statusWithoutIdleTime{}, func(l *limits.Limits) { l.PeerCloseTimeout, l.CloseTimeout = 0, time.Hour })
+// TestRequestDuringCloseOfIdleConnectionIsNotRead checks that a request that arrives while its idle connection is being
+// closed is left unread, and that earlier answers which the peer has not read yet are not lost to a reset.
+func TestRequestDuringCloseOfIdleConnectionIsNotRead(t *testing.T) {
+	f, d, ln := startFront(t, expiredIdleStatus{}, func(l *limits.Limits) { l.PeerCloseTimeout, l.CloseTimeout = 0, time.Hour })
 	b := standin.Dial(t, ln.Addr().String())
 	b.Send(standin.Array("PING", "1"))
-	waitFor(t, "answered", func() bool { k := f.onlyConn(); return k != nil && k.isIdle() })
-	f.CloseIdle() // asks
-	waitFor(t, "asked", func() bool { return f.onlyConn().isIdle() })
-	f.CloseIdle() // ends it from this side
+	waitFor(t, "the health check is answered", func() bool { k := f.onlyConn(); return k != nil && k.isIdle() })
+	f.CloseIdle() // asks the peer to close the connection
+	waitFor(t, "the peer was asked to close the connection", func() bool { return f.onlyConn().isIdle() })
+	f.CloseIdle() // closes it from this side
 	waitFor(t, "reading has ended", func() bool { k := f.onlyConn(); k.mu.Lock(); defer k.mu.Unlock(); return k.readEnded })
-	b.Do(7, "book", testRequestID, time.Now(), "body", "") // it arrives whole, and stays unread until the peer has ended too
-	b.Send(partialRequest)                                 // and the first half of another
+	b.Do(7, "book", testRequestID, time.Now(), "body", "") // a complete request, which must stay unread
+	b.Send(partialRequest)                                 // the first half of another
 	if got := readToEnd(t, b); got != greenAnswer+closeMessage {
-		t.Errorf("%q, want the answer, FIN and the end", got)
+		t.Errorf("read %q, want the answer, FIN and the end of the stream", got)
 	}
-	b.Send(standin.Array("PING", "8")) // a reset would have come by now
+	b.Send(standin.Array("PING", "8")) // fails if the connection was reset
 	_ = b.Close()
-	waitFor(t, "closed", func() bool { return f.OpenConnections() == 0 })
+	waitFor(t, "the connection is closed", func() bool { return f.OpenConnections() == 0 })
 	if len(d.submitted) > 0 || len(d.canceled) > 0 {
-		t.Errorf("%d requests were submitted, %v canceled", len(d.submitted), d.canceled)
+		t.Errorf("%d requests were submitted, %v canceled; want none", len(d.submitted), d.canceled)
 	}
 }
 
-// TestEveryRequestReadIsAnswered: requests arrive just as their connection is closed from this side, a new
-// one or an idle one. Each request that is read is answered before the end; the callers of the others see the
-// end alone.
+// TestEveryRequestReadIsAnswered: requests arrive on a new and an idle connection while this side closes both.
+// Every request that is read must be answered before the connection ends; the callers of the others see only
+// the end.
 func TestEveryRequestReadIsAnswered(t *testing.T) {
 	for attempt := range 200 {
 		f, d, ln := startFront(t, fakeStatus{}, nil)
 		fresh, idleConn := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
 		idleConn.Send(standin.Array("PING", "1"))
 		idleConn.Read()
-		waitFor(t, "both are there", func() bool { return f.OpenConnections() == 2 })
+		waitFor(t, "both connections are open", func() bool { return f.OpenConnections() == 2 })
 		go func() {
 			for id := range d.submitted {
 				d.answer(id, node.Response{Status: node.StatusServed, Result: []byte(id)})
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestMalformedInputLosesNoAnswer: what came before it is answered, and all answers arrive, however much
-// follows.
+// TestMalformedInputLosesNoAnswer checks that messages received before malformed input are answered and that
+// the answers arrive, however much data follows.
 func TestMalformedInputLosesNoAnswer(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
@@ -89,24 +89,24 @@
 	waitFor(t, "reading has ended", func() bool { k := f.onlyConn(); k.mu.Lock(); defer k.mu.Unlock(); return k.readEnded })
 	b.Send(strings.Repeat("more of it\r\n", 4000))
 	if got := readToEnd(t, b); got != greenAnswer+"*2\r\n$1\r\n7\r\n$3\r\nNAK\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("read %q, want GREEN and a rejection", got)
 	}
 	_ = b.Close()
-	waitFor(t, "closed", func() bool { return f.OpenConnections() == 0 })
+	waitFor(t, "the connection is closed", func() bool { return f.OpenConnections() == 0 })
 }
 
-// TestShutdown: all answers arrive, and the end after them without a reset, on an idle connection, one with
-// half a message, one with a late answer and one without any message. Shutdown returns when all have ended,
-// or after its timeout.
-func TestShutdown(t *testing.T) {
+// TestShutdownDeliversAllAnswers checks that all answers arrive and the connections end without a reset: an idle one, one with a
+// partial message, one with a late answer and one without any message. Shutdown returns when all have ended, or
+// after its timeout.
+func TestShutdownDeliversAllAnswers(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
-	idleConn, half, late, silent := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
+	idleConn, partial, late, silent := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
 	idleConn.Send(standin.Array("PING", "1"))
-	half.Send(standin.Array("PING", "1") + partialRequest)
+	partial.Send(standin.Array("PING", "1") + partialRequest)
 	late.Do(7, "book", testRequestID, time.Now(), "body", "")
 	<-d.submitted
-	waitFor(t, "all are there", func() bool { return f.OpenConnections() == 4 })
-	waitFor(t, "answered", func() bool {
+	waitFor(t, "four connections are open", func() bool { return f.OpenConnections() == 4 })
+	waitFor(t, "both health checks are answered", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		n := 0
@@ -118,9 +118,9 @@
 		return n == 2
 	})
 	d.answer(testRequestID, node.Response{Status: node.StatusServed, Result: bytes.Repeat([]byte("r"), 4096)})
-	f.Shutdown(0) // no peer has ended yet
+	f.Shutdown(0) // no peer has closed its side yet
 	if f.OpenConnections() == 0 {
-		t.Error("all connections have ended")
+		t.Error("no connection is open before the peers have closed them")
 	}
 	waitFor(t, "reading has ended", func() bool {
 		return !slices.ContainsFunc(f.connections(), func(k *conn) bool { k.mu.Lock(); defer k.mu.Unlock(); return !k.readEnded })
@@ -131,10 +131,10 @@
 		close(ended)
 	}()
 	idleConn.Do(8, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "") // too late to be read
-	half.Send("$9\r\nreq=")                                            // nor is this
-	for b, want := range map[*standin.Balancer]string{idleConn: greenAnswer, half: greenAnswer, silent: "", late: "*4\r\n$1\r\n7\r\n$3\r\nACK\r\n$0\r\n\r\n$4096\r\n" + strings.Repeat("r", 4096) + "\r\n"} {
+	partial.Send("$9\r\nreq=")                                         // too late as well
+	for b, want := range map[*standin.Balancer]string{idleConn: greenAnswer, partial: greenAnswer, silent: "", late: "*4\r\n$1\r\n7\r\n$3\r\nACK\r\n$0\r\n\r\n$4096\r\n" + strings.Repeat("r", 4096) + "\r\n"} {
 		if got := readToEnd(t, b); got != want {
-			t.Errorf("%.60q, want %.60q", got, want)
+			t.Errorf("read %.60q, want %.60q", got, want)
 		}
 		_ = b.Close()
 	}
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestRequestsAreReadUntilClose: a connection that is to end waits for the answer to one request, and another
-// arrives meanwhile, which is read and answered too.
-func TestRequestsAreReadUntilClose(t *testing.T) {
+// TestRequestOnClosingConnectionIsAnswered checks that a request that arrives on a closing connection is read and answered
+// while the answer to an earlier request is still due.
+func TestRequestOnClosingConnectionIsAnswered(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
 	b.Do(7, "book", "9b1f03aa5c7e2d41", time.Now(), "body", "")
@@ -157,7 +157,7 @@
 	select {
 	case <-d.submitted:
 	case <-time.After(standin.WaitTimeout):
-		t.Fatal("the second request is not read")
+		t.Fatal("the second request was not read in time")
 	}
 	for _, id := range []string{"9b1f03aa5c7e2d42", "9b1f03aa5c7e2d41"} {
 		d.answer(id, node.Response{Status: node.StatusRejected})
@@ -168,6 +168,6 @@
 		}
 	}
 	if got := b.Read(); got != nil {
-		t.Errorf("%q, want the end", got)
+		t.Errorf("%q, want the end of the connection", got)
 	}
 }
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -17,35 +17,35 @@
 	front       *Front
 	socket      *framedConn
 	slot        *connlimit.Slot
-	served      bool // its read loop was entered
-	badMessages int  // malformed ones so far; of the read loop
+	served      bool // the read loop was entered
+	badMessages int  // malformed messages so far; used by the read loop only
 
 	mu               sync.Mutex
 	openRequests     map[string]string // the ids of open requests by their tags
 	messagesRead     int
 	lastUsed         time.Time
-	closeRequestedAt time.Time // when the peer was asked to close it; zero: it was not
-	output           []byte    // answers that wait to be written
-	flushing         bool      // a goroutine writes answers
-	readEnded        bool      // nothing more is read from it
-	peerGone         bool      // its peer ended it, or it was aborted: nothing can follow
-	writeEnded       bool      // nothing more is written to it
-	closing          bool      // its socket is closed, or soon will be
+	closeRequestedAt time.Time // when the peer was asked to close the connection; zero: not yet
+	output           []byte    // answers that are not yet written
+	flushing         bool      // a goroutine is writing answers
+	readEnded        bool      // nothing more is read from the connection
+	peerGone         bool      // the peer closed the connection, or it was aborted: nothing can be delivered
+	writeEnded       bool      // nothing more is written to the connection
+	closing          bool      // the socket is closed or about to be
 }
 
-// Errors of messages after which a connection takes nothing more. A message with errDuplicateTag or
+// Errors after which no further message is read from a connection. A message with errDuplicateTag or
 // errTooManyOpen gets no answer of its own; the connection's open requests are answered at once, without
-// waiting for their runs, and it closes (endReading).
+// waiting for their runs, and the connection is closed (endReading).
 var (
-	errDuplicateTag       = errors.New("the tag of an open request")
-	errTooManyOpen        = errors.New("too many open requests")
-	errTooManyBadMessages = errors.New("too many malformed messages")
-	errAborted            = errors.New("the message came as the connection was aborted")
+	errDuplicateTag       = errors.New("message has the tag of a request that is still open")
+	errTooManyOpen        = errors.New("too many open requests on the connection")
+	errTooManyBadMessages = errors.New("too many malformed messages on the connection")
+	errAborted            = errors.New("message received after the connection was aborted")
 )
 
-// errSlotLost is the error of a message that came without a slot: it was rejected, and the connection ends
-// once all that has arrived is answered.
-var errSlotLost = errors.New("the connection has no slot")
+// errSlotLost is returned for a message on a connection without a slot: the message was rejected, and the
+// connection is closed once everything that has arrived on it is answered.
+var errSlotLost = errors.New("connection holds no slot")
 
 // serve reads messages until the connection ends.
 func (c *conn) serve(dc redcon.DetachedConn, cmd redcon.Command) {
@@ -53,7 +53,7 @@
 	var err error
 	for err == nil {
 		if err = c.handleMessage(cmd.Args); errors.Is(err, errSlotLost) {
-			c.socket.stopReading() // what arrived behind it is owed an answer as well
+			c.socket.stopReading() // messages that arrived after this one must be answered too
 			err = nil
 		}
 		if err == nil {
@@ -63,7 +63,7 @@
 	c.endReading(err)
 }
 
-// handleMessage handles one array. An error ends the reading.
+// handleMessage handles one message. After an error, no further message is read.
 func (c *conn) handleMessage(args [][]byte) error {
 	lim := &c.front.opts.Limits
 	m, err := decodeMessage(args, lim.BodyBytes, lim.FieldListBytes)
@@ -81,16 +81,16 @@
 	return err
 }
 
-// begin notes that a message has come, and opens the request that it asks for; submit is nil for any other
-// message. It reports whether the connection holds a slot, for which it may wait.
-func (c *conn) begin(tag string, submit *submitMessage) (hasSlot bool, err error) {
+// recordMessage records that a message was received, and opens its request if it is a submit message; otherwise submit
+// is nil. It reports whether the connection holds a slot, and may wait for one.
+func (c *conn) recordMessage(tag string, submit *submitMessage) (hasSlot bool, err error) {
 	c.mu.Lock()
 	if c.writeEnded {
-		// No answer could follow: it must not run, and its caller learns by the close that it did not.
+		// No answer can be sent, so the request must not run. The close tells the caller that it did not.
 		c.mu.Unlock()
 		return false, errAborted
 	}
-	// An answer with the tag of an open request would be taken for the answer to that one.
+	// The peer would take an answer with this tag for the answer to the request that is already open.
 	if _, duplicate := c.openRequests[tag]; duplicate {
 		c.mu.Unlock()
 		return false, errDuplicateTag
@@ -115,10 +115,10 @@
 	return hasSlot, nil
 }
 
-// handleSubmit hands a request to the core, or rejects it; err is that of its decoding.
+// handleSubmit submits a request to the core or rejects it; err is the decoding error, if any.
 func (c *conn) handleSubmit(m *submitMessage, err error) error {
 	tag := m.messageTag()
-	hasSlot, beginErr := c.begin(tag, m)
+	hasSlot, beginErr := c.recordMessage(tag, m)
 	if beginErr != nil {
 		return beginErr
 	}
@@ -138,19 +138,19 @@
 		c.reject(m)
 		return c.countBadMessage(err)
 	}
-	// Well formed, of a class that the settings do not name (yet, or any more): balancers learn of new settings late, and the
-	// connection carries others' requests, so it does not count against the connection. It is counted before it is answered,
-	// as every other request is.
+	// The message is well formed, but the settings do not (or no longer) contain its class. Balancers learn of new
+	// settings late, and the connection carries other callers' requests, so this does not count as a malformed
+	// message. OnUnknownClass counts the request before it is answered, as is done for every other request.
 	if c.front.opts.OnUnknownClass != nil {
 		c.front.opts.OnUnknownClass(m.class)
 	}
 	c.reject(m)
-	c.front.log.Warn("request of an unknown class rejected", err)
+	c.front.log.Warn("rejected a request of an unknown class", err)
 	return nil
 }
 
-// reject answers a request that can't be submitted. It was read, so it is owed an answer; the core knows
-// whether an attempt with its key ran.
+// reject answers a request that was read and can't be submitted. The core knows whether an earlier attempt with
+// the same idempotency key ran.
 func (c *conn) reject(m *submitMessage) {
 	c.sendAnswer(m.messageTag(), node.Response{Status: c.front.opts.Core.RejectionStatus(m.class, m.idempotencyKey)})
 }
@@ -158,7 +158,7 @@
 // handlePing answers a health check.
 func (c *conn) handlePing(m *pingMessage) error {
 	tag := m.messageTag()
-	hasSlot, err := c.begin(tag, nil)
+	hasSlot, err := c.recordMessage(tag, nil)
 	if err != nil {
 		return err
 	}
@@ -173,19 +173,19 @@
 	return nil
 }
 
-// handleUnknown answers a message that is none of the protocol's; err says why.
+// handleUnknown answers a message that the protocol does not define; err describes it.
 func (c *conn) handleUnknown(m *unknownMessage, err error) error {
 	tag := m.messageTag()
-	if _, err := c.begin(tag, nil); err != nil {
+	if _, err := c.recordMessage(tag, nil); err != nil {
 		return err
 	}
 	c.enqueueAnswer(tag, answerWords[node.StatusFailed], c.loadSignal(), nil, false)
 	return c.countBadMessage(err)
 }
 
-// countBadMessage counts a malformed message; it returns an error if there were too many.
+// countBadMessage counts a malformed message, and returns an error once there were too many.
 func (c *conn) countBadMessage(err error) error {
-	c.front.log.Warn("malformed message rejected", err)
+	c.front.log.Warn("rejected a malformed message", err)
 	if c.badMessages++; c.badMessages >= c.front.opts.Limits.BadMessagesPerConnection {
 		return errTooManyBadMessages
 	}
@@ -194,8 +194,8 @@
 
 var errUnknownClass = errors.New("unknown class")
 
-// nodeRequest returns a message's request in the core's terms, if its class and tenant are known and its time
-// stamp is plausible.
+// nodeRequest converts a message to a request for the core. It returns an error if the class or the tenant is
+// unknown, or the time stamp is implausible.
 func (c *conn) nodeRequest(m *submitMessage) (node.Request, error) {
 	o := &c.front.opts
 	class, known := (*c.front.classes.Load())[m.class]
@@ -231,7 +231,7 @@
 	}, nil
 }
 
-// slotState is what the connection is doing; the caller holds mu.
+// slotState returns the connection's state for the limiter; the caller holds mu.
 func (c *conn) slotState() connlimit.State {
 	switch {
 	case c.hasWork():
@@ -242,10 +242,10 @@
 	return connlimit.StateIdle
 }
 
-// hasWork reports whether a request is open, or an answer still to be written; the caller holds mu.
+// hasWork reports whether a request is open or an answer is not yet written; the caller holds mu.
 func (c *conn) hasWork() bool { return len(c.openRequests) > 0 || len(c.output) > 0 || c.flushing }
 
-// cancelRequest cancels a request that its balancer waits no longer for.
+// cancelRequest cancels a request for which the balancer no longer waits.
 func (c *conn) cancelRequest(tag string) {
 	c.mu.Lock()
 	id, known := c.openRequests[tag]
@@ -264,7 +264,7 @@
 	c.enqueueAnswer(tag, answerWords[r.Status], appendRejection(c.loadSignal(), r), r.Result, true)
 }
 
-// loadSignal returns the field that goes with every answer; nil until the node has a load signal.
+// loadSignal returns the encoded field that is sent with every answer; nil until the node has a load signal.
 func (c *conn) loadSignal() []byte {
 	signal, set := c.front.opts.Status.LoadSignal()
 	if !set {
--- a/internal/frontend/resp/conn_test.go
+++ b/internal/frontend/resp/conn_test.go
@@ -10,20 +10,20 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestMessageOnAbortedConnection: a message is handled just after its connection was aborted. No answer can
-// follow, so it must not run.
-func TestMessageOnAbortedConnection(t *testing.T) {
+// TestRequestOnAbortedConnectionIsNotSubmitted checks that a request read just before its connection was aborted is not
+// submitted, since it can't be answered.
+func TestRequestOnAbortedConnectionIsNotSubmitted(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
 	b.Send(standin.Array("PING", "1"))
 	b.Read()
-	waitFor(t, "idle", func() bool { return f.onlyConn().isIdle() })
+	waitFor(t, "the connection is idle", func() bool { return f.onlyConn().isIdle() })
 	k := f.onlyConn()
 	k.mu.Lock()
 	k.abort()
 	k.mu.Unlock()
 	if err := k.handleMessage([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(validFields), nil}); !errors.Is(err, errAborted) || len(d.submitted) > 0 {
-		t.Errorf("%v, %d requests submitted", err, len(d.submitted))
+		t.Errorf("error %v, %d requests submitted; want errAborted and none", err, len(d.submitted))
 	}
 }
 
@@ -38,9 +38,9 @@
 
 func (c *recordingCore) Abort(id string) { c.canceled = append(c.canceled, id) }
 
-// TestMessageAfterEviction: a request that is read after its connection was evicted is rejected and not
-// submitted, and the connection's end cancels no request: the id may be another caller's.
-func TestMessageAfterEviction(t *testing.T) {
+// TestRequestAfterEvictionIsRejected checks that a request that is read after its connection was evicted is rejected and
+// not submitted, and that the end of the connection cancels no request: another caller may use the same id.
+func TestRequestAfterEvictionIsRejected(t *testing.T) {
 	c := &recordingCore{}
 	f := New(Options{Core: c, Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	ours, theirs := net.Pipe()
@@ -58,6 +58,6 @@
 		t.Errorf("%q, want a rejection", got)
 	}
 	if k.endReading(err); !errors.Is(err, errSlotLost) || len(c.canceled) > 0 {
-		t.Errorf("%v, %v are canceled", err, c.canceled)
+		t.Errorf("error %v, canceled requests %v; want errSlotLost and none", err, c.canceled)
 	}
 }
--- a/internal/frontend/resp/description_test.go
+++ b/internal/frontend/resp/description_test.go
@@ -15,7 +15,8 @@
 	"sloehitch/internal/testing/standin"
 )
 
-func describedMessages(t *testing.T) map[string]*apispec.Message {
+// specMessages returns the messages that the platform's AsyncAPI document defines.
+func specMessages(t *testing.T) map[string]*apispec.Message {
 	t.Helper()
 	messages, err := apispec.Messages(apispec.PlatformAsyncAPI)
 	if err != nil {
@@ -24,7 +25,7 @@
 	return messages
 }
 
-// messageParts turns a described message into the parts of its array.
+// messageParts converts a message of the AsyncAPI document into the parts of its array.
 func messageParts(m map[string]any) (parts [][]byte) {
 	add := func(v any) { parts = append(parts, []byte(v.(string))) }
 	add(m["verb"])
@@ -47,16 +48,17 @@
 	return parts
 }
 
-// TestDecoderFollowsTheDescription: what the AsyncAPI document allows is read, and what it forbids is not.
-func TestDecoderFollowsTheDescription(t *testing.T) {
+// TestDecoderMatchesAsyncAPI checks that the decoder accepts exactly the messages that the AsyncAPI
+// document allows.
+func TestDecoderMatchesAsyncAPI(t *testing.T) {
 	lim := limits.For(64, 256)
 	for _, name := range []string{"do", "undo", "ping"} {
-		m := describedMessages(t)[name]
+		m := specMessages(t)[name]
 		for _, example := range m.Examples {
 			read := func(what string, payload map[string]any) {
 				_, err := decodeMessage(messageParts(payload), lim.BodyBytes, lim.FieldListBytes)
 				if valid := m.Validate(payload); (err == nil) != (valid == nil) {
-					t.Errorf("%s, %s: the parser says %v, the description %v", name, what, err, valid)
+					t.Errorf("%s, %s: the decoder returned %v, the AsyncAPI document gives %v", name, what, err, valid)
 				}
 			}
 			payload := example.(map[string]any)
@@ -70,7 +72,7 @@
 			for field := range fields {
 				for _, value := range []string{"", "x", "-1", "1e9", strings.Repeat("9", 80)} {
 					if value != "" && !slices.Contains([]string{"req", "ts", "via", "ms", "need", "level", "opkey"}, field) {
-						continue // free text, bounded with the whole list
+						continue // free text, bounded only by the length of the whole list
 					}
 					if field == "level" && value == "" || field == "via" && value == "" {
 						continue
@@ -92,9 +94,10 @@
 	}
 }
 
-// TestAnswersFollowTheDescription: every answer that the front can write is a described one.
-func TestAnswersFollowTheDescription(t *testing.T) {
-	messages := describedMessages(t)
+// TestAnswersMatchAsyncAPI checks that every answer that the front end writes is valid by the AsyncAPI
+// document.
+func TestAnswersMatchAsyncAPI(t *testing.T) {
+	messages := specMessages(t)
 	for _, c := range []struct {
 		a    node.Response
 		m    fakeStatus
@@ -109,7 +112,7 @@
 		f := New(Options{Status: c.m, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 		k := &conn{front: f, slot: f.slots.Acquire(nil), openRequests: map[string]string{"7": "id"}, flushing: true} // nothing is flushed
 		k.sendAnswer("7", c.a)
-		k.sendAnswer("7", c.a) // a second answer must not be written
+		k.sendAnswer("7", c.a) // a second answer to the same request must not be written
 		cmd, err := redcon.Parse(k.output)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/frontend/resp/eviction.go
+++ b/internal/frontend/resp/eviction.go
@@ -6,72 +6,71 @@
 	"time"
 )
 
-// The rule for evicted connections, which gave their slot to another one and still hold a descriptor each.
-// Which connection is evicted, package connlimit says.
+// The rule for evicted connections: they have lost their slot to another connection and still hold a file
+// descriptor. Package connlimit selects the connection to evict.
 //
-//   - What has arrived on an evicted connection is read and rejected before it ends, however long that takes:
-//     the process may have been stopped, with requests unread. Then its peer has limits.CloseTimeout to end
-//     its side.
-//   - At most limits.EvictedConnections of them may wait for their peers: beyond that the longest waiting on
-//     which all is written is closed.
-//   - At most limits.UnadmittedConnections more may be there on which something is still to be answered.
-//     Beyond that the connection that evicts waits, for limits.CloseTimeout by counted polls: time in which
-//     the process is stopped counts as one poll.
+//   - Requests that have arrived on an evicted connection are read and rejected before it is closed, however
+//     long that takes: the process may have been stopped with requests unread. Then the peer has
+//     limits.CloseTimeout to close its side.
+//   - At most limits.EvictedConnections of them may wait for their peers. Beyond that, the one that has waited
+//     longest is closed, among those whose answers are all written.
+//   - At most limits.UnadmittedConnections more may have unwritten answers. Beyond that, the evicting connection
+//     waits for up to limits.CloseTimeout, measured in polls: time during which the process is stopped counts
+//     as one poll.
 
-// evictPollInterval is how often a connection that waits for evictions to end looks whether they have.
+// evictPollInterval is how often an evicting connection checks whether earlier evictions have completed.
 const evictPollInterval = time.Millisecond
 
-// evictionList is the connections that were evicted and are still open.
+// evictionList holds the connections that were evicted and are still open.
 type evictionList struct {
 	maxAwaitingPeer int
 	maxUnflushed    int
 
-	mu   sync.Mutex
-	list []*framedConn // the longest waiting first
+	mu    sync.Mutex
+	conns []*framedConn // in the order of their eviction
 }
 
-// add has an evicted connection end, and blocks while there are too many, for maxWait at most.
+// add starts closing an evicted connection, and blocks while there are too many, for at most maxWait.
 func (e *evictionList) add(c *framedConn, maxWait time.Duration) {
 	e.mu.Lock()
-	e.list = append(e.list, c)
+	e.conns = append(e.conns, c)
 	e.mu.Unlock()
-	c.stopReading() // it may be over, and removed, from here on
-	for polls := int(maxWait / evictPollInterval); e.trim() && polls > 0; polls-- {
+	c.stopReading() // from here on, the connection may end and be removed from the list
+	for polls := int(maxWait / evictPollInterval); e.closeExcess() && polls > 0; polls-- {
 		time.Sleep(evictPollInterval)
 	}
 }
 
-// trim closes connections on which nothing is left to write, the longest waiting first, until there are not
-// more than may wait for their peers. It reports whether there still are too many.
-func (e *evictionList) trim() (tooMany bool) {
+// closeExcess closes connections whose answers are all written, oldest eviction first, until at most maxAwaitingPeer
+// are left. It reports whether there are still too many.
+func (e *evictionList) closeExcess() (tooMany bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(e.list) > e.maxAwaitingPeer {
-		flushed := slices.IndexFunc(e.list, func(c *framedConn) bool { return c.flushed.Load() })
+	for len(e.conns) > e.maxAwaitingPeer {
+		flushed := slices.IndexFunc(e.conns, func(c *framedConn) bool { return c.flushed.Load() })
 		if flushed < 0 {
 			break
 		}
-		_ = e.list[flushed].Close()
-		e.list = slices.Delete(e.list, flushed, flushed+1)
+		_ = e.conns[flushed].Close()
+		e.conns = slices.Delete(e.conns, flushed, flushed+1)
 	}
-	return len(e.list) > e.maxAwaitingPeer+e.maxUnflushed
+	return len(e.conns) > e.maxAwaitingPeer+e.maxUnflushed
 }
 
-// remove takes a connection that has ended off the list.
+// remove removes a connection that has ended from the list.
 func (e *evictionList) remove(c *framedConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.list = slices.DeleteFunc(e.list, func(other *framedConn) bool { return other == c })
+	e.conns = slices.DeleteFunc(e.conns, func(other *framedConn) bool { return other == c })
 }
 
-// len returns how many there are.
 func (e *evictionList) len() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.list)
+	return len(e.conns)
 }
 
-// evict ends a connection whose slot was given to another one. It blocks while too many are being ended.
+// evict closes a connection that lost its slot to another one. It blocks while too many evictions are pending.
 func (f *Front) evict(c *framedConn) {
 	f.opts.Log.Debug("evicting a connection to free its slot", "peer", c.RemoteAddr())
 	f.evictions.add(c, f.opts.Limits.CloseTimeout)
--- a/internal/frontend/resp/eviction_test.go
+++ b/internal/frontend/resp/eviction_test.go
@@ -10,8 +10,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestEvictionLosesNoAnswer: an evicted connection ends from this side; its answer arrives, and what it sends
-// then is not read. At most EvictedConnections of them wait for their peers: the longest waiting is closed.
+// TestEvictionLosesNoAnswer checks that an evicted connection is closed from this side without losing its answer
+// and without reading what the peer sends afterwards, and that the oldest eviction is closed when more than
+// EvictedConnections wait for their peers.
 func TestEvictionLosesNoAnswer(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
 		l.MaxConnections, l.IdleConnectionGrace, l.NewConnectionGrace, l.EvictedConnections, l.CloseTimeout = 1, 0, 0, 2, time.Hour
@@ -20,7 +21,7 @@
 	for range 4 {
 		b := standin.Dial(t, ln.Addr().String())
 		b.Send(standin.Array("PING", "1"))
-		waitFor(t, "slot held and answered", func() bool {
+		waitFor(t, "the connection holds a slot and is answered", func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for k := range f.conns {
@@ -32,22 +33,22 @@
 		})
 		peers = append(peers, b)
 	}
-	waitFor(t, "three evicted", func() bool { return f.evictions.len() == 2 })
+	waitFor(t, "three are evicted and one of them is closed", func() bool { return f.evictions.len() == 2 })
 	b := peers[1]
 	b.Do(7, "book", testRequestID, time.Now(), "body", "")
 	if got := readToEnd(t, b); got != greenAnswer {
-		t.Errorf("%q, want the answer and the end", got)
+		t.Errorf("read %q, want the answer and the end of the stream", got)
 	}
-	b.Send(standin.Array("PING", "8")) // a reset would have come by now
+	b.Send(standin.Array("PING", "8")) // fails if the connection was reset
 	if len(d.submitted) > 0 {
 		t.Error("a request of an evicted connection was submitted")
 	}
-	waitFor(t, "the first is closed", func() bool { _, err := peers[0].Write([]byte("x")); return err != nil })
+	waitFor(t, "the first evicted connection is closed", func() bool { _, err := peers[0].Write([]byte("x")); return err != nil })
 }
 
-// TestManyEvictionsAtOnce: more connections are evicted at once than may wait for their peers, and on each a
-// request has just come. Each request is rejected on its connection, and none is closed before.
-func TestManyEvictionsAtOnce(t *testing.T) {
+// TestSimultaneousEvictionsRejectArrivedRequests: more connections are evicted at once than may wait for their peers, and a request has
+// just arrived on each. Every request must be rejected before its connection is closed.
+func TestSimultaneousEvictionsRejectArrivedRequests(t *testing.T) {
 	const conns = 6
 	for attempt := range 30 {
 		f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.EvictedConnections, l.UnadmittedConnections = 1, conns })
@@ -58,10 +59,10 @@
 			b.Read()
 			peers = append(peers, b)
 		}
-		waitFor(t, "all idle", func() bool { return !slices.ContainsFunc(f.connections(), func(k *conn) bool { return !k.isIdle() }) })
+		waitFor(t, "all connections are idle", func() bool { return !slices.ContainsFunc(f.connections(), func(k *conn) bool { return !k.isIdle() }) })
 		all := f.connections()
 		for _, k := range all {
-			k.slot.Release() // as by an eviction
+			k.slot.Release() // as an eviction does
 		}
 		for _, b := range peers {
 			b.Do(7, "book", testRequestID, time.Now(), "body", "")
@@ -75,17 +76,17 @@
 			}
 			_ = b.Close()
 		}
-		waitFor(t, "no more connections wait than may", func() bool { return f.evictions.len() <= 1 })
+		waitFor(t, "at most one evicted connection waits for its peer", func() bool { return f.evictions.len() <= 1 })
 	}
 }
 
-// TestPipelinedRequestsOfEvictedConnection: several requests have arrived on a connection that is evicted,
-// the later ones perhaps in the reader's buffer. Each is rejected before the connection ends.
-func TestPipelinedRequestsOfEvictedConnection(t *testing.T) {
+// TestPipelinedRequestsOfEvictedConnectionAreRejected checks that all requests that have arrived on an evicted connection
+// are rejected before it ends, including those that may already be in the reader's buffer.
+func TestPipelinedRequestsOfEvictedConnectionAreRejected(t *testing.T) {
 	for range 20 {
 		f, d, ln := startFront(t, fakeStatus{}, nil)
 		peers, conns := idleConnections(t, f, ln.Addr().String(), 1)
-		conns[0].slot.Release() // as by an eviction
+		conns[0].slot.Release() // as an eviction does
 		var burst strings.Builder
 		for _, tag := range []string{"7", "8", "9"} {
 			burst.WriteString(standin.Array("DO", tag, "book", validFields, "body"))
@@ -103,8 +104,8 @@
 }
 
 // TestEvictionsWaitForUnreadRequests: after a pause of the process, new connections evict others faster than
-// those are read, with a request unread on each. The new connections wait instead of having one closed over
-// its request.
+// those are read, each with an unread request. The evictions must wait rather than close a connection whose
+// request is unread.
 func TestEvictionsWaitForUnreadRequests(t *testing.T) {
 	const conns = 8
 	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
@@ -112,8 +113,8 @@
 	})
 	peers, all := idleConnections(t, f, ln.Addr().String(), conns)
 	for _, k := range all {
-		k.mu.Lock()      // its reader is held up
-		k.slot.Release() // as by an eviction
+		k.mu.Lock()      // blocks its reader
+		k.slot.Release() // as an eviction does
 	}
 	for _, b := range peers {
 		b.Send(standin.Array("DO", "7", "book", validFields, "body"))
@@ -125,7 +126,7 @@
 			f.evict(k.socket)
 		}
 	}()
-	time.Sleep(50 * time.Millisecond) // as many are evicted meanwhile as may be
+	time.Sleep(50 * time.Millisecond) // until evict blocks
 	for _, k := range all {
 		k.mu.Unlock()
 	}
@@ -136,16 +137,16 @@
 	select {
 	case <-evicted:
 	case <-time.After(standin.WaitTimeout):
-		t.Error("evict does not return")
+		t.Error("evict did not return in time")
 	}
 }
 
-// TestPauseLongerThanCloseTimeout: the process stands still for longer than CloseTimeout just after an
-// eviction. The request on the evicted connection is still read and rejected.
-func TestPauseLongerThanCloseTimeout(t *testing.T) {
+// TestRequestIsRejectedAfterPauseLongerThanCloseTimeout checks that a request on an evicted connection is still read and rejected if
+// the process pauses for longer than CloseTimeout just after the eviction.
+func TestRequestIsRejectedAfterPauseLongerThanCloseTimeout(t *testing.T) {
 	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.CloseTimeout = time.Millisecond })
 	peers, all := idleConnections(t, f, ln.Addr().String(), 1)
-	all[0].mu.Lock() // its reader is held up
+	all[0].mu.Lock() // blocks its reader
 	peers[0].Send(standin.Array("DO", "7", "book", validFields, "body"))
 	all[0].slot.Release()
 	f.evict(all[0].socket)
--- a/internal/frontend/resp/frame_validator.go
+++ b/internal/frontend/resp/frame_validator.go
@@ -6,25 +6,24 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// errFraming ends the reading of a connection.
-var errFraming = errors.New("not an array of bulk strings within the limits")
+// errFraming is returned for malformed data, after which nothing more is read from the connection.
+var errFraming = errors.New("data is not an array of bulk strings within the size limits")
 
-// frameValidator checks the framing of a byte stream as it comes. It stands before redcon's reader, which
-// panics on a bulk length near the largest integer, spins on a huge count, takes inline commands, grows its
-// buffer with whatever a length announces, and on an error drops complete commands that came before it in the
-// same read.
+// frameValidator checks the framing of a byte stream incrementally. It protects redcon's reader, which panics on
+// a bulk length near the largest integer, spins on a huge element count, accepts inline commands, allocates as
+// much as a length announces, and on an error drops complete commands that preceded it in the same read.
 type frameValidator struct {
 	maxParts, maxBulkBytes, maxFrameBytes int
 
 	state     frameState
-	value     int  // the number read so far, or the bytes left of a bulk
-	hasDigit  bool // of that number
+	value     int  // the number parsed so far, or the bytes left of a bulk
+	hasDigit  bool // the number has a digit
 	partsLeft int  // bulks left in this array
 	size      int  // bytes of this array
-	complete  int  // arrays so far
+	complete  int  // complete arrays so far
 }
 
-// frameState is what is expected next.
+// frameState is the element of a frame that is expected next.
 type frameState int
 
 const (
@@ -43,7 +42,7 @@
 	return frameValidator{maxParts: lim.FrameParts, maxBulkBytes: lim.FrameBytes, maxFrameBytes: lim.FrameBytes}
 }
 
-// check takes bytes in and returns how many of them are well framed.
+// check consumes bytes and returns how many of them are well framed.
 func (v *frameValidator) check(b []byte) (int, error) {
 	for i := 0; i < len(b); {
 		if v.state == bulkBytes {
@@ -63,7 +62,7 @@
 	return len(b), nil
 }
 
-// step moves on by one byte outside a bulk's own bytes; it returns false if that byte must not come.
+// step consumes one byte that is not part of a bulk's content; it returns false if the byte is invalid here.
 func (v *frameValidator) step(c byte) bool {
 	v.size++
 	switch v.state {
@@ -75,7 +74,7 @@
 			v.state, v.partsLeft = arrayLF, v.value
 			return v.value > 0
 		}
-		return v.number(c, v.maxParts)
+		return v.appendDigit(c, v.maxParts)
 	case arrayLF, bulkEnd:
 		v.state = wantBulk
 		if v.partsLeft == 0 {
@@ -93,7 +92,7 @@
 			v.size += v.value
 			return v.hasDigit && v.size <= v.maxFrameBytes
 		}
-		return v.number(c, v.maxBulkBytes)
+		return v.appendDigit(c, v.maxBulkBytes)
 	case bulkLF:
 		v.state = bulkBytes
 		if v.value == 0 {
@@ -106,8 +105,9 @@
 	}
 }
 
-// number adds a digit to the number that is being read; it returns false beyond the maximum.
-func (v *frameValidator) number(c byte, maximum int) bool {
+// appendDigit appends a digit to the number that is being parsed; it returns false for any other byte, and if the
+// number exceeds the maximum.
+func (v *frameValidator) appendDigit(c byte, maximum int) bool {
 	if c < '0' || c > '9' {
 		return false
 	}
--- a/internal/frontend/resp/frame_validator_test.go
+++ b/internal/frontend/resp/frame_validator_test.go
@@ -16,10 +16,10 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// framingCases are inputs and what of them the validator lets through.
+// framingCases are inputs, the part of each that the validator passes on, and whether it then reports an error.
 var framingCases = []struct {
 	name, in string
-	pass     string // what of it is let through
+	pass     string // the part of the input that is passed on
 	bad      bool
 }{
 
@@ -42,17 +42,17 @@
 
 func TestFrameValidator(t *testing.T) {
 	for _, c := range framingCases {
-		for _, size := range []int{1, 7, 1 << 20} { // fragmented and whole
+		for _, size := range []int{1, 7, 1 << 20} { // in fragments and in one read
 			g := &framedConn{Conn: chunkedConn{strings.NewReader(c.in), size}, validator: frameValidator{maxParts: 8, maxBulkBytes: 8 << 10, maxFrameBytes: 8 << 10}}
 			got, err := io.ReadAll(g)
 			if !strings.HasPrefix(c.in, string(got)) || len(got) != len(c.pass) || errors.Is(err, errFraming) != c.bad {
-				t.Errorf("%s in pieces of %d: passed %.40q, %v; want %.40q, bad %v", c.name, size, got, err, c.pass, c.bad)
+				t.Errorf("%s in reads of %d bytes: passed %.40q, %v; want %.40q, framing error %v", c.name, size, got, err, c.pass, c.bad)
 			}
 		}
 	}
 }
 
-// chunkedConn is a connection that hands out a reader's bytes in small pieces.
+// chunkedConn is a connection that returns at most size bytes of its reader per read.
 type chunkedConn struct {
 	io.Reader
 	size int
@@ -74,16 +74,16 @@
 
 func (chunkedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestRedconNeedsFrameValidator shows what the validator is for; once it fails, redcon has become safer.
+// TestRedconNeedsFrameValidator shows why the validator exists. If it fails, redcon no longer has this fault.
 func TestRedconNeedsFrameValidator(t *testing.T) {
 	defer func() {
 		if recover() == nil {
 			t.Error("redcon no longer panics on a huge length")
 		}
 	}()
-	// The length overflows redcon's index, which passes its test for enough bytes.
+	// The length overflows redcon's index, so that its check for enough bytes passes.
 	_, err := redcon.NewReader(strings.NewReader("*1\r\n$9223372036854775807\r\nab\r\n")).ReadCommand()
-	t.Error("read with", err)
+	t.Error("redcon read the command without a panic, error:", err)
 }
 
 func FuzzFrames(f *testing.F) {
@@ -101,14 +101,14 @@
 					return commands, !strings.Contains(err.Error(), "Protocol")
 				}
 				if commands++; len(cmd.Args) == 0 || len(cmd.Args) > lim.FrameParts {
-					t.Fatalf("%d parts", len(cmd.Args))
+					t.Fatalf("a command of %d parts was passed on", len(cmd.Args))
 				}
 			}
 		}
 		atOnce, framed := read(bytes.NewReader(in))
 		byByte, _ := read(iotest.OneByteReader(bytes.NewReader(in)))
 		if atOnce != byByte || !framed {
-			t.Errorf("%d commands at once, %d byte by byte; framed %v", atOnce, byByte, framed)
+			t.Errorf("%d commands in one read, %d byte by byte, well framed: %v; want equal counts and true", atOnce, byByte, framed)
 		}
 	})
 }
--- a/internal/frontend/resp/framed_conn.go
+++ b/internal/frontend/resp/framed_conn.go
@@ -14,45 +14,44 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// Errors that end the reading of a connection.
+// Errors after which nothing more is read from a connection.
 var (
-	errMessageTimeout = errors.New("a message did not come in time")
-	errReadingStopped = errors.New("the connection is being closed from this side")
+	errMessageTimeout = errors.New("message not received within the timeout")
+	errReadingStopped = errors.New("connection is being closed by this side")
 )
 
-// framedConn is a connection whose reads return well framed data that came in time; after any other they
-// fail.
+// framedConn is a connection whose reads return only well-framed data that arrived in time. Once other data
+// has arrived, or none in time, all reads fail.
 type framedConn struct {
 	net.Conn
 	validator      frameValidator
-	readErr        error         // of all further reads
-	messageTimeout time.Duration // for a message to be complete, and for the first one to come
-	timeoutFrom    time.Time     // when that time began
+	readErr        error         // returned by all further reads
+	messageTimeout time.Duration // until the first message is complete, and from the start to the end of each later one
+	timeoutFrom    time.Time     // start of messageTimeout
 	slot           *connlimit.Slot
-	unadmitted     bool // it has no slot yet
-	finalBytes     int  // that may still be read once reading is to stop
+	unadmitted     bool // the connection holds no slot yet
+	finalBytes     int  // how many bytes may still be read after stopReading
 
-	flushed     atomic.Bool // nothing is left to write on it
-	answersOwed func() bool // whether answers are owed on it; nil: none are, ever
+	flushed    atomic.Bool // all answers are written
+	answersDue func() bool // reports whether answers are still due; nil: never
 
 	mu       sync.Mutex
 	stopping bool
 }
 
-// newFramedConn returns a connection within the limits on messages.
+// newFramedConn returns a connection that enforces the limits on messages.
 func newFramedConn(c net.Conn, lim *limits.Limits) *framedConn {
 	return &framedConn{Conn: c, validator: newFrameValidator(lim), messageTimeout: lim.MessageTimeout, timeoutFrom: time.Now(),
 		finalBytes: lim.RequestsPerConnection * lim.FrameBytes}
 }
 
-// Close closes the connection.
 func (c *framedConn) Close() error {
 	c.flushed.Store(true)
 	return c.Conn.Close()
 }
 
-// stopReading has the connection end from this side once no answer is owed on it; what arrives until then is
-// read, up to finalBytes. It may be called from any goroutine, and more than once.
+// stopReading starts closing the connection from this side: reading ends once no answer is due any more. Data
+// that arrives until then is read, up to finalBytes. It is safe for concurrent use and may be called repeatedly.
 func (c *framedConn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,10 +59,10 @@
 		return
 	}
 	c.stopping = true
-	_ = c.SetReadDeadline(time.Now()) // it wakes the reader; one whose connection is closed is awake
+	_ = c.SetReadDeadline(time.Now()) // wakes the reader; on a closed connection it fails, and no read blocks
 }
 
-// armDeadline sets the time by which the next bytes must come. It returns false if reading is to stop.
+// armDeadline sets the deadline for the next bytes. It returns false if stopReading was called.
 func (c *framedConn) armDeadline(deadline time.Time) (reading bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,20 +72,20 @@
 	return true, c.SetReadDeadline(deadline)
 }
 
-// isStopping reports whether reading is to stop.
+// isStopping reports whether stopReading was called.
 func (c *framedConn) isStopping() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stopping
 }
 
-// Read implements net.Conn. It is called from one goroutine.
+// Read implements net.Conn. It must be called from one goroutine only.
 func (c *framedConn) Read(b []byte) (int, error) {
 	if c.readErr != nil {
 		return 0, c.readErr
 	}
 	complete, begun := c.validator.complete, c.validator.state != wantArray
-	deadline := time.Time{} // between messages a connection may be idle for as long as the front lets it
+	deadline := time.Time{} // none between messages: CloseIdle handles idle connections
 	if begun || complete == 0 {
 		deadline = c.timeoutFrom.Add(c.messageTimeout)
 	}
@@ -99,7 +98,7 @@
 		c.timeoutFrom = time.Now()
 	}
 	if framingErr != nil {
-		c.readErr = framingErr // what came before it is handed on first
+		c.readErr = framingErr // returned after the valid data that came before it
 		if valid == 0 {
 			return 0, framingErr
 		}
@@ -108,7 +107,7 @@
 	return n, err
 }
 
-// readUntil reads what comes by the deadline, or has come if reading is to stop.
+// readUntil reads data that arrives by the deadline, or that has arrived already if stopReading was called.
 func (c *framedConn) readUntil(deadline time.Time, b []byte) (int, error) {
 	reading, err := c.armDeadline(deadline)
 	if err != nil {
@@ -124,7 +123,7 @@
 	if c.isStopping() {
 		return c.readRemaining(b)
 	}
-	// The deadline may have passed while the process was stopped, and what came meanwhile came in time.
+	// The deadline may have passed while the process was stopped: data that arrived meanwhile is in time.
 	n, arrived := gracefulclose.ReadAvailable(c.Conn, b, false)
 	if errors.Is(arrived, gracefulclose.ErrNoData) {
 		return 0, err
@@ -132,16 +131,15 @@
 	return n, arrived
 }
 
-// remainingPollInterval is how often a connection that is to end looks for further bytes while answers are
-// owed on it.
+// remainingPollInterval is how often a closing connection is polled for further bytes while answers are due.
 const remainingPollInterval = 2 * time.Millisecond
 
-// readRemaining reads what arrives on a connection that is to end, up to finalBytes, as long as answers are
-// owed on it. Once none is and nothing has arrived, it ends the sending side: a request that arrives before
-// that is read and answered, whenever the process was stopped.
+// readRemaining reads data that arrives on a closing connection, up to finalBytes, as long as answers are due on
+// it. Once none is due and no data is available, it shuts down the sending side. A request that arrives before
+// that is read and answered, even if the process was stopped in between.
 func (c *framedConn) readRemaining(b []byte) (int, error) {
 	for c.finalBytes > 0 {
-		last := c.answersOwed == nil || !c.answersOwed()
+		last := c.answersDue == nil || !c.answersDue()
 		n, err := gracefulclose.ReadAvailable(c.Conn, b, last)
 		if !errors.Is(err, gracefulclose.ErrNoData) {
 			c.finalBytes -= n
--- a/internal/frontend/resp/framed_conn_test.go
+++ b/internal/frontend/resp/framed_conn_test.go
@@ -16,8 +16,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestArrivedDataIsRead: what has arrived as a connection is closed is read, and what comes later is not.
-func TestArrivedDataIsRead(t *testing.T) {
+// TestDataThatArrivedBeforeStopIsRead checks that data that has arrived by the deadline or by stopReading is read, and that
+// nothing is read afterwards.
+func TestDataThatArrivedBeforeStopIsRead(t *testing.T) {
 	ln := standin.Listen(t)
 	b := standin.Dial(t, ln.Addr().String())
 	c, err := ln.Accept()
@@ -41,29 +42,29 @@
 		return err == nil && there
 	})
 	buf := make([]byte, 4096)
-	g.timeoutFrom = time.Now().Add(-2 * g.messageTimeout) // as if the process had been stopped since before the request came
+	g.timeoutFrom = time.Now().Add(-2 * g.messageTimeout) // as if the process had been stopped since before the request arrived
 	if n, err := g.Read(buf[:10]); err != nil || !strings.HasPrefix(string(buf[:n]), "*5") {
-		t.Errorf("%q, %v past the deadline, want what has arrived", buf[:n], err)
+		t.Errorf("read %q, %v past the deadline, want the data that has arrived", buf[:n], err)
 	}
 	g.stopReading()
 	g.stopReading()
 	if n, err := g.Read(buf); err != nil || !strings.Contains(string(buf[:n]), "body") {
-		t.Errorf("%q, %v, want the rest of the request", buf[:n], err)
+		t.Errorf("read %q, %v after stopReading, want the rest of the request", buf[:n], err)
 	}
 	if n, err := g.Read(buf); n != 0 || !errors.Is(err, errReadingStopped) {
-		t.Errorf("%d bytes, %v, want the end of reading", n, err)
+		t.Errorf("read %d bytes, %v, want errReadingStopped", n, err)
 	}
 	late := &framedConn{Conn: c, validator: newFrameValidator(&lim), messageTimeout: time.Hour, timeoutFrom: time.Now().Add(-2 * time.Hour), finalBytes: lim.FrameBytes}
 	if n, err := late.Read(buf); n != 0 || !errors.Is(err, errMessageTimeout) {
-		t.Errorf("%d bytes, %v where nothing has come by the deadline", n, err)
+		t.Errorf("read %d bytes, %v when nothing has arrived by the deadline, want errMessageTimeout", n, err)
 	}
 	_ = b.Close()
 	g.finalBytes = 1
 	waitFor(t, "the end of the stream is read", func() bool { _, err := g.Read(buf); return errors.Is(err, io.EOF) })
 }
 
-// flakyConn is a connection whose reads and writes fail with transient errors now and then, or do a single
-// byte.
+// flakyConn is a connection whose reads and writes transfer one byte in every third call and fail with a
+// transient error in the others.
 type flakyConn struct {
 	net.Conn
 	in, out []byte
@@ -74,7 +75,7 @@
 
 func (s *flakyConn) SetWriteDeadline(time.Time) error { return nil }
 
-// nextError returns an error for every call but each third.
+// nextError returns nil for every third call and a transient error for the others.
 func (s *flakyConn) nextError() error {
 	if s.calls++; s.calls%3 == 0 {
 		return nil
@@ -102,14 +103,14 @@
 	return 1, nil
 }
 
-// TestTransientErrors: transient errors end no connection: all is read, and all is written.
-func TestTransientErrors(t *testing.T) {
+// TestTransientErrorsDoNotEndConnection checks that transient errors do not end a connection: everything is read and written.
+func TestTransientErrorsDoNotEndConnection(t *testing.T) {
 	lim := limits.For(64, 256)
 	text := standin.Array("PING", "1")
 	s := &flakyConn{in: []byte(text)}
 	g := &framedConn{Conn: s, validator: newFrameValidator(&lim), messageTimeout: time.Hour, timeoutFrom: time.Now()}
 	if got, err := io.ReadAll(g); err != nil || string(got) != text {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("read %q, %v, want the whole health check", got, err)
 	}
 	k := &conn{front: New(Options{Limits: lim, Log: standin.DiscardLogger}), socket: g}
 	if err := k.writeAll([]byte("an answer")); err != nil || string(s.out) != "an answer" {
--- a/internal/frontend/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -1,10 +1,10 @@
-// Package resp is the front for the platform's balancers: it decodes their messages, hands requests to the
-// core and writes its answers, in whatever order they come.
+// Package resp is the front end for the platform's balancers: it decodes their messages, submits requests to
+// the core and writes the core's answers in the order in which they are produced.
 //
-// A listener (listener.go) accepts connections that are within the slots of the front, and a few beyond them
-// (unadmitted.go). framedConn checks the framing of what redcon reads from them, and its timing; conn handles
-// the messages, which wire.go decodes. closing.go says when a connection may be closed, eviction.go what
-// becomes of those that give their slot to another, output.go what of peers that do not read.
+// A listener (listener.go) accepts connections up to the number of slots, and a few beyond it (unadmitted.go).
+// framedConn checks the framing and the timing of the data that redcon reads from a connection; conn handles
+// the messages, which wire.go decodes. closing.go has the rule for closing connections, eviction.go that for
+// connections that lost their slot, output.go that for peers that do not read their answers.
 package resp
 
 import (
@@ -26,52 +26,52 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Core is what the front asks of the node. Its methods must not block.
+// Core is the interface of the node that handles requests. Its methods must not block.
 type Core interface {
-	// Submit takes a request; reply gets its one final answer, unless Cancel comes first.
+	// Submit submits a request; reply is called once with its final answer, unless Cancel is called first.
 	Submit(q node.Request, reply func(node.Response))
-	// Cancel says that nobody waits for a request any more.
+	// Cancel reports that no client waits for the request any more.
 	Cancel(id string)
-	// Abort has a request answered at once, whatever runs.
+	// Abort makes the core answer the request at once, even if it is running.
 	Abort(id string)
-	// RejectionStatus is how to answer a request that can't be submitted, by its class and idempotency key
-	// (empty: none).
+	// RejectionStatus returns the status for a request that can't be submitted, by its class and idempotency
+	// key (empty: none).
 	RejectionStatus(class, key string) node.Status
 }
 
 // NodeStatus is the state of the node that is reported to balancers. Its methods must not block.
 type NodeStatus interface {
-	// LoadSignal is the value that goes with every answer, if there is one yet.
+	// LoadSignal returns the value that is sent with every answer, and whether there is one yet.
 	LoadSignal() (signal float64, set bool)
-	// Healthy is the answer to health checks.
+	// Healthy returns the result of health checks.
 	Healthy() bool
-	// IdleTimeout is how long a connection may be idle before its peer is asked to close it; 0: for ever.
+	// IdleTimeout returns how long a connection may be idle before its peer is asked to close it; 0: no limit.
 	IdleTimeout() time.Duration
 }
 
-// Options are what a front is made of.
+// Options configure a front end.
 type Options struct {
 	Core           Core
 	Status         NodeStatus
 	Runner         node.Runner
 	Classes        map[string]int     // by name
 	Tenants        map[string]int     // by name
-	OnUnknownClass func(class string) // gets each request rejected for a class not in the settings; may be nil
+	OnUnknownClass func(class string) // called for each request rejected because of an unknown class; may be nil
 	Limits         limits.Limits
 	Log            *slog.Logger
-	Timestamps     *clock.Timestamps // reads requests' time stamps; nil: one with the bounds of Limits
+	Timestamps     *clock.Timestamps // converts requests' time stamps; nil: one with the bounds in Limits
 }
 
-// Front serves balancers. Its methods may be called from any goroutine.
+// Front serves balancers. It is safe for concurrent use.
 type Front struct {
 	opts Options
 	log  *lograte.Logger
 
 	slots            *connlimit.Limiter
 	classes          atomic.Pointer[map[string]int] // as of the latest SetClasses
-	pending          atomic.Int64                   // connections accepted and not yet among conns
-	closingListeners atomic.Int64                   // listeners that are to close and may still hand out connections
-	unreadBytes      atomic.Int64                   // of answers that wait for their peers to read
+	pending          atomic.Int64                   // connections that are accepted and not yet in conns
+	closingListeners atomic.Int64                   // listeners that are closing and may still accept connections
+	unreadBytes      atomic.Int64                   // total size of the answers that are queued for slow peers
 	unadmitted       chan struct{}                  // holds one element for each connection without a slot
 	evictions        evictionList
 	closed           chan struct{}
@@ -81,7 +81,7 @@
 	draining bool
 }
 
-// New returns a front that serves nothing yet.
+// New returns a front end that does not serve any listener yet.
 func New(o Options) *Front {
 	lim := &o.Limits
 	if o.Timestamps == nil {
@@ -100,18 +100,18 @@
 	return f
 }
 
-// SetClasses sets the classes by name for requests read from now on. The core must know them first.
+// SetClasses replaces the classes by name for requests read from now on. The core must know them before.
 func (f *Front) SetClasses(classes map[string]int) { f.classes.Store(&classes) }
 
-// SetMaxConnections sets how many connections may hold slots from now on; none is closed for it at once.
+// SetMaxConnections sets the number of connection slots. Connections beyond it are not closed at once.
 func (f *Front) SetMaxConnections(n int) { f.slots.Resize(n) }
 
-// Serve serves what comes in on ln, and blocks until the front is closed.
+// Serve serves the connections of ln, and blocks until the front end is closed.
 func (f *Front) Serve(ln *Listener) error {
 	accept := func(rc redcon.Conn) bool {
 		socket := rc.NetConn().(*framedConn)
 		c := &conn{front: f, socket: socket, slot: socket.slot, openRequests: map[string]string{}, lastUsed: time.Now()}
-		socket.answersOwed = c.answersOwed
+		socket.answersDue = c.answersDue
 		rc.SetContext(c)
 		f.mu.Lock()
 		f.conns[c] = struct{}{}
@@ -121,11 +121,11 @@
 	}
 	handle := func(rc redcon.Conn, cmd redcon.Command) {
 		c := rc.Context().(*conn)
-		c.serve(rc.Detach(), cmd) // answers come out of order, from other goroutines: redcon only reads
+		c.serve(rc.Detach(), cmd) // redcon only reads: answers are written out of order by other goroutines
 	}
 	closed := func(rc redcon.Conn, err error) {
 		if c := rc.Context().(*conn); !c.served {
-			c.endReading(err) // it ended before its first complete message
+			c.endReading(err) // the connection ended before its first complete message
 		}
 	}
 	err := redcon.Serve(ln, handle, accept, closed)
@@ -135,15 +135,15 @@
 	return err
 }
 
-// connections returns the connections that are open now, for a look at each without the front's lock.
+// connections returns a copy of the set of open connections, to be iterated over without the lock.
 func (f *Front) connections() []*conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.conns))
 }
 
-// CloseIdle applies the closing rule (closing.go) to connections that are idle, or to all while draining. It
-// is to be called periodically.
+// CloseIdle applies the closing rule (closing.go) to idle connections, or to all connections while draining.
+// It must be called periodically.
 func (f *Front) CloseIdle() {
 	idleTimeout := f.opts.Status.IdleTimeout()
 	now := time.Now()
@@ -155,9 +155,9 @@
 	}
 }
 
-// RequestClose asks the peer of each connection that was not asked yet to close it, and closes none: while
-// the node drains, balancers learn of it late and may still send on a connection that was asked, and what
-// they send is served until the end.
+// RequestClose asks the peer of every connection to close it, unless it was asked before. It closes no
+// connection itself: balancers learn of a drain late and may still send on a connection that they were asked
+// to close, and those requests are served until the drain ends.
 func (f *Front) RequestClose() {
 	now := time.Now()
 	for _, c := range f.connections() {
@@ -169,7 +169,7 @@
 	}
 }
 
-// StartDrain asks all balancers to send nothing more here.
+// StartDrain asks all balancers to close their connections and to send no new requests to this node.
 func (f *Front) StartDrain() {
 	f.mu.Lock()
 	f.draining = true
@@ -177,9 +177,9 @@
 	f.CloseIdle()
 }
 
-// Shutdown ends all connections from this side, each as soon as all that came on it is answered and written.
-// It blocks until the peers have ended them too, for the timeout at most. A process that ended without it
-// would reset connections with unread data, and lose answers that are on their way.
+// Shutdown closes all connections from this side, each as soon as every message received on it is answered and
+// the answers are written. It blocks until the peers have closed them too, for at most the timeout. If the
+// process exited without it, connections with unread data would be reset and answers in transit lost.
 func (f *Front) Shutdown(timeout time.Duration) {
 	start := time.Now()
 	for {
@@ -193,11 +193,11 @@
 	}
 }
 
-// Close ends Serve and closes all connections, once the listener is closed. It is to be called once.
+// Close makes Serve return and closes all connections, once the listener is closed. It must be called once.
 func (f *Front) Close() { close(f.closed) }
 
-// OpenConnections returns the number of open connections; a listener that is to close and may still hand out
-// some counts as one.
+// OpenConnections returns the number of open connections. A listener that is closing and may still accept
+// connections counts as one.
 func (f *Front) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/frontend/resp/helpers_test.go
+++ b/internal/frontend/resp/helpers_test.go
@@ -52,12 +52,12 @@
 	reply(a)
 }
 
-// statusWithoutIdleTime is a NodeStatus that has idle connections closed at once.
-type statusWithoutIdleTime struct{ fakeStatus }
+// expiredIdleStatus is a NodeStatus whose idle timeout is over at once.
+type expiredIdleStatus struct{ fakeStatus }
 
-func (statusWithoutIdleTime) IdleTimeout() time.Duration { return 1 }
+func (expiredIdleStatus) IdleTimeout() time.Duration { return 1 }
 
-// startFront starts a front on a socket, with limits changed by change (nil: none).
+// startFront starts a front end on a TCP listener, with limits changed by change (nil: unchanged).
 func startFront(t *testing.T, s NodeStatus, change func(*limits.Limits)) (*Front, *fakeCore, *Listener) {
 	t.Helper()
 	lim := limits.For(64, 256)
@@ -73,7 +73,7 @@
 	return f, d, ln
 }
 
-// readToEnd reads what is left of a connection; the test fails if it ends with a reset.
+// readToEnd reads from the connection until its end; the test fails if it ends with a reset.
 func readToEnd(t *testing.T, b *standin.Balancer) string {
 	t.Helper()
 	if err := b.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
@@ -81,7 +81,7 @@
 	}
 	all, err := io.ReadAll(b.Conn)
 	if err != nil {
-		t.Errorf("after %q: %v", all, err)
+		t.Errorf("read %q, then %v, want the end of the stream", all, err)
 	}
 	return string(all)
 }
@@ -90,7 +90,7 @@
 	t.Helper()
 	for end := time.Now().Add(standin.WaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	partialRequest = "*5\r\n$2\r\nDO\r\n$1\r\n7\r\n$4\r\nbook\r\n"
 )
 
-// isIdle reports whether messages were read, no request is open and no answer is to be written.
+// isIdle reports whether messages were read, no request is open and all answers are written.
 func (k *conn) isIdle() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -121,7 +121,7 @@
 
 const validFields = "req=9b1f03aa5c7e2d41,ts=1764576000123,via=4,owner=acme,timeout=480.5,resent=1,ms=12.50,need=24.5,level=0.6250,opkey=5c0f"
 
-// idleConnections connects count balancers, each idle after two health checks, in this order.
+// idleConnections connects count balancers one after the other; each is idle after two health checks.
 func idleConnections(t *testing.T, f *Front, address string, count int) (peers []*standin.Balancer, conns []*conn) {
 	t.Helper()
 	for range count {
@@ -130,7 +130,7 @@
 		b.Read()
 		b.Read()
 		peers = append(peers, b)
-		waitFor(t, "it is idle", func() bool {
+		waitFor(t, "the connection is idle", func() bool {
 			for _, k := range f.connections() {
 				if k.socket.RemoteAddr().String() == b.LocalAddr().String() && k.isIdle() {
 					conns = append(conns, k)
@@ -143,7 +143,7 @@
 	return peers, conns
 }
 
-// wantRejections reads answers from a balancer until its connection ends: one rejection for each tag.
+// wantRejections reads answers until the connection ends and expects one rejection for each tag.
 func wantRejections(t *testing.T, b *standin.Balancer, tags ...string) {
 	t.Helper()
 	open := map[string]bool{}
@@ -158,7 +158,7 @@
 		delete(open, got[0])
 	}
 	if len(open) > 0 {
-		t.Errorf("the connection ended and %d of %d requests have no answer", len(open), len(tags))
+		t.Errorf("the connection ended before %d of %d requests were answered", len(open), len(tags))
 	}
 }
 
--- a/internal/frontend/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -11,37 +11,38 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// Listener hands redcon connections that are within the limits and well framed. Accept never fails for a
-// shortage of descriptors that may pass: redcon would spin on it.
+// Listener provides redcon with connections that are within the limits and checks their framing. Accept does
+// not fail on a temporary shortage of descriptors, since redcon would call it in a busy loop.
 type Listener struct {
 	net.Listener
 	front             *Front
 	shared            bool
 	closing           atomic.Bool
-	quietPeriodPassed bool // nothing came in a quiet period since the last connection; of Accept
+	quietPeriodPassed bool // no connection arrived in a whole quiet period; used by Accept only
 }
 
-// Listen returns what Serve is to serve: ln, which is shared if another process of this node accepts
-// connections from it too.
+// Listen returns a listener for Serve that accepts connections from ln. shared must be set if another process
+// of this node accepts connections from ln too.
 func (f *Front) Listen(ln net.Listener, shared bool) *Listener {
 	return &Listener{Listener: ln, front: f, shared: shared}
 }
 
-// acceptBackoff is the pause before the next attempt after a shortage of what a connection takes.
+// acceptBackoff is the pause before the next attempt after a shortage of the resources that a connection needs.
 const acceptBackoff = 5 * time.Millisecond
 
-// The closing rule of listeners. A listener that closes resets the connections in its accept queue, requests
-// included. So it is closed once nothing waits there and nothing came for one quiet period. That a period is
-// over does not say that there was a look at the queue, as the process may have been stopped, so the queue is
-// looked at then. The queue of a shared listener is left to the other process.
+// The closing rule of listeners. Closing a listener resets the connections in its accept queue, including their
+// requests. A listener is therefore closed only when its accept queue is empty and no connection has arrived
+// for one quiet period. The end of a quiet period alone does not prove that the queue is empty, since the
+// process may have been stopped meanwhile, so the queue is checked again then. The queue of a shared listener
+// is left to the other process.
 
-// quietPeriod is for how long nothing must come before a listener is closed.
+// quietPeriod is how long no connection must have arrived before a listener is closed.
 const quietPeriod = 10 * time.Millisecond
 
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// Close ends the taking of connections. It does not block: the listener closes when its accept queue is
-// empty, a shared one at once.
+// Close stops accepting connections. It does not block: the listener closes when its accept queue is empty, a
+// shared listener at once.
 func (l *Listener) Close() error {
 	if l.closing.CompareAndSwap(false, true) {
 		l.front.closingListeners.Add(1)
@@ -52,13 +53,13 @@
 	return l.Listener.Close()
 }
 
-// closeOnceEmpty applies the closing rule at the end of a quiet period.
-func (l *Listener) closeOnceEmpty() {
+// closeIfQueueEmpty applies the closing rule of listeners at the end of a quiet period.
+func (l *Listener) closeIfQueueEmpty() {
 	d := l.Listener.(deadlineSetter)
 	switch {
 	case gracefulclose.HasPendingConnections(l.Listener, l.quietPeriodPassed):
 		l.quietPeriodPassed = false
-		_ = d.SetDeadline(time.Time{}) // the next Accept takes what waits, however late it runs
+		_ = d.SetDeadline(time.Time{}) // the next Accept takes a queued connection, however late it runs
 	case !l.quietPeriodPassed && d.SetDeadline(time.Now().Add(quietPeriod)) == nil:
 		l.quietPeriodPassed = true
 	default:
@@ -66,15 +67,15 @@
 	}
 }
 
-// extendDeadline notes that something came: a listener that is to close waits for another quiet period.
+// extendDeadline starts a new quiet period on a closing listener, because a connection has arrived.
 func (l *Listener) extendDeadline() {
 	l.quietPeriodPassed = false
 	if d, ok := l.Listener.(deadlineSetter); ok && l.closing.Load() && !l.shared {
-		_ = d.SetDeadline(time.Now().Add(quietPeriod)) // it fails only on a closed listener
+		_ = d.SetDeadline(time.Now().Add(quietPeriod)) // fails only on a closed listener
 	}
 }
 
-// Accept waits for the next connection. Once the listener is closed it blocks until the front is.
+// Accept waits for the next connection. Once the listener is closed, it blocks until the front end is closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		socket, err := l.Listener.Accept()
@@ -83,35 +84,35 @@
 			l.extendDeadline()
 			return l.admit(socket), nil
 		case errors.Is(err, os.ErrDeadlineExceeded) && l.closing.Load():
-			l.closeOnceEmpty()
+			l.closeIfQueueEmpty()
 		case errors.Is(err, net.ErrClosed):
 			if l.closing.Load() {
 				l.front.closingListeners.Add(-1)
 			}
-			// Once this fails redcon closes every connection, open requests or not: not before Close.
+			// When Accept fails, redcon closes all connections, even those with open requests. Wait for Close.
 			<-l.front.closed
 			return nil, err
 		default:
-			l.front.log.Warn("accepting a connection failed; trying again", err)
+			l.front.log.Warn("failed to accept a connection; trying again", err)
 			l.extendDeadline()
-			if sockerr.IsResourceShortage(err) { // else it was that one connection's fault, and others wait
+			if sockerr.IsResourceShortage(err) { // any other error concerns one connection: accept the next at once
 				time.Sleep(acceptBackoff)
 			}
 		}
 	}
 }
 
-// admit acquires a slot for a connection, or has it read without one. It blocks until either can be had.
+// admit acquires a slot for a connection, or accepts it without a slot. It blocks until either is possible.
 func (l *Listener) admit(socket net.Conn) *framedConn {
 	f := l.front
 	c := newFramedConn(socket, &f.opts.Limits)
 	if c.slot = f.slots.NewSlot(func() { f.evict(c) }); !c.slot.AcquireWithinGrace() {
 		f.acceptUnadmitted(c)
 	}
-	// Counted as open until Serve has it among its connections: a process that looked in between would think
-	// itself free to end, and close a connection that a client may have written to. Even while draining it is
-	// served and asked to close like the others: if the listener is shared with the process that comes next,
-	// the client never learns that it reached this one.
+	// The connection counts as open until Serve has added it to conns. Otherwise a process that checked in
+	// between would exit and close a connection that a client may have written to. Connections accepted while
+	// draining are served and asked to close like all others: if the listener is shared with the next process,
+	// the client can't know that it reached this one.
 	f.pending.Add(1)
 	return c
 }
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -10,7 +10,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// gatedListener accepts nothing until the gate is closed as a channel.
+// gatedListener accepts no connection until the gate channel is closed.
 type gatedListener struct {
 	*net.TCPListener
 	gate chan struct{}
@@ -21,9 +21,9 @@
 	return g.TCPListener.Accept()
 }
 
-// TestListenerServesItsQueueBeforeItCloses: connections in the accept queue as the listener is closed
-// are served, with whole requests and halves; then it closes. The front does not count as free before that.
-func TestListenerServesItsQueueBeforeItCloses(t *testing.T) {
+// TestListenerServesAcceptQueueBeforeClosing checks that connections in the accept queue are served before a
+// listener closes, and that the front end reports open connections until then.
+func TestListenerServesAcceptQueueBeforeClosing(t *testing.T) {
 	d := newFakeCore()
 	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	gate := make(chan struct{})
@@ -42,24 +42,24 @@
 		t.Fatal(err)
 	}
 	if f.OpenConnections() == 0 {
-		t.Error("free, with an accept queue that was not looked at")
+		t.Error("no open connections were reported before the accept queue was checked")
 	}
 	close(gate)
 	for _, b := range waiting {
 		if got := b.Read(); len(got) < 2 || got[1] != "GREEN" {
-			t.Fatalf("answer %q", got)
+			t.Fatalf("answer %q, want GREEN", got)
 		}
 		_ = b.Close()
 	}
-	waitFor(t, "free", func() bool { return f.OpenConnections() == 0 })
+	waitFor(t, "no connection is open", func() bool { return f.OpenConnections() == 0 })
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		_ = c.Close()
-		t.Error("the listener is open")
+		t.Error("the listener still accepts connections")
 	}
 }
 
-// TestSharedListenerClosesAtOnce: the connections in a shared listener's accept queue are left to the other
-// process.
+// TestSharedListenerClosesAtOnce checks that connections in a shared listener's accept queue are left to the
+// other process.
 func TestSharedListenerClosesAtOnce(t *testing.T) {
 	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	gate := make(chan struct{})
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := net.FileListener(own) // as another process has it
+	other, err := net.FileListener(own) // stands for the listener of another process
 	_ = own.Close()
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 	b.Send("x")
 	_ = ln.Close()
 	close(gate)
-	waitFor(t, "free", func() bool { return f.OpenConnections() == 0 })
+	waitFor(t, "no connection is open", func() bool { return f.OpenConnections() == 0 })
 	c, err := other.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 	}
 }
 
-// pausedListener pauses for longer than quietPeriod before each look at its queue.
+// pausedListener pauses for longer than quietPeriod before each accept.
 type pausedListener struct{ *net.TCPListener }
 
 func (s pausedListener) Accept() (net.Conn, error) {
@@ -100,9 +100,9 @@
 	return s.TCPListener.Accept()
 }
 
-// TestListenerClosesOnlyWithEmptyQueue: the process stands still twice while its listener is about to close,
-// and connections with requests wait in the accept queue. The listener must not close because a quiet period
-// is over by the clock, without a look at the queue: that would reset them.
+// TestListenerClosesOnlyWithEmptyQueue: the process is paused before each accept while its listener is closing
+// and connections with requests wait in the accept queue. If the listener closed only because the quiet period
+// is over, without checking the queue, those connections would be reset.
 func TestListenerClosesOnlyWithEmptyQueue(t *testing.T) {
 	d := newFakeCore()
 	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
@@ -120,13 +120,13 @@
 	}
 	for i, b := range waiting {
 		if got := b.Read(); len(got) < 2 || got[1] != "GREEN" {
-			t.Fatalf("connection %d: %q, want an answer", i, got)
+			t.Fatalf("connection %d: answer %q, want GREEN", i, got)
 		}
 		_ = b.Close()
 	}
-	waitFor(t, "free", func() bool { return f.OpenConnections() == 0 })
+	waitFor(t, "no connection is open", func() bool { return f.OpenConnections() == 0 })
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		_ = c.Close()
-		t.Error("the listener is open")
+		t.Error("the listener still accepts connections")
 	}
 }
--- a/internal/frontend/resp/output.go
+++ b/internal/frontend/resp/output.go
@@ -8,9 +8,9 @@
 	"sloehitch/internal/platform/sockerr"
 )
 
-// enqueueAnswer queues an answer; closesRequest says that it is the final one of the open request with its
-// tag, and it is dropped if that was canceled meanwhile. It never blocks: a peer that does not read holds up
-// nobody else, and one that leaves too much unread is aborted.
+// enqueueAnswer queues an answer. closesRequest marks it as the final answer to the open request with its tag;
+// it is dropped if that request was canceled meanwhile. enqueueAnswer never blocks, so that a peer that does
+// not read delays nobody else; a connection with too many unread bytes is aborted.
 func (c *conn) enqueueAnswer(tag, word string, fields, body []byte, closesRequest bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,7 +25,7 @@
 	c.slot.SetState(c.slotState())
 }
 
-// enqueue adds an answer to the output and sees to it that it is written; the caller holds mu.
+// enqueue appends an answer to the output and starts a flush if none is running; the caller holds mu.
 func (c *conn) enqueue(tag, word string, fields, body []byte) {
 	if c.writeEnded {
 		return
@@ -43,13 +43,13 @@
 	}
 }
 
-// sharedBacklogDivisor is the part of limits.UnreadAnswerBytes that a connection may leave unread while all
-// of them exceed limits.TotalUnreadAnswerBytes: one in so many.
+// sharedBacklogDivisor sets the share of limits.UnreadAnswerBytes that a connection may leave unread while all
+// connections together exceed limits.TotalUnreadAnswerBytes: 1/sharedBacklogDivisor.
 const sharedBacklogDivisor = 16
 
-// backlogExceeded is the rule for peers that do not read: a connection is aborted if the answers that it
-// leaves unread exceed limits.UnreadAnswerBytes bytes, or a sixteenth of that while those of all connections
-// together exceed limits.TotalUnreadAnswerBytes bytes.
+// backlogExceeded applies the rule for peers that do not read: a connection is aborted if its unread answers
+// exceed limits.UnreadAnswerBytes bytes, or a sixteenth of that while the unread answers of all connections
+// exceed limits.TotalUnreadAnswerBytes bytes.
 func (f *Front) backlogExceeded(unread int) bool {
 	lim := &f.opts.Limits
 	if unread > lim.UnreadAnswerBytes {
@@ -58,7 +58,7 @@
 	return unread > lim.UnreadAnswerBytes/sharedBacklogDivisor && f.unreadBytes.Load() > int64(lim.TotalUnreadAnswerBytes)
 }
 
-// flush writes what is queued.
+// flush writes the queued answers until none is left.
 func (c *conn) flush() {
 	var batch []byte
 	for {
@@ -81,7 +81,7 @@
 	}
 }
 
-// writeAll writes all of b. A peer may read as slowly as it likes, as long as it reads something within each
+// writeAll writes all of b. A peer may read slowly, as long as it reads at least one byte within each
 // limits.WriteTimeout.
 func (c *conn) writeAll(b []byte) error {
 	timeout := c.front.opts.Limits.WriteTimeout
@@ -96,7 +96,7 @@
 		case err == nil, n > 0 && errors.Is(err, os.ErrDeadlineExceeded):
 			progressAt = time.Now()
 		case sockerr.IsTransient(err) && time.Since(progressAt) < timeout:
-			time.Sleep(sockerr.RetryDelay) // the connection works, and an answer is owed on it
+			time.Sleep(sockerr.RetryDelay) // the connection still works, and its answers are due
 		default:
 			return err
 		}
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// abort closes the socket now; the reader notices and cancels the open requests. The caller holds mu.
+// abort closes the socket at once; the reader then fails and cancels the open requests. The caller holds mu.
 func (c *conn) abort() {
 	c.front.opts.Log.Debug("aborting a connection", "peer", c.socket.RemoteAddr(), "unread", len(c.output), "open", len(c.openRequests))
 	c.writeEnded, c.peerGone = true, true
@@ -112,7 +112,7 @@
 	_ = c.socket.Close()
 }
 
-// discardOutput drops what is queued; the caller holds mu.
+// discardOutput drops the queued answers; the caller holds mu.
 func (c *conn) discardOutput() {
 	c.front.unreadBytes.Add(-int64(len(c.output)))
 	c.output = nil
--- a/internal/frontend/resp/output_test.go
+++ b/internal/frontend/resp/output_test.go
@@ -13,11 +13,11 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// slowPeer is a connection whose peer reads three bytes of each write.
+// slowPeer is a connection whose peer accepts three bytes of each write.
 type slowPeer struct {
 	net.Conn
 	got     []byte
-	blocked int // it reads nothing while this is above 0
+	blocked int // the peer accepts nothing while this is above 0
 }
 
 func (s *slowPeer) SetWriteDeadline(time.Time) error { return nil }
@@ -34,21 +34,22 @@
 	return n, nil
 }
 
-// TestSlowReader: a peer that reads slowly gets all of its answer; one that reads nothing is given up.
-func TestSlowReader(t *testing.T) {
+// TestSlowReaderReceivesWholeAnswer checks that a peer that reads slowly receives its whole answer, and that writing to a peer that
+// reads nothing fails.
+func TestSlowReaderReceivesWholeAnswer(t *testing.T) {
 	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	peer := &slowPeer{}
 	k := &conn{front: f, socket: &framedConn{Conn: peer}}
 	if err := k.writeAll([]byte("an answer of some length")); err != nil || string(peer.got) != "an answer of some length" {
-		t.Errorf("%q, %v", peer.got, err)
+		t.Errorf("a slow peer received %q, %v, want the whole answer", peer.got, err)
 	}
 	peer.blocked = 1
 	if err := k.writeAll([]byte("more")); err == nil {
-		t.Error("a peer that reads nothing is waited for")
+		t.Error("no error from writing to a peer that reads nothing")
 	}
 }
 
-// TestUnreadAnswersAreBounded: the unread answers of each peer are bounded, and those of all peers together.
+// TestUnreadAnswersAreBounded checks the limits on unread answers per connection and of all connections.
 func TestUnreadAnswersAreBounded(t *testing.T) {
 	lim := limits.For(64, 256)
 	lim.TotalUnreadAnswerBytes = 1 << 20
@@ -57,7 +58,7 @@
 	limit := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
 	var conns []*conn
 	for range peers {
-		ours, theirs := net.Pipe() // it buffers nothing
+		ours, theirs := net.Pipe() // unbuffered
 		t.Cleanup(func() { _ = theirs.Close() })
 		conns = append(conns, &conn{front: f, socket: &framedConn{Conn: ours}, slot: f.slots.Acquire(func() {}), openRequests: map[string]string{}})
 	}
@@ -66,7 +67,7 @@
 		for _, k := range conns {
 			k.enqueueAnswer("1", "ACK", nil, body, false)
 			if peak = max(peak, f.unreadBytes.Load()); peak > limit {
-				t.Fatalf("%d bytes are unread, %d at most", peak, limit)
+				t.Fatalf("%d bytes are unread, want at most %d", peak, limit)
 			}
 		}
 	}
@@ -76,15 +77,15 @@
 		k.mu.Unlock()
 	}
 	if peak <= int64(lim.TotalUnreadAnswerBytes) {
-		t.Errorf("%d bytes were unread at most: the bound of %d was not reached", peak, lim.TotalUnreadAnswerBytes)
+		t.Errorf("the test did not reach the total limit: %d bytes were unread, the limit is %d", peak, lim.TotalUnreadAnswerBytes)
 	}
-	waitFor(t, "nothing is unread any more", func() bool { return f.unreadBytes.Load() == 0 })
+	waitFor(t, "no bytes are unread", func() bool { return f.unreadBytes.Load() == 0 })
 }
 
-// narrowListener accepts connections with a small send buffer.
-type narrowListener struct{ *net.TCPListener }
+// smallBufferListener accepts connections with a small send buffer.
+type smallBufferListener struct{ *net.TCPListener }
 
-func (n narrowListener) Accept() (net.Conn, error) {
+func (n smallBufferListener) Accept() (net.Conn, error) {
 	c, err := n.AcceptTCP()
 	if err == nil {
 		err = c.SetWriteBuffer(4 << 10)
@@ -92,17 +93,17 @@
 	return c, err
 }
 
-// TestFloodOfUnreadAnswers: many peers ask and do not read. What waits for them stays within the bound for
-// all, and a peer that reads gets its answers.
-func TestFloodOfUnreadAnswers(t *testing.T) {
+// TestUnreadAnswersOfManyPeersStayBounded: many peers send health checks and do not read the answers. The unread answers must
+// stay within the total limit, and a peer that reads must receive its answers.
+func TestUnreadAnswersOfManyPeersStayBounded(t *testing.T) {
 	lim := limits.For(64, 256)
 	lim.TotalUnreadAnswerBytes, lim.WriteTimeout = 128<<10, time.Hour
 	d := newFakeCore()
 	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.DiscardLogger})
-	ln := f.Listen(narrowListener{standin.Listen(t).(*net.TCPListener)}, false)
+	ln := f.Listen(smallBufferListener{standin.Listen(t).(*net.TCPListener)}, false)
 	go func() { _ = f.Serve(ln) }()
 	t.Cleanup(f.Close)
-	good := standin.Dial(t, ln.Addr().String())
+	readingPeer := standin.Dial(t, ln.Addr().String())
 	const peers = 12
 	limit := int64(lim.TotalUnreadAnswerBytes + peers*lim.UnreadAnswerBytes/sharedBacklogDivisor)
 	var flooding sync.WaitGroup
@@ -114,23 +115,23 @@
 		flooding.Go(func() {
 			flood := []byte(strings.Repeat(standin.Array("PING", "1"), 1024))
 			_ = b.SetWriteDeadline(time.Now().Add(standin.WaitTimeout))
-			for range 40 { // 1 MB of answers, unless it is aborted before
+			for range 40 { // 1 MB of answers, unless the connection is aborted before
 				if _, err := b.Write(flood); err != nil {
 					return
 				}
 				if n := f.unreadBytes.Load(); n > limit {
-					t.Errorf("%d bytes are unread, %d at most", n, limit)
+					t.Errorf("%d bytes are unread, want at most %d", n, limit)
 				}
 			}
 		})
 	}
 	flooding.Wait()
-	waitFor(t, "the bound of all holds", func() bool { return f.unreadBytes.Load() <= limit })
-	good.Do(7, "book", testRequestID, time.Now(), "body", "")
+	waitFor(t, "the total limit holds", func() bool { return f.unreadBytes.Load() <= limit })
+	readingPeer.Do(7, "book", testRequestID, time.Now(), "body", "")
 	<-d.submitted
 	d.answer(testRequestID, node.Response{Status: node.StatusServed, Result: []byte("r")})
-	if got := good.Read(); len(got) < 2 || got[1] != "ACK" {
-		t.Errorf("answer %q", got)
+	if got := readingPeer.Read(); len(got) < 2 || got[1] != "ACK" {
+		t.Errorf("answer %q to a peer that reads, want ACK", got)
 	}
 	f.Shutdown(0)
 	f.mu.Lock()
@@ -138,5 +139,5 @@
 		_ = k.socket.Close()
 	}
 	f.mu.Unlock()
-	waitFor(t, "nothing is unread any more", func() bool { return f.unreadBytes.Load() == 0 && f.OpenConnections() == 0 })
+	waitFor(t, "no bytes are unread and no connection is open", func() bool { return f.unreadBytes.Load() == 0 && f.OpenConnections() == 0 })
 }
--- a/internal/frontend/resp/unadmitted.go
+++ b/internal/frontend/resp/unadmitted.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// The rule for new connections without a slot. Closed at once, a connection would take a request along that
-// has arrived; read only once it has a slot, the request would be late. So up to limits.UnadmittedConnections
-// connections without a slot are read at once; further ones wait for their turn to be accepted.
+// The rule for new connections without a slot. If such a connection were closed at once, a request that has
+// arrived on it would be lost; if it were read only once it has a slot, the request would be late. So up to
+// limits.UnadmittedConnections connections without a slot are read at once; others wait to be accepted.
 //
-//   - The first message must come within limits.NewConnectionGrace.
-//   - A connection whose message has come waits for a slot for limits.IdleConnectionGrace, after which one of
-//     those that were just used may be evicted; if its caller says how long it waits, for an eighth of that
-//     at most.
-//   - Without a slot by then the request is rejected, all that has arrived behind it too, and the connection
-//     ends.
+//   - The first message must arrive within limits.NewConnectionGrace.
+//   - After its first message, the connection waits for a slot for limits.IdleConnectionGrace, by when a
+//     connection that was just used can be evicted. If the caller gives a timeout, it waits for at most an
+//     eighth of that.
+//   - If it has no slot by then, the request and all messages that have arrived after it are rejected, and the
+//     connection is closed.
 
-// slotWaitDivisor is the part of its caller's timeout that a request may wait for a slot: one in so many.
+// slotWaitDivisor sets the share of the caller's timeout for which a request may wait for a slot:
+// 1/slotWaitDivisor.
 const slotWaitDivisor = 8
 
-// acceptUnadmitted has a connection without a slot read. It blocks while too many are there.
+// acceptUnadmitted accepts a connection without a slot for reading. It blocks while there are too many.
 func (f *Front) acceptUnadmitted(c *framedConn) {
-	f.opts.Log.Debug("no free slot for a new connection", "peer", c.RemoteAddr())
+	f.opts.Log.Debug("accepting a connection without a free slot", "peer", c.RemoteAddr())
 	f.unadmitted <- struct{}{}
 	c.unadmitted = true
 	c.messageTimeout, c.timeoutFrom = f.opts.Limits.NewConnectionGrace, time.Now()
 }
 
-// waitForSlot blocks until a connection without a slot has one, and returns false if it gets none in time.
-// requestTimeout is for how long the caller of its message waits; 0: not given.
+// waitForSlot blocks until the connection has acquired a slot, and returns false if it gets none in time.
+// requestTimeout is how long the caller waits for its answer; 0: not given.
 func (c *conn) waitForSlot(requestTimeout time.Duration) bool {
 	lim := &c.front.opts.Limits
 	wait := lim.IdleConnectionGrace
--- a/internal/frontend/resp/unadmitted_test.go
+++ b/internal/frontend/resp/unadmitted_test.go
@@ -11,10 +11,10 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestNewConnectionsWithoutSlot: all slots are held by active connections, and more connections come with a
-// request than may be there without a slot. Each request is answered: rejected, or failed if its key has run.
-// A connection that sends nothing is closed, and those with slots are served.
-func TestNewConnectionsWithoutSlot(t *testing.T) {
+// TestRequestsOnConnectionsWithoutSlotAreAnswered: all slots are held by active connections, and more new connections with a
+// request arrive than may be open without a slot. Every request must be answered: rejected, or failed if an
+// attempt with its key has run. A connection that sends nothing is closed, and those with slots are served.
+func TestRequestsOnConnectionsWithoutSlotAreAnswered(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections, l.UnadmittedConnections = 2, 2 })
 	var busy []*standin.Balancer
 	for i := range 2 {
@@ -36,16 +36,16 @@
 		go func() {
 			defer answers.Done()
 			if got := b.Read(); len(got) < 2 || got[0] != "7" || got[1] != want {
-				t.Errorf("connection %d: %q, want %s", i, got, want)
+				t.Errorf("connection %d: answer %q, want %s", i, got, want)
 			}
 			if got := b.Read(); got != nil {
-				t.Errorf("connection %d: %q behind its answer, want the end", i, got)
+				t.Errorf("connection %d: %q after its answer, want the end of the connection", i, got)
 			}
 			_ = b.Close()
 		}()
 	}
 	if got := silent.Read(); got != nil {
-		t.Errorf("%q to a silent connection", got)
+		t.Errorf("a connection that sent nothing received %q, want its end", got)
 	}
 	answers.Wait()
 	if len(d.submitted) > 0 {
@@ -54,15 +54,15 @@
 	for i, b := range busy {
 		d.answer(fmt.Sprintf("%016x", i), node.Response{Status: node.StatusServed})
 		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
-			t.Errorf("with a slot: %q", got)
+			t.Errorf("answer %q on a connection with a slot, want ACK", got)
 		}
 	}
 	waitFor(t, "no connection is without a slot", func() bool { return len(f.unadmitted) == 0 })
 }
 
-// TestWaitForSlotIsBoundedByCallerTimeout: all slots are held by connections that were just used and keep
-// them for long. New ones are read at once, and rejected in time for callers with a short timeout; one whose
-// caller gives none gets the first free slot.
+// TestWaitForSlotIsBoundedByCallerTimeout: all slots are held by connections that were just used and keep them
+// for a long time. Requests on new connections are rejected in time if their callers give a short timeout; one
+// whose caller gives none gets the first slot that becomes free.
 func TestWaitForSlotIsBoundedByCallerTimeout(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
 		l.MaxConnections, l.UnadmittedConnections, l.IdleConnectionGrace = 2, 2, time.Hour
@@ -75,8 +75,8 @@
 		b.Read()
 		idle = append(idle, b)
 	}
-	patient := standin.Dial(t, ln.Addr().String())
-	patient.Do(7, "book", testRequestID, time.Now(), "body", "")
+	withoutTimeout := standin.Dial(t, ln.Addr().String())
+	withoutTimeout.Do(7, "book", testRequestID, time.Now(), "body", "")
 	for range 3 {
 		b := standin.Dial(t, ln.Addr().String())
 		b.Do(7, "book", testRequestID, time.Now(), "body", ",timeout=160")
@@ -86,25 +86,25 @@
 		_ = b.Close()
 	}
 	if len(d.submitted) > 0 {
-		t.Fatal("submitted without a slot")
+		t.Fatal("a request without a slot was submitted")
 	}
-	waitFor(t, "only the patient connection waits", func() bool { return len(f.unadmitted) == 1 })
+	waitFor(t, "only the connection without a timeout waits", func() bool { return len(f.unadmitted) == 1 })
 	_ = idle[0].Close()
 	select {
 	case <-d.submitted:
 	case <-time.After(standin.WaitTimeout):
-		t.Fatal("not submitted though a slot is free")
+		t.Fatal("the waiting request was not submitted though a slot is free")
 	}
 	d.answer(testRequestID, node.Response{Status: node.StatusServed})
-	if got := patient.Read(); len(got) < 2 || got[1] != "ACK" {
-		t.Errorf("%q, want the answer", got)
+	if got := withoutTimeout.Read(); len(got) < 2 || got[1] != "ACK" {
+		t.Errorf("answer %q, want ACK", got)
 	}
 	waitFor(t, "no connection is without a slot", func() bool { return len(f.unadmitted) == 0 })
 }
 
-// TestPipelinedRequestsWithoutSlot: all that was written on a connection without a slot by the time that its
-// first request is rejected is answered as well.
-func TestPipelinedRequestsWithoutSlot(t *testing.T) {
+// TestPipelinedRequestsWithoutSlotAreAnswered checks that all messages that have arrived on a connection without a slot by
+// the time its first request is rejected are answered.
+func TestPipelinedRequestsWithoutSlotAreAnswered(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections = 1 })
 	busy := standin.Dial(t, ln.Addr().String())
 	busy.Do(7, "book", testRequestID, time.Now(), "body", "")
--- a/internal/frontend/resp/wire.go
+++ b/internal/frontend/resp/wire.go
@@ -13,50 +13,50 @@
 	"sloehitch/internal/node"
 )
 
-// The balancers' protocol: RESP arrays of bulk strings. Nothing outside this file knows its words and field
-// names.
+// The balancers' protocol consists of RESP arrays of bulk strings. Its words and field names are used in this
+// file only.
 
 // message is one array from a balancer: *submitMessage, *cancelMessage, *pingMessage or *unknownMessage.
 type message interface{ messageTag() string }
 
-// tag names a request or a health check on its connection; the answer carries the same.
+// tag identifies a request or a health check on its connection; the answer carries the same tag.
 type tag string
 
 func (t tag) messageTag() string { return string(t) }
 
-// submitMessage asks for a request to be served.
+// submitMessage submits a request.
 type submitMessage struct {
 	tag
 	class          string
 	requestID      string
 	tenant         string        // empty: none
 	idempotencyKey string        // empty: none
-	subject        string        // what a read is about; not used
-	arrivedAt      time.Time     // at the machine, by the sender's wall clock
-	balancer       int           // its number
-	timeout        time.Duration // for which the balancer waits from arrivedAt; 0: not given
-	retry          bool          // it is a retry or a hedged request
-	workHint       time.Duration // on one core
-	memoryKB       float64       // that the request counts with while it is held
-	priorityRank   float64       // from 0 to under 1
+	subject        string        // the subject of a read; not used
+	arrivedAt      time.Time     // at the balancer, by its wall clock
+	balancer       int           // the balancer's number
+	timeout        time.Duration // how long the balancer waits, counted from arrivedAt; 0: not given
+	retry          bool          // a retry or a hedged request
+	workHint       time.Duration // expected run time on one core
+	memoryKB       float64       // memory accounted for the request while it is held
+	priorityRank   float64       // 0 <= rank < 1
 	body           []byte
 }
 
-// cancelMessage says that the balancer waits no longer for a request.
+// cancelMessage cancels a request for which the balancer no longer waits.
 type cancelMessage struct{ tag }
 
 // pingMessage is a health check.
 type pingMessage struct{ tag }
 
-// unknownMessage has a tag, so that it can be answered, and comes with an error.
+// unknownMessage is a message that the protocol does not define. It has a tag, so that it can be answered.
 type unknownMessage struct{ tag }
 
-// errNoTag is returned for a message that no answer can name.
-var errNoTag = errors.New("the message has no valid tag")
+// errNoTag is returned for a message without a valid tag, which can't be answered.
+var errNoTag = errors.New("message has no valid tag")
 
-// decodeMessage decodes an array. If it returns an error and a message, an answer can still name the message;
-// a submitMessage has the fields then that were read before the error. It returns errNoTag and nil if no
-// answer can.
+// decodeMessage decodes an array. If it returns a message with an error, the message has a valid tag and can be
+// answered; a submitMessage then has the fields that were decoded before the error. It returns nil and errNoTag
+// if the message has no valid tag.
 func decodeMessage(args [][]byte, maxBody, maxFields int) (message, error) {
 	if len(args) < 2 {
 		return nil, errNoTag
@@ -73,10 +73,10 @@
 	case verb == "PING" && len(args) <= 3:
 		return &pingMessage{t}, nil
 	}
-	return &unknownMessage{t}, fmt.Errorf("unknown message %.20q of %d parts", verb, len(args))
+	return &unknownMessage{t}, fmt.Errorf("unknown message %.20q with %d parts", verb, len(args))
 }
 
-// valid accepts decimal numbers from 1 up.
+// valid reports whether the tag is a decimal number of 1 or more without leading zeros.
 func (t tag) valid() bool {
 	n, err := strconv.ParseUint(string(t), 10, 63)
 	return err == nil && n > 0 && t[0] != '0'
@@ -86,26 +86,26 @@
 	m := &submitMessage{tag: t}
 	switch {
 	case len(args) < 4 || len(args) > 5 || len(args[2]) == 0:
-		return m, fmt.Errorf("request of %d parts", len(args))
+		return m, fmt.Errorf("malformed submit message: empty class, or %d parts instead of 4 or 5", len(args))
 	case len(args[3]) > maxFields:
-		return m, errors.New("field list too long")
+		return m, errors.New("submit message: the field list exceeds the size limit")
 	}
 	m.class = string(args[2])
 	if len(args) == 5 {
 		m.body = args[4]
 	}
 	if len(m.body) > maxBody {
-		return m, errors.New("body too long")
+		return m, errors.New("submit message: the body exceeds the size limit")
 	}
 	return m, m.decodeFields(string(args[3]))
 }
 
-// decodeFields decodes a list of name=value pairs; names that are not known are ignored.
+// decodeFields decodes a comma-separated list of name=value pairs; unknown names are ignored.
 func (m *submitMessage) decodeFields(list string) error {
 	for pair := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return fmt.Errorf("bad field %.40q", pair)
+			return fmt.Errorf("malformed field %.40q: not name=value", pair)
 		}
 		decode, known := fieldDecoders[name]
 		if !known {
@@ -116,12 +116,12 @@
 		}
 	}
 	if m.requestID == "" || m.arrivedAt.IsZero() || m.memoryKB == 0 {
-		return errors.New("req, ts or need is missing")
+		return errors.New("submit message lacks one of the fields req, ts and need")
 	}
 	return nil
 }
 
-// Bounds of fields. Those named "under" are the least values that are too large.
+// Bounds of fields. Those named "Under" are exclusive.
 const (
 	requestIDLength = 16      // hex digits
 	maxKeyLength    = 64      // bytes
@@ -134,7 +134,7 @@
 	hexDigits       = "0123456789abcdefABCDEF"
 )
 
-// fieldDecoders decode the fields of a request by their names.
+// fieldDecoders maps the name of each field of a request to its decoder.
 var fieldDecoders = map[string]func(m *submitMessage, value string) error{
 	"req":     (*submitMessage).decodeRequestID,
 	"ts":      (*submitMessage).decodeTimestamp,
@@ -160,7 +160,7 @@
 func (m *submitMessage) decodeTimestamp(value string) error {
 	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || ms <= 0 || ms > maxTimestamp {
-		return fmt.Errorf("bad time %.40q", value)
+		return fmt.Errorf("invalid time stamp %.40q", value)
 	}
 	m.arrivedAt = time.UnixMilli(ms)
 	return nil
@@ -174,7 +174,7 @@
 
 func (m *submitMessage) decodeTimeout(value string) error {
 	ms, err := decodeNumber(value, timeoutUnder)
-	// A timeout of 0 is over as the message comes; without the minimum it would say that none was given.
+	// A timeout of 0 has expired on arrival; without this minimum it would mean that none was given.
 	m.timeout = max(time.Microsecond, milliseconds(ms))
 	return err
 }
@@ -194,7 +194,7 @@
 
 func (m *submitMessage) decodeMemory(value string) (err error) {
 	if m.memoryKB, err = decodeNumber(value, memoryUnder); err == nil && m.memoryKB == 0 {
-		err = errors.New("0")
+		err = errors.New("0 is not allowed")
 	}
 	return err
 }
@@ -206,7 +206,7 @@
 
 func (m *submitMessage) decodeKey(value string) error {
 	if value == "" || len(value) > maxKeyLength {
-		return fmt.Errorf("bad key %.40q", value)
+		return fmt.Errorf("invalid idempotency key %.40q: not 1 to 64 bytes", value)
 	}
 	m.idempotencyKey = value
 	return nil
@@ -214,11 +214,11 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// decodeNumber reads a number from 0 up to just under the given one.
+// decodeNumber parses a number v with 0 <= v < under.
 func decodeNumber(value string, under float64) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(v) || v < 0 || v >= under {
-		return 0, fmt.Errorf("bad number %.40q", value)
+		return 0, fmt.Errorf("invalid or out-of-range number %.40q", value)
 	}
 	return v, nil
 }
@@ -227,7 +227,7 @@
 const (
 	wordHealthy   = "GREEN"
 	wordUnhealthy = "RED"
-	wordClose     = "FIN" // under closeTag: no new request is to come on the connection
+	wordClose     = "FIN" // sent with closeTag: asks the peer to send no new request on the connection
 	closeTag      = "0"
 )
 
@@ -250,14 +250,14 @@
 	return output
 }
 
-// appendLoadSignal appends the field that goes with every answer once the node has a load signal.
+// appendLoadSignal appends the field that is sent with every answer once the node has a load signal.
 func appendLoadSignal(fields []byte, signal float64) []byte {
 	return strconv.AppendFloat(appendFieldName(fields, "signal"), signal, 'f', 4, 64)
 }
 
-// appendRejection appends the fields of a rejection. Retry-After goes out in whole milliseconds, rounded up:
-// a caller that came back earlier would be rejected again. Only a rejection says it, as an answer of any
-// other kind does not have the caller come back.
+// appendRejection appends the fields of a rejection; other answers have none, since their caller does not
+// retry. Retry-After is sent in whole milliseconds, rounded up: a caller that retried earlier would be rejected
+// again.
 func appendRejection(fields []byte, r node.Response) []byte {
 	if r.Status != node.StatusRejected {
 		return fields
