--- a/internal/frontend/resp/closing_test.go
+++ b/internal/frontend/resp/closing_test.go
@@ -95,9 +95,9 @@
 	waitFor(t, "the connection is closed", func() bool { return f.OpenConnections() == 0 })
 }
 
-// TestShutdownDeliversAllAnswers checks that all answers arrive and the connections end without a reset: an idle one, one with a
-// partial message, one with a late answer and one without any message. Shutdown returns when all have ended, or
-// after its timeout.
+// TestShutdownDeliversAllAnswers checks that all answers arrive and the connections end without a reset: an idle one,
+// one with a partial message, one with a late answer and one without any message. Shutdown returns when all have
+// ended, or after its timeout.
 func TestShutdownDeliversAllAnswers(t *testing.T) {
 	f, d, ln := startFront(t, fakeStatus{}, nil)
 	idleConn, partial, late, silent := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
--- a/internal/frontend/resp/eviction_test.go
+++ b/internal/frontend/resp/eviction_test.go
@@ -46,8 +46,8 @@
 	waitFor(t, "the first evicted connection is closed", func() bool { _, err := peers[0].Write([]byte("x")); return err != nil })
 }
 
-// TestSimultaneousEvictionsRejectArrivedRequests: more connections are evicted at once than may wait for their peers, and a request has
-// just arrived on each. Every request must be rejected before its connection is closed.
+// TestSimultaneousEvictionsRejectArrivedRequests: more connections are evicted at once than may wait for their peers,
+// and a request has just arrived on each. Every request must be rejected before its connection is closed.
 func TestSimultaneousEvictionsRejectArrivedRequests(t *testing.T) {
 	const conns = 6
 	for attempt := range 30 {
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestRequestIsRejectedAfterPauseLongerThanCloseTimeout checks that a request on an evicted connection is still read and rejected if
-// the process pauses for longer than CloseTimeout just after the eviction.
+// TestRequestIsRejectedAfterPauseLongerThanCloseTimeout checks that a request on an evicted connection is still read
+// and rejected if the process pauses for longer than CloseTimeout just after the eviction.
 func TestRequestIsRejectedAfterPauseLongerThanCloseTimeout(t *testing.T) {
 	f, _, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.CloseTimeout = time.Millisecond })
 	peers, all := idleConnections(t, f, ln.Addr().String(), 1)
--- a/internal/frontend/resp/output_test.go
+++ b/internal/frontend/resp/output_test.go
@@ -34,8 +34,8 @@
 	return n, nil
 }
 
-// TestSlowReaderReceivesWholeAnswer checks that a peer that reads slowly receives its whole answer, and that writing to a peer that
-// reads nothing fails.
+// TestSlowReaderReceivesWholeAnswer checks that a peer that reads slowly receives its whole answer, and that writing
+// to a peer that reads nothing fails.
 func TestSlowReaderReceivesWholeAnswer(t *testing.T) {
 	f := New(Options{Core: newFakeCore(), Status: fakeStatus{}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	peer := &slowPeer{}
