--- a/internal/backend/catalogue/client.go
+++ b/internal/backend/catalogue/client.go
@@ -1,4 +1,4 @@
-// Package catalogue makes the runtime's calls to the catalogue.
+// Package catalogue is a client of the catalogue service, for the calls that runs request.
 package catalogue
 
 import (
@@ -10,16 +10,16 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Client makes calls. Its methods may be called from any goroutine and do not block; a call's ReplyFunc is
-// called once, without the client's lock.
+// Client makes calls to the catalogue. It is safe for concurrent use, and its methods do not block. A call's ReplyFunc
+// is called once, without the client's lock.
 type Client struct {
 	limits limits.Limits
 	log    *lograte.Logger
 
 	mu          sync.Mutex
 	address     string
-	calls       map[string]*call // in flight, by their request
-	connections []*conn          // open or being opened, the most recently opened last
+	calls       map[string]*call // calls in flight, by request id
+	connections []*conn          // open or being opened, in the order of opening
 	idleTimer   *time.Timer
 }
 
@@ -28,7 +28,7 @@
 	return &Client{address: address, limits: l, log: lograte.New(log, l.LogInterval), calls: map[string]*call{}}
 }
 
-// SetAddress makes all calls from now on at another address. Calls in flight end where they were made.
+// SetAddress sets the address for new calls. Calls in flight complete on their connections to the old address.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,9 +36,9 @@
 	c.closeIdle()
 }
 
-// Call makes a call for a request; an earlier one for it is canceled and never reported. once says that it
-// must not be made again if it may have run. It waits for the reply for the timeout and
-// limits.CallTimeoutSlack: the catalogue answers within the timeout where it can.
+// Call makes a call for a request. An earlier call for the same request is canceled, and its ReplyFunc is not called.
+// once marks a call that must not be repeated if it may have run. The call fails if no reply arrives within timeout
+// plus limits.CallTimeoutSlack; the catalogue itself answers within the timeout where it can.
 func (c *Client) Call(id string, timeout time.Duration, body []byte, once bool, done ReplyFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 	k.connection.enqueue(k)
 }
 
-// Cancel gives up a request's call, which is never reported then.
+// Cancel cancels a request's call; its ReplyFunc is not called.
 func (c *Client) Cancel(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,13 +61,13 @@
 	}
 }
 
-// cancel gives up a call; the caller holds mu.
+// cancel cancels a call; the caller holds mu.
 func (c *Client) cancel(k *call) {
 	c.remove(k)
 	k.connection.cancel(k)
 }
 
-// remove takes a call that is over off the tables; the caller holds mu.
+// remove removes a call that has ended from the client and its connection; the caller holds mu.
 func (c *Client) remove(k *call) {
 	k.timer.Stop()
 	delete(k.connection.calls, k.id)
@@ -78,7 +78,7 @@
 	c.closeIdle()
 }
 
-// expire ends a call that got no reply in its time, and closes the connection that owes it.
+// expire ends a call that got no reply in time, and closes its connection.
 func (c *Client) expire(k *call) {
 	c.mu.Lock()
 	if c.calls[k.id] != k {
@@ -92,7 +92,7 @@
 	failCalls(lost)
 }
 
-// Close closes all connections. Calls in flight end as those of a broken connection do.
+// Close closes all connections. Calls in flight end as on a broken connection.
 func (c *Client) Close() {
 	c.mu.Lock()
 	var lost []*call
--- a/internal/backend/catalogue/client_test.go
+++ b/internal/backend/catalogue/client_test.go
@@ -40,24 +40,24 @@
 	} {
 		id, o, n, err := parseReply(c.line, 4096)
 		if (err == nil) != c.ok || err == nil && (id != c.id || o != c.o || n != c.length) {
-			t.Errorf("%q: %q %v %d %v", c.line, id, o, n, err)
+			t.Errorf("%q: parsed as id %q, outcome %v, length %d, error %v", c.line, id, o, n, err)
 		}
 	}
 }
 
-// TestEncode: the bytes of each message.
-func TestEncode(t *testing.T) {
+// TestEncodeCallAndCancel checks the encoding of each message.
+func TestEncodeCallAndCancel(t *testing.T) {
 	call := string(encodeCall("9b1f", 250*time.Millisecond, []byte("a\nb"))) + string(encodeCall("9b1f", time.Microsecond, nil))
 	if want := "FETCH 9b1f 250 3\r\na\nb\r\nFETCH 9b1f 1 0\r\n\r\n"; call != want {
-		t.Errorf("%q, want %q", call, want)
+		t.Errorf("encoded calls %q, want %q", call, want)
 	}
 	if got := string(appendCancel([]byte("x"), "9b1f")); got != "xQUIT 9b1f\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("encoded cancellation %q, want it appended", got)
 	}
 }
 
-// catalogueServer stands in for the catalogue: it writes what reply returns for a call, and closes the
-// connection on "break".
+// catalogueServer starts a catalogue that writes what reply returns for each call, and closes the connection if that
+// is "break". It returns its address.
 func catalogueServer(t *testing.T, reply func(id, body string) string) string {
 	ln := standin.Listen(t)
 	go func() {
@@ -138,13 +138,14 @@
 		})
 		r := <-got
 		if r.o != c.want || r.o.NeverRan() != c.neverRan || c.want == logic.OutcomeOK && r.reply != "a\nb" {
-			t.Errorf("%q: %v %q, want %v", c.body, r.o, r.reply, c.want)
+			t.Errorf("%q: outcome %v, reply %q, want %v", c.body, r.o, r.reply, c.want)
 		}
 		client.Close()
 	}
 }
 
-// TestIdleConnectionIsClosed: a call sent on a connection that the catalogue is closing would prove nothing.
+// TestIdleConnectionIsClosed checks that the client closes an idle connection. If the catalogue closed it first, a
+// call sent at the same time would fail without proof that it did not run.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	ln := standin.Listen(t)
 	lim := limits.For(64, 256)
@@ -163,36 +164,37 @@
 		t.Fatal(err)
 	}
 	if o := <-done; o != logic.OutcomeRejected {
-		t.Errorf("outcome %v", o)
+		t.Errorf("outcome %v, want OutcomeRejected", o)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(conn); err != nil {
-		t.Errorf("not closed: %v", err)
+		t.Errorf("the idle connection was not closed: %v", err)
 	}
 }
 
-type ended struct {
+type callResult struct {
 	o     admission.Outcome
 	reply string
 }
 
-// begin makes a call and returns a channel that gets its outcome.
-func begin(c *Client, id, body string) <-chan ended {
-	got := make(chan ended, 2)
-	c.Call(id, time.Minute, []byte(body), false, func(o admission.Outcome, _ time.Duration, reply []byte) { got <- ended{o, string(reply)} })
+// startCall makes a call and returns a channel that receives its outcome.
+func startCall(c *Client, id, body string) <-chan callResult {
+	got := make(chan callResult, 2)
+	c.Call(id, time.Minute, []byte(body), false, func(o admission.Outcome, _ time.Duration, reply []byte) { got <- callResult{o, string(reply)} })
 	return got
 }
 
-// TestMalformedReplyCostsOneCall: other calls in flight go on, and copies and replies to no call are ignored.
-func TestMalformedReplyCostsOneCall(t *testing.T) {
-	hold := make(chan struct{})
+// TestMalformedReplyFailsOnlyItsCall checks that a malformed reply fails its own call only, and that duplicate replies and
+// replies to unknown calls are ignored.
+func TestMalformedReplyFailsOnlyItsCall(t *testing.T) {
+	release := make(chan struct{})
 	address := catalogueServer(t, func(id, body string) string {
 		fine := id + " DATA 2\r\nok\r\n"
 		switch body {
 		case "held":
-			<-hold
+			<-release
 		case "twice":
 			return fine + fine
 		case "more":
@@ -209,44 +211,44 @@
 	lim.ReplyTimeout = 30 * time.Millisecond
 	client := New(address, lim, standin.DiscardLogger)
 	defer client.Close()
-	held := begin(client, "a", "held")
+	held := startCall(client, "a", "held")
 	for i, c := range []struct {
 		body string
-		want ended
+		want callResult
 	}{
-		{"\x00\x01?\r\n", ended{o: logic.OutcomeReset}},
-		{"ID DATA 3000000000\r\nxxxx", ended{o: logic.OutcomeReset}},
-		{"ID DATA 9\r\nok\r\n", ended{o: logic.OutcomeReset}},     // the rest never comes
-		{"ID DATA 1\r\nok\r\n", ended{o: logic.OutcomeReset}},     // more than it said
-		{"ID DATA", ended{o: logic.OutcomeReset}},                 // a line that does not end
-		{strings.Repeat("x", 9000), ended{o: logic.OutcomeReset}}, // and one that goes on
-		{"break", ended{o: logic.OutcomeReset}},
-		{"more", ended{logic.OutcomeOK, "ok"}},
-		{"twice", ended{logic.OutcomeOK, "ok"}},
-		{"fine", ended{logic.OutcomeOK, "ok"}},
+		{"\x00\x01?\r\n", callResult{o: logic.OutcomeReset}},
+		{"ID DATA 3000000000\r\nxxxx", callResult{o: logic.OutcomeReset}},
+		{"ID DATA 9\r\nok\r\n", callResult{o: logic.OutcomeReset}},     // body shorter than announced
+		{"ID DATA 1\r\nok\r\n", callResult{o: logic.OutcomeReset}},     // body longer than announced
+		{"ID DATA", callResult{o: logic.OutcomeReset}},                 // incomplete line
+		{strings.Repeat("x", 9000), callResult{o: logic.OutcomeReset}}, // line longer than the buffer
+		{"break", callResult{o: logic.OutcomeReset}},
+		{"more", callResult{logic.OutcomeOK, "ok"}},
+		{"twice", callResult{logic.OutcomeOK, "ok"}},
+		{"fine", callResult{logic.OutcomeOK, "ok"}},
 	} {
-		if got := <-begin(client, fmt.Sprint("b", i), c.body); got != c.want {
+		if got := <-startCall(client, fmt.Sprint("b", i), c.body); got != c.want {
 			t.Errorf("%.30q: %v, want %v", c.body, got, c.want)
 		}
 	}
-	<-begin(client, "c", "twice")
-	if got := <-begin(client, "c", "second"); got.reply != "new" {
-		t.Errorf("the copy of a reply answered the request's next call: %v", got)
+	<-startCall(client, "c", "twice")
+	if got := <-startCall(client, "c", "second"); got.reply != "new" {
+		t.Errorf("the duplicate of a reply answered the request's next call: %v", got)
 	}
-	close(hold)
-	if got := <-held; got != (ended{logic.OutcomeOK, "ok"}) {
-		t.Errorf("a call in flight all the while: %v", got)
+	close(release)
+	if got := <-held; got != (callResult{logic.OutcomeOK, "ok"}) {
+		t.Errorf("the call that was in flight throughout ended with %v", got)
 	}
 }
 
-// TestSetAddress: calls in flight end where they were made, and new ones go to the new address, however many
-// there are.
-func TestSetAddress(t *testing.T) {
-	hold := make(chan struct{})
+// TestSetAddressKeepsCallsInFlight checks that calls in flight complete at the old address and new ones are made at
+// the new address, even with all connections in use.
+func TestSetAddressKeepsCallsInFlight(t *testing.T) {
+	release := make(chan struct{})
 	var addresses [2]string
 	for i := range addresses {
 		addresses[i] = catalogueServer(t, func(id, body string) string {
-			<-hold
+			<-release
 			return fmt.Sprintf("%s DATA 1\r\n%d\r\n", id, i)
 		})
 	}
@@ -254,26 +256,26 @@
 	lim.CatalogueConnections = 2
 	client := New(addresses[0], lim, standin.DiscardLogger)
 	defer client.Close()
-	var calls []<-chan ended
+	var calls []<-chan callResult
 	for i := range 10 {
 		if i == 5 {
 			client.SetAddress(addresses[1])
 		}
-		calls = append(calls, begin(client, fmt.Sprint("a", i), ""))
+		calls = append(calls, startCall(client, fmt.Sprint("a", i), ""))
 	}
 	if n := len(client.connections); n > 4 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections are open, want at most 4", n)
 	}
-	close(hold)
+	close(release)
 	for i, c := range calls {
 		if got := <-c; got.o != logic.OutcomeOK || got.reply != fmt.Sprint(i/5) {
-			t.Errorf("call %d: %v", i, got)
+			t.Errorf("call %d ended with %v, want a reply from the address it was made at", i, got)
 		}
 	}
 }
 
-// TestSetAddressWithPartialReply: a reply that was half read as the address changed is read to its end; of a
-// call whose connection breaks then it is not known whether it ran.
+// TestSetAddressWithPartialReply checks that a reply of which a part was read before the address changed is read
+// completely, and that a call whose connection breaks then ends with OutcomeReset.
 func TestSetAddressWithPartialReply(t *testing.T) {
 	old, next := standin.Listen(t), standin.Listen(t)
 	client := New(old.Addr().String(), limits.For(64, 256), standin.DiscardLogger)
@@ -286,7 +288,7 @@
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 		in := bufio.NewReader(conn)
-		for range 2 { // the line and the body
+		for range 2 { // the call's line and its body
 			line, err := in.ReadString('\n')
 			if err != nil || !strings.HasPrefix(line, "FETCH "+id) && line != "body\r\n" {
 				t.Fatalf("%q, %v", line, err)
@@ -294,9 +296,9 @@
 		}
 		return conn
 	}
-	complete := begin(client, "a", "body")
+	complete := startCall(client, "a", "body")
 	first := acceptCall(old, "a")
-	broken := begin(client, "b", "body")
+	broken := startCall(client, "b", "body")
 	second := acceptCall(old, "b")
 	for conn, id := range map[net.Conn]string{first: "a", second: "b"} {
 		if _, err := io.WriteString(conn, id+" DATA 5\r\nre"); err != nil {
@@ -304,37 +306,37 @@
 		}
 	}
 	client.SetAddress(next.Addr().String())
-	after := begin(client, "c", "body")
+	after := startCall(client, "c", "body")
 	third := acceptCall(next, "c")
 	_ = second.Close()
 	if got := <-broken; got.o != logic.OutcomeReset {
-		t.Errorf("broken off: %+v", got)
+		t.Errorf("call on a broken connection: %+v, want OutcomeReset", got)
 	}
 	for _, piece := range []string{"p", "ly\r", "\n"} {
 		if _, err := io.WriteString(first, piece); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := <-complete; got != (ended{logic.OutcomeOK, "reply"}) {
-		t.Errorf("half read at the move: %+v", got)
+	if got := <-complete; got != (callResult{logic.OutcomeOK, "reply"}) {
+		t.Errorf("call with a partial reply when the address changed: %+v", got)
 	}
 	if _, err := io.WriteString(third, "c DATA 3\r\nnew\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-after; got != (ended{logic.OutcomeOK, "new"}) {
-		t.Errorf("at the new address: %+v", got)
+	if got := <-after; got != (callResult{logic.OutcomeOK, "new"}) {
+		t.Errorf("call at the new address: %+v", got)
 	}
 	if err := first.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := io.ReadAll(first); err != nil || len(rest) > 0 {
-		t.Errorf("the old address was left with %q, %v", rest, err)
+		t.Errorf("the connection to the old address carried %q, %v, want only its end", rest, err)
 	}
 }
 
-// TestCancelRacesReply: a call is canceled as its reply comes. Whichever is first, a reply never reaches the
-// request's next call.
-func TestCancelRacesReply(t *testing.T) {
+// TestReplyOfCanceledCallIsNotTakenForTheNext checks that if a call is canceled while its reply arrives, the reply is
+// never taken for that to the request's next call.
+func TestReplyOfCanceledCallIsNotTakenForTheNext(t *testing.T) {
 	ln := standin.Listen(t)
 	client := New(ln.Addr().String(), limits.For(64, 256), standin.DiscardLogger)
 	defer client.Close()
@@ -348,15 +350,15 @@
 		}
 	}()
 	for i := range 200 {
-		first := begin(client, "a", "first")
+		first := startCall(client, "a", "first")
 		client.Cancel("a")
-		second := begin(client, "a", "second")
-		if got := <-second; got != (ended{logic.OutcomeOK, "second"}) {
+		second := startCall(client, "a", "second")
+		if got := <-second; got != (callResult{logic.OutcomeOK, "second"}) {
 			t.Fatalf("attempt %d: %+v", i, got)
 		}
-		if len(first) > 0 { // its reply was first
-			if got := <-first; got != (ended{logic.OutcomeOK, "first"}) {
-				t.Fatalf("attempt %d: canceled, and ended with %+v", i, got)
+		if len(first) > 0 { // the reply arrived before the cancellation
+			if got := <-first; got != (callResult{logic.OutcomeOK, "first"}) {
+				t.Fatalf("attempt %d: the canceled call ended with %+v", i, got)
 			}
 		}
 	}
--- a/internal/backend/catalogue/conn.go
+++ b/internal/backend/catalogue/conn.go
@@ -13,9 +13,9 @@
 	address        string
 	socket         net.Conn // nil until it is open
 	calls          map[string]*call
-	queue          []*call // not handed to the socket yet
-	pendingCancels []byte  // encoded cancellations, not written yet
-	lastRequest    string  // the request whose call ended last here
+	queue          []*call // not yet written to the socket
+	pendingCancels []byte  // encoded cancellations that are not yet written
+	lastRequest    string  // the request whose call was the last to end on this connection
 	lastUsed       time.Time
 	writing        bool
 	closed         bool
@@ -28,7 +28,7 @@
 	cn.startWriter()
 }
 
-// cancel tells the catalogue that nobody waits for a call, if that was sent; the caller holds mu.
+// cancel sends a cancellation if the call was sent, and otherwise removes it from the queue; the caller holds mu.
 func (cn *conn) cancel(k *call) {
 	if k.sent {
 		cn.pendingCancels = appendCancel(cn.pendingCancels, k.id)
@@ -43,7 +43,7 @@
 	}
 }
 
-// startWriter has the queue written, once the connection is open; the caller holds mu.
+// startWriter starts writing the queue if the connection is open; the caller holds mu.
 func (cn *conn) startWriter() {
 	if cn.socket != nil && !cn.writing && !cn.closed {
 		cn.writing = true
@@ -57,9 +57,9 @@
 	socket, err := net.DialTimeout("tcp", cn.address, c.limits.DialTimeout)
 	c.mu.Lock()
 	if err != nil {
-		lost := c.closeConnection(cn) // nothing was sent: each call is known not to have run
+		lost := c.closeConnection(cn) // nothing was sent, so none of its calls has run
 		c.mu.Unlock()
-		c.log.Warn("connection to the catalogue failed; its calls did not run", err)
+		c.log.Warn("cannot connect to the catalogue; the connection's calls did not run", err)
 		failCalls(lost)
 		return
 	}
@@ -71,7 +71,7 @@
 	cn.readLoop(socket)
 }
 
-// writeLoop writes what is queued until nothing is left.
+// writeLoop writes queued calls and cancellations until none is left.
 func (cn *conn) writeLoop() {
 	c := cn.client
 	for {
@@ -84,13 +84,13 @@
 			_, err = cn.socket.Write(batch)
 		}
 		if err != nil {
-			_ = cn.socket.Close() // the reader notices
+			_ = cn.socket.Close() // makes the reader fail
 		}
 	}
 }
 
-// takeBatch returns what is queued, and marks its calls as sent; nil if nothing is, or the connection is
-// closed.
+// takeBatch returns the queued cancellations and calls, and marks the calls as sent. It returns nil if the queue is
+// empty or the connection is closed.
 func (cn *conn) takeBatch() []byte {
 	cn.client.mu.Lock()
 	defer cn.client.mu.Unlock()
@@ -109,8 +109,8 @@
 	return batch
 }
 
-// readLoop takes replies until the connection ends or a malformed reply comes, after which nothing on it can
-// be told apart.
+// readLoop handles replies until the connection ends or a reply is malformed, after which the next reply can't be
+// located.
 func (cn *conn) readLoop(socket net.Conn) {
 	in := bufio.NewReaderSize(socket, 4<<10)
 	var err error
@@ -123,15 +123,15 @@
 	lost := c.closeConnection(cn)
 	c.mu.Unlock()
 	if len(lost) > 0 {
-		c.log.Warn("connection to the catalogue ended with calls in flight; whether they ran is not known",
-			fmt.Errorf("%d calls, last used %v ago: %w", len(lost), idle, err))
+		c.log.Warn("connection to the catalogue ended with calls in flight, which may have run",
+			fmt.Errorf("%d calls, connection last used %v ago: %w", len(lost), idle, err))
 	}
 	failCalls(lost)
 }
 
-// handleReply reads one reply and ends its call. Once begun, a reply must be complete within
-// limits.ReplyTimeout. One for a call that is not in flight here is dropped: it is a second copy, or its call
-// was canceled.
+// handleReply reads one reply and ends its call. The reply must be complete within limits.ReplyTimeout after its
+// first byte. A reply to a call that is not in flight on this connection is dropped: it is a second copy, or its
+// call was canceled.
 func (cn *conn) handleReply(socket net.Conn, in *bufio.Reader) error {
 	if err := socket.SetReadDeadline(time.Time{}); err != nil {
 		return err
--- a/internal/backend/catalogue/pool.go
+++ b/internal/backend/catalogue/pool.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// The connection rule: a call goes on a connection of its own, the idle one opened last or a new one, while
-// fewer than limits.CatalogueConnections are open, so that a stuck or malformed reply costs one call; beyond
-// that it shares the connection with the fewest calls in flight.
+// The connection rule: while fewer than limits.CatalogueConnections are open, each call gets a connection of its own,
+// either the most recently opened idle one or a new one, so that a stuck or malformed reply affects one call only.
+// Beyond that, a call shares the connection with the fewest calls in flight.
 //
-//   - A call that must not be made twice never goes on an idle connection: that may be dead, and its reset
-//     would not tell whether the call ran.
-//   - A connection whose last call was for the same request is left out, as it may still bring a second copy
+//   - A call that must not be made twice is never made on an idle connection: the connection may be dead, and after
+//     its reset it would be unknown whether the call ran.
+//   - A connection whose last call was for the same request is not used, since it may still deliver a second copy
 //     of that call's reply.
-//   - Idle connections are closed after limits.CatalogueIdleTimeout, before the catalogue does it.
+//   - Idle connections are closed after limits.CatalogueIdleTimeout, before the catalogue closes them.
 
 // pickConnection returns the connection for a request's call; the caller holds mu.
 func (c *Client) pickConnection(id string, once bool) *conn {
-	var least *conn
+	var leastLoaded *conn
 	for i := len(c.connections) - 1; i >= 0; i-- {
 		cn := c.connections[i]
 		if cn.address != c.address || cn.lastRequest == id {
@@ -26,20 +26,20 @@
 		if len(cn.calls) == 0 && !once && time.Since(cn.lastUsed) < c.limits.CatalogueIdleTimeout {
 			return cn
 		}
-		if least == nil || len(cn.calls) < len(least.calls) {
-			least = cn
+		if leastLoaded == nil || len(cn.calls) < len(leastLoaded.calls) {
+			leastLoaded = cn
 		}
 	}
 	if len(c.connections) >= c.limits.CatalogueConnections {
-		if least != nil && len(least.calls) > 0 {
-			return least
+		if leastLoaded != nil && len(leastLoaded.calls) > 0 {
+			return leastLoaded
 		}
 		c.closeOneIdle()
 	}
 	return c.openConnection()
 }
 
-// openConnection adds a connection that is being opened; the caller holds mu.
+// openConnection adds a connection and starts opening it; the caller holds mu.
 func (c *Client) openConnection() *conn {
 	cn := &conn{client: c, address: c.address, calls: map[string]*call{}, lastUsed: time.Now()}
 	c.connections = append(c.connections, cn)
@@ -47,7 +47,8 @@
 	return cn
 }
 
-// closeOneIdle closes the first idle connection, if any, to make room for a new one; the caller holds mu.
+// closeOneIdle closes the idle connection that was opened first, if any, to make room for a new one; the caller
+// holds mu.
 func (c *Client) closeOneIdle() {
 	for _, cn := range c.connections {
 		if len(cn.calls) == 0 {
@@ -57,8 +58,8 @@
 	}
 }
 
-// closeIdle closes connections that have been idle for limits.CatalogueIdleTimeout, and idle ones to a former
-// address. It looks again as long as there are idle ones; the caller holds mu.
+// closeIdle closes connections that have been idle for limits.CatalogueIdleTimeout, and idle ones to a previous
+// address. It schedules another run while idle connections are left; the caller holds mu.
 func (c *Client) closeIdle() {
 	idle := false
 	for i := 0; i < len(c.connections); i++ {
@@ -82,8 +83,8 @@
 	})
 }
 
-// closeConnection closes a connection and returns the calls that were in flight on it; the caller holds mu, and
-// ends them without it.
+// closeConnection closes a connection and returns the calls that were in flight on it. The caller holds mu, and must
+// end those calls after releasing it.
 func (c *Client) closeConnection(cn *conn) (lost []*call) {
 	if i := slices.Index(c.connections, cn); i >= 0 {
 		c.connections = slices.Delete(c.connections, i, i+1)
--- a/internal/backend/catalogue/wire.go
+++ b/internal/backend/catalogue/wire.go
@@ -13,18 +13,18 @@
 	"sloehitch/logic"
 )
 
-// The catalogue's protocol: lines that end in CR LF, and bodies of a length that their line names. Nothing
-// outside this file knows its words.
+// The catalogue's protocol consists of lines that end in CR LF, and bodies whose length is given in their line. Its
+// words are used in this file only.
 
-// encodeCall encodes a call for a request: its id, how long its caller waits in milliseconds, and the body.
+// encodeCall encodes a call for a request: the request's id, the timeout in milliseconds, and the body with its length.
 func encodeCall(id string, timeout time.Duration, body []byte) []byte {
 	return fmt.Appendf(nil, "FETCH %s %d %d\r\n%s\r\n", id, max(1, timeout.Milliseconds()), len(body), body)
 }
 
-// appendCancel appends the message that nobody waits for a request's call any more. It gets no reply.
+// appendCancel appends the message that cancels a request's call. It gets no reply.
 func appendCancel(b []byte, id string) []byte { return fmt.Appendf(b, "QUIT %s\r\n", id) }
 
-// replyOutcomes are the outcomes of calls by the word of their reply.
+// replyOutcomes maps the word of a reply to the outcome of its call.
 var replyOutcomes = map[string]admission.Outcome{
 	"DATA":    logic.OutcomeOK,
 	"LATER":   logic.OutcomeRejected,
@@ -35,18 +35,18 @@
 
 // reply is one reply to a call.
 type reply struct {
-	id      string // of the request
+	id      string // the request's id
 	outcome admission.Outcome
-	body    []byte // of one with OutcomeOK
+	body    []byte // for OutcomeOK only
 }
 
-// errMalformedReply is the error of what is not a reply. Nothing more on its connection can be told apart.
+// errMalformedReply is returned for data that is not a reply. The next reply on the connection can't be located then.
 var errMalformedReply = errors.New("malformed reply")
 
-// readReply reads one reply with its body, which may have maxBody bytes. The error is errMalformedReply or
-// that of the connection.
+// readReply reads one reply with its body, which may have up to maxBody bytes. It returns errMalformedReply or the
+// connection's error.
 func readReply(in *bufio.Reader, maxBody int) (reply, error) {
-	line, err := in.ReadSlice('\n') // a line that does not end fills the buffer, which is an error
+	line, err := in.ReadSlice('\n') // fails if the line is longer than the buffer
 	if err != nil {
 		return reply{}, err
 	}
@@ -59,12 +59,12 @@
 		return reply{}, err
 	}
 	if string(body[length:]) != "\r\n" {
-		return reply{}, fmt.Errorf("%w: its body does not end in CR LF", errMalformedReply)
+		return reply{}, fmt.Errorf("%w: the body does not end in CR LF", errMalformedReply)
 	}
 	return reply{id, outcome, body[:length]}, nil
 }
 
-// parseReply reads a reply's line; length is that of the body in bytes, which follows OutcomeOK alone.
+// parseReply parses a reply's line; length is that of the body in bytes, which follows OutcomeOK only.
 func parseReply(line string, maxBody int) (id string, outcome admission.Outcome, length int, err error) {
 	text, complete := strings.CutSuffix(line, "\r\n")
 	words := strings.Split(text, " ")
@@ -78,7 +78,7 @@
 	if outcome == logic.OutcomeOK {
 		n, err := strconv.ParseUint(words[2], 10, 31)
 		if err != nil || int(n) > maxBody {
-			return "", 0, 0, fmt.Errorf("%w, its length: %.60q", errMalformedReply, line)
+			return "", 0, 0, fmt.Errorf("%w: invalid body length or body too long: %.60q", errMalformedReply, line)
 		}
 		length = int(n)
 	}
--- a/internal/backend/directory/reporter_test.go
+++ b/internal/backend/directory/reporter_test.go
@@ -10,23 +10,24 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// newTestReporter returns a reporter with a short interval.
+// newTestReporter returns a reporter that reports every millisecond.
 func newTestReporter(address string) *Reporter {
 	lim := limits.For(64, 256)
 	lim.ReportInterval = time.Millisecond
 	return New("n3", address, lim, standin.DiscardLogger)
 }
 
-// TestReportIntervalToleratesLoss: a node is removed from the endpoint list 3 s after its last report, and a
-// quarter of the reports are lost. Less than one gap in ten million may last that long.
+// TestReportIntervalToleratesLoss checks that fewer than one in ten million gaps between reports last for 3 s, after
+// which a node is removed from the list of endpoints, if a quarter of the reports are lost.
 func TestReportIntervalToleratesLoss(t *testing.T) {
 	if lost := math.Pow(0.25, math.Floor(3/limits.For(64, 256).ReportInterval.Seconds())); lost > 1e-7 {
-		t.Errorf("%.2g of the gaps between reports last 3 s", lost)
+		t.Errorf("a share of %.2g of the gaps between reports lasts 3 s, want at most 1e-7", lost)
 	}
 }
 
-// TestReporter: reports go on by themselves, and follow the state and the address.
-func TestReporter(t *testing.T) {
+// TestReportsFollowStateAndAddress checks that reports are sent periodically, with the current state and to the
+// current address.
+func TestReportsFollowStateAndAddress(t *testing.T) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,15 +47,15 @@
 		}
 		return string(b[:n])
 	}
-	for range 3 { // it goes on by itself
+	for range 3 { // periodic reports, without a change
 		if got := read(); got != "PULSE n3 open" {
-			t.Errorf("report %q", got)
+			t.Errorf("report %q, want it open", got)
 		}
 	}
 	p.SetClosed(true)
 	for got := read(); got != "PULSE n3 closed"; got = read() {
 		if got != "PULSE n3 open" {
-			t.Fatalf("report %q", got)
+			t.Fatalf("report %q, want it open or closed", got)
 		}
 	}
 	next, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -67,14 +68,14 @@
 		t.Fatal(err)
 	}
 	if _, _, err := next.ReadFrom(make([]byte, 100)); err != nil {
-		t.Error("no report at the new address:", err)
+		t.Error("no report was received at the new address:", err)
 	}
 	close(stop)
 	<-stopped
 }
 
-// TestDirectoryDown: reports go on while the directory is down.
-func TestDirectoryDown(t *testing.T) {
+// TestReportsResumeAfterDirectoryWasDown checks that reports arrive again after the directory was down.
+func TestReportsResumeAfterDirectoryWasDown(t *testing.T) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -87,14 +88,14 @@
 	time.Sleep(20 * time.Millisecond)
 	again, err := net.ListenPacket("udp", address)
 	if err != nil {
-		t.Skip("the port was taken meanwhile")
+		t.Skip("the port was taken by another process")
 	}
 	defer func() { _ = again.Close() }()
 	if err := again.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := again.ReadFrom(make([]byte, 100)); err != nil {
-		t.Error("no report once the directory is back:", err)
+		t.Error("no report was received after the directory was up again:", err)
 	}
 	close(stop)
 	<-stopped
--- a/internal/backend/directory/wire.go
+++ b/internal/backend/directory/wire.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// encodeReport encodes a report: three words in one datagram.
+// encodeReport encodes a report as a datagram of three words.
 func encodeReport(node string, closed bool) []byte {
 	state := "open"
 	if closed {
--- a/internal/backend/runtime/backoff_test.go
+++ b/internal/backend/runtime/backoff_test.go
@@ -25,16 +25,16 @@
 func TestKeepalive(t *testing.T) {
 	k := keepalive{readyTimeout: 5 * time.Second, silenceTimeout: time.Second}
 	if k.readTimeout(false) != 5*time.Second || k.readTimeout(true) != time.Second {
-		t.Error("the wrong timeout")
+		t.Error("wrong read timeout: want 5 s before the runtime is ready and 1 s after")
 	}
 	if k.timedOut(false, false) {
-		t.Error("a runtime that is not ready was asked")
+		t.Error("a probe was sent to a runtime that is not ready")
 	}
 	if !k.timedOut(true, false) || k.timedOut(true, false) {
-		t.Error("a silent runtime is to be asked once")
+		t.Error("a silent runtime must be probed exactly once")
 	}
 	k.received()
 	if !k.timedOut(true, true) || !k.timedOut(true, false) {
-		t.Error("a runtime of which bytes came is to be asked again")
+		t.Error("a runtime that has sent bytes must be probed again")
 	}
 }
--- a/internal/backend/runtime/commands.go
+++ b/internal/backend/runtime/commands.go
@@ -6,10 +6,10 @@
 	"sloehitch/internal/backend/runtime/redelivery"
 )
 
-// queuedCommand is a command that no connection has taken yet.
+// queuedCommand is a command that is not yet written to a connection.
 type queuedCommand struct {
 	line []byte
-	run  *runState // the run that it starts, or lets go on from a call; nil for any other command
+	run  *runState // the run that the command starts, or continues after a call; nil for any other command
 }
 
 // enqueue queues a command; the caller holds mu.
@@ -42,7 +42,7 @@
 	l.enqueueForRun(r, line)
 }
 
-// Start asks for a run. once says that it must not be started twice.
+// Start starts a run. once marks a run that must not be started twice.
 func (l *Link) Start(id, class string, body []byte, once bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,8 +51,8 @@
 	l.runs[id] = r
 }
 
-// Stop pauses a run, or ends one whose request is over. Without a link the command is dropped: the module
-// asks again, and a queue of such commands would grow for as long as the runtime is away.
+// Stop pauses a run, or ends it if its request is over. While the runtime is not ready, the command is dropped:
+// the module sends it again, and the queue would otherwise grow for as long as the runtime is unavailable.
 func (l *Link) Stop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// Resume goes on with a paused run.
+// Resume resumes a paused run.
 func (l *Link) Resume(id string) { l.sendCommand(encodeResume(id)) }
 
 // DeliverReply sends the reply to the call that a run waits for.
@@ -69,13 +69,13 @@
 	l.sendForCall(id, redelivery.Reply, encodeReply(id, reply))
 }
 
-// SkipCall has a run go on without the call that the notice of the given number asked for.
+// SkipCall makes a run continue without the call that the notice of the given number requested.
 func (l *Link) SkipCall(id string, notice uint64) {
 	l.sendForCall(id, redelivery.Omission, encodeSkipCall(id, notice))
 }
 
-// RequestGauges asks for the gauges, which Options.OnGauges gets. Without a link nothing is asked, as nothing
-// could answer.
+// RequestGauges requests the gauges, which are passed to Options.OnGauges. It has no effect while the runtime is
+// not ready, as the request could not be answered.
 func (l *Link) RequestGauges() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/link.go
+++ b/internal/backend/runtime/link.go
@@ -1,9 +1,9 @@
-// Package runtime holds the link to the process that does the work of requests.
+// Package runtime maintains the link to the runtime, the process that executes requests.
 //
-// A Link is one connection at a time, made again for good (reconnect.go, keepalive.go). Commands wait in a
-// queue until the runtime is ready; notices are numbered, and a new connection resumes after the last one
-// that was read. What becomes of a command that was written to a connection that broke is decided by package
-// redelivery. wire.go alone knows the protocol.
+// A Link has one connection at a time and reconnects until it is closed (reconnect.go, keepalive.go). Commands
+// are queued until the runtime is ready. Notices are numbered, and a new connection resumes after the last one
+// that was read. Package redelivery decides whether a command that was written to a broken connection is sent
+// again. The protocol is implemented in wire.go.
 package runtime
 
 import (
@@ -18,31 +18,30 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Events gets what becomes of runs. Its methods are called from the link's goroutine and must not block.
+// Events receives the events of runs. Its methods are called from the link's goroutine and must not block.
 type Events interface {
-	// RunEnded gets a run's end, how long it took and its result.
+	// RunEnded reports that a run has ended, with its outcome, duration and result.
 	RunEnded(id string, o admission.Outcome, took time.Duration, result []byte)
-	// CallRequested gets the call that a run waits for, and the number of the notice that asked for it.
+	// CallRequested reports that a run waits for a call, and the number of the notice that requested it.
 	CallRequested(id string, notice uint64, body []byte)
-	// DeliveryUnconfirmed gets a run whose link broke, and of which nobody can tell whether the runtime read
-	// its start or, if call is not 0, the reply to the call that the notice of that number asked for. Neither
-	// is sent again.
+	// DeliveryUnconfirmed reports that the link broke and it is unknown whether the runtime has read the start of
+	// the run or, if call is not 0, the reply to the call that the notice of that number requested. The command is
+	// not sent again.
 	DeliveryUnconfirmed(id string, call uint64)
 }
 
-// Options are what a link needs.
+// Options configure a link.
 type Options struct {
 	Address    string
 	GaugeNames []string // in the order in which the runtime sends the gauges
-	// OnGauges gets the gauges that RequestGauges asked for. It is called from the link's goroutine and must not
-	// block.
+	// OnGauges receives the gauges that RequestGauges requested. It is called from the link's goroutine and must
+	// not block.
 	OnGauges func(admission.Gauges)
 	Limits   limits.Limits
 	Log      *slog.Logger
 }
 
-// Link is the link to the runtime. Its methods may be called from any goroutine and do not block, but for
-// Serve.
+// Link is the link to the runtime. It is safe for concurrent use, and no method but Serve blocks.
 type Link struct {
 	opts   Options
 	events Events
@@ -51,35 +50,35 @@
 	addressChanged chan struct{}
 
 	mu         sync.Mutex
-	cond       *sync.Cond // the queue, the connection or its state has changed
+	cond       *sync.Cond // signaled when the queue, the connection or its state has changed
 	address    string
 	queue      []queuedCommand
-	runs       map[string]*runState // that were asked for and have not ended
-	generation uint64               // connections made so far
-	conn       net.Conn             // nil between two connections
+	runs       map[string]*runState // that were started by Start and have not ended
+	generation uint64               // number of connections made so far
+	conn       net.Conn             // nil while not connected
 	writable   bool                 // the runtime is ready, and commands may be written
-	switching  bool                 // the address has changed: the connection ends once all that was written is read
+	switching  bool                 // the address has changed: the connection ends once the runtime has read all commands
 	closed     bool
 
 	lastNotice       uint64 // the number of the last notice that was read
-	noticesLost      bool   // the runtime no longer had all notices that came before this connection
-	unreadableNotice bool   // the last connection ended at the notice after lastNotice, which could not be read
+	noticesLost      bool   // the runtime no longer had all notices from before this connection
+	unreadableNotice bool   // the last connection ended at the notice after lastNotice, which could not be decoded
 
-	redeliveryDecided bool // what the last break may have lost was decided on for this connection
-	cleanSwitch       bool // the last connection ended by switching: it lost nothing
+	redeliveryDecided bool // commands that the last connection may have lost were handled on this connection
+	cleanSwitch       bool // the last connection ended by a change of address: no command was lost
 
-	gaugesRequested uint64 // the number of the last request for gauges
-	gaugesReceived  uint64 // and of the last one that was answered
+	gaugesRequested uint64 // the number of the last RequestGauges request
+	gaugesReceived  uint64 // the number of the last RequestGauges request that was answered
 }
 
 // Errors that end a connection.
 var (
-	errAddressChanged = errors.New("the runtime's address has changed")
-	errRuntimeSilent  = errors.New("the runtime sends nothing, though it was asked")
-	errNoticeTooLong  = errors.New("a notice is longer than the limit")
+	errAddressChanged = errors.New("the runtime's address was changed")
+	errRuntimeSilent  = errors.New("the runtime sent no data within the timeout")
+	errNoticeTooLong  = errors.New("notice exceeds the size limit")
 )
 
-// New returns a link that does nothing until Serve.
+// New returns a link that does not connect until Serve is called.
 func New(o Options) *Link {
 	l := &Link{opts: o, address: o.Address, addressChanged: make(chan struct{}, 1), log: lograte.New(o.Log, o.Limits.LogInterval),
 		runs: map[string]*runState{}}
@@ -87,7 +86,7 @@
 	return l
 }
 
-// Serve keeps the link up and blocks until Close. It is to be called once.
+// Serve maintains the connection and blocks until Close is called. It must be called once.
 func (l *Link) Serve(events Events) {
 	l.events = events
 	retry := backoff{initial: l.opts.Limits.MinBackoff, max: l.opts.Limits.MaxBackoff, next: l.opts.Limits.MinBackoff}
@@ -103,7 +102,7 @@
 			return
 		}
 		wait := retry.delay(time.Since(startedAt), moved)
-		l.opts.Log.Info("no link to the runtime; connecting again", "address", address, "error", err, "retry", wait, "moved", moved,
+		l.opts.Log.Info("connection to the runtime ended or failed; reconnecting", "address", address, "error", err, "retry", wait, "moved", moved,
 			"link", l.currentGeneration(), "up", time.Since(startedAt).Round(time.Millisecond), "unacknowledged", l.unacknowledgedRuns())
 		if moved {
 			continue
@@ -118,7 +117,7 @@
 // serveConnection resumes the link on a connection and serves it until it ends.
 func (l *Link) serveConnection(conn net.Conn) error {
 	defer func() { _ = conn.Close() }()
-	lastNotice, err := l.open(conn)
+	lastNotice, err := l.setCurrentConn(conn)
 	if err != nil {
 		return err
 	}
@@ -136,16 +135,16 @@
 	l.cleanSwitch = errors.Is(err, errAddressChanged)
 	l.cond.Broadcast()
 	l.mu.Unlock()
-	// What this connection did not take must stand in the queue again before the next one writes: put back
-	// later, it would follow what was asked for after it, and a reply that was sent again meanwhile would be
-	// given twice.
+	// Commands that were not written must be back in the queue before the next connection writes. Otherwise they
+	// would follow commands that were queued after them, and a reply that was redelivered meanwhile would be sent
+	// twice.
 	_ = conn.Close()
 	<-written
 	return err
 }
 
-// open makes a connection the current one, and returns the number of the last notice that was read.
-func (l *Link) open(conn net.Conn) (lastNotice uint64, err error) {
+// setCurrentConn makes conn the current connection and returns the number of the last notice that was read.
+func (l *Link) setCurrentConn(conn net.Conn) (lastNotice uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -156,8 +155,8 @@
 	return l.lastNotice, nil
 }
 
-// SetAddress takes the link to another address. What is queued from now on goes there; the present connection
-// ends once the runtime has read what was written to it, or after limits.LinkSwitchTimeout.
+// SetAddress moves the link to another address. Commands that are queued from now on are sent there; the current
+// connection ends once the runtime has read all that was written to it, or after limits.LinkSwitchTimeout.
 func (l *Link) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,7 +180,7 @@
 	}
 }
 
-// Close ends the link, and Serve with it.
+// Close closes the link and makes Serve return.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,15 +197,15 @@
 	return l.address
 }
 
-// endState reports whether the link was closed, and whether its address is another one than that of the
-// connection that ended.
+// endState reports whether the link was closed, and whether its address differs from that of the connection that
+// ended.
 func (l *Link) endState(address string) (closed, moved bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed, address != l.address
 }
 
-// currentGeneration returns how many connections there were so far.
+// currentGeneration returns the number of connections made so far.
 func (l *Link) currentGeneration() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/link_test.go
+++ b/internal/backend/runtime/link_test.go
@@ -19,39 +19,39 @@
 	"sloehitch/logic"
 )
 
-type end struct {
-	id     string
-	o      admission.Outcome
-	result string
+type runEnd struct {
+	id      string
+	outcome admission.Outcome
+	result  string
 }
 
-type events struct {
-	ends  chan end
-	wants chan uint64
+type fakeEvents struct {
+	ends  chan runEnd
+	calls chan uint64
 
 	mu          sync.Mutex
 	unconfirmed []unconfirmedCommand
 }
 
-func (e *events) RunEnded(id string, o admission.Outcome, _ time.Duration, result []byte) {
-	e.ends <- end{id, o, string(result)}
+func (e *fakeEvents) RunEnded(id string, o admission.Outcome, _ time.Duration, result []byte) {
+	e.ends <- runEnd{id, o, string(result)}
 }
-func (e *events) DeliveryUnconfirmed(id string, call uint64) {
+func (e *fakeEvents) DeliveryUnconfirmed(id string, call uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.unconfirmed = append(e.unconfirmed, unconfirmedCommand{id, call})
 }
 
-// reported returns the commands that were reported as unconfirmed so far.
-func (e *events) reported() []unconfirmedCommand {
+// reported returns the commands that have been reported as unconfirmed.
+func (e *fakeEvents) reported() []unconfirmedCommand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.unconfirmed)
 }
-func (e *events) CallRequested(_ string, pos uint64, _ []byte) { e.wants <- pos }
+func (e *fakeEvents) CallRequested(_ string, pos uint64, _ []byte) { e.calls <- pos }
 
-func open(t *testing.T, rt *standin.Runtime) (*Link, *events) {
-	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
+func startLink(t *testing.T, rt *standin.Runtime) (*Link, *fakeEvents) {
+	e := &fakeEvents{ends: make(chan runEnd, 16), calls: make(chan uint64, 16)}
 	l := New(Options{Address: rt.Address, GaugeNames: []string{"core_use", "on_cores"}, Limits: limits.For(64, 256),
 		Log: standin.DiscardLogger, OnGauges: func(admission.Gauges) {}})
 	go l.Serve(e)
@@ -66,32 +66,32 @@
 		}
 		return map[string]string{"good": "OK", "bad": "ERROR", "odd": "NEW"}[j.Lane], "r"
 	})
-	l, e := open(t, rt)
+	l, e := startLink(t, rt)
 	for _, c := range []struct {
 		lane string
 		o    admission.Outcome
 	}{{"good", logic.OutcomeOK}, {"bad", logic.OutcomeFailed}, {"odd", logic.OutcomeFailed}} {
 		l.Start(c.lane, c.lane, []byte("a\nb"), true)
-		if got := <-e.ends; got.id != c.lane || got.o != c.o {
+		if got := <-e.ends; got.id != c.lane || got.outcome != c.o {
 			t.Errorf("%s: %+v, want %v", c.lane, got, c.o)
 		}
 	}
 	l.Start("x", "calls", nil, true)
-	<-e.wants
+	<-e.calls
 	l.DeliverReply("x", []byte("reply"))
 	if got := <-e.ends; got.result != "reply" {
-		t.Errorf("result %q, want the reply as it was given", got.result)
+		t.Errorf("result %q, want the reply that was delivered", got.result)
 	}
 }
 
-// TestResume breaks the connection while runs are on: no notice is lost or handled twice, and nothing runs
-// twice.
-func TestResume(t *testing.T) {
-	hold := make(chan struct{})
-	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-hold; return "OK", j.UID })
-	l, e := open(t, rt)
+// TestResumeNeitherLosesNorRepeatsNotices breaks the connection while runs are in progress and checks that no notice
+// is lost or handled twice, and that nothing runs twice.
+func TestResumeNeitherLosesNorRepeatsNotices(t *testing.T) {
+	release := make(chan struct{})
+	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-release; return "OK", j.UID })
+	l, e := startLink(t, rt)
 	if pos := <-rt.Syncs; pos != 0 {
-		t.Errorf("first sync from %d", pos)
+		t.Errorf("the first sync is from %d, want 0", pos)
 	}
 	l.Start("a", "book", []byte("a"), true)
 	l.Start("b", "slot-search", []byte("b"), false)
@@ -99,7 +99,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	rt.Disconnect()
-	close(hold)
+	close(release)
 	<-rt.Syncs
 	l.Start("c", "book", []byte("c"), true)
 	seen := map[string]int{}
@@ -108,7 +108,7 @@
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		if seen[id] != 1 || rt.Runs(id) != 1 {
-			t.Errorf("%s: ended %d times, ran %d times", id, seen[id], rt.Runs(id))
+			t.Errorf("run %s: ended %d times, ran %d times, want once each", id, seen[id], rt.Runs(id))
 		}
 	}
 	rt.Disconnect()
@@ -117,16 +117,16 @@
 	}
 }
 
-// TestLostCommands: what was written and not carried out is sent again only if a second delivery does no
-// harm. The start of a request that is not idempotent, and a reply, are reported as unconfirmed instead;
-// skipping the call then takes the run on, once.
-func TestLostCommands(t *testing.T) {
+// TestLostCommandIsRedeliveredOnlyIfHarmless checks that a command that was written and not carried out is sent again
+// only if a second delivery does no harm. The start of a request that is not idempotent, and a reply, are reported as
+// unconfirmed instead. Skipping the call then makes the run continue, once.
+func TestLostCommandIsRedeliveredOnlyIfHarmless(t *testing.T) {
 	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) {
 		return "OK", string(j.Call("one")) + string(j.Call("two"))
 	})
-	l, e := open(t, rt)
+	l, e := startLink(t, rt)
 	<-rt.Syncs
-	lose := func(command func()) {
+	drop := func(command func()) {
 		n := rt.DropCommands()
 		command()
 		for rt.DroppedCommands() == n {
@@ -142,64 +142,64 @@
 			t.Errorf("unconfirmed %v, want %v", got, want)
 		}
 	}
-	lose(func() { l.Start("k", "book", []byte("k"), true) })
+	drop(func() { l.Start("k", "book", []byte("k"), true) })
 	unconfirmed(unconfirmedStart("k"))
-	lose(func() { l.Start("a", "slot-search", []byte("a"), false) })
-	first := <-e.wants
-	lose(func() { l.DeliverReply("a", []byte("1")) })
+	drop(func() { l.Start("a", "slot-search", []byte("a"), false) })
+	first := <-e.calls
+	drop(func() { l.DeliverReply("a", []byte("1")) })
 	unconfirmed(unconfirmedStart("k"), unconfirmedReply("a", first))
-	lose(func() { l.SkipCall("a", first) })
-	<-e.wants
+	drop(func() { l.SkipCall("a", first) })
+	<-e.calls
 	l.DeliverReply("a", []byte("2"))
 	if got := <-e.ends; got.result != "2" || rt.Runs("a") != 1 {
-		t.Errorf("result %q after %d runs, want the first call skipped and the second answered, once", got.result, rt.Runs("a"))
+		t.Errorf("result %q after %d runs, want one run with the first call skipped and the second answered", got.result, rt.Runs("a"))
 	}
 	if rt.Runs("k") != 0 {
-		t.Error("the start of a request that may run once was sent again")
+		t.Error("the start of a request that is not idempotent was sent again")
 	}
 }
 
 func unconfirmedStart(id string) unconfirmedCommand              { return unconfirmedCommand{id, 0} }
 func unconfirmedReply(id string, call uint64) unconfirmedCommand { return unconfirmedCommand{id, call} }
 
-// requestGauges asks for gauges as if the runtime were ready, and answerGauges takes their echo.
+// requestGauges requests the gauges as if the runtime were ready.
 func requestGauges(l *Link) { l.writable = true; l.RequestGauges(); l.writable = false }
 
+// answerGauges records the echo of the last gauges request.
 func answerGauges(l *Link) {
 	l.recordGaugesReceived(gaugesNotice{echo: strconv.FormatUint(l.gaugesRequested, 10)})
 }
 
-// redeliveryCases are what happened to a command on a connection before it broke, and what is sent again or
-// reported on the next.
+// redeliveryCases are commands on a connection that breaks, and what is sent again or reported on the next one.
 var redeliveryCases = []struct {
 	name        string
 	prepare     func(l *Link)
 	want        string
 	unconfirmed []unconfirmedCommand
 }{
-	{"an idempotent start", func(l *Link) { l.Start("a", "book", nil, false) }, "start", nil},
-	{"an idempotent start that was read", func(l *Link) { l.Start("a", "book", nil, false); requestGauges(l); answerGauges(l) }, "start", nil},
-	{"another start", func(l *Link) { l.Start("a", "book", nil, true) }, "", []unconfirmedCommand{{"a", 0}}},
-	{"another start, with gauges requested after it", func(l *Link) { l.Start("a", "book", nil, true); requestGauges(l) }, "", []unconfirmedCommand{{"a", 0}}},
-	{"another start that was read", func(l *Link) { l.Start("a", "book", nil, true); requestGauges(l); answerGauges(l) }, "", nil},
-	{"a start behind gauges that came", func(l *Link) { requestGauges(l); l.Start("a", "book", nil, true); answerGauges(l) }, "", []unconfirmedCommand{{"a", 0}}},
-	{"a start with a later notice", func(l *Link) { l.Start("a", "book", nil, true); l.recordCall("a", 3) }, "", nil},
-	{"a run that is over", func(l *Link) { l.Start("a", "book", nil, true); l.removeRun("a") }, "", nil},
-	{"a reply", func(l *Link) {
+	{"idempotent start", func(l *Link) { l.Start("a", "book", nil, false) }, "start", nil},
+	{"idempotent start that was read", func(l *Link) { l.Start("a", "book", nil, false); requestGauges(l); answerGauges(l) }, "start", nil},
+	{"non-idempotent start", func(l *Link) { l.Start("a", "book", nil, true) }, "", []unconfirmedCommand{{"a", 0}}},
+	{"non-idempotent start before an unanswered gauges request", func(l *Link) { l.Start("a", "book", nil, true); requestGauges(l) }, "", []unconfirmedCommand{{"a", 0}}},
+	{"non-idempotent start that was read", func(l *Link) { l.Start("a", "book", nil, true); requestGauges(l); answerGauges(l) }, "", nil},
+	{"non-idempotent start after an answered gauges request", func(l *Link) { requestGauges(l); l.Start("a", "book", nil, true); answerGauges(l) }, "", []unconfirmedCommand{{"a", 0}}},
+	{"start followed by a notice of its run", func(l *Link) { l.Start("a", "book", nil, true); l.recordCall("a", 3) }, "", nil},
+	{"start of a run that has ended", func(l *Link) { l.Start("a", "book", nil, true); l.removeRun("a") }, "", nil},
+	{"reply after an answered gauges request", func(l *Link) {
 		l.Start("a", "book", nil, false)
 		l.recordCall("a", 3)
 		requestGauges(l)
 		answerGauges(l)
 		l.DeliverReply("a", nil)
 	}, "", []unconfirmedCommand{{"a", 3}}},
-	{"a reply that was read", func(l *Link) {
+	{"reply that was read", func(l *Link) {
 		l.Start("a", "book", nil, true)
 		l.recordCall("a", 3)
 		l.DeliverReply("a", nil)
 		requestGauges(l)
 		answerGauges(l)
 	}, "", nil},
-	{"a skipped call", func(l *Link) {
+	{"skipped call", func(l *Link) {
 		l.Start("a", "book", nil, true)
 		l.recordCall("a", 3)
 		l.SkipCall("a", 3)
@@ -208,9 +208,9 @@
 	}, "omit", nil},
 }
 
-// TestRedeliveredCommands: what may arrive twice is sent again on the next connection; what may not is
-// reported as unconfirmed, unless an answer shows that it was read.
-func TestRedeliveredCommands(t *testing.T) {
+// TestRedeliveryByKindOfCommand checks that a command that may arrive twice is sent again on the next connection, and
+// that any other is reported as unconfirmed unless an echo proves that it was read.
+func TestRedeliveryByKindOfCommand(t *testing.T) {
 	for _, c := range redeliveryCases {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 		l.generation = 1
@@ -231,27 +231,27 @@
 			t.Errorf("%s: unconfirmed %v, abandoned %v, want %v and none", c.name, r.unconfirmed, r.abandoned, c.unconfirmed)
 		}
 		if again := l.decideRedelivery(); len(again.unconfirmed) > 0 || len(l.queue) > 1 {
-			t.Errorf("%s: decided twice on one link", c.name)
+			t.Errorf("%s: redelivery was decided twice on one connection", c.name)
 		}
 	}
 }
 
-// TestSetAddress: commands in flight when the address changes are carried out once, and notices resume where
-// they were.
-func TestSetAddress(t *testing.T) {
-	hold := make(chan struct{})
-	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-hold; return "OK", j.UID })
-	l, e := open(t, rt)
+// TestSetAddressLosesNoCommand checks that commands in flight during a change of address are carried out once, and
+// that notices resume after the last one that was read.
+func TestSetAddressLosesNoCommand(t *testing.T) {
+	release := make(chan struct{})
+	rt := standin.NewRuntime(t, func(j *standin.Job) (string, string) { <-release; return "OK", j.UID })
+	l, e := startLink(t, rt)
 	<-rt.Syncs
 	l.Start("a", "book", []byte("a"), true)
 	l.SetAddress(rt.ListenAgain(t))
 	l.Start("b", "book", []byte("b"), true)
-	close(hold)
+	close(release)
 	<-rt.Syncs
 	for range 2 {
 		got := <-e.ends
-		if got.o != logic.OutcomeOK || rt.Runs(got.id) != 1 {
-			t.Errorf("%+v, ran %d times", got, rt.Runs(got.id))
+		if got.outcome != logic.OutcomeOK || rt.Runs(got.id) != 1 {
+			t.Errorf("end %+v after %d runs, want OutcomeOK after one", got, rt.Runs(got.id))
 		}
 	}
 	l.SetAddress(rt.ListenAgain(t))
@@ -260,29 +260,29 @@
 	}
 }
 
-func TestMalformedNotices(t *testing.T) {
+func TestMalformedNoticeIsRejected(t *testing.T) {
 	l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	if err := l.handleNotice([]byte(`{"action":"info","pos":1,"code":{"a":[1]},"uid":7}`)); err != nil || l.lastNotice != 1 {
-		t.Errorf("a remark ends the connection: %v", err)
+		t.Errorf("an informational notice was rejected or not counted: %v", err)
 	}
 	for _, line := range []string{"", "{", "[]", `{"action":"wants","pos":1,"content":"%"}`, `{"pos":-1}`} {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger})
-		l.events = &events{}
+		l.events = &fakeEvents{}
 		if l.handleNotice([]byte(line)) == nil {
-			t.Errorf("%q was accepted", line)
+			t.Errorf("malformed notice %q was accepted", line)
 		}
 	}
 }
 
-// TestMessagesFollowTheDescription: each command is valid by the AsyncAPI document, and each notice of that
-// document is handled.
-func TestMessagesFollowTheDescription(t *testing.T) {
+// TestMessagesMatchAsyncAPI checks that each command is valid by the AsyncAPI document, and that each
+// example notice of that document is handled.
+func TestMessagesMatchAsyncAPI(t *testing.T) {
 	messages, err := apispec.Messages(apispec.PlatformAsyncAPI)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger, OnGauges: func(admission.Gauges) {}})
-	e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
+	e := &fakeEvents{ends: make(chan runEnd, 16), calls: make(chan uint64, 16)}
 	l.events, l.writable = e, true
 	l.queue = append(l.queue, queuedCommand{line: encodeSync(7)})
 	l.Start("a", "book", nil, true)
@@ -309,8 +309,8 @@
 			t.Errorf("%s: %v", line, err)
 		}
 	}
-	if len(e.ends) != 1 || len(e.wants) != 1 || l.lastNotice != 3 {
-		t.Errorf("%d ends and %d calls were reported, up to notice %d", len(e.ends), len(e.wants), l.lastNotice)
+	if len(e.ends) != 1 || len(e.calls) != 1 || l.lastNotice != 3 {
+		t.Errorf("%d ends and %d calls were reported, last notice %d; want 1, 1 and 3", len(e.ends), len(e.calls), l.lastNotice)
 	}
 }
 
@@ -319,7 +319,7 @@
 	for _, c := range []struct {
 		written int
 		want    string
-	}{ // a line that lacks only its newline is complete to a reader that meets the end
+	}{ // a line that lacks only its newline is complete to a reader that then reads the end of the stream
 		{0, "abc\nde\nf\nlater\n"}, {2, "abc\nde\nf\nlater\n"}, {3, "de\nf\nlater\n"}, {4, "de\nf\nlater\n"}, {5, "de\nf\nlater\n"},
 		{6, "f\nlater\n"}, {7, "f\nlater\n"}, {8, "later\n"}, {9, "later\n"},
 	} {
@@ -336,17 +336,18 @@
 	}
 }
 
-// TestLostNotices: where the runtime no longer has all notices, a run that was asked for before the break and
-// has no later notice counts as failed, since its end may be among them; it is not started again.
-func TestLostNotices(t *testing.T) {
-	resume := func(first uint64, once bool) (ended []end, queued int) {
+// TestRunsFailIfNoticesAreLost checks that if the runtime no longer has all notices, a run that was started before
+// the break and has no later notice counts as failed and is not started again, since its end may be among the lost
+// notices.
+func TestRunsFailIfNoticesAreLost(t *testing.T) {
+	resume := func(first uint64, once bool) (ended []runEnd, queued int) {
 		l := New(Options{Limits: limits.For(64, 256), Log: standin.DiscardLogger, OnGauges: func(admission.Gauges) {}})
-		e := &events{ends: make(chan end, 16), wants: make(chan uint64, 16)}
+		e := &fakeEvents{ends: make(chan runEnd, 16), calls: make(chan uint64, 16)}
 		l.events, l.writable, l.generation = e, true, 1
 		for _, id := range []string{"a", "b", "c"} {
 			l.Start(id, "book", nil, once)
 		}
-		l.takeQueue() // all three were written; then the link broke
+		l.takeQueue() // all three are written before the link breaks
 		l.lastNotice, l.generation = 10, 2
 		for i, line := range []string{`{"action":"wants","uid":"b"`, `{"action":"info"`} {
 			if err := l.handleNotice(fmt.Appendf(nil, `%s,"pos":%d}`, line, first+uint64(i))); err != nil {
@@ -364,14 +365,14 @@
 		}
 		return ended, len(l.queue)
 	}
-	if got, queued := resume(11, false); len(got) != 0 || queued != 2 { // a and c may not have come; d was written on the link that is up
-		t.Errorf("without a gap %v ended, %d starts were sent again", got, queued)
+	if got, queued := resume(11, false); len(got) != 0 || queued != 2 { // a and c may be lost; d was written on the current link
+		t.Errorf("without lost notices %v ended, %d starts were sent again; want none and 2", got, queued)
 	}
 	if got, queued := resume(11, true); len(got) != 0 || queued != 0 {
-		t.Errorf("without a gap %v ended, %d starts that may come once were sent again", got, queued)
+		t.Errorf("without lost notices %v ended, %d non-idempotent starts were sent again; want none", got, queued)
 	}
 	got, queued := resume(5000, false)
-	if !slices.Equal(got, []end{{"a", logic.OutcomeFailed, ""}, {"c", logic.OutcomeFailed, ""}}) || queued != 0 {
-		t.Errorf("after a gap %v ended, %d starts were sent again; want a and c failed, d sent once", got, queued)
+	if !slices.Equal(got, []runEnd{{"a", logic.OutcomeFailed, ""}, {"c", logic.OutcomeFailed, ""}}) || queued != 0 {
+		t.Errorf("with lost notices %v ended, %d starts were sent again; want a and c failed, and none sent again", got, queued)
 	}
 }
--- a/internal/backend/runtime/notices.go
+++ b/internal/backend/runtime/notices.go
@@ -6,20 +6,20 @@
 	"sloehitch/logic"
 )
 
-// handleNotice handles one line. An error ends the connection, and the next one resumes before the notice.
+// handleNotice handles one line. After an error the connection ends, and the next one resumes before the notice.
 func (l *Link) handleNotice(line []byte) error {
 	n, err := decodeNotice(line)
 	if err != nil {
 		return err
 	}
-	if n.number > 0 && !l.advance(n.number) {
-		return nil // read already, on an earlier connection
+	if n.number > 0 && !l.recordNotice(n.number) {
+		return nil // was read on an earlier connection
 	}
 	switch n.kind {
 	case noticeReady:
 		l.handleReady(n.ready())
 	case noticeRunEnded:
-		l.handleEnd(&n)
+		l.handleRunEnded(&n)
 	case noticeCallRequested:
 		m := n.callRequested()
 		l.recordCall(m.id, n.number)
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// advance notes that a notice was read; it returns false for one that was read before.
-func (l *Link) advance(number uint64) bool {
+// recordNotice records that a notice was read; it returns false if it was read before.
+func (l *Link) recordNotice(number uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if number <= l.lastNotice {
@@ -41,15 +41,15 @@
 	}
 	if l.lastNotice > 0 && number > l.lastNotice+1 && !l.noticesLost {
 		l.noticesLost = true
-		l.log.Warn("notices from the runtime are missing; runs without a later notice count as failed",
-			fmt.Errorf("notice %d follows %d", number, l.lastNotice))
+		l.log.Warn("the runtime lost notices; runs without a later notice count as failed",
+			fmt.Errorf("notice %d follows notice %d", number, l.lastNotice))
 	}
 	l.lastNotice, l.unreadableNotice = number, false
 	return true
 }
 
-// handleReady opens the link for commands. On a resumed link a request for gauges goes first: once its echo
-// is back, all notices from before have been read.
+// handleReady allows commands to be written. On a resumed link a gauges request is sent first: once its echo is
+// received, all earlier notices have been read.
 func (l *Link) handleReady(m readyNotice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,17 +61,17 @@
 	l.cond.Broadcast()
 }
 
-// handleEnd forgets a run and passes its end on.
-func (l *Link) handleEnd(n *notice) {
+// handleRunEnded removes a run and reports its end.
+func (l *Link) handleRunEnded(n *notice) {
 	m, err := n.runEnded(l.opts.Limits.ResultBytes)
 	l.removeRun(m.id)
 	if err != nil {
-		l.log.Warn("end of a run can't be decoded; the run counts as failed", err)
+		l.log.Warn("cannot decode the end of a run; the run counts as failed", err)
 	}
 	l.events.RunEnded(m.id, m.outcome, m.took, m.result)
 }
 
-// handleGauges takes an echo of the link's own, or passes gauges on.
+// handleGauges handles an echo of one of the link's own requests, or passes the gauges to Options.OnGauges.
 func (l *Link) handleGauges(m gaugesNotice) error {
 	switch m.echo {
 	case echoResumed:
@@ -86,16 +86,16 @@
 	return nil
 }
 
-// handleRejected ends the run of a start that was not carried out.
+// handleRejected ends the run whose start command was not carried out.
 func (l *Link) handleRejected(m commandRejectedNotice) {
-	l.log.Warn("runtime rejected a command", fmt.Errorf("command %s, run %s", m.command, m.id))
+	l.log.Warn("the runtime rejected a command", fmt.Errorf("command %s, run %s", m.command, m.id))
 	if m.start {
 		l.removeRun(m.id)
 		l.events.RunEnded(m.id, logic.OutcomeNotStarted, 0, nil)
 	}
 }
 
-// reportResume passes on what follows from a break of the link.
+// reportResume reports the runs that are affected by a break of the link.
 func (l *Link) reportResume(r resumeOutcome) {
 	for _, id := range r.abandoned {
 		l.events.RunEnded(id, logic.OutcomeFailed, 0, nil)
@@ -105,7 +105,7 @@
 	}
 }
 
-// recordGaugesReceived notes that all commands before a request for gauges were read.
+// recordGaugesReceived records that the runtime has read all commands before a gauges request.
 func (l *Link) recordGaugesReceived(m gaugesNotice) {
 	if number, ok := m.requestNumber(); ok {
 		l.mu.Lock()
--- a/internal/backend/runtime/reader.go
+++ b/internal/backend/runtime/reader.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// readNotices takes notices until the connection ends, is broken by the keepalive rule, or has brought a
-// notice that can't be read.
+// readNotices handles notices until the connection ends, counts as broken by the keepalive rule, or delivers a
+// notice that can't be decoded.
 func (l *Link) readNotices(conn net.Conn) error {
 	r := noticeReader{link: l, conn: conn, in: bufio.NewReaderSize(conn, 8<<10),
 		keepalive: keepalive{readyTimeout: l.opts.Limits.RuntimeReadyTimeout, silenceTimeout: l.opts.Limits.RuntimeSilence}}
@@ -31,12 +31,12 @@
 	link      *Link
 	conn      net.Conn
 	in        *bufio.Reader
-	line      []byte // its memory is used for each line
+	line      []byte // buffer that is reused for each line
 	keepalive keepalive
 }
 
-// readLine returns the next line, which holds until the next call. It returns errNoticeTooLong for one longer
-// than limits.NoticeBytes, after which reading can go on.
+// readLine returns the next line, which is valid until the next call. It returns errNoticeTooLong for a line
+// longer than limits.NoticeBytes, after which reading can continue.
 func (r *noticeReader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	tooLong := false
@@ -76,9 +76,9 @@
 	return l.writable || l.switching
 }
 
-// skipUnreadable reports whether a notice that can't be read is left out. The first time it is not: the
-// connection ends, and the notice is asked for again on another one, since it may have been damaged on the
-// way. If it comes so again, no connection would ever get past it.
+// skipUnreadable reports whether a notice that can't be decoded is skipped. The first time it is not: the
+// connection ends and the notice is requested again on the next one, since it may have been damaged in transit.
+// The second time it is, as otherwise no connection would ever get past it.
 func (l *Link) skipUnreadable(err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,6 +86,6 @@
 		l.unreadableNotice = true
 		return false
 	}
-	l.log.Warn("notice from the runtime can't be decoded for the second time; skipping it", err)
+	l.log.Warn("skipping a notice from the runtime that could not be decoded twice", err)
 	return true
 }
--- a/internal/backend/runtime/reconnect_test.go
+++ b/internal/backend/runtime/reconnect_test.go
@@ -16,7 +16,7 @@
 	"sloehitch/logic"
 )
 
-// command is a command as the runtime reads it.
+// command is a decoded command, as the runtime reads it.
 type command struct {
 	Action  string  `json:"action"`
 	UID     string  `json:"uid"`
@@ -33,7 +33,7 @@
 	in *bufio.Reader
 }
 
-// nextPeer waits for the next connection and its sync, which it returns.
+// nextPeer waits for the next connection and its sync command, and returns both.
 func nextPeer(t *testing.T, ln net.Listener) (*peer, command) {
 	t.Helper()
 	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
@@ -72,40 +72,42 @@
 
 const ready = `{"action":"ready","code":"WARM","wall_ms":1}`
 
-func serveScripted(t *testing.T, change func(*limits.Limits)) (*Link, *events, net.Listener) {
+// startScriptedLink starts a link to a listener on which the test acts as the runtime, with limits changed by change
+// (nil: unchanged).
+func startScriptedLink(t *testing.T, change func(*limits.Limits)) (*Link, *fakeEvents, net.Listener) {
 	ln := standin.Listen(t)
 	lim := limits.For(64, 256)
 	if change != nil {
 		change(&lim)
 	}
 	l := New(Options{Address: ln.Addr().String(), Limits: lim, Log: standin.DiscardLogger, OnGauges: func(admission.Gauges) {}})
-	e := &events{ends: make(chan end, 4096), wants: make(chan uint64, 16)}
+	e := &fakeEvents{ends: make(chan runEnd, 4096), calls: make(chan uint64, 16)}
 	go l.Serve(e)
 	t.Cleanup(l.Close)
 	return l, e, ln
 }
 
-// waitFor waits for a condition that holds under the link's lock.
-func waitFor(t *testing.T, l *Link, what func() bool) {
+// waitFor waits until a condition holds, which it evaluates under the link's lock.
+func waitFor(t *testing.T, l *Link, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) {
 		l.mu.Lock()
-		done := what()
+		done := condition()
 		l.mu.Unlock()
 		if done {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the condition was not met in time")
+			t.Fatal("timed out waiting for the condition")
 		}
 	}
 }
 
-// TestReplyWhileDisconnectedIsSentOnce: a reply that comes between two connections goes out with the next.
-// Sent twice, it would meet the run's next call. Of what the broken connection had taken, only the start of
-// an idempotent request is sent again.
+// TestReplyWhileDisconnectedIsSentOnce checks that a reply that is delivered between two connections is sent once on
+// the next. Sent twice, it would answer the run's next call. Of the commands that were written to the broken
+// connection, only the start of an idempotent request is sent again.
 func TestReplyWhileDisconnectedIsSentOnce(t *testing.T) {
-	l, e, ln := serveScripted(t, nil)
+	l, e, ln := startScriptedLink(t, nil)
 	p, _ := nextPeer(t, ln)
 	p.send(ready)
 	l.Start("a", "book", nil, true)
@@ -115,9 +117,9 @@
 		p.read()
 	}
 	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
-	<-e.wants
+	<-e.calls
 	_ = p.Close()
-	waitFor(t, l, func() bool { return l.generation == 2 && !l.writable }) // dialled, and not served yet
+	waitFor(t, l, func() bool { return l.generation == 2 && !l.writable }) // connected, but not ready
 	l.DeliverReply("a", []byte("one"))
 	l.Start("c", "book", nil, true)
 	p, sync := nextPeer(t, ln)
@@ -135,27 +137,27 @@
 		}
 	}
 	if seen["give a"] != 1 || seen["start b"] != 1 || seen["start c"] != 1 || seen["start a"] != 0 || seen["start d"] != 0 {
-		t.Errorf("sent on the second link: %v", seen)
+		t.Errorf("commands on the second connection: %v; want give a, start b and start c once each", seen)
 	}
 }
 
-// TestBlockedWriterAsLinkBreaks: what was not written goes first on the next connection, and each start comes
-// there once. Starts of requests that are not idempotent come there or are reported as unconfirmed, and none
-// is both.
-func TestBlockedWriterAsLinkBreaks(t *testing.T) {
+// TestStartsArriveOnceIfLinkBreaksWhileWriting: the link breaks while its writer is blocked. Commands that were not
+// written are sent first on the next connection, each start once. The start of a request that is not idempotent is
+// either sent there or reported as unconfirmed, never both.
+func TestStartsArriveOnceIfLinkBreaksWhileWriting(t *testing.T) {
 	for _, once := range []bool{false, true} {
-		t.Run(fmt.Sprint("once=", once), func(t *testing.T) { testBlockedWriter(t, once) })
+		t.Run(fmt.Sprint("once=", once), func(t *testing.T) { testLinkBreaksWhileWriting(t, once) })
 	}
 }
 
-func testBlockedWriter(t *testing.T, once bool) {
-	l, e, ln := serveScripted(t, func(lim *limits.Limits) { lim.WriteTimeout, lim.RuntimeSilence = time.Hour, time.Hour })
+func testLinkBreaksWhileWriting(t *testing.T, once bool) {
+	l, e, ln := startScriptedLink(t, func(lim *limits.Limits) { lim.WriteTimeout, lim.RuntimeSilence = time.Hour, time.Hour })
 	p, _ := nextPeer(t, ln)
 	p.send(ready)
 	waitFor(t, l, func() bool { return l.writable })
 	body := []byte(strings.Repeat("x", 8<<10))
 	const starts = 2000
-	for i := range starts { // far more than the sockets hold
+	for i := range starts { // far more than the socket buffers hold
 		l.Start(fmt.Sprint(i), "book", body, once)
 	}
 	waitFor(t, l, func() bool { return len(l.queue) == 0 || l.runs["0"].writtenOnGeneration == 1 })
@@ -178,25 +180,25 @@
 	}
 	waitFor(t, l, func() bool { return len(seen)+len(e.reported()) >= starts })
 	if reported := e.reported(); len(reported) > 0 != once {
-		t.Errorf("%d starts are unconfirmed", len(reported))
+		t.Errorf("%d starts were reported as unconfirmed; want some if and only if the requests are not idempotent", len(reported))
 	}
 	for _, u := range e.reported() {
 		seen[u.id]++
 	}
 	for i := range starts {
 		if n := seen[fmt.Sprint(i)]; n != 1 {
-			t.Fatalf("start %d came %d times on the second link, or is unconfirmed as well; %d starts did", i, n, len(seen))
+			t.Fatalf("start %d was sent or reported %d times, want once; %d starts were sent or reported", i, n, len(seen))
 		}
 	}
 }
 
-// TestSilentLinkIsReconnected: a ready runtime that answers nothing is reconnected to, and one that never
-// gets ready. A connection on which only keepalive requests are answered stays.
+// TestSilentLinkIsReconnected checks that the link reconnects if the runtime never becomes ready, or stops
+// answering, and that it keeps a connection on which only keepalive requests are answered.
 func TestSilentLinkIsReconnected(t *testing.T) {
-	l, _, ln := serveScripted(t, func(lim *limits.Limits) {
+	l, _, ln := startScriptedLink(t, func(lim *limits.Limits) {
 		lim.RuntimeSilence, lim.RuntimeReadyTimeout = 20*time.Millisecond, 30*time.Millisecond
 	})
-	p, _ := nextPeer(t, ln) // this one never gets ready
+	p, _ := nextPeer(t, ln) // never becomes ready
 	defer func() { _ = p.Close() }()
 	p, _ = nextPeer(t, ln)
 	p.send(ready)
@@ -208,15 +210,16 @@
 		p.send(`{"action":"load","echo":%q,"meters":[]}`, echoKeepalive)
 	}
 	waitFor(t, l, func() bool { return l.generation == 2 })
-	p.read() // and from here on it is silent
+	p.read() // sends nothing from here on
 	p, _ = nextPeer(t, ln)
 	p.send(ready)
 	waitFor(t, l, func() bool { return l.generation == 3 && l.writable })
 }
 
-// TestFragmentedNotice: a notice is read however it is cut, and once if the connection breaks within it.
-func TestFragmentedNotice(t *testing.T) {
-	l, e, ln := serveScripted(t, func(lim *limits.Limits) { lim.RuntimeSilence = time.Hour })
+// TestFragmentedNoticeIsReadOnce checks that a notice is read however it is fragmented, and once if the connection breaks in
+// the middle of it.
+func TestFragmentedNoticeIsReadOnce(t *testing.T) {
+	l, e, ln := startScriptedLink(t, func(lim *limits.Limits) { lim.RuntimeSilence = time.Hour })
 	p, _ := nextPeer(t, ln)
 	p.send(ready)
 	l.Start("a", "book", nil, true)
@@ -236,7 +239,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := <-e.ends; got != (end{"a", logic.OutcomeOK, "a"}) {
+	if got := <-e.ends; got != (runEnd{"a", logic.OutcomeOK, "a"}) {
 		t.Errorf("%+v", got)
 	}
 	if _, err := io.WriteString(p, second[:len(second)/2]); err != nil {
@@ -249,16 +252,16 @@
 	}
 	p.send(ready)
 	p.send("%s", second)
-	if got := <-e.ends; got != (end{"b", logic.OutcomeOK, "b"}) || len(e.ends) > 0 {
-		t.Errorf("%+v, and %d more", got, len(e.ends))
+	if got := <-e.ends; got != (runEnd{"b", logic.OutcomeOK, "b"}) || len(e.ends) > 0 {
+		t.Errorf("end %+v, and %d more; want the end of run b only", got, len(e.ends))
 	}
 }
 
-// TestUnreadableNoticeIsSkipped: a notice that can't be decoded is asked for again once, then skipped; those
-// behind it are read.
+// TestUnreadableNoticeIsSkipped checks that a notice that can't be decoded is requested again once and then skipped,
+// and that the notices after it are read.
 func TestUnreadableNoticeIsSkipped(t *testing.T) {
 	for _, malformed := range []string{`{"action":"end","pos":2,`, `{"action":"wants","pos":2,"uid":"a","content":"%"}`, strings.Repeat("x", 200<<10)} {
-		l, e, ln := serveScripted(t, nil)
+		l, e, ln := startScriptedLink(t, nil)
 		for links := range 2 {
 			p, sync := nextPeer(t, ln)
 			if *sync.Pos != uint64(links) {
@@ -276,28 +279,27 @@
 		}
 		select {
 		case got := <-e.ends:
-			if got != (end{"a", logic.OutcomeOK, "a"}) {
+			if got != (runEnd{"a", logic.OutcomeOK, "a"}) {
 				t.Errorf("%.30q: %+v", malformed, got)
 			}
 		case <-time.After(standin.WaitTimeout):
-			t.Fatalf("%.30q: nothing behind it is read", malformed)
+			t.Fatalf("%.30q: the notice after it was not read in time", malformed)
 		}
 		l.Close()
 	}
 }
 
-// TestReplyIsNotRedelivered: the run may be past the call that a reply answers, and would take it for the
-// reply to its next one. That the notice of the next call has not been read yet proves nothing: it may be on
-// its way.
+// TestReplyIsNotRedelivered checks that a reply is not sent again after the link broke. The run may have continued
+// past the call, and would take the reply for that to its next one, whose notice may still be in transit.
 func TestReplyIsNotRedelivered(t *testing.T) {
-	l, e, ln := serveScripted(t, nil)
+	l, e, ln := startScriptedLink(t, nil)
 	p, _ := nextPeer(t, ln)
 	p.send(ready)
 	waitFor(t, l, func() bool { return l.writable })
 	l.Start("a", "slot-search", nil, false)
 	p.read()
 	p.send(`{"action":"wants","pos":1,"uid":"a","content":""}`)
-	<-e.wants
+	<-e.calls
 	l.DeliverReply("a", []byte("the first call's"))
 	if c := p.read(); c.Action != "give" {
 		t.Fatalf("%+v, want the reply", c)
@@ -312,7 +314,7 @@
 		if c.Action == "gauges" {
 			p.send(`{"action":"load","echo":%q,"meters":[]}`, c.Echo)
 			waitFor(t, l, func() bool { return l.redeliveryDecided })
-			l.Resume("marker") // behind whatever is sent again
+			l.Resume("marker") // follows all commands that are sent again
 		}
 	}
 }
--- a/internal/backend/runtime/redelivery/redelivery.go
+++ b/internal/backend/runtime/redelivery/redelivery.go
@@ -1,10 +1,10 @@
-// Package redelivery decides what becomes of a command to the runtime that was written to a link which has
-// broken since, if no notice of its run has come. It has no I/O and no clock.
+// Package redelivery decides whether a command to the runtime is sent again if it was written to a connection that
+// broke before a notice of the command's run was read. It performs no I/O and reads no clock.
 //
-// The link has no acknowledgements: that no notice of a run has been read proves nothing. The command may be
-// lost, its run may be on, or the notice of its end may be on its way, however the link was resumed. A
-// command is therefore delivered again only if a second delivery does no harm; what else may have arrived is
-// left as it is, and its request is answered by its deadline.
+// The protocol has no acknowledgements, so the lack of a notice proves nothing: the command may be lost, its run may
+// be in progress, or the notice of its end may be in transit, even after the link was resumed. A command is
+// therefore sent again only if a second delivery does no harm. Any other command may have arrived: it is not sent
+// again, and its request is answered by its deadline.
 //
 //	notices lost since                        abandon
 //	omission                                  redeliver
@@ -12,42 +12,42 @@
 //	start of any other request, reply         await
 package redelivery
 
-// Kind is what a command asks for.
+// Kind is the kind of a command.
 type Kind int
 
 // The kinds of commands that a run waits for.
 const (
-	// Start asks for a run. The runtime ignores it while the run is on, and runs it again once that is over:
-	// it remembers nothing.
+	// Start starts a run. The runtime ignores it while the run is in progress, and starts the run again if it has
+	// ended, since the runtime keeps no record of ended runs.
 	Start Kind = iota
-	// Reply answers a call. It does not name the call: delivered again, it may meet the run's next one.
+	// Reply answers a call. It does not identify the call, so a second delivery may answer the run's next call.
 	Reply
-	// Omission has a run go on without a call, which it names.
+	// Omission makes a run continue without a call, which it identifies.
 	Omission
 )
 
-// Command is what is known of a command that was written to a link which has broken.
+// Command describes a command that was written to a connection that broke.
 type Command struct {
 	Kind Kind
-	// Idempotent says that its request may run more than once.
+	// Idempotent is set if the request may run more than once.
 	Idempotent bool
-	// NoticesLost says that the runtime no longer had all notices since then: the end of the run may be among
-	// them.
+	// NoticesLost is set if the runtime no longer had all notices since the command was written. The end of the run
+	// may be among the lost ones.
 	NoticesLost bool
 }
 
-// Action is what is to be done with a command.
+// Action is the decision about a command.
 type Action int
 
 // The actions.
 const (
-	Redeliver Action = iota // send it again: a second delivery does no harm
-	Await                   // it may have arrived: wait for a notice of its run
-	Abandon                 // no notice may ever come: its run has failed, and must not start again
+	Redeliver Action = iota // send the command again: a second delivery does no harm
+	Await                   // the command may have arrived: wait for a notice of its run
+	Abandon                 // no notice may ever arrive: the run counts as failed and must not start again
 )
 
-// Decide returns what becomes of a command once all notices that the runtime had when the link was resumed
-// have been read.
+// Decide returns the action for a command. It must be called only after all notices that the runtime had when the
+// link was resumed have been read.
 func Decide(c Command) Action {
 	switch {
 	case c.NoticesLost:
@@ -59,8 +59,8 @@
 	}
 }
 
-// String returns the kind's name in the log.
+// String returns the name of the kind in the log.
 func (k Kind) String() string { return [...]string{"start", "reply", "omission"}[k] }
 
-// String returns the action's name in the log.
+// String returns the name of the action in the log.
 func (a Action) String() string { return [...]string{"redeliver", "await", "abandon"}[a] }
--- a/internal/backend/runtime/runs.go
+++ b/internal/backend/runtime/runs.go
@@ -6,18 +6,18 @@
 	"sloehitch/internal/backend/runtime/redelivery"
 )
 
-// runState is a run that was asked for and has not ended.
+// runState is a run that was started by Link.Start and has not ended.
 type runState struct {
-	idempotent           bool            // its request may run more than once
-	kind                 redelivery.Kind // of the command that it waits for: its start, or what followed a call
-	line                 []byte          // that command, encoded; nil once a notice of the run has come, or the command was reported as unconfirmed
-	callNotice           uint64          // the number of the notice of the last call that it waited for
-	writtenOnGeneration  uint64          // generation of the connection that the command was handed to; 0: it is in the queue
+	idempotent           bool            // the request may run more than once
+	kind                 redelivery.Kind // kind of the run's last command: its start, or the answer to a call
+	line                 []byte          // that command, encoded; nil once a notice of the run was read, or the command was reported as unconfirmed
+	callNotice           uint64          // number of the notice that requested the run's last call
+	writtenOnGeneration  uint64          // generation of the connection that the command was passed to; 0: the command is queued
 	readByGauges         uint64          // number of the gauges request whose echo proves that the runtime read the command
-	lastNoticeGeneration uint64          // generation of the connection on which the run was asked for or its last notice came
+	lastNoticeGeneration uint64          // generation of the connection on which the run was requested or its last notice was read
 }
 
-// answeredCall returns the notice of the call that the command answers; 0: the command is the start.
+// answeredCall returns the number of the notice of the call that the command answers; 0: the command is the start.
 func (r *runState) answeredCall() uint64 {
 	if r.kind == redelivery.Start {
 		return 0
@@ -25,7 +25,7 @@
 	return r.callNotice
 }
 
-// recordCall notes that a run waits for a call.
+// recordCall records that a run waits for a call.
 func (l *Link) recordCall(id string, notice uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,18 +34,18 @@
 	}
 }
 
-// removeRun forgets a run.
+// removeRun removes a run that has ended.
 func (l *Link) removeRun(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.runs, id)
 }
 
-// maxLoggedRuns bounds how many runs a log line names.
+// maxLoggedRuns is the maximum number of runs that a log line lists.
 const maxLoggedRuns = 8
 
-// unacknowledgedRuns names runs whose last command was handed to a connection, and of which no notice has
-// come since.
+// unacknowledgedRuns returns the ids of runs whose last command was passed to a connection and not followed by a
+// notice of the run; at most maxLoggedRuns.
 func (l *Link) unacknowledgedRuns() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/wire.go
+++ b/internal/backend/runtime/wire.go
@@ -12,21 +12,21 @@
 	"sloehitch/logic"
 )
 
-// The runtime's protocol: JSON objects, one a line; commands go to the runtime, notices come from it. Nothing
-// outside this file knows its field names and words.
+// The runtime's protocol consists of JSON objects, one per line: commands are sent to the runtime, notices are
+// received from it. Its field names and words are used in this file only.
 
-// Echoes are the words that come back with the gauges that a command asked for: all commands before it have
-// been read then, and all notices that the runtime had by then have come. Gauges for the module have a number
-// as their echo.
+// Echoes of gauges requests. The runtime returns the echo of a request with the gauges. When it arrives, the
+// runtime has read all commands before the request, and all notices that it had until then have been received.
+// Requests made by RequestGauges have a number as their echo.
 const (
 	echoResumed   = "resumed" // the link is resumed
-	echoHandover  = "moved"   // the link may end: the address has changed
+	echoHandover  = "moved"   // the connection may end: the address has changed
 	echoKeepalive = "alive"   // the runtime is alive
 )
 
-// Commands, one type for each form.
+// Commands, one type for each set of fields.
 type (
-	// syncCommand is the first on a link: notices after this one are to follow.
+	// syncCommand is the first on a connection. The runtime sends the notices after LastNotice.
 	syncCommand struct {
 		Action     string `json:"action"`
 		LastNotice uint64 `json:"pos"`
@@ -38,24 +38,24 @@
 		Class  string `json:"lane,omitempty"`
 		Body   string `json:"content"`
 	}
-	// runCommand stops or resumes a run.
+	// runCommand pauses, ends or resumes a run.
 	runCommand struct {
 		Action string `json:"action"`
 		ID     string `json:"uid,omitempty"`
 	}
-	// replyCommand is the reply to the call that a run waits for.
+	// replyCommand carries the reply to the call that a run waits for.
 	replyCommand struct {
 		Action string `json:"action"`
 		ID     string `json:"uid,omitempty"`
 		Reply  string `json:"content"`
 	}
-	// skipCallCommand has a run go on without the call that a notice asked for.
+	// skipCallCommand makes a run continue without the call that a notice requested.
 	skipCallCommand struct {
 		Action     string `json:"action"`
 		ID         string `json:"uid,omitempty"`
 		CallNotice uint64 `json:"pos"`
 	}
-	// gaugesCommand asks for the gauges.
+	// gaugesCommand requests the gauges.
 	gaugesCommand struct {
 		Action string `json:"action"`
 		Echo   string `json:"echo,omitempty"`
@@ -96,13 +96,13 @@
 
 func encodeBody(body []byte) string { return base64.StdEncoding.EncodeToString(body) }
 
-// noticeKind tells notices apart.
+// noticeKind is the kind of a notice.
 type noticeKind int
 
 const (
-	noticeIgnored         noticeKind = iota // a remark, or a kind that is not known
-	noticeReady                             // the runtime takes commands
-	noticeRunEnded                          // a run is over
+	noticeIgnored         noticeKind = iota // informational, or of an unknown kind
+	noticeReady                             // the runtime accepts commands
+	noticeRunEnded                          // a run has ended
 	noticeCallRequested                     // a run waits for a call
 	noticeGauges                            // the gauges
 	noticeCommandRejected                   // a command was not carried out
@@ -114,12 +114,12 @@
 // notice is a decoded notice; the method named for its kind returns its message.
 type notice struct {
 	kind   noticeKind
-	number uint64 // 0: it is not numbered
+	number uint64 // 0: the notice is not numbered
 	fields noticeFields
-	body   []byte // of noticeCallRequested
+	body   []byte // decoded content of noticeCallRequested
 }
 
-// noticeFields are the fields of all notices on the wire.
+// noticeFields are the fields on the wire of notices of all kinds.
 type noticeFields struct {
 	Action  string        `json:"action"`
 	Pos     uint64        `json:"pos"`
@@ -131,7 +131,7 @@
 	Meters  []json.Number `json:"meters"`
 }
 
-// decodeNotice decodes a line. A remark ("info") has no meaning, so its fields may have any type.
+// decodeNotice decodes a line. An informational notice ("info") is ignored, so its fields may have any type.
 func decodeNotice(line []byte) (n notice, err error) {
 	var mistyped *json.UnmarshalTypeError
 	if err := json.Unmarshal(line, &n.fields); err != nil && (!errors.As(err, &mistyped) || n.fields.Action != "info") {
@@ -160,12 +160,12 @@
 	result  []byte
 }
 
-// endOutcomes are the outcomes of runs by the word of their end.
+// endOutcomes maps the code of a run's end to its outcome.
 var endOutcomes = map[string]admission.Outcome{"OK": logic.OutcomeOK, "ERROR": logic.OutcomeFailed, "STOPPED": logic.OutcomeCanceled,
 	"MOOT": logic.OutcomeNotStarted}
 
-// runEnded returns the message, and an error if its end is not known or its result can't be decoded or is
-// longer than maxResult bytes; the run counts as failed then.
+// runEnded returns the message. It returns an error, and a message with OutcomeFailed, if the end's code is
+// unknown, or its result can't be decoded or is longer than maxResult bytes.
 func (n *notice) runEnded(maxResult int) (runEndedNotice, error) {
 	f := &n.fields
 	m := runEndedNotice{id: f.UID, took: time.Duration(f.WallMS * float64(time.Millisecond))}
@@ -173,11 +173,11 @@
 	result, err := base64.StdEncoding.DecodeString(f.Content)
 	switch {
 	case !known:
-		err = fmt.Errorf("unknown end %.40q of run %.40q", f.Code, f.UID)
+		err = fmt.Errorf("unknown end code %.40q of run %.40q", f.Code, f.UID)
 	case err != nil:
-		err = fmt.Errorf("result of run %.40q: %w", f.UID, err)
+		err = fmt.Errorf("decode result of run %.40q: %w", f.UID, err)
 	case len(result) > maxResult:
-		err = fmt.Errorf("result of run %.40q has %d bytes", f.UID, len(result))
+		err = fmt.Errorf("result of run %.40q exceeds the size limit: %d bytes", f.UID, len(result))
 	}
 	if err != nil {
 		m.outcome = logic.OutcomeFailed
@@ -207,14 +207,14 @@
 	return gaugesNotice{echo: n.fields.Echo, values: n.fields.Meters}
 }
 
-// requestNumber returns the number of the request that module's gauges answer, if the echo is one.
+// requestNumber returns the number of the RequestGauges request that the gauges answer, if the echo is a number.
 func (m gaugesNotice) requestNumber() (number uint64, ok bool) {
 	number, err := strconv.ParseUint(m.echo, 10, 64)
 	return number, err == nil
 }
 
-// decode maps the values to gauges by the names in the order of the configuration. A gauge that is missing or
-// no number is -1.
+// decode converts the values to gauges; names are those of the configuration, in the order of the values. A gauge
+// that is missing or is not a number is -1.
 func (m gaugesNotice) decode(names []string) admission.Gauges {
 	g := admission.Gauges{CPUUtilization: -1, RunQueueLength: -1, MemoryUtilization: -1, Connections: -1}
 	for i, name := range names[:min(len(names), len(m.values))] {
@@ -239,8 +239,8 @@
 // commandRejectedNotice is the message of noticeCommandRejected.
 type commandRejectedNotice struct {
 	id      string
-	command string // as on the wire
-	start   bool   // it is the start of a run
+	command string // the command's name on the wire
+	start   bool   // the command was to start a run
 }
 
 func (n *notice) commandRejected() commandRejectedNotice {
--- a/internal/backend/runtime/wire_test.go
+++ b/internal/backend/runtime/wire_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestEncodedCommands: the bytes of each command.
+// TestEncodedCommands checks the encoding of each command.
 func TestEncodedCommands(t *testing.T) {
 	for _, c := range []struct {
 		got  []byte
--- a/internal/backend/runtime/writer.go
+++ b/internal/backend/runtime/writer.go
@@ -13,7 +13,7 @@
 	return conn.Write(b)
 }
 
-// writeCommands writes the queue once the runtime is ready, until the connection is over.
+// writeCommands writes queued commands while the runtime is ready, until the connection ends.
 func (l *Link) writeCommands(conn net.Conn) {
 	var batch []byte
 	for {
@@ -27,14 +27,14 @@
 		}
 		if n, err := l.writeWithDeadline(conn, batch); err != nil {
 			l.requeueUnwritten(commands, n)
-			_ = conn.Close() // the reader notices
+			_ = conn.Close() // makes the reader fail
 			return
 		}
 	}
 }
 
-// waitForCommands blocks until there are commands for the connection, and takes them off the queue; it
-// returns nil if the connection is over.
+// waitForCommands blocks until there are commands for the connection and removes them from the queue; it returns
+// nil if the connection has ended.
 func (l *Link) waitForCommands(conn net.Conn) []queuedCommand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,8 +51,8 @@
 	return commands
 }
 
-// takeQueue takes all that is queued for the current connection; the caller holds mu, and writes it or puts
-// it back.
+// takeQueue removes all commands from the queue for the current connection. The caller holds mu, and must write
+// them or put them back.
 func (l *Link) takeQueue() []queuedCommand {
 	commands := l.queue
 	l.queue = nil
@@ -64,9 +64,9 @@
 	return commands
 }
 
-// requeueUnwritten queues again what a connection that broke after n bytes can't have taken: the commands
-// whose JSON object was not written completely. The others may have been carried out, also one that lacks only
-// its newline: the end of a stream ends a line too.
+// requeueUnwritten puts the commands back that a connection which broke after n bytes can't have delivered: those
+// whose JSON object was not written completely. The others may have been carried out, even one that lacks only its
+// newline, since the end of a stream ends a line too.
 func (l *Link) requeueUnwritten(commands []queuedCommand, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,7 @@
 			}
 		}
 		l.queue = append(slices.Clone(unwritten), l.queue...)
-		l.opts.Log.Info("commands not written completely are sent on the next link", "link", l.generation,
+		l.opts.Log.Info("commands were not written completely; sending them on the next connection", "link", l.generation,
 			"commands", len(unwritten), "first_missing_bytes", -n)
 		return
 	}
