--- a/internal/control/lease/clock.go
+++ b/internal/control/lease/clock.go
@@ -6,22 +6,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a point on one process's clock, in nanoseconds. Instants of two machines have nothing in common and are never
+// Instant is a reading of one process's clock, in nanoseconds. Instants of different machines are unrelated and must not be
 // compared.
 type Instant int64
 
-// Add returns the instant d later.
+// Add returns the instant d after i.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Clock returns the current instant of one process's clock. The clock must go on while the machine is suspended.
+// Clock returns the current instant of one process's clock. The clock must advance while the machine is suspended.
 type Clock func() Instant
 
-// Now returns the time since the machine's boot, which includes suspension and is never set (clock_gettime(2),
-// CLOCK_BOOTTIME). It panics where the kernel lacks that clock (before Linux 2.6.39).
+// Now returns the time since the machine booted. It includes suspension and can't be set (clock_gettime(2),
+// CLOCK_BOOTTIME). Now panics if the kernel does not have this clock (before Linux 2.6.39).
 func Now() Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic("lease: no boot-time clock: " + err.Error())
+		panic("lease: cannot read the boot-time clock: " + err.Error())
 	}
 	return Instant(t.Nano())
 }
--- a/internal/control/lease/modelcheck/modelcheck.go
+++ b/internal/control/lease/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck runs both sides of a lease through random simulations in true time: every clock has a rate and an origin of
-// its own, messages take any time, processes pause, and leaders change. It checks at each instant that at most one candidate
-// holds the task, and that tokens only grow.
+// Package modelcheck runs both sides of a lease in random simulations of true time: every clock has its own rate and origin,
+// messages are delayed arbitrarily, processes pause, and leaders change. It checks at each step that at most one candidate
+// holds the task, and that tokens never decrease.
 package modelcheck
 
 import (
@@ -11,7 +11,7 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Mutants: faults of the program itself.
+// Mutants: faults that are injected into the program under test.
 const (
 	mutantCountsFromResponse = "counts from the answer"
 	mutantKeepsCount         = "counts on after a change of leader"
@@ -20,21 +20,21 @@
 	mutantStaleDecision      = "applies what was decided on an older record"
 )
 
-// Mutants are the faults of the program itself that a simulation can be run with, to show that it finds them.
+// Mutants are the faults that can be injected into the program under test, to show that the simulation finds them.
 var Mutants = []string{mutantCountsFromResponse, mutantKeepsCount, mutantNoDrift, mutantAnyResponse, mutantStaleDecision}
 
 const (
 	candidates    = 3
-	steps         = 600 // of one simulation
+	steps         = 600 // per simulation
 	stepsPerLease = 50
-	randomStream  = 25 // of the random numbers; the seed is the other half
+	randomStream  = 25 // second half of the random generator's seed
 )
 
-// Run runs the simulation of a seed, with clocks that are wrong by drift whatever the terms allow for, and returns what did not
-// hold: two candidates that hold the task at once, or a token that went back; empty: everything held. mutant is one of Mutants, or
-// empty.
+// Run runs the simulation of a seed with clocks that drift by the given fraction, which may exceed that of the terms.
+// It returns the violated invariant: two candidates held the task at once, or a token decreased; empty: none. mutant
+// is one of Mutants, or empty.
 func Run(seed uint64, terms lease.Terms, drift float64, mutant string) string {
-	w, err := newWorld(seed, terms, drift, mutant)
+	w, err := newSimulation(seed, terms, drift, mutant)
 	if err != nil {
 		return err.Error()
 	}
@@ -45,41 +45,41 @@
 		if violation := w.violation(); violation != "" {
 			return violation
 		}
-		w.act(w.candidates[w.rng.IntN(len(w.candidates))])
+		w.performRandomAction(w.candidates[w.rng.IntN(len(w.candidates))])
 	}
 	return ""
 }
 
-func newWorld(seed uint64, terms lease.Terms, drift float64, mutant string) (*world, error) {
-	w := &world{rng: rand.New(rand.NewPCG(seed, randomStream)), terms: terms, drift: drift, mutant: mutant}
+func newSimulation(seed uint64, terms lease.Terms, drift float64, mutant string) (*simulation, error) {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, randomStream)), terms: terms, drift: drift, mutant: mutant}
 	var err error
 	if w.table, err = lease.NewTable(terms); err != nil {
 		return nil, err
 	}
 	w.leaderClock = w.newClock()
-	held := terms
+	holderTerms := terms
 	if mutant == mutantNoDrift {
-		held.MaxDrift = 0
+		holderTerms.MaxDrift = 0
 	}
 	for i := range candidates {
-		w.candidates = append(w.candidates, &candidate{name: fmt.Sprint("p", i), clock: w.newClock(), claim: lease.NewClaim(held)})
+		w.candidates = append(w.candidates, &candidate{name: fmt.Sprint("p", i), clock: w.newClock(), claim: lease.NewClaim(holderTerms)})
 	}
 	return w, nil
 }
 
-// violation says which invariant does not hold now; empty: all hold.
-func (w *world) violation() string {
+// violation describes an invariant that is violated now; empty: none.
+func (w *simulation) violation() string {
 	if holders := w.holders(); len(holders) > 1 {
-		return fmt.Sprintf("at %v %v hold the task at once", w.now, holders)
+		return fmt.Sprintf("at %v, candidates %v hold the task at the same time", w.now, holders)
 	}
 	if token := w.table.Get(task).Token; token < w.highestToken {
-		return fmt.Sprintf("at %v the token went back from %d to %d", w.now, w.highestToken, token)
+		return fmt.Sprintf("at %v, the token decreased from %d to %d", w.now, w.highestToken, token)
 	}
 	return ""
 }
 
-// act has a candidate, or the store, do one thing.
-func (w *world) act(c *candidate) {
+// performRandomAction performs one random action of a candidate or the store.
+func (w *simulation) performRandomAction(c *candidate) {
 	if c.pausedUntil > w.now {
 		return
 	}
@@ -97,8 +97,8 @@
 	}
 }
 
-// changeLeader has another member of the store lead; the records stay.
-func (w *world) changeLeader() {
+// changeLeader makes another member of the store the leader; the records stay.
+func (w *simulation) changeLeader() {
 	w.term++
 	w.leaderClock = w.newClock()
 	if w.mutant != mutantKeepsCount {
@@ -106,8 +106,8 @@
 	}
 }
 
-// handOver has a candidate hand the task over to one of the candidates, itself included.
-func (w *world) handOver(c *candidate) {
+// handOver makes a candidate hand the task over to a random candidate, which may be itself.
+func (w *simulation) handOver(c *candidate) {
 	token, _ := c.claim.Holds(c.clock.at(w.now))
 	c.claim.Stop()
 	c.requestPending = false
@@ -117,14 +117,14 @@
 	}
 }
 
-// newClock returns a clock as wrong as clocks may be.
-func (w *world) newClock() clock {
+// newClock returns a clock that is too fast or too slow by the full drift, with a random origin.
+func (w *simulation) newClock() clock {
 	rate := 1 + w.drift*(2*float64(w.rng.IntN(2))-1)
 	return clock{rate, lease.Instant(w.rng.Int64N(1 << 40))}
 }
 
-// randomDuration returns a duration up to a maximum: as often as not none, else mostly a short one.
-func (w *world) randomDuration(maximum time.Duration) time.Duration {
+// randomDuration returns a duration up to a maximum: 0 in half of the cases, otherwise usually a short one.
+func (w *simulation) randomDuration(maximum time.Duration) time.Duration {
 	x := w.rng.Float64()
 	if w.rng.IntN(2) == 0 {
 		return 0
--- a/internal/control/lease/modelcheck/world.go
+++ b/internal/control/lease/modelcheck/world.go
@@ -8,27 +8,27 @@
 	"sloehitch/internal/control/lease"
 )
 
-// task is the one that all candidates request.
+// task is the name of the task that all candidates request.
 const task = "d"
 
 var (
-	errLeadershipLost = errors.New("the leadership was lost")
-	errConflict       = errors.New("another request was committed first")
+	errLeadershipLost = errors.New("the leader was deposed before the record was committed")
+	errConflict       = errors.New("another record was committed first")
 )
 
-// world is a store of which one member leads at a time, and candidates for one task, in true time.
-type world struct {
+// simulation runs, in true time, a store with one leader at a time and candidates for one task.
+type simulation struct {
 	rng   *rand.Rand
 	now   time.Duration // true time
 	terms lease.Terms
-	drift float64 // of clocks, in truth
+	drift float64 // actual drift of the clocks
 	queue []event
 
-	table        *lease.Table // the leader's; the records are the same on all members
+	table        *lease.Table // the leader's table; the records are the same on all members
 	leaderClock  clock
 	term         int
 	candidates   []*candidate
-	highestToken uint64 // granted so far
+	highestToken uint64 // highest token granted so far
 
 	mutant string
 }
@@ -38,7 +38,7 @@
 	run func()
 }
 
-// clock is one process's: true time at another rate, from another origin.
+// clock is the clock of one process: true time at another rate and from another origin.
 type clock struct {
 	rate   float64
 	origin lease.Instant
@@ -62,8 +62,8 @@
 	return ok
 }
 
-// holders returns the candidates that believe to hold the task now.
-func (w *world) holders() (names []string) {
+// holders returns the names of the candidates that consider themselves holders of the task now.
+func (w *simulation) holders() (names []string) {
 	for _, c := range w.candidates {
 		if c.holds(c.clock.at(w.now)) {
 			names = append(names, c.name)
@@ -72,10 +72,12 @@
 	return names
 }
 
-func (w *world) after(d time.Duration, run func()) { w.queue = append(w.queue, event{w.now + d, run}) }
+func (w *simulation) after(d time.Duration, run func()) {
+	w.queue = append(w.queue, event{w.now + d, run})
+}
 
-// runDueEvents runs the events that are due, in the order in which they were queued.
-func (w *world) runDueEvents() {
+// runDueEvents runs the events that are due, in the order of the queue.
+func (w *simulation) runDueEvents() {
 	for i := 0; i < len(w.queue); i++ {
 		e := w.queue[i]
 		if e.at > w.now {
@@ -94,19 +96,19 @@
 	renew
 )
 
-// request is a candidate's request, and the decision on it.
+// request is a candidate's request and the decision on it.
 type request struct {
 	from   *candidate
 	kind   requestKind
 	id     uint64
 	token  uint64
-	term   int // of the leader that decided on it
+	term   int // term of the leader that decided on the request
 	record lease.Record
 	err    error
 }
 
-// send sends a request to whoever leads as it arrives.
-func (w *world) send(c *candidate, kind requestKind) {
+// send sends a request, which is decided on by the leader at the time of its arrival.
+func (w *simulation) send(c *candidate, kind requestKind) {
 	token, _ := c.claim.Holds(c.clock.at(w.now))
 	r := &request{from: c, kind: kind, id: c.claim.BeginRequest(c.clock.at(w.now)), token: token}
 	c.lastRequest, c.requestPending = r.id, true
@@ -114,7 +116,7 @@
 }
 
 // decide decides on a request that has arrived.
-func (w *world) decide(r *request) {
+func (w *simulation) decide(r *request) {
 	switch at := w.leaderClock.at(w.now); r.kind {
 	case acquire:
 		r.record, r.err = w.table.Acquire(task, r.from.name, at)
@@ -125,8 +127,8 @@
 	w.after(w.randomDuration(w.terms.Duration/4), func() { w.commit(r) })
 }
 
-// commit applies a decision. What a leader proposed that was deposed meanwhile is not committed.
-func (w *world) commit(r *request) {
+// commit commits and applies a decision, unless the leader that made it was deposed meanwhile.
+func (w *simulation) commit(r *request) {
 	if r.err == nil && r.term != w.term {
 		r.err = errLeadershipLost
 	}
@@ -142,8 +144,8 @@
 	w.after(w.randomDuration(2*w.terms.Duration), func() { w.deliver(r) })
 }
 
-// deliver brings the response to the candidate, once it is no longer paused.
-func (w *world) deliver(r *request) {
+// deliver delivers the response to the candidate, once it is no longer paused.
+func (w *simulation) deliver(r *request) {
 	if r.from.pausedUntil > w.now {
 		w.after(r.from.pausedUntil-w.now, func() { w.respond(r) })
 		return
@@ -151,8 +153,8 @@
 	w.respond(r)
 }
 
-// respond has the candidate take the response.
-func (w *world) respond(r *request) {
+// respond passes the response to the candidate's claim.
+func (w *simulation) respond(r *request) {
 	c := r.from
 	if r.id == c.lastRequest {
 		c.requestPending = false
--- a/internal/control/leasedtask/handover.go
+++ b/internal/control/leasedtask/handover.go
@@ -1,18 +1,19 @@
 package leasedtask
 
-// Rule: when a candidate gives its lease up by choice.
+// Rule: when a candidate releases its lease voluntarily.
 //
 // Inputs: the record, whether the runner was told to stop, and whether a read, write or step is pending.
 //
-//	give up = (job finished || job superseded || told to stop) && nothing pending
+//	release = (job finished || job superseded || told to stop) && nothing pending
 //
-// A lease that is held is handed over first: the claim stops, then the release is sent, so that no step is begun after the
-// store may have granted the lease to another. Handing over spares the next owner the rest of the lease.
+// A lease that is held is handed over first: the claim stops, and then the release is sent, so that no step begins after the
+// store may have granted the lease to another candidate. The hand-over saves the next owner from waiting for the lease to
+// expire.
 
-// StopAfterStep has the runner stop after the step that it runs, and hand the lease over.
+// StopAfterStep makes the runner stop after the step in progress, if any, and hand the lease over.
 func (r *Runner) StopAfterStep() { r.stopping = true }
 
-// mayStop reports whether the runner has nothing left to do.
+// mayStop reports whether the runner can stop: no operation is pending, and it was told to stop or has nothing left to do.
 func (r *Runner) mayStop() bool {
 	if r.operationPending {
 		return false
@@ -20,7 +21,7 @@
 	return r.stopping || r.recordKnown && (r.record.Finished() || r.superseded)
 }
 
-// stopAction hands the lease over once, if it is held, and then stops.
+// stopAction returns the hand-over of the lease if it is held and not yet handed over, and ActionStop otherwise.
 func (r *Runner) stopAction(token uint64, holds bool) Action {
 	if !holds || r.handedOver {
 		return Action{Kind: ActionStop}
--- a/internal/control/leasedtask/modelcheck/actions.go
+++ b/internal/control/leasedtask/modelcheck/actions.go
@@ -11,10 +11,10 @@
 	"sloehitch/internal/store/document"
 )
 
-var errNoResponse = errors.New("no answer")
+var errNoResponse = errors.New("the receiver did not respond in time")
 
-// act carries out the candidate's next action.
-func (w *world) act(c *candidate) {
+// performAction carries out the candidate's next action.
+func (w *simulation) performAction(c *candidate) {
 	switch a := c.NextAction(w.clock(c)); a.Kind {
 	case leasedtask.ActionWait:
 		c.wakeAt = w.now + time.Duration(float64(a.WakeAt-w.clock(c))/c.clockRate)
@@ -35,19 +35,19 @@
 	}
 }
 
-// applyLease has the store commit a lease, in a transaction of its own.
-func (w *world) applyLease(idPrefix string, record lease.Record) {
+// applyLease commits a lease record to the store in a separate transaction.
+func (w *simulation) applyLease(idPrefix string, record lease.Record) {
 	t := document.Transaction{ID: fmt.Sprint(idPrefix, w.rng.Uint64()), Operations: []document.Operation{{Lease: &record}}}
 	w.store.Apply(t, lease.Instant(w.now))
 }
 
-// leaseResponse is the store's response about a lease.
+// leaseResponse is the store's response to a request for the lease.
 type leaseResponse struct {
 	token uint64
 	err   error
 }
 
-func (w *world) requestLease(c *candidate, a leasedtask.Action) {
+func (w *simulation) requestLease(c *candidate, a leasedtask.Action) {
 	serve := func() leaseResponse {
 		record, err := w.decideLease(c, a)
 		if err == nil {
@@ -64,14 +64,14 @@
 	}, func() { c.HandleLeaseTimeout(w.clock(c)) })
 }
 
-func (w *world) decideLease(c *candidate, a leasedtask.Action) (lease.Record, error) {
+func (w *simulation) decideLease(c *candidate, a leasedtask.Action) (lease.Record, error) {
 	if a.Kind == leasedtask.ActionAcquire {
 		return w.store.Leases().Acquire(task, c.name, lease.Instant(w.now))
 	}
 	return w.store.Leases().Renew(task, c.name, a.Token)
 }
 
-func (w *world) readRecord(c *candidate) {
+func (w *simulation) readRecord(c *candidate) {
 	serve := func() document.Document { return w.store.Get(recordKey) }
 	request(w, c, serve, func(d document.Document) {
 		var record leasedtask.Record
@@ -84,7 +84,7 @@
 	}, func() { c.HandleRecordTimeout(w.clock(c)) })
 }
 
-func (w *world) writeRecord(c *candidate, a leasedtask.Action) {
+func (w *simulation) writeRecord(c *candidate, a leasedtask.Action) {
 	onTimeout := func() { c.HandleRecordTimeout(w.clock(c)) }
 	text, err := json.Marshal(a.Record)
 	if err != nil {
@@ -99,7 +99,7 @@
 	if w.mutant == mutantNoToken {
 		t.Conditions, t.ID = nil, fmt.Sprint(w.rng.Uint64())
 	}
-	if w.mutant == mutantStepUnrecorded && a.Record.State != leasedtask.StateCompleted { // reported as written all the same
+	if w.mutant == mutantStepUnrecorded && a.Record.State != leasedtask.StateCompleted { // reports success without writing
 		request(w, c, func() uint64 { return w.store.Get(recordKey).Version }, c.HandleWritten, onTimeout)
 		return
 	}
@@ -113,8 +113,8 @@
 	}, onTimeout)
 }
 
-func (w *world) runStep(c *candidate, a leasedtask.Action) {
-	serve := func() error { return w.receiver.take(a) }
+func (w *simulation) runStep(c *candidate, a leasedtask.Action) {
+	serve := func() error { return w.receiver.perform(a) }
 	request(w, c, serve, func(err error) { c.HandleStepResult(err, w.clock(c)) },
 		func() { c.HandleStepResult(errNoResponse, w.clock(c)) })
 }
--- a/internal/control/leasedtask/modelcheck/modelcheck.go
+++ b/internal/control/leasedtask/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck runs the runner of leased tasks through random simulations: candidates for one task, the store that they
-// agree through and a receiver of effects, in one simulated time. Messages take any time and are lost either way, and candidates
-// pause at any point, stop, or are replaced by new ones that know nothing. What must hold is checked at each effect.
+// Package modelcheck runs leased-task runners in random simulations: candidates for one task, the store through which they
+// agree and a receiver of effects share one simulated time. Messages in both directions are delayed arbitrarily or lost, and
+// candidates pause at any point, stop, or are replaced by new ones without state. The invariants are checked at each effect.
 package modelcheck
 
 import (
@@ -12,10 +12,10 @@
 	"sloehitch/internal/store/document"
 )
 
-// LeaseTerms are those of the task in every simulation.
+// LeaseTerms are the terms of the task's lease in every simulation.
 var LeaseTerms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.02, SafetyMargin: time.Second}
 
-// Mutants: faults of the program itself.
+// Mutants: faults that are injected into the program under test.
 const (
 	mutantNoFencing      = "no fence"
 	mutantNoIdempotency  = "repeats not known"
@@ -23,24 +23,24 @@
 	mutantStepUnrecorded = "step not recorded"
 )
 
-// Mutants are the faults of the program itself that a simulation can be run with, to show that it finds them.
+// Mutants are the faults that can be injected into the program under test, to show that the simulation finds them.
 var Mutants = []string{mutantNoFencing, mutantNoIdempotency, mutantNoToken, mutantStepUnrecorded}
 
 const (
 	candidates   = 3
-	steps        = 1200 // of one simulation
-	faultSteps   = 800  // of them, with faults
+	steps        = 1200 // per simulation
+	faultSteps   = 800  // steps at the beginning in which faults occur
 	step         = 100 * time.Millisecond
-	randomStream = 26 // of the random numbers; the seed is the other half
-	jobsToFinish = 2  // after the faults, besides the one that was open as they ended
+	randomStream = 26 // second half of the random generator's seed
+	jobsToFinish = 2  // jobs to be completed after the faults, in addition to the one that was open when they ended
 )
 
-// Run runs the simulation of a seed: with faults for a while, then without for 40 s, by the end of which what was open and two
-// more jobs must be done. It returns what did not hold: a step's effect that happened twice, under a token after a higher one or
-// while the step was not on record as started, or work that makes no progress; empty: everything held. mutant is one of Mutants,
-// or empty.
+// Run runs the simulation of a seed: first with faults, then without for 40 s, by the end of which the open job and
+// two more must have finished. It returns the violated invariant: the effect of a step occurred twice, under a lower
+// token than an earlier effect, or while the step was not on record as started, or the jobs made no progress; empty:
+// none. mutant is one of Mutants, or empty.
 func Run(seed uint64, mutant string) string {
-	w := &world{rng: rand.New(rand.NewPCG(seed, randomStream)), mutant: mutant}
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, randomStream)), mutant: mutant}
 	w.receiver = newReceiver(w)
 	var err error
 	if w.store, err = document.New(document.DefaultLimits, LeaseTerms); err != nil {
@@ -51,7 +51,7 @@
 	}
 	for n := range steps {
 		w.now += step
-		w.calm = n > faultSteps
+		w.faultFree = n > faultSteps
 		if n == faultSteps {
 			w.openJob = w.jobOnRecord()
 		}
@@ -61,30 +61,30 @@
 		}
 	}
 	if w.jobOnRecord() < w.openJob+jobsToFinish {
-		return fmt.Sprintf("40 s after the faults the record is %+v; j%d was open as they ended", w.record(), w.openJob)
+		return fmt.Sprintf("no progress: 40 s after the last fault the record is %+v; job j%d was open at that fault", w.record(), w.openJob)
 	}
 	return ""
 }
 
-// step runs the events that are due, and has each candidate do one thing.
-func (w *world) step() {
+// step runs the events that are due, and performs at most one action of each candidate.
+func (w *simulation) step() {
 	w.runDueEvents()
-	if !w.calm && w.rng.IntN(10) == 0 {
+	if !w.faultFree && w.rng.IntN(10) == 0 {
 		w.receiver.restart()
 	}
 	for _, c := range w.candidates {
 		switch {
 		case c.pausedUntil > w.now:
-		case !w.calm && w.rng.IntN(80) == 0:
+		case !w.faultFree && w.rng.IntN(80) == 0:
 			c.pausedUntil = w.now + w.randomDuration(3*LeaseTerms.Duration)
-		case !w.calm && w.rng.IntN(400) == 0: // it crashes
+		case !w.faultFree && w.rng.IntN(400) == 0: // the candidate crashes
 			w.replaceProcess(c)
-		case !w.calm && w.rng.IntN(300) == 0:
+		case !w.faultFree && w.rng.IntN(300) == 0:
 			c.StopAfterStep()
 		case c.wakeAt <= w.now:
-			w.act(c)
+			w.performAction(c)
 		}
-		if c.wakeAt == never { // it has stopped, or its job has finished
+		if c.wakeAt == never { // the runner has stopped
 			w.replaceProcess(c)
 		}
 	}
--- a/internal/control/leasedtask/modelcheck/receiver.go
+++ b/internal/control/leasedtask/modelcheck/receiver.go
@@ -7,7 +7,7 @@
 	"sloehitch/internal/control/leasedtask"
 )
 
-// tokenStore keeps tokens through the receiver's restarts.
+// tokenStore keeps tokens across restarts of the receiver.
 type tokenStore map[string]uint64
 
 func (s tokenStore) Load() (map[string]uint64, error) { return maps.Clone(s), nil }
@@ -16,57 +16,58 @@
 	return nil
 }
 
-// receiver is the receiver of the steps' effects. It checks what must hold.
+// receiver receives the effects of steps and checks the invariants.
 type receiver struct {
-	world        *world
+	simulation   *simulation
 	guard        *fencing.Guard
-	tokens       tokenStore     // as they are on disk
-	highestToken uint64         // of effects that happened
-	effects      map[string]int // by step id
-	job          string         // of the last effect
-	stepID       string         // of the last effect: with the job all that is known of repeats
+	tokens       tokenStore     // the tokens on disk
+	highestToken uint64         // highest token of all effects so far
+	effects      map[string]int // number of effects by step id
+	job          string         // job of the last effect
+	stepID       string         // step of the last effect; it and the job suffice to recognize repetitions
 }
 
-func newReceiver(w *world) *receiver {
-	r := &receiver{world: w, tokens: tokenStore{}, effects: map[string]int{}}
+func newReceiver(w *simulation) *receiver {
+	r := &receiver{simulation: w, tokens: tokenStore{}, effects: map[string]int{}}
 	r.restart()
 	return r
 }
 
-// restart has the receiver begin anew with what it has on disk.
+// restart replaces the receiver's guard with a new one that knows only the tokens on disk.
 func (r *receiver) restart() {
 	guard, err := fencing.New(r.tokens)
 	if err != nil {
-		r.world.fail("%v", err)
+		r.simulation.fail("%v", err)
 	}
 	r.guard = guard
 }
 
-// take has a step's effect happen: fenced, and once for its id.
-func (r *receiver) take(a leasedtask.Action) error {
-	effect := func() error { r.effect(a); return nil }
-	if r.world.mutant == mutantNoFencing {
+// perform performs a step's effect, fenced by its token and once for its id.
+func (r *receiver) perform(a leasedtask.Action) error {
+	effect := func() error { r.recordEffect(a); return nil }
+	if r.simulation.mutant == mutantNoFencing {
 		return effect()
 	}
 	return r.guard.Do(task, a.Token, effect)
 }
 
-func (r *receiver) effect(a leasedtask.Action) {
-	w := r.world
+// recordEffect records a step's effect, unless it is a repetition, and checks the invariants.
+func (r *receiver) recordEffect(a leasedtask.Action) {
+	w := r.simulation
 	if a.Record.JobID == r.job && a.ID <= r.stepID && w.mutant != mutantNoIdempotency {
 		return
 	}
 	r.job, r.stepID = a.Record.JobID, a.ID
 	if a.Token < r.highestToken {
-		w.fail("at %v step %s was run under token %d after %d", w.now, a.ID, a.Token, r.highestToken)
+		w.fail("at %v, step %s was run under token %d after an effect under token %d", w.now, a.ID, a.Token, r.highestToken)
 	}
 	record := w.record()
 	if record.JobID != a.Record.JobID || record.Step != a.Record.Step || record.State != leasedtask.StateStarted {
-		w.fail("at %v step %s was run while %+v was on record", w.now, a.ID, record)
+		w.fail("at %v, step %s was run but is not on record as started; the record is %+v", w.now, a.ID, record)
 	}
 	r.highestToken = max(r.highestToken, a.Token)
 	r.effects[a.ID]++
 	if r.effects[a.ID] > 1 {
-		w.fail("at %v step %s was run again", w.now, a.ID)
+		w.fail("at %v, the effect of step %s occurred more than once", w.now, a.ID)
 	}
 }
--- a/internal/control/leasedtask/modelcheck/world.go
+++ b/internal/control/leasedtask/modelcheck/world.go
@@ -16,23 +16,23 @@
 const (
 	task      = "release"
 	recordKey = "duty/release"
-	jobPrefix = "j" // and a number: a job's id
+	jobPrefix = "j" // followed by the job's number: its id
 
 	never time.Duration = 1 << 62
 )
 
-// world is candidates for one task, the store that they agree through and a receiver of effects, in true time.
-type world struct {
+// simulation runs, in true time, candidates for one task, the store through which they agree, and a receiver of effects.
+type simulation struct {
 	rng        *rand.Rand
 	now        time.Duration
 	queue      []event
 	store      *document.State
 	receiver   *receiver
 	candidates []*candidate
-	calm       bool // no faults any more
-	openJob    int  // number of the job that was on record as the faults ended
+	faultFree  bool // no more faults occur
+	openJob    int  // number of the job on record when the faults ended
 	mutant     string
-	violation  string // of what must hold; empty: none
+	violation  string // violated invariant; empty: none
 }
 
 type event struct {
@@ -40,24 +40,28 @@
 	run func()
 }
 
-// candidate is a process, and its successors under the same name.
+// candidate is a process and the processes that replace it under the same name.
 type candidate struct {
 	*leasedtask.Runner
 	name        string
 	clockRate   float64
 	pausedUntil time.Duration
-	incarnation int // number of the process
+	incarnation int // how often the process was replaced
 	wakeAt      time.Duration
 }
 
-func (w *world) clock(c *candidate) lease.Instant { return lease.Instant(float64(w.now) * c.clockRate) }
+func (w *simulation) clock(c *candidate) lease.Instant {
+	return lease.Instant(float64(w.now) * c.clockRate)
+}
 
-func (w *world) fail(format string, args ...any) { w.violation = fmt.Sprintf(format, args...) }
+func (w *simulation) fail(format string, args ...any) { w.violation = fmt.Sprintf(format, args...) }
 
-func (w *world) after(d time.Duration, run func()) { w.queue = append(w.queue, event{w.now + d, run}) }
+func (w *simulation) after(d time.Duration, run func()) {
+	w.queue = append(w.queue, event{w.now + d, run})
+}
 
-// runDueEvents runs the events that are due, in the order in which they were queued.
-func (w *world) runDueEvents() {
+// runDueEvents runs the events that are due, in the order of the queue.
+func (w *simulation) runDueEvents() {
 	for i := 0; i < len(w.queue); i++ {
 		e := w.queue[i]
 		if e.at > w.now {
@@ -69,24 +73,24 @@
 	}
 }
 
-// randomDuration returns a duration up to a maximum, mostly a short one.
-func (w *world) randomDuration(maximum time.Duration) time.Duration {
+// randomDuration returns a duration up to a maximum, usually a short one.
+func (w *simulation) randomDuration(maximum time.Duration) time.Duration {
 	x := w.rng.Float64()
 	return time.Duration(x * x * x * float64(maximum))
 }
 
-// message returns how long a message takes, and whether it arrives.
-func (w *world) message() (delay time.Duration, arrives bool) {
-	if w.calm {
+// message returns the delay of a message, and whether it arrives.
+func (w *simulation) message() (delay time.Duration, arrives bool) {
+	if w.faultFree {
 		return time.Millisecond, true
 	}
 	delay = w.randomDuration(4 * LeaseTerms.Duration)
 	return delay, w.rng.IntN(12) > 0
 }
 
-// request has serve run at the other end, and then onResponse at the candidate with its result; onTimeout where a message is
-// lost or late. The process that sent the request gets the response once it is no longer paused, a later incarnation never does.
-func request[T any](w *world, c *candidate, serve func() T, onResponse func(T), onTimeout func()) {
+// request runs serve at the other end and then onResponse with its result at the candidate, or onTimeout if a message is lost
+// or late. The process that sent the request gets the response once it is no longer paused; a later incarnation never does.
+func request[T any](w *simulation, c *candidate, serve func() T, onResponse func(T), onTimeout func()) {
 	incarnation := c.incarnation
 	ended := false
 	var deliver func(run func())
@@ -103,12 +107,12 @@
 			c.wakeAt = 0
 		}
 	}
-	w.after(LeaseTerms.Duration, func() { deliver(onTimeout) }) // the request may arrive later all the same
-	there, arrives := w.message()
+	w.after(LeaseTerms.Duration, func() { deliver(onTimeout) }) // the request may still arrive later
+	delay, arrives := w.message()
 	if !arrives {
 		return
 	}
-	w.after(there, func() {
+	w.after(delay, func() {
 		result := serve()
 		if back, arrives := w.message(); arrives {
 			w.after(back, func() { deliver(func() { onResponse(result) }) })
@@ -116,8 +120,8 @@
 	})
 }
 
-// record returns the job on record, as a member of the store has it.
-func (w *world) record() (r leasedtask.Record) {
+// record returns the record of the current job from the store; empty: there is none.
+func (w *simulation) record() (r leasedtask.Record) {
 	d := w.store.Get(recordKey)
 	if d.Version == 0 {
 		return r
@@ -129,7 +133,7 @@
 }
 
 // jobOnRecord returns the number of the job on record; 0: there is none.
-func (w *world) jobOnRecord() int { return jobNumber(w.record().JobID) }
+func (w *simulation) jobOnRecord() int { return jobNumber(w.record().JobID) }
 
 func jobID(n int) string {
 	if n == 0 {
@@ -140,14 +144,14 @@
 
 func jobNumber(id string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(id, jobPrefix))
-	if err != nil { // the id of no job
+	if err != nil { // empty or not a job's id
 		return 0
 	}
 	return n
 }
 
-// newCandidate returns a new process: it resumes the job on record, or starts the next one after it.
-func (w *world) newCandidate(name string) *candidate {
+// newCandidate returns a new process, which resumes the job on record or, if that has finished, starts the next one.
+func (w *simulation) newCandidate(name string) *candidate {
 	record := w.record()
 	n := jobNumber(record.JobID)
 	if n == 0 || record.Finished() {
@@ -168,8 +172,8 @@
 	return &candidate{Runner: runner, name: name, clockRate: rate}
 }
 
-// replaceProcess has another process take a candidate's place, on the same machine.
-func (w *world) replaceProcess(c *candidate) {
+// replaceProcess replaces a candidate's process with a new one on the same machine.
+func (w *simulation) replaceProcess(c *candidate) {
 	c.incarnation++
 	c.Runner = w.newCandidate(c.name).Runner
 	c.wakeAt = 0
--- a/internal/control/leasedtask/next.go
+++ b/internal/control/leasedtask/next.go
@@ -6,7 +6,8 @@
 
 // Rule: a candidate's next action.
 //
-// Inputs: whether the lease is held now, what is pending, and the record as last read or written. The first that applies:
+// Inputs: whether the lease is held now, which requests are pending, and the record as last read or written. The first case
+// that applies:
 //
 //  1. The job has finished or was stopped, and no operation is pending: hand the lease over, then stop (handover.go).
 //  2. The lease is due for renewal: renew it, also while a step runs.
@@ -15,13 +16,13 @@
 //  5. The record is not known under this lease: read it.
 //  6. A record is to be written: write it, under the same id at each attempt.
 //  7. The step on record is started: run it.
-//  8. Else the next step is started on record, or the job completed.
+//  8. Otherwise: write a record in which the next step is started, or the job is completed.
 
-// waitFraction is the part of a holder's lease after which a waiting candidate looks again: often enough to renew in time.
+// waitFraction divides the holder's lease into the intervals at which a waiting candidate checks again, often enough to renew
+// the lease in time.
 const waitFraction = 10
 
-// NextAction returns what has to be done now. It must be called again after each result that is reported, and at
-// Action.WakeAt.
+// NextAction returns the action to carry out now. It must be called again after each reported result, and at Action.WakeAt.
 func (r *Runner) NextAction(now lease.Instant) Action {
 	token, holds := r.claim.Holds(now)
 	switch {
@@ -39,7 +40,7 @@
 	return r.operationAction(token)
 }
 
-// acquireAction requests the lease, unless a request is pending.
+// acquireAction returns a request for the lease, or a wait if a request is pending.
 func (r *Runner) acquireAction(now lease.Instant) Action {
 	r.recordKnown, r.pendingWrite = false, nil
 	if r.leaseRequestPending {
@@ -49,7 +50,7 @@
 	return Action{Kind: ActionAcquire, RequestID: r.claim.BeginRequest(now)}
 }
 
-// operationAction is the next read, write or step under the lease.
+// operationAction returns the next read, write or step under the lease.
 func (r *Runner) operationAction(token uint64) Action {
 	if !r.recordKnown {
 		return Action{Kind: ActionReadRecord, Token: token}
@@ -65,7 +66,7 @@
 	return Action{Kind: ActionWriteRecord, Token: token, Record: *r.pendingWrite, Version: r.version, ID: r.job.writeID(token, r.writeCount)}
 }
 
-// waitAction waits until the runner has to look again.
+// waitAction returns a wait until the next check, or until the retry delay ends if that is earlier.
 func (r *Runner) waitAction(now lease.Instant) Action {
 	at := now.Add(r.terms.HolderDuration() / waitFraction)
 	if r.retryAt > now && r.retryAt < at {
@@ -74,8 +75,8 @@
 	return Action{Kind: ActionWait, WakeAt: at}
 }
 
-// recordAfter returns the record that follows one whose step is done, or an empty one: the next step started, or the job
-// completed.
+// recordAfter returns the record that follows r, which is empty or whose step is done: the next step is started, or
+// the job is completed.
 func (j Job) recordAfter(r Record) Record {
 	next := Record{JobID: j.ID, State: StateStarted}
 	if r.State == StateDone {
@@ -87,8 +88,8 @@
 	return next
 }
 
-// afterStep returns the record that follows one whose step was run: done, to be retried, or failed for good after the last of
-// maxAttempts.
+// afterStep returns the record that follows r after its step was run: the step is done, is to be retried, or has
+// failed for the maxAttempts-th time, with which the job has failed.
 func (r Record) afterStep(err error, maxAttempts int) Record {
 	if err == nil {
 		r.State, r.FailureReason = StateDone, ""
--- a/internal/control/leasedtask/runner.go
+++ b/internal/control/leasedtask/runner.go
@@ -13,39 +13,39 @@
 	claim *lease.Claim
 
 	leaseRequestPending bool
-	operationPending    bool          // a read, a write or a step
-	retryAt             lease.Instant // nothing but a renewal is started before
+	operationPending    bool          // a read, a write or a step is in progress
+	retryAt             lease.Instant // before this, nothing but a renewal is started
 
 	recordKnown  bool
 	record       Record
-	version      uint64  // of the record
+	version      uint64  // version of the record
 	pendingWrite *Record // the record to be written; nil: none
 	writeCount   int     // writes so far under this token
 
 	stopping   bool
 	handedOver bool
-	superseded bool // the record is of a job that this one does not follow
+	superseded bool // the record belongs to a job that this one does not follow
 }
 
-// NewRunner returns a candidate that holds nothing. It returns an error for a job without id, steps, attempts or delay, and for
-// terms that are not valid.
+// NewRunner returns a candidate without a lease. It returns an error for a job without id, steps, attempts or retry
+// delay, and for invalid terms.
 func NewRunner(j Job, t lease.Terms) (*Runner, error) {
 	if j.ID == "" || len(j.Steps) == 0 || j.MaxAttempts < 1 || j.RetryDelay <= 0 {
-		return nil, fmt.Errorf("leasedtask: a job needs an id, steps, one attempt or more and a retry delay, not %+v", j)
+		return nil, fmt.Errorf("leasedtask: job lacks an id, steps, at least one attempt or a positive retry delay: %+v", j)
 	}
 	return &Runner{job: j, terms: t, claim: lease.NewClaim(t)}, t.Validate()
 }
 
-// Record returns the job's record as far as this candidate knows, and whether it knows one.
+// Record returns the job's record as this candidate last read or wrote it, and whether it knows the record.
 func (r *Runner) Record() (Record, bool) { return r.record, r.recordKnown }
 
-// LeaseValidUntil returns the end of the last lease that this candidate was granted.
+// LeaseValidUntil returns the end of the last lease granted to this candidate.
 func (r *Runner) LeaseValidUntil() lease.Instant { return r.claim.ValidUntil() }
 
 // HandleGrant reports that the lease was granted or renewed.
 func (r *Runner) HandleGrant(requestID, token uint64) {
 	if previous, _ := r.claim.Holds(0); token != previous {
-		r.recordKnown, r.pendingWrite, r.writeCount = false, nil, 0 // a new lease begins with reading the record
+		r.recordKnown, r.pendingWrite, r.writeCount = false, nil, 0 // under a new lease, the record must be read first
 	}
 	r.leaseRequestPending = false
 	r.claim.HandleGrant(requestID, token)
@@ -58,8 +58,8 @@
 	r.delayRetry(now)
 }
 
-// HandleLeaseTimeout reports that a request for the lease got no response; it may have been granted all the same. A lease that is
-// held is held until its end, and renewed by another request.
+// HandleLeaseTimeout reports that a request for the lease got no response; it may have been granted nevertheless. A
+// lease that is held stays held until its end, and another request renews it.
 func (r *Runner) HandleLeaseTimeout(now lease.Instant) {
 	r.leaseRequestPending = false
 	if _, holds := r.claim.Holds(now); !holds {
@@ -67,8 +67,8 @@
 	}
 }
 
-// HandleRecord reports the record and its version; version 0: there is none. The job is started only where its predecessor has
-// finished. A record of any other job ends the runner.
+// HandleRecord reports the record and its version; version 0: there is no record. The job is started only if its
+// predecessor has finished. The record of any other job makes the runner stop.
 func (r *Runner) HandleRecord(record Record, version uint64) {
 	r.operationPending, r.recordKnown, r.version, r.record = false, true, version, record
 	if record.JobID == r.job.ID {
@@ -78,7 +78,7 @@
 	r.superseded = record.JobID != r.job.Predecessor || record.JobID != "" && !record.Finished()
 }
 
-// HandleWritten reports that the pending write is on record, under this version.
+// HandleWritten reports that the pending write was committed with the given version.
 func (r *Runner) HandleWritten(version uint64) {
 	r.operationPending, r.version = false, version
 	r.writeCount++
@@ -87,21 +87,21 @@
 	}
 }
 
-// HandleRecordTimeout reports that a read or write of the record got no response. A write is retried under its id.
+// HandleRecordTimeout reports that a read or write of the record got no response. A write is retried with the same id.
 func (r *Runner) HandleRecordTimeout(now lease.Instant) {
 	r.operationPending = false
 	r.delayRetry(now)
 }
 
-// HandleConflict reports that a write was rejected: another has changed the record or acquired the lease. The record is read
-// anew.
+// HandleConflict reports that a write was rejected because another candidate has changed the record or acquired the
+// lease. The record is read again.
 func (r *Runner) HandleConflict(now lease.Instant) {
 	r.operationPending, r.recordKnown, r.pendingWrite = false, false, nil
 	r.writeCount++ // the id of the rejected write is used up
 	r.delayRetry(now)
 }
 
-// HandleStepResult reports how the step ended.
+// HandleStepResult reports the result of the step; nil means that it succeeded.
 func (r *Runner) HandleStepResult(err error, now lease.Instant) {
 	r.operationPending = false
 	next := r.record.afterStep(err, r.job.MaxAttempts)
@@ -111,5 +111,5 @@
 	r.pendingWrite = &next
 }
 
-// delayRetry starts nothing but renewals for the job's retry delay.
+// delayRetry defers all actions but renewals for the job's retry delay.
 func (r *Runner) delayRetry(now lease.Instant) { r.retryAt = now.Add(r.job.RetryDelay) }
