--- a/internal/handover/discount_test.go
+++ b/internal/handover/discount_test.go
@@ -43,10 +43,10 @@
 	return served
 }
 
-// TestDiscount: what was learned under overload, when no run came near its latency objective, does not keep a new
-// server from serving a light load; without the discount it does. What was learned under a light load changes
-// nothing.
-func TestDiscount(t *testing.T) {
+// TestDiscountedOverloadStateDoesNotPreventServing checks that values learned under overload, when no run came near
+// its latency objective, do not keep a new server from serving a light load once they are discounted, though they do
+// without the discount. Values learned under a light load are not reduced.
+func TestDiscountedOverloadStateDoesNotPreventServing(t *testing.T) {
 	cfg := logic.Settings{Cores: 2, MemoryKB: 1e6, MaxConcurrencyPerCore: 5, StepInterval: 5 * ms, Classes: []logic.Class{
 		{Name: "book", LatencyObjective: 1000 * ms, ClientTimeout: 4000 * ms, PriorityWeight: 1}}}
 	overload := logic.LearnedState{RunLimit: 9, RejectedShare: logic.Average{Mean: 0.95, Samples: 5000}, Classes: map[string]logic.Estimate{"book": {
@@ -55,15 +55,15 @@
 	fresh := serveLightLoad(t, cfg, nil)
 	afterOverload, afterLight := Discount(overload, cfg), Discount(light, cfg)
 	if got := serveLightLoad(t, cfg, &afterOverload); got < fresh-2 {
-		t.Errorf("after an overload %d served, a server that knows nothing %d", got, fresh)
+		t.Errorf("%d requests served with discounted values from an overload, %d without learned values", got, fresh)
 	}
 	if got := serveLightLoad(t, cfg, &overload); got > fresh-2 {
-		t.Errorf("without the discount %d of %d served: this test shows nothing", got, fresh)
+		t.Errorf("%d requests served without the discount, %d without learned values: the test has no effect", got, fresh)
 	}
 	if got := serveLightLoad(t, cfg, &afterLight); got < fresh {
-		t.Errorf("after a light load %d served, a server that knows nothing %d", got, fresh)
+		t.Errorf("%d requests served with values from a light load, %d without learned values", got, fresh)
 	}
 	if e := afterLight.Classes["book"]; e.RunTime.Mean != 2e4 || e.RunTime.Samples != maxSamples {
-		t.Errorf("a mean below the objective is changed: %+v", e)
+		t.Errorf("a mean below the objective was changed, or its samples not limited: %+v", e)
 	}
 }
--- a/internal/handover/quota.go
+++ b/internal/handover/quota.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// Load is what a process has in flight, as it tells the other processes of its node.
+// Load is the work that a process has in flight, which it reports to the other processes of its node.
 type Load struct {
-	Running, Queued int // requests
-	Connections     int // of callers
+	Running, Queued int // number of requests
+	Connections     int // number of callers' connections
 }
 
-// EncodedLoadSize is the bytes of an encoded Load.
+// EncodedLoadSize is the size of an encoded Load in bytes.
 const EncodedLoadSize = 12
 
-// Encode returns the bytes that ParseLoad reads: the three numbers, 4 bytes each, little-endian.
+// Encode returns the encoding that ParseLoad reads: the three numbers as 4 bytes each, little-endian.
 func (l Load) Encode() []byte {
 	b := make([]byte, 0, EncodedLoadSize)
 	for _, v := range []int{l.Running, l.Queued, l.Connections} {
@@ -23,7 +23,7 @@
 	return b
 }
 
-// ParseLoad reads an encoded Load. It returns false if there is none: the process has left no note yet.
+// ParseLoad decodes a Load. It returns false if b does not have the size of one: the process has not reported yet.
 func ParseLoad(b []byte) (l Load, ok bool) {
 	if len(b) != EncodedLoadSize {
 		return l, false
@@ -34,24 +34,25 @@
 	return l, true
 }
 
-// Quota is what one of a node's processes may use.
+// Quota is the share of a node's resources that one of its processes may use.
 type Quota struct {
-	CPUFraction    float64 // of the node's concurrency and memory for requests: above 0, at most 1
-	MemoryFraction float64 // of the process's own memory
-	Connections    int     // of callers
+	CPUFraction    float64 // of the node's concurrency and memory for requests: more than 0, at most 1
+	MemoryFraction float64 // of the memory for the process itself
+	Connections    int     // number of callers' connections
 }
 
 const (
-	// minCPUFraction is the CPU fraction of a process that has nothing in flight: its next requests must be able to
-	// start before the quotas are computed anew.
+	// minCPUFraction is the CPU fraction of a process that has nothing in flight, so that its next requests can start
+	// before the quotas are computed again.
 	minCPUFraction = 0.125
-	// maxReservedProcesses bounds the other processes for which minCPUFraction is reserved.
+	// maxReservedProcesses is the maximum number of other processes for which minCPUFraction is reserved.
 	maxReservedProcesses = 4
-	// minConnectionsDivisor is the part of the connections that each process may keep: new callers must find a way in.
+	// minConnectionsDivisor sets the share of the connections that every process may use: 1/minConnectionsDivisor. It
+	// allows new callers to connect.
 	minConnectionsDivisor = 8
 )
 
-// ComputeQuota returns what a process may use of the node while others of the node live. connections is the limit of
+// ComputeQuota returns the quota of a process while other processes of the node are alive. connections is the limit of
 // the node.
 //
 //	demand         = running + queued + 1
@@ -59,10 +60,11 @@
 //	MemoryFraction = 1 / processes
 //	Connections    = connections - those of the others, at least connections/8
 //
-// CPU goes by what each process has in flight: work that waits has the same weight wherever it came in, and the
-// process that shuts down needs less and less by itself. (All for the new one would let the old one's requests time
-// out; halves would leave cores idle at both ends of the hand-over.) Each needs about the same memory, whatever it
-// has in flight. Open connections can't be taken from the others.
+// CPU is divided by the work that each process has in flight: queued requests have the same weight in every process,
+// and the demand of a process that shuts down decreases by itself. (Giving all CPU to the new process would make the old
+// one's requests time out; equal shares would leave cores idle at the start and at the end of the hand-over.) Each
+// process needs about the same memory, regardless of its work in flight. Open connections of other processes can't be
+// revoked.
 func ComputeQuota(own Load, others []Load, connections int) Quota {
 	demand := func(l Load) float64 { return float64(l.Running+l.Queued) + 1 }
 	sum, open := demand(own), 0
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -12,29 +12,31 @@
 	"sloehitch/logic"
 )
 
-// SnapshotVersion is the version of a snapshot's form: a header of 16 bytes ("SLHO", the version in 2 bytes, 2 of 0,
-// the length of what follows and a CRC-32C of all else, 4 bytes each, little-endian), then JSON.
+// SnapshotVersion is the version of the snapshot encoding: a header of 16 bytes, followed by JSON. The header contains
+// "SLHO", the version in 2 bytes, 2 bytes of value 0, the length of the JSON and a CRC-32C of everything else in 4 bytes
+// each; numbers are little-endian.
 const SnapshotVersion = 1
 
 const (
 	snapshotMagic      = "SLHO"
 	snapshotHeaderSize = 16
-	// MaxSnapshotBytes bounds a snapshot: a longer one is neither written nor read.
+	// MaxSnapshotBytes is the maximum size of a snapshot; a larger one is neither written nor read.
 	MaxSnapshotBytes = 256 << 10
 )
 
-// Snapshot is what a process leaves for the one that replaces it. Its JSON names are stored.
+// Snapshot is the learned state that a process saves for the process that replaces it. The JSON names are stored on
+// disk and must not change.
 type Snapshot struct {
 	Node         string             `json:"node"`
-	Process      int                `json:"process"` // the id of the process that made it
+	Process      int                `json:"process"` // the id of the process that made the snapshot
 	CreatedAt    time.Time          `json:"made"`
-	AtShutdown   bool               `json:"leaving"` // made at the notice of shutdown
+	AtShutdown   bool               `json:"leaving"` // made when the process was notified of its shutdown
 	SettingsHash string             `json:"settings"`
 	LearnedState logic.LearnedState `json:"learned"`
 }
 
-// HasSamples reports whether anything was learned yet: a process that has just begun must not replace what the one
-// before it left.
+// HasSamples reports whether any run time was measured yet. A process that has just started must not replace the
+// snapshot of its predecessor.
 func HasSamples(l logic.LearnedState) bool {
 	for _, e := range l.Classes {
 		if e.RunTime.Samples > 0 {
@@ -44,7 +46,7 @@
 	return false
 }
 
-// HashSettings identifies settings as far as what is learned under them depends on them, in 64 hex digits.
+// HashSettings returns a hash, in 64 hex digits, of the settings that the learned state depends on.
 func HashSettings(s logic.Settings) string {
 	text := fmt.Sprintf("%v %v %v %v %v %v %v", s.Classes, s.Tenants, s.Cores, s.MemoryKB,
 		s.RunMemoryFactor, s.MaxConcurrencyPerCore, s.WeightPerWork)
@@ -53,7 +55,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Marshal returns a snapshot's bytes. It returns an error if they are more than MaxSnapshotBytes.
+// Marshal encodes a snapshot. It returns an error if the encoding is larger than MaxSnapshotBytes.
 func Marshal(s Snapshot) ([]byte, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -64,18 +66,19 @@
 	b = binary.LittleEndian.AppendUint32(b, 0)
 	b = append(b, text...)
 	if len(b) > MaxSnapshotBytes {
-		return nil, fmt.Errorf("a snapshot of %d bytes, %d at most", len(b), MaxSnapshotBytes)
+		return nil, fmt.Errorf("encoded snapshot is too large: %d bytes, the maximum is %d", len(b), MaxSnapshotBytes)
 	}
 	binary.LittleEndian.PutUint32(b[12:], checksum(b))
 	return b, nil
 }
 
-// checksum is the CRC-32C of all but the header's last 4 bytes.
+// checksum returns the CRC-32C of b without the header's last 4 bytes.
 func checksum(b []byte) uint32 {
 	return crc32.Update(crc32.Checksum(b[:12], castagnoli), castagnoli, b[snapshotHeaderSize:])
 }
 
-// Unmarshal reads a snapshot. It returns ErrCorrupt or, where the bytes are intact, ErrVersion.
+// Unmarshal decodes a snapshot. It returns ErrCorrupt if the bytes are damaged, and ErrVersion if they are intact but of
+// another version.
 func Unmarshal(b []byte) (s Snapshot, err error) {
 	if len(b) < snapshotHeaderSize || string(b[:4]) != snapshotMagic ||
 		int(binary.LittleEndian.Uint32(b[8:])) != len(b)-snapshotHeaderSize ||
@@ -83,7 +86,7 @@
 		return s, ErrCorrupt
 	}
 	if v := binary.LittleEndian.Uint16(b[4:]); v != SnapshotVersion {
-		return s, fmt.Errorf("%w: %d, this program writes %d", ErrVersion, v, SnapshotVersion)
+		return s, fmt.Errorf("%w: %d, this program supports version %d", ErrVersion, v, SnapshotVersion)
 	}
 	if err := json.Unmarshal(b[snapshotHeaderSize:], &s); err != nil {
 		return Snapshot{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
@@ -91,13 +94,13 @@
 	return s, nil
 }
 
-// Why a snapshot is not taken over.
+// Errors that say why a snapshot is not used.
 var (
-	ErrCorrupt       = errors.New("cut or damaged")
-	ErrVersion       = errors.New("of another version")
-	ErrOtherNode     = errors.New("of another node")
-	ErrOtherSettings = errors.New("made under other settings")
-	ErrTooOld        = errors.New("too old")
-	ErrFromFuture    = errors.New("made in the future: the clock was set back")
-	ErrImplausible   = errors.New("holds values that no server learns")
+	ErrCorrupt       = errors.New("snapshot is truncated or damaged")
+	ErrVersion       = errors.New("snapshot has another format version")
+	ErrOtherNode     = errors.New("snapshot is from another node")
+	ErrOtherSettings = errors.New("snapshot was made under other settings")
+	ErrTooOld        = errors.New("snapshot is too old")
+	ErrFromFuture    = errors.New("snapshot is from the future: the clock was set back")
+	ErrImplausible   = errors.New("snapshot contains an implausible value")
 )
--- a/internal/handover/snapshotfile/snapshotfile.go
+++ b/internal/handover/snapshotfile/snapshotfile.go
@@ -1,4 +1,4 @@
-// Package snapshotfile reads and writes the file in which a process leaves a snapshot for the one that replaces it.
+// Package snapshotfile reads and writes the file with which a process passes a snapshot to the process that replaces it.
 package snapshotfile
 
 import (
@@ -11,17 +11,17 @@
 	"sloehitch/internal/handover"
 )
 
-// Path returns the path of a node's file in dir, which its processes share.
+// Path returns the path of a node's snapshot file in dir, the directory that the node's processes share.
 func Path(dir, name string) string { return filepath.Join(dir, "sloehitch-"+name+"-learned") }
 
-// Write replaces the file. Whoever reads at the same time, or after a kill midway, finds the snapshot before or the
-// new one, never a part. Nothing is flushed to disk: the file is to outlive a process, not a machine.
+// Write replaces the snapshot file atomically: a concurrent reader, or one after a kill during Write, finds either the
+// previous or the new snapshot. The file is not flushed to disk, as it only has to survive the process, not the machine.
 func Write(path string, s handover.Snapshot) error {
 	text, err := handover.Marshal(s)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	// Each writer has a file of its own: several may write at once, in one process or in two.
+	// Each call writes its own temporary file, since several calls may run at once, in one process or in two.
 	next, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -30,13 +30,13 @@
 	if err = errors.Join(err, next.Close()); err == nil {
 		err = os.Rename(next.Name(), path)
 	}
-	if err != nil { // leave no part of it in a full folder
+	if err != nil { // remove the incomplete file, as the disk may be full
 		return errors.Join(fmt.Errorf("snapshot: %w", err), os.Remove(next.Name()))
 	}
 	return nil
 }
 
-// Read reads the file. Where there is none the error is os.ErrNotExist.
+// Read reads the snapshot file. It returns os.ErrNotExist if there is none.
 func Read(path string) (handover.Snapshot, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/handover/snapshotfile/snapshotfile_test.go
+++ b/internal/handover/snapshotfile/snapshotfile_test.go
@@ -10,13 +10,13 @@
 	"sloehitch/internal/handover"
 )
 
-// TestWrite: whoever reads while three write, two of them under one process id, finds one complete snapshot; one that
-// can't be put in its place leaves no part of itself.
-func TestWrite(t *testing.T) {
+// TestConcurrentWritesLeaveCompleteSnapshot checks that a reader finds a complete snapshot while three writers, two
+// of them with the same process id, replace the file, and that a failed write leaves no temporary file behind.
+func TestConcurrentWritesLeaveCompleteSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	path := Path(dir, "n1")
 	if _, err := Read(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("none yet: %v", err)
+		t.Errorf("read before the first write: %v, want os.ErrNotExist", err)
 	}
 	var writers sync.WaitGroup
 	for process := range 3 {
@@ -28,7 +28,7 @@
 					t.Error(err)
 				}
 				if s, err := Read(path); err != nil || s.Node != "n1" {
-					t.Errorf("while others write: %+v, %v", s, err)
+					t.Errorf("read while others write: %+v, %v, want a complete snapshot", s, err)
 				}
 			}
 		}()
@@ -38,19 +38,19 @@
 		t.Fatal(err)
 	}
 	if s, err := Read(path); err != nil || s.Process != 3 {
-		t.Errorf("the last one written: %+v, %v", s, err)
+		t.Errorf("read after the last write: %+v, %v, want that of process 3", s, err)
 	}
-	taken := filepath.Join(dir, "taken")
-	if err := os.Mkdir(taken, 0o700); err != nil {
+	directory := filepath.Join(dir, "taken")
+	if err := os.Mkdir(directory, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := Write(taken, handover.Snapshot{Node: "n1", Process: 4}); err == nil {
-		t.Error("no error where it can't be put in its place")
+	if err := Write(directory, handover.Snapshot{Node: "n1", Process: 4}); err == nil {
+		t.Error("no error from a write to a path that is a directory")
 	}
 	if err := Write(filepath.Join(dir, "none", "n1"), handover.Snapshot{Node: "n1", Process: 4}); err == nil {
-		t.Error("no error where there is no folder")
+		t.Error("no error from a write to a directory that does not exist")
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, "*.*")); len(left) != 0 {
-		t.Errorf("left: %v", left)
+	if leftover, _ := filepath.Glob(filepath.Join(dir, "*.*")); len(leftover) != 0 {
+		t.Errorf("temporary files were left behind: %v", leftover)
 	}
 }
--- a/internal/operatorapi/call.go
+++ b/internal/operatorapi/call.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Call is a request of an operator.
+// Call is an operator's command.
 type Call int
 
 // The calls.
 const (
-	Readyz    Call = iota + 1 // whether this process takes clients
-	Telemetry                 // the counts, then a line "--"
-	Evacuate                  // health checks fail from now on
-	Activate                  // health checks succeed again
+	Readyz    Call = iota + 1 // reports whether the process accepts clients
+	Telemetry                 // returns the counters, followed by a line "--"
+	Evacuate                  // makes health checks fail
+	Activate                  // makes health checks succeed again
 )
 
 var callNames = map[string]Call{"readyz": Readyz, "telemetry": Telemetry, "evacuate": Evacuate, "activate": Activate}
 
-// Parse reads one call. The line may end in "\n" or "\r\n"; case and surrounding blanks do not matter. It errs on
-// an empty line, a word it does not know, or words after the call.
+// Parse parses one call. The line may end in "\n" or "\r\n"; case and surrounding spaces are ignored. Parse returns an
+// error for an empty line, an unknown word, or words after the call.
 func Parse(line string) (Call, error) {
 	words := strings.Fields(line)
 	switch {
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Ask makes one call at address and returns the whole answer. It blocks until the node closes the connection or the timeout passes. It errs where the
-// call is not one of the four, where the node cannot be reached, and where the answer begins with NAK (which is returned too).
+// Ask makes one call at address and returns the whole answer. It blocks until the node closes the connection or the timeout
+// expires. It returns an error if the call is unknown, if the node cannot be reached, and if the answer does not begin with
+// ACK; in the last case it returns the answer too.
 func Ask(address, call string, timeout time.Duration) (string, error) {
 	if _, err := Parse(call); err != nil {
 		return "", err
@@ -31,7 +32,7 @@
 	}
 	answer := b.String()
 	if !strings.HasPrefix(answer, "ACK") {
-		return answer, fmt.Errorf("the node says: %s", strings.TrimSpace(answer))
+		return answer, fmt.Errorf("the node rejected the call: %s", strings.TrimSpace(answer))
 	}
 	return answer, nil
 }
--- a/internal/operatorapi/report.go
+++ b/internal/operatorapi/report.go
@@ -2,21 +2,21 @@
 
 import "strconv"
 
-// Class counts the requests of one class since the process started.
+// Class contains the counters of one request class since the process started.
 type Class struct {
 	Name                       string
-	OK, Shed, Errors, Attempts int // succeeded, rejected, failed; runs handed to the runtime
+	OK, Shed, Errors, Attempts int // requests that succeeded, were rejected, failed; runs passed to the runtime
 }
 
-// Report is the counts that telemetry shows.
+// Report contains the counters that telemetry returns.
 type Report struct {
 	Classes                       []Class
-	InFlight                      int // requests read and not yet answered
-	ConfigApplied, ConfigRejected int // configuration files at SIGHUP
+	InFlight                      int // requests that were read and are not yet answered
+	ConfigApplied, ConfigRejected int // configuration files that were applied and rejected at SIGHUP
 }
 
-// Append appends the counts in the statsd form of the operators' page, "app.responses.C.ok:812|c" and
-// "app.active:14|g", a line each.
+// Append appends the counters in statsd format, one per line, as the operators' documentation specifies: for example
+// "app.responses.C.ok:812|c" for class C and "app.active:14|g".
 func (r Report) Append(b []byte) []byte {
 	counter := func(name string, v int) {
 		b = append(b, "app."...)
--- a/internal/operatorapi/server.go
+++ b/internal/operatorapi/server.go
@@ -1,6 +1,6 @@
-// Package operatorapi serves the operators' calls on a second address: a connection carries one line, and the answer is a
-// line that begins with ACK or NAK (the operators' page of days in service). It only parses, asks and writes; what a
-// call does is the Handler's.
+// Package operatorapi serves the operators' calls on a separate address: a connection carries one line, and the answer
+// begins with a line that starts with ACK or NAK (operators' documentation, the page on days in service). The package
+// parses calls and writes answers; a Handler carries the calls out.
 package operatorapi
 
 import (
@@ -15,12 +15,12 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// Handler carries out the calls. Its methods must not block for long: each answer is due within a second.
+// Handler carries out the calls. Its methods must not block for long, since each answer is due within a second.
 type Handler interface {
-	Ready() bool    // whether the node takes clients
-	Report() Report // its counts
-	Evacuate()      // have health checks fail
-	Activate()      // have them succeed again
+	Ready() bool    // reports whether the node accepts clients
+	Report() Report // returns the node's counters
+	Evacuate()      // makes health checks fail
+	Activate()      // makes health checks succeed again
 }
 
 // Server answers operators' calls.
@@ -28,14 +28,14 @@
 	handler   Handler
 	limits    limits.Limits
 	log       *slog.Logger
-	slots     chan struct{} // one for each connection that is served
-	rejecting chan struct{} // one for each connection beyond them that is told so
+	slots     chan struct{} // holds one element for each connection that is served
+	rejecting chan struct{} // holds one element for each rejected connection that may still read its answer
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// New returns a server for h.
+// New returns a server that passes calls to h.
 func New(h Handler, lim limits.Limits, log *slog.Logger) *Server {
 	return &Server{
 		handler:   h,
@@ -47,9 +47,9 @@
 	}
 }
 
-// Serve answers the calls that arrive on ln until ln is closed; then it closes the open connections and returns nil. Each connection is served by a
-// goroutine of its own, so that an incomplete call delays no other; it is closed after limits.OperatorCallTimeout. Connections beyond
-// limits.OperatorConnections are answered "NAK busy" at once.
+// Serve answers the calls that arrive on ln until ln is closed; then it closes the open connections and returns nil. Each
+// connection is served by its own goroutine, so that an incomplete call delays no other, and is closed if its call is not
+// complete within limits.OperatorCallTimeout. Connections beyond limits.OperatorConnections are answered "NAK busy" at once.
 func (s *Server) Serve(ln net.Listener) error {
 	defer s.closeAll()
 	for {
@@ -60,7 +60,7 @@
 			}
 			var ne net.Error
 			if errors.As(err, &ne) && ne.Timeout() || isTemporary(err) {
-				time.Sleep(s.limits.MinBackoff) // such as too many open descriptors
+				time.Sleep(s.limits.MinBackoff) // a temporary error, such as too many open file descriptors
 				continue
 			}
 			return err
@@ -98,8 +98,8 @@
 	}
 }
 
-// rejectConnection answers a connection for which there is no slot. A few at once get the time to read the answer; further ones are closed at once, so
-// that they hold no descriptors.
+// rejectConnection answers a connection for which there is no slot. A few connections at a time are given time to read the
+// answer; further ones are closed at once, so that they hold no file descriptors.
 func (s *Server) rejectConnection(c net.Conn) {
 	defer c.Close()
 	s.write(c, []byte("NAK busy: too many operators' connections at once\n"))
@@ -125,23 +125,23 @@
 			s.write(c, []byte("NAK "+err.Error()+"\n"))
 			gracefulclose.CloseWriteAndDiscard(c, s.limits.CloseTimeout, s.limits.FrameBytes)
 		}
-		return // nothing arrived in time: the caller may have left
+		return // no complete call arrived in time: the caller may be gone
 	}
 	s.write(c, s.Answer(line))
 	gracefulclose.CloseWriteAndDiscard(c, s.limits.CloseTimeout, s.limits.FrameBytes)
 }
 
-// errLong means that a call is longer than limits.OperatorCallBytes.
-var errLong = errors.New("call too long")
+// errCallTooLong is returned for a call that is longer than limits.OperatorCallBytes.
+var errCallTooLong = errors.New("call too long")
 
-// readLine reads up to and without the newline; a line longer than maxBytes is an error.
+// readLine reads a line and returns it without the newline. It returns errCallTooLong for a line longer than maxBytes.
 func readLine(r *bufio.Reader, maxBytes int) (string, error) {
 	var b []byte
 	for {
 		piece, err := r.ReadSlice('\n')
 		b = append(b, piece...)
 		if len(b) > maxBytes {
-			return "", errLong
+			return "", errCallTooLong
 		}
 		switch {
 		case err == nil:
@@ -154,7 +154,7 @@
 	}
 }
 
-// Answer carries out the call in line and returns the whole answer.
+// Answer carries out the call in line and returns the complete answer.
 func (s *Server) Answer(line string) []byte {
 	call, err := Parse(line)
 	if err != nil {
@@ -171,11 +171,11 @@
 		return append(b, "--\n"...)
 	case Evacuate:
 		s.handler.Evacuate()
-		s.log.Info("evacuated; health checks fail until activate")
+		s.log.Info("evacuated by an operator's call; health checks fail until activate is called")
 		return []byte("ACK evacuating\n")
 	default:
 		s.handler.Activate()
-		s.log.Info("activated; health checks succeed again")
+		s.log.Info("activated by an operator's call; health checks succeed again")
 		return []byte("ACK active\n")
 	}
 }
--- a/internal/operatorapi/server_test.go
+++ b/internal/operatorapi/server_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFiguresAppend(t *testing.T) {
+func TestReportAppend(t *testing.T) {
 	f := Report{Classes: []Class{{Name: "book", OK: 812, Shed: 3, Errors: 1, Attempts: 815}}, InFlight: 14, ConfigApplied: 2, ConfigRejected: 1}
 	want := "app.responses.book.ok:812|c\napp.responses.book.shed:3|c\napp.responses.book.errors:1|c\napp.responses.book.tries:815|c\n" +
 		"app.active:14|g\napp.config_applied:2|c\napp.config_rejected:1|c\n"
@@ -46,27 +46,27 @@
 	}
 }
 
-// node is a Handler that keeps what it was told.
-type node struct {
+// fakeHandler is a Handler that records whether it was evacuated.
+type fakeHandler struct {
 	mu        sync.Mutex
 	evacuated bool
 }
 
-func (n *node) Ready() bool { return true }
-func (n *node) Report() Report {
+func (n *fakeHandler) Ready() bool { return true }
+func (n *fakeHandler) Report() Report {
 	return Report{Classes: []Class{{Name: "search", OK: 1}}, InFlight: 2}
 }
-func (n *node) Evacuate() { n.mu.Lock(); n.evacuated = true; n.mu.Unlock() }
-func (n *node) Activate() { n.mu.Lock(); n.evacuated = false; n.mu.Unlock() }
-func (n *node) out() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.evacuated }
+func (n *fakeHandler) Evacuate()         { n.mu.Lock(); n.evacuated = true; n.mu.Unlock() }
+func (n *fakeHandler) Activate()         { n.mu.Lock(); n.evacuated = false; n.mu.Unlock() }
+func (n *fakeHandler) isEvacuated() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.evacuated }
 
-func serve(t *testing.T, lim limits.Limits) (*node, string) {
+func serve(t *testing.T, lim limits.Limits) (*fakeHandler, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &node{}
+	h := &fakeHandler{}
 	s := New(h, lim, standin.DiscardLogger)
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ln) }()
@@ -79,7 +79,7 @@
 	return h, ln.Addr().String()
 }
 
-// call sends line and reads all that comes back until the server closes.
+// call sends a line and returns everything that the server sends until it closes the connection.
 func call(t *testing.T, address, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -115,20 +115,20 @@
 			t.Errorf("%.20q: got %q, want %q", c.line, got, c.want)
 		}
 	}
-	if !h.out() {
-		t.Error("evacuate did not reach the handler")
+	if !h.isEvacuated() {
+		t.Error("the call evacuate did not reach the handler")
 	}
-	if got := call(t, address, "activate\r\n"); got != "ACK active\n" || h.out() {
-		t.Errorf("activate: %q, evacuated %v", got, h.out())
+	if got := call(t, address, "activate\r\n"); got != "ACK active\n" || h.isEvacuated() {
+		t.Errorf("activate: %q, evacuated %v", got, h.isEvacuated())
 	}
 }
 
-// Callers that say nothing or half a call hold up nobody; beyond the seats a caller hears NAK at once; a silent caller
-// is let go when its time is up.
-func TestSilentCallers(t *testing.T) {
+// TestSilentCallersDelayNoOtherCall checks that connections without a call or with an incomplete one delay no other
+// call, and that a connection beyond the slots is answered "NAK busy" at once.
+func TestSilentCallersDelayNoOtherCall(t *testing.T) {
 	lim := limits.For(64, 384)
 	lim.OperatorConnections = 4
-	lim.OperatorCallTimeout = time.Hour // only the test ends them
+	lim.OperatorCallTimeout = time.Hour // longer than the test: the server closes no silent connection
 	_, address := serve(t, lim)
 	var silent []net.Conn
 	for i := range lim.OperatorConnections - 1 {
@@ -137,14 +137,15 @@
 			t.Fatal(err)
 		}
 		if i%2 == 1 {
-			c.Write([]byte("telem")) // half a call
+			c.Write([]byte("telem")) // an incomplete call
 		}
 		silent = append(silent, c)
 	}
 	if got := call(t, address, "readyz\n"); got != "ACK ready\n" {
-		t.Errorf("with silent callers: %q", got)
+		t.Errorf("answer %q beside silent callers, want ACK ready", got)
 	}
-	// Fill the last seat; the next caller is turned away at once. The seat is held until its caller's call is answered.
+	// Take the last slot, so that the next connection is rejected at once. The slot of the call before may be released
+	// only after its answer was read.
 	last, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -157,7 +158,7 @@
 			break
 		}
 		if got != "ACK ready\n" || time.Now().After(deadline) {
-			t.Fatalf("with every seat taken: %q", got)
+			t.Fatalf("answer %q with all slots taken, want NAK busy", got)
 		}
 	}
 	for _, c := range silent {
@@ -165,8 +166,9 @@
 	}
 }
 
-// A caller that says nothing within its time is let go without a word.
-func TestCallerLetGo(t *testing.T) {
+// TestIncompleteCallIsClosedAfterTimeout checks that a connection whose call is not complete within
+// OperatorCallTimeout is closed without an answer.
+func TestIncompleteCallIsClosedAfterTimeout(t *testing.T) {
 	lim := limits.For(64, 384)
 	lim.OperatorCallTimeout = 50 * time.Millisecond
 	_, address := serve(t, lim)
@@ -179,7 +181,7 @@
 	c.SetReadDeadline(time.Now().Add(time.Minute))
 	n, err := c.Read(make([]byte, 16))
 	if n != 0 || err == nil || isTimeout(err) {
-		t.Errorf("a half call past its time: %d bytes, %v; want the connection closed", n, err)
+		t.Errorf("incomplete call after the timeout: read %d bytes, %v; want the connection closed", n, err)
 	}
 }
 
@@ -188,8 +190,9 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// TestACallThatGoesOn: what follows a call, or makes it too long, does not reset the connection that carries the answer.
-func TestACallThatGoesOn(t *testing.T) {
+// TestExcessInputDoesNotResetTheAnswer checks that data after a call, or a call that is too long, does not lose the
+// answer to a reset of the connection.
+func TestExcessInputDoesNotResetTheAnswer(t *testing.T) {
 	for _, call := range []string{"readyz\nand more\n" + strings.Repeat("x", 1000), strings.Repeat("x", 8000) + "\n"} {
 		_, address := serve(t, limits.For(64, 256))
 		c, err := net.Dial("tcp", address)
