--- a/internal/backend/runtime/reader.go
+++ b/internal/backend/runtime/reader.go
@@ -86,6 +86,6 @@
 		l.unreadableNotice = true
 		return false
 	}
-	l.log.Warn("skipping a notice from the runtime that could not be decoded twice", err)
+	l.log.Warn("notice from the runtime could not be decoded in two attempts; skipping it", err)
 	return true
 }
