--- a/internal/backend/runtime/link.go
+++ b/internal/backend/runtime/link.go
@@ -102,8 +102,9 @@
 			return
 		}
 		wait := retry.delay(time.Since(startedAt), moved)
-		l.opts.Log.Info("connection to the runtime ended or failed; reconnecting", "address", address, "error", err, "retry", wait, "moved", moved,
-			"link", l.currentGeneration(), "up", time.Since(startedAt).Round(time.Millisecond), "unacknowledged", l.unacknowledgedRuns())
+		l.opts.Log.Info("connection to the runtime ended or failed; reconnecting", "address", address, "error", err, "retry", wait,
+			"moved", moved, "link", l.currentGeneration(), "up", time.Since(startedAt).Round(time.Millisecond),
+			"unacknowledged", l.unacknowledgedRuns())
 		if moved {
 			continue
 		}
--- a/internal/backend/runtime/resume.go
+++ b/internal/backend/runtime/resume.go
@@ -60,6 +60,6 @@
 		run.line = nil
 		r.unconfirmed = append(r.unconfirmed, unconfirmedCommand{id, run.answeredCall()})
 	}
-	l.opts.Log.Info("command was written to a connection that broke before a notice of its run", "request", id, "kind", run.kind, "written_on_link", run.writtenOnGeneration,
-		"link", l.generation, "last_notice", l.lastNotice, "known_read", read, "action", action)
+	l.opts.Log.Info("command was written to a connection that broke before a notice of its run", "request", id, "kind", run.kind,
+		"written_on_link", run.writtenOnGeneration, "link", l.generation, "last_notice", l.lastNotice, "known_read", read, "action", action)
 }
--- a/internal/backend/runtime/runs.go
+++ b/internal/backend/runtime/runs.go
@@ -10,7 +10,7 @@
 type runState struct {
 	idempotent           bool            // the request may run more than once
 	kind                 redelivery.Kind // kind of the run's last command: its start, or the answer to a call
-	line                 []byte          // that command, encoded; nil once a notice of the run was read, or the command was reported as unconfirmed
+	line                 []byte          // that command, encoded; nil once a notice of the run was read or it was reported as unconfirmed
 	callNotice           uint64          // number of the notice that requested the run's last call
 	writtenOnGeneration  uint64          // generation of the connection that the command was passed to; 0: the command is queued
 	readByGauges         uint64          // number of the gauges request whose echo proves that the runtime read the command
--- a/internal/control/leasedtask/leasedtask.go
+++ b/internal/control/leasedtask/leasedtask.go
@@ -62,7 +62,7 @@
 	ActionAcquire                       // request the lease; report with HandleGrant, HandleRejection or HandleLeaseTimeout
 	ActionRenew                         // renew the lease; report as for ActionAcquire
 	ActionReadRecord                    // read the record, confirmed by a majority; report with HandleRecord or HandleRecordTimeout
-	ActionWriteRecord                   // write Action.Record if the stored version is still Action.Version and the lease's token still Action.Token; report with HandleWritten, HandleConflict or HandleRecordTimeout
+	ActionWriteRecord                   // write Action.Record if Action.Version and Action.Token are still current; report with HandleWritten, HandleConflict or HandleRecordTimeout
 	ActionRunStep                       // run the step; report with HandleStepResult
 	ActionHandOver                      // release the lease; the result need not be reported
 	ActionStop                          // stop the runner: the job has finished, was stopped, or does not follow the job on record
