--- a/internal/ledger/disk/disk.go
+++ b/internal/ledger/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk is the file layer under the ledger: one flat folder of files, whose operations separate what is written from
-// what is durable. Dir is a folder of the operating system; package simdisk simulates one that loses power.
+// Package disk is the file layer below the ledger: a flat folder of files whose operations distinguish written data from
+// durable data. Dir is a folder of the operating system. Package simdisk simulates a folder on a disk that loses power.
 package disk
 
 import (
@@ -14,32 +14,32 @@
 	"time"
 )
 
-// ErrLocked is wrapped by the error of Lock when another process holds the folder.
+// ErrLocked is wrapped by the error that Lock returns when another process has locked the folder.
 var ErrLocked = errors.New("the folder is in use")
 
-// FS is one folder. Its methods may be called from any goroutine. Only SyncDir makes created, renamed and removed names
-// durable.
+// FS is a folder. Its methods may be called from any goroutine. The creation, renaming and removal of files is durable only after
+// SyncDir.
 type FS interface {
-	// Create creates an empty file for reading and writing, and replaces one of that name.
+	// Create creates an empty file for reading and writing. It replaces an existing file of that name.
 	Create(name string) (File, error)
-	// Open opens a file for reading. Errors wrap fs.ErrNotExist where there is none.
+	// Open opens a file for reading. The error wraps fs.ErrNotExist if there is no such file.
 	Open(name string) (File, error)
-	// Rename renames a file atomically, and replaces one of the new name.
+	// Rename renames a file atomically. It replaces an existing file of the new name.
 	Rename(from, to string) error
-	// Remove removes a name; open files stay readable.
+	// Remove removes a file. Open handles stay readable.
 	Remove(name string) error
 	// List returns the names of the files, sorted.
 	List() ([]string, error)
-	// SyncDir makes all changes of names durable.
+	// SyncDir makes all previous creations, renames and removals durable.
 	SyncDir() error
-	// Lock locks the folder against other processes until release is called. owner describes the holder in their errors, which
-	// wrap ErrLocked. It does not block.
+	// Lock locks the folder against other processes until release is called. owner describes this process in the errors that
+	// other processes get, which wrap ErrLocked. Lock does not block.
 	Lock(name, owner string) (release func() error, err error)
-	// String names the folder in messages.
+	// String returns a name of the folder for messages.
 	String() string
 }
 
-// File is one file. WriteAt and Truncate are durable only after Sync.
+// File is an open file. The effects of WriteAt and Truncate are durable only after Sync.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -49,7 +49,7 @@
 	Close() error
 }
 
-// IsFull reports whether an operation failed because the disk or a quota is full.
+// IsFull reports whether an operation failed because the disk is full or a quota is exceeded.
 func IsFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
@@ -57,7 +57,7 @@
 // Dir is a folder of the operating system.
 type Dir string
 
-// MakeDir creates the folder and missing parents durably, and returns it.
+// MakeDir creates the folder and its missing parents, makes them durable and returns the folder.
 func MakeDir(path string) (Dir, error) {
 	path = filepath.Clean(path)
 	var created []string
@@ -88,13 +88,13 @@
 	return info.Size(), nil
 }
 
-// maxOwnerBytes is how much of the owner's description is shown.
+// maxOwnerBytes is the maximum length of the owner description in an error.
 const maxOwnerBytes = 512
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 func (d Dir) String() string          { return string(d) }
 
-// Create creates an empty file for reading and writing, and replaces one of that name.
+// Create creates an empty file for reading and writing. It replaces an existing file of that name.
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return osFile{f}, nil
 }
 
-// Rename renames a file atomically, and replaces one of the new name.
+// Rename renames a file atomically. It replaces an existing file of the new name.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove deletes a file.
@@ -133,7 +133,7 @@
 	return names, nil
 }
 
-// SyncDir makes created, renamed and removed names durable.
+// SyncDir makes all previous creations, renames and removals durable.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -143,7 +143,7 @@
 	return f.Sync()
 }
 
-// Lock uses flock(2), which the kernel releases when the process ends, however it ends.
+// Lock locks the folder with flock(2). The kernel releases the lock when the process ends for any reason.
 func (d Dir) Lock(name, owner string) (func() error, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -154,25 +154,25 @@
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, err
 		}
-		held, _ := io.ReadAll(io.LimitReader(f, maxOwnerBytes)) // the owner is for the message only
-		by := strings.TrimSpace(string(held))
-		if by == "" {
-			by = "a process that has not said who it is"
+		description, _ := io.ReadAll(io.LimitReader(f, maxOwnerBytes)) // read errors are ignored: the owner is only used in the message
+		holder := strings.TrimSpace(string(description))
+		if holder == "" {
+			holder = "an unknown process"
 		}
-		return nil, fmt.Errorf("%s: %w: held by %s", d, ErrLocked, by)
+		return nil, fmt.Errorf("%s: %w: held by %s", d, ErrLocked, holder)
 	}
 	err = f.Truncate(0)
 	if err == nil {
 		_, err = f.WriteAt([]byte(owner+"\n"), 0)
 	}
-	if err != nil && !IsFull(err) { // on a full disk only the owner's description is missing
+	if err != nil && !IsFull(err) { // a full disk only prevents storing the owner description
 		f.Close()
 		return nil, err
 	}
 	return f.Close, nil
 }
 
-// Owner describes this process for Lock.
+// Owner returns a description of this process for Lock.
 func Owner() string {
 	host, _ := os.Hostname()
 	return fmt.Sprintf("process %d (%s) on %s since %s", os.Getpid(), filepath.Base(os.Args[0]), host,
--- a/internal/ledger/format/block.go
+++ b/internal/ledger/format/block.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-// BlockHeaderSize is in bytes.
+// BlockHeaderSize is the encoded size of a BlockHeader in bytes.
 const BlockHeaderSize = 24
 
-// The values of a block's compression field.
+// Values of the compression field in a block header.
 const (
 	compressionNone = 0
 	compressionZstd = 1
@@ -14,12 +14,12 @@
 // BlockHeader describes a block of a cold segment.
 type BlockHeader struct {
 	CompressedBytes, RawBytes int
-	Compressed                bool  // by zstd; else the bytes are stored as they are
-	RawOffset                 int64 // of its first record in the decompressed segment
+	Compressed                bool  // with zstd; false if the bytes are stored uncompressed
+	RawOffset                 int64 // offset of the first record of the block in the decompressed segment
 }
 
-// AppendBlock appends a block, encoded for an offset of the file with this salt. compressed holds its bytes as they are
-// stored; h.CompressedBytes is ignored.
+// AppendBlock appends to b a block encoded for the given file offset and segment salt. compressed holds the block's content
+// as it is stored. h.CompressedBytes is ignored.
 func AppendBlock(b []byte, salt uint32, offset int64, h BlockHeader, compressed []byte) []byte {
 	start := len(b)
 	le := binary.LittleEndian
@@ -37,8 +37,8 @@
 	return b
 }
 
-// DecodeBlock decodes the block at the start of b, which stands at this offset of the file with this salt, and returns its
-// stored bytes, which point into b. The error is ErrShort or ErrInvalid.
+// DecodeBlock decodes the block at the start of b, which was read from the given file offset of the segment with the given
+// salt. It returns the header and the stored bytes, which alias b. The error is ErrShort or ErrInvalid.
 func DecodeBlock(b []byte, salt uint32, offset int64) (BlockHeader, []byte, error) {
 	header, err := DecodeBlockHeader(b)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return header, b[BlockHeaderSize:end], nil
 }
 
-// DecodeBlockHeader decodes a block's header and does not verify the checksum. The error is ErrShort or ErrInvalid.
+// DecodeBlockHeader decodes a block header without verifying the checksum. The error is ErrShort or ErrInvalid.
 func DecodeBlockHeader(b []byte) (BlockHeader, error) {
 	if len(b) < BlockHeaderSize {
 		return BlockHeader{}, ErrShort
--- a/internal/ledger/format/format_test.go
+++ b/internal/ledger/format/format_test.go
@@ -16,24 +16,24 @@
 	f.Add(AppendBlock(nil, 1, 36, BlockHeader{RawBytes: 3, RawOffset: 36}, []byte("abc")), uint32(1), int64(36))
 	f.Fuzz(func(t *testing.T, b []byte, salt uint32, off int64) {
 		if r, err := DecodeRecord(b, salt, off); err == nil {
-			if again := AppendRecord(nil, salt, off, &r); !bytes.Equal(again, b[:len(again)]) {
-				t.Errorf("%+v is written as %x, was read from %x", r, again, b)
+			if encoded := AppendRecord(nil, salt, off, &r); !bytes.Equal(encoded, b[:len(encoded)]) {
+				t.Errorf("record %+v: encoded as %x, decoded from %x", r, encoded, b)
 			}
 			if _, err := DecodeRecord(b, salt, off+1); err == nil {
-				t.Error("valid at another place")
+				t.Error("record is also valid at offset+1")
 			}
 		}
 		if m, _, err := DecodeManifest(b); err == nil && !bytes.Equal(m.Append(nil), b) {
-			t.Errorf("%+v is not written as it was read", m)
+			t.Errorf("manifest %+v: encoding differs from the decoded bytes", m)
 		}
 		if h, _, err := DecodeSegmentHeader(b); err == nil {
-			if again, _ := h.Append(nil); !bytes.Equal(again, b[:len(again)]) {
-				t.Errorf("%+v is written as %x, was read from %x", h, again, b)
+			if encoded, _ := h.Append(nil); !bytes.Equal(encoded, b[:len(encoded)]) {
+				t.Errorf("segment header %+v: encoded as %x, decoded from %x", h, encoded, b)
 			}
 		}
 		if h, stored, err := DecodeBlock(b, salt, off); err == nil {
-			if again := AppendBlock(nil, salt, off, h, stored); !bytes.Equal(again, b[:len(again)]) {
-				t.Errorf("%+v is not written as it was read", h)
+			if encoded := AppendBlock(nil, salt, off, h, stored); !bytes.Equal(encoded, b[:len(encoded)]) {
+				t.Errorf("block %+v: encoding differs from the decoded bytes", h)
 			}
 		}
 		FindFlushed(b, salt, off)
--- a/internal/ledger/format/manifest.go
+++ b/internal/ledger/format/manifest.go
@@ -14,13 +14,13 @@
 	checksumSize       = 4  // bytes
 )
 
-// ActiveSegmentSize is the size of the active segment in a manifest: its end is found by reading.
+// ActiveSegmentSize is the size that a manifest records for the active segment, whose end is found by reading it.
 const ActiveSegmentSize = -1
 
-// SegmentEntry is a segment in a manifest.
+// SegmentEntry describes a segment in a manifest.
 type SegmentEntry struct {
 	Number      uint64
-	Size        int64 // durable bytes; ActiveSegmentSize for the one being written
+	Size        int64 // durable bytes; ActiveSegmentSize for the active segment
 	MinSequence uint64
 	Cold        bool
 }
@@ -28,9 +28,9 @@
 // Manifest lists the segments of a store.
 type Manifest struct {
 	Store        ID
-	Generation   uint64 // grows with each replacement
-	NextSegment  uint64 // the next segment's number
-	LastSequence uint64 // all new sequence numbers are higher
+	Generation   uint64 // incremented with each replacement of the manifest
+	NextSegment  uint64 // number of the next segment to be created
+	LastSequence uint64 // sequence numbers assigned later are higher
 	ClockMark    int64  // the store's clock in Unix milliseconds
 	Segments     []SegmentEntry
 }
@@ -59,25 +59,26 @@
 	return le.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
 }
 
-// DecodeManifest decodes a complete manifest. offset is where it is wrong. The error is a VersionError or says what is wrong.
+// DecodeManifest decodes a complete manifest. On an error, which may be a VersionError, offset is the position of the fault
+// in b.
 func DecodeManifest(b []byte) (m *Manifest, offset int64, err error) {
 	le := binary.LittleEndian
 	if len(b) < manifestHeaderSize+checksumSize {
-		return nil, int64(len(b)), errors.New("the manifest is cut short")
+		return nil, int64(len(b)), errors.New("truncated manifest")
 	}
 	if string(b[:4]) != manifestMagic {
-		return nil, 0, errors.New("not a ledger's manifest")
+		return nil, 0, errors.New("not a ledger manifest: wrong magic number")
 	}
 	if v := le.Uint16(b[4:]); v > Version {
 		return nil, 4, VersionError{v}
 	}
 	n := int64(le.Uint32(b[56:]))
 	if size := manifestHeaderSize + n*segmentEntrySize + checksumSize; int64(len(b)) != size {
-		return nil, min(size, int64(len(b))), fmt.Errorf("the manifest has %d bytes instead of %d", len(b), size)
+		return nil, min(size, int64(len(b))), fmt.Errorf("manifest is %d bytes long, want %d", len(b), size)
 	}
 	end := len(b) - checksumSize
 	if crc32.Checksum(b[:end], castagnoli) != le.Uint32(b[end:]) {
-		return nil, 0, errors.New("the manifest's checksum is wrong")
+		return nil, 0, errors.New("manifest checksum mismatch")
 	}
 	m = &Manifest{Store: ID(b[8:24]), Generation: le.Uint64(b[24:]), NextSegment: le.Uint64(b[32:]), LastSequence: le.Uint64(b[40:]),
 		ClockMark: int64(le.Uint64(b[48:]))}
--- a/internal/ledger/format/record.go
+++ b/internal/ledger/format/record.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// Sizes in bytes.
+// Sizes and limits of encoded records in bytes.
 const (
 	RecordHeaderSize = 28
 	GroupValueSize   = 16
@@ -10,10 +10,10 @@
 	MaxKeyBytes      = 1<<16 - 1
 )
 
-// Kind is the kind of a record.
+// Kind is the type of a record.
 type Kind uint8
 
-// The kinds. A group record stands before each group of batches that was written at once.
+// Kinds of records. A group record precedes each group of batches that is written at once.
 const (
 	KindPut    Kind = 1
 	KindDelete Kind = 2
@@ -22,7 +22,7 @@
 
 const flagBatchContinues = 1
 
-// Record is one record. Key and Value may point into the bytes that it was decoded from.
+// Record is a decoded record. Key and Value may alias the bytes that it was decoded from.
 type Record struct {
 	Kind           Kind
 	BatchContinues bool // the next record belongs to the same batch
@@ -32,10 +32,10 @@
 	Value          []byte
 }
 
-// Size is the encoded size in bytes.
+// Size returns the encoded size in bytes.
 func (r *Record) Size() int { return RecordHeaderSize + len(r.Key) + len(r.Value) }
 
-// AppendRecord appends the record, encoded for an offset of the segment with this salt.
+// AppendRecord appends to b the record encoded for the given offset and segment salt.
 func AppendRecord(b []byte, salt uint32, offset int64, r *Record) []byte {
 	start := len(b)
 	var h [RecordHeaderSize]byte
@@ -54,8 +54,8 @@
 	return b
 }
 
-// AppendGroup appends a group record. flushed is the offset up to which the segment is known to be flushed, clockMark the
-// store's clock in Unix milliseconds.
+// AppendGroup appends to b a group record. flushed is the offset up to which the segment is known to be flushed. clockMark is
+// the store's clock in Unix milliseconds.
 func AppendGroup(b []byte, salt uint32, offset, flushed, clockMark int64) []byte {
 	var v [GroupValueSize]byte
 	binary.LittleEndian.PutUint64(v[:], uint64(flushed))
@@ -63,13 +63,13 @@
 	return AppendRecord(b, salt, offset, &Record{Kind: KindGroup, Value: v[:]})
 }
 
-// GroupFields returns the two fields of a group record as AppendGroup takes them.
+// GroupFields returns the fields of a group record, as they were passed to AppendGroup.
 func (r *Record) GroupFields() (flushed, clockMark int64) {
 	return int64(binary.LittleEndian.Uint64(r.Value)), int64(binary.LittleEndian.Uint64(r.Value[8:]))
 }
 
-// DecodeRecord decodes the record at the start of b, which stands at this offset of the segment with this salt. Its key and
-// value point into b. The error is ErrShort or ErrInvalid.
+// DecodeRecord decodes the record at the start of b, which was read from the given offset of the segment with the given salt.
+// The record's key and value alias b. The error is ErrShort or ErrInvalid.
 func DecodeRecord(b []byte, salt uint32, offset int64) (Record, error) {
 	if len(b) < RecordHeaderSize {
 		return Record{}, ErrShort
@@ -98,11 +98,11 @@
 	return r, nil
 }
 
-// FindFlushed searches b at every offset for valid group records, and returns the highest flushed offset among them. b stands
-// at this offset of the segment with this salt.
+// FindFlushed searches b at every offset for valid group records and returns the highest flushed offset in them. b was read
+// from the given offset of the segment with the given salt.
 func FindFlushed(b []byte, salt uint32, offset int64) (flushed int64, found bool) {
 	for i := 0; i+GroupRecordSize <= len(b); i++ {
-		// The fields that all group records share are compared first, as they are cheaper than the checksum.
+		// The fields that are the same in all group records are compared first, because that is cheaper than the checksum.
 		if b[i+10] != byte(KindGroup) || b[i+8]|b[i+9]|b[i+11] != 0 {
 			continue
 		}
--- a/internal/ledger/format/segment_header.go
+++ b/internal/ledger/format/segment_header.go
@@ -6,7 +6,7 @@
 	"hash/crc32"
 )
 
-// SegmentHeaderSize is in bytes.
+// SegmentHeaderSize is the encoded size of a SegmentHeader in bytes.
 const SegmentHeaderSize = 36
 
 const (
@@ -14,7 +14,7 @@
 	flagCold     = 1
 )
 
-// SegmentHeader is what a segment file begins with.
+// SegmentHeader is the header at the start of a segment file.
 type SegmentHeader struct {
 	Store  ID
 	Number uint64
@@ -37,21 +37,21 @@
 	return binary.LittleEndian.AppendUint32(b, salt), salt
 }
 
-// DecodeSegmentHeader decodes a segment's header and returns its salt. The error is ErrShort, a VersionError or says what is
-// wrong.
+// DecodeSegmentHeader decodes a segment header and returns it with the segment's salt. The error may be ErrShort or a
+// VersionError.
 func DecodeSegmentHeader(b []byte) (SegmentHeader, uint32, error) {
 	if len(b) < SegmentHeaderSize {
 		return SegmentHeader{}, 0, ErrShort
 	}
 	if string(b[:4]) != segmentMagic {
-		return SegmentHeader{}, 0, errors.New("not a segment of a ledger")
+		return SegmentHeader{}, 0, errors.New("not a ledger segment: wrong magic number")
 	}
 	if v := binary.LittleEndian.Uint16(b[4:]); v > Version {
 		return SegmentHeader{}, 0, VersionError{v}
 	}
 	salt := binary.LittleEndian.Uint32(b[32:])
 	if crc32.Checksum(b[:32], castagnoli) != salt {
-		return SegmentHeader{}, 0, errors.New("the segment's header is damaged")
+		return SegmentHeader{}, 0, errors.New("segment header checksum mismatch")
 	}
 	flags := binary.LittleEndian.Uint16(b[6:])
 	return SegmentHeader{ID(b[8:24]), binary.LittleEndian.Uint64(b[24:]), flags&flagCold != 0}, salt, nil
--- a/internal/ledger/plan/groupcommit.go
+++ b/internal/ledger/plan/groupcommit.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// How long a group commit waits for more writers before it is written.
+// How long a group commit waits for more writers before the group is written.
 //
-// A group is put in the index and its writers notified while the next one is flushed, so without a wait two halves of the
-// writers take turns, with half of the possible records in a flush. A wait until all active writers are back gets all
-// of them into one flush, and pays while it is shorter than a flush: on slow disks.
+// While one group is flushed, the previous one is indexed and its writers are notified. Without a wait the writers therefore
+// split into two halves that alternate, and each flush has half of the possible records. Waiting until all active writers have
+// queued a batch again puts all of them into one flush. That is worthwhile while the wait is shorter than a flush, as it is on
+// slow disks.
 //
-//	target    = the writers at the last flush, those in its group and those that queued up meanwhile
-//	remaining = min(longest wait allowed, mean flush time) - time waited so far, 0 once target are queued
+//	target    = writers at the last flush: those in its group and those that queued during the flush
+//	remaining = min(longest wait allowed, mean flush time) - time waited so far; 0 once target batches are queued
 //
-// Each wait that does not bring the target together doubles the number of groups that are written without one.
+// Each wait that ends before the target is reached doubles the number of groups that are then written without a wait.
 
 const (
-	meanFlushWeight = 8   // the newest flush counts for one part in so many of the moving mean
-	maxWaitBackoff  = 256 // groups written without a wait, at most
+	meanFlushWeight = 8   // the latest flush has a weight of 1/meanFlushWeight in the moving mean
+	maxWaitBackoff  = 256 // maximum number of groups written without a wait after a wait that missed its target
 )
 
-// GroupCommit tracks the writers and the flushes. Its zero value is ready.
+// GroupCommit tracks the active writers and the flush times. Its zero value is ready to use.
 type GroupCommit struct {
 	activeWriters     int
-	meanFlush         time.Duration // moving mean of what a group took to write and flush
-	groupsWithoutWait int           // groups left to write without a wait
-	waitBackoff       int           // groups skipped after the last wait, 0 if it reached its target
+	meanFlush         time.Duration // moving mean of the time to write and flush a group
+	groupsWithoutWait int           // remaining groups to write without a wait
+	waitBackoff       int           // groups written without a wait after the last wait; 0 if that reached its target
 }
 
-// RecordFlush notes that a group of so many writers was written and flushed in the given time while so many others queued up.
+// RecordFlush records that a group of the given number of writers was written and flushed in the given time, and how many
+// others queued meanwhile.
 func (g *GroupCommit) RecordFlush(writers, queued int, took time.Duration) {
 	g.activeWriters = writers + queued
 	g.meanFlush += (took - g.meanFlush) / meanFlushWeight
@@ -35,7 +37,7 @@
 	}
 }
 
-// RecordWait notes whether a wait brought the target together.
+// RecordWait records whether a wait reached its target.
 func (g *GroupCommit) RecordWait(reachedTarget bool) {
 	if reachedTarget {
 		g.waitBackoff = 0
@@ -45,7 +47,7 @@
 	g.groupsWithoutWait = g.waitBackoff
 }
 
-// TargetSize is how many queued batches end the wait; maxBatches bounds a group.
+// TargetSize returns the number of queued batches that ends the wait. maxBatches is the maximum size of a group.
 func (g *GroupCommit) TargetSize(maxBatches int) int {
 	if g.groupsWithoutWait > 0 {
 		return 1
@@ -53,7 +55,8 @@
 	return max(1, min(g.activeWriters, maxBatches))
 }
 
-// RemainingWait is how much longer to wait with so many batches queued. maxWait bounds the whole wait.
+// RemainingWait returns how much longer to wait, given the number of queued batches and the time waited so far. maxWait is the
+// maximum total wait.
 func (g *GroupCommit) RemainingWait(queued, maxBatches int, waited, maxWait time.Duration) time.Duration {
 	if queued >= g.TargetSize(maxBatches) {
 		return 0
--- a/internal/ledger/plan/record.go
+++ b/internal/ledger/plan/record.go
@@ -2,31 +2,31 @@
 
 // Which records a compaction keeps.
 //
-// A put that the index points to and that has not expired is kept. A record that is superseded is dropped: the newer record
-// of its key, a put or a deletion, stands for the key. A deletion or an expired put is dropped where no segment outside
-// the compaction has an older record; otherwise a tombstone stays, so that a recovery does not bring that record back.
+// A put that the index points to and that has not expired is kept. A superseded record is dropped, because the newer put or
+// deletion of its key replaces it. A deletion or an expired put is dropped if no segment outside the compaction has an older
+// record. Otherwise a tombstone is written, so that a recovery does not restore an older record of the key.
 
-// RecordAction says what becomes of a record in a compaction.
+// RecordAction is what a compaction does with a record.
 type RecordAction int
 
-// The actions.
+// Actions of a compaction on a record.
 const (
-	DropRecord     RecordAction = iota // nothing needs it
-	KeepRecord                         // as it is
-	WriteTombstone                     // as a deletion: what it replaced may still stand elsewhere
+	DropRecord     RecordAction = iota // the record is no longer needed
+	KeepRecord                         // copy the record unchanged
+	WriteTombstone                     // write a deletion: an older record of the key may exist in another segment
 )
 
-// Record is what is known of a record that a compaction reads.
+// Record describes a record that a compaction reads.
 type Record struct {
-	Put          bool // else a deletion
+	Put          bool // false for a deletion
 	Sequence     uint64
-	Indexed      bool  // the index points to this very record
+	Indexed      bool  // the index points to this record
 	Superseded   bool  // the index points to a newer record of its key
 	ExpiryMillis int64 // Unix milliseconds; 0: never
 }
 
-// DecideRecord decides about a record. clockMark is the store's clock in Unix milliseconds, minSequenceOutside the lowest
-// sequence number outside the compaction.
+// DecideRecord returns what a compaction does with a record. clockMark is the store's clock in Unix milliseconds.
+// minSequenceOutside is the lowest sequence number in the segments outside the compaction.
 func DecideRecord(r Record, clockMark int64, minSequenceOutside uint64) RecordAction {
 	unexpired := r.ExpiryMillis == 0 || r.ExpiryMillis > clockMark
 	switch {
--- a/internal/ledger/plan/segments.go
+++ b/internal/ledger/plan/segments.go
@@ -7,37 +7,39 @@
 
 // Which segments to compact.
 //
-// Inputs: of each sealed segment the bytes of its records, of those that are garbage, and of its tombstones; Options.
+// Inputs: for each sealed segment the bytes of all its records, of its dead records and of its tombstones; Options.
 //
 //	garbage share = sum(dead + tombstones) / sum(total)
 //
-// Above GarbageThreshold the segments with the greatest garbage share of their own are chosen first, up to
-// MaxCompactionBytes (greedy by garbage: Rosenblum and Ousterhout, "The Design and Implementation of a Log-Structured File
-// System", 1992). Where their tombstones are held back by older segments, those join. Otherwise small segments are merged.
+// Above GarbageThreshold the segments with the largest garbage share are chosen first, up to MaxCompactionBytes (greedy
+// selection: Rosenblum and Ousterhout, "The Design and Implementation of a Log-Structured File System", 1992). If too little
+// can be reclaimed because older segments require their tombstones to be kept, those older segments are added. If no such
+// choice reclaims enough, or the garbage is below the threshold, small segments are merged.
 //
-// Each compaction reclaims at least 1/minReclaimedFraction of what it reads, or leaves fewer small segments, so compactions
-// can't go on for ever.
+// Each compaction reclaims at least 1/minReclaimedFraction of the bytes that it reads, or reduces the number of small segments,
+// so repeated compactions terminate.
 
 const (
-	minReclaimedFraction = 4 // a compaction must reclaim one byte of so many that it reads
-	smallSegmentFraction = 8 // a segment is small below this fraction of a full one
+	minReclaimedFraction = 4 // a compaction must reclaim at least 1/minReclaimedFraction of the bytes that it reads
+	smallSegmentFraction = 8 // a segment is small if it is below 1/smallSegmentFraction of a full one
 )
 
 // Segment describes a sealed segment.
 type Segment struct {
 	Number         uint64
-	TotalBytes     int64  // of its records, uncompressed
-	DeadBytes      int64  // of records that were replaced or deleted
+	TotalBytes     int64  // uncompressed bytes of all its records
+	DeadBytes      int64  // bytes of records that were replaced or deleted
 	MinSequence    uint64 // the lowest sequence number in it
-	MaxSequence    uint64 // and the highest
-	TombstoneBytes int64  // of deletions and expired records, which can go only when nothing older is left elsewhere
+	MaxSequence    uint64 // the highest sequence number in it
+	TombstoneBytes int64  // bytes of deletions and expired records, which can be dropped only if no other segment has older records
 }
 
 func (s Segment) garbageShare() float64 {
 	return float64(s.DeadBytes+s.TombstoneBytes) / float64(max(s.TotalBytes, 1))
 }
 
-// ChooseSegments returns the numbers of the segments to compact now in ascending order, none if no compaction is due.
+// ChooseSegments returns the numbers of the segments to compact now, in ascending order. It returns none if no compaction is
+// due.
 func ChooseSegments(segments []Segment, o Options) []uint64 {
 	var total, garbage int64
 	for _, s := range segments {
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// withOlder returns all segments with a record as old as the newest of the chosen ones, and their bytes: tombstones that
-// older segments hold back can go together with them.
+// withOlder returns all segments with a record that is no newer than the newest record of the chosen ones, and their bytes.
+// Compacting them together makes it possible to drop the tombstones that are kept because of the older segments.
 func withOlder(chosen, all []Segment) (older []Segment, bytes int64) {
 	var newest uint64
 	for _, s := range chosen {
@@ -92,19 +94,20 @@
 	return older, bytes
 }
 
-// reclaimableBytes is how many uncompressed bytes a compaction of the chosen segments gets rid of for certain.
+// reclaimableBytes returns the least number of uncompressed bytes that a compaction of the chosen segments reclaims.
 func reclaimableBytes(chosen, all []Segment) (bytes int64) {
 	oldest := MinSequenceOutside(all, segmentNumbers(chosen))
 	for _, s := range chosen {
 		bytes += s.DeadBytes
-		if s.MaxSequence < oldest { // else some of its tombstones may have to stay
+		if s.MaxSequence < oldest { // otherwise some of its tombstones may have to be kept
 			bytes += s.TombstoneBytes
 		}
 	}
 	return bytes
 }
 
-// chooseSmall merges small segments, such as many restarts of a process leave behind.
+// chooseSmall returns the small segments if there are more than Options.MaxSmallSegments. Each restart of a process may leave
+// one.
 func chooseSmall(segments []Segment, o Options) []uint64 {
 	var chosen []Segment
 	var read int64
@@ -128,8 +131,8 @@
 	return numbers
 }
 
-// MinSequenceOutside is the lowest sequence number in the segments that are not chosen; the highest possible where there is
-// none.
+// MinSequenceOutside returns the lowest sequence number in the segments that are not chosen, or the maximum uint64 if they
+// have no records.
 func MinSequenceOutside(all []Segment, chosen []uint64) uint64 {
 	oldest := ^uint64(0)
 	for _, s := range all {
