--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -175,7 +175,7 @@
 				fail(err)
 			}
 		}
-		if err := s.Go(&b, done); errors.Is(err, ledger.ErrBusy) {
+		if err := s.ApplyAsync(&b, done); errors.Is(err, ledger.ErrBusy) {
 			done(s.Apply(&b)) // waits its turn
 		} else if err != nil {
 			done(err)
@@ -290,7 +290,7 @@
 	}
 	text := fmt.Sprintf("%s: %s", c.Dir, v.State)
 	if v.File != "" {
-		text += fmt.Sprintf(": %s at offset %d: %s", v.File, v.Offset, v.What)
+		text += fmt.Sprintf(": %s at offset %d: %s", v.File, v.Offset, v.Reason)
 	}
 	if v.State != ledger.StateDamaged {
 		text += fmt.Sprintf("; %d keys, %d records in %d segments", v.Recovery.Keys, v.Recovery.Records, v.Recovery.Segments)
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -103,7 +103,7 @@
 			return fmt.Errorf("ledger: %w", err)
 		}
 		if state = fmt.Sprintf("%s, %d keys", v.State, v.Recovery.Keys); v.State == ledger.StateDamaged {
-			return fmt.Errorf("ledger: %s: %s at offset %d: %s; see `sloehitch ledger repair`", l.Dir, v.File, v.Offset, v.What)
+			return fmt.Errorf("ledger: %s: %s at offset %d: %s; see `sloehitch ledger repair`", l.Dir, v.File, v.Offset, v.Reason)
 		}
 	}
 	fmt.Printf("%s: ledger in %s (%s), %d MB for keys, %s\n", c.Deploy, l.Dir, state, l.IndexBytes()>>20, flush)
--- a/internal/control/fleet/state_applier_test.go
+++ b/internal/control/fleet/state_applier_test.go
@@ -79,7 +79,7 @@
 func TestTokenNotDurable(t *testing.T) {
 	disk := simdisk.New(1)
 	for i, token := range []int{5, 4} {
-		l, err := ledger.Open(disk, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true, Flush: time.Hour})
+		l, err := ledger.Open(disk, ledger.Options{Limits: limits.ForLedger(1 << 20), Manual: true, FlushInterval: time.Hour})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/journal.go
+++ b/internal/daemon/journal.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	o := ledger.Options{Limits: limits.ForLedger(c.IndexBytes()), Flush: every, Log: d.log}
+	o := ledger.Options{Limits: limits.ForLedger(c.IndexBytes()), FlushInterval: every, Log: d.log}
 	d.journals.earlier, err = ledger.Open(dir, o)
 	switch {
 	case err == nil:
--- a/internal/idempotency/runlog/runlog.go
+++ b/internal/idempotency/runlog/runlog.go
@@ -92,7 +92,7 @@
 func (l *Log) submit(key string, batch *ledger.Batch, done func(error)) error {
 	delete(l.failedWrites, key)
 	l.newestWrite[key] = batch
-	err := l.store.Go(batch, done)
+	err := l.store.ApplyAsync(batch, done)
 	if err != nil {
 		delete(l.newestWrite, key)
 	}
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -99,7 +99,7 @@
 	if err := l.RecordStart(runRecord("c"), func(err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-done; !errors.Is(err, ledger.ErrFull) {
+	if err := <-done; !errors.Is(err, ledger.ErrDiskFull) {
 		t.Errorf("a start on a full disk: %v", err)
 	}
 	l.Withdraw(runRecord("a"))
--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -62,10 +62,10 @@
 	return s.enqueueAndWait(&pending{records: b.records, bytes: b.bytes})
 }
 
-// Go makes a batch durable and does not block: done is called from another goroutine once the batch is durable or can't be.
+// ApplyAsync makes a batch durable and does not block: done is called from another goroutine once the batch is durable or can't be.
 // Batches reach the log in the order of the calls. An error means that done will not be called; ErrBusy that the queue is
 // full.
-func (s *Store) Go(b *Batch, done func(error)) error {
+func (s *Store) ApplyAsync(b *Batch, done func(error)) error {
 	if err := s.validate(b); err != nil {
 		return err
 	}
@@ -81,6 +81,6 @@
 	return s.enqueueAndWait(&pending{flush: true})
 }
 
-// Mark advances the store's clock to the Unix clock's time, unless that has stepped back, and makes it durable. It blocks
+// AdvanceClock advances the store's clock to the Unix clock's time, unless that has stepped back, and makes it durable. It blocks
 // until then.
-func (s *Store) Mark() error { return s.Sync() }
+func (s *Store) AdvanceClock() error { return s.Sync() }
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -21,13 +21,13 @@
 	})
 	defer close(s.writer.durable)
 	every := s.opts.Limits.ClockMarkInterval
-	if f := s.opts.Flush; f > 0 {
+	if f := s.opts.FlushInterval; f > 0 {
 		every = min(every, f)
 	}
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	tick := ticker.C
-	if s.opts.Manual && s.opts.Flush == 0 {
+	if s.opts.Manual && s.opts.FlushInterval == 0 {
 		tick = nil
 	}
 	for {
@@ -98,7 +98,7 @@
 	w.writtenMark = mark
 	if s.mustFlush(group) {
 		if err := s.flush(); err != nil {
-			notify(group, fmt.Errorf("%w: %w", ErrUnknown, err))
+			notify(group, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 			return
 		}
 	}
@@ -144,7 +144,7 @@
 
 // mustFlush reports whether a group is flushed before its writers are notified.
 func (s *Store) mustFlush(group []*pending) bool {
-	return s.opts.Flush == 0 || len(group) == 0 || slices.ContainsFunc(group, func(p *pending) bool { return p.flush })
+	return s.opts.FlushInterval == 0 || len(group) == 0 || slices.ContainsFunc(group, func(p *pending) bool { return p.flush })
 }
 
 // stallForCompaction pauses the writing goroutine by plan.WriteStall while a compaction is running.
@@ -190,7 +190,7 @@
 		err = s.active.file.Sync()
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, s.fail(errors.Join(cause, err)))
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, s.fail(errors.Join(cause, err)))
 	}
 	s.writer.flushedOffset = s.active.size
 	return notWritten(cause)
@@ -198,8 +198,8 @@
 
 // notWritten wraps the error of an operation that left nothing behind.
 func notWritten(cause error) error {
-	if disk.IsFull(cause) {
-		return fmt.Errorf("%w: %w: %w", ErrNotWritten, ErrFull, cause)
+	if disk.IsDiskFull(cause) {
+		return fmt.Errorf("%w: %w: %w", ErrNotWritten, ErrDiskFull, cause)
 	}
 	return fmt.Errorf("%w: %w", ErrNotWritten, cause)
 }
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -36,7 +36,7 @@
 	}
 	roll()
 	c.add(time.Minute)
-	if err := s.Mark(); err != nil {
+	if err := s.AdvanceClock(); err != nil {
 		t.Fatal(err)
 	}
 	s.RemoveExpired()
@@ -59,7 +59,7 @@
 // TestCompactBeforeFlush checks that a compaction drops an old value for a newer one only once that is durable.
 func TestCompactBeforeFlush(t *testing.T) {
 	o := options()
-	o.Flush = time.Hour
+	o.FlushInterval = time.Hour
 	for state := range uint64(20) {
 		fs := simdisk.New(state)
 		s := mustOpen(t, fs, o)
--- a/internal/ledger/crash_test.go
+++ b/internal/ledger/crash_test.go
@@ -74,7 +74,7 @@
 // TestIntervalFlush checks that with flushes at intervals a power loss takes only the newest acknowledged batches.
 func TestIntervalFlush(t *testing.T) {
 	o := options()
-	o.Flush = time.Hour // not within this test
+	o.FlushInterval = time.Hour // not within this test
 	for state := range uint64(40 * *long) {
 		fs := simdisk.New(state)
 		s := mustOpen(t, fs, o)
--- a/internal/ledger/disk/disk.go
+++ b/internal/ledger/disk/disk.go
@@ -49,8 +49,8 @@
 	Close() error
 }
 
-// IsFull reports whether an operation failed because the disk is full or a quota is exceeded.
-func IsFull(err error) bool {
+// IsDiskFull reports whether an operation failed because the disk is full or a quota is exceeded.
+func IsDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
@@ -165,7 +165,7 @@
 	if err == nil {
 		_, err = f.WriteAt([]byte(owner+"\n"), 0)
 	}
-	if err != nil && !IsFull(err) { // a full disk only prevents storing the owner description
+	if err != nil && !IsDiskFull(err) { // a full disk only prevents storing the owner description
 		f.Close()
 		return nil, err
 	}
--- a/internal/ledger/errors.go
+++ b/internal/ledger/errors.go
@@ -13,11 +13,11 @@
 	ErrTooLarge  = errors.New("larger than the ledger's limits allow")
 	ErrIndexFull = errors.New("no room for more keys in memory")
 	ErrBusy      = errors.New("too much waits for a flush already")
-	ErrFull      = errors.New("no space left for the ledger's files")
+	ErrDiskFull  = errors.New("no space left for the ledger's files")
 	// ErrNotWritten says that nothing of the batch was kept; it may be retried.
 	ErrNotWritten = errors.New("the batch was not written")
-	// ErrUnknown says that a flush failed: the batch may turn up after a restart, or not.
-	ErrUnknown = errors.New("it can't be known whether the batch is durable")
+	// ErrOutcomeUnknown says that a flush failed: the batch may turn up after a restart, or not.
+	ErrOutcomeUnknown = errors.New("it can't be known whether the batch is durable")
 	// ErrBroken says that a flush failed earlier: nothing is written until the ledger is opened again.
 	ErrBroken = errors.New("the ledger takes no writes since a flush failed")
 )
--- a/internal/ledger/fault_test.go
+++ b/internal/ledger/fault_test.go
@@ -42,7 +42,7 @@
 		for i := 0; i < 40; i++ {
 			err := h.apply(s, map[string]string{fmt.Sprint("k", rng.IntN(6)): strings.Repeat(fmt.Sprint(i), 30)})
 			switch {
-			case errors.Is(err, ErrUnknown):
+			case errors.Is(err, ErrOutcomeUnknown):
 				unknown = h.next
 			case errors.Is(err, ErrBroken):
 				h.next = unknown
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestFull checks that a full disk rejects writes with ErrFull, serves reads, and takes writes again once there is space.
+// TestFull checks that a full disk rejects writes with ErrDiskFull, serves reads, and takes writes again once there is space.
 func TestFull(t *testing.T) {
 	fs := simdisk.New(1)
 	s := mustOpen(t, fs, options())
@@ -99,7 +99,7 @@
 	}
 	fs.CapacityBytes = 1
 	for range 3 {
-		if err := h.apply(s, map[string]string{"b": strings.Repeat("x", 700)}); !errors.Is(err, ErrFull) || !errors.Is(err, ErrNotWritten) {
+		if err := h.apply(s, map[string]string{"b": strings.Repeat("x", 700)}); !errors.Is(err, ErrDiskFull) || !errors.Is(err, ErrNotWritten) {
 			t.Fatalf("on a full disk: %v", err)
 		}
 		if got := content(t, s); !maps.Equal(got, h.acked) {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -30,9 +30,9 @@
 // Options configure a ledger.
 type Options struct {
 	Limits limits.Ledger
-	// Flush is how often writes are flushed. 0: before they are acknowledged. Above 0 a crash may lose the writes that were
-	// acknowledged in the last Flush; those that are left are the oldest.
-	Flush time.Duration
+	// FlushInterval is how often writes are flushed. 0: before they are acknowledged. Above 0 a crash may lose the writes that were
+	// acknowledged in the last FlushInterval; those that are left are the oldest.
+	FlushInterval time.Duration
 	// ReadOnly opens without a lock and changes nothing; the folder may be in use by another process.
 	ReadOnly bool
 	// Manual leaves compactions and clock marks to the caller.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -233,14 +233,14 @@
 		t.Fatal(err)
 	}
 	c.add(time.Second - time.Millisecond)
-	if err := s.Mark(); err != nil {
+	if err := s.AdvanceClock(); err != nil {
 		t.Fatal(err)
 	}
 	if !s.Has([]byte("a")) {
 		t.Fatal("gone before its time")
 	}
 	c.add(time.Millisecond)
-	if err := s.Mark(); err != nil {
+	if err := s.AdvanceClock(); err != nil {
 		t.Fatal(err)
 	}
 	check := func(when string) {
@@ -309,7 +309,7 @@
 	for i := range 10 {
 		var b Batch
 		b.Put([]byte("k"), fmt.Append(nil, i), time.Time{})
-		if err := s.Go(&b, func(err error) {
+		if err := s.ApplyAsync(&b, func(err error) {
 			if err != nil {
 				t.Error(err)
 			}
@@ -334,7 +334,7 @@
 	s.writer.mu.Unlock()
 	var b Batch
 	b.Put([]byte("k"), nil, time.Time{})
-	if err := s.Go(&b, func(error) { t.Error("called back") }); !errors.Is(err, ErrBusy) {
+	if err := s.ApplyAsync(&b, func(error) { t.Error("called back") }); !errors.Is(err, ErrBusy) {
 		t.Errorf("a full queue: %v", err)
 	}
 	s.writer.mu.Lock()
--- a/internal/ledger/manifest.go
+++ b/internal/ledger/manifest.go
@@ -43,7 +43,7 @@
 	if err := writeManifest(s.fs, m); err != nil {
 		var unsure *manifestUncertainError
 		if errors.As(err, &unsure) {
-			return fmt.Errorf("%w: %w", ErrUnknown, s.fail(err))
+			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, s.fail(err))
 		}
 		return notWritten(err)
 	}
--- a/internal/ledger/model_test.go
+++ b/internal/ledger/model_test.go
@@ -70,7 +70,7 @@
 			},
 			"clock": func(t *rapid.T) {
 				c.add(time.Duration(rapid.IntRange(-20, 30).Draw(t, "s")) * time.Second)
-				if err := s.Mark(); err != nil {
+				if err := s.AdvanceClock(); err != nil {
 					t.Fatal(err)
 				}
 				if now := c.Now(); now.After(mark) {
--- a/internal/ledger/plan/plan_test.go
+++ b/internal/ledger/plan/plan_test.go
@@ -74,10 +74,10 @@
 		g.RecordFlush(3, 61, 4*time.Millisecond)
 	}
 	for _, c := range []struct {
-		queued int
-		waited time.Duration
-		maxBatches   int
-		want   bool
+		queued     int
+		waited     time.Duration
+		maxBatches int
+		want       bool
 	}{{1, 0, 100, true}, {63, time.Millisecond, 100, true}, {64, 0, 100, false}, {1, 4 * time.Millisecond, 100, false}, {10, 0, 10, false}} {
 		if got := g.RemainingWait(c.queued, c.maxBatches, c.waited, time.Second) > 0; got != c.want {
 			t.Errorf("%+v: waits: %v", c, got)
@@ -111,8 +111,8 @@
 func TestCompactionPauseAndWriteStall(t *testing.T) {
 	r := Options{GarbageThreshold: 0.4, SegmentBytes: 100, MaxPause: 10 * time.Millisecond}
 	for _, c := range []struct {
-		dead        int64
-		garbage     float64
+		dead         int64
+		garbage      float64
 		pause, stall time.Duration
 	}{
 		{1000, 0.2, 10 * time.Millisecond, 0},
--- a/internal/ledger/verify.go
+++ b/internal/ledger/verify.go
@@ -11,7 +11,7 @@
 	State    string   `json:"state"` // whole, torn or damaged
 	File     string   `json:"file,omitempty"`
 	Offset   int64    `json:"offset,omitempty"`
-	What     string   `json:"what,omitempty"`
+	Reason   string   `json:"what,omitempty"`
 	Recovery Recovery `json:"found"`
 }
 
@@ -33,14 +33,14 @@
 	var d *DamageError
 	switch {
 	case errors.As(err, &d):
-		return VerifyResult{State: StateDamaged, File: d.File, Offset: d.Offset, What: d.Reason}, nil
+		return VerifyResult{State: StateDamaged, File: d.File, Offset: d.Offset, Reason: d.Reason}, nil
 	case err != nil:
 		return VerifyResult{}, err
 	}
 	v := VerifyResult{State: StateIntact, Recovery: s.Recovery()}
 	if r := v.Recovery; r.TornBytes > 0 {
 		v.State, v.File, v.Offset = StateTorn, r.TornFile, r.TornOffset
-		v.What = "the segment ends in bytes that were never acknowledged"
+		v.Reason = "the segment ends in bytes that were never acknowledged"
 	}
 	return v, nil
 }
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -185,7 +185,7 @@
 // TestMutantIsCaught: a log that acknowledges entries before they are durable is found out.
 func TestMutantIsCaught(t *testing.T) {
 	early := options
-	early.Flush = time.Hour
+	early.FlushInterval = time.Hour
 	for seed := range uint64(20) {
 		if cuts(t, seed, early) != "" {
 			t.Logf("acknowledged before durable: caught by seed %d", seed)
