--- a/internal/ledger/backup.go
+++ b/internal/ledger/backup.go
@@ -9,9 +9,9 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// Backup copies the store as it is at one moment into another, empty folder, and returns how many bytes it copied. It blocks until
-// then; reads and writes go on. The copy is a store of its own with the same id. It is complete once its manifest exists,
-// which is written last.
+// Backup copies the state of the store at one moment into another, empty folder, and returns the number of bytes copied. It blocks
+// until the copy is complete; reads and writes continue meanwhile. The copy is an independent store with the same id. Its
+// manifest is written last, so the copy is complete if the manifest exists.
 func (s *Store) Backup(to disk.FS) (bytes int64, err error) {
 	names, err := to.List()
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	for _, name := range names {
 		if _, ok := segmentNumber(name); ok || name == manifestName {
-			return 0, fmt.Errorf("%s: not empty: it holds %s", to, name)
+			return 0, fmt.Errorf("%s: backup folder is not empty: it contains %s", to, name)
 		}
 	}
 	if !s.opts.ReadOnly {
@@ -32,7 +32,7 @@
 	if s.active == nil {
 		all = all[:len(all)-1]
 	}
-	m := s.nextManifest(all, nil) // their sizes are those of this moment, and end with complete groups
+	m := s.nextManifest(all, nil) // the sizes at this moment, each at the end of a complete group
 	for _, g := range all {
 		g.acquire()
 	}
@@ -50,7 +50,7 @@
 	for i, g := range all {
 		e := m.Segments[i]
 		if e.MinSequence == 0 {
-			continue // no record in it
+			continue // the segment has no records
 		}
 		if err := copySegment(to, g, e.Size); err != nil {
 			return bytes, fmt.Errorf("%s: %w", g.name, err)
--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -7,19 +7,19 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// Batch is a list of changes that are applied atomically. Its zero value is ready. It keeps the slices that it is given:
-// they must not change until the batch has been applied. One goroutine may use it at a time.
+// Batch is a list of changes that are applied atomically. Its zero value is ready to use. It retains the slices that are passed
+// to it, which must not be modified until the batch has been applied. A Batch is not safe for concurrent use.
 type Batch struct {
 	records []format.Record
 	bytes   int
 }
 
-// Put adds a write of a value. A zero expiry means never.
+// Put adds a write of a value. With a zero expiry the key never expires.
 func (b *Batch) Put(key, value []byte, expiry time.Time) {
-	b.add(format.Record{Kind: format.KindPut, Key: key, Value: value, ExpiryMillis: millis(expiry)})
+	b.add(format.Record{Kind: format.KindPut, Key: key, Value: value, ExpiryMillis: unixMillis(expiry)})
 }
 
-// Delete adds a deletion.
+// Delete adds the deletion of a key.
 func (b *Batch) Delete(key []byte) { b.add(format.Record{Kind: format.KindDelete, Key: key}) }
 
 func (b *Batch) add(r format.Record) {
@@ -27,10 +27,10 @@
 	b.bytes += r.Size()
 }
 
-// Len is the number of changes.
+// Len returns the number of changes.
 func (b *Batch) Len() int { return len(b.records) }
 
-// validate rejects a batch that could never be written.
+// validate rejects a batch that exceeds the limits or that the store cannot write.
 func (s *Store) validate(b *Batch) error {
 	if s.opts.ReadOnly {
 		return ErrReadOnly
@@ -38,20 +38,20 @@
 	for _, r := range b.records {
 		switch {
 		case len(r.Key) == 0:
-			return fmt.Errorf("%w: a key has at least one byte", ErrNotWritten)
+			return fmt.Errorf("%w: empty key", ErrNotWritten)
 		case len(r.Key) > min(s.opts.Limits.KeyBytes, format.MaxKeyBytes):
-			return fmt.Errorf("%w: a key of %d bytes", ErrTooLarge, len(r.Key))
+			return fmt.Errorf("%w: key of %d bytes", ErrTooLarge, len(r.Key))
 		case len(r.Value) > s.opts.Limits.ValueBytes:
-			return fmt.Errorf("%w: a value of %d bytes", ErrTooLarge, len(r.Value))
+			return fmt.Errorf("%w: value of %d bytes", ErrTooLarge, len(r.Value))
 		}
 	}
 	if b.bytes > s.opts.Limits.BatchBytes {
-		return fmt.Errorf("%w: a batch of %d bytes", ErrTooLarge, b.bytes)
+		return fmt.Errorf("%w: batch of %d bytes", ErrTooLarge, b.bytes)
 	}
 	return s.Err()
 }
 
-// Apply makes a batch durable. It blocks until then, also while the queue is full. Its errors are those of errors.go.
+// Apply writes a batch and blocks until it is durable, including while the queue is full. It returns the errors of errors.go.
 func (s *Store) Apply(b *Batch) error {
 	if err := s.validate(b); err != nil {
 		return err
@@ -62,9 +62,9 @@
 	return s.enqueueAndWait(&pending{records: b.records, bytes: b.bytes})
 }
 
-// ApplyAsync makes a batch durable and does not block: done is called from another goroutine once the batch is durable or can't be.
-// Batches reach the log in the order of the calls. An error means that done will not be called; ErrBusy that the queue is
-// full.
+// ApplyAsync writes a batch without blocking. done is called from another goroutine once the batch is durable or has failed.
+// Batches are written to the log in the order of the calls. If ApplyAsync returns an error, done is not called. The error is
+// ErrBusy if the queue is full.
 func (s *Store) ApplyAsync(b *Batch, done func(error)) error {
 	if err := s.validate(b); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return s.enqueue(&pending{records: b.records, bytes: b.bytes, done: callback}, false)
 }
 
-// Sync flushes all that was written before it. It blocks until then.
+// Sync flushes everything that was queued before the call, and blocks until it is durable.
 func (s *Store) Sync() error {
 	if s.opts.ReadOnly {
 		return ErrReadOnly
@@ -81,6 +81,6 @@
 	return s.enqueueAndWait(&pending{flush: true})
 }
 
-// AdvanceClock advances the store's clock to the Unix clock's time, unless that has stepped back, and makes it durable. It blocks
-// until then.
+// AdvanceClock advances the store's clock to the time of the Unix clock, unless that has stepped back, and blocks until the new
+// value is durable.
 func (s *Store) AdvanceClock() error { return s.Sync() }
--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -17,8 +17,8 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// The benchmarks write to SLOEHITCH_BENCH_DIR, or the system's folder for temporary files: which disk that is decides what
-// they say. docs/operators/ledger.md has the command and the figures.
+// benchDir creates a folder for a benchmark in SLOEHITCH_BENCH_DIR, or in the system's folder for temporary files. The results
+// depend on which disk that is. The command and the results are in docs/operators/ledger.md.
 func benchDir(b *testing.B) disk.Dir {
 	dir, err := os.MkdirTemp(os.Getenv("SLOEHITCH_BENCH_DIR"), "ledger")
 	if err != nil {
@@ -28,11 +28,11 @@
 	return disk.Dir(dir)
 }
 
-const benchValue = 120 // bytes: about a booking's record
+const benchValue = 120 // bytes, about the size of a booking record
 
 func benchKey(i int) []byte { return fmt.Appendf(nil, "%032x", uint64(i)*0x9e3779b97f4a7c15) }
 
-// BenchmarkFlush is the machine's bare limit: appends of so many records and a flush each, nothing else.
+// BenchmarkFlush measures the lower bound that the machine sets: appending n records and flushing them, nothing else.
 func BenchmarkFlush(b *testing.B) {
 	for _, n := range []int{1, 8, 64, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// BenchmarkPut has so many writers put one record after the other.
+// BenchmarkPut measures n concurrent writers, each of which puts one record after the other.
 func BenchmarkPut(b *testing.B) {
 	for _, n := range []int{1, 8, 64, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchPut(b, benchDir(b), n) })
@@ -90,7 +90,7 @@
 	b.ReportMetric(float64(b.N)/float64(s.Stats().Groups), "puts/flush")
 }
 
-// slowDisk is a disk whose flush takes a while longer, as those of most machines do.
+// slowDisk is a disk with a slower flush, as on most machines.
 type slowDisk struct{ disk.FS }
 
 type slowFile struct{ disk.File }
@@ -105,17 +105,18 @@
 	return f.File.Sync()
 }
 
-// BenchmarkPutSlowFlush is BenchmarkPut on a disk whose flush takes 2 ms more; what one flush for each put gives is its line with one writer.
+// BenchmarkPutSlowFlush is BenchmarkPut on a disk whose flush takes 2 ms longer. The result with one writer shows what one flush
+// per put achieves.
 func BenchmarkPutSlowFlush(b *testing.B) {
 	for _, n := range []int{1, 8, 64, 512} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchPut(b, slowDisk{benchDir(b)}, n) })
 	}
 }
 
-// BenchmarkPutLatency has 16 writers overwrite 20,000 keys for five seconds, without and with compactions all the time.
+// BenchmarkPutLatency has 16 writers overwrite 20,000 keys for five seconds, without compactions and with continuous compactions.
 func BenchmarkPutLatency(b *testing.B) {
-	for _, busy := range []bool{false, true} {
-		b.Run(fmt.Sprintf("compaction=%v", busy), func(b *testing.B) {
+	for _, compacting := range []bool{false, true} {
+		b.Run(fmt.Sprintf("compaction=%v", compacting), func(b *testing.B) {
 			l := limits.ForLedger(1 << 30)
 			s := mustOpen(b, benchDir(b), Options{Limits: l, Manual: true})
 			value := make([]byte, benchValue)
@@ -132,7 +133,7 @@
 			var mu sync.Mutex
 			var wait sync.WaitGroup
 			end := make(chan struct{})
-			if busy {
+			if compacting {
 				wait.Go(func() {
 					for {
 						select {
@@ -181,7 +182,7 @@
 	}
 }
 
-// BenchmarkRecovery opens folders of so many records.
+// BenchmarkRecovery opens folders with n records.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -216,8 +217,8 @@
 	}
 }
 
-// BenchmarkOverwrite overwrites keys at random, four times each on average, at the default settings, and tells what is written and
-// what is on disk for each byte of records. Values are random, so that packing them saves nothing.
+// BenchmarkOverwrite overwrites random keys, four times each on average, with the default limits, and reports the bytes written
+// and the bytes on disk per byte of records. Values are random, so compression saves nothing.
 func BenchmarkOverwrite(b *testing.B) {
 	const keys = 200_000
 	s := mustOpen(b, benchDir(b), Options{Limits: limits.ForLedger(1 << 30)})
@@ -256,7 +257,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkMemoryPerKey tells the heap that a key of 32 bytes takes.
+// BenchmarkMemoryPerKey reports the heap memory that a key of 32 bytes takes.
 func BenchmarkMemoryPerKey(b *testing.B) {
 	const n = 500_000
 	dir := benchDir(b)
@@ -282,7 +283,7 @@
 	b.ReportMetric(float64(heap()-before)/n, "B/key-written")
 	counted := s.Stats().IndexBytes / n
 	s.Close()
-	s.index.Clear() // the benchmark's clean-up still holds the store
+	s.index.Clear() // the clean-up function of the benchmark still references the store
 	before = heap()
 	s = mustOpen(b, dir, o)
 	b.ReportMetric(float64(heap()-before)/n, "B/key-recovered")
@@ -291,7 +292,7 @@
 	runtime.KeepAlive(s)
 }
 
-// BenchmarkGet reads at random from hot and from cold segments.
+// BenchmarkGet reads random keys from uncompressed and from cold segments.
 func BenchmarkGet(b *testing.B) {
 	for _, cold := range []bool{false, true} {
 		b.Run(fmt.Sprintf("cold=%v", cold), func(b *testing.B) {
--- a/internal/ledger/callbacks.go
+++ b/internal/ledger/callbacks.go
@@ -1,6 +1,6 @@
 package ledger
 
-// queueCallback has runCallbacks call fn, so that no caller's code delays the next flush. It does not block.
+// queueCallback queues fn for runCallbacks, so that the code of callers does not delay the next flush. It does not block.
 func (w *writer) queueCallback(fn func()) {
 	w.callbackMu.Lock()
 	w.callbacks = append(w.callbacks, fn)
@@ -8,7 +8,7 @@
 	signal(w.callbackReady)
 }
 
-// runCallbacks calls what was queued, in order, until end is closed and nothing is left.
+// runCallbacks calls the queued functions in order, until end is closed and the queue is empty.
 func (w *writer) runCallbacks(end <-chan struct{}) {
 	for ended := false; ; {
 		w.callbackMu.Lock()
--- a/internal/ledger/cold_segment.go
+++ b/internal/ledger/cold_segment.go
@@ -14,26 +14,27 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// blockLocation is where a block of a cold segment starts, decompressed and in the file.
+// blockLocation is the start of a block of a cold segment, as offsets in the decompressed segment and in the file.
 type blockLocation struct{ rawOffset, fileOffset int64 }
 
-// decodedBlock is a decompressed block, kept for the next read.
+// decodedBlock is a decompressed block, cached for the next read.
 type decodedBlock struct {
 	rawOffset int64
 	bytes     []byte
 }
 
-// maxBlockBytes bounds a block of records with values up to so many bytes: a larger size in a header is not valid.
+// maxBlockBytes returns the largest size of a block of records whose values have at most maxValueBytes. A header with a larger
+// size is invalid.
 func maxBlockBytes(maxValueBytes int) int { return 4*maxValueBytes + format.MaxKeyBytes + 1<<20 }
 
-// readCold returns the bytes of a record of a cold segment.
+// readCold returns the bytes of the record at an offset of the decompressed segment.
 func (g *segment) readCold(offset int64, size int) ([]byte, error) {
 	i, found := slices.BinarySearchFunc(g.blocks, offset, func(b blockLocation, offset int64) int { return int(b.rawOffset - offset) })
 	if !found {
 		i--
 	}
 	if i < 0 {
-		return nil, damage(g.name, offset, "no block has this record")
+		return nil, newDamageError(g.name, offset, "no block contains the record")
 	}
 	block := g.cache.Load()
 	if block == nil || block.rawOffset != g.blocks[i].rawOffset {
@@ -45,12 +46,12 @@
 	}
 	from := int(offset - block.rawOffset)
 	if from < 0 || from+size > len(block.bytes) {
-		return nil, damage(g.name, g.blocks[i].fileOffset, "a record is not where it was")
+		return nil, newDamageError(g.name, g.blocks[i].fileOffset, "record is outside the bounds of its block")
 	}
 	return bytes.Clone(block.bytes[from : from+size]), nil
 }
 
-// readBlock reads and decompresses the block with this index.
+// readBlock reads and decompresses the block with index i in g.blocks.
 func (g *segment) readBlock(i int) (*decodedBlock, error) {
 	at, end := g.blocks[i].fileOffset, g.size
 	if i+1 < len(g.blocks) {
@@ -62,12 +63,12 @@
 	}
 	raw, err := decodeBlock(encoded, g.salt, at)
 	if err != nil {
-		return nil, damage(g.name, at, "%v", err)
+		return nil, newDamageError(g.name, at, "%v", err)
 	}
 	return &decodedBlock{g.blocks[i].rawOffset, raw}, nil
 }
 
-// decodeBlock verifies a block and returns its records, decompressed.
+// decodeBlock verifies a block and returns its decompressed content.
 func decodeBlock(b []byte, salt uint32, off int64) ([]byte, error) {
 	head, stored, err := format.DecodeBlock(b, salt, off)
 	if err != nil {
@@ -82,27 +83,27 @@
 	}
 	raw, err := d.DecodeAll(stored, make([]byte, 0, head.RawBytes))
 	if err != nil || len(raw) != head.RawBytes {
-		return nil, fmt.Errorf("%w: it does not unpack (%w)", format.ErrInvalid, err)
+		return nil, fmt.Errorf("%w: block decompression failed (%w)", format.ErrInvalid, err)
 	}
 	return raw, nil
 }
 
-// zstdWindowBytes bounds the memory of compression.
+// zstdWindowBytes limits the memory that compression uses.
 const zstdWindowBytes = 128 << 10
 
-// coldWriter writes a cold segment. It belongs to one goroutine.
+// coldWriter writes a cold segment. It is not safe for concurrent use.
 type coldWriter struct {
 	*segment
-	blockBytes int // of a block before compression
+	blockBytes int // target size of a block before compression
 	afterBlock func() error
 	enc        *zstd.Encoder
 	block      []byte
-	compressed []byte // reused from block to block
+	compressed []byte // buffer reused for all blocks
 	out        []byte
-	rawOffset  int64 // of the next record, decompressed
+	rawOffset  int64 // offset of the next record in the decompressed segment
 }
 
-// newColdWriter creates a segment. afterBlock is called after each block was written.
+// newColdWriter creates a cold segment. afterBlock is called each time a block has been written.
 func newColdWriter(fs disk.FS, store format.ID, number uint64, blockBytes int, afterBlock func() error) (*coldWriter, error) {
 	enc, err := zstd.NewWriter(nil,
 		zstd.WithEncoderConcurrency(1),
@@ -118,46 +119,46 @@
 	return &coldWriter{segment: g, blockBytes: blockBytes, afterBlock: afterBlock, enc: enc, rawOffset: format.SegmentHeaderSize}, nil
 }
 
-// add appends a record and returns its offset. It writes a block once that is full.
-func (p *coldWriter) add(r *format.Record) (off int64, err error) {
-	off = p.rawOffset
-	p.block = format.AppendRecord(p.block, p.salt, off, r)
-	p.rawOffset += int64(r.Size())
-	p.countRecord(r.Sequence, r.Size())
-	if len(p.block) >= p.blockBytes {
-		err = p.flushBlock()
+// add appends a record and returns its offset. It writes the current block once that is full.
+func (w *coldWriter) add(r *format.Record) (off int64, err error) {
+	off = w.rawOffset
+	w.block = format.AppendRecord(w.block, w.salt, off, r)
+	w.rawOffset += int64(r.Size())
+	w.countRecord(r.Sequence, r.Size())
+	if len(w.block) >= w.blockBytes {
+		err = w.flushBlock()
 	}
 	return off, err
 }
 
-// minSavedFraction: a block is stored compressed if that saves more than one byte in so many.
+// minSavedFraction controls compression: a block is stored compressed if that saves more than 1/minSavedFraction of its size.
 const minSavedFraction = 8
 
 // flushBlock writes the current block.
-func (p *coldWriter) flushBlock() error {
-	if len(p.block) == 0 {
+func (w *coldWriter) flushBlock() error {
+	if len(w.block) == 0 {
 		return nil
 	}
-	p.compressed = p.enc.EncodeAll(p.block, p.compressed[:0])
-	stored := p.compressed
-	smaller := len(stored) < len(p.block)-len(p.block)/minSavedFraction
+	w.compressed = w.enc.EncodeAll(w.block, w.compressed[:0])
+	stored := w.compressed
+	smaller := len(stored) < len(w.block)-len(w.block)/minSavedFraction
 	if !smaller {
-		stored = p.block
+		stored = w.block
 	}
-	first := p.rawOffset - int64(len(p.block))
-	header := format.BlockHeader{RawBytes: len(p.block), Compressed: smaller, RawOffset: first}
-	b := format.AppendBlock(p.out[:0], p.salt, p.size, header, stored)
-	if _, err := p.file.WriteAt(b, p.size); err != nil {
+	first := w.rawOffset - int64(len(w.block))
+	header := format.BlockHeader{RawBytes: len(w.block), Compressed: smaller, RawOffset: first}
+	b := format.AppendBlock(w.out[:0], w.salt, w.size, header, stored)
+	if _, err := w.file.WriteAt(b, w.size); err != nil {
 		return err
 	}
-	p.out = b
-	p.blocks = append(p.blocks, blockLocation{first, p.size})
-	p.size += int64(len(b))
-	p.block = p.block[:0]
-	return p.afterBlock()
+	w.out = b
+	w.blocks = append(w.blocks, blockLocation{first, w.size})
+	w.size += int64(len(b))
+	w.block = w.block[:0]
+	return w.afterBlock()
 }
 
-// decoder is shared: its DecodeAll may be called from several goroutines.
+// decoder returns the shared decoder, whose DecodeAll may be called concurrently.
 var decoder = sync.OnceValues(func() (*zstd.Decoder, error) {
 	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true))
 })
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -11,7 +11,7 @@
 	"sloehitch/internal/ledger/plan"
 )
 
-// writeLoop is the one goroutine that writes to the active segment. It returns once the queue is closed and empty.
+// writeLoop is the only goroutine that writes to the active segment. It returns once the queue is closed and empty.
 func (s *Store) writeLoop() {
 	committed := make(chan struct{})
 	s.background.Go(func() { s.writer.runCallbacks(committed) })
@@ -44,7 +44,7 @@
 	s.finishLog()
 }
 
-// onTick flushes what is not flushed yet, and advances the clock mark where a key has expired.
+// onTick flushes the written groups that are not flushed yet, and advances the clock mark if a key has expired.
 func (s *Store) onTick() {
 	if s.Err() != nil {
 		return
@@ -57,20 +57,19 @@
 	if nextExpiry != 0 && nextExpiry <= now && markDue && !s.opts.Manual {
 		s.commit(nil)
 	} else {
-		_ = s.flush() // fail keeps the error, and the writers get it
+		_ = s.flush() // markBroken stored the error, and later writes return it
 	}
 }
 
-// finishLog flushes everything and writes a last group that says so.
+// finishLog flushes all written groups and appends an empty group that records the flushed offset.
 func (s *Store) finishLog() {
 	if s.Err() == nil {
 		s.commit(nil)
 	}
-	_ = s.flush() // what was acknowledged before a flush is at risk as documented; the log has the error
+	_ = s.flush() // with a FlushInterval acknowledged writes may be lost, as documented; the error was logged
 }
 
-// commit writes a group to the active segment, flushes it where that is due, and hands it on to indexLoop, which notifies
-// its writers.
+// commit writes a group to the active segment, flushes it if required, and passes it to indexLoop, which notifies its writers.
 func (s *Store) commit(group []*pending) {
 	if err := s.Err(); err != nil {
 		notify(group, err)
@@ -102,7 +101,7 @@
 			return
 		}
 	}
-	// The writers of this group have not been notified yet, so what is queued now is from others.
+	// The writers of this group have not been notified yet, so the batches queued now are from other writers.
 	w.mu.Lock()
 	queued := len(w.queue)
 	w.mu.Unlock()
@@ -112,7 +111,7 @@
 	s.stallForCompaction()
 }
 
-// rotateIfDue starts a new active segment where the current one is full or the group asks for it.
+// rotateIfDue starts a new active segment if the current one is full or a request in the group seals it.
 func (s *Store) rotateIfDue(group []*pending) error {
 	seal := slices.ContainsFunc(group, func(p *pending) bool { return p.seal }) && s.writer.activeRecords > 0
 	if s.active.size < s.opts.Limits.SegmentBytes && !seal {
@@ -121,8 +120,8 @@
 	return s.rotate()
 }
 
-// encodeGroup numbers the records of a group and encodes them for the end of the active segment. The bytes are valid until
-// the next call.
+// encodeGroup assigns sequence numbers to the records of a group and encodes them for the end of the active segment. The bytes
+// are valid until the next call.
 func (s *Store) encodeGroup(group []*pending, clockMark int64) []byte {
 	w, g := &s.writer, s.active
 	b := format.AppendGroup(w.buf[:0], g.salt, g.size, w.flushedOffset, clockMark)
@@ -137,17 +136,17 @@
 	}
 	w.buf = b
 	if cap(w.buf) > 2*s.opts.Limits.GroupBytes {
-		w.buf = nil // one large batch is no reason to keep its memory
+		w.buf = nil // don't retain the memory of one large batch
 	}
 	return b
 }
 
-// mustFlush reports whether a group is flushed before its writers are notified.
+// mustFlush reports whether a group must be flushed before its writers are notified.
 func (s *Store) mustFlush(group []*pending) bool {
 	return s.opts.FlushInterval == 0 || len(group) == 0 || slices.ContainsFunc(group, func(p *pending) bool { return p.flush })
 }
 
-// stallForCompaction pauses the writing goroutine by plan.WriteStall while a compaction is running.
+// stallForCompaction pauses the writing goroutine for plan.WriteStall if a compaction is running.
 func (s *Store) stallForCompaction() {
 	if !s.compactionRunning.Load() {
 		return
@@ -158,21 +157,21 @@
 	}
 }
 
-// notify tells the writers of a group how it ended.
+// notify reports the outcome of a group to its writers.
 func notify(group []*pending, err error) {
 	for _, p := range group {
 		p.done(err)
 	}
 }
 
-// flush makes all that was written durable.
+// flush makes all written groups durable.
 func (s *Store) flush() error {
 	w := &s.writer
 	if w.flushedOffset == s.active.size || s.Err() != nil {
 		return s.Err()
 	}
 	if err := s.active.file.Sync(); err != nil {
-		return s.fail(err)
+		return s.markBroken(err)
 	}
 	w.flushedOffset = s.active.size
 	s.mu.Lock()
@@ -182,21 +181,21 @@
 	return nil
 }
 
-// rollBackWrite truncates what a failed write left behind, and returns the error for its writers.
+// rollBackWrite truncates the segment to its size before a failed write, and returns the error for the writers.
 func (s *Store) rollBackWrite(cause error) error {
-	// Otherwise the rest could be read as records behind a later, shorter group.
+	// Without the truncation, a recovery could read leftover bytes as records after a later, shorter group.
 	err := s.active.file.Truncate(s.active.size)
 	if err == nil {
 		err = s.active.file.Sync()
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, s.fail(errors.Join(cause, err)))
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, s.markBroken(errors.Join(cause, err)))
 	}
 	s.writer.flushedOffset = s.active.size
 	return notWritten(cause)
 }
 
-// notWritten wraps the error of an operation that left nothing behind.
+// notWritten wraps the error of an operation that changed nothing in ErrNotWritten, and also in ErrDiskFull if the disk is full.
 func notWritten(cause error) error {
 	if disk.IsDiskFull(cause) {
 		return fmt.Errorf("%w: %w: %w", ErrNotWritten, ErrDiskFull, cause)
--- a/internal/ledger/compact.go
+++ b/internal/ledger/compact.go
@@ -8,19 +8,19 @@
 	"sloehitch/internal/ledger/plan"
 )
 
-// Compaction reports what a compaction did. Sizes are in bytes on disk.
+// Compaction is the report of a compaction. Sizes are in bytes on disk.
 type Compaction struct {
-	SegmentsRead      int           `json:"segments"` // read
+	SegmentsRead      int           `json:"segments"`
 	SegmentsWritten   int           `json:"made"`
 	BytesBefore       int64         `json:"bytes_before"`
 	BytesAfter        int64         `json:"bytes_after"`
 	RecordsKept       int           `json:"records_kept"`
-	TombstonesWritten int           `json:"records_buried"` // kept as deletions
+	TombstonesWritten int           `json:"records_buried"` // replaced by deletions
 	RecordsDropped    int           `json:"records_dropped"`
 	Duration          time.Duration `json:"took_ns"`
 }
 
-// maintain sweeps expired keys and compacts when a compaction is due, until the store is closed.
+// maintain removes expired keys and runs the compactions that are due, until the store is closed.
 func (s *Store) maintain() {
 	ticker := time.NewTicker(s.opts.Limits.SweepInterval)
 	defer ticker.Stop()
@@ -33,12 +33,12 @@
 		}
 		s.RemoveExpired()
 		if err := s.compactWhileDue(); err != nil && !errors.Is(err, ErrClosed) {
-			s.opts.Log.Warn("a compaction failed; nothing is lost", "folder", s.fs.String(), "error", err)
+			s.opts.Log.Warn("ledger compaction failed; no data is lost", "folder", s.fs.String(), "error", err)
 		}
 	}
 }
 
-// compactWhileDue compacts by the rule of plan.ChooseSegments while a compaction is due.
+// compactWhileDue runs compactions until plan.ChooseSegments chooses no more segments.
 func (s *Store) compactWhileDue() error {
 	for s.Err() == nil && !s.isClosed() {
 		s.manifestMu.Lock()
@@ -51,13 +51,13 @@
 		if err != nil {
 			return err
 		}
-		s.opts.Log.Info("compacted", "segments", c.SegmentsRead, "made", c.SegmentsWritten, "before", c.BytesBefore, "after", c.BytesAfter, "took", c.Duration)
+		s.opts.Log.Info("ledger segments compacted", "segments", c.SegmentsRead, "made", c.SegmentsWritten, "before", c.BytesBefore, "after", c.BytesAfter, "took", c.Duration)
 	}
 	return nil
 }
 
-// Compact seals the active segment and rewrites all others, so that only live records are left. It blocks until then, also
-// while another compaction is running. Reads and writes go on.
+// Compact seals the active segment and compacts all sealed segments, so that only live records are left. It blocks until it is
+// done, including while another compaction is running. Reads and writes continue meanwhile.
 func (s *Store) Compact() (Compaction, error) {
 	if s.opts.ReadOnly {
 		return Compaction{}, ErrReadOnly
@@ -74,12 +74,12 @@
 	return s.compact(all, true)
 }
 
-// sealActive has the writing goroutine seal the active segment, and waits until then.
+// sealActive makes the writing goroutine seal the active segment and waits until it is sealed.
 func (s *Store) sealActive() error {
 	return s.enqueueAndWait(&pending{flush: true, seal: true})
 }
 
-// compact replaces the chosen segments by new ones that hold their live records. One compaction runs at a time.
+// compact replaces the chosen segments by new ones with their live records. Only one compaction runs at a time.
 func (s *Store) compact(chosen []uint64, reportProgress bool) (c Compaction, err error) {
 	s.compactionMu.Lock()
 	defer s.compactionMu.Unlock()
@@ -94,10 +94,10 @@
 			in = append(in, g)
 		}
 	}
-	oldest := plan.MinSequenceOutside(s.planSegments(append(s.sealed[:len(s.sealed):len(s.sealed)], s.active)), chosen)
+	minSequenceOutside := plan.MinSequenceOutside(s.planSegments(append(s.sealed[:len(s.sealed):len(s.sealed)], s.active)), chosen)
 	s.manifestMu.Unlock()
 	var out []*segment
-	listed := false // the new segments may be in the current manifest: they must not be removed
+	listed := false // the manifest may already list the new segments, so they must not be removed
 	defer func() {
 		for _, g := range in {
 			g.release()
@@ -112,10 +112,10 @@
 	if len(in) == 0 {
 		return c, nil
 	}
-	if out, err = s.rewrite(in, oldest, &c, reportProgress); err != nil {
+	if out, err = s.rewrite(in, minSequenceOutside, &c, reportProgress); err != nil {
 		return c, err
 	}
-	// A record may have been dropped for a newer one, which must be durable before the older one is gone.
+	// A record may have been dropped because of a newer one, which must be durable before the older record is removed.
 	if err = s.Sync(); err != nil {
 		return c, err
 	}
@@ -130,7 +130,7 @@
 	return c, nil
 }
 
-// garbageShare is how many bytes of records are garbage, and their share of all.
+// garbageShare returns the bytes of records that are garbage, and their share of the bytes of all records.
 func (s *Store) garbageShare() (bytes int64, share float64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -138,7 +138,7 @@
 	return bytes, float64(bytes) / float64(max(s.recordBytes, 1))
 }
 
-// compactionOptions are the bounds of the decisions in package plan.
+// compactionOptions returns the parameters for the policies of package plan.
 func (s *Store) compactionOptions() plan.Options {
 	l := s.opts.Limits
 	return plan.Options{
@@ -150,7 +150,7 @@
 	}
 }
 
-// allocateSegmentNumber returns a number that no segment of the store has had.
+// allocateSegmentNumber returns a number that no segment of the store has used before.
 func (s *Store) allocateSegmentNumber() uint64 {
 	s.manifestMu.Lock()
 	defer s.manifestMu.Unlock()
@@ -159,7 +159,7 @@
 	return n
 }
 
-// planSegments describes segments for package plan; the caller holds manifestMu.
+// planSegments converts segments for package plan. The caller holds manifestMu.
 func (s *Store) planSegments(segments []*segment) (list []plan.Segment) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -10,31 +10,31 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestCompactOnlySome checks that a compaction that leaves older segments alone keeps tombstones, also of expired records, for
-// the records there.
-func TestCompactOnlySome(t *testing.T) {
+// TestPartialCompactionKeepsTombstonesOfOlderRecords checks that a compaction of only the newer segments keeps tombstones of
+// deleted and expired keys, so that older records in the other segments do not reappear.
+func TestPartialCompactionKeepsTombstonesOfOlderRecords(t *testing.T) {
 	fs := simdisk.New(1)
 	c := &clock{now: start}
-	o := options()
+	o := testOptions()
 	o.Now = c.Now
 	s := mustOpen(t, fs, o)
-	roll := func() {
+	seal := func() {
 		t.Helper()
 		if err := s.sealActive(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(t, s, "deleted", "old")
-	put(t, s, "expired", "old")
-	put(t, s, "kept", "old")
-	roll()
+	mustPut(t, s, "deleted", "old")
+	mustPut(t, s, "expired", "old")
+	mustPut(t, s, "kept", "old")
+	seal()
 	if err := s.Delete([]byte("deleted")); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Put([]byte("expired"), nil, start.Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	roll()
+	seal()
 	c.add(time.Minute)
 	if err := s.AdvanceClock(); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	want := map[string]string{"kept": "old"}
 	s.Close()
 	s = mustOpen(t, fs, o)
-	if got := content(t, s); !maps.Equal(got, want) {
+	if got := allPairs(t, s); !maps.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 	if got, err := s.Compact(); err != nil || got.TombstonesWritten != 0 || got.RecordsKept != 1 {
@@ -56,45 +56,46 @@
 	}
 }
 
-// TestCompactBeforeFlush checks that a compaction drops an old value for a newer one only once that is durable.
-func TestCompactBeforeFlush(t *testing.T) {
-	o := options()
+// TestCompactionDropsOldValueOnlyOnceNewOneIsDurable guards against a compaction that drops an old value because of a newer one
+// that has not been flushed: a power loss would then lose both.
+func TestCompactionDropsOldValueOnlyOnceNewOneIsDurable(t *testing.T) {
+	o := testOptions()
 	o.FlushInterval = time.Hour
 	for state := range uint64(20) {
 		fs := simdisk.New(state)
 		s := mustOpen(t, fs, o)
-		put(t, s, "k", "old")
+		mustPut(t, s, "k", "old")
 		if err := s.sealActive(); err != nil {
 			t.Fatal(err)
 		}
-		put(t, s, "k", "new")
+		mustPut(t, s, "k", "new")
 		if c, err := s.compact([]uint64{s.sealed[0].number}, false); err != nil || c.RecordsDropped != 1 {
 			t.Fatalf("%+v, %v", c, err)
 		}
 		s2 := mustOpen(t, fs.LosePower(state), o)
-		if got := content(t, s2); got["k"] == "" {
-			t.Fatalf("state %d: %v", state, got)
+		if got := allPairs(t, s2); got["k"] == "" {
+			t.Fatalf("state %d: key k is lost, content %v", state, got)
 		}
 	}
 }
 
-// TestCompact checks that garbage goes, current records stay and are compressed, and that compactions start by themselves at
-// the garbage share of the limits.
-func TestCompact(t *testing.T) {
+// TestCompactionReclaimsGarbageAndKeepsCurrentRecords checks that compactions remove garbage, keep and compress current records,
+// become due at the configured garbage share, and merge small segments.
+func TestCompactionReclaimsGarbageAndKeepsCurrentRecords(t *testing.T) {
 	fs := simdisk.New(1)
-	s := mustOpen(t, fs, options())
+	s := mustOpen(t, fs, testOptions())
 	want := map[string]string{}
 	for i := range 300 {
 		k, v := fmt.Sprintf("key%02d", i%30), strings.Repeat(fmt.Sprint(i), 10)
 		want[k] = v
-		put(t, s, k, v)
+		mustPut(t, s, k, v)
 	}
 	before := s.Stats()
 	if err := s.compactWhileDue(); err != nil {
 		t.Fatal(err)
 	}
 	if st := s.Stats(); st.Compactions == 0 || float64(st.GarbageBytes) > 0.45*float64(st.RecordBytes) {
-		t.Errorf("after compactions by themselves:\n%v", st)
+		t.Errorf("statistics after the due compactions:\n%v", st)
 	}
 	c, err := s.Compact()
 	if err != nil {
@@ -104,35 +105,36 @@
 	if st.GarbageBytes != 0 || st.ColdSegments == 0 || st.DiskBytes >= before.DiskBytes/4 || c.RecordsKept != 30 {
 		t.Errorf("%+v\n%v", c, st)
 	}
-	if got := content(t, s); !maps.Equal(got, want) {
+	if got := allPairs(t, s); !maps.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 	s.Close()
-	s = mustOpen(t, fs, options())
-	if got := content(t, s); !maps.Equal(got, want) {
-		t.Errorf("after a restart %v", got)
+	s = mustOpen(t, fs, testOptions())
+	if got := allPairs(t, s); !maps.Equal(got, want) {
+		t.Errorf("content after a restart: %v", got)
 	}
-	for range 20 { // short lives leave small segments behind
-		put(t, s, "one", "more")
+	for range 20 { // short runs leave small segments behind
+		mustPut(t, s, "one", "more")
 		s.Close()
-		s = mustOpen(t, fs, options())
+		s = mustOpen(t, fs, testOptions())
 	}
 	if err := s.compactWhileDue(); err != nil {
 		t.Fatal(err)
 	}
 	if st := s.Stats(); st.Segments > 11 {
-		t.Errorf("small segments were left:\n%v", st)
+		t.Errorf("small segments were not merged:\n%v", st)
 	}
 }
 
-// TestOldSegmentComesBack checks that a removed segment that reappears after a power loss brings nothing back.
-func TestOldSegmentComesBack(t *testing.T) {
+// TestReappearedSegmentIsRemovedUnread checks that a removed segment that reappears after a power loss does not restore deleted
+// keys, and is removed again.
+func TestReappearedSegmentIsRemovedUnread(t *testing.T) {
 	fs := simdisk.New(1)
-	s := mustOpen(t, fs, options())
+	s := mustOpen(t, fs, testOptions())
 	for i := range 30 {
-		put(t, s, fmt.Sprint("k", i), strings.Repeat("v", 40))
+		mustPut(t, s, fmt.Sprint("k", i), strings.Repeat("v", 40))
 	}
-	old := fs.Files()
+	oldFiles := fs.Files()
 	for i := range 29 {
 		if err := s.Delete([]byte(fmt.Sprint("k", i))); err != nil {
 			t.Fatal(err)
@@ -142,25 +144,25 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	now := fs.Files()
-	back := 0
-	for name, b := range old {
-		if _, ok := segmentNumber(name); ok && now[name] == nil {
-			now[name] = b
-			back++
+	newFiles := fs.Files()
+	reappeared := 0
+	for name, b := range oldFiles {
+		if _, ok := segmentNumber(name); ok && newFiles[name] == nil {
+			newFiles[name] = b
+			reappeared++
 		}
 	}
-	fs = simdisk.FromFiles(now)
-	s = mustOpen(t, fs, options())
-	if got := content(t, s); back == 0 || len(got) != 1 || got["k29"] == "" {
-		t.Errorf("with %d old segments back: %v", back, got)
+	fs = simdisk.FromFiles(newFiles)
+	s = mustOpen(t, fs, testOptions())
+	if got := allPairs(t, s); reappeared == 0 || len(got) != 1 || got["k29"] == "" {
+		t.Errorf("content with %d reappeared segments: %v", reappeared, got)
 	}
-	if r := s.Recovery(); r.StrayFiles < back {
-		t.Errorf("%d stray files swept, want %d at least", r.StrayFiles, back)
+	if r := s.Recovery(); r.StrayFiles < reappeared {
+		t.Errorf("%d stray files removed, want at least %d", r.StrayFiles, reappeared)
 	}
-	for name := range old {
-		if _, ok := segmentNumber(name); ok && fs.Files()[name] != nil && now[name] != nil && !listed(s, name) {
-			t.Errorf("%s was not swept", name)
+	for name := range oldFiles {
+		if _, ok := segmentNumber(name); ok && fs.Files()[name] != nil && newFiles[name] != nil && !listedInManifest(s, name) {
+			t.Errorf("unlisted segment %s was not removed", name)
 		}
 	}
 }
--- a/internal/ledger/crash_test.go
+++ b/internal/ledger/crash_test.go
@@ -10,72 +10,73 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestCrashAtEveryOperation cuts the power at each file operation of a workload of writes, rotations and compactions, looks at
-// several legal states of the disk, and cuts the power again at each operation of the recovery.
-func TestCrashAtEveryOperation(t *testing.T) {
-	for round := range uint64(*long) {
+// TestRecoversFromPowerLossAtEveryOperation cuts the power at each file operation of a workload of writes, rotations and
+// compactions, checks several of the possible states of the disk, and cuts the power again at each operation of the recovery.
+func TestRecoversFromPowerLossAtEveryOperation(t *testing.T) {
+	for round := range uint64(*rounds) {
 		seed := 1 + round
 		total := func() int {
 			fs := simdisk.New(seed)
-			if err := workload(fs, seed, 45, &history{}); err != nil {
+			if err := runWorkload(fs, seed, 45, &history{}); err != nil {
 				t.Fatal(err)
 			}
 			return fs.OperationCount
 		}()
 		if total < 120 {
-			t.Fatalf("only %d operations", total)
+			t.Fatalf("the workload has only %d operations, want at least 120", total)
 		}
-		cuts := 0
-		for at := 1; at <= total; at++ {
+		unreported := 0
+		for lossAt := 1; lossAt <= total; lossAt++ {
 			fs := simdisk.New(seed)
 			fs.InjectFault = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
-				if n == at {
+				if n == lossAt {
 					return simdisk.FaultPowerLoss
 				}
 				return simdisk.FaultNone
 			}
 			h := &history{}
-			if err := workload(fs, seed, 45, h); err == nil {
-				cuts++ // in Close or in a removal, whose errors are logged only
+			if err := runWorkload(fs, seed, 45, h); err == nil {
+				unreported++ // the power loss was in Close or in a removal, whose errors are not returned
 			}
 			for state := range uint64(5) {
-				what := fmt.Sprintf("seed %d, cut at operation %d of %d, state %d", seed, at, total, state)
-				left := fs.LosePower(state).Files()
-				want := reopen(t, what, simdisk.FromFiles(left), h)
-				if state != uint64(at)%5 {
+				what := fmt.Sprintf("seed %d, power loss at operation %d of %d, state %d", seed, lossAt, total, state)
+				files := fs.LosePower(state).Files()
+				want := reopenAndCheck(t, what, simdisk.FromFiles(files), h)
+				if state != uint64(lossAt)%5 {
 					continue
 				}
-				for again := 1; ; again++ { // cut the recovery itself
-					fs := simdisk.FromFiles(left)
+				for secondLossAt := 1; ; secondLossAt++ { // lose power during the recovery
+					fs := simdisk.FromFiles(files)
 					fs.InjectFault = func(n int, _ simdisk.Op, _ string) simdisk.Fault {
-						if n == again {
+						if n == secondLossAt {
 							return simdisk.FaultPowerLoss
 						}
 						return simdisk.FaultNone
 					}
-					s, err := Open(fs, options())
+					s, err := Open(fs, testOptions())
 					if err == nil {
 						s.Close()
 						break
 					}
-					after := reopen(t, fmt.Sprintf("%s, then at operation %d of the recovery", what, again), fs.LosePower(uint64(again)), h)
-					if !maps.Equal(after, want) {
-						t.Fatalf("%s: a recovery cut at %d ends with %v, one that isn't with %v", what, again, after, want)
+					afterSecond := reopenAndCheck(t, fmt.Sprintf("%s, then power loss at operation %d of the recovery", what, secondLossAt), fs.LosePower(uint64(secondLossAt)), h)
+					if !maps.Equal(afterSecond, want) {
+						t.Fatalf("%s: recovery after a power loss at its operation %d yields %v, an uninterrupted one %v", what, secondLossAt, afterSecond, want)
 					}
 				}
 			}
 		}
-		if cuts > total/5 {
-			t.Errorf("%d of %d cuts went unnoticed by the workload", cuts, total)
+		if unreported > total/5 {
+			t.Errorf("%d of %d power losses caused no error in the workload", unreported, total)
 		}
 	}
 }
 
-// TestIntervalFlush checks that with flushes at intervals a power loss takes only the newest acknowledged batches.
-func TestIntervalFlush(t *testing.T) {
-	o := options()
-	o.FlushInterval = time.Hour // not within this test
-	for state := range uint64(40 * *long) {
+// TestPowerLossTakesOnlyWritesAfterLastFlush checks that with a FlushInterval a power loss takes only the newest acknowledged
+// batches, and none from before the last flush.
+func TestPowerLossTakesOnlyWritesAfterLastFlush(t *testing.T) {
+	o := testOptions()
+	o.FlushInterval = time.Hour // longer than this test
+	for state := range uint64(40 * *rounds) {
 		fs := simdisk.New(state)
 		s := mustOpen(t, fs, o)
 		states := []map[string]string{{}}
@@ -91,19 +92,19 @@
 				}
 			}
 		}
-		left := fs.LosePower(state)
-		s2, err := Open(left, o)
+		survivor := fs.LosePower(state)
+		s2, err := Open(survivor, o)
 		if err != nil {
 			t.Fatalf("state %d: %v", state, err)
 		}
-		got, found := content(t, s2), -1
+		got, found := allPairs(t, s2), -1
 		for i, st := range states {
 			if maps.Equal(got, st) {
 				found = i
 			}
 		}
 		if found < 5 {
-			t.Fatalf("state %d: %v", state, got)
+			t.Fatalf("state %d: content %v is not the one after a flushed batch", state, got)
 		}
 		s2.Close()
 	}
--- a/internal/ledger/damage_test.go
+++ b/internal/ledger/damage_test.go
@@ -12,11 +12,12 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestTruncate cuts every file at every byte. At offset k of the last segment every batch whose records end before k is
-// there and no other; any other file that is cut is damage, reported with the file and the offset, or harmless.
-func TestTruncate(t *testing.T) {
+// TestTruncatedFileIsRecoveredOrReportedAsDamage truncates every file at every byte. If the active segment is truncated at offset
+// k, exactly the batches whose records end at or before k must be recovered. The truncation of any other file must be reported
+// as damage with the file and the offset, except for a leftover temporary manifest, which must be ignored.
+func TestTruncatedFileIsRecoveredOrReportedAsDamage(t *testing.T) {
 	fs := simdisk.New(1)
-	o := options()
+	o := testOptions()
 	s := mustOpen(t, fs, o)
 	type step struct {
 		active string
@@ -42,57 +43,57 @@
 		}
 		steps = append(steps, step{s.active.name, s.active.size, maps.Clone(h.acked)})
 	}
-	files := fs.KillProcess().Files() // before Close writes its last group
+	files := fs.KillProcess().Files() // before Close appends a last group
 	active := s.active.name
 	if len(files) < 4 {
-		t.Fatalf("only %d files", len(files))
+		t.Fatalf("the store has only %d files, want at least 4", len(files))
 	}
-	var base map[string]string // what sealed segments hold
+	var sealedState map[string]string // content of the sealed segments
 	for _, st := range steps {
 		if st.active != active {
-			base = st.state
+			sealedState = st.state
 		}
 	}
 	for name, b := range files {
 		for k := range len(b) {
-			cut := maps.Clone(files)
-			cut[name] = b[:k]
-			s, err := Open(simdisk.FromFiles(cut), o)
+			truncated := maps.Clone(files)
+			truncated[name] = b[:k]
+			s, err := Open(simdisk.FromFiles(truncated), o)
 			if name != active {
 				var d *DamageError
 				if errors.As(err, &d) {
 					if d.File != name || d.Offset > int64(k) || d.Remedy == "" {
-						t.Fatalf("%s cut at %d: %v", name, k, err)
+						t.Fatalf("%s truncated at %d: %v", name, k, err)
 					}
 					continue
 				}
 				if name != manifestTempName {
-					t.Fatalf("%s cut at %d opens: %v", name, k, err)
+					t.Fatalf("%s truncated at %d: Open returned %v, want a DamageError", name, k, err)
 				}
 			}
 			if err != nil {
-				t.Fatalf("%s cut at %d: %v", name, k, err)
+				t.Fatalf("%s truncated at %d: %v", name, k, err)
 			}
-			want := base
+			want := sealedState
 			for _, st := range steps {
 				if st.active == active && (name != active || st.end <= int64(k)) {
 					want = st.state
 				}
 			}
-			if got := content(t, s); !maps.Equal(got, want) {
-				t.Fatalf("%s cut at %d:\n got %v\nwant %v", name, k, got, want)
+			if got := allPairs(t, s); !maps.Equal(got, want) {
+				t.Fatalf("%s truncated at %d:\n got %v\nwant %v", name, k, got, want)
 			}
 			s.Close()
 		}
 	}
 }
 
-// TestDamage flips each bit, in turn, of all files but the last group of the active segment: it is noticed when the folder is
-// opened, never returned as data, and what Repair saves is right.
-func TestDamage(t *testing.T) {
+// TestFlippedBitIsReportedAndRepairSavesOnlyWrittenData flips one bit in each byte of all files, except in the last group of the
+// active segment. Open must report the damage, damaged data must never be returned, and Repair must save only written values.
+func TestFlippedBitIsReportedAndRepairSavesOnlyWrittenData(t *testing.T) {
 	fs := simdisk.New(1)
 	h := &history{}
-	o := options()
+	o := testOptions()
 	s := mustOpen(t, fs, o)
 	written := map[string]bool{}
 	for i := range 24 {
@@ -112,86 +113,86 @@
 			}
 		}
 	}
-	last, active := s.writer.flushedOffset, s.active.name
-	last -= int64(len(s.writer.buf)) // where the last group begins
+	lastGroup, active := s.writer.flushedOffset, s.active.name
+	lastGroup -= int64(len(s.writer.buf)) // start of the last group
 	files := fs.KillProcess().Files()
 	repaired := 0
 	for name, b := range files {
 		end := len(b)
 		if name == active {
-			end = int(last)
+			end = int(lastGroup)
 		}
 		for i := range end {
-			cut := maps.Clone(files)
-			cut[name] = append([]byte(nil), b...)
-			cut[name][i] ^= 1 << (i % 8)
-			s, err := Open(simdisk.FromFiles(cut), o)
+			damaged := maps.Clone(files)
+			damaged[name] = append([]byte(nil), b...)
+			damaged[name][i] ^= 1 << (i % 8)
+			s, err := Open(simdisk.FromFiles(damaged), o)
 			if err == nil {
 				s.Close()
-				t.Fatalf("%s: a flipped bit at %d was not noticed", name, i)
+				t.Fatalf("%s: Open did not report a bit flipped at %d", name, i)
 			}
 			var d *DamageError
 			if errors.As(err, &d) && d.File != name {
-				t.Fatalf("%s flipped at %d: %v", name, i, err)
+				t.Fatalf("bit of %s flipped at %d: %v", name, i, err)
 			}
 			if i%5 != 0 {
 				continue
 			}
 			to := simdisk.New(2)
-			v, err := Repair(simdisk.FromFiles(cut), to, o)
+			v, err := Repair(simdisk.FromFiles(damaged), to, o)
 			if err != nil {
 				var version format.VersionError
 				if name == manifestName && errors.As(err, &version) {
 					continue
 				}
-				t.Fatalf("repair with %s flipped at %d: %v", name, i, err)
+				t.Fatalf("repair with a bit of %s flipped at %d: %v", name, i, err)
 			}
 			s = mustOpen(t, to, o)
-			got := content(t, s)
+			got := allPairs(t, s)
 			for k, v := range got {
 				if !written[k+"="+v] {
-					t.Fatalf("%s flipped at %d: %q=%q was never written", name, i, k, v)
+					t.Fatalf("bit of %s flipped at %d: repaired store contains %q=%q, which was never written", name, i, k, v)
 				}
 			}
 			if len(v.Lost) == 0 || name != manifestName && got["x"] != got["y"] && v.Lost[0].File != name {
-				t.Fatalf("%s flipped at %d: %+v", name, i, v)
+				t.Fatalf("bit of %s flipped at %d: incomplete repair report %+v", name, i, v)
 			}
 			if name == manifestName && !maps.Equal(got, h.acked) {
-				t.Fatalf("with a bad manifest only, Repair saves %v of %v", got, h.acked)
+				t.Fatalf("Repair with only the manifest damaged saved %v, want %v", got, h.acked)
 			}
 			s.Close()
 			repaired++
 		}
 	}
 	if repaired == 0 {
-		t.Error("nothing was repaired")
+		t.Error("no damaged store was repaired")
 	}
-	cut := maps.Clone(files)
+	incomplete := maps.Clone(files)
 	for name := range files {
 		if _, ok := segmentNumber(name); ok && name != active {
-			delete(cut, name)
+			delete(incomplete, name)
 			var d *DamageError
-			if _, err := Open(simdisk.FromFiles(cut), o); !errors.As(err, &d) || d.File != name {
-				t.Errorf("without %s: %v", name, err)
+			if _, err := Open(simdisk.FromFiles(incomplete), o); !errors.As(err, &d) || d.File != name {
+				t.Errorf("Open with %s missing: error %v, want a DamageError of that file", name, err)
 			}
-			cut[name] = files[name]
+			incomplete[name] = files[name]
 		}
 	}
-	delete(cut, manifestName)
+	delete(incomplete, manifestName)
 	var d *DamageError
-	if _, err := Open(simdisk.FromFiles(cut), o); !errors.As(err, &d) || d.File != manifestName {
-		t.Errorf("without a manifest: %v", err)
+	if _, err := Open(simdisk.FromFiles(incomplete), o); !errors.As(err, &d) || d.File != manifestName {
+		t.Errorf("Open with the manifest missing: error %v, want a DamageError of the manifest", err)
 	}
 }
 
-// TestFlippedUnderneath checks that a bit that flips while the store is open fails the read that meets it, hot or cold, and is
-// never returned as a value.
-func TestFlippedUnderneath(t *testing.T) {
+// TestGetReportsBitFlippedWhileOpen checks that a bit that flips while the store is open makes the read of the record fail, in
+// active and cold segments, and that the damaged value is never returned.
+func TestGetReportsBitFlippedWhileOpen(t *testing.T) {
 	for seed := range uint64(60) {
 		fs := simdisk.New(seed)
-		s := mustOpen(t, fs, options())
+		s := mustOpen(t, fs, testOptions())
 		for i := range 6 {
-			put(t, s, fmt.Sprint("k", i), strings.Repeat("v", 50))
+			mustPut(t, s, fmt.Sprint("k", i), strings.Repeat("v", 50))
 		}
 		g := s.active
 		if seed%2 == 1 {
@@ -209,33 +210,34 @@
 			case errors.As(err, &d) && d.File == g.name:
 				damaged++
 			case err != nil || string(v) != strings.Repeat("v", 50):
-				t.Fatalf("seed %d, flipped at %d: %q, %v", seed, at, v, err)
+				t.Fatalf("seed %d, bit flipped at %d: Get = %q, %v", seed, at, v, err)
 			}
 		}
 		if damaged == 0 && g.cold {
-			t.Errorf("seed %d: a bit flipped at %d of a cold segment went unnoticed", seed, at)
+			t.Errorf("seed %d: no read reported the bit flipped at %d of a cold segment", seed, at)
 		}
 	}
 }
 
-// TestLaterVersion checks that files of a later version are rejected as such, not taken for damage.
-func TestLaterVersion(t *testing.T) {
+// TestRejectsLaterFormatVersion checks that files of a later format version are rejected with a VersionError and not reported as
+// damage.
+func TestRejectsLaterFormatVersion(t *testing.T) {
 	fs := simdisk.New(1)
-	s := mustOpen(t, fs, options())
-	put(t, s, "k", "v")
+	s := mustOpen(t, fs, testOptions())
+	mustPut(t, s, "k", "v")
 	s.Close()
 	for name, b := range fs.Files() {
 		files := fs.Files()
 		files[name] = bytes.Clone(b)
 		files[name][4]++
-		_, err := Open(simdisk.FromFiles(files), options())
+		_, err := Open(simdisk.FromFiles(files), testOptions())
 		var v format.VersionError
 		var d *DamageError
 		if !errors.As(err, &v) || errors.As(err, &d) || !strings.Contains(err.Error(), "version 2") {
 			t.Errorf("%s: %v", name, err)
 		}
-		if _, err := Repair(simdisk.FromFiles(files), simdisk.New(1), options()); name == manifestName && !errors.As(err, &v) {
-			t.Errorf("repair of a later version: %v", err)
+		if _, err := Repair(simdisk.FromFiles(files), simdisk.New(1), testOptions()); name == manifestName && !errors.As(err, &v) {
+			t.Errorf("repair of a later format version: error %v, want a VersionError", err)
 		}
 	}
 }
--- a/internal/ledger/expire.go
+++ b/internal/ledger/expire.go
@@ -6,17 +6,17 @@
 	"github.com/tidwall/btree"
 )
 
-// Expiry: a key is gone once the store's clock mark, which never steps back, has reached its expiry. Readers check that, so
-// removing expired keys from the index only frees memory.
+// A key has expired once the store's clock mark, which never steps back, reaches its expiry. Reads check this, so removing
+// expired keys from the index only frees memory.
 
-// sweepChunk is how many keys change under one hold of the lock, so that no reader or writer waits long.
+// sweepChunk is how many keys are removed while the lock is held once, so that readers and writers do not wait long.
 const sweepChunk = 64
 
-// expired reports whether a record has expired by the store's clock, in Unix milliseconds.
+// expired reports whether a record has expired by the given clock mark in Unix milliseconds.
 func expired(p location, mark int64) bool { return p.expiryMillis != 0 && p.expiryMillis <= mark }
 
-// RemoveExpired removes expired keys from memory. Readers don't see them before that either. It holds up readers and writers only
-// for short moments.
+// RemoveExpired removes expired keys from the index in memory. Reads treat them as missing before that too. It blocks readers and
+// writers only briefly at a time.
 func (s *Store) RemoveExpired() {
 	s.mu.Lock()
 	if s.nextExpiry == 0 || s.nextExpiry > s.clockMark {
@@ -43,7 +43,7 @@
 	sequence uint64
 }
 
-// findExpired returns the expired keys, and the earliest expiry of the others, 0 if none expires.
+// findExpired returns the expired keys, and the earliest expiry of the other keys or 0 if none of them expires.
 func findExpired(index *btree.Map[string, location], clockMark int64) (keys []expiredKey, nextExpiry int64) {
 	index.Scan(func(key string, p location) bool {
 		switch {
@@ -57,7 +57,7 @@
 	return keys, nextExpiry
 }
 
-// removeExpired removes keys from the index that were not written again meanwhile.
+// removeExpired removes those of the keys from the index that have not been written again since they were found.
 func (s *Store) removeExpired(keys []expiredKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ledger/fault_test.go
+++ b/internal/ledger/fault_test.go
@@ -14,27 +14,27 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestFaults fails operations by seed: nothing that was acknowledged is lost, nothing rejected comes back, and after a failed
-// flush nothing is acknowledged any more, also if the disk claims success from then on.
-func TestFaults(t *testing.T) {
-	kinds := []simdisk.Fault{simdisk.FaultIO, simdisk.FaultNoSpace, simdisk.FaultShortWrite}
+// TestFailedOperationsLoseNoAcknowledgedWrite fails one operation chosen by the seed. No acknowledged write may be lost and no
+// rejected write may reappear. After a failed flush no write may be acknowledged, even if later flushes report success.
+func TestFailedOperationsLoseNoAcknowledgedWrite(t *testing.T) {
+	faults := []simdisk.Fault{simdisk.FaultIO, simdisk.FaultNoSpace, simdisk.FaultShortWrite}
 	failed := map[simdisk.Op]int{}
-	for seed := range uint64(300 * *long) {
+	for seed := range uint64(300 * *rounds) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		fs := simdisk.New(seed)
-		at := 26 + rng.IntN(110)
+		failAt := 26 + rng.IntN(110)
 		var op simdisk.Op
 		var file string
 		fs.InjectFault = func(n int, o simdisk.Op, name string) simdisk.Fault {
-			if n != at {
+			if n != failAt {
 				return simdisk.FaultNone
 			}
 			op, file = o, name
 			failed[o]++
-			return kinds[rng.IntN(len(kinds))]
+			return faults[rng.IntN(len(faults))]
 		}
 		h := &history{}
-		s, err := Open(fs, options())
+		s, err := Open(fs, testOptions())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,49 +50,50 @@
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 			if s.Err() != nil && !errors.Is(s.Put([]byte("x"), nil, time.Time{}), ErrBroken) {
-				t.Fatalf("seed %d: a broken store takes writes", seed)
+				t.Fatalf("seed %d: a broken store accepts writes", seed)
 			}
-			if got := content(t, s); s.Err() == nil && !maps.Equal(got, h.acked) { // reads go on
-				t.Fatalf("seed %d: %v, want %v", seed, got, h.acked)
+			if got := allPairs(t, s); s.Err() == nil && !maps.Equal(got, h.acked) { // reads still work
+				t.Fatalf("seed %d: content %v, want %v", seed, got, h.acked)
 			}
 			if i%10 == 9 {
-				_, _ = s.Compact() // may be what fails
+				_, _ = s.Compact() // the injected fault may hit the compaction
 			}
 		}
-		if op == simdisk.OpSync && s.Err() == nil && listed(s, file) {
-			t.Errorf("seed %d: the flush of %s failed, and it is still in use", seed, file)
+		if op == simdisk.OpSync && s.Err() == nil && listedInManifest(s, file) {
+			t.Errorf("seed %d: the flush of %s failed, but the manifest lists it", seed, file)
 		}
-		left := fs.KillProcess()
+		killed := fs.KillProcess()
 		s.Close()
-		for state := range uint64(3) { // the process ends, is started again, and then the power goes
-			alive := left.KillProcess()
-			s, err := Open(alive, options())
+		for state := range uint64(3) { // the process is killed and restarted, then the power is lost
+			restarted := killed.KillProcess()
+			s, err := Open(restarted, testOptions())
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			got := content(t, s)
-			if !h.ends(got) {
+			got := allPairs(t, s)
+			if !h.matches(got) {
 				t.Fatalf("seed %d (%s failed):\n got %v\nwant %v\n or  %v", seed, op, got, h.acked, h.next)
 			}
-			seen := &history{acked: got}
-			if err := seen.apply(s, map[string]string{"after": "1"}); err != nil {
+			restartedHistory := &history{acked: got}
+			if err := restartedHistory.apply(s, map[string]string{"after": "1"}); err != nil {
 				t.Fatal(err)
 			}
-			reopen(t, fmt.Sprintf("seed %d (%s failed), state %d after a restart", seed, op, state), alive.LosePower(state), seen)
+			reopenAndCheck(t, fmt.Sprintf("seed %d (%s failed), state %d after a restart", seed, op, state), restarted.LosePower(state), restartedHistory)
 			s.Close()
 		}
 	}
 	for _, op := range []simdisk.Op{simdisk.OpWrite, simdisk.OpSync, simdisk.OpCreate, simdisk.OpRename, simdisk.OpSyncDir} {
 		if failed[op] == 0 {
-			t.Errorf("no %s failed", op)
+			t.Errorf("no %s operation failed in any run", op)
 		}
 	}
 }
 
-// TestFull checks that a full disk rejects writes with ErrDiskFull, serves reads, and takes writes again once there is space.
-func TestFull(t *testing.T) {
+// TestFullDiskRejectsWritesUntilSpaceIsFreed checks that a full disk rejects writes with ErrDiskFull, that reads still work, and
+// that writes succeed again once there is space.
+func TestFullDiskRejectsWritesUntilSpaceIsFreed(t *testing.T) {
 	fs := simdisk.New(1)
-	s := mustOpen(t, fs, options())
+	s := mustOpen(t, fs, testOptions())
 	h := &history{}
 	if err := h.apply(s, map[string]string{"a": "1"}); err != nil {
 		t.Fatal(err)
@@ -100,22 +101,22 @@
 	fs.CapacityBytes = 1
 	for range 3 {
 		if err := h.apply(s, map[string]string{"b": strings.Repeat("x", 700)}); !errors.Is(err, ErrDiskFull) || !errors.Is(err, ErrNotWritten) {
-			t.Fatalf("on a full disk: %v", err)
+			t.Fatalf("put on a full disk: error %v, want ErrDiskFull and ErrNotWritten", err)
 		}
-		if got := content(t, s); !maps.Equal(got, h.acked) {
-			t.Fatalf("%v", got)
+		if got := allPairs(t, s); !maps.Equal(got, h.acked) {
+			t.Fatalf("content on a full disk: %v", got)
 		}
 	}
 	fs.CapacityBytes = 0
-	for i := range 5 { // beyond a segment
+	for i := range 5 { // enough to start a new segment
 		if err := h.apply(s, map[string]string{"b": strings.Repeat("x", 300+i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	reopen(t, "after a full disk", fs.LosePower(1), h)
+	reopenAndCheck(t, "after a full disk", fs.LosePower(1), h)
 }
 
-func listed(s *Store, name string) bool {
+func listedInManifest(s *Store, name string) bool {
 	n, _ := segmentNumber(name)
 	return slices.ContainsFunc(s.manifest.Segments, func(e format.SegmentEntry) bool { return e.Number == n })
 }
--- a/internal/ledger/file_window.go
+++ b/internal/ledger/file_window.go
@@ -7,18 +7,18 @@
 	"sloehitch/internal/ledger/disk"
 )
 
-// readAheadBytes is the least that a fileWindow reads at a time.
+// readAheadBytes is the least number of bytes that a fileWindow reads at a time, unless the file ends before.
 const readAheadBytes = 256 << 10
 
-// fileWindow reads a file forwards through a buffer. It belongs to one goroutine.
+// fileWindow reads a file forwards through a buffer. It is not safe for concurrent use.
 type fileWindow struct {
 	file     disk.File
-	off, end int64 // of the next peek, and the end of the readable part
+	off, end int64 // offset of the next peek, and end of the readable part
 	buf      []byte
-	from     int64 // offset of buf
+	from     int64 // file offset of buf
 }
 
-// peek returns at least n bytes at off, fewer only where the file ends. They are valid until the next call.
+// peek returns at least n bytes at off, or fewer if the readable part ends before. They are valid until the next call.
 func (w *fileWindow) peek(n int) ([]byte, error) {
 	have := w.from + int64(len(w.buf)) - w.off
 	if want := min(int64(n), w.end-w.off); w.off < w.from || have < want {
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -14,19 +14,20 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// long is for how many rounds the crash and fault tests run; the README has the command.
-var long = flag.Int("ledger.rounds", 1, "rounds of the ledger's torture tests")
+// rounds is the number of rounds that the crash and fault tests run. The README has the command.
+var rounds = flag.Int("ledger.rounds", 1, "number of rounds of the ledger's crash and fault tests")
 
-// history is what a sequential workload did: the state after all acknowledged changes, and after the one in progress.
+// history records a sequential workload: the content after all acknowledged changes, and after the change whose outcome is
+// unknown, if there is one.
 type history struct {
 	acked, next map[string]string
 }
 
-func (h *history) ends(got map[string]string) bool {
+func (h *history) matches(got map[string]string) bool {
 	return maps.Equal(got, h.acked) || h.next != nil && maps.Equal(got, h.next)
 }
 
-// apply makes one change of some keys on the store and in the history. It returns the store's error.
+// apply applies one batch of changes to the store and the history. It returns the store's error.
 func (h *history) apply(s *Store, puts map[string]string, deletes ...string) error {
 	var b Batch
 	h.next = map[string]string{}
@@ -49,9 +50,9 @@
 	return err
 }
 
-// workload opens the disk and does some of everything by seed, until an error. What the disk holds afterwards must end the history.
-func workload(fs *simdisk.FS, seed uint64, steps int, h *history) error {
-	s, err := Open(fs, options())
+// runWorkload opens the disk and runs random operations by seed until one fails. The state of the disk afterwards must match h.
+func runWorkload(fs *simdisk.FS, seed uint64, steps int, h *history) error {
+	s, err := Open(fs, testOptions())
 	if err != nil {
 		return err
 	}
@@ -79,23 +80,23 @@
 	return nil
 }
 
-// reopen opens a disk as it was found, and checks that what it holds ends the history; then once more.
-func reopen(t *testing.T, what string, fs *simdisk.FS, h *history) map[string]string {
+// reopenAndCheck opens the disk twice, checks each time that its content matches the history, and returns the content.
+func reopenAndCheck(t *testing.T, what string, fs *simdisk.FS, h *history) map[string]string {
 	t.Helper()
-	s, err := Open(fs, options())
+	s, err := Open(fs, testOptions())
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
-	got := content(t, s)
-	if !h.ends(got) {
+	got := allPairs(t, s)
+	if !h.matches(got) {
 		t.Fatalf("%s:\nfound %v\nacked %v\nor    %v", what, got, h.acked, h.next)
 	}
 	s.Close()
-	if s, err = Open(fs, options()); err != nil {
-		t.Fatalf("%s, a second time: %v", what, err)
+	if s, err = Open(fs, testOptions()); err != nil {
+		t.Fatalf("%s, second Open: %v", what, err)
 	}
-	if again := content(t, s); !maps.Equal(got, again) {
-		t.Fatalf("%s: a second opening has %v, the first had %v", what, again, got)
+	if again := allPairs(t, s); !maps.Equal(got, again) {
+		t.Fatalf("%s: content after the second Open %v, after the first %v", what, again, got)
 	}
 	s.Close()
 	return got
--- a/internal/ledger/index.go
+++ b/internal/ledger/index.go
@@ -6,70 +6,72 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// How the index in memory is bounded and kept up to date.
+// How the memory of the index is limited and how the index is updated.
 //
-// A key costs its own bytes and indexEntryOverheadBytes. A batch is admitted while the cost of its new keys, less that of the
-// keys that it deletes, fits in what is left of limits.Ledger's IndexBytes; a batch that needs no more memory always is.
+// A key costs its own bytes plus indexEntryOverheadBytes. A batch is admitted if the cost of its new keys, minus that of the
+// keys that it deletes, fits into the unused part of IndexBytes of limits.Ledger. A batch that needs no additional memory is
+// always admitted.
 
-// indexEntryOverheadBytes is what a key takes in memory beside its own bytes: its entry in the tree and the tree's slack.
+// indexEntryOverheadBytes is the memory of a key in addition to its own bytes: its entry in the tree and unused capacity of the
+// tree's nodes.
 const indexEntryOverheadBytes = 96
 
-// indexCost is what a key of so many bytes takes in memory, in bytes.
+// indexCost returns the memory in bytes that a key of the given size takes.
 func indexCost(keyBytes int) int64 { return indexEntryOverheadBytes + int64(keyBytes) }
 
-// admitToIndex rejects the batches of a group whose new keys do not fit in the index's memory, and returns the others.
+// admitToIndex rejects the batches of a group whose new keys do not fit into the memory of the index, and returns the others.
 func (s *Store) admitToIndex(group []*pending) []*pending {
 	s.mu.RLock()
-	room := s.opts.Limits.IndexBytes - s.indexBytes
-	var most int64 // the cost if every key is new
+	available := s.opts.Limits.IndexBytes - s.indexBytes
+	var maxGrowth int64 // the cost if all keys are new
 	for _, p := range group {
 		for i := range p.records {
-			most += indexCost(len(p.records[i].Key))
+			maxGrowth += indexCost(len(p.records[i].Key))
 		}
 	}
-	if most > room { // exact figures are needed, so groups on their way into the index count too
+	if maxGrowth > available { // the exact size is needed, so wait until all earlier groups are indexed
 		s.mu.RUnlock()
 		s.writer.unindexed.Wait()
 		s.mu.RLock()
-		room = s.opts.Limits.IndexBytes - s.indexBytes
+		available = s.opts.Limits.IndexBytes - s.indexBytes
 	}
-	if most <= room { // the common case needs no look at each key
+	if maxGrowth <= available { // common case: the keys need not be looked up
 		s.mu.RUnlock()
 		return group
 	}
-	admitted, rejected := s.splitByIndexSpace(group, room)
+	admitted, rejected := s.splitByIndexSpace(group, available)
 	s.mu.RUnlock()
-	notify(rejected, fmt.Errorf("%w: %w (%d bytes)", ErrNotWritten, ErrIndexFull, s.opts.Limits.IndexBytes))
+	notify(rejected, fmt.Errorf("%w: %w (limit %d bytes)", ErrNotWritten, ErrIndexFull, s.opts.Limits.IndexBytes))
 	return admitted
 }
 
-// splitByIndexSpace admits batches in their order while their keys fit in the bytes left; the caller holds mu.
-func (s *Store) splitByIndexSpace(group []*pending, room int64) (admitted, rejected []*pending) {
+// splitByIndexSpace admits the batches, in order, whose keys fit into the remaining bytes. The caller holds mu.
+func (s *Store) splitByIndexSpace(group []*pending, available int64) (admitted, rejected []*pending) {
 	admitted = make([]*pending, 0, len(group))
-	changed := map[string]bool{} // of each key that the group changes, whether it exists afterwards
+	existsAfter := map[string]bool{} // for each key that the admitted batches change: whether it exists afterwards
 	for _, p := range group {
-		need := s.indexGrowth(p, changed)
-		if need > room && need > 0 {
+		growth := s.indexGrowth(p, existsAfter)
+		if growth > available && growth > 0 {
 			rejected = append(rejected, p)
 			continue
 		}
-		room -= need
+		available -= growth
 		for i := range p.records {
-			changed[string(p.records[i].Key)] = p.records[i].Kind == format.KindPut
+			existsAfter[string(p.records[i].Key)] = p.records[i].Kind == format.KindPut
 		}
 		admitted = append(admitted, p)
 	}
 	return admitted, rejected
 }
 
-// indexGrowth is by how many bytes the index grows with a batch, after the changes of the batches before it in its group;
-// the caller holds mu.
-func (s *Store) indexGrowth(p *pending, changed map[string]bool) (bytes int64) {
+// indexGrowth returns by how many bytes the index grows with a batch, after the changes of the batches before it in its group.
+// The caller holds mu.
+func (s *Store) indexGrowth(p *pending, existsAfter map[string]bool) (bytes int64) {
 	for i := range p.records {
 		r := &p.records[i]
 		key := string(r.Key)
 		_, exists := s.index.Get(key)
-		if after, ok := changed[key]; ok {
+		if after, ok := existsAfter[key]; ok {
 			exists = after
 		}
 		switch {
@@ -82,14 +84,14 @@
 	return bytes
 }
 
-// durableGroup is a group that was written, and flushed where that is due before its writers are notified.
+// durableGroup is a group that was written, and flushed if that is required before its writers are notified.
 type durableGroup struct {
 	group []*pending
 	seg   *segment
-	off   int64 // of its first record
+	off   int64 // offset of its first record
 }
 
-// indexLoop puts groups in the index and notifies their writers while the next group is being flushed.
+// indexLoop adds durable groups to the index and notifies their writers while the next group is being flushed.
 func (s *Store) indexLoop() {
 	for w := range s.writer.durable {
 		s.indexGroup(w.group, w.seg, w.off)
@@ -98,7 +100,7 @@
 	}
 }
 
-// indexGroup puts a durable group in the index.
+// indexGroup adds the records of a durable group to the index. off is the offset of its first record.
 func (s *Store) indexGroup(group []*pending, g *segment, off int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// indexRecord puts one record in the index; the caller holds mu.
+// indexRecord applies one record to the index. The caller holds mu.
 func (s *Store) indexRecord(g *segment, off int64, r *format.Record) {
 	size := r.Size()
 	g.countRecord(r.Sequence, size)
--- a/internal/ledger/install.go
+++ b/internal/ledger/install.go
@@ -8,11 +8,12 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// repointChunk is how many index entries change under one hold of the lock. A chunk is followed by that fraction of a pause.
+// repointChunk is how many index entries are changed while the lock is held once. Each chunk is followed by a pause of
+// CompactionPause/repointChunk.
 const repointChunk = 64
 
-// installSegments replaces old segments by new ones: in the manifest, then in the index, then on the disk. listed reports
-// that the new ones may be in the current manifest.
+// installSegments replaces old segments by new ones, first in the manifest, then in the index, then on disk. listed reports
+// whether the manifest may already list the new segments.
 func (s *Store) installSegments(in, out []*segment) (listed bool, err error) {
 	s.manifestMu.Lock()
 	sealed := slices.Clone(out)
@@ -25,8 +26,8 @@
 		s.manifestMu.Unlock()
 		return errors.Is(err, ErrBroken), err
 	}
-	// The old files stay open until the index points to none of them. The writing goroutine may need manifestMu to start a
-	// segment, so it is not held while the index changes.
+	// The old files stay open until the index does not point to them any more. manifestMu is not held while the index is
+	// changed, because the writing goroutine may need it to start a segment.
 	s.sealed, s.retired = sealed, in
 	s.manifestMu.Unlock()
 	s.mu.Lock()
@@ -39,7 +40,7 @@
 	s.mu.Unlock()
 	for _, g := range out {
 		if err := s.repointIndex(g); err != nil {
-			return true, s.fail(err) // the old ones stay open for readers
+			return true, s.markBroken(err) // the old segments stay open for readers
 		}
 	}
 	s.manifestMu.Lock()
@@ -48,13 +49,13 @@
 	for _, g := range in {
 		g.release()
 		if err := s.fs.Remove(g.name); err != nil {
-			s.opts.Log.Warn("a file that is not needed could not be removed", "file", g.name, "error", err)
+			s.opts.Log.Warn("could not remove compacted ledger segment", "file", g.name, "error", err)
 		}
 	}
 	return true, nil
 }
 
-// repointIndex points the index at the records of a new segment, in chunks, so that no reader or writer waits long.
+// repointIndex points the index to the records of a new segment, in chunks so that readers and writers do not wait long.
 func (s *Store) repointIndex(g *segment) error {
 	type movedRecord struct {
 		key string
@@ -68,7 +69,7 @@
 			if p, ok := s.index.Get(m.key); ok && p.sequence == m.to.sequence {
 				s.index.Set(m.key, m.to)
 			} else {
-				g.deadBytes += int64(m.to.size) // superseded meanwhile
+				g.deadBytes += int64(m.to.size) // superseded since the record was copied
 			}
 		}
 		chunk = chunk[:0]
@@ -79,7 +80,7 @@
 		}
 		if len(chunk) >= repointChunk {
 			apply()
-			// A mutex that is taken again at once starves others for a millisecond.
+			// Locking the mutex again at once would starve other goroutines for a millisecond.
 			time.Sleep(s.opts.Limits.CompactionPause / repointChunk)
 		}
 		return nil
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,12 +1,12 @@
-// Package ledger is a small embedded key-value store that is consistent after any crash: a log of segments, an ordered index
-// in memory, group commit, compaction and recovery. What it acknowledges is durable.
+// Package ledger is a small embedded key-value store that is consistent after any crash. It consists of a log of segments, an
+// ordered index in memory, group commit, compaction and recovery. Acknowledged writes are durable.
 //
 // Writers queue batches (batch.go, queue.go). One goroutine writes and flushes them in groups (commit.go) to the active
-// segment, which is sealed when it is full (rotate.go). The index follows the log (index.go). A background goroutine removes
-// expired keys (expire.go) and compacts sealed segments (compact.go, rewrite.go, install.go) by the rules of package plan.
-// Opening a store recovers it from the manifest and the segments (recover.go, load.go, load_active.go).
+// segment, which is sealed when it is full (rotate.go). Written groups are then added to the index (index.go). A background
+// goroutine removes expired keys (expire.go) and compacts sealed segments (compact.go, rewrite.go, install.go) by the policies
+// of package plan. Opening a store recovers it from the manifest and the segments (recover.go, load.go, load_active.go).
 //
-// docs/design/ledger.md has the reasons, docs/format-ledger.md the bytes.
+// The design is described in docs/design/ledger.md, the file format in docs/format-ledger.md.
 package ledger
 
 import (
@@ -30,33 +30,33 @@
 // Options configure a ledger.
 type Options struct {
 	Limits limits.Ledger
-	// FlushInterval is how often writes are flushed. 0: before they are acknowledged. Above 0 a crash may lose the writes that were
-	// acknowledged in the last FlushInterval; those that are left are the oldest.
+	// FlushInterval is how often writes are flushed. If it is 0, writes are flushed before they are acknowledged. Otherwise a
+	// crash may lose the writes that were acknowledged within the last FlushInterval, newest first.
 	FlushInterval time.Duration
-	// ReadOnly opens without a lock and changes nothing; the folder may be in use by another process.
+	// ReadOnly opens the folder without a lock and changes nothing in it. Another process may have it open for writing.
 	ReadOnly bool
-	// Manual leaves compactions and clock marks to the caller.
+	// Manual turns off background compactions and clock marks. The caller starts them.
 	Manual   bool
-	Now      func() time.Time                  // the Unix clock; nil: the system's
-	Log      *slog.Logger                      // nil: none
-	Progress func(what string, done, of int64) // is called with the progress of long work, in bytes; may be nil
+	Now      func() time.Time                  // the Unix clock; nil: the system clock
+	Log      *slog.Logger                      // nil: no logging
+	Progress func(what string, done, of int64) // called with the progress of long operations in bytes; may be nil
 }
 
-// Recovery reports what Open found. Sizes are in bytes.
+// Recovery describes what Open found in the folder. Sizes are in bytes.
 type Recovery struct {
 	Fresh      bool          `json:"fresh"` // the folder was empty
 	Segments   int           `json:"segments"`
-	Records    int           `json:"records"` // read
+	Records    int           `json:"records"` // records read
 	Keys       int           `json:"keys"`
 	Bytes      int64         `json:"bytes"`
-	TornBytes  int64         `json:"torn_bytes"` // cut off at the end of the active segment: never acknowledged
+	TornBytes  int64         `json:"torn_bytes"` // unacknowledged bytes truncated at the end of the active segment
 	TornFile   string        `json:"torn_file,omitempty"`
 	TornOffset int64         `json:"torn_at,omitempty"`
-	StrayFiles int           `json:"stray_files"` // removed files that no manifest lists
+	StrayFiles int           `json:"stray_files"` // removed files that the manifest does not list
 	Duration   time.Duration `json:"took_ns"`
 }
 
-// location is where the newest record of a key stands.
+// location is the position of the newest record of a key.
 type location struct {
 	seg          *segment
 	sequence     uint64
@@ -70,25 +70,25 @@
 	fs   disk.FS
 	opts Options
 
-	mu          sync.RWMutex // guards the index, the figures of segments, mark and broken
+	mu          sync.RWMutex // guards the fields below up to counts, and the statistics of segments
 	index       *btree.Map[string, location]
-	indexBytes  int64 // memory of the index
+	indexBytes  int64 // memory used by the index
 	recordBytes int64 // bytes of all records, uncompressed
-	liveBytes   int64 // of them, those of current records
-	clockMark   int64 // the store's clock as last made durable, Unix milliseconds
-	nextExpiry  int64 // no key expires before this
+	liveBytes   int64 // part of recordBytes that belongs to current records
+	clockMark   int64 // last durable value of the store's clock, Unix milliseconds
+	nextExpiry  int64 // lower bound of all expiries; 0: no key expires
 	broken      error
 	counts      counters
 
-	id format.ID // of the store; set by Open
+	id format.ID // identity of the store; set by Open
 
-	manifestMu sync.Mutex // guards the following fields and each replacement of the manifest file
+	manifestMu sync.Mutex // guards the fields below up to retired, and the manifest file
 	manifest   format.Manifest
 	sealed     []*segment
 	active     *segment
-	retired    []*segment // replaced by a compaction, but the index may still point to them
+	retired    []*segment // replaced by a compaction; the index may still point to them
 
-	compactionMu sync.Mutex // one compaction at a time
+	compactionMu sync.Mutex // held during a compaction
 
 	compactionRunning atomic.Bool // read by the writing goroutine
 
@@ -102,25 +102,25 @@
 	recovery      Recovery
 }
 
-// counters count from Open on.
+// counters are the totals since Open.
 type counters struct {
 	puts, deletes, batches, groups, flushes, compactions uint64
-	writtenBytes, compactedBytes                         int64 // bytes: by writers, by compactions
-	requestedBytes                                       int64 // bytes of records that writers asked for
+	writtenBytes, compactedBytes                         int64 // bytes written by writers and by compactions
+	requestedBytes                                       int64 // bytes of the records in acknowledged batches
 }
 
-// isNotExist reports whether there is no such file.
+// isNotExist reports whether err says that a file does not exist.
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
 // newID returns a random identity for a new store.
 func newID() (id format.ID) {
-	_, _ = rand.Read(id[:]) // crypto/rand documents that it never fails
+	_, _ = rand.Read(id[:]) // crypto/rand.Read never returns an error
 	return id
 }
 
-// Open opens the folder and recovers what it holds; Recovery reports on that. It blocks while it reads all segments. The error
-// is a *DamageError where the files are not as a crash could have left them; it wraps disk.ErrLocked where another process
-// holds the folder.
+// Open opens the folder and recovers the store in it. Store.Recovery returns what was found. Open blocks while it reads all
+// segments. The error is a *DamageError if the files are in a state that a crash cannot explain. It wraps disk.ErrLocked if
+// another process has locked the folder.
 func Open(fsys disk.FS, o Options) (*Store, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -152,11 +152,11 @@
 	return s, nil
 }
 
-// Recovery returns what Open found.
+// Recovery returns what Open found in the folder.
 func (s *Store) Recovery() Recovery { return s.recovery }
 
-// Close flushes what is queued, stops the background goroutines and unlocks the folder. It blocks until then. Later calls of
-// other methods get ErrClosed. It may be called twice.
+// Close writes and flushes the queued batches, stops the background goroutines and unlocks the folder. It blocks until this is
+// done. Later calls of other methods return ErrClosed. Close may be called more than once.
 func (s *Store) Close() error {
 	s.closeOnce.Do(func() {
 		s.writer.close()
@@ -170,7 +170,6 @@
 	return s.closeErr
 }
 
-// releaseSegments releases all segments.
 func (s *Store) releaseSegments() {
 	s.manifestMu.Lock()
 	defer s.manifestMu.Unlock()
@@ -183,7 +182,7 @@
 	s.sealed, s.retired, s.active = nil, nil, nil
 }
 
-// Get returns the value of a key, or ErrNotFound. It reads one record from the disk.
+// Get returns the value of a key, or ErrNotFound. It reads one record from disk.
 func (s *Store) Get(key []byte) ([]byte, error) {
 	s.mu.RLock()
 	p, ok := s.index.Get(string(key))
@@ -198,7 +197,7 @@
 	return r.Value, err
 }
 
-// Has reports whether a key exists. It does not read the disk.
+// Has reports whether a key exists. It does not read from disk.
 func (s *Store) Has(key []byte) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -206,15 +205,15 @@
 	return ok && !expired(p, s.clockMark)
 }
 
-// Put makes a value durable, and blocks until then. A zero expiry means never; else the key expires at some time in [expiry,
-// expiry + ClockMarkInterval] by the Unix clock, to the millisecond.
+// Put writes a value and blocks until it is durable. With a zero expiry the key never expires. Otherwise it expires at some time
+// in [expiry, expiry + ClockMarkInterval] by the Unix clock, to the millisecond.
 func (s *Store) Put(key, value []byte, expiry time.Time) error {
 	var b Batch
 	b.Put(key, value, expiry)
 	return s.Apply(&b)
 }
 
-// Delete makes the deletion of a key durable, and blocks until then. It is no error if there is no such key.
+// Delete deletes a key and blocks until the deletion is durable. It is not an error if the key does not exist.
 func (s *Store) Delete(key []byte) error {
 	var b Batch
 	b.Delete(key)
@@ -230,34 +229,34 @@
 	}
 }
 
-// millis is a time in Unix milliseconds; 0 for the zero time.
-func millis(t time.Time) int64 {
+// unixMillis converts a time to Unix milliseconds. The zero time becomes 0.
+func unixMillis(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return max(t.UnixMilli(), 1)
 }
 
-// fromMillis undoes millis.
-func fromMillis(ms int64) time.Time {
+// timeFromUnixMillis is the inverse of unixMillis.
+func timeFromUnixMillis(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(ms)
 }
 
-// fail rejects all further writes with ErrBroken: after a failed flush nobody knows what is durable.
-func (s *Store) fail(err error) error {
+// markBroken makes all further writes fail with ErrBroken, because it is unknown what is durable after a failed flush.
+func (s *Store) markBroken(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.broken == nil {
 		s.broken = fmt.Errorf("%w: %w", ErrBroken, err)
-		s.opts.Log.Error("the ledger takes no more writes until it is opened anew", "folder", s.fs.String(), "error", err)
+		s.opts.Log.Error("ledger rejects all writes until it is reopened", "folder", s.fs.String(), "error", err)
 	}
 	return s.broken
 }
 
-// Err returns why the store takes no writes; nil while it does.
+// Err returns the error for which the store rejects writes, or nil while it accepts them.
 func (s *Store) Err() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -15,14 +15,14 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// small are limits that make segments, blocks and compactions of a few records.
-func small() limits.Ledger {
+// smallLimits returns limits with which segments, blocks and compactions contain only a few records.
+func smallLimits() limits.Ledger {
 	l := limits.ForLedger(1 << 20)
 	l.SegmentBytes, l.BlockBytes, l.CompactionFlushBytes, l.CompactionPause, l.GroupDelay, l.ValueBytes = 600, 200, 400, 0, 0, 4096
 	return l
 }
 
-// clock is a Unix clock that tests set.
+// clock is a Unix clock that is set by tests.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -38,8 +38,8 @@
 
 var start = time.UnixMilli(1764576000000)
 
-func options() Options {
-	return Options{Limits: small(), Manual: true, Now: (&clock{now: start}).Now}
+func testOptions() Options {
+	return Options{Limits: smallLimits(), Manual: true, Now: (&clock{now: start}).Now}
 }
 
 func mustOpen(t testing.TB, fs disk.FS, o Options) *Store {
@@ -52,14 +52,14 @@
 	return s
 }
 
-// content is all that a store holds.
-func content(t testing.TB, s *Store) map[string]string {
+// allPairs returns all keys and values of a store, and checks that Scan is ordered and agrees with Get.
+func allPairs(t testing.TB, s *Store) map[string]string {
 	t.Helper()
 	m := map[string]string{}
 	last := ""
 	if err := s.Scan(nil, func(p Pair) error {
 		if string(p.Key) <= last {
-			t.Errorf("key %q after %q", p.Key, last)
+			t.Errorf("Scan returned key %q after %q", p.Key, last)
 		}
 		last = string(p.Key)
 		m[last] = string(p.Value)
@@ -69,13 +69,13 @@
 	}
 	for k, v := range m {
 		if got, err := s.Get([]byte(k)); err != nil || string(got) != v {
-			t.Fatalf("Get(%q) = %q, %v; the scan had %q", k, got, err, v)
+			t.Fatalf("Get(%q) = %q, %v; Scan returned %q", k, got, err, v)
 		}
 	}
 	return m
 }
 
-func put(t testing.TB, s *Store, key, value string) {
+func mustPut(t testing.TB, s *Store, key, value string) {
 	t.Helper()
 	if err := s.Put([]byte(key), []byte(value), time.Time{}); err != nil {
 		t.Fatal(err)
@@ -87,14 +87,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := options()
+	o := testOptions()
 	o.Limits = limits.ForLedger(1 << 20)
 	s := mustOpen(t, dir, o)
 	want := map[string]string{"a": "1", "b\x00\xff\n": "", "bb": strings.Repeat("x", o.Limits.ValueBytes), "c": "3"}
 	for _, k := range slices.Sorted(maps.Keys(want)) {
-		put(t, s, k, want[k])
+		mustPut(t, s, k, want[k])
 	}
-	put(t, s, "d", "4")
+	mustPut(t, s, "d", "4")
 	if err := s.Delete([]byte("d")); err != nil {
 		t.Fatal(err)
 	}
@@ -102,29 +102,29 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Get([]byte("d")); !errors.Is(err, ErrNotFound) {
-		t.Errorf("a deleted key: %v", err)
+		t.Errorf("Get of a deleted key: error %v, want ErrNotFound", err)
 	}
 	for _, c := range []struct {
 		key, value string
 		want       error
 	}{{"", "x", ErrNotWritten}, {strings.Repeat("k", o.Limits.KeyBytes+1), "x", ErrTooLarge}, {"k", strings.Repeat("x", o.Limits.ValueBytes+1), ErrTooLarge}} {
 		if err := s.Put([]byte(c.key), []byte(c.value), time.Time{}); !errors.Is(err, c.want) {
-			t.Errorf("key of %d, value of %d bytes: %v, want %v", len(c.key), len(c.value), err, c.want)
+			t.Errorf("Put with a key of %d and a value of %d bytes: error %v, want %v", len(c.key), len(c.value), err, c.want)
 		}
 	}
 	if _, err := Open(dir, o); !errors.Is(err, disk.ErrLocked) || !strings.Contains(err.Error(), "process") {
-		t.Errorf("a second opener heard %v", err)
+		t.Errorf("second Open of a locked folder: error %v, want ErrLocked with the process", err)
 	}
 	reader := mustOpen(t, dir, Options{Limits: o.Limits, ReadOnly: true})
-	if got := content(t, reader); !maps.Equal(got, want) {
-		t.Errorf("a reader beside the writer sees %d keys", len(got))
+	if got := allPairs(t, reader); !maps.Equal(got, want) {
+		t.Errorf("read-only store beside the writer has %d keys", len(got))
 	}
 	if err := reader.Put([]byte("k"), nil, time.Time{}); !errors.Is(err, ErrReadOnly) {
-		t.Errorf("a reader's put: %v", err)
+		t.Errorf("Put on a read-only store: error %v, want ErrReadOnly", err)
 	}
 	var keys []string
 	if err := s.Scan([]byte("b"), func(p Pair) error { keys = append(keys, string(p.Key)); return nil }); err != nil || len(keys) != 2 {
-		t.Errorf("scan of b: %q, %v", keys, err)
+		t.Errorf("Scan of prefix b: %q, %v", keys, err)
 	}
 	for range 2 {
 		if err := s.Close(); err != nil {
@@ -132,28 +132,28 @@
 		}
 	}
 	if err := s.Put([]byte("k"), nil, time.Time{}); !errors.Is(err, ErrClosed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("Put after Close: error %v, want ErrClosed", err)
 	}
 	s = mustOpen(t, dir, o)
-	if got := content(t, s); !maps.Equal(got, want) {
-		t.Errorf("after a restart %d keys, want %d", len(got), len(want))
+	if got := allPairs(t, s); !maps.Equal(got, want) {
+		t.Errorf("%d keys after a restart, want %d", len(got), len(want))
 	}
 	if r := s.Recovery(); r.TornBytes != 0 || r.Keys != len(want) || r.Fresh {
 		t.Errorf("recovery %+v", r)
 	}
 }
 
-// TestSnapshot checks that a snapshot stays the same, whatever is written, deleted and compacted.
-func TestSnapshot(t *testing.T) {
-	s := mustOpen(t, simdisk.New(1), options())
+// TestSnapshotIsUnaffectedByLaterWrites checks that a snapshot does not change when keys are written, deleted and compacted.
+func TestSnapshotIsUnaffectedByLaterWrites(t *testing.T) {
+	s := mustOpen(t, simdisk.New(1), testOptions())
 	for i := range 40 {
-		put(t, s, fmt.Sprint("k", i%20), fmt.Sprint("v", i))
+		mustPut(t, s, fmt.Sprint("k", i%20), fmt.Sprint("v", i))
 	}
 	n, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := content(t, s)
+	want := allPairs(t, s)
 	for i := range 20 {
 		if err := s.Delete([]byte(fmt.Sprint("k", i))); err != nil {
 			t.Fatal(err)
@@ -164,23 +164,24 @@
 	}
 	got := map[string]string{}
 	if err := n.Scan(nil, func(p Pair) error { got[string(p.Key)] = string(p.Value); return nil }); err != nil || !maps.Equal(got, want) {
-		t.Errorf("the snapshot has %v, %v; want %v", got, err, want)
+		t.Errorf("Scan of the snapshot: %v, %v; want %v", got, err, want)
 	}
 	if v, err := n.Get([]byte("k3")); err != nil || string(v) != want["k3"] {
 		t.Errorf("k3: %q, %v", v, err)
 	}
 	n.Close()
-	if len(content(t, s)) != 0 || s.Stats().Keys != 0 {
+	if len(allPairs(t, s)) != 0 || s.Stats().Keys != 0 {
 		t.Error("deleted keys are still there")
 	}
 	if st := s.Stats(); st.RecordBytes != 0 {
-		t.Errorf("a compaction of nothing but deleted keys left %d bytes:\n%v", st.RecordBytes, st)
+		t.Errorf("compaction of only deleted keys left %d bytes of records:\n%v", st.RecordBytes, st)
 	}
 }
 
-// TestBatch checks that batches are atomic, that the last change of a key wins, and that a rejected batch leaves nothing.
-func TestBatch(t *testing.T) {
-	s := mustOpen(t, simdisk.New(1), options())
+// TestBatchIsAtomicAndBoundedByIndexMemory checks that batches are atomic, that the last change of a key in a batch wins, and that
+// a batch that exceeds the memory of the index is rejected as a whole.
+func TestBatchIsAtomicAndBoundedByIndexMemory(t *testing.T) {
+	s := mustOpen(t, simdisk.New(1), testOptions())
 	var b Batch
 	b.Put([]byte("a"), []byte("1"), time.Time{})
 	b.Put([]byte("a"), []byte("2"), time.Time{})
@@ -189,43 +190,43 @@
 	if err := s.Apply(&b); err != nil {
 		t.Fatal(err)
 	}
-	if got := content(t, s); !maps.Equal(got, map[string]string{"a": "2"}) {
+	if got := allPairs(t, s); !maps.Equal(got, map[string]string{"a": "2"}) {
 		t.Errorf("%v", got)
 	}
-	o := options()
+	o := testOptions()
 	o.Limits.IndexBytes = 3 * indexCost(1)
 	s = mustOpen(t, simdisk.New(1), o)
-	put(t, s, "a", "1")
-	put(t, s, "b", "1")
+	mustPut(t, s, "a", "1")
+	mustPut(t, s, "b", "1")
 	b = Batch{}
 	b.Put([]byte("c"), nil, time.Time{})
 	b.Put([]byte("d"), nil, time.Time{})
 	if err := s.Apply(&b); !errors.Is(err, ErrIndexFull) || !errors.Is(err, ErrNotWritten) {
-		t.Errorf("beyond the bound of keys: %v", err)
+		t.Errorf("batch beyond the index memory: error %v, want ErrIndexFull and ErrNotWritten", err)
 	}
-	put(t, s, "c", "1")
-	put(t, s, "a", "2") // no new key
+	mustPut(t, s, "c", "1")
+	mustPut(t, s, "a", "2") // an existing key needs no index memory
 	if err := s.Put([]byte("d"), nil, time.Time{}); !errors.Is(err, ErrIndexFull) {
-		t.Errorf("a fourth key: %v", err)
+		t.Errorf("fourth key: error %v, want ErrIndexFull", err)
 	}
 	if err := s.Delete([]byte("b")); err != nil {
 		t.Fatal(err)
 	}
-	put(t, s, "d", "1") // its place
-	if got := content(t, s); !maps.Equal(got, map[string]string{"a": "2", "c": "1", "d": "1"}) {
+	mustPut(t, s, "d", "1") // takes the memory of the deleted key
+	if got := allPairs(t, s); !maps.Equal(got, map[string]string{"a": "2", "c": "1", "d": "1"}) {
 		t.Errorf("%v", got)
 	}
 }
 
-// TestExpiry: what has been answered as gone stays gone, though the clock steps back, the process restarts and
-// segments are compacted; nothing is gone before its time.
-func TestExpiry(t *testing.T) {
+// TestExpiredKeyStaysExpired checks that a key that was reported as expired does not reappear when the clock steps back, the
+// process restarts or segments are compacted, and that no key expires too early.
+func TestExpiredKeyStaysExpired(t *testing.T) {
 	fs := simdisk.New(1)
 	c := &clock{now: start}
-	o := options()
+	o := testOptions()
 	o.Now = c.Now
 	s := mustOpen(t, fs, o)
-	put(t, s, "a", "for ever") // an older value, which must not come back
+	mustPut(t, s, "a", "for ever") // an older value, which must not reappear
 	if err := s.Put([]byte("a"), []byte("short"), start.Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -237,7 +238,7 @@
 		t.Fatal(err)
 	}
 	if !s.Has([]byte("a")) {
-		t.Fatal("gone before its time")
+		t.Fatal("key a expired 1 ms too early")
 	}
 	c.add(time.Millisecond)
 	if err := s.AdvanceClock(); err != nil {
@@ -245,19 +246,19 @@
 	}
 	check := func(when string) {
 		t.Helper()
-		if got := content(t, s); !maps.Equal(got, map[string]string{"b": "long"}) {
+		if got := allPairs(t, s); !maps.Equal(got, map[string]string{"b": "long"}) {
 			t.Errorf("%s: %v", when, got)
 		}
 		if s.Has([]byte("a")) {
-			t.Errorf("%s: a is there", when)
+			t.Errorf("%s: the expired key a exists", when)
 		}
 	}
-	check("after its time")
+	check("after the expiry")
 	c.add(-time.Hour)
-	check("the clock set back")
+	check("after the clock was set back")
 	s.RemoveExpired()
 	if s.Stats().Keys != 1 {
-		t.Error("what is gone is still in memory after a sweep")
+		t.Error("RemoveExpired left an expired key in the index")
 	}
 	for range 2 {
 		s.Close()
@@ -270,23 +271,24 @@
 	}
 }
 
-// TestManyWriters checks that ten thousand concurrent writers share few flushes, and that all their records are there.
-func TestManyWriters(t *testing.T) {
+// TestConcurrentWritersShareFlushes checks that ten thousand concurrent writers share flushes, and that all their records are
+// found after a restart.
+func TestConcurrentWritersShareFlushes(t *testing.T) {
 	const writers = 10000
 	dir := disk.Dir(t.TempDir())
-	o := options()
+	o := testOptions()
 	o.Limits = limits.ForLedger(16 << 20)
 	s := mustOpen(t, dir, o)
 	var wait sync.WaitGroup
-	gate := make(chan struct{})
+	release := make(chan struct{})
 	errs := make([]error, writers)
 	for i := range writers {
 		wait.Go(func() {
-			<-gate
+			<-release
 			errs[i] = s.Put(fmt.Appendf(nil, "k%05d", i), fmt.Appendf(nil, "%d", i), time.Time{})
 		})
 	}
-	close(gate)
+	close(release)
 	wait.Wait()
 	if err := errors.Join(errs...); err != nil {
 		t.Fatal(err)
@@ -296,14 +298,15 @@
 	}
 	s.Close()
 	s = mustOpen(t, dir, o)
-	if got := content(t, s); len(got) != writers || got["k09999"] != "9999" {
+	if got := allPairs(t, s); len(got) != writers || got["k09999"] != "9999" {
 		t.Errorf("%d keys after a restart", len(got))
 	}
 }
 
-// TestGo checks that callbacks come in order and may call the store, and that a full queue is reported at once.
-func TestGo(t *testing.T) {
-	o := options()
+// TestApplyAsyncCallsBackInOrder checks that callbacks run in the order of the calls and may call the store, and that a full queue
+// is reported at once.
+func TestApplyAsyncCallsBackInOrder(t *testing.T) {
+	o := testOptions()
 	s := mustOpen(t, simdisk.New(1), o)
 	got := make(chan int, 10)
 	for i := range 10 {
@@ -323,19 +326,19 @@
 	}
 	for i := range 10 {
 		if n := <-got; n != i {
-			t.Fatalf("callback %d came as number %d", n, i)
+			t.Fatalf("callback %d ran as number %d", n, i)
 		}
 	}
-	if got := content(t, s); got["k"] != "9" {
+	if got := allPairs(t, s); got["k"] != "9" {
 		t.Errorf("%v", got)
 	}
 	s.writer.mu.Lock()
-	s.writer.queuedBytes = s.opts.Limits.QueueBytes // as if a flush took long
+	s.writer.queuedBytes = s.opts.Limits.QueueBytes // as if a flush took a long time
 	s.writer.mu.Unlock()
 	var b Batch
 	b.Put([]byte("k"), nil, time.Time{})
-	if err := s.ApplyAsync(&b, func(error) { t.Error("called back") }); !errors.Is(err, ErrBusy) {
-		t.Errorf("a full queue: %v", err)
+	if err := s.ApplyAsync(&b, func(error) { t.Error("callback of a rejected batch was called") }); !errors.Is(err, ErrBusy) {
+		t.Errorf("ApplyAsync with a full queue: error %v, want ErrBusy", err)
 	}
 	s.writer.mu.Lock()
 	s.writer.queuedBytes = 0
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -12,15 +12,15 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// loadedRecord is a record that was read while loading or repairing.
+// loadedRecord is the key and location of a record that was read by a recovery or repair.
 type loadedRecord struct {
 	key      string
 	put      bool
 	location location
 }
 
-// loadSegments reads all segments and fills the index, the figures and the recovery. The tail's records are in the index only
-// for a reader.
+// loadSegments reads all segments and sets the index, the statistics and the recovery report. The records of the returned tail
+// are added to the index only if the store is read-only.
 func (s *Store) loadSegments() (*activeTail, error) {
 	s.sealed, s.active = nil, nil
 	s.index.Clear()
@@ -54,8 +54,8 @@
 	return tail, nil
 }
 
-// openSegments opens the segments that the manifest lists, as sealed and active, and returns their size in bytes. Those that
-// are open stay with the store on an error.
+// openSegments opens the segments that the manifest lists, sets sealed and active, and returns the total size in bytes. On an
+// error the segments opened so far remain in the store.
 func (s *Store) openSegments() (totalBytes int64, err error) {
 	for i, e := range s.manifest.Segments {
 		g, err := openSegment(s.fs, s.id, e)
@@ -69,13 +69,13 @@
 		}
 		s.active = g
 		if i != len(s.manifest.Segments)-1 {
-			return 0, damage(manifestName, 0, "an active segment stands before others")
+			return 0, newDamageError(manifestName, 0, "the active segment is not the last entry")
 		}
 	}
 	return totalBytes, nil
 }
 
-// loadAllSealed reads the sealed segments, as many at once as there are processors, and returns a list of records for each.
+// loadAllSealed reads the sealed segments, up to GOMAXPROCS of them at a time, and returns a list of records for each.
 func (s *Store) loadAllSealed(totalBytes int64) ([][]loadedRecord, error) {
 	lists := make([][]loadedRecord, len(s.sealed), len(s.sealed)+1)
 	errs := make([]error, len(s.sealed))
@@ -91,7 +91,7 @@
 		})
 	}
 	readers.Wait()
-	for _, err := range errs { // the first in the manifest's order, whichever came first in time
+	for _, err := range errs { // report the first error in the order of the manifest, whichever occurred first
 		if err != nil {
 			return nil, err
 		}
@@ -99,7 +99,7 @@
 	return lists, nil
 }
 
-// restoreSequence finds the last sequence number in use.
+// restoreSequence sets the last sequence number that is in use.
 func (s *Store) restoreSequence(tail *activeTail) {
 	last := max(s.writer.lastSequence, s.manifest.LastSequence)
 	for _, g := range s.sealed {
@@ -114,7 +114,7 @@
 	s.writer.lastSequence = last
 }
 
-// loadSealed reads a sealed segment. Any invalid byte in it is damage.
+// loadSealed reads a sealed segment. Any invalid data in it is reported as damage.
 func (s *Store) loadSealed(g *segment) ([]loadedRecord, error) {
 	var list []loadedRecord
 	var mark int64
@@ -133,11 +133,11 @@
 	})
 	switch {
 	case errors.Is(err, format.ErrShort), errors.Is(err, format.ErrInvalid):
-		return nil, damage(g.name, end, "%v, in a segment of which %d bytes were durable", err, g.size)
+		return nil, newDamageError(g.name, end, "%v in a sealed segment of %d durable bytes", err, g.size)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", g.name, err)
 	case inBatch:
-		return nil, damage(g.name, end, "the segment ends within a batch")
+		return nil, newDamageError(g.name, end, "sealed segment ends within a batch")
 	}
 	sortLoaded(list)
 	s.mu.Lock()
@@ -156,25 +156,25 @@
 	})
 }
 
-// buildIndex merges sorted lists into the index: of each key the record with the highest sequence number is the current one.
+// buildIndex merges the sorted lists into the index. The record with the highest sequence number is the current one of its key.
 func (s *Store) buildIndex(lists [][]loadedRecord) {
 	heads := make([]int, len(lists))
 	for {
-		least := -1
+		smallest := -1
 		for i, list := range lists {
-			if heads[i] < len(list) && (least < 0 || list[heads[i]].key < lists[least][heads[least]].key) {
-				least = i
+			if heads[i] < len(list) && (smallest < 0 || list[heads[i]].key < lists[smallest][heads[smallest]].key) {
+				smallest = i
 			}
 		}
-		if least < 0 {
+		if smallest < 0 {
 			return
 		}
-		key := lists[least][heads[least]].key
+		key := lists[smallest][heads[smallest]].key
 		s.loadKey(key, s.mergeKey(key, lists, heads))
 	}
 }
 
-// mergeKey moves the heads of all lists behind a key, and returns its newest record.
+// mergeKey advances the heads of all lists past a key and returns the key's newest record.
 func (s *Store) mergeKey(key string, lists [][]loadedRecord, heads []int) (newest loadedRecord) {
 	for i, list := range lists {
 		for ; heads[i] < len(list) && list[heads[i]].key == key; heads[i]++ {
@@ -193,7 +193,7 @@
 	return newest
 }
 
-// loadKey puts the newest record of a key in the index; the keys come in ascending order.
+// loadKey adds the newest record of a key to the index. It must be called with keys in ascending order.
 func (s *Store) loadKey(key string, newest loadedRecord) {
 	if !newest.put {
 		newest.location.seg.tombstoneBytes += int64(newest.location.size)
--- a/internal/ledger/load_active.go
+++ b/internal/ledger/load_active.go
@@ -7,33 +7,34 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// activeTail is the active segment as it was found, and its complete records that are not known to be flushed.
+// activeTail is the active segment that a recovery found, and the records of its complete batches that are not known to be
+// flushed.
 type activeTail struct {
 	seg     *segment
 	flushed int64 // the offset up to which the segment is known to be flushed
 	records []format.Record
 }
 
-// activeScan is the state of reading an active segment.
+// activeScan is the state of a scan of an active segment.
 type activeScan struct {
 	store       *Store
 	tail        *activeTail
-	records     []scannedRecord // of complete batches
-	batch       []scannedRecord // of the batch that is being read
+	records     []scannedRecord // records of complete batches
+	batch       []scannedRecord // records of the batch that is being read
 	maxSequence uint64
-	completeEnd int64          // where the last complete batch ends
-	groupStarts map[int64]bool // where groups begin: only there can a flush have ended
+	completeEnd int64          // end offset of the last complete batch
+	groupStarts map[int64]bool // start offsets of groups, the only offsets up to which a flush can have been made
 }
 
-// scannedRecord is a record with its place in the file.
+// scannedRecord is a record with its position in the file.
 type scannedRecord struct {
 	offset int64
 	size   int
 	loadedRecord
 }
 
-// loadActive reads the segment that was being written, up to its torn tail if it has one. Bytes that a flush made durable and
-// that can't be read are damage.
+// loadActive reads the active segment up to its torn tail, if it has one. Unreadable bytes that a flush made durable are reported
+// as damage.
 func (s *Store) loadActive(g *segment) (*activeTail, []loadedRecord, error) {
 	scan := &activeScan{store: s, tail: &activeTail{seg: g, flushed: min(format.SegmentHeaderSize, g.size)}}
 	scan.completeEnd = scan.tail.flushed
@@ -56,13 +57,13 @@
 	return scan.tail, list, nil
 }
 
-// add takes the next record of the segment. It returns format.ErrInvalid where the log can't go on with it.
+// add processes the next record of the segment. It returns format.ErrInvalid if the record cannot continue the log.
 func (a *activeScan) add(offset int64, r *format.Record) error {
 	if r.Kind == format.KindGroup {
 		return a.addGroup(offset, r)
 	}
 	if r.Sequence <= a.maxSequence {
-		return format.ErrInvalid // the rest of a group that was rolled back
+		return format.ErrInvalid // leftover of a group that was rolled back
 	}
 	a.maxSequence = r.Sequence
 	size := r.Size()
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// cutTornTail shortens the segment to its complete batches. end and scanErr are how the scan ended.
+// cutTornTail truncates the segment after its last complete batch. end and scanErr are the results of the scan.
 func (a *activeScan) cutTornTail(end int64, scanErr error) error {
 	g := a.tail.seg
 	if a.completeEnd >= g.size {
@@ -104,7 +105,7 @@
 		if scanErr == nil {
 			scanErr = errIncompleteBatch
 		}
-		return damage(g.name, end, "%v, though %d bytes were durable", scanErr, flushed)
+		return newDamageError(g.name, end, "%v before the durable end at %d", scanErr, flushed)
 	}
 	recovery := &a.store.recovery
 	recovery.TornBytes, recovery.TornFile, recovery.TornOffset = g.size-a.completeEnd, g.name, a.completeEnd
@@ -112,9 +113,10 @@
 	return nil
 }
 
-var errIncompleteBatch = errors.New("a batch without its end")
+var errIncompleteBatch = errors.New("incomplete batch")
 
-// splitAtFlushed returns the records that are known to be flushed, and reads the others into the tail. A reader gets all.
+// splitAtFlushed returns the records that are known to be flushed, and reads the others into the tail. For a read-only store it
+// returns all records.
 func (a *activeScan) splitAtFlushed() (list []loadedRecord, err error) {
 	g := a.tail.seg
 	for _, scanned := range a.records {
--- a/internal/ledger/manifest.go
+++ b/internal/ledger/manifest.go
@@ -18,7 +18,7 @@
 	maxManifestBytes = 64 << 20
 )
 
-// nextManifest is the manifest with these segments; the caller holds manifestMu.
+// nextManifest returns the next generation of the manifest, with the given segments. The caller holds manifestMu.
 func (s *Store) nextManifest(sealed []*segment, active *segment) format.Manifest {
 	m := s.manifest
 	m.Generation++
@@ -37,13 +37,13 @@
 	return m
 }
 
-// replaceManifest makes a manifest the current one; the caller holds manifestMu. After an error before the rename the old one
-// is current. After a later error either may be, and the store takes no more writes.
+// replaceManifest makes m the current manifest. The caller holds manifestMu. If an error occurs before the rename, the old
+// manifest stays current. After a later error either manifest may be current, and the store rejects further writes.
 func (s *Store) replaceManifest(m format.Manifest) error {
 	if err := writeManifest(s.fs, m); err != nil {
 		var unsure *manifestUncertainError
 		if errors.As(err, &unsure) {
-			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, s.fail(err))
+			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, s.markBroken(err))
 		}
 		return notWritten(err)
 	}
@@ -51,12 +51,12 @@
 	return nil
 }
 
-// manifestUncertainError says that the manifest may have been replaced or not.
+// manifestUncertainError reports that it is unknown whether the manifest was replaced.
 type manifestUncertainError struct{ error }
 
 func (e *manifestUncertainError) Unwrap() error { return e.error }
 
-// writeManifest replaces the manifest file atomically: a new file, flushed, takes its name. The error is a
+// writeManifest replaces the manifest file atomically by writing, flushing and renaming a temporary file. The error is a
 // manifestUncertainError if the rename may have taken effect.
 func writeManifest(fs disk.FS, m format.Manifest) error {
 	f, err := fs.Create(manifestTempName)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// loadManifest reads the manifest file; where is the offset at which it is bad.
+// loadManifest reads the manifest file. On an error, where is the offset of the fault in the file.
 func loadManifest(fs disk.FS) (m *format.Manifest, where int64, err error) {
 	f, err := fs.Open(manifestName)
 	if err != nil {
@@ -91,7 +91,7 @@
 		return nil, 0, err
 	}
 	if size > maxManifestBytes {
-		return nil, 0, fmt.Errorf("the manifest has %d bytes", size)
+		return nil, 0, fmt.Errorf("manifest of %d bytes is too large", size)
 	}
 	b := make([]byte, size)
 	if _, err := f.ReadAt(b, 0); err != nil && !errors.Is(err, io.EOF) {
@@ -100,18 +100,18 @@
 	return format.DecodeManifest(b)
 }
 
-// readManifest loads the store's manifest, and creates one in an empty folder.
+// readManifest loads the manifest of the store, or creates one if the folder is empty.
 func (s *Store) readManifest(names []string) error {
 	if !slices.Contains(names, manifestName) {
 		for _, name := range names {
 			if _, ok := segmentNumber(name); ok {
-				return damage(manifestName, 0, "there is none, though there are segments such as %s", name)
+				return newDamageError(manifestName, 0, "manifest is missing, but there are segments such as %s", name)
 			}
 		}
 		if s.opts.ReadOnly {
-			return fmt.Errorf("%s: no ledger in this folder", s.fs)
+			return fmt.Errorf("%s: folder contains no ledger", s.fs)
 		}
-		// The manifest comes before the first segment, so a folder with segments always has one.
+		// The manifest is created before the first segment, so a folder with segments always has one.
 		s.recovery.Fresh = true
 		s.id = newID()
 		return s.replaceManifest(format.Manifest{Store: s.id, NextSegment: 1})
@@ -123,13 +123,13 @@
 	case err != nil && isNotExist(err):
 		return err
 	case err != nil:
-		return damage(manifestName, where, "%v", err)
+		return newDamageError(manifestName, where, "%v", err)
 	}
 	s.manifest, s.id = *m, m.Store
 	for _, e := range m.Segments {
 		s.manifest.NextSegment = max(s.manifest.NextSegment, e.Number+1)
 	}
-	for _, name := range names { // the numbers of unlisted files are not used again either
+	for _, name := range names { // the numbers of unlisted files must not be reused either
 		if n, ok := segmentNumber(name); ok && n < math.MaxUint64 {
 			s.manifest.NextSegment = max(s.manifest.NextSegment, n+1)
 		}
--- a/internal/ledger/model_test.go
+++ b/internal/ledger/model_test.go
@@ -10,11 +10,11 @@
 	"sloehitch/internal/ledger/simdisk"
 )
 
-// TestAgainstAMap checks long mixed histories, with restarts and cuts between, against a map.
-func TestAgainstAMap(t *testing.T) {
+// TestMatchesMapModel compares the store with a map after long random sequences of operations, restarts and power losses.
+func TestMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &clock{now: start}
-		o := options()
+		o := testOptions()
 		o.Now = c.Now
 		fs := simdisk.New(rapid.Uint64().Draw(t, "seed"))
 		s, err := Open(fs, o)
@@ -22,11 +22,11 @@
 			t.Fatal(err)
 		}
 		defer func() { s.Close() }()
-		type val struct {
+		type value struct {
 			text   string
 			expiry time.Time
 		}
-		model, mark := map[string]val{}, time.UnixMilli(0)
+		model, mark := map[string]value{}, time.UnixMilli(0)
 		key := rapid.SampledFrom([]string{"a", "a\x00", "ab", "b", "\xff", "longer key"})
 		want := func() map[string]string {
 			m := map[string]string{}
@@ -37,10 +37,10 @@
 			}
 			return m
 		}
-		follow := func(t *rapid.T) {
+		checkClockMark := func(t *rapid.T) {
 			now := time.UnixMilli(s.clockMark)
 			if now.Before(mark) || now.After(mark) && now.After(c.Now()) {
-				t.Fatalf("the mark went from %v to %v at %v", mark, now, c.Now())
+				t.Fatalf("the clock mark changed from %v to %v at %v", mark, now, c.Now())
 			}
 			mark = now
 		}
@@ -54,7 +54,7 @@
 						delete(model, k)
 						continue
 					}
-					v := val{text: rapid.StringN(0, 60, -1).Draw(t, "value")}
+					v := value{text: rapid.StringN(0, 60, -1).Draw(t, "value")}
 					if rapid.Bool().Draw(t, "expires") {
 						v.expiry = start.Add(time.Duration(rapid.IntRange(-5, 100).Draw(t, "after")) * time.Second)
 					}
@@ -81,14 +81,14 @@
 				if _, err := s.Compact(); err != nil {
 					t.Fatal(err)
 				}
-				follow(t)
+				checkClockMark(t)
 			},
 			"tend": func(t *rapid.T) {
 				s.RemoveExpired()
 				if err := s.compactWhileDue(); err != nil {
 					t.Fatal(err)
 				}
-				follow(t)
+				checkClockMark(t)
 			},
 			"restart": func(t *rapid.T) {
 				if rapid.Bool().Draw(t, "cut") {
@@ -98,7 +98,7 @@
 				if s, err = Open(fs, o); err != nil {
 					t.Fatal(err)
 				}
-				follow(t) // a clean end marks the clock; a cut need not
+				checkClockMark(t) // Close writes a clock mark, a power loss need not
 			},
 			"": func(t *rapid.T) {
 				got := map[string]string{}
--- a/internal/ledger/plan/plan_test.go
+++ b/internal/ledger/plan/plan_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestChooseSegments(t *testing.T) {
-	rules := Options{GarbageThreshold: 0.4, SegmentBytes: 1000, MaxSmallSegments: 2, MaxCompactionBytes: 3000}
+	options := Options{GarbageThreshold: 0.4, SegmentBytes: 1000, MaxSmallSegments: 2, MaxCompactionBytes: 3000}
 	for _, c := range []struct {
 		name string
 		segs []Segment
@@ -28,7 +28,7 @@
 			{Number: 3, TotalBytes: 124, MinSequence: 3, MaxSequence: 3}, {Number: 4, TotalBytes: 125, MinSequence: 4, MaxSequence: 4}}, "[1 2 3]"},
 		{"no more than MaxSmallSegments small segments", []Segment{{Number: 1, TotalBytes: 100, MinSequence: 1, MaxSequence: 1}, {Number: 2, TotalBytes: 100, MinSequence: 2, MaxSequence: 2}}, "[]"},
 	} {
-		if got := fmt.Sprint(ChooseSegments(c.segs, rules)); got != c.want {
+		if got := fmt.Sprint(ChooseSegments(c.segs, options)); got != c.want {
 			t.Errorf("%s: chose %s, want %s", c.name, got, c.want)
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestGroupCommit(t *testing.T) {
+func TestGroupCommitWaitsForActiveWriters(t *testing.T) {
 	var g GroupCommit
 	if g.RemainingWait(1, 100, 0, time.Second) != 0 {
 		t.Error("RemainingWait before the first flush is not 0")
--- a/internal/ledger/plan/segments.go
+++ b/internal/ledger/plan/segments.go
@@ -96,10 +96,10 @@
 
 // reclaimableBytes returns the least number of uncompressed bytes that a compaction of the chosen segments reclaims.
 func reclaimableBytes(chosen, all []Segment) (bytes int64) {
-	oldest := MinSequenceOutside(all, segmentNumbers(chosen))
+	minSequenceOutside := MinSequenceOutside(all, segmentNumbers(chosen))
 	for _, s := range chosen {
 		bytes += s.DeadBytes
-		if s.MaxSequence < oldest { // otherwise some of its tombstones may have to be kept
+		if s.MaxSequence < minSequenceOutside { // otherwise some of its tombstones may have to be kept
 			bytes += s.TombstoneBytes
 		}
 	}
@@ -134,11 +134,11 @@
 // MinSequenceOutside returns the lowest sequence number in the segments that are not chosen, or the maximum uint64 if they
 // have no records.
 func MinSequenceOutside(all []Segment, chosen []uint64) uint64 {
-	oldest := ^uint64(0)
+	lowest := ^uint64(0)
 	for _, s := range all {
 		if !slices.Contains(chosen, s.Number) && s.MinSequence > 0 {
-			oldest = min(oldest, s.MinSequence)
+			lowest = min(lowest, s.MinSequence)
 		}
 	}
-	return oldest
+	return lowest
 }
--- a/internal/ledger/queue.go
+++ b/internal/ledger/queue.go
@@ -8,37 +8,37 @@
 	"sloehitch/internal/ledger/plan"
 )
 
-// The write queue: batches wait here for the one goroutine that writes (commit.go).
+// The write queue: batches wait here for the writing goroutine (commit.go).
 
 // pending is a queued batch or request to the writing goroutine.
 type pending struct {
 	records []format.Record
 	bytes   int
 	done    func(error) // called once; must not block
-	flush   bool        // flush all that was written before it
+	flush   bool        // flush everything written before it
 	seal    bool        // seal the active segment
 }
 
-// writer holds the queue and the state of the one goroutine that writes.
+// writer holds the queue and the state of the writing goroutine.
 type writer struct {
 	mu          sync.Mutex
 	queue       []*pending
 	queuedBytes int
 	closed      bool
-	wakeAt      int        // wake the writing goroutine for so many queued batches
-	spaceFreed  *sync.Cond // the queue got shorter or was closed
+	wakeAt      int        // number of queued batches at which the writing goroutine is woken
+	spaceFreed  *sync.Cond // batches were removed from the queue, or it was closed
 	arrived     chan struct{}
 
-	// Used by the writing goroutine alone:
+	// Used by the writing goroutine only:
 	groupCommit   plan.GroupCommit
 	lastSequence  uint64
-	flushedOffset int64 // up to it the active segment is flushed
+	flushedOffset int64 // offset up to which the active segment is flushed
 	activeRecords int   // records in the active segment
-	writtenMark   int64 // clock mark of the newest group, Unix milliseconds
+	writtenMark   int64 // clock mark of the last written group, Unix milliseconds
 	buf           []byte
 
 	durable   chan durableGroup
-	unindexed sync.WaitGroup // groups written and not yet in the index
+	unindexed sync.WaitGroup // groups that are written but not yet in the index
 
 	// Completion callbacks, see callbacks.go.
 	callbackMu    sync.Mutex
@@ -46,7 +46,7 @@
 	callbackReady chan struct{}
 }
 
-// durableGroupBacklog is how many durable groups may wait to be indexed before the writing goroutine waits for them.
+// durableGroupBacklog is how many durable groups may wait to be indexed before the writing goroutine blocks.
 const durableGroupBacklog = 4
 
 func (w *writer) init() {
@@ -55,7 +55,7 @@
 	w.durable = make(chan durableGroup, durableGroupBacklog)
 }
 
-// signal wakes the receiver of a channel with a buffer of one, and does not block.
+// signal wakes the receiver of a channel with a buffer of one. It does not block.
 func signal(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -81,7 +81,7 @@
 	return <-done
 }
 
-// enqueue appends to the queue. While the queue is full it waits, or returns ErrBusy if it is not to wait.
+// enqueue appends a request to the queue. If the queue is full, it waits for space if wait is set, and returns ErrBusy otherwise.
 func (s *Store) enqueue(p *pending, wait bool) error {
 	w := &s.writer
 	w.mu.Lock()
@@ -97,15 +97,15 @@
 	}
 	w.queue = append(w.queue, p)
 	w.queuedBytes += p.bytes
-	// The writing goroutine is woken for the first batch, which starts its wait, and for the one that ends it.
+	// The writing goroutine is woken by the first batch, which starts the wait for a full group, and by the batch that ends it.
 	if n := len(w.queue); n == 1 || n >= w.wakeAt || w.queuedBytes >= s.opts.Limits.GroupBytes {
 		signal(w.arrived)
 	}
 	return nil
 }
 
-// nextGroup waits for the next group of batches, by the rule of plan.GroupCommit. It returns no batch at a tick, and false
-// once the queue is closed and empty.
+// nextGroup waits for the next group of batches as plan.GroupCommit decides. It returns an empty group at a tick, and false once
+// the queue is closed and empty.
 func (s *Store) nextGroup(tick <-chan time.Time) (group []*pending, ok bool) {
 	for {
 		state := s.queueState()
@@ -124,14 +124,14 @@
 	}
 }
 
-// queueState is the queue at one moment.
+// queueState is the state of the queue at one moment.
 type queueState struct {
 	batches     int
-	fullOfBytes bool // its bytes fill a group
+	fullOfBytes bool // the queued bytes fill a group
 	closed      bool
 }
 
-// queueState reads the queue, and sets the number of batches at which the writing goroutine is to be woken.
+// queueState returns the state of the queue and sets wakeAt for the wait that may follow.
 func (s *Store) queueState() queueState {
 	w, limits := &s.writer, s.opts.Limits
 	w.mu.Lock()
@@ -140,10 +140,10 @@
 	return queueState{len(w.queue), w.queuedBytes >= limits.GroupBytes, w.closed}
 }
 
-// awaitFullGroup waits for more batches than the queue has now while that is worth it.
+// awaitFullGroup waits for more batches as long as plan.GroupCommit considers it worthwhile.
 func (s *Store) awaitFullGroup(state queueState) {
 	w, limits := &s.writer, s.opts.Limits
-	began := time.Now() // monotonic: the Unix clock has no say in how long a group waits
+	began := time.Now() // monotonic, so that changes of the Unix clock do not affect the wait
 	var timer *time.Timer
 	for {
 		remaining := w.groupCommit.RemainingWait(state.batches, limits.GroupBatches, time.Since(began), limits.GroupDelay)
@@ -165,7 +165,7 @@
 	}
 }
 
-// dequeueGroup takes what is queued, up to the limits of a group.
+// dequeueGroup removes the next batches from the queue, up to the limits of a group.
 func (s *Store) dequeueGroup() []*pending {
 	w, limits := &s.writer, s.opts.Limits
 	w.mu.Lock()
--- a/internal/ledger/recover.go
+++ b/internal/ledger/recover.go
@@ -8,8 +8,8 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// recover reads the folder and makes it ready for writing. Until the one replacement of the manifest the folder keeps the
-// state in which it was found; from then on it has the new one.
+// recover reads the folder and makes it ready for writing. The manifest is replaced once: a crash before that leaves the
+// folder's old state, a crash after it the new state.
 func (s *Store) recover() error {
 	began := time.Now()
 	names, err := s.fs.List()
@@ -24,7 +24,7 @@
 		return err
 	}
 	if tail.seg != nil {
-		s.retired = []*segment{tail.seg} // released with the store until it has its place
+		s.retired = []*segment{tail.seg} // so that it is released with the store until it is sealed
 	}
 	if err := s.startActive(tail); err != nil {
 		return err
@@ -34,10 +34,10 @@
 	return nil
 }
 
-// maxReadAttempts is how often a reader begins again because a writer replaced the manifest meanwhile.
+// maxReadAttempts is how often a read-only recovery is attempted if a writer replaces the manifest during each attempt.
 const maxReadAttempts = 5
 
-// recoverReadOnly is recover for a reader: nothing is changed. A writer may replace segments meanwhile; then it begins again.
+// recoverReadOnly reads the folder without changing it. If a writer replaces segments meanwhile, it starts again.
 func (s *Store) recoverReadOnly() (err error) {
 	began := time.Now()
 	for range maxReadAttempts {
@@ -63,11 +63,12 @@
 	return err
 }
 
-// closeRead closes a file that was only read: nothing is left to be written.
+// closeRead closes a file that was only read. The error is ignored because no writes are pending.
 func closeRead(f disk.File) { _ = f.Close() }
 
-// startActive starts a new active segment with the records that are not known to be flushed, and seals the old one before
-// them. A process never appends to a file that another one wrote: what can be read of it need not be on the disk.
+// startActive starts a new active segment with the records that are not known to be flushed, and seals the old active segment
+// in front of them. A process never appends to a file that another process wrote, because data that can be read from it is
+// not necessarily durable.
 func (s *Store) startActive(t *activeTail) error {
 	s.manifestMu.Lock()
 	defer s.manifestMu.Unlock()
@@ -110,8 +111,8 @@
 	return s.replaceManifest(s.nextManifest(sealed, g))
 }
 
-// removeUnlistedFiles removes files that the current manifest does not list. One that reappears after a crash is removed the
-// next time; it is never read.
+// removeUnlistedFiles removes the segments that the current manifest does not list, and a temporary manifest. A file that
+// reappears after a crash is never read, and is removed by the next recovery.
 func (s *Store) removeUnlistedFiles() {
 	names, err := s.fs.List()
 	if err != nil {
@@ -124,7 +125,7 @@
 			continue
 		}
 		if err := s.fs.Remove(name); err != nil {
-			s.opts.Log.Warn("a file that is not needed could not be removed", "file", name, "error", err)
+			s.opts.Log.Warn("could not remove unlisted ledger file", "file", name, "error", err)
 			continue
 		}
 		s.recovery.StrayFiles++
--- a/internal/ledger/repair.go
+++ b/internal/ledger/repair.go
@@ -11,7 +11,7 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// Loss is a range of a file that could not be saved, in bytes.
+// Loss is a range of bytes in a file that could not be recovered.
 type Loss struct {
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
@@ -19,7 +19,7 @@
 	Reason string `json:"why"`
 }
 
-// Salvage reports what Repair saved.
+// Salvage reports what Repair recovered and what was lost.
 type Salvage struct {
 	Segments int      `json:"segments"`
 	Records  int      `json:"records"`
@@ -28,8 +28,8 @@
 	Warnings []string `json:"warnings"`
 }
 
-// Repair saves what can be read in a folder into a new store in another, empty folder. The old folder is not changed. It
-// holds the keys in memory while it works, and blocks until it is done.
+// Repair copies the newest readable value of each key in a folder to a new store in another, empty folder. It does not change
+// the old folder. It holds all keys in memory and blocks until it is done.
 func Repair(from, to disk.FS, o Options) (v Salvage, err error) {
 	o.ReadOnly = false
 	o.Manual = true
@@ -41,7 +41,7 @@
 		return v, err
 	}
 	if slices.Contains(names, manifestName) {
-		return v, fmt.Errorf("%s: a ledger is there already", to)
+		return v, fmt.Errorf("%s: folder already contains a ledger", to)
 	}
 	segments, err := v.openSegments(from)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return v, err
 }
 
-// salvageAll reads all segments, and returns the newest record of each key and the latest clock mark, in Unix milliseconds.
+// salvageAll reads all segments and returns the newest record of each key and the latest clock mark in Unix milliseconds.
 func (v *Salvage) salvageAll(segments []*segment, o Options) (newest map[string]loadedRecord, clockMark int64, err error) {
 	newest = map[string]loadedRecord{}
 	var total, done int64
@@ -92,7 +92,7 @@
 	return newest, clockMark, nil
 }
 
-// maxRepairBatch is how many keys a batch of a repair has at most.
+// maxRepairBatch is the largest number of keys in a batch that Repair writes.
 const maxRepairBatch = 256
 
 // copyKeys writes the salvaged values of keys to the new store.
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// salvagedBatch reads the values of the first keys, as many as are sure to fit in half of a batch, but at least one.
+// salvagedBatch reads the values of the first keys, as many as certainly fit into half of the batch limit, but at least one.
 func salvagedBatch(l limits.Ledger, keys []string, newest map[string]loadedRecord) (*Batch, error) {
 	batch := &Batch{}
 	for n := 0; n < len(keys) && (n == 0 || batch.bytes < l.BatchBytes/2-l.ValueBytes); n++ {
@@ -122,14 +122,15 @@
 		if err != nil {
 			return nil, err
 		}
-		batch.Put(r.Key, r.Value, fromMillis(r.ExpiryMillis))
+		batch.Put(r.Key, r.Value, timeFromUnixMillis(r.ExpiryMillis))
 	}
 	return batch, nil
 }
 
-// openSegments opens the segments to read: those of the manifest, or without a readable one all of the same store.
+// openSegments opens the segments to read: those that the manifest lists, or all segments of the same store if the manifest
+// cannot be read.
 func (v *Salvage) openSegments(fs disk.FS) (segs []*segment, err error) {
-	m, where, err := loadManifest(fs)
+	m, offset, err := loadManifest(fs)
 	if err == nil {
 		for _, e := range m.Segments {
 			if g := v.openSegment(fs, segmentFileName(e.Number), &m.Store, e.Size); g != nil {
@@ -142,8 +143,8 @@
 	if errors.As(err, &version) {
 		return nil, fmt.Errorf("%s: %w", manifestName, err)
 	}
-	v.Lost = append(v.Lost, Loss{manifestName, where, 0, err.Error()})
-	v.Warnings = append(v.Warnings, "without the manifest all segments in the folder were read: what was deleted may be back if an old segment was still there")
+	v.Lost = append(v.Lost, Loss{manifestName, offset, 0, err.Error()})
+	v.Warnings = append(v.Warnings, "the manifest could not be read, so all segments in the folder were read: deleted keys may reappear from segments that were already replaced")
 	names, err := fs.List()
 	if err != nil {
 		return nil, err
@@ -159,56 +160,56 @@
 		}
 	}
 	if len(segs) == 0 {
-		return nil, fmt.Errorf("%s: no segment can be read", fs)
+		return nil, fmt.Errorf("%s: no readable ledger segment", fs)
 	}
 	return segs, nil
 }
 
-// openSegment opens a segment for salvage. It returns nil and notes the loss if its header is not usable.
+// openSegment opens a segment for reading. It returns nil and records the loss if the header cannot be used.
 func (v *Salvage) openSegment(fs disk.FS, name string, store *format.ID, size int64) *segment {
-	lost := func(reason string, args ...any) *segment {
+	addLoss := func(reason string, args ...any) *segment {
 		v.Lost = append(v.Lost, Loss{name, 0, max(size, 0), fmt.Sprintf(reason, args...)})
 		return nil
 	}
 	f, err := fs.Open(name)
 	if err != nil {
-		return lost("%v", err)
+		return addLoss("%v", err)
 	}
-	has, err := f.Size()
+	fileSize, err := f.Size()
 	b := make([]byte, format.SegmentHeaderSize)
 	if err == nil {
 		_, err = f.ReadAt(b, 0)
 	}
-	h, salt, herr := format.DecodeSegmentHeader(b)
+	h, salt, headerErr := format.DecodeSegmentHeader(b)
 	n, _ := segmentNumber(name)
 	switch {
-	case errors.Is(err, io.EOF) && has == 0, err != nil && !errors.Is(err, io.EOF):
+	case errors.Is(err, io.EOF) && fileSize == 0, err != nil && !errors.Is(err, io.EOF):
 		closeRead(f)
-		return lost("the header can't be read: %v", err)
-	case herr != nil:
+		return addLoss("cannot read the segment header: %v", err)
+	case headerErr != nil:
 		closeRead(f)
-		return lost("%v: the records can't be told without it", herr)
+		return addLoss("%v: records cannot be verified without a valid header", headerErr)
 	case h.Number != n || store != nil && h.Store != *store:
 		closeRead(f)
-		return lost("the file is another store's or was renamed")
+		return addLoss("file belongs to another store or was renamed")
 	}
 	if size == format.ActiveSegmentSize {
-		size = has
-	} else if has < size {
-		v.Lost = append(v.Lost, Loss{name, has, size - has, "the file is cut short"})
-		size = has
+		size = fileSize
+	} else if fileSize < size {
+		v.Lost = append(v.Lost, Loss{name, fileSize, size - fileSize, "file is truncated"})
+		size = fileSize
 	}
 	g := &segment{number: n, name: name, file: f, cold: h.Cold, size: size, salt: salt, store: h.Store}
 	g.refs.Store(1)
 	return g
 }
 
-// salvageSegment reads all complete batches of a segment, also behind ranges that can't be read, into the newest records of
-// their keys.
+// salvageSegment reads all complete batches of a segment, including those after unreadable ranges, and updates the newest
+// record of each key.
 func (v *Salvage) salvageSegment(g *segment, maxValueBytes int, newest map[string]loadedRecord) (mark int64, err error) {
 	var batch []loadedRecord
-	skip := false // the batch that begins here may lack its first records
-	take := func(off int64, r *format.Record) error {
+	skip := false // the first records of the current batch may be missing
+	addRecord := func(off int64, r *format.Record) error {
 		if r.Kind == format.KindGroup {
 			_, m := r.GroupFields()
 			mark, skip, batch = max(mark, m), false, batch[:0]
@@ -221,7 +222,7 @@
 		}
 		for _, f := range batch {
 			if skip {
-				v.Lost = append(v.Lost, Loss{g.name, int64(f.location.offset), int64(f.location.size), "it may belong to a batch that is not whole"})
+				v.Lost = append(v.Lost, Loss{g.name, int64(f.location.offset), int64(f.location.size), "record may belong to an incomplete batch"})
 				continue
 			}
 			v.Records++
@@ -233,14 +234,14 @@
 		return nil
 	}
 	for from := int64(format.SegmentHeaderSize); from < g.size; {
-		end, err := g.scanFrom(from, maxValueBytes, take)
+		end, err := g.scanFrom(from, maxValueBytes, addRecord)
 		if err == nil {
 			break
 		}
 		if !errors.Is(err, format.ErrShort) && !errors.Is(err, format.ErrInvalid) {
 			return mark, err
 		}
-		skip, batch = !g.cold, batch[:0] // a compaction leaves no batches of several records
+		skip, batch = !g.cold, batch[:0] // in cold segments every record is a batch of its own
 		next, resyncErr := g.findNextReadable(end+1, maxValueBytes)
 		if resyncErr != nil {
 			return mark, resyncErr
--- a/internal/ledger/rewrite.go
+++ b/internal/ledger/rewrite.go
@@ -9,18 +9,18 @@
 	"sloehitch/internal/ledger/plan"
 )
 
-// rewriter writes the live records of segments to new, cold segments. It belongs to one goroutine.
+// rewriter writes the live records of segments to new, cold segments. It is not safe for concurrent use.
 type rewriter struct {
 	store              *Store
 	minSequenceOutside uint64 // the lowest sequence number outside the compaction
 	report             *Compaction
-	writer             *coldWriter // nil between two segments
+	writer             *coldWriter // nil while no segment is open for writing
 	out                []*segment
-	unflushedBytes     int // before compression
+	unflushedBytes     int // uncompressed bytes written since the last flush
 }
 
-// rewrite writes the live records of some segments to new ones, makes those durable and verifies them. It returns the new
-// segments also on an error.
+// rewrite writes the live records of the given segments to new segments, makes these durable and verifies them. It returns the
+// new segments even on an error.
 func (s *Store) rewrite(in []*segment, minSequenceOutside uint64, c *Compaction, reportProgress bool) ([]*segment, error) {
 	w := &rewriter{store: s, minSequenceOutside: minSequenceOutside, report: c}
 	var read, total int64
@@ -29,7 +29,7 @@
 	}
 	for _, g := range in {
 		if _, err := g.scan(s.opts.Limits.ValueBytes, w.copyRecord); err != nil {
-			return w.out, fmt.Errorf("compaction of %s: %w", g.name, err)
+			return w.out, fmt.Errorf("compacting %s: %w", g.name, err)
 		}
 		read += g.size
 		if reportProgress {
@@ -47,13 +47,13 @@
 	return w.out, w.verify()
 }
 
-// copyRecord writes a record of an old segment, or a tombstone for it, where plan.DecideRecord says so.
+// copyRecord copies a record of an old segment, writes a tombstone for it or drops it, as plan.DecideRecord decides.
 func (w *rewriter) copyRecord(_ int64, r *format.Record) error {
 	if r.Kind == format.KindGroup {
 		return nil
 	}
 	kept := *r
-	kept.BatchContinues = false // what is in the index belongs to a complete batch
+	kept.BatchContinues = false // indexed records belong to complete batches
 	switch w.decide(r) {
 	case plan.DropRecord:
 		w.report.RecordsDropped++
@@ -74,7 +74,7 @@
 	return err
 }
 
-// decide looks a record up in the index and applies plan.DecideRecord.
+// decide looks up a record in the index and applies plan.DecideRecord to it.
 func (w *rewriter) decide(r *format.Record) plan.RecordAction {
 	s := w.store
 	s.mu.RLock()
@@ -92,7 +92,7 @@
 	return plan.DecideRecord(record, mark, w.minSequenceOutside)
 }
 
-// ensureWriter starts a new segment where there is none or the current one is full.
+// ensureWriter starts a new segment if none is open for writing or the current one is full.
 func (w *rewriter) ensureWriter() error {
 	s := w.store
 	if w.writer != nil && w.writer.rawOffset >= s.opts.Limits.SegmentBytes {
@@ -121,13 +121,13 @@
 	if err == nil {
 		err = w.writer.file.Sync()
 	}
-	_ = w.writer.enc.Close() // it encodes complete blocks and keeps nothing between them
+	_ = w.writer.enc.Close() // cannot lose data: EncodeAll buffers nothing between calls
 	w.writer = nil
 	return err
 }
 
-// afterBlock flushes and pauses after each limits.Ledger's CompactionFlushBytes: one large flush would delay the writers'
-// flushes behind it.
+// afterBlock pauses and flushes after every CompactionFlushBytes of limits.Ledger, because the flushes of writers would have to
+// wait for one large flush.
 func (w *rewriter) afterBlock() error {
 	s := w.store
 	if s.isClosed() {
@@ -146,7 +146,7 @@
 func (w *rewriter) verify() error {
 	for _, g := range w.out {
 		if end, err := g.scan(w.store.opts.Limits.ValueBytes, func(int64, *format.Record) error { return nil }); err != nil {
-			return damage(g.name, end, "just written, and not readable: %v", err)
+			return newDamageError(g.name, end, "segment written by a compaction cannot be read back: %v", err)
 		}
 		w.report.SegmentsWritten++
 		w.report.BytesAfter += g.size
@@ -154,6 +154,6 @@
 	return nil
 }
 
-// unsafeString is a string over the same bytes, for a look-up that doesn't keep it: the garbage of a copy of each key would
-// cost the writers time.
+// unsafeString returns a string that shares the bytes of b, for a look-up that does not retain it. Copying every key would produce
+// garbage whose collection slows down the writers.
 func unsafeString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
--- a/internal/ledger/rotate.go
+++ b/internal/ledger/rotate.go
@@ -1,11 +1,11 @@
 package ledger
 
-// rotate seals the active segment and starts a new one, which is in use once the manifest lists it.
+// rotate seals the active segment and starts a new one. The new segment is used once the manifest lists it.
 func (s *Store) rotate() error {
 	if err := s.flush(); err != nil {
 		return err
 	}
-	s.writer.unindexed.Wait() // the manifest has figures of the segment's records
+	s.writer.unindexed.Wait() // the manifest contains statistics of the segment's records
 	s.manifestMu.Lock()
 	defer s.manifestMu.Unlock()
 	g, err := s.newSegment()
@@ -24,10 +24,10 @@
 	return nil
 }
 
-// newSegment creates a segment's file and makes it durable, though not yet listed; the caller holds manifestMu.
+// newSegment creates a segment file and makes it durable. It does not add it to the manifest. The caller holds manifestMu.
 func (s *Store) newSegment() (*segment, error) {
 	n := s.manifest.NextSegment
-	s.manifest.NextSegment++ // never twice, also if it fails
+	s.manifest.NextSegment++ // the number is not reused even if the creation fails
 	g, err := createSegment(s.fs, s.id, n, false)
 	if err != nil {
 		return nil, err
--- a/internal/ledger/scan.go
+++ b/internal/ledger/scan.go
@@ -7,17 +7,17 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// recordFunc is called with each record and its offset in the decompressed segment. The key and value are valid during the
-// call only.
+// recordFunc is called with each record and its offset in the decompressed segment. The key and value are valid only during the
+// call.
 type recordFunc func(offset int64, r *format.Record) error
 
-// scan calls fn with all records in order. It returns where the last valid one ended in the file; the error wraps ErrShort
-// or ErrInvalid of package format where the bytes behind it are no record, or is that of fn.
+// scan calls fn with all records in order. It returns the file offset at which the last valid record ended. The error is that of
+// fn, or wraps format.ErrShort or format.ErrInvalid if the bytes after that offset are not a record.
 func (g *segment) scan(maxValueBytes int, fn recordFunc) (end int64, err error) {
 	return g.scanFrom(format.SegmentHeaderSize, maxValueBytes, fn)
 }
 
-// scanFrom is scan from an offset of the file, at which a record or block must start.
+// scanFrom is like scan, but begins at a file offset at which a record or block must start.
 func (g *segment) scanFrom(from int64, maxValueBytes int, fn recordFunc) (end int64, err error) {
 	if g.cold {
 		return g.scanCold(from, maxValueBytes, fn)
@@ -33,7 +33,7 @@
 		}
 		r, err := format.DecodeRecord(b, g.salt, w.off)
 		if errors.Is(err, format.ErrShort) {
-			need := format.RecordHeaderSize + recordRest(b)
+			need := format.RecordHeaderSize + payloadBytes(b)
 			if need > maxRecordBytes(maxValueBytes) || w.off+need > g.size {
 				return w.off, err
 			}
@@ -53,20 +53,20 @@
 	return w.off, nil
 }
 
-// maxRecordBytes bounds a record with a value up to so many bytes.
+// maxRecordBytes returns the largest size of a record whose value has at most maxValueBytes.
 func maxRecordBytes(maxValueBytes int) int64 {
 	return format.RecordHeaderSize + format.MaxKeyBytes + int64(maxValueBytes)
 }
 
-// recordRest is how many bytes follow a record's header according to it. No checksum has been verified.
-func recordRest(b []byte) int64 {
+// payloadBytes returns how many bytes follow a record header according to its unverified fields.
+func payloadBytes(b []byte) int64 {
 	if len(b) < format.RecordHeaderSize {
 		return 0
 	}
 	return int64(binary.LittleEndian.Uint32(b[4:])) + int64(binary.LittleEndian.Uint16(b[8:]))
 }
 
-// scanCold scans a cold segment block by block, and appends blocks that are not known yet to the list.
+// scanCold scans a cold segment block by block. It adds blocks that it finds for the first time to g.blocks.
 func (g *segment) scanCold(from int64, maxValueBytes int, fn recordFunc) (end int64, err error) {
 	w := fileWindow{file: g.file, off: from, end: g.size}
 	for w.off < g.size {
@@ -74,7 +74,7 @@
 		if err != nil {
 			return at, err
 		}
-		// Readers use the list once the segment is open, so only a first scan changes it.
+		// Readers use the list once the segment is open, so only the first scan may change it.
 		if n := len(g.blocks); n == 0 || g.blocks[n-1].rawOffset < raw {
 			g.blocks = append(g.blocks, blockLocation{raw, at})
 		}
@@ -93,8 +93,8 @@
 	return w.off, nil
 }
 
-// block reads and decompresses the block at the window and moves behind it. It also returns its offsets, decompressed and in
-// the file.
+// block reads and decompresses the block at the position of the window and advances the window past it. It also returns the
+// offsets of the block: raw in the decompressed segment and at in the file.
 func (g *segment) block(w *fileWindow, maxValueBytes int) (b []byte, raw, at int64, err error) {
 	at = w.off
 	if b, err = w.peek(format.BlockHeaderSize); err != nil {
@@ -117,8 +117,8 @@
 	return b, head.RawOffset, at, nil
 }
 
-// findNextReadable returns the next offset of the file with a valid record, or in a cold segment a valid block; the size where
-// there is none.
+// findNextReadable returns the next file offset with a valid record, or with a valid block in a cold segment. If there is none,
+// it returns the size of the file.
 func (g *segment) findNextReadable(from int64, maxValueBytes int) (int64, error) {
 	w := fileWindow{file: g.file, off: from, end: g.size}
 	for ; w.off < g.size; w.off++ {
@@ -126,7 +126,7 @@
 		if err != nil {
 			return 0, err
 		}
-		need := format.RecordHeaderSize + recordRest(b)
+		need := format.RecordHeaderSize + payloadBytes(b)
 		if g.cold {
 			head, err := format.DecodeBlockHeader(b)
 			if err != nil {
@@ -136,7 +136,7 @@
 		} else if _, err := format.DecodeRecord(b, g.salt, w.off); err == nil {
 			return w.off, nil
 		} else if !errors.Is(err, format.ErrShort) || need > maxRecordBytes(maxValueBytes) {
-			continue // the fields are compared first, so that most offsets cost little
+			continue // rejected by its fields or size without reading on, which keeps the search cheap
 		}
 		if w.off+need > g.size {
 			continue
@@ -156,10 +156,10 @@
 	return g.size, nil
 }
 
-// flushedSearchBytes is how much findFlushed reads at a time.
+// flushedSearchBytes is how many bytes findFlushed reads at a time.
 const flushedSearchBytes = 1 << 20
 
-// findFlushed searches for group records behind an offset of the file, and returns the highest flushed offset in them.
+// findFlushed searches for group records after a file offset and returns the highest flushed offset in them.
 func (g *segment) findFlushed(from int64) (flushed int64, err error) {
 	w := fileWindow{file: g.file, off: from, end: g.size}
 	for w.off+format.GroupRecordSize <= g.size {
--- a/internal/ledger/segment.go
+++ b/internal/ledger/segment.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// segment is one file of records. Its figures are guarded by the store's mu. Cold ones are written by compactions, in
-// compressed blocks (cold_segment.go); of them "offset" means that in the decompressed form, if not said otherwise.
+// segment is a file of records. Its statistics are guarded by Store.mu. Cold segments are written by compactions in compressed
+// blocks (cold_segment.go). An offset of a cold segment is one of its decompressed form unless stated otherwise.
 type segment struct {
 	number uint64
 	name   string
@@ -20,35 +20,35 @@
 	salt   uint32
 	cold   bool
 	size   int64           // durable bytes of the file
-	blocks []blockLocation // of a cold segment, in order
+	blocks []blockLocation // blocks of a cold segment in order
 
-	totalBytes, deadBytes, tombstoneBytes int64  // of all records, of superseded ones, of deletions and expired ones
-	minSequence, maxSequence              uint64 // 0: no record
+	totalBytes, deadBytes, tombstoneBytes int64  // bytes of all records, of superseded records, and of deletions and expired records
+	minSequence, maxSequence              uint64 // 0: no records
 
-	refs  atomic.Int32 // one for the store, and one for each reader
+	refs  atomic.Int32 // references: one of the store and one of each reader
 	cache atomic.Pointer[decodedBlock]
 }
 
-// segmentFileName is the name of a segment's file.
+// segmentFileName returns the file name of a segment.
 func segmentFileName(number uint64) string { return fmt.Sprintf("%016x.seg", number) }
 
-// segmentNumber reads a segment's number from its file name.
+// segmentNumber parses the number of a segment from its file name.
 func segmentNumber(name string) (n uint64, ok bool) {
 	_, err := fmt.Sscanf(name, "%016x.seg", &n)
 	return n, err == nil && name == segmentFileName(n)
 }
 
-// acquire keeps the file open until release.
+// acquire adds a reference, which keeps the file open until release.
 func (g *segment) acquire() { g.refs.Add(1) }
 
-// release undoes acquire; the last one closes the file.
+// release drops a reference. The file is closed with the last one.
 func (g *segment) release() {
 	if g.refs.Add(-1) == 0 {
-		_ = g.file.Close() // only ever read from by now
+		_ = g.file.Close() // no writes are pending, so the error is irrelevant
 	}
 }
 
-// countRecord notes a record in the segment's figures.
+// countRecord adds a record to the statistics of the segment.
 func (g *segment) countRecord(seq uint64, size int) {
 	g.totalBytes += int64(size)
 	g.maxSequence = max(g.maxSequence, seq)
@@ -57,13 +57,13 @@
 	}
 }
 
-// openSegment opens a file that the manifest lists.
+// openSegment opens a segment that the manifest lists.
 func openSegment(fs disk.FS, store format.ID, e format.SegmentEntry) (*segment, error) {
 	name := segmentFileName(e.Number)
 	f, err := fs.Open(name)
 	if err != nil {
 		if isNotExist(err) {
-			return nil, damage(name, 0, "the manifest lists this segment, and there is no such file")
+			return nil, newDamageError(name, 0, "segment listed in the manifest does not exist")
 		}
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 	return g, nil
 }
 
-// readHeader reads the header, and fills in the size of the active segment.
+// readHeader reads and verifies the header, and sets the size of an active segment.
 func (g *segment) readHeader() error {
 	size, err := g.file.Size()
 	if err != nil {
@@ -85,10 +85,10 @@
 	switch {
 	case g.size == format.ActiveSegmentSize:
 		if g.size = size; size < format.SegmentHeaderSize {
-			return nil // a crash cut it off in its header, before any record
+			return nil // a crash truncated the segment within its header, before any record
 		}
 	case size < g.size:
-		return damage(g.name, size, "the file ends here, and should have %d bytes", g.size)
+		return newDamageError(g.name, size, "file is truncated, want %d bytes", g.size)
 	}
 	b := make([]byte, format.SegmentHeaderSize)
 	if _, err := g.file.ReadAt(b, 0); err != nil {
@@ -99,15 +99,15 @@
 	case errors.As(err, &v):
 		return fmt.Errorf("%s: %w", g.name, err)
 	case err != nil:
-		return damage(g.name, 0, "%v", err)
+		return newDamageError(g.name, 0, "%v", err)
 	case h.Store != g.store || h.Number != g.number || h.Cold != g.cold:
-		return damage(g.name, 8, "the header is that of another segment (number %x, cold %v)", h.Number, h.Cold)
+		return newDamageError(g.name, 8, "header belongs to another segment (number %x, cold %v)", h.Number, h.Cold)
 	}
 	g.salt = salt
 	return nil
 }
 
-// createSegment creates a segment's file and writes its header; nothing is flushed.
+// createSegment creates a segment file and writes its header without flushing it.
 func createSegment(fs disk.FS, store format.ID, number uint64, cold bool) (*segment, error) {
 	g := &segment{number: number, name: segmentFileName(number), store: store, cold: cold, size: format.SegmentHeaderSize}
 	g.refs.Store(1)
@@ -124,7 +124,7 @@
 	return g, nil
 }
 
-// read reads the record at an offset of the decompressed segment. The caller may keep its bytes.
+// read returns the record at an offset of the decompressed segment. The caller may retain its bytes.
 func (g *segment) read(offset int64, size int) (format.Record, error) {
 	var b []byte
 	var err error
@@ -133,7 +133,7 @@
 	} else {
 		b = make([]byte, size)
 		if _, err = g.file.ReadAt(b, offset); errors.Is(err, io.EOF) {
-			err = nil // what is missing fails the checksum
+			err = nil // missing bytes make the checksum fail
 		}
 		if err != nil {
 			err = fmt.Errorf("%s: %w", g.name, err)
@@ -144,7 +144,7 @@
 	}
 	r, err := format.DecodeRecord(b, g.salt, offset)
 	if err != nil {
-		return r, damage(g.name, offset, "%v", err)
+		return r, newDamageError(g.name, offset, "%v", err)
 	}
 	return r, nil
 }
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -11,8 +11,8 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// Snapshot is the store as it was at one moment. It must be closed: until then the files that it reads stay open. Its methods
-// may be called from any goroutine until then.
+// Snapshot is the state of the store at one moment. It must be closed, because it keeps the files that it reads open. Its methods
+// may be called from any goroutine until it is closed.
 type Snapshot struct {
 	index *btree.Map[string, location]
 	mark  int64
@@ -20,10 +20,10 @@
 	once  sync.Once
 }
 
-// Snapshot takes a snapshot, in constant time. While it is open, writers copy the parts of the index that they change. The
-// error is ErrClosed.
+// Snapshot takes a snapshot in constant time. After that, writers copy the parts of the index that they change. The error is
+// ErrClosed.
 func (s *Store) Snapshot() (*Snapshot, error) {
-	s.manifestMu.Lock() // so that no segment is released meanwhile
+	s.manifestMu.Lock() // prevents that segments are released meanwhile
 	defer s.manifestMu.Unlock()
 	if s.active == nil && s.sealed == nil && s.isClosed() {
 		return nil, ErrClosed
@@ -37,13 +37,13 @@
 		s.active.acquire()
 		n.segs = append(n.segs, s.active)
 	}
-	s.mu.Lock() // Copy marks the tree's nodes as shared
+	s.mu.Lock() // needs the write lock, because Copy marks the nodes of the tree as shared
 	n.index, n.mark = s.index.Copy(), s.clockMark
 	s.mu.Unlock()
 	return n, nil
 }
 
-// Close releases the files. It may be called twice.
+// Close releases the files. It may be called more than once.
 func (n *Snapshot) Close() {
 	n.once.Do(func() {
 		for _, g := range n.segs {
@@ -52,7 +52,7 @@
 	})
 }
 
-// Get returns the value of a key, or ErrNotFound. It reads one record from the disk.
+// Get returns the value of a key, or ErrNotFound. It reads one record from disk.
 func (n *Snapshot) Get(key []byte) ([]byte, error) {
 	p, ok := n.index.Get(string(key))
 	if !ok || expired(p, n.mark) {
@@ -65,11 +65,10 @@
 // Pair is a key with its value.
 type Pair struct {
 	Key, Value []byte
-	Expiry     time.Time // zero: never
+	Expiry     time.Time // zero: never expires
 }
 
-// Scan calls fn with all pairs whose key begins with prefix, in the order of the keys, until fn returns an error, which Scan
-// returns.
+// Scan calls fn with each pair whose key begins with prefix, in key order. If fn returns an error, Scan stops and returns it.
 func (n *Snapshot) Scan(prefix []byte, fn func(Pair) error) (err error) {
 	from := string(prefix)
 	n.index.Ascend(from, func(key string, p location) bool {
@@ -83,13 +82,13 @@
 		if r, err = p.seg.read(int64(p.offset), int(p.size)); err != nil {
 			return false
 		}
-		err = fn(Pair{r.Key, r.Value, fromMillis(r.ExpiryMillis)})
+		err = fn(Pair{r.Key, r.Value, timeFromUnixMillis(r.ExpiryMillis)})
 		return err == nil
 	})
 	return err
 }
 
-// Scan takes a snapshot and scans it.
+// Scan takes a snapshot and calls Snapshot.Scan on it.
 func (s *Store) Scan(prefix []byte, fn func(Pair) error) error {
 	n, err := s.Snapshot()
 	if err != nil {
--- a/internal/ledger/verify.go
+++ b/internal/ledger/verify.go
@@ -6,24 +6,24 @@
 	"sloehitch/internal/ledger/disk"
 )
 
-// VerifyResult reports the state of a folder's files.
+// VerifyResult is the state of the files in a folder.
 type VerifyResult struct {
-	State    string   `json:"state"` // whole, torn or damaged
+	State    string   `json:"state"` // StateIntact, StateTorn or StateDamaged
 	File     string   `json:"file,omitempty"`
 	Offset   int64    `json:"offset,omitempty"`
 	Reason   string   `json:"what,omitempty"`
 	Recovery Recovery `json:"found"`
 }
 
-// The states of a folder.
+// Values of VerifyResult.State.
 const (
 	StateIntact  = "whole"
-	StateTorn    = "torn"    // the end of the active segment was never acknowledged; Open truncates it
+	StateTorn    = "torn"    // the active segment ends in unacknowledged bytes, which Open truncates
 	StateDamaged = "damaged" // Open returns a *DamageError
 )
 
-// Verify reads all that a folder holds without changing it, and blocks until then. The error says what could not be read, not
-// what was found. A folder that a process is writing to may look torn.
+// Verify reads the whole ledger in a folder without changing it, and blocks until it is done. Damage is reported in the result;
+// an error means that the folder could not be read. A folder that a process is writing to may be reported as torn.
 func Verify(fs disk.FS, o Options) (VerifyResult, error) {
 	o.ReadOnly = true
 	s, err := Open(fs, o)
@@ -40,7 +40,7 @@
 	v := VerifyResult{State: StateIntact, Recovery: s.Recovery()}
 	if r := v.Recovery; r.TornBytes > 0 {
 		v.State, v.File, v.Offset = StateTorn, r.TornFile, r.TornOffset
-		v.Reason = "the segment ends in bytes that were never acknowledged"
+		v.Reason = "segment ends in bytes that were never acknowledged"
 	}
 	return v, nil
 }
