--- a/internal/ledger/simdisk/file.go
+++ b/internal/ledger/simdisk/file.go
@@ -30,7 +30,7 @@
 	return n, nil
 }
 
-// usedBytes is how many bytes all files take; the caller holds mu.
+// usedBytes returns the total size of all files. The caller holds mu.
 func (d *FS) usedBytes() (n int64) {
 	for _, node := range d.names {
 		n += int64(len(node.cached))
@@ -55,7 +55,7 @@
 		n /= 2
 	}
 	if err != nil && fault == FaultNone {
-		return 0, err // the power was lost before
+		return 0, err // the power was lost before this operation
 	}
 	data := slices.Clone(p[:n])
 	f.node.cached = overwriteAt(f.node.cached, off, data)
@@ -63,7 +63,7 @@
 	return n, err
 }
 
-// overwriteAt copies data to an offset of a content, which grows where necessary.
+// overwriteAt copies data to an offset of b, which it extends if necessary, and returns the result.
 func overwriteAt(b []byte, off int64, data []byte) []byte {
 	if need := off + int64(len(data)); need > int64(len(b)) {
 		b = append(b, make([]byte, need-int64(len(b)))...)
@@ -84,7 +84,7 @@
 	return err
 }
 
-// resize cuts a content off, or extends it by zeros.
+// resize returns b truncated or extended with zeros to the given size.
 func resize(b []byte, size int64) []byte {
 	if size <= int64(len(b)) {
 		return slices.Clone(b[:size])
@@ -106,7 +106,8 @@
 	defer f.fs.mu.Unlock()
 	fault, err := f.fs.startOperation(OpSync, f.name)
 	if fault == FaultIO || fault == FaultNoSpace {
-		// As on Linux the pages are now clean: the cache has them, the disk some of them, and the next flush succeeds.
+		// As on Linux, a failed flush marks the pages as clean: they stay in the cache, only some of them reach the disk, and the
+		// next flush succeeds.
 		f.node.durable = f.fs.drawContent(f.node)
 		f.node.pending, f.node.writebackFailed = nil, true
 	}
@@ -115,7 +116,7 @@
 	}
 	if !f.node.writebackFailed {
 		f.node.durable = slices.Clone(f.node.cached)
-	} else { // only what was written since reaches the disk
+	} else { // only writes since the failed flush reach the disk
 		for _, w := range f.node.pending {
 			f.node.durable = apply(f.node.durable, w)
 		}
@@ -126,7 +127,7 @@
 
 func (f *file) Close() error { return nil }
 
-// apply returns a content after a write or truncation.
+// apply returns b after a write or truncation.
 func apply(b []byte, w pendingWrite) []byte {
 	if w.truncate {
 		return resize(b, w.offset)
--- a/internal/ledger/simdisk/power_loss.go
+++ b/internal/ledger/simdisk/power_loss.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// survival is what a power loss leaves of the pending writes of a file.
+// survival is which of the pending writes of a file survive a power loss.
 type survival int
 
 const (
@@ -15,24 +15,24 @@
 	survivePrefix
 	surviveAnySectors
 
-	survivals // how many there are
+	survivals // number of values
 )
 
-// drawContent draws what a power loss leaves of a file; the caller holds mu.
+// drawContent draws the content of a file after a power loss. The caller holds mu.
 func (d *FS) drawContent(n *inode) []byte {
 	b := slices.Clone(n.durable)
 	mode := survival(d.rng.IntN(int(survivals)))
-	stop := len(n.pending)
-	if mode == survivePrefix && stop > 0 {
-		stop = d.rng.IntN(stop + 1)
+	cutIndex := len(n.pending)
+	if mode == survivePrefix && cutIndex > 0 {
+		cutIndex = d.rng.IntN(cutIndex + 1)
 	}
 	for i, w := range n.pending {
 		switch {
 		case mode == surviveNone:
 			return b
-		case mode == surviveAll || mode == survivePrefix && i < stop:
+		case mode == surviveAll || mode == survivePrefix && i < cutIndex:
 			b = apply(b, w)
-		case mode == survivePrefix && i == stop && !w.truncate && len(w.data) > 0:
+		case mode == survivePrefix && i == cutIndex && !w.truncate && len(w.data) > 0:
 			return overwriteAt(b, w.offset, w.data[:d.tornLength(w)])
 		case mode == survivePrefix:
 			return b
@@ -47,7 +47,7 @@
 	return b
 }
 
-// writeSomeSectors draws which sectors of a write are there.
+// writeSomeSectors applies a random subset of the sectors of a write to b.
 func (d *FS) writeSomeSectors(b []byte, w pendingWrite) []byte {
 	for from := 0; from < len(w.data); {
 		to := min(len(w.data), from+SectorBytes-int((w.offset+int64(from))%SectorBytes))
@@ -59,7 +59,8 @@
 	return b
 }
 
-// tornLength draws how much of a write is there: up to the border of a sector, or to any byte, as a file's length may end.
+// tornLength draws how many bytes of a torn write survive: up to a sector boundary, or up to any byte, because a file may have
+// any length.
 func (d *FS) tornLength(w pendingWrite) int {
 	n := d.rng.IntN(len(w.data) + 1)
 	if d.rng.IntN(2) == 0 {
@@ -68,15 +69,15 @@
 	return max(n, 0)
 }
 
-// LosePower cuts the power, if that has not happened, and returns the disk as it is found afterwards. It may be called again for
-// another possible state after the same power loss.
+// LosePower cuts the power, unless it is already lost, and returns the disk in a state that is possible afterwards. It may be
+// called again, with another seed, to get another possible state after the same power loss.
 func (d *FS) LosePower(seed uint64) *FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.poweredOff = true
 	d.rng = rand.New(rand.NewPCG(seed, 2))
 	names := maps.Clone(d.durable)
-	for _, c := range d.changes { // in order, each done or not
+	for _, c := range d.changes { // in order; each of them is done or not
 		if d.rng.IntN(2) == 0 {
 			continue
 		}
@@ -106,7 +107,7 @@
 	return next
 }
 
-// KillProcess ends the process but not the machine, and returns the disk: what was written is there, flushed or not.
+// KillProcess simulates the end of the process without a power loss and returns the disk, which has all writes, flushed or not.
 func (d *FS) KillProcess() *FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,18 +117,18 @@
 	return next
 }
 
-// FlipBit flips one bit of a file, drawn by seed, in [from, to) of it, and returns its offset: silent corruption, which flushes
-// and power losses keep.
-func (d *FS) FlipBit(name string, from, to int, seed uint64) (at int) {
+// FlipBit flips one bit of a file, at an offset in [from, to) that is drawn by seed, and returns the offset. It simulates silent
+// corruption, which persists across flushes and power losses.
+func (d *FS) FlipBit(name string, from, to int, seed uint64) (offset int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	rng := rand.New(rand.NewPCG(seed, 5))
-	at = from + rng.IntN(to-from)
+	offset = from + rng.IntN(to-from)
 	bit := byte(1) << rng.IntN(8)
 	node := d.names[name]
-	node.cached[at] ^= bit
-	if at < len(node.durable) {
-		node.durable[at] ^= bit
+	node.cached[offset] ^= bit
+	if offset < len(node.durable) {
+		node.durable[offset] ^= bit
 	}
-	return at
+	return offset
 }
--- a/internal/ledger/simdisk/simdisk.go
+++ b/internal/ledger/simdisk/simdisk.go
@@ -1,7 +1,7 @@
-// Package simdisk simulates a disk that loses power, for tests. It keeps apart what was written, what was flushed and which
-// names of the folder are durable. After a power loss it yields any state that POSIX permits: writes since the last flush are
-// there, are not, or are there in part, sector by sector and in any order; changes of the folder since its last flush are
-// done or undone one by one. It also fails operations, by plan or by seed.
+// Package simdisk simulates a disk that loses power, for tests. It distinguishes written data, flushed data and durable names of
+// the folder. After a power loss it returns one of the states that POSIX permits: each write since the last flush of a file may
+// be complete, missing or partial, by sector and in any order, and each change of the folder since its last flush may be done
+// or undone independently. It can also make operations fail, by plan or by seed.
 package simdisk
 
 import (
@@ -17,16 +17,16 @@
 	"sloehitch/internal/ledger/disk"
 )
 
-// SectorBytes is how many bytes a disk writes atomically.
+// SectorBytes is the number of bytes that the disk writes atomically.
 const SectorBytes = 512
 
 // ErrPowerLoss is returned by every operation after a power loss.
-var ErrPowerLoss = errors.New("the power is cut")
+var ErrPowerLoss = errors.New("simulated disk has lost power")
 
-// Op names an operation that changes something.
+// Op is the kind of an operation that changes the disk.
 type Op string
 
-// The operations.
+// Operations that change the disk.
 const (
 	OpCreate   Op = "create"
 	OpWrite    Op = "write"
@@ -37,31 +37,31 @@
 	OpSyncDir  Op = "syncdir"
 )
 
-// Fault is what goes wrong with one operation.
+// Fault is how an operation fails.
 type Fault int
 
-// The faults.
+// Faults of an operation.
 const (
 	FaultNone       Fault = iota
 	FaultPowerLoss        // the power is lost during the operation
-	FaultIO               // EIO, and nothing is done; a flush that fails loses what it should have flushed, as on Linux
-	FaultNoSpace          // no space left, and nothing is done
-	FaultShortWrite       // half of a write is done, then ENOSPC
+	FaultIO               // EIO without any effect, except that a failed flush loses the data to be flushed, as on Linux
+	FaultNoSpace          // ENOSPC without any effect
+	FaultShortWrite       // ENOSPC after half of the data was written
 )
 
-// pendingWrite is a write to a file, or a truncation, since its last flush.
+// pendingWrite is a write to a file or a truncation of it since its last flush.
 type pendingWrite struct {
 	offset   int64
 	data     []byte
-	truncate bool // to offset
+	truncate bool // truncation to offset
 }
 
-// inode is a file apart from its names.
+// inode is the content of a file, independent of its names.
 type inode struct {
-	cached          []byte // what a reader sees
-	durable         []byte // what a power loss leaves for certain
+	cached          []byte // content that reads return
+	durable         []byte // content that certainly survives a power loss
 	pending         []pendingWrite
-	writebackFailed bool // a flush failed: the content is in the cache only, and later flushes claim success
+	writebackFailed bool // a flush failed: the lost data is only in the cache, and later flushes report success
 }
 
 // pendingChange is a change of the folder since its last flush.
@@ -71,7 +71,7 @@
 	node     *inode
 }
 
-// FS is a folder on a simulated disk. Its methods may be called from any goroutine; its fields are set before.
+// FS is a folder on a simulated disk. Its methods may be called from any goroutine. Its exported fields must be set before.
 type FS struct {
 	mu         sync.Mutex
 	names      map[string]*inode
@@ -81,22 +81,23 @@
 	poweredOff bool
 	rng        *rand.Rand
 
-	// InjectFault is called before each operation that changes something; n counts them from 1. nil: no faults.
+	// InjectFault is called before each operation that changes the disk and returns its fault. n numbers the operations from 1.
+	// nil: no faults.
 	InjectFault    func(n int, op Op, name string) Fault
-	OperationCount int // operations so far that change something
+	OperationCount int // number of operations so far that change the disk
 	OperationLog   []string
-	LogOperations  bool  // keep OperationLog
+	LogOperations  bool  // append each operation to OperationLog
 	CapacityBytes  int64 // 0: unlimited
 }
 
-// New returns an empty folder. The seed decides what a failed flush leaves.
+// New returns an empty folder. The seed determines which data survives a failed flush.
 func New(seed uint64) *FS {
 	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, locked: new(bool), rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 func (d *FS) String() string { return "simulated disk" }
 
-// startOperation counts an operation and returns its fault; the caller holds mu.
+// startOperation counts an operation and returns its fault and error. The caller holds mu.
 func (d *FS) startOperation(op Op, name string) (Fault, error) {
 	if d.poweredOff {
 		return FaultNone, ErrPowerLoss
@@ -121,7 +122,7 @@
 	return f, nil
 }
 
-// Create creates an empty file for reading and writing, and replaces one of that name.
+// Create creates an empty file for reading and writing. It replaces an existing file of that name.
 func (d *FS) Create(name string) (disk.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,7 +159,7 @@
 	return &file{d, node, name}, nil
 }
 
-// Rename renames a file, and replaces one of the new name.
+// Rename renames a file. It replaces an existing file of the new name.
 func (d *FS) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,7 +177,7 @@
 	return err
 }
 
-// Remove removes a name.
+// Remove removes the name of a file.
 func (d *FS) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,7 +203,7 @@
 	return slices.Sorted(maps.Keys(d.names)), nil
 }
 
-// SyncDir makes created, renamed and removed names durable.
+// SyncDir makes all previous creations, renames and removals durable.
 func (d *FS) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -219,14 +220,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if *d.locked {
-		return nil, fmt.Errorf("%w: held by this test", disk.ErrLocked)
+		return nil, fmt.Errorf("%w: locked by this test", disk.ErrLocked)
 	}
 	held := d.locked
 	*held = true
 	return func() error { d.mu.Lock(); defer d.mu.Unlock(); *held = false; return nil }, nil
 }
 
-// Files returns a copy of the contents of all files.
+// Files returns a copy of the content of each file by name.
 func (d *FS) Files() map[string][]byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -237,7 +238,7 @@
 	return m
 }
 
-// FromFiles returns a disk with copies of these files, all durable.
+// FromFiles returns a disk with durable copies of the given files.
 func FromFiles(files map[string][]byte) *FS {
 	d := New(0)
 	for name, b := range files {
