--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -206,7 +206,7 @@
 					b.Fatal(err)
 				}
 				if s.Stats().Keys != n {
-					b.Fatalf("%d keys", s.Stats().Keys)
+					b.Fatalf("recovered %d keys", s.Stats().Keys)
 				}
 				b.StopTimer()
 				s.Close()
--- a/internal/ledger/compact_test.go
+++ b/internal/ledger/compact_test.go
@@ -43,16 +43,16 @@
 	newer := s.sealed[len(s.sealed)-1].number
 	got, err := s.compact([]uint64{newer}, false)
 	if err != nil || got.TombstonesWritten != 2 {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("compaction of the newer segment: %+v, %v; want 2 tombstones written", got, err)
 	}
 	want := map[string]string{"kept": "old"}
 	s.Close()
 	s = mustOpen(t, fs, o)
 	if got := allPairs(t, s); !maps.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("content after a restart %v, want %v", got, want)
 	}
 	if got, err := s.Compact(); err != nil || got.TombstonesWritten != 0 || got.RecordsKept != 1 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("full compaction: %+v, %v; want 1 record kept and no tombstone", got, err)
 	}
 }
 
@@ -70,7 +70,7 @@
 		}
 		mustPut(t, s, "k", "new")
 		if c, err := s.compact([]uint64{s.sealed[0].number}, false); err != nil || c.RecordsDropped != 1 {
-			t.Fatalf("%+v, %v", c, err)
+			t.Fatalf("compaction of the old value: %+v, %v; want 1 record dropped", c, err)
 		}
 		s2 := mustOpen(t, fs.LosePower(state), o)
 		if got := allPairs(t, s2); got["k"] == "" {
@@ -103,10 +103,10 @@
 	}
 	st := s.Stats()
 	if st.GarbageBytes != 0 || st.ColdSegments == 0 || st.DiskBytes >= before.DiskBytes/4 || c.RecordsKept != 30 {
-		t.Errorf("%+v\n%v", c, st)
+		t.Errorf("full compaction: %+v\nstatistics:\n%v", c, st)
 	}
 	if got := allPairs(t, s); !maps.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("content after a compaction %v, want %v", got, want)
 	}
 	s.Close()
 	s = mustOpen(t, fs, testOptions())
--- a/internal/ledger/crash_test.go
+++ b/internal/ledger/crash_test.go
@@ -95,7 +95,7 @@
 		survivor := fs.LosePower(state)
 		s2, err := Open(survivor, o)
 		if err != nil {
-			t.Fatalf("state %d: %v", state, err)
+			t.Fatalf("state %d: Open after a power loss: %v", state, err)
 		}
 		got, found := allPairs(t, s2), -1
 		for i, st := range states {
--- a/internal/ledger/damage_test.go
+++ b/internal/ledger/damage_test.go
@@ -234,7 +234,7 @@
 		var v format.VersionError
 		var d *DamageError
 		if !errors.As(err, &v) || errors.As(err, &d) || !strings.Contains(err.Error(), "version 2") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Open with a later version of %s: error %v, want a VersionError", name, err)
 		}
 		if _, err := Repair(simdisk.FromFiles(files), simdisk.New(1), testOptions()); name == manifestName && !errors.As(err, &v) {
 			t.Errorf("repair of a later format version: error %v, want a VersionError", err)
--- a/internal/ledger/fault_test.go
+++ b/internal/ledger/fault_test.go
@@ -47,7 +47,7 @@
 			case errors.Is(err, ErrBroken):
 				h.next = unknown
 			case err != nil && !errors.Is(err, ErrNotWritten):
-				t.Fatalf("seed %d: %v", seed, err)
+				t.Fatalf("seed %d: apply: %v", seed, err)
 			}
 			if s.Err() != nil && !errors.Is(s.Put([]byte("x"), nil, time.Time{}), ErrBroken) {
 				t.Fatalf("seed %d: a broken store accepts writes", seed)
@@ -68,7 +68,7 @@
 			restarted := killed.KillProcess()
 			s, err := Open(restarted, testOptions())
 			if err != nil {
-				t.Fatalf("seed %d: %v", seed, err)
+				t.Fatalf("seed %d: Open after a restart: %v", seed, err)
 			}
 			got := allPairs(t, s)
 			if !h.matches(got) {
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -85,7 +85,7 @@
 	t.Helper()
 	s, err := Open(fs, testOptions())
 	if err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: Open: %v", what, err)
 	}
 	got := allPairs(t, s)
 	if !h.matches(got) {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -139,7 +139,7 @@
 		t.Errorf("%d keys after a restart, want %d", len(got), len(want))
 	}
 	if r := s.Recovery(); r.TornBytes != 0 || r.Keys != len(want) || r.Fresh {
-		t.Errorf("recovery %+v", r)
+		t.Errorf("recovery after a clean restart: %+v", r)
 	}
 }
 
@@ -167,7 +167,7 @@
 		t.Errorf("Scan of the snapshot: %v, %v; want %v", got, err, want)
 	}
 	if v, err := n.Get([]byte("k3")); err != nil || string(v) != want["k3"] {
-		t.Errorf("k3: %q, %v", v, err)
+		t.Errorf("Get of k3 from the snapshot: %q, %v", v, err)
 	}
 	n.Close()
 	if len(allPairs(t, s)) != 0 || s.Stats().Keys != 0 {
@@ -191,7 +191,7 @@
 		t.Fatal(err)
 	}
 	if got := allPairs(t, s); !maps.Equal(got, map[string]string{"a": "2"}) {
-		t.Errorf("%v", got)
+		t.Errorf("content after a batch: %v", got)
 	}
 	o := testOptions()
 	o.Limits.IndexBytes = 3 * indexCost(1)
@@ -214,7 +214,7 @@
 	}
 	mustPut(t, s, "d", "1") // takes the memory of the deleted key
 	if got := allPairs(t, s); !maps.Equal(got, map[string]string{"a": "2", "c": "1", "d": "1"}) {
-		t.Errorf("%v", got)
+		t.Errorf("content after a rejected batch: %v", got)
 	}
 }
 
@@ -247,7 +247,7 @@
 	check := func(when string) {
 		t.Helper()
 		if got := allPairs(t, s); !maps.Equal(got, map[string]string{"b": "long"}) {
-			t.Errorf("%s: %v", when, got)
+			t.Errorf("%s: content %v", when, got)
 		}
 		if s.Has([]byte("a")) {
 			t.Errorf("%s: the expired key a exists", when)
@@ -330,7 +330,7 @@
 		}
 	}
 	if got := allPairs(t, s); got["k"] != "9" {
-		t.Errorf("%v", got)
+		t.Errorf("content after the last callback: %v", got)
 	}
 	s.writer.mu.Lock()
 	s.writer.queuedBytes = s.opts.Limits.QueueBytes // as if a flush took a long time
--- a/internal/ledger/repair.go
+++ b/internal/ledger/repair.go
@@ -144,7 +144,7 @@
 		return nil, fmt.Errorf("%s: %w", manifestName, err)
 	}
 	v.Lost = append(v.Lost, Loss{manifestName, offset, 0, err.Error()})
-	v.Warnings = append(v.Warnings, "the manifest could not be read, so all segments in the folder were read: deleted keys may reappear from segments that were already replaced")
+	v.Warnings = append(v.Warnings, "manifest unreadable, so all segments were read: deleted keys may reappear from replaced segments")
 	names, err := fs.List()
 	if err != nil {
 		return nil, err
@@ -222,7 +222,7 @@
 		}
 		for _, f := range batch {
 			if skip {
-				v.Lost = append(v.Lost, Loss{g.name, int64(f.location.offset), int64(f.location.size), "record may belong to an incomplete batch"})
+				v.Lost = append(v.Lost, Loss{g.name, int64(f.location.offset), int64(f.location.size), "batch may be incomplete"})
 				continue
 			}
 			v.Records++
