--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -187,7 +187,7 @@
 // acknowledges entries before they are durable.
 func TestDetectsEarlyAcknowledgement(t *testing.T) {
 	delayedFlush := options
-	delayedFlush.Flush = time.Hour
+	delayedFlush.FlushInterval = time.Hour
 	for seed := range uint64(20) {
 		if simulatePowerLoss(t, seed, delayedFlush) != "" {
 			t.Logf("acknowledged before durable: detected by seed %d", seed)
