--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// requestMemoryKB is the memory that each request is said to take.
+// requestMemoryKB is the memory that each attempt declares.
 const requestMemoryKB = 20
 
 // scheduleArrival schedules the next request: a Poisson process whose rate follows burstFactor, made by thinning (Lewis
@@ -28,7 +28,7 @@
 	})
 }
 
-// burstFactor is the arrival rate at a time over the mean rate.
+// burstFactor returns the arrival rate at a time since the start, relative to the mean rate.
 func (s *simulation) burstFactor(since time.Duration) float64 {
 	if s.BurstAmplitude == 0 {
 		return 1
@@ -39,7 +39,7 @@
 	return 1 - s.BurstAmplitude
 }
 
-// startRequest has a client make a request, and sends its first attempt.
+// startRequest creates a request and sends its first attempt.
 func (s *simulation) startRequest(sizes, hints *rand.Rand) {
 	s.accountInSystem()
 	s.inSystem++
@@ -54,16 +54,16 @@
 		r.result = &s.result.Classes[r.template.Class]
 		r.result.Offered++
 	} else {
-		r.result = &ClassResult{Latency: hdrhistogram.New(1, maxLatencyMicros, 1)} // counted nowhere
+		r.result = &ClassResult{Latency: hdrhistogram.New(1, maxLatencyMicros, 1)} // discarded: the request arrived during the warm-up
 	}
-	// A response may come as late as the grace allows, and has to cross the network.
+	// A valid response arrives at the latest one response grace after the deadline, plus the network delays.
 	r.timeout = s.clock.AfterFunc(r.class.ClientTimeout+responseGrace+2*s.NetworkDelay+time.Millisecond, r.giveUp)
 	r.emitArrival()
 	r.balancer.retryTokens = min(maxRetryTokens, r.balancer.retryTokens+s.RetryBudget)
 	r.send()
 }
 
-// newAttempt draws a request's class, work, work hint and tenant.
+// newAttempt draws a request's class, work, work hint and tenant, and returns the template of its attempts.
 func (s *simulation) newAttempt(r *request, sizes, hints *rand.Rand) Attempt {
 	class := drawIndex(sizes, len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
 	r.class = &s.Classes[class]
@@ -90,13 +90,13 @@
 	}
 	tenant := ""
 	if r.template.Tenant >= 0 {
-		tenant = ", of " + r.Tenants[r.template.Tenant].Name
+		tenant = ", tenant " + r.Tenants[r.template.Tenant].Name
 	}
 	r.emit(r.template.ID, "", "", EventArrived,
-		fmt.Sprintf("%s%s, %.1f ms of work, by balancer %d", r.class.Name, tenant, r.template.Work*1000, r.balancer.number))
+		fmt.Sprintf("%s%s, %.1f ms of work, through balancer %d", r.class.Name, tenant, r.template.Work*1000, r.balancer.number))
 }
 
-// drawTenant draws the index of a request's tenant; -1: the world has none.
+// drawTenant draws the index of a request's tenant. It returns -1 if the world has no tenants.
 func (s *simulation) drawTenant(r *rand.Rand) int {
 	if len(s.Tenants) == 0 {
 		return -1
--- a/internal/emulator/balancer.go
+++ b/internal/emulator/balancer.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// balancer is one caller of the nodes. Each request belongs to one.
+// balancer is one of the callers' load balancers. Each request goes through one of them.
 type balancer struct {
 	number           int
 	nextIndex        int   // of RoundRobin
 	inFlight         []int // attempts, by node
 	random           *rand.Rand
 	retryTokens      float64
-	honorsRetryAfter bool        // keeps away from nodes that said Retry-After
+	honorsRetryAfter bool        // sends nothing to a node until its Retry-After has passed
 	avoidUntil       []time.Time // by node
 }
 
-// avoid keeps a balancer that honors Retry-After away from a node.
+// avoid excludes a node until the given time if the balancer honors Retry-After.
 func (b *balancer) avoid(node int, until time.Time) {
 	if b.honorsRetryAfter && until.After(b.avoidUntil[node]) {
 		b.avoidUntil[node] = until
 	}
 }
 
-// mayUse says whether a balancer may send to a node now.
+// mayUse reports whether the balancer may send to a node now.
 func (b *balancer) mayUse(node int, now time.Time) bool { return !now.Before(b.avoidUntil[node]) }
 
-// pickNode picks the index of the node for the next attempt: another than that of the last attempt, where there is
-// one. -1: there is none.
+// pickNode returns the index of the node for the next attempt. It prefers any other node to that of the last attempt,
+// and returns -1 if no node can be used.
 func (r *request) pickNode() int {
 	b := r.balancer
 	candidates := r.candidates[:0]
@@ -47,7 +47,7 @@
 	return b.pick(r.Balancing, candidates)
 }
 
-// pick picks one of the candidates, of which there is at least one.
+// pick returns one of the candidates. There must be at least one.
 func (b *balancer) pick(method BalancingMethod, candidates []int) int {
 	switch method {
 	case LeastRequests:
@@ -65,8 +65,8 @@
 	return candidates[b.nextIndex%len(candidates)]
 }
 
-// leastRequests picks the candidate with the fewest attempts in flight. The search starts at random, so that ties are
-// spread evenly.
+// leastRequests returns the candidate with the fewest attempts in flight. The search starts at a random candidate, so
+// that ties are spread evenly.
 func (b *balancer) leastRequests(candidates []int) int {
 	best, fewest := -1, math.MaxInt
 	start := b.random.IntN(len(candidates))
--- a/internal/emulator/codel.go
+++ b/internal/emulator/codel.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// codel is controlled delay (RFC 8289, section 5) for queued requests. Once every request has waited longer than a
-// target for an interval, it drops one, and then drops at intervals that shrink with the square root of the number of
-// drops, until one has waited less than the target.
+// codel applies controlled delay (RFC 8289, section 5) to queued requests. Once all requests of an interval have waited
+// longer than the target, it drops one. It then drops further ones at intervals that shrink with the square root of the
+// number of drops, until a request has waited less than the target.
 type codel struct {
-	droppingFrom time.Time // when the wait will have been above the target for an interval; zero: it is below
+	droppingFrom time.Time // when the wait will have been above the target for an interval; zero: the wait is below the target
 	dropping     bool
 	nextDrop     time.Time
 	drops        int
@@ -19,11 +19,11 @@
 	codelInterval = 100 * time.Millisecond // the RFC's default
 	codelTarget   = codelInterval / 20     // the RFC's ratio of 5%
 
-	// Dropping that starts again within so many intervals goes on near its last rate.
+	// Dropping that restarts within this many intervals resumes near its last rate.
 	codelMemoryIntervals = 8
 )
 
-// drop says whether to drop a request that has waited so long.
+// drop reports whether to drop a request that has waited for the given time.
 func (c *codel) drop(q *limitedQueue, waited time.Duration) bool {
 	now := q.environment.Clock.Now()
 	if waited < codelTarget {
--- a/internal/emulator/daemon_run.go
+++ b/internal/emulator/daemon_run.go
@@ -11,22 +11,22 @@
 
 // daemonRun is the run of one request that the node has started.
 type daemonRun struct {
-	work          *Work // that is or was on the machine
+	work          *Work // the run's current or last piece of work on the machine
 	startedAt     time.Time
-	remainingWork float64 // after the call; 0: there is no call, or it has been made
+	remainingWork float64 // to do after the call; 0: the run makes no call, or the call has ended
 	call          *dependencyCall
 	callTimeout   clock.Timer
-	atCall        bool // it waits for its call
-	abandoned     bool // its attempt is answered or canceled
+	awaitingCall  bool // the run waits for its call
+	abandoned     bool // its attempt has been answered or canceled
 }
 
-// daemonRunner runs one attempt on the machine, in the place of a runtime.
+// daemonRunner runs one attempt on the simulated machine in place of a runtime.
 type daemonRunner struct {
 	*daemonServer
 	attempt *Attempt
 }
 
-// Start starts a run.
+// Start starts the run of the attempt.
 func (r daemonRunner) Start(id, _ string, _ []byte, _ bool) {
 	run := &daemonRun{startedAt: r.environment.Clock.Now()}
 	r.runs[id] = run
@@ -37,7 +37,7 @@
 	}
 	run.remainingWork = r.attempt.Work / 2
 	run.work = r.environment.Machine.Add(r.attempt.Work/2, func() {
-		run.atCall = true
+		run.awaitingCall = true
 		if run.abandoned {
 			r.abandon(id)
 			return
@@ -47,7 +47,7 @@
 	})
 }
 
-// Stop cancels a run. One that waits for its call ends by abandon.
+// Stop cancels a run that is on the machine. A run that waits for its call is ended by abandon instead.
 func (r daemonRunner) Stop(id string) {
 	run := r.runs[id]
 	if run == nil || run.work.index == heap.Out {
@@ -57,7 +57,7 @@
 	r.endCanceled(id, run)
 }
 
-// Resume does nothing: runs are not paused.
+// Resume does nothing, because simulated runs are not paused.
 func (r daemonRunner) Resume(string) {}
 
 // DeliverReply resumes a run that waits for its call.
@@ -66,14 +66,15 @@
 // SkipCall resumes a run that waits for its call.
 func (r daemonRunner) SkipCall(id string, _ uint64) { r.resume(id) }
 
-// abandon marks a run whose attempt is answered or canceled. It ends at its call, now or when it gets there.
+// abandon marks a run whose attempt has been answered or canceled. The run ends at once if it waits for its call, and
+// otherwise when it reaches the call.
 func (d *daemonServer) abandon(id string) {
 	run := d.runs[id]
 	if run == nil {
 		return
 	}
 	run.abandoned = true
-	if run.atCall {
+	if run.awaitingCall {
 		d.endCanceled(id, run)
 	}
 }
@@ -90,21 +91,22 @@
 	d.node.RunEnded(id, logic.OutcomeOK, d.environment.Clock.Now().Sub(run.startedAt), nil)
 }
 
-// resume does the rest of a run's work after its call.
+// resume starts the work that a run does after its call.
 func (d *daemonServer) resume(id string) {
 	run := d.runs[id]
 	if run == nil || run.remainingWork <= 0 {
 		return
 	}
 	remaining := run.remainingWork
-	run.remainingWork, run.atCall = 0, false
+	run.remainingWork, run.awaitingCall = 0, false
 	d.environment.Clock.AfterFunc(0, func() { run.work = d.environment.Machine.Add(remaining, func() { d.finish(id, run) }) })
 }
 
-// dependencyCaller makes the node's calls to the simulated dependency.
+// dependencyCaller makes the node's calls to the simulated dependency. It is the node's client of the dependency.
 type dependencyCaller struct{ *daemonServer }
 
-// Call makes a call for a run; done gets its outcome, or that it took longer than timeout.
+// Call makes a call for a run. It passes the outcome to done, which is logic.OutcomeTimedOut if the call takes longer
+// than timeout.
 func (c dependencyCaller) Call(id string, timeout time.Duration, _ []byte, _ bool, done func(outcome admission.Outcome, took time.Duration, reply []byte)) {
 	run := c.runs[id]
 	if run == nil {
--- a/internal/emulator/daemon_server.go
+++ b/internal/emulator/daemon_server.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// daemonServer is policy "sloehitch": the daemon's own node and admission controller on the virtual clock. The node
-// must not be called from within its own callbacks, so that what follows from them is scheduled with a delay of 0.
+// daemonServer implements policy "sloehitch": the daemon's own node and admission controller on the virtual clock. The
+// node must not be called from within its own callbacks, so reactions to them are scheduled with a delay of 0.
 type daemonServer struct {
 	environment Environment
 	node        *node.Node
@@ -22,7 +22,7 @@
 	lastCallID  int
 }
 
-// The caps that a simulated daemon derives its limits from.
+// The memory and socket caps from which a simulated daemon derives its limits.
 const (
 	daemonMemoryMB = 192
 	daemonSockets  = 1024
@@ -46,14 +46,14 @@
 	return d
 }
 
-// reportGauges answers the admission controller's request for gauges from the machine.
+// reportGauges reports the simulated machine's gauges to the admission controller, which requested them.
 func (d *daemonServer) reportGauges() {
 	running := float64(d.environment.Machine.Running())
 	d.admission.ReportGauges(admission.Gauges{RunQueueLength: running, CPUUtilization: min(1, running/float64(d.environment.Settings.Cores)),
 		MemoryUtilization: -1, Connections: -1})
 }
 
-// scheduleSweep has the node drop expired state periodically.
+// scheduleSweep makes the node remove expired state periodically.
 func (d *daemonServer) scheduleSweep(interval time.Duration) {
 	d.environment.Clock.AfterFunc(interval, func() {
 		d.node.Sweep()
--- a/internal/emulator/dependency.go
+++ b/internal/emulator/dependency.go
@@ -15,24 +15,25 @@
 	MaxQueued   int          // calls that may wait for a slot; further ones are rejected
 }
 
-// sharedDependency is a dependency while a world runs. It serves calls in order of arrival.
+// sharedDependency is the state of the dependency in a running world. It serves calls in order of arrival.
 type sharedDependency struct {
 	Dependency
 	clock     *clock.Virtual
 	random    *rand.Rand
-	speed     float64 // 1 without a fault, lower with one
+	speed     float64 // 1, or the factor of a fault while it lasts
 	busySlots int
 	queue     []*dependencyCall
 }
 
-// dependencyCall is one call.
+// dependencyCall is one call to the dependency.
 type dependencyCall struct {
 	startedAt time.Time
 	done      func(outcome logic.Outcome, took time.Duration)
-	finished  bool // or canceled: one that is in service then keeps its slot, as the service isn't notified
+	finished  bool // or canceled; a canceled call in service keeps its slot, because the service isn't notified
 }
 
-// call makes a call; done gets its outcome unless cancel comes first. done is not called before call returns.
+// call makes a call and passes its outcome to done, unless the call is canceled first. done is not called before call
+// returns.
 func (d *sharedDependency) call(done func(outcome logic.Outcome, took time.Duration)) *dependencyCall {
 	c := &dependencyCall{startedAt: d.clock.Now(), done: done}
 	switch {
@@ -56,7 +57,7 @@
 	})
 }
 
-// startNext starts queued calls while there are free slots.
+// startNext starts queued calls while slots are free.
 func (d *sharedDependency) startNext() {
 	for d.busySlots < d.Slots && len(d.queue) > 0 {
 		next := d.queue[0]
@@ -74,5 +75,5 @@
 	}
 }
 
-// cancel gives a call up: its done is not called.
+// cancel abandons a call, whose done is then not called.
 func (d *sharedDependency) cancel(c *dependencyCall) { c.finished = true }
--- a/internal/emulator/dependency_test.go
+++ b/internal/emulator/dependency_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestDependency: below the dependency's capacity its calls add their service time and no more; while it is slow or too small,
-// requests that can't meet their deadline are rejected or fail, no invariant is violated, and goodput recovers soon after.
-func TestDependency(t *testing.T) {
+// TestGoodputWithSlowOrSaturatedDependency: below the dependency's capacity calls add only their service time. While the
+// dependency is slow or has too few slots, requests that can't meet their deadline are rejected or fail without a violated
+// invariant, and goodput recovers soon afterwards.
+func TestGoodputWithSlowOrSaturatedDependency(t *testing.T) {
 	run := func(policy string, slots int, faults ...Fault) (*Result, float64) {
 		t.Helper()
 		w := smallFleet(4, 0.6, policy)
@@ -22,28 +23,28 @@
 		}
 		for _, c := range r.Classes {
 			if sum := c.WithinObjective + c.Late + c.Rejected + c.Failed + c.TimedOut; sum != c.Offered {
-				t.Errorf("%s, %d slots: %d offered, %d ended", policy, slots, c.Offered, sum)
+				t.Errorf("policy %s, %d slots: %d requests offered, %d ended", policy, slots, c.Offered, sum)
 			}
 		}
-		for _, b := range r.Violations {
+		for _, v := range r.Violations {
 			if policy == "sloehitch" {
-				t.Fatalf("%s, %d slots: %v", policy, slots, b)
+				t.Fatalf("policy %s, %d slots: %v", policy, slots, v)
 			}
 		}
 		return r, r.Goodput(&w)
 	}
-	// 238 calls a second of 30 ms want 7.2 slots.
-	ample, all := run("sloehitch", 60)
-	if all < 0.98 || ample.Classes[0].Latency.Mean() < 80_000 {
-		t.Errorf("ample: goodput %.3f, searches take %.0f us", all, ample.Classes[0].Latency.Mean())
+	// 238 calls a second of 30 ms occupy 7.2 slots.
+	ample, ampleGoodput := run("sloehitch", 60)
+	if ampleGoodput < 0.98 || ample.Classes[0].Latency.Mean() < 80_000 {
+		t.Errorf("60 slots: goodput %.3f, mean latency of searches %.0f us", ampleGoodput, ample.Classes[0].Latency.Mean())
 	}
-	if _, plain := run("none", 60); plain < 0.98 {
-		t.Errorf("ample, without a limit: goodput %.3f", plain)
+	if _, goodput := run("none", 60); goodput < 0.98 {
+		t.Errorf("60 slots, policy none: goodput %.3f", goodput)
 	}
-	if _, few := run("sloehitch", 4); few < 0.3 || few > 0.8 {
-		t.Errorf("half of the slots that are wanted: goodput %.3f", few)
+	if _, goodput := run("sloehitch", 4); goodput < 0.3 || goodput > 0.8 {
+		t.Errorf("4 slots, about half of those needed: goodput %.3f", goodput)
 	}
-	if _, slow := run("sloehitch", 60, Fault{At: 6 * time.Second, Kind: FaultSlowDependency, Duration: 4 * time.Second, Factor: 0.05}); slow < 0.7 || slow >= all {
-		t.Errorf("slow for 4 of 18 s: goodput %.3f", slow)
+	if _, goodput := run("sloehitch", 60, Fault{At: 6 * time.Second, Kind: FaultSlowDependency, Duration: 4 * time.Second, Factor: 0.05}); goodput < 0.7 || goodput >= ampleGoodput {
+		t.Errorf("dependency slow for 4 of 18 s: goodput %.3f", goodput)
 	}
 }
--- a/internal/emulator/deployments_test.go
+++ b/internal/emulator/deployments_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// randomDeployment draws machines, classes, callers and load by seed.
+// randomDeployment draws machines, classes, callers and load from a seed.
 func randomDeployment(seed uint64) World {
 	r := rand.New(rand.NewPCG(seed, 24))
 	between := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
@@ -34,13 +34,13 @@
 	return w
 }
 
-// TestDrawnDeployments: on random deployments the invariants hold, and goodput is not below that of a fixed concurrency limit:
-// by at most `noise` on each of them, and not at all in the mean.
-func TestDrawnDeployments(t *testing.T) {
-	const noise = 0.06
-	worlds := uint64(15)
-	if *long {
-		worlds = 60
+// TestRandomDeploymentsMatchFixedLimitGoodput: on random deployments the invariants hold. Goodput is at most `tolerance`
+// below that of a fixed concurrency limit on each deployment, and not below it on average.
+func TestRandomDeploymentsMatchFixedLimitGoodput(t *testing.T) {
+	const tolerance = 0.06
+	deployments := uint64(15)
+	if *longRuns {
+		deployments = 60
 	}
 	run := func(w World, policy string, parameter float64) float64 {
 		newServer, err := NewPolicy(policy, parameter)
@@ -57,20 +57,20 @@
 		}
 		return r.Goodput(&w)
 	}
-	gain := 0.0
-	for seed := range worlds {
+	meanGain := 0.0
+	for seed := range deployments {
 		w := randomDeployment(seed)
-		ours := run(w, "sloehitch", 0)
+		daemonGoodput := run(w, "sloehitch", 0)
 		for _, limit := range []float64{1, 3} {
-			plain := run(w, "fixed", limit)
-			gain += (ours - plain) / float64(worlds) / 2
-			if ours < plain-noise {
-				t.Errorf("seed %d: goodput %.3f, a plain limit of %v runs a core has %.3f: load %.2f, %d nodes of %d cores, reading %.2f", seed, ours, limit, plain, w.Load, w.Nodes, w.Cores, w.ReadCost)
+			fixedGoodput := run(w, "fixed", limit)
+			meanGain += (daemonGoodput - fixedGoodput) / float64(deployments) / 2
+			if daemonGoodput < fixedGoodput-tolerance {
+				t.Errorf("seed %d: goodput %.3f; with a fixed limit of %v runs for each core %.3f (load %.2f, %d nodes of %d cores, read cost %.2f)", seed, daemonGoodput, limit, fixedGoodput, w.Load, w.Nodes, w.Cores, w.ReadCost)
 			}
 		}
 	}
-	t.Logf("mean gain on plain limits %.3f", gain)
-	if gain < 0 {
-		t.Errorf("in the mean %.3f under plain limits", -gain)
+	t.Logf("mean gain in goodput over fixed limits %.3f", meanGain)
+	if meanGain < 0 {
+		t.Errorf("mean goodput %.3f below that of fixed limits", -meanGain)
 	}
 }
--- a/internal/emulator/experiment/bootstrap.go
+++ b/internal/emulator/experiment/bootstrap.go
@@ -15,11 +15,11 @@
 	High float64 `json:"high"`
 }
 
-// bootstrapResamples keeps an interval's ends steady to about a hundredth of its width.
+// bootstrapResamples is large enough that an interval's ends vary by only about a hundredth of its width.
 const bootstrapResamples = 2000
 
 // Bootstrap returns the mean of values with its percentile bootstrap interval (Efron and Tibshirani, An Introduction to
-// the Bootstrap, section 13.3). The same values always give the same interval; no values give a zero one.
+// the Bootstrap, section 13.3). The same values always give the same interval; without values it is zero.
 func Bootstrap(values []float64) Interval {
 	if len(values) == 0 {
 		return Interval{}
@@ -41,5 +41,5 @@
 	return fmt.Sprintf("%.3f [%.3f, %.3f]", i.Mean, i.Low, i.High)
 }
 
-// excludesZero says whether an interval of differences shows that there is one.
+// excludesZero reports whether an interval of differences is significant.
 func (i Interval) excludesZero() bool { return i.Low > 0 || i.High < 0 }
--- a/internal/emulator/experiment/chart.go
+++ b/internal/emulator/experiment/chart.go
@@ -46,7 +46,7 @@
 	return all
 }
 
-// drawChart draws one value of each arm against the load, and returns the chart as SVG and for other formats.
+// drawChart plots one value of each arm against the load. It returns the chart as SVG, and as a plot for other formats.
 func drawChart(cells []Cell, title, unit string, value func(Cell) Interval) (svg string, p *plot.Plot, err error) {
 	p = plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "offered load, of what all cores can do", unit
--- a/internal/emulator/experiment/compare.go
+++ b/internal/emulator/experiment/compare.go
@@ -10,8 +10,8 @@
 	"sloehitch/internal/emulator"
 )
 
-// Trace makes one run, of the arm and at the load given or of the first ones (empty, 0), and returns all steps of all its
-// requests. It returns an error where the experiment has no such arm and load.
+// Trace makes one run of the given arm and load and returns all steps of its requests. An empty arm or a load of 0 stands
+// for the first one. Trace returns an error if the experiment has no such arm and load.
 func (f *File) Trace(arm string, load float64, seed uint64) (steps []emulator.Step, err error) {
 	for _, j := range f.jobs() {
 		if arm != "" && j.arm.Name != arm || load != 0 && j.point.Load != load {
@@ -28,9 +28,9 @@
 	return nil, fmt.Errorf("the experiment has no arm %q at a load of %v", arm, load)
 }
 
-// Compare makes the runs of the daemon's policy twice at each point, under the same seeds: in the emulator, and by
-// runDaemons with real processes, one run after the other. It writes the rows, of arms "emulator" and "daemon", into dir.
-// onViolation is called for each invariant that the real ones violated, which a slow machine may be the cause of.
+// Compare runs the daemon's policy twice at each point and seed: in the emulator, and with real processes by runDaemons.
+// Runs are made one after the other. Compare writes the rows, of arms "emulator" and "daemon", into dir. It calls
+// onViolation for each invariant that the real processes violated, which a slow machine can cause.
 func (f *File) Compare(dir string, seeds int, runDaemons func(emulator.World) (*emulator.Result, error), onViolation func(*emulator.Violation)) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -57,7 +57,7 @@
 	return errors.Join(csv.NewWriter(out).WriteAll(records), out.Close())
 }
 
-// compareOne makes one run in the emulator and with real processes, and returns the rows of both.
+// compareOne makes a run in the emulator and one with real processes, and returns the rows of both.
 func (f *File) compareOne(j job, runDaemons func(emulator.World) (*emulator.Result, error), onViolation func(*emulator.Violation)) ([]Row, error) {
 	rows, err := f.simulate(j)
 	if err != nil {
--- a/internal/emulator/experiment/file.go
+++ b/internal/emulator/experiment/file.go
@@ -1,6 +1,6 @@
-// Package experiment runs experiments in the emulator: a file describes a world, arms that differ in policy and the values
-// to sweep, and every arm meets the same seeds. Results are kept as rows and reported with confidence intervals. The keys
-// of files are described in docs/operators/lab.md.
+// Package experiment runs experiments in the emulator. A file describes a world, arms that differ in policy, and the
+// values to sweep; every arm is run with the same seeds. Results are stored as rows and reported with confidence
+// intervals. The keys of files are described in docs/operators/lab.md.
 package experiment
 
 import (
@@ -18,7 +18,7 @@
 type File struct {
 	Name     string   `toml:"name"`
 	Question string   `toml:"what"`
-	Seeds    int      `toml:"seeds"`  // the seeds are 1 up to it
+	Seeds    int      `toml:"seeds"`  // the runs use seeds 1 to Seeds
 	Duration Duration `toml:"length"` // of arrivals
 	WarmUp   Duration `toml:"warmup"` // at the start; its requests are not counted
 
@@ -74,7 +74,7 @@
 	Share             float64  `toml:"share"`
 	Work              Duration `toml:"work"`
 	CV                float64  `toml:"cv"`
-	Distribution      string   `toml:"dist"` // lognormal (by default where there is a cv), exponential or fixed
+	Distribution      string   `toml:"dist"` // lognormal, exponential or fixed; empty: lognormal with a CV above 0, otherwise fixed
 	LatencyObjective  Duration `toml:"aim"`
 	ClientTimeout     Duration `toml:"deadline"`
 	PriorityWeight    float64  `toml:"worth"`
@@ -92,14 +92,14 @@
 	MaxQueued   int      `toml:"waiting"`
 }
 
-// Tenant is one customer.
+// Tenant is a customer that makes a share of the requests (see emulator.Tenant).
 type Tenant struct {
 	Name           string  `toml:"name"`
 	Share          float64 `toml:"share"`
 	QuotaPerSecond float64 `toml:"quota"` // requests a second, over all nodes
 }
 
-// Fault is something that happens to a node or to the dependency (see emulator.Fault).
+// Fault is a failure of a node or of the dependency (see emulator.Fault).
 type Fault struct {
 	At           Duration `toml:"at"`
 	Node         int      `toml:"node"`
@@ -109,7 +109,7 @@
 	RestartDelay Duration `toml:"return"`
 }
 
-// Release is another version that is rolled out, in the arms with a release strategy (see emulator.Release).
+// Release is the rollout of a new version in the arms with a release strategy (see emulator.Release).
 type Release struct {
 	At                  Duration `toml:"at"`
 	Zones               int      `toml:"zones"`
@@ -118,13 +118,13 @@
 	MinReady            Duration `toml:"settle"`
 	Soak                Duration `toml:"soak"`
 	RestartDuration     Duration `toml:"start"`
-	SpeedFactor         float64  `toml:"slow"`  // the new version's speed over the old one's
-	FailureShare        float64  `toml:"fails"` // of the new version's responses
+	SpeedFactor         float64  `toml:"slow"`  // the new version's speed relative to the old one's
+	FailureShare        float64  `toml:"fails"` // share of the new version's responses that fail
 }
 
-// Sweep holds the values that are combined, each with each. Where one is empty the value of the world or the callers holds.
+// Sweep holds the values of which all combinations are run. An empty list stands for the value of the world or the callers.
 type Sweep struct {
-	Load    []float64 `toml:"load"` // offered work over what all cores can do
+	Load    []float64 `toml:"load"` // offered work relative to the capacity of all cores
 	Nodes   []int     `toml:"nodes"`
 	Retries []int     `toml:"retries"`
 }
@@ -133,14 +133,14 @@
 type Arm struct {
 	Name                string  `toml:"name"`
 	Policy              string  `toml:"policy"`
-	Parameter           float64 `toml:"parameter"` // concurrency limit for each core, of the policies that have one
-	ReleaseStrategy     string  `toml:"roll"`      // agreed, unbounded or batch; empty: there is no release in this arm
-	ReleaseSpeedFactor  float64 `toml:"slow"`      // instead of the release's, where it is not 0
-	ReleaseFailureShare float64 `toml:"fails"`     // the same
+	Parameter           float64 `toml:"parameter"` // concurrency limit for each core, for policies that have one
+	ReleaseStrategy     string  `toml:"roll"`      // agreed, unbounded or batch; empty: no release in this arm
+	ReleaseSpeedFactor  float64 `toml:"slow"`      // replaces the release's if not 0
+	ReleaseFailureShare float64 `toml:"fails"`     // replaces the release's if not 0
 }
 
-// ReadFile reads an experiment file. The error is one line that names the file, the line where that is known, and what to
-// do.
+// ReadFile reads an experiment file. The error is one line that names the file, the line number if it is known, and the
+// remedy.
 func ReadFile(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return f, nil
 }
 
-// decodeError puts the line in front of a decoder's error.
+// decodeError prefixes a decoder's error with the line number.
 func decodeError(err error, text []byte) error {
 	var strict *toml.StrictMissingError
 	var bad *toml.DecodeError
@@ -175,7 +175,7 @@
 		return fmt.Errorf("%d: %w", duration.line(text), duration)
 	case errors.As(err, &strict) && len(strict.Errors) > 0:
 		row, _ := strict.Errors[0].Position()
-		return fmt.Errorf("%d: no key %q here: see docs/operators/lab.md for those there are", row, strings.Join(strict.Errors[0].Key(), "."))
+		return fmt.Errorf("%d: unknown key %q: see docs/operators/lab.md for the known keys", row, strings.Join(strict.Errors[0].Key(), "."))
 	case errors.As(err, &bad):
 		row, _ := bad.Position()
 		return fmt.Errorf("%d: %s", row, strings.TrimPrefix(bad.Error(), "toml: "))
@@ -186,7 +186,7 @@
 // maxSeeds bounds the seeds of an experiment.
 const maxSeeds = 10000
 
-// validate returns an error that names all that keeps an experiment from being run.
+// validate returns an error that names the reasons why the experiment can't be run, or nil.
 func (f *File) validate() error {
 	var errs []error
 	require := func(ok bool, format string, args ...any) {
@@ -194,14 +194,14 @@
 			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	require(f.Name != "" && !strings.ContainsAny(f.Name, "/\\, "), "name: a word without blanks, commas or slashes is wanted")
-	require(f.Seeds > 0 && f.Seeds <= maxSeeds, "seeds: 1 to 10000 are wanted, not %d", f.Seeds)
-	require(len(f.Sweep.Load) > 0, "sweep.load: at least one load is wanted, such as [0.9]")
-	require(len(f.Arms) > 0, "arm: at least one [[arm]] is wanted")
+	require(f.Name != "" && !strings.ContainsAny(f.Name, "/\\, "), "name: must not be empty or contain spaces, commas, slashes or backslashes")
+	require(f.Seeds > 0 && f.Seeds <= maxSeeds, "seeds: must be from 1 to 10000, not %d", f.Seeds)
+	require(len(f.Sweep.Load) > 0, "sweep.load: must hold at least one load, such as [0.9]")
+	require(len(f.Arms) > 0, "arm: there must be at least one [[arm]]")
 	names := map[string]bool{}
 	for i, a := range f.Arms {
-		require(a.Name != "" && !strings.ContainsAny(a.Name, ",\n"), "arm %d: a name without commas is wanted", i+1)
-		require(!names[a.Name], "arm %q: two of that name", a.Name)
+		require(a.Name != "" && !strings.ContainsAny(a.Name, ",\n"), "arm %d: name must not be empty or contain commas or line breaks", i+1)
+		require(!names[a.Name], "arm %q: name is used by two arms", a.Name)
 		names[a.Name] = true
 	}
 	if len(errs) > 0 {
@@ -210,7 +210,7 @@
 	return f.validateWorlds()
 }
 
-// validateWorlds returns the first error of a world that an arm meets at a point.
+// validateWorlds validates the world of each arm at each point and returns the first error.
 func (f *File) validateWorlds() error {
 	for _, p := range f.Points() {
 		for _, a := range f.Arms {
@@ -226,5 +226,5 @@
 	return nil
 }
 
-// Digest identifies the file's text: its SHA-256 in hexadecimal digits.
+// Digest returns the SHA-256 hash of the file's text in hexadecimal digits.
 func (f *File) Digest() string { return fmt.Sprintf("%x", sha256.Sum256(f.text)) }
--- a/internal/emulator/experiment/report.go
+++ b/internal/emulator/experiment/report.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// reportContent is what reportPage shows.
+// reportContent is the data of reportPage.
 type reportContent struct {
 	Name, What  string
 	Seeds       int
@@ -19,7 +19,7 @@
 var reportPage = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}pre{overflow-x:auto}svg{max-width:100%;height:auto}</style></head>
-<body><h1>{{.Name}}</h1><p>{{.What}}</p><p>{{.Seeds}} seeds; every arm meets the same. Intervals hold the mean with 95% (bootstrap over seeds).</p>
+<body><h1>{{.Name}}</h1><p>{{.What}}</p><p>{{.Seeds}} seeds, the same for every arm. Intervals are 95% confidence intervals of the mean (bootstrap over seeds).</p>
 <pre>{{.Table}}</pre>{{range .Charts}}{{.}}{{end}}<h2>The experiment</h2><pre>{{.Text}}</pre></body></html>
 `))
 
@@ -33,8 +33,8 @@
 	{"refused", "Refused", "share of requests", func(c Cell) Interval { return c.Rejected }},
 }
 
-// WriteReport writes summary.json, the charts (SVG and PNG) and report.html, a page without other files, into a folder of
-// results, and returns the table.
+// WriteReport writes summary.json, the charts (SVG and PNG) and report.html, a page that needs no other files, into a
+// folder of results. It returns the table of the report.
 func WriteReport(dir string) (table string, err error) {
 	f, err := ReadFile(filepath.Join(dir, experimentFile))
 	if err != nil {
@@ -78,7 +78,7 @@
 		if err := p.Save(chartWidth, chartHeight, filepath.Join(dir, c.file+".png")); err != nil {
 			return nil, err
 		}
-		charts = append(charts, template.HTML(svg[strings.Index(svg, "<svg"):])) // drawn by this package: no foreign markup
+		charts = append(charts, template.HTML(svg[strings.Index(svg, "<svg"):])) // drawn by this package, so the markup is trusted
 	}
 	return charts, nil
 }
--- a/internal/emulator/experiment/row.go
+++ b/internal/emulator/experiment/row.go
@@ -11,7 +11,7 @@
 	"sloehitch/internal/emulator"
 )
 
-// Row is what became of one class's requests in one run.
+// Row holds the outcomes of one class's requests in one run.
 type Row struct {
 	Arm   string
 	Point Point
@@ -26,18 +26,18 @@
 	MeanMS, P50MS, P99MS  float64 // latency of requests served
 	Utilization           float64 // of all cores, 0 to 1
 
-	// Of the run's release; all 0 without one.
+	// Outcome of the run's release; all 0 without a release.
 	NodesChanged   int     // nodes on the new version at the end
 	MaxUnavailable int     // most nodes that were out of service or in slow start at the same time
-	ReleaseSeconds float64 // until the release was complete or halted itself; 0: neither
-	HaltedReleases int     // 1: it halted itself
+	ReleaseSeconds float64 // until the release completed or halted itself; 0: it did neither
+	HaltedReleases int     // 1 if the release halted itself, otherwise 0
 }
 
 // columns are the columns of rows.csv, in the order of Row.record.
 var columns = []string{"arm", "load", "nodes", "retries", "seed", "class", "offered", "in_aim", "late", "refused", "failed", "expired", "tries",
 	"worth", "worth_offered", "mean_ms", "p50_ms", "p99_ms", "utilization", "changed", "most_out", "took_s", "halted"}
 
-// record is a row as fields of rows.csv, all fractions with the same number of digits.
+// record returns the row as fields of rows.csv. All fractions have the same number of digits.
 func (r Row) record() []string {
 	format := func(x float64) string { return strconv.FormatFloat(x, 'f', 6, 64) }
 	fields := []string{r.Arm, format(r.Point.Load), strconv.Itoa(r.Point.Nodes), strconv.Itoa(r.Point.Retries), strconv.FormatUint(r.Seed, 10), r.Class}
@@ -51,7 +51,7 @@
 	return fields
 }
 
-// recordReader reads the fields of a record one after the other.
+// recordReader parses the fields of a record one after the other and collects the errors.
 type recordReader struct {
 	fields []string
 	errs   []error
@@ -71,10 +71,10 @@
 
 func (r *recordReader) int() int { return int(r.float()) }
 
-// parseRow reads a row from fields of rows.csv.
+// parseRow parses a row from fields of rows.csv.
 func parseRow(fields []string) (Row, error) {
 	if len(fields) != len(columns) {
-		return Row{}, fmt.Errorf("%d fields, %d wanted", len(fields), len(columns))
+		return Row{}, fmt.Errorf("row has %d fields, want %d", len(fields), len(columns))
 	}
 	r := &recordReader{fields: fields}
 	row := Row{
@@ -112,7 +112,7 @@
 	}
 	for i, fields := range records {
 		if i == 0 {
-			continue // the columns' names
+			continue // header
 		}
 		row, err := parseRow(fields)
 		if err != nil {
@@ -136,7 +136,7 @@
 	return records, nil
 }
 
-// rows are a run's rows, one for each class.
+// rows returns a run's rows, one for each class.
 func (j job) rows(w emulator.World, r *emulator.Result) (rows []Row) {
 	halted := 0
 	if r.Release.HaltReason != "" {
--- a/internal/emulator/experiment/run.go
+++ b/internal/emulator/experiment/run.go
@@ -16,21 +16,21 @@
 
 // The names in a folder of results.
 const (
-	runsDir        = "runs" // one file for each run that is done
+	runsDir        = "runs" // one file for each completed run
 	rowsFile       = "rows.csv"
 	provenanceFile = "about.json"
 	experimentFile = "experiment.toml"
-	partSuffix     = ".part" // of a file until it is complete
+	partSuffix     = ".part" // suffix of a file until it is complete
 )
 
-// job is one run.
+// job describes one run.
 type job struct {
 	point Point
 	arm   Arm
 	seed  uint64
 }
 
-// jobs are all runs of an experiment, in the order of its rows.
+// jobs returns all runs of an experiment in the order of their rows.
 func (f *File) jobs() (all []job) {
 	for _, p := range f.Points() {
 		for _, a := range f.Arms {
@@ -42,27 +42,27 @@
 	return all
 }
 
-// provenance says what made the results of a folder.
+// provenance identifies the experiment and the program version that produced a folder's results.
 type provenance struct {
 	Experiment string `json:"experiment"`
 	Digest     string `json:"digest"`
 	Version    string `json:"version"`
 }
 
-// Options say how an experiment is run.
+// Options are the options of File.Run.
 type Options struct {
-	Dir      string // for the results
-	Workers  int    // runs at once; below 1: 1
+	Dir      string // folder for the results
+	Workers  int    // runs at the same time; below 1 stands for 1
 	Version  string // of the program
 	Progress func(done, all int)
 }
 
-// ErrOtherExperiment says that the folder holds another experiment's results.
+// ErrOtherExperiment is returned if the folder holds the results of another experiment or program version.
 var ErrOtherExperiment = errors.New("the folder holds results of another experiment or version")
 
-// Run makes all runs that the folder does not hold yet, and then writes rows.csv, whose bytes don't depend on the number
+// Run makes all runs that the folder does not hold yet and then writes rows.csv, whose content doesn't depend on the number
 // of workers. It returns an error that wraps ErrOtherExperiment, the error of the first run that fails or violates an
-// invariant, or the cause of ctx when that is done. Runs that are complete are stored, and a later call goes on from there.
+// invariant, or the cause of ctx when that is done. Completed runs are stored, and a later call resumes after them.
 func (f *File) Run(ctx context.Context, o Options) error {
 	runs := filepath.Join(o.Dir, runsDir)
 	if err := os.MkdirAll(runs, 0o755); err != nil {
@@ -77,12 +77,12 @@
 		return err
 	}
 	if ctx.Err() != nil {
-		return fmt.Errorf("cut short after %d of %d runs: call it again to go on: %w", done, len(all), context.Cause(ctx))
+		return fmt.Errorf("interrupted after %d of %d runs: run it again with the same folder to resume: %w", done, len(all), context.Cause(ctx))
 	}
 	return f.mergeRows(o.Dir, runs, len(all))
 }
 
-// runJobs makes all runs with o.Workers workers, until ctx is done or a run fails, and returns how many were made.
+// runJobs makes the runs with o.Workers workers until ctx is done or a run fails. It returns the number of runs made.
 func (f *File) runJobs(ctx context.Context, all []job, runs string, o Options) (done int, err error) {
 	var mu sync.Mutex
 	var errs []error
@@ -124,22 +124,22 @@
 
 func runFile(runs string, i int) string { return filepath.Join(runs, fmt.Sprintf("%06d.csv", i)) }
 
-// claimFolder marks a folder as this experiment's, and copies the experiment into it. It returns an error where the
-// folder is another one's.
+// claimFolder writes the provenance and the experiment file into a new folder. It returns ErrOtherExperiment if the folder
+// has a different provenance.
 func (f *File) claimFolder(o Options) error {
 	path := filepath.Join(o.Dir, provenanceFile)
-	own := provenance{f.Name, f.Digest(), o.Version}
+	current := provenance{f.Name, f.Digest(), o.Version}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		text, err := json.MarshalIndent(own, "", " ")
+		text, err := json.MarshalIndent(current, "", " ")
 		if err != nil {
 			return err
 		}
 		return errors.Join(os.WriteFile(path, append(text, '\n'), 0o644), os.WriteFile(filepath.Join(o.Dir, experimentFile), f.text, 0o644))
 	}
 	var found provenance
-	if err != nil || json.Unmarshal(text, &found) != nil || found != own {
-		return fmt.Errorf("%s: %w: name another folder, or remove this one", o.Dir, ErrOtherExperiment)
+	if err != nil || json.Unmarshal(text, &found) != nil || found != current {
+		return fmt.Errorf("%s: %w: use another folder, or remove this one", o.Dir, ErrOtherExperiment)
 	}
 	return nil
 }
@@ -177,13 +177,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(r.Violations) > 0 && j.arm.Policy == daemonPolicy { // the other policies promise nothing
+	if len(r.Violations) > 0 && j.arm.Policy == daemonPolicy { // the other policies don't guarantee the invariants
 		return nil, fmt.Errorf("arm %q, %s: %w", j.arm.Name, j.point, r.Violations[0])
 	}
 	return j.rows(w, r), nil
 }
 
-// daemonPolicy is the policy that is held to the invariants.
+// daemonPolicy is the policy that must not violate the invariants.
 const daemonPolicy = "sloehitch"
 
 // mergeRows merges the rows of n runs into rows.csv.
--- a/internal/emulator/experiment/summary.go
+++ b/internal/emulator/experiment/summary.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// Cell is the summary of an arm at a point, over all seeds.
+// Cell summarizes the runs of an arm at a point over all seeds.
 type Cell struct {
 	Arm        string          `json:"arm"`
 	Load       float64         `json:"load"`
 	Nodes      int             `json:"nodes"`
 	Retries    int             `json:"retries"`
 	Goodput    Interval        `json:"goodput"`           // priority weight served within the objective over the weight offered
-	Difference *Interval       `json:"against,omitempty"` // of its goodput from the first arm's, by seed; nil in the first arm
-	P99        Interval        `json:"p99_ms"`            // of the class with the highest one
+	Difference *Interval       `json:"against,omitempty"` // of the goodput from the first arm's, paired by seed; nil in the first arm
+	P99        Interval        `json:"p99_ms"`            // of the class with the highest
 	Rejected   Interval        `json:"refused"`           // share of requests
-	Release    *ReleaseSummary `json:"release,omitempty"` // nil: there was none
+	Release    *ReleaseSummary `json:"release,omitempty"` // nil: no release
 
 	goodput map[uint64]float64 // by seed
 }
 
-// ReleaseSummary is the outcome of a release, over all seeds.
+// ReleaseSummary summarizes the outcomes of a release over all seeds.
 type ReleaseSummary struct {
 	NodesChanged   Interval `json:"changed"`  // nodes on the new version at the end
 	MaxUnavailable Interval `json:"most_out"` // most nodes that were out of service or in slow start at the same time
-	Seconds        Interval `json:"took_s"`   // until it was complete or halted itself, over the seeds where it was
-	EndedSeeds     int      `json:"ended"`    // seeds where it was complete or halted itself
-	HaltedSeeds    int      `json:"halted"`   // seeds where it halted itself
+	Seconds        Interval `json:"took_s"`   // until the release completed or halted itself, over the seeds where it did
+	EndedSeeds     int      `json:"ended"`    // seeds where the release completed or halted itself
+	HaltedSeeds    int      `json:"halted"`   // seeds where the release halted itself
 }
 
 func (c Cell) point() Point { return Point{c.Load, c.Nodes, c.Retries} }
@@ -42,7 +42,7 @@
 	weightWithinObjective, weightOffered float64
 	worstP99MS                           float64
 	rejected, offered                    float64
-	last                                 Row // each row of a run has the same release
+	last                                 Row // for the release, which is the same in all rows of a run
 }
 
 func (t *seedTotals) add(r Row) {
@@ -54,7 +54,7 @@
 	t.last = r
 }
 
-// Summarize returns the cells of rows, in the order in which their arms and points first appear.
+// Summarize returns the cells of rows in the order in which their arms and points first appear.
 func Summarize(rows []Row) (cells []Cell) {
 	totals := map[cellKey]map[uint64]*seedTotals{}
 	var order []cellKey
@@ -109,7 +109,7 @@
 	return c
 }
 
-// differences are those of a cell's goodput from another's, over the seeds that both have.
+// differences returns the differences of c's goodput from other's for the seeds that both have.
 func differences(c, other Cell) (all []float64) {
 	for _, seed := range sortedSeeds(c.goodput) {
 		if g, both := other.goodput[seed]; both {
@@ -127,17 +127,17 @@
 	return seeds
 }
 
-// Change is how the goodput of a cell differs between two folders of results.
+// Change is the change of a cell's goodput between two folders of results.
 type Change struct {
 	Cell        Cell // of the second folder
 	Difference  Interval
 	Significant bool // the interval excludes zero
 }
 
-// ErrNothingInCommon is the error of Diff for rows without a common cell and seed.
-var ErrNothingInCommon = errors.New("the two have no arm, point and seed in common")
+// ErrNothingInCommon is returned by Diff for rows without a common cell and seed.
+var ErrNothingInCommon = errors.New("the two folders of results have no arm, point and seed in common")
 
-// Diff compares the goodput of two folders' rows, by seed. It returns ErrNothingInCommon where they can't be compared.
+// Diff compares the goodput of two folders' rows, paired by seed. It returns ErrNothingInCommon if there are no pairs.
 func Diff(before, after []Row) (changes []Change, err error) {
 	old := map[string]Cell{}
 	for _, c := range Summarize(before) {
--- a/internal/emulator/experiment/table.go
+++ b/internal/emulator/experiment/table.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Table formats cells as text: a table of goodput, latency and rejections, and one of releases where there are any.
+// Table formats cells as text: a table of goodput, latency and rejections, and one of releases if there are any.
 func Table(cells []Cell) string {
 	var b strings.Builder
 	writeLoadTable(&b, cells)
--- a/internal/emulator/experiment/world.go
+++ b/internal/emulator/experiment/world.go
@@ -9,12 +9,12 @@
 
 // Point is one combination of the swept values.
 type Point struct {
-	Load    float64 // offered work over what all cores can do
+	Load    float64 // offered work relative to the capacity of all cores
 	Nodes   int
-	Retries int // at most, of a request
+	Retries int // maximum for each request
 }
 
-// String formats the point for people.
+// String formats the point as text, such as "load 0.9, 4 nodes, 1 retries".
 func (p Point) String() string {
 	return fmt.Sprintf("load %.3g, %d nodes, %d retries", p.Load, p.Nodes, p.Retries)
 }
@@ -38,7 +38,7 @@
 	return points
 }
 
-// emulatorWorld is the world that an arm meets at a point, under a seed.
+// emulatorWorld returns the world of an arm at a point with a seed.
 func (f *File) emulatorWorld(p Point, a Arm, seed uint64) (emulator.World, error) {
 	newServer, err := emulator.NewPolicy(a.Policy, a.Parameter)
 	if err != nil {
@@ -68,13 +68,13 @@
 		return w, nil
 	}
 	if f.Release == nil {
-		return w, fmt.Errorf("roll %q: there is no [release] to go by", a.ReleaseStrategy)
+		return w, fmt.Errorf("roll %q: the file has no [release]", a.ReleaseStrategy)
 	}
 	w.Release = f.Release.emulatorRelease(a)
 	return w, nil
 }
 
-// apply sets the nodes' fields of an emulator's world, but for their number.
+// apply sets the fields of an emulator world that describe its nodes, except their number.
 func (n World) apply(w *emulator.World) {
 	w.Cores = n.Cores
 	w.Speed = n.Speed
@@ -91,7 +91,7 @@
 	w.SlowStartDuration = n.SlowStartDuration.Duration
 }
 
-// apply sets the callers' fields of an emulator's world, but for the retries.
+// apply sets the fields of an emulator world that describe its callers, except the retries.
 func (c Callers) apply(w *emulator.World) {
 	w.Balancers = c.Count
 	w.Balancing = emulator.BalancingMethod(c.Balancing)
@@ -105,7 +105,7 @@
 	w.DiscoveryDelay = c.DiscoveryDelay.Duration
 }
 
-// emulatorClass returns an error for an unknown distribution.
+// emulatorClass returns the class for an emulator world, or an error for an unknown distribution.
 func (c Class) emulatorClass() (emulator.Class, error) {
 	kind := emulator.DistributionKind(c.Distribution)
 	switch kind {
@@ -113,7 +113,7 @@
 		kind = defaultDistribution(c.CV)
 	case emulator.Lognormal, emulator.Exponential, emulator.Fixed:
 	default:
-		return emulator.Class{}, fmt.Errorf("class %q: no dist %q: lognormal, exponential or fixed", c.Name, c.Distribution)
+		return emulator.Class{}, fmt.Errorf("class %q: unknown dist %q: must be lognormal, exponential or fixed", c.Name, c.Distribution)
 	}
 	return emulator.Class{
 		Name:              c.Name,
@@ -129,7 +129,7 @@
 	}, nil
 }
 
-// defaultDistribution is the kind of a distribution for which only a coefficient of variation is given.
+// defaultDistribution returns the kind of a distribution for which only a coefficient of variation is given.
 func defaultDistribution(cv float64) emulator.DistributionKind {
 	if cv > 0 {
 		return emulator.Lognormal
@@ -142,7 +142,7 @@
 		ServiceTime: emulator.Distribution{Mean: d.ServiceTime.Seconds(), CV: d.CV, Kind: defaultDistribution(d.CV)}}
 }
 
-// emulatorRelease is the release of an arm.
+// emulatorRelease returns the release of an arm for an emulator world.
 func (r Release) emulatorRelease(a Arm) *emulator.Release {
 	return &emulator.Release{
 		At:                  r.At.Duration,
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -6,26 +6,26 @@
 	"sloehitch/internal/node"
 )
 
-// Fault is something that happens to a node or to the dependency.
+// Fault is a failure of a node or of the dependency.
 type Fault struct {
 	At           time.Duration // since the simulation's start
 	Node         int           // index of the node
 	Kind         FaultKind
 	Duration     time.Duration
 	Factor       float64       // of FaultSlow, FaultSlowDependency and FaultMessageLoss, above 0 and up to 1
-	RestartDelay time.Duration // of FaultDrain and FaultCrash: from the process's end to a restart without state; 0: never
+	RestartDelay time.Duration // of FaultDrain and FaultCrash: from the process's end to its restart without state; 0: no restart
 }
 
-// FaultKind is the kind of a fault. Its values are the words of experiment files.
+// FaultKind is the kind of a fault. Its values are those of experiment files.
 type FaultKind string
 
 // The kinds of faults.
 const (
 	FaultStall          FaultKind = "stall" // the node's cores stop for Duration
 	FaultSlow           FaultKind = "slow"  // the cores run at Factor of their speed for Duration
-	FaultDrain          FaultKind = "leave" // the node is told to drain, and ends after Duration
-	FaultCrash          FaultKind = "die"   // the node ends at once, with all that is in flight
-	FaultSlowDependency FaultKind = "below" // the dependency runs at Factor of its speed for Duration; Node has no meaning
+	FaultDrain          FaultKind = "leave" // the node drains, and its process ends after Duration
+	FaultCrash          FaultKind = "die"   // the process ends at once, and what is in flight is lost
+	FaultSlowDependency FaultKind = "below" // the dependency runs at Factor of its speed for Duration; Node is ignored
 	FaultMessageLoss    FaultKind = "lossy" // Factor of all messages to and from the node are lost for Duration
 )
 
@@ -59,14 +59,14 @@
 		s.announce(h, false)
 		s.clock.AfterFunc(f.Duration, unlessRestarted(func() { s.stopNode(h, f.RestartDelay) }))
 	case FaultCrash:
-		for _, a := range h.invariants.unanswered() { // they may have run
+		for _, a := range h.invariants.unanswered() { // they may have run, so they fail instead of being rejected
 			s.breakConnection(h, a)
 		}
 		s.stopNode(h, f.RestartDelay)
 	}
 }
 
-// breakConnection tells the caller of an attempt, after the network's delay, that its connection broke.
+// breakConnection fails an attempt at its caller after the network delay, as a broken connection does.
 func (s *simulation) breakConnection(h *host, a *Attempt) {
 	r := s.requestOf[a]
 	if r == nil {
--- a/internal/emulator/host.go
+++ b/internal/emulator/host.go
@@ -13,16 +13,16 @@
 	machine        *Machine
 	invariants     *invariantChecker // wraps the server
 	reader         *requestReader
-	down           bool    // there is no process
-	inEndpointList bool    // as balancers see it
-	incarnation    int     // changes with each start and end of a process: messages to an earlier one are lost
+	down           bool    // no process is running
+	inEndpointList bool    // whether balancers list the node
+	incarnation    int     // increases with each start and end of a process; messages to an earlier incarnation are lost
 	lossRate       float64 // share of messages lost, 0 to 1
 	lossRandom     *rand.Rand
 	version        *version // nil without a release
-	speedFactor    float64  // of the version that runs; 0: 1
+	speedFactor    float64  // of the running version; 0 stands for 1
 }
 
-// warmSpeed is the speed of a node's cores after its slow start.
+// warmSpeed returns the speed of a node's cores after its slow start.
 func (s *simulation) warmSpeed(h *host) float64 {
 	if h.speedFactor > 0 {
 		return s.World.Speed * h.speedFactor
@@ -44,12 +44,12 @@
 		OnRunStarted: h.invariants.runStarted, dependency: s.dependency})
 }
 
-// stopNode ends a node's process with all that is in flight, and restarts it after restartDelay unless that is 0.
+// stopNode ends a node's process, which loses what is in flight, and restarts it after restartDelay unless that is 0.
 func (s *simulation) stopNode(h *host, restartDelay time.Duration) {
 	h.down = true
 	h.incarnation++
 	h.invariants.stop()
-	h.machine.SetSpeed(0) // what ran is lost
+	h.machine.SetSpeed(0) // runs in progress are lost
 	for _, a := range h.reader.unread {
 		s.breakConnection(h, a)
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-// restartNode starts a node's next process, which is in slow start.
+// restartNode starts a node's next process in slow start.
 func (s *simulation) restartNode(h *host) {
 	settings := s.Settings()
 	settings.SlowStart = s.SlowStartCapacity > 0
@@ -73,10 +73,10 @@
 	s.announce(h, true)
 }
 
-// slowStartSteps is in how many steps a restarted node gets to its full speed.
+// slowStartSteps is the number of steps in which a restarted node reaches its full speed.
 const slowStartSteps = 10
 
-// slowStart gives a node the speed of a step and schedules the next step.
+// slowStart sets a node's speed for one step of its slow start and schedules the next step.
 func (s *simulation) slowStart(h *host, incarnation, step int) {
 	if s.SlowStartCapacity == 0 || h.incarnation != incarnation {
 		return
@@ -92,5 +92,5 @@
 	s.clock.AfterFunc(s.DiscoveryDelay, func() { h.inEndpointList = listed })
 }
 
-// losesMessage draws whether a message on the node's link is lost.
+// losesMessage draws at random whether a message on the node's link is lost.
 func (h *host) losesMessage() bool { return h.lossRate > 0 && h.lossRandom.Float64() < h.lossRate }
--- a/internal/emulator/invariants.go
+++ b/internal/emulator/invariants.go
@@ -11,10 +11,10 @@
 	"sloehitch/logic"
 )
 
-// recentEvents is how many events of a node a violation reports.
+// recentEvents is the number of a node's last events that a violation includes.
 const recentEvents = 20
 
-// invariantChecker wraps one node's server and checks the invariants at each step.
+// invariantChecker wraps a node's server and checks the invariants on each submission, run, response and cancellation.
 type invariantChecker struct {
 	Server
 	clock       *clock.Virtual
@@ -26,14 +26,14 @@
 	onEvent     func(Event, *Attempt)
 
 	open           map[*Attempt]*openAttempt
-	ranAt          map[string]time.Time // by idempotency key: when the attempt that ran arrived
+	ranAt          map[string]time.Time // arrival time of the attempt that ran, by idempotency key
 	drainStartedAt time.Time
-	recent         [recentEvents]recentEvent // a ring
+	recent         [recentEvents]recentEvent // ring buffer
 	recentCount    int
-	stopped        bool // the process has ended: its responses are lost
+	stopped        bool // the process has ended, and its responses are lost
 }
 
-// recentEvent is an event of one attempt.
+// recentEvent is a recorded event of an attempt.
 type recentEvent struct {
 	at      time.Time
 	event   Event
@@ -56,12 +56,12 @@
 	grace := time.Duration(c.settings.ResponseGrace) * time.Microsecond
 	due := a.Deadline
 	if due.Before(now) {
-		due = now // read after its deadline: it is to be answered at once
+		due = now // read after its deadline, so the response is due at once
 	}
-	// The nanosecond has the check come after everything else that happens at that time.
+	// The extra nanosecond makes the check run after all other callbacks that are due at that time.
 	open.overdue = c.clock.AfterFunc(due.Sub(now)+grace+time.Nanosecond, func() {
 		if c.open[a] == open {
-			c.report(InvariantAnswered, fmt.Sprintf("%s was due %v ago", a.ID, c.clock.Now().Sub(a.Deadline)))
+			c.report(InvariantAnswered, fmt.Sprintf("attempt %s had no response %v after its deadline", a.ID, c.clock.Now().Sub(a.Deadline)))
 		}
 	})
 	c.Server.Submit(a, func(response node.Response) {
@@ -71,22 +71,22 @@
 	})
 }
 
-// checkResponse checks a response and says whether it is to be passed on.
+// checkResponse checks a response and reports whether to pass it on.
 func (c *invariantChecker) checkResponse(a *Attempt, open *openAttempt, response node.Response) bool {
 	if c.stopped {
 		return false
 	}
 	c.record(responseEvent(response.Status), a)
 	if open.answered {
-		c.report(InvariantAnsweredOnce, a.ID+" was answered again")
+		c.report(InvariantAnsweredOnce, a.ID+" was answered a second time")
 		return false
 	}
 	open.answered = true
 	if open.canceled {
-		return false // the response and the cancellation have crossed, which is allowed
+		return false // the response and the cancellation crossed, which is allowed
 	}
 	if response.Status == node.StatusRejected && a.IdempotencyKey != "" && c.ranWithinWindow(a) {
-		c.report(InvariantNoRejection, a.ID+" was refused once its key had run")
+		c.report(InvariantNoRejection, a.ID+" was rejected after its idempotency key had run")
 	}
 	delete(c.open, a)
 	open.overdue.Stop()
@@ -104,7 +104,7 @@
 	}
 }
 
-// ranWithinWindow says whether an attempt with the same idempotency key has run and its window is not over.
+// ranWithinWindow reports whether an attempt with the same idempotency key has run and the key's window has not ended.
 func (c *invariantChecker) ranWithinWindow(a *Attempt) bool {
 	ranAt, ran := c.ranAt[a.IdempotencyKey]
 	window := time.Duration(c.settings.Classes[a.Class].IdempotencyWindow) * time.Microsecond
@@ -137,7 +137,7 @@
 	return attempts
 }
 
-// stop ends the checks: the process has ended.
+// stop ends the checks of a process that has ended.
 func (c *invariantChecker) stop() {
 	for _, open := range c.open {
 		open.overdue.Stop()
@@ -147,7 +147,7 @@
 	c.stopped = true
 }
 
-// runStarted checks a run as it starts.
+// runStarted checks a run when it starts.
 func (c *invariantChecker) runStarted(a *Attempt) {
 	if c.stopped {
 		return
@@ -159,17 +159,17 @@
 	}
 	if a.IdempotencyKey != "" {
 		if c.ranWithinWindow(a) {
-			c.report(InvariantRunOnce, fmt.Sprintf("key %s ran again for %s", a.IdempotencyKey, a.ID))
+			c.report(InvariantRunOnce, fmt.Sprintf("idempotency key %s ran a second time, for attempt %s", a.IdempotencyKey, a.ID))
 		}
 		c.ranAt[a.IdempotencyKey] = arrivedAt
 	}
 	grace := time.Duration(c.settings.DrainGrace) * time.Microsecond
 	if !c.drainStartedAt.IsZero() && arrivedAt.After(c.drainStartedAt.Add(grace)) {
-		c.report(InvariantDrain, fmt.Sprintf("%s came %v after the notice to leave and runs", a.ID, arrivedAt.Sub(c.drainStartedAt)))
+		c.report(InvariantDrain, fmt.Sprintf("attempt %s arrived %v after the drain started, and runs", a.ID, arrivedAt.Sub(c.drainStartedAt)))
 	}
 }
 
-// record keeps an event for reports and passes it on.
+// record stores an event for violations and passes it to onEvent.
 func (c *invariantChecker) record(event Event, a *Attempt) {
 	c.recent[c.recentCount%len(c.recent)] = recentEvent{c.clock.Now(), event, a.ID}
 	c.recentCount++
--- a/internal/emulator/limited_queue.go
+++ b/internal/emulator/limited_queue.go
@@ -14,11 +14,11 @@
 	concurrencyLimit int
 	queueLimit       int
 
-	// byPriority runs the highest priority weight first, and evicts the lowest where the queue is full.
+	// byPriority makes the queue run the highest priority weight first, and evict the lowest when it is full.
 	byPriority bool
-	// drop says whether to reject an attempt that has waited so long, as its turn comes; nil: never.
+	// drop reports whether to reject an attempt that has waited for the given time when its turn comes; nil: never.
 	drop func(q *limitedQueue, waited time.Duration) bool
-	// adapt changes the limits after a run, by its duration and the number that ran as it started; nil: never.
+	// adapt changes the limits after a run, by its duration and the number of runs when it started; nil: never.
 	adapt func(q *limitedQueue, running int, duration time.Duration)
 
 	waiting []*queuedAttempt
@@ -37,7 +37,7 @@
 	return &limitedQueue{environment: e, concurrencyLimit: concurrencyLimit, open: map[*Attempt]*queuedAttempt{}}
 }
 
-// newFIFO returns the server of policy "fifo".
+// newFIFO returns a server of policy "fifo".
 func newFIFO(e Environment) Server {
 	q := newLimitedQueue(e, e.Settings.Cores)
 	q.queueLimit = unlimited
@@ -54,24 +54,24 @@
 	}
 	q.waiting = append(q.waiting, entry)
 	if len(q.waiting) > q.queueLimit {
-		q.reject(q.removeAt(q.victim()))
+		q.reject(q.removeAt(q.evictionIndex()))
 	}
 }
 
-// victim is the index of the attempt that a full queue rejects: the last one, or by priority the last one of the lowest
-// weight.
-func (q *limitedQueue) victim() int {
-	victim := len(q.waiting) - 1
+// evictionIndex returns the index of the attempt that a full queue rejects: the last one or, with byPriority, the last
+// one of the lowest weight.
+func (q *limitedQueue) evictionIndex() int {
+	candidate := len(q.waiting) - 1
 	if !q.byPriority {
-		return victim
+		return candidate
 	}
 	for i, entry := range q.waiting {
-		weight, lowest := q.weight(entry), q.weight(q.waiting[victim])
-		if weight < lowest || weight == lowest && i > victim {
-			victim = i
+		weight, lowest := q.weight(entry), q.weight(q.waiting[candidate])
+		if weight < lowest || weight == lowest && i > candidate {
+			candidate = i
 		}
 	}
-	return victim
+	return candidate
 }
 
 func (q *limitedQueue) weight(entry *queuedAttempt) float64 {
@@ -105,7 +105,7 @@
 	})
 }
 
-// finish responds to an attempt that has run.
+// finish responds to an attempt whose run has ended.
 func (q *limitedQueue) finish(entry *queuedAttempt, outcome logic.Outcome) {
 	delete(q.open, entry.attempt)
 	if entry.canceled {
@@ -132,8 +132,8 @@
 	}
 }
 
-// nextIndex is the index of the attempt whose turn it is: the first one, or by priority the first one of the highest
-// weight.
+// nextIndex returns the index of the attempt to run next: the first one or, with byPriority, the first one of the
+// highest weight.
 func (q *limitedQueue) nextIndex() int {
 	next := 0
 	if !q.byPriority {
@@ -147,7 +147,7 @@
 	return next
 }
 
-// Cancel implements Server. What runs goes on.
+// Cancel implements Server. A run in progress continues.
 func (q *limitedQueue) Cancel(a *Attempt) {
 	if entry := q.open[a]; entry != nil {
 		entry.canceled = true
@@ -155,7 +155,7 @@
 	}
 }
 
-// Drain implements Server: these policies take no notice.
+// Drain implements Server. It does nothing, because these policies don't drain.
 func (q *limitedQueue) Drain(time.Duration) {}
 
 // InFlight implements Server.
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -8,19 +8,19 @@
 	"sloehitch/internal/platform/heap"
 )
 
-// Machine is the cores of one server. They share their time evenly among the work on them, none of which uses more than
-// one core: processor sharing (Kleinrock, Queueing Systems II, section 4.4). Above a concurrency of thrashThreshold for
-// each core all work is slowed down by 1 + thrash*log2(concurrency/threshold).
+// Machine simulates the cores of one server. They share their time evenly among the pieces of work, each of which uses
+// one core at most: processor sharing (Kleinrock, Queueing Systems II, section 4.4). Above a concurrency of
+// thrashThreshold for each core all work is slowed down by a factor of 1 + thrash*log2(concurrency/threshold).
 type Machine struct {
 	clock           *clock.Virtual
 	cores           float64
-	speed           float64 // work that one core does in a second; 0 while it is stalled
+	speed           float64 // work that one core does in a second; 0 while the cores are stalled
 	thrash          float64
 	thrashThreshold float64 // pieces of work for each core
 
-	attained  float64 // work done on a piece that has been here since the start
+	attained  float64 // work done so far on a piece that was added at the start
 	updatedAt time.Time
-	pieces    heap.Heap[float64, *Work] // by the attained work at which they are done
+	pieces    heap.Heap[float64, *Work] // by the attained work at which each is done
 	timer     clock.Timer
 
 	busyCoreSeconds float64
@@ -29,7 +29,7 @@
 
 // Work is one piece of work on a machine.
 type Work struct {
-	finish float64 // the machine's attained work at which it is done
+	finish float64 // the machine's attained work at which this piece is done
 	index  int     // in its machine's heap, or heap.Out
 	done   func()
 }
@@ -39,7 +39,7 @@
 	return &Machine{clock: c, cores: float64(cores), speed: speed, thrash: thrash, thrashThreshold: max(1, thrashThreshold), updatedAt: c.Now(), startedAt: c.Now()}
 }
 
-// rate is the work done on each piece in a second.
+// rate returns the work done on each piece in a second.
 func (m *Machine) rate() float64 {
 	n := float64(m.pieces.Len())
 	if n == 0 {
@@ -52,7 +52,7 @@
 	return r
 }
 
-// advance accounts for the time since the last change of the pieces or the speed.
+// advance accounts for the time since the last call. It is called before each change of the pieces or the speed.
 func (m *Machine) advance() {
 	now := m.clock.Now()
 	span := now.Sub(m.updatedAt).Seconds()
@@ -62,7 +62,7 @@
 	m.busyCoreSeconds += min(n, m.cores) * span
 }
 
-// Add starts a piece of work, in seconds of a core of speed 1; done is called when it is finished.
+// Add starts a piece of work, given in seconds of a core of speed 1, and calls done when it is finished.
 func (m *Machine) Add(work float64, done func()) *Work {
 	m.advance()
 	w := &Work{finish: m.attained + work, done: done}
@@ -71,7 +71,7 @@
 	return w
 }
 
-// Remove stops a piece of work and returns what is left of it. Its done is not called.
+// Remove stops a piece of work and returns the work left to do. The done function of the piece is not called.
 func (m *Machine) Remove(w *Work) float64 {
 	if w.index == heap.Out {
 		return 0
@@ -89,19 +89,19 @@
 	m.scheduleCompletion()
 }
 
-// Running is the number of pieces of work.
+// Running returns the number of pieces of work.
 func (m *Machine) Running() int { return m.pieces.Len() }
 
-// Utilization is the share of all core time that was used since the start, 0 to 1.
+// Utilization returns the share of all core time that was used since the start, 0 to 1.
 func (m *Machine) Utilization() float64 {
 	m.advance()
 	return m.busyCoreSeconds / (m.cores * max(1e-9, m.clock.Now().Sub(m.startedAt).Seconds()))
 }
 
-// workTolerance is the work that counts as none: what rounding to a nanosecond comes to.
+// workTolerance is the remaining work up to which a piece counts as done: the error of rounding to a nanosecond.
 const workTolerance = 1e-9
 
-// scheduleCompletion sets the timer for the next piece that will be done.
+// scheduleCompletion sets the timer for the piece that finishes next.
 func (m *Machine) scheduleCompletion() {
 	if m.timer != nil {
 		m.timer.Stop()
@@ -111,11 +111,11 @@
 		return
 	}
 	finish, _ := m.pieces.First()
-	left := max(0, finish-m.attained) / rate
-	m.timer = m.clock.AfterFunc(time.Duration(math.Ceil(left*1e9)), m.completeFinished)
+	remaining := max(0, finish-m.attained) / rate
+	m.timer = m.clock.AfterFunc(time.Duration(math.Ceil(remaining*1e9)), m.completeFinished)
 }
 
-// completeFinished ends all pieces that are done.
+// completeFinished removes all finished pieces and calls their done functions.
 func (m *Machine) completeFinished() {
 	m.advance()
 	var finished []*Work
@@ -133,5 +133,5 @@
 	}
 }
 
-// Placed implements the heap's item.
+// Placed implements the item interface of package heap.
 func (w *Work) Placed(at int) { w.index = at }
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -9,7 +9,7 @@
 	"sloehitch/logic"
 )
 
-// Attempt is one request as sent to one node.
+// Attempt is one transmission of a request to a node.
 type Attempt struct {
 	ID             string
 	RequestID      string // the ID of the request's first attempt
@@ -20,38 +20,38 @@
 	WorkHint       time.Duration // the caller's estimate; 0: none
 	SentAt         time.Time
 	ArrivedAt      time.Time // at the node's machine, where it may wait to be read
-	Deadline       time.Time // the caller gives up then
+	Deadline       time.Time // when the caller gives up
 	IsRetry        bool
 	CallerID       int
 	IdempotencyKey string // empty in a class without keys
 }
 
-// Server decides what runs on one machine. Its methods are called from the clock's callbacks; respond may be called
-// before Submit returns.
+// Server decides which attempts run on one machine. Its methods are called from the clock's callbacks; respond may be
+// called before Submit returns.
 type Server interface {
-	// Submit gives it an attempt. It is to call respond once, unless Cancel comes first.
+	// Submit passes an attempt to the server, which must call respond once unless Cancel is called first.
 	Submit(a *Attempt, respond func(node.Response))
-	// Cancel says that the caller no longer waits.
+	// Cancel tells the server that the caller of an attempt no longer waits.
 	Cancel(a *Attempt)
-	// Drain says that the process is to end after a time.
+	// Drain tells the server that the process will end after timeLeft.
 	Drain(timeLeft time.Duration)
-	// InFlight returns the number of requests that run and that are queued.
+	// InFlight returns the numbers of running and of queued attempts.
 	InFlight() (running, queued int)
 }
 
-// Environment is what a server is made with.
+// Environment holds what a server is created with.
 type Environment struct {
 	Clock    *clock.Virtual
 	Machine  *Machine
 	Settings logic.Settings
-	// OnRunStarted is to be called as the run of an attempt starts.
+	// OnRunStarted must be called when the run of an attempt starts.
 	OnRunStarted func(*Attempt)
 
-	dependency *sharedDependency // nil: there is none
+	dependency *sharedDependency // nil: the world has none
 }
 
-// run does an attempt's work on the machine, with a call to the dependency after half of it where the class has one.
-// done gets the outcome.
+// run does an attempt's work on the machine and passes the outcome to done. If the attempt's class calls the dependency,
+// the call is made after half of the work.
 func (e Environment) run(a *Attempt, done func(logic.Outcome)) {
 	if e.dependency == nil || !e.Settings.Classes[a.Class].CallsDependency {
 		e.Machine.Add(a.Work, func() { done(logic.OutcomeOK) })
@@ -68,21 +68,21 @@
 	})
 }
 
-// unlimited is a limit that is never reached.
+// unlimited is a limit that no simulation reaches.
 const unlimited = 1 << 30
 
-// NewPolicy returns what makes the servers of a policy:
+// NewPolicy returns the constructor of a policy's servers. The policies are:
 //
 //	sloehitch  the daemon's own node and admission controller
 //	none       every request runs at once
 //	fifo       one request runs on each core, and the queue is unbounded
-//	fixed      a concurrency limit, and a queue of the same length in order of arrival
-//	worth      the same, and the queue is ordered by priority weight
+//	fixed      a concurrency limit, and a FIFO queue of the same length
+//	worth      the same with a queue ordered by priority weight
 //	codel      a concurrency limit, and an unbounded queue with controlled delay
 //	gradient   a concurrency limit that adapts to latency, and a queue of the same length
 //
-// The last four take concurrencyPerCore, their limit for each core. It returns an error for an unknown policy, or where
-// that limit is needed and is not above 0.
+// The last four take concurrencyPerCore, their limit for each core. NewPolicy returns an error for an unknown policy, and
+// for one of these four if the limit is not above 0.
 func NewPolicy(name string, concurrencyPerCore float64) (func(Environment) Server, error) {
 	var configure func(q *limitedQueue)
 	switch name {
@@ -101,10 +101,10 @@
 	case "gradient":
 		configure = func(q *limitedQueue) { q.queueLimit, q.adapt = q.concurrencyLimit, (&gradient{}).adapt }
 	default:
-		return nil, fmt.Errorf("no policy %q: sloehitch, none, fifo, fixed, codel, worth or gradient", name)
+		return nil, fmt.Errorf("unknown policy %q: must be sloehitch, none, fifo, fixed, codel, worth or gradient", name)
 	}
 	if concurrencyPerCore <= 0 {
-		return nil, fmt.Errorf("policy %s: a parameter above 0 is wanted: how many run for each core", name)
+		return nil, fmt.Errorf("policy %s: parameter, the concurrency limit for each core, must be above 0", name)
 	}
 	return func(e Environment) Server {
 		q := newLimitedQueue(e, max(1, int(concurrencyPerCore*float64(e.Settings.Cores))))
--- a/internal/emulator/policy_test.go
+++ b/internal/emulator/policy_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// TestPlainPolicies: in overload each simple policy has its known properties.
-func TestPlainPolicies(t *testing.T) {
-	got := map[string]*Result{}
+// TestBaselinePoliciesInOverload: in overload "worth" prefers the class with the higher priority weight and "fixed"
+// prefers none, "codel" bounds the median latency, and "gradient" keeps the cores busy.
+func TestBaselinePoliciesInOverload(t *testing.T) {
+	results := map[string]*Result{}
 	for _, policy := range []string{"fixed", "codel", "worth", "gradient"} {
 		w := smallFleet(9, 1.5, policy)
 		w.MaxRetries, w.BurstAmplitude = 0, 0
@@ -15,22 +16,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got[policy] = r
+		results[policy] = r
 	}
 	share := func(policy string, class int) float64 {
-		c := got[policy].Classes[class]
+		c := results[policy].Classes[class]
 		return float64(c.WithinObjective) / float64(c.Offered)
 	}
-	if b, s := share("worth", 1), share("worth", 0); b < 0.9 || b < s+0.3 {
-		t.Errorf("by worth: %.2f of bookings and %.2f of searches served", b, s)
+	if booking, search := share("worth", 1), share("worth", 0); booking < 0.9 || booking < search+0.3 {
+		t.Errorf("policy worth: %.2f of bookings and %.2f of searches served in time", booking, search)
 	}
-	if b, s := share("fixed", 1), share("fixed", 0); math.Abs(b-s) > 0.12 {
-		t.Errorf("first come, first served: %.2f of bookings and %.2f of searches", b, s)
+	if booking, search := share("fixed", 1), share("fixed", 0); math.Abs(booking-search) > 0.12 {
+		t.Errorf("policy fixed: %.2f of bookings and %.2f of searches served in time", booking, search)
 	}
-	if p99 := got["codel"].Classes[0].Latency.ValueAtQuantile(50); p99 > 1_500_000 || got["codel"].Classes[0].Rejected == 0 {
-		t.Errorf("codel: half wait longer than %d us, %d refused", p99, got["codel"].Classes[0].Rejected)
+	if median := results["codel"].Classes[0].Latency.ValueAtQuantile(50); median > 1_500_000 || results["codel"].Classes[0].Rejected == 0 {
+		t.Errorf("policy codel: median latency of searches %d us, %d rejected", median, results["codel"].Classes[0].Rejected)
 	}
-	if u := got["gradient"].Utilization; u < 0.9 {
-		t.Errorf("gradient: %.2f of the cores used", u)
+	if utilization := results["gradient"].Utilization; utilization < 0.9 {
+		t.Errorf("policy gradient: utilization %.2f", utilization)
 	}
 }
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -8,11 +8,11 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Streams derives independent random streams from one seed, one for each purpose. A further draw from one does not shift
-// the others, so that policies are compared under the same arrivals, sizes and faults.
+// Streams derives independent random streams from one seed, one for each purpose. Draws from one stream don't affect the
+// others, so that all policies are compared under the same arrivals, sizes and faults.
 type Streams struct{ Seed uint64 }
 
-// Stream returns the stream of a purpose, from its start.
+// Stream returns the stream of the given name, at its first value.
 func (s Streams) Stream(name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
@@ -26,17 +26,17 @@
 	Kind DistributionKind
 }
 
-// DistributionKind is the family of a distribution. Its values are the words of experiment files.
+// DistributionKind is the family of a distribution. Its values are those of experiment files.
 type DistributionKind string
 
 // The kinds of distributions.
 const (
 	Exponential DistributionKind = "exponential" // its CV is 1
 	Lognormal   DistributionKind = "lognormal"
-	Fixed       DistributionKind = "fixed" // always the mean; any other kind counts as this one
+	Fixed       DistributionKind = "fixed" // always the mean; unknown kinds are treated as Fixed
 )
 
-// Sample draws one amount.
+// Sample draws one value.
 func (d Distribution) Sample(r *rand.Rand) float64 {
 	switch d.Kind {
 	case Exponential:
--- a/internal/emulator/reader.go
+++ b/internal/emulator/reader.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// requestReader is a node's reading and parsing of requests. Each costs work on the machine, on one core at a time; the
-// others wait unread, in order of arrival, where the server's policy can't choose among them.
+// requestReader simulates how a node reads and parses requests. Reading a request costs work on the machine and occupies
+// one core at most. Further requests wait unread in order of arrival, where the server's policy can't reorder or reject
+// them.
 type requestReader struct {
 	host           *host
 	costPerRequest float64 // in seconds of a core of speed 1
 	cores          int
 	reading        int
-	unread         []*Attempt // with those being read, which are first
+	unread         []*Attempt // includes the attempts being read, which come first
 }
 
-// enqueue reads an attempt, now or when its turn comes, and then passes it to read.
+// enqueue reads an attempt, at once or after those before it, and then passes it to read.
 func (r *requestReader) enqueue(a *Attempt, read func(*Attempt)) {
 	if r.costPerRequest == 0 {
 		read(a)
@@ -22,7 +23,7 @@
 	r.startReading(read)
 }
 
-// startReading starts to read while there are idle cores and unread attempts.
+// startReading starts reading attempts while fewer than one for each core are being read.
 func (r *requestReader) startReading(read func(*Attempt)) {
 	for r.reading < min(r.cores, len(r.unread)) {
 		a := r.unread[r.reading]
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -8,10 +8,10 @@
 	"sloehitch/internal/platform/clock"
 )
 
-// request is a client's request, from its arrival until it is answered or the client gives up.
+// request is the state of a client's request from its arrival until it is answered or the client gives up.
 type request struct {
 	*simulation
-	template     Attempt // what all attempts have in common
+	template     Attempt // the fields that all attempts share
 	arrivedAt    time.Time
 	result       *ClassResult
 	class        *Class
@@ -20,13 +20,13 @@
 	attemptsMade int
 	lastNode     int // index of the node that the last attempt went to; -1: none yet
 	finished     bool
-	attempt      *Attempt // in flight; nil: none is
+	attempt      *Attempt // in flight; nil: none
 	target       *host    // of the last attempt
 	incarnation  int      // of target, when it got the attempt
 	timeout      clock.Timer
 }
 
-// send makes the next attempt, unless it would arrive after the deadline or no node can be used.
+// send sends the next attempt. It ends the request if the attempt would arrive after the deadline or no node can be used.
 func (r *request) send() {
 	if !r.clock.Now().Add(r.NetworkDelay).Before(r.template.Deadline) {
 		r.finish(&r.result.TimedOut)
@@ -34,7 +34,7 @@
 	}
 	index := r.pickNode()
 	if index < 0 {
-		if r.balancer.honorsRetryAfter && r.RetryAfterShare > 0 { // every node has said Retry-After
+		if r.balancer.honorsRetryAfter && r.RetryAfterShare > 0 { // all nodes may be excluded by their Retry-After
 			r.finish(&r.result.Rejected)
 		} else {
 			r.finish(&r.result.Failed)
@@ -55,28 +55,28 @@
 	r.clock.AfterFunc(r.NetworkDelay, func() { r.deliver(index, &a) })
 }
 
-// deliver has an attempt arrive at its node, which reads it before it decides.
+// deliver handles the arrival of an attempt at its node, which reads it before its server decides.
 func (r *request) deliver(index int, a *Attempt) {
 	h := r.nodes[index]
 	if h.down {
-		r.handleResponse(index, a, node.Response{Status: node.StatusRejected}) // nothing listens: it never ran
+		r.handleResponse(index, a, node.Response{Status: node.StatusRejected}) // connection refused: the attempt never ran
 		return
 	}
 	if r.attempt != a || h.losesMessage() {
-		return // the client gave up meanwhile, or the message is lost
+		return // the client gave up in the meantime, or the message is lost
 	}
 	r.incarnation = h.incarnation
 	r.requestOf[a] = r
 	a.ArrivedAt = r.clock.Now()
 	incarnation, s := h.incarnation, r.simulation
 	h.reader.enqueue(a, func(a *Attempt) {
-		if r := s.requestOf[a]; h.incarnation == incarnation && r != nil && r.attempt == a { // otherwise nobody waits any more
+		if r := s.requestOf[a]; h.incarnation == incarnation && r != nil && r.attempt == a { // same process, and the client still waits
 			r.submit(index, a)
 		}
 	})
 }
 
-// submit gives an attempt that has been read to the node's server.
+// submit passes an attempt that has been read to the node's server.
 func (r *request) submit(index int, a *Attempt) {
 	h := r.nodes[index]
 	h.invariants.Submit(a, func(response node.Response) {
@@ -90,7 +90,7 @@
 	})
 }
 
-// handleResponse handles the response to an attempt: it ends the request or retries.
+// handleResponse ends the request or retries it after the response to an attempt.
 func (r *request) handleResponse(index int, a *Attempt, response node.Response) {
 	delete(r.requestOf, a)
 	if r.attempt != a {
@@ -104,7 +104,7 @@
 	switch {
 	case response.Status == node.StatusServed:
 		r.finishServed()
-	case response.Status == node.StatusFailed && r.class.HasIdempotencyKey: // it may have run: another node would run it again
+	case response.Status == node.StatusFailed && r.class.HasIdempotencyKey: // it may have run, and another node would run it a second time
 		r.finish(&r.result.Failed)
 	case r.mayFailOver(response):
 		r.retriesLeft--
@@ -119,7 +119,7 @@
 	}
 }
 
-// giveUp has the client give up: its balancer cancels the attempt in flight.
+// giveUp ends a request whose client timed out. The balancer cancels the attempt in flight.
 func (r *request) giveUp() {
 	if a := r.attempt; a != nil {
 		r.attempt = nil
@@ -142,7 +142,7 @@
 // finishServed ends a request that a node has served.
 func (r *request) finishServed() {
 	latency := r.clock.Now().Sub(r.arrivedAt)
-	_ = r.result.Latency.RecordValue(max(1, latency.Microseconds())) // an error says that it is above maxLatencyMicros
+	_ = r.result.Latency.RecordValue(max(1, latency.Microseconds())) // the error means that the latency is above maxLatencyMicros
 	if latency > r.class.LatencyObjective {
 		r.finish(&r.result.Late)
 		return
@@ -151,7 +151,7 @@
 	r.finish(&r.result.WithinObjective)
 }
 
-// finish ends a request and counts it in count, a counter of r.result. Later calls do nothing.
+// finish ends the request and increments count, a counter of r.result. Later calls do nothing.
 func (r *request) finish(count *int) {
 	if r.finished {
 		return
@@ -161,12 +161,12 @@
 	if r.OnStep != nil {
 		outcomes := map[*int]string{&r.result.WithinObjective: "in aim", &r.result.Late: "late", &r.result.Rejected: "refused",
 			&r.result.Failed: "failed", &r.result.TimedOut: "expired"}
-		r.emit(r.template.ID, "", "", EventEnded, fmt.Sprintf("%s, %v after it came", outcomes[count], r.clock.Now().Sub(r.arrivedAt)))
+		r.emit(r.template.ID, "", "", EventEnded, fmt.Sprintf("%s, %v after arrival", outcomes[count], r.clock.Now().Sub(r.arrivedAt)))
 	}
 	r.timeout.Stop()
 	r.accountInSystem()
 	r.inSystem--
-	// Little's law is checked over the world's duration: time in the system after it is left out.
+	// Little's law is checked over the world's duration, so time in the system after its end is left out.
 	end, last := r.clock.Now(), r.startedAt.Add(r.Duration)
 	if end.After(last) {
 		end = last
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -5,7 +5,7 @@
 // maxLatencyMicros is the highest latency that a histogram records, in microseconds.
 const maxLatencyMicros = 600_000_000
 
-// ClassResult counts what became of one class's requests, without those of the warm-up.
+// ClassResult counts the outcomes of a class's requests, without those that arrived during the warm-up.
 type ClassResult struct {
 	Offered, WithinObjective, Late, Rejected, Failed, TimedOut int // requests
 
@@ -25,7 +25,7 @@
 	Release          *ReleaseResult // never nil; all zero without a release
 }
 
-// Goodput is the priority weight served within the latency objective over the weight offered, 0 to 1.
+// Goodput returns the priority weight served within the latency objective over the weight offered, 0 to 1.
 func (r *Result) Goodput(w *World) float64 {
 	got, offered := 0.0, 0.0
 	for i, c := range r.Classes {
--- a/internal/emulator/rollout.go
+++ b/internal/emulator/rollout.go
@@ -18,9 +18,9 @@
 const (
 	oldVersion, newVersion = "old", "new"
 
-	rolloutInterval    = 250 * time.Millisecond // between steps of agents and controllers
-	canaryInterval     = 4 * time.Second        // between load reports for the canary analysis, as in the daemon
-	batchDrainDuration = 3 * time.Second        // after which a node of a batch is replaced, whatever is in flight
+	rolloutInterval    = 250 * time.Millisecond // between two steps of the agents and controllers
+	canaryInterval     = 4 * time.Second        // between two load reports for the canary analysis, as in the daemon
+	batchDrainDuration = 3 * time.Second        // after which a node's process is replaced, even with requests in flight
 
 	canaryHistory = 400 // intervals that the canary recorder keeps
 
@@ -29,17 +29,17 @@
 	releaseWaves    = 2
 	operatorName    = "op"
 
-	// A zone may have so many times its part of the fleet's budget unavailable.
+	// A zone's budget is this multiple of its proportional part of the fleet's budget.
 	zoneBudgetFactor = 3
 )
 
-// leaseTerms are the terms of the controllers' leases, which nothing contends for.
+// leaseTerms are the terms of the controllers' leases, which have only one holder here.
 var leaseTerms = lease.Terms{Duration: 10 * time.Second, MaxDrift: 0.02, SafetyMargin: time.Second}
 
-// canaryOptions are the daemon's (package fleet).
+// canaryOptions are the same as in the daemon (package fleet).
 var canaryOptions = canary.Options{FalseAlarmProbability: 0.01, MaxAnalyses: 200, MinIntervals: 8, SmoothingIntervals: int(latency.MaxWindow / canaryInterval)}
 
-// rollout runs a release: the fleet's own drain permits, release controller and canary analysis over one store.
+// rollout runs a release with the fleet's own drain permits, release controller and canary analysis on one store.
 type rollout struct {
 	*simulation
 	*Release
@@ -50,8 +50,8 @@
 	tokens           map[string]uint64 // fencing tokens, by task
 	transactionCount int
 	recordedAt       time.Time        // of the last load reports
-	releaseStarted   bool             // its record is written, or its batches are planned
-	nextVersion      map[*host]string // of a node's next process
+	releaseStarted   bool             // the release's record is written, or its batches are planned
+	nextVersion      map[*host]string // version of each node's next process
 	currentBatch     []*host          // of FixedBatches
 	pending          []*host          // of FixedBatches: nodes of later batches
 }
@@ -61,10 +61,10 @@
 	return fmt.Sprint("id", o.transactionCount)
 }
 
-// now is the time on the clock that all nodes share.
+// now returns the time on the clock that all nodes share.
 func (o *rollout) now() lease.Instant { return lease.Instant(o.clock.Now().Sub(o.startedAt)) }
 
-// setUpRelease prepares the world's release, if it has one.
+// setUpRelease prepares the world's release. It does nothing if the world has none.
 func (s *simulation) setUpRelease() error {
 	if s.Release == nil {
 		return nil
@@ -83,14 +83,14 @@
 	o.putBudgets()
 	for _, h := range s.nodes {
 		o.startVersion(h, oldVersion)
-		h.version.inServiceSince = s.startedAt.Add(-time.Hour) // they have been in service for long
+		h.version.inServiceSince = s.startedAt.Add(-time.Hour) // long in service, so every node counts as available
 	}
 	s.rollout = o
 	s.clock.AfterFunc(rolloutInterval, o.step)
 	return nil
 }
 
-// acquire takes the lease of a task.
+// acquire acquires the lease of a task and stores its fencing token.
 func (o *rollout) acquire(task string) error {
 	record, err := o.store.Leases().Acquire(task, "all", 0)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// putBudgets writes the disruption budgets: those of the release, or of all nodes where it has none.
+// putBudgets writes the disruption budgets. Strategies other than BudgetedWaves may have all nodes unavailable.
 func (o *rollout) putBudgets() {
 	fleet, zone := o.Nodes, o.Nodes
 	if o.Strategy == BudgetedWaves {
@@ -115,7 +115,7 @@
 	o.store.Apply(document.Transaction{ID: o.transactionID(), Author: operatorName, Operations: []document.Operation{{Key: key, Value: value}}}, o.now())
 }
 
-// step lets the agents of all nodes and the controllers act, and schedules the next step.
+// step runs one step of all drain agents and of the controllers, and schedules the next one.
 func (o *rollout) step() {
 	sinceStart := o.clock.Now().Sub(o.startedAt)
 	if sinceStart < o.Duration {
@@ -132,7 +132,7 @@
 	}
 }
 
-// observe makes all nodes' reports, and counts the nodes that are unavailable and those that have changed.
+// observe returns the reports of all nodes, and counts the unavailable nodes and those on the new version.
 func (o *rollout) observe() (members []fleetstate.ObservedMember) {
 	now := o.clock.Now()
 	unavailable, changed := 0, 0
@@ -152,7 +152,7 @@
 	return members
 }
 
-// stepWaves steps a release in waves.
+// stepWaves runs one step of a release in waves.
 func (o *rollout) stepWaves(sinceStart time.Duration, members []fleetstate.ObservedMember) {
 	if !o.releaseStarted {
 		o.releaseStarted = true
@@ -182,7 +182,7 @@
 	}
 }
 
-// putRelease writes the release's record, as an operator's call would.
+// putRelease writes the release's record as an operator's command does.
 func (o *rollout) putRelease(members []fleetstate.ObservedMember) {
 	r := release.Release{Name: releaseName, TargetVersion: newVersion, RequestedBy: operatorName, State: release.Running,
 		SoakMS: o.Soak.Milliseconds(), ReturnTimeoutMS: time.Hour.Milliseconds()}
@@ -190,7 +190,7 @@
 	o.put(release.KeyPrefix+releaseName, fleetstate.Encode(r))
 }
 
-// recordCanary passes all nodes' load reports to the canary analysis once in an interval.
+// recordCanary passes the load reports of all nodes to the canary analysis once every canaryInterval.
 func (o *rollout) recordCanary(r release.Release, members []fleetstate.ObservedMember) {
 	now := o.clock.Now()
 	if now.Sub(o.recordedAt) < canaryInterval {
@@ -212,7 +212,7 @@
 	}
 }
 
-// view decodes the store's contents.
+// view decodes the store's contents and adds the reports of members.
 func (o *rollout) view(members []fleetstate.ObservedMember) (fleetstate.View, fleetstate.Versions) {
 	view, versions, err := fleetstate.DecodeView(o.store.List(""), fleetstate.DefaultDecoder, o.clock.Now().UnixMilli())
 	if err != nil {
--- a/internal/emulator/rollout_node.go
+++ b/internal/emulator/rollout_node.go
@@ -11,10 +11,10 @@
 	"sloehitch/internal/platform/latency"
 )
 
-// maxReplaceAttempts is how many replacements of a process may fail before its drain request fails.
+// maxReplaceAttempts is the number of failed process replacements after which a drain request fails.
 const maxReplaceAttempts = 2
 
-// version is the process of a node in a world with a release, and what it has done.
+// version is the state of a node's process in a world with a release.
 type version struct {
 	label          string
 	startedAt      time.Time
@@ -29,7 +29,7 @@
 	outOfService bool
 }
 
-// startVersion marks a node's process as one of a version.
+// startVersion sets the version of a node's process, which has just started.
 func (o *rollout) startVersion(h *host, label string) {
 	now := o.clock.Now()
 	agent := drainpermit.NewAgent(drainpermit.AgentOptions{DeployedVersion: label, Terms: leaseTerms, MinReady: o.MinReady, MaxReplaceAttempts: maxReplaceAttempts})
@@ -42,18 +42,18 @@
 	h.machine.SetSpeed(o.warmSpeed(h))
 }
 
-// startNextVersion marks a process that has just started as one of the version that the node was to change to, or of the
-// one before.
+// startNextVersion sets the version of a process that has just started: the one that the node was to change to or, if
+// there is none, the same as before.
 func (o *rollout) startNextVersion(h *host) {
 	label := h.version.label
-	if next, changes := o.nextVersion[h]; changes {
+	if next, ok := o.nextVersion[h]; ok {
 		label = next
 		delete(o.nextVersion, h)
 	}
 	o.startVersion(h, label)
 }
 
-// recordResponse counts a response. A bad version's may become a failure.
+// recordResponse counts a response. It turns a FailureShare of the new version's served responses into failures.
 func (o *rollout) recordResponse(h *host, a *Attempt, response *node.Response) {
 	v := h.version
 	if response.Status == node.StatusServed && v.label == newVersion && o.FailureShare > 0 && v.failureRandom.Float64() < o.FailureShare {
@@ -70,7 +70,7 @@
 	}
 }
 
-// nodeReport is what a node reports of itself.
+// nodeReport returns the report that a node publishes about itself.
 func (o *rollout) nodeReport(h *host, zone int) fleetstate.NodeReport {
 	v := h.version
 	report := fleetstate.NodeReport{State: "ready", Healthy: true, Zone: fmt.Sprint("z", zone), DeployedVersion: v.label,
@@ -85,7 +85,7 @@
 	return report
 }
 
-// stepAgent lets a node's drain agent act.
+// stepAgent runs one step of a node's drain agent.
 func (o *rollout) stepAgent(h *host) {
 	agent, now := h.version.agent, o.now()
 	observed := o.observeNode(h)
@@ -114,7 +114,7 @@
 	}
 }
 
-// observeNode is what a node's drain agent sees.
+// observeNode returns the observation on which a node's drain agent decides.
 func (o *rollout) observeNode(h *host) drainpermit.Observation {
 	running, queued := h.invariants.InFlight()
 	observed := drainpermit.Observation{Revision: o.store.Revision(), InFlight: running + queued + len(h.reader.unread), Healthy: true}
@@ -131,14 +131,14 @@
 	return observed
 }
 
-// leaveService takes a node out of the balancers' lists. It goes on with what is in flight.
+// leaveService removes a node from the balancers' endpoint list. Requests in flight on the node continue.
 func (o *rollout) leaveService(h *host) {
 	h.version.agent.LeftService(o.now())
 	h.version.outOfService = true
 	o.announce(h, false)
 }
 
-// replaceProcess ends a node's process; its next one is of a version.
+// replaceProcess ends a node's process and starts the next one, of the given version, after RestartDuration.
 func (o *rollout) replaceProcess(h *host, label string) {
 	o.nextVersion[h] = label
 	o.stopNode(h, o.RestartDuration)
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/platform/clock"
 )
 
-// simulation is the state of one world while it runs. All of it is used from the clock's callbacks alone.
+// simulation is the state of a running world. It is accessed only from the clock's callbacks.
 type simulation struct {
 	*World
 	clock        *clock.Virtual
@@ -30,17 +30,17 @@
 	accountedAt     time.Time
 }
 
-// defaultStartTime is when the clock starts unless the world says otherwise, in Unix milliseconds.
+// defaultStartTime is the clock's start for a world without StartTime, in Unix milliseconds.
 const defaultStartTime = 1764576000000
 
-// How long after the last client's timeout a run goes on, for what is in flight to end.
+// How long a simulation continues after the last client timeout, so that what is in flight can end.
 const (
 	virtualTail  = 10 * time.Second
 	realTimeTail = time.Second
 )
 
-// Run simulates a world and returns what became of its requests. It returns an error for a world that is not valid;
-// violated invariants are in the result. It returns once the simulated time is over.
+// Run simulates a world and returns the outcomes of its requests. It returns when the simulated time has passed. It
+// returns an error for an invalid world; violated invariants are part of the result.
 func Run(w World) (*Result, error) {
 	if err := w.Validate(); err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 	return s
 }
 
-// tail is for how long the simulation goes on after the last arrival.
+// tail returns for how long the simulation continues after the last arrival.
 func (w *World) tail() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range w.Classes {
--- a/internal/emulator/step.go
+++ b/internal/emulator/step.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is what a Step is about. Its values are written into traces.
+// Event is the kind of a Step. Its values are written into traces.
 type Event string
 
 // The events of a request and of its attempts.
@@ -10,16 +10,16 @@
 	EventArrived  Event = "come"    // the client made the request
 	EventSent     Event = "sent"    // a balancer sent an attempt
 	EventOffered  Event = "offered" // the node has read the attempt
-	EventRun      Event = "run"     // the node started to run it
+	EventRun      Event = "run"     // the node started to run the attempt
 	EventServed   Event = "served"
 	EventRejected Event = "refused"
 	EventFailed   Event = "failed"
-	EventCanceled Event = "gone"  // the client is known to wait no longer
+	EventCanceled Event = "gone"  // the node learned that the client no longer waits
 	EventBackoff  Event = "waits" // the balancer waits before a retry
-	EventEnded    Event = "ended" // the request is over; Detail says how
+	EventEnded    Event = "ended" // the request ended; Detail gives the outcome
 )
 
-// Step is one thing that happened to a request.
+// Step is one event of a request or of one of its attempts.
 type Step struct {
 	At      time.Duration // since the simulation's start
 	Request string
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// WriteTimeline writes the steps of one request as a table. It returns an error where there are none.
+// WriteTimeline writes the steps of one request as a table. It returns an error if the request has no steps.
 func WriteTimeline(w io.Writer, steps []Step, request string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "at\twith\ttry\twhat\t")
+	fmt.Fprintln(t, "time\tlocation\tattempt\tevent\t")
 	last := time.Duration(-1)
 	for _, s := range steps {
 		if s.Request != request {
@@ -29,7 +29,7 @@
 		fmt.Fprintf(t, "%v\t%s\t%s\t%s\t%s%s\n", s.At, location, s.Attempt, s.Event, sinceLast, s.Detail)
 	}
 	if last < 0 {
-		return fmt.Errorf("no request %s came", request)
+		return fmt.Errorf("no steps of request %s", request)
 	}
 	return t.Flush()
 }
@@ -51,17 +51,17 @@
 	TraceEvents     []traceEvent `json:"traceEvents"`
 }
 
-// The phases of trace events.
+// The phases of trace events (a complete event has a duration).
 const (
 	phaseComplete = "X"
 	phaseInstant  = "i"
 )
 
-// nodeSpan is an attempt on a node: when it was submitted, and when its run started; -1: it has not.
+// nodeSpan holds when an attempt was submitted on a node and when its run started (-1: not yet).
 type nodeSpan struct{ submitted, runStarted time.Duration }
 
-// WriteTrace writes all steps for a trace viewer: each attempt on its node from submission to response, the run within
-// it, and the outcome of each request.
+// WriteTrace writes all steps for a trace viewer: a span for each attempt on its node from submission to response, a span
+// for the run within it, and an event for the outcome of each request.
 func WriteTrace(w io.Writer, steps []Step) error {
 	spans := map[string]nodeSpan{}
 	var events []traceEvent
@@ -88,7 +88,7 @@
 	return json.NewEncoder(w).Encode(traceFile{DisplayTimeUnit: "ms", TraceEvents: events})
 }
 
-// events are the trace events of a span that a step ends.
+// events returns the trace events of a span that ends with a step.
 func (n nodeSpan) events(end Step) []traceEvent {
 	events := []traceEvent{{Name: end.Attempt + " " + string(end.Event), Phase: phaseComplete, At: micro(n.submitted), Duration: micro(end.At - n.submitted),
 		Process: end.Node, Thread: end.Attempt, Args: map[string]string{"request": end.Request}}}
@@ -99,5 +99,5 @@
 	return events
 }
 
-// micro is a duration in the unit of trace events.
+// micro converts a duration to microseconds, the unit of trace events.
 func micro(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -7,8 +7,7 @@
 	"sloehitch/logic"
 )
 
-// validation collects all that is wrong with a world. Its messages use the keys of experiment files
-// (docs/operators/lab.md).
+// validation collects the errors of a world. Its messages use the keys of experiment files (docs/operators/lab.md).
 type validation struct{ errs []error }
 
 func (v *validation) require(ok bool, problem string) {
@@ -17,7 +16,7 @@
 	}
 }
 
-// Validate returns an error that joins everything that keeps the world from being run.
+// Validate returns an error that joins all reasons why the world can't be run, or nil.
 func (w *World) Validate() error {
 	v := &validation{}
 	w.validateNodes(v)
@@ -37,19 +36,19 @@
 func (w *World) validateNodes(v *validation) {
 	v.require(w.Nodes > 0 && w.Cores > 0 && w.Balancers > 0, "nodes, cores and balancers must be above 0")
 	v.require(w.Speed > 0 && w.Duration > 0, "speed and length must be above 0")
-	v.require(w.WarmUp >= 0 && w.WarmUp < w.Duration, "the warm-up must be shorter than the length")
-	v.require((w.ArrivalRate > 0) != (w.Load > 0), "one of rate and load must be above 0")
+	v.require(w.WarmUp >= 0 && w.WarmUp < w.Duration, "warmup must not be below 0 and must be shorter than length")
+	v.require((w.ArrivalRate > 0) != (w.Load > 0), "exactly one of rate and load must be above 0")
 	v.require(w.BurstAmplitude >= 0 && w.BurstAmplitude <= 1 && (w.BurstAmplitude == 0 || w.BurstPeriod > 0),
-		"burst must be from 0 to 1, with the time between two above 0")
-	v.require(w.NewServer != nil, "a policy is wanted")
+		"burst must be from 0 to 1, and its period, every, above 0")
+	v.require(w.NewServer != nil, "policy must be set")
 }
 
 func (w *World) validateClasses(v *validation) {
-	v.require(len(w.Classes) > 0, "classes are wanted")
+	v.require(len(w.Classes) > 0, "there must be at least one class")
 	for _, c := range w.Classes {
 		v.require(c.Share > 0 && c.Work.Mean > 0 && c.LatencyObjective > 0 && c.ClientTimeout >= c.LatencyObjective,
-			fmt.Sprintf("class %q: share, work and aim must be above 0, and the deadline no sooner than the aim", c.Name))
-		v.require(!c.HasIdempotencyKey || c.IdempotencyWindow > 0, fmt.Sprintf("class %q: a keyed class needs a window above 0", c.Name))
+			fmt.Sprintf("class %q: share, work and aim must be above 0, and deadline must not be shorter than aim", c.Name))
+		v.require(!c.HasIdempotencyKey || c.IdempotencyWindow > 0, fmt.Sprintf("class %q: window must be above 0 in a keyed class", c.Name))
 	}
 }
 
@@ -58,19 +57,21 @@
 	for _, c := range w.Classes {
 		calls = calls || c.CallsDependency
 	}
-	v.require(!calls || w.Dependency != nil, "classes call a dependency, and there is none")
+	v.require(!calls || w.Dependency != nil, "a class calls the dependency, but the world has none")
 	if d := w.Dependency; d != nil {
-		v.require(d.Slots > 0 && d.ServiceTime.Mean > 0 && d.MaxQueued >= 0, "the dependency's slots and service must be above 0")
+		v.require(d.Slots > 0 && d.ServiceTime.Mean > 0 && d.MaxQueued >= 0,
+			"dependency: slots and service must be above 0, and waiting must not be below 0")
 	}
 }
 
 func (w *World) validateTenants(v *validation) {
 	for _, t := range w.Tenants {
-		v.require(t.Name != "" && t.Share > 0 && t.QuotaPerSecond >= 0, fmt.Sprintf("tenant %q: a name and a share above 0 are wanted", t.Name))
+		v.require(t.Name != "" && t.Share > 0 && t.QuotaPerSecond >= 0,
+			fmt.Sprintf("tenant %q: name must not be empty, share must be above 0 and quota must not be below 0", t.Name))
 	}
 }
 
-// maxReadCost bounds World.ReadCost, in multiples of a request's mean work.
+// maxReadCost bounds World.ReadCost, in multiples of the mean work of a request.
 const maxReadCost = 10
 
 func (w *World) validateRanges(v *validation) {
@@ -85,18 +86,18 @@
 	switch w.Balancing {
 	case RoundRobin, LeastRequests, PowerOfTwoChoices, Random:
 	default:
-		v.require(false, fmt.Sprintf("no habit %q: round-robin, least-open, two-choices or random", w.Balancing))
+		v.require(false, fmt.Sprintf("unknown habit %q: must be round-robin, least-open, two-choices or random", w.Balancing))
 	}
 }
 
 func (w *World) validateFault(v *validation, f Fault) {
-	v.require(f.Node >= 0 && f.Node < w.Nodes, fmt.Sprintf("a fault of node %d, of %d", f.Node, w.Nodes))
+	v.require(f.Node >= 0 && f.Node < w.Nodes, fmt.Sprintf("fault: node %d does not exist, number of nodes: %d", f.Node, w.Nodes))
 	switch f.Kind {
 	case FaultStall, FaultDrain, FaultCrash:
 	case FaultSlow, FaultMessageLoss, FaultSlowDependency:
-		v.require(f.Kind != FaultSlowDependency || w.Dependency != nil, "a fault of the dependency, and there is none")
-		v.require(f.Factor > 0 && f.Factor <= 1, fmt.Sprintf("a fault %q wants a factor above 0, 1 at most", f.Kind))
+		v.require(f.Kind != FaultSlowDependency || w.Dependency != nil, "fault of the dependency, but the world has none")
+		v.require(f.Factor > 0 && f.Factor <= 1, fmt.Sprintf("fault %q: factor must be above 0 and at most 1", f.Kind))
 	default:
-		v.require(false, fmt.Sprintf("no fault %q: stall, slow, leave, die, lossy or below", f.Kind))
+		v.require(false, fmt.Sprintf("unknown fault %q: must be stall, slow, leave, die, lossy or below", f.Kind))
 	}
 }
--- a/internal/emulator/violation.go
+++ b/internal/emulator/violation.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Invariant names a rule that every server is to keep.
+// Invariant names a rule that a server must not violate.
 type Invariant string
 
 // The invariants.
 const (
-	InvariantAnswered     Invariant = "lost"      // every attempt has a response by its deadline, unless its caller canceled it
-	InvariantAnsweredOnce Invariant = "duplicate" // no attempt has two responses
+	InvariantAnswered     Invariant = "lost"      // every attempt gets a response by its deadline, unless its caller cancels it
+	InvariantAnsweredOnce Invariant = "duplicate" // no attempt gets two responses
 	InvariantRunOnce      Invariant = "rerun"     // no two attempts with the same idempotency key run within its window
-	InvariantNoRejection  Invariant = "refused"   // an attempt isn't rejected within its key's window once the key has run
-	InvariantDrain        Invariant = "drain"     // what arrives later than the drain grace doesn't run
+	InvariantNoRejection  Invariant = "refused"   // no attempt is rejected within its key's window once the key has run
+	InvariantDrain        Invariant = "drain"     // no attempt that arrives after the drain grace runs
 )
 
-// Violation is an invariant that a server violated.
+// Violation reports that a server violated an invariant.
 type Violation struct {
 	Rule         Invariant
 	Seed         uint64
@@ -29,5 +29,5 @@
 
 // Error implements error.
 func (v *Violation) Error() string {
-	return fmt.Sprintf("rule %s broken, seed %d, at %v: %s\n  %s", v.Rule, v.Seed, v.At, v.Detail, strings.Join(v.RecentEvents, "\n  "))
+	return fmt.Sprintf("invariant %s violated, seed %d, at %v: %s\n  %s", v.Rule, v.Seed, v.At, v.Detail, strings.Join(v.RecentEvents, "\n  "))
 }
