--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -17,23 +17,23 @@
 func (s *simulation) scheduleArrival(arrivals, sizes, hints *rand.Rand) {
 	maxRate := s.arrivalRate() * (1 + s.BurstAmplitude)
 	s.clock.AfterFunc(time.Duration(arrivals.ExpFloat64()/maxRate*1e9), func() {
-		since := s.clock.Now().Sub(s.startedAt)
-		if since >= s.Duration {
+		elapsed := s.clock.Now().Sub(s.startedAt)
+		if elapsed >= s.Duration {
 			return
 		}
 		s.scheduleArrival(arrivals, sizes, hints)
-		if rate := s.arrivalRate() * s.burstFactor(since); arrivals.Float64()*maxRate < rate {
+		if rate := s.arrivalRate() * s.burstFactor(elapsed); arrivals.Float64()*maxRate < rate {
 			s.startRequest(sizes, hints)
 		}
 	})
 }
 
-// burstFactor returns the arrival rate at a time since the start, relative to the mean rate.
-func (s *simulation) burstFactor(since time.Duration) float64 {
+// burstFactor returns the arrival rate at a time after the start, relative to the mean rate.
+func (s *simulation) burstFactor(elapsed time.Duration) float64 {
 	if s.BurstAmplitude == 0 {
 		return 1
 	}
-	if since%s.BurstPeriod < s.BurstPeriod/2 {
+	if elapsed%s.BurstPeriod < s.BurstPeriod/2 {
 		return 1 + s.BurstAmplitude
 	}
 	return 1 - s.BurstAmplitude
--- a/internal/emulator/experiment/summary.go
+++ b/internal/emulator/experiment/summary.go
@@ -112,7 +112,7 @@
 // differences returns the differences of c's goodput from other's for the seeds that both have.
 func differences(c, other Cell) (all []float64) {
 	for _, seed := range sortedSeeds(c.goodput) {
-		if g, both := other.goodput[seed]; both {
+		if g, ok := other.goodput[seed]; ok {
 			all = append(all, c.goodput[seed]-g)
 		}
 	}
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -27,10 +27,10 @@
 
 // Goodput returns the priority weight served within the latency objective over the weight offered, 0 to 1.
 func (r *Result) Goodput(w *World) float64 {
-	got, offered := 0.0, 0.0
+	withinObjective, offered := 0.0, 0.0
 	for i, c := range r.Classes {
-		got += c.WeightWithinObjective
+		withinObjective += c.WeightWithinObjective
 		offered += float64(c.Offered) * w.Classes[i].PriorityWeight
 	}
-	return got / max(1e-9, offered)
+	return withinObjective / max(1e-9, offered)
 }
--- a/internal/emulator/rollout.go
+++ b/internal/emulator/rollout.go
@@ -56,165 +56,165 @@
 	pending          []*host          // of FixedBatches: nodes of later batches
 }
 
-func (o *rollout) transactionID() string {
-	o.transactionCount++
-	return fmt.Sprint("id", o.transactionCount)
+func (ro *rollout) transactionID() string {
+	ro.transactionCount++
+	return fmt.Sprint("id", ro.transactionCount)
 }
 
 // now returns the time on the clock that all nodes share.
-func (o *rollout) now() lease.Instant { return lease.Instant(o.clock.Now().Sub(o.startedAt)) }
+func (ro *rollout) now() lease.Instant { return lease.Instant(ro.clock.Now().Sub(ro.startedAt)) }
 
 // setUpRelease prepares the world's release. It does nothing if the world has none.
 func (s *simulation) setUpRelease() error {
 	if s.Release == nil {
 		return nil
 	}
-	o := &rollout{simulation: s, Release: s.Release, permits: drainpermit.Controller{Terms: leaseTerms, MinReady: s.Release.MinReady},
+	ro := &rollout{simulation: s, Release: s.Release, permits: drainpermit.Controller{Terms: leaseTerms, MinReady: s.Release.MinReady},
 		recorder: canary.NewRecorder(canaryHistory), tokens: map[string]uint64{}, nextVersion: map[*host]string{}}
 	var err error
-	if o.store, err = document.New(document.DefaultLimits, leaseTerms); err != nil {
+	if ro.store, err = document.New(document.DefaultLimits, leaseTerms); err != nil {
 		return err
 	}
 	for _, task := range []string{permitsTaskName, release.TaskName} {
-		if err := o.acquire(task); err != nil {
+		if err := ro.acquire(task); err != nil {
 			return err
 		}
 	}
-	o.putBudgets()
+	ro.putBudgets()
 	for _, h := range s.nodes {
-		o.startVersion(h, oldVersion)
+		ro.startVersion(h, oldVersion)
 		h.version.inServiceSince = s.startedAt.Add(-time.Hour) // long in service, so every node counts as available
 	}
-	s.rollout = o
-	s.clock.AfterFunc(rolloutInterval, o.step)
+	s.rollout = ro
+	s.clock.AfterFunc(rolloutInterval, ro.step)
 	return nil
 }
 
 // acquire acquires the lease of a task and stores its fencing token.
-func (o *rollout) acquire(task string) error {
-	record, err := o.store.Leases().Acquire(task, "all", 0)
+func (ro *rollout) acquire(task string) error {
+	record, err := ro.store.Leases().Acquire(task, "all", 0)
 	if err != nil {
 		return err
 	}
-	o.store.Apply(document.Transaction{ID: o.transactionID(), Operations: []document.Operation{{Lease: &record}}}, 0)
-	o.tokens[task] = record.Token
+	ro.store.Apply(document.Transaction{ID: ro.transactionID(), Operations: []document.Operation{{Lease: &record}}}, 0)
+	ro.tokens[task] = record.Token
 	return nil
 }
 
 // putBudgets writes the disruption budgets. Strategies other than BudgetedWaves may have all nodes unavailable.
-func (o *rollout) putBudgets() {
-	fleet, zone := o.Nodes, o.Nodes
-	if o.Strategy == BudgetedWaves {
-		fleet = max(1, int(o.MaxUnavailableShare*float64(o.Nodes)))
-		zone = max(1, int(math.Ceil(zoneBudgetFactor*o.MaxUnavailableShare*float64(o.Nodes)/float64(o.Zones))))
+func (ro *rollout) putBudgets() {
+	fleet, zone := ro.Nodes, ro.Nodes
+	if ro.Strategy == BudgetedWaves {
+		fleet = max(1, int(ro.MaxUnavailableShare*float64(ro.Nodes)))
+		zone = max(1, int(math.Ceil(zoneBudgetFactor*ro.MaxUnavailableShare*float64(ro.Nodes)/float64(ro.Zones))))
 	}
-	o.put(fleetstate.BudgetsKey, fleetstate.Encode(disruption.Budgets{{Scope: "fleet", MaxUnavailable: &fleet}, {Scope: "zone", MaxUnavailable: &zone}}))
+	ro.put(fleetstate.BudgetsKey, fleetstate.Encode(disruption.Budgets{{Scope: "fleet", MaxUnavailable: &fleet}, {Scope: "zone", MaxUnavailable: &zone}}))
 }
 
-func (o *rollout) put(key, value string) {
-	o.store.Apply(document.Transaction{ID: o.transactionID(), Author: operatorName, Operations: []document.Operation{{Key: key, Value: value}}}, o.now())
+func (ro *rollout) put(key, value string) {
+	ro.store.Apply(document.Transaction{ID: ro.transactionID(), Author: operatorName, Operations: []document.Operation{{Key: key, Value: value}}}, ro.now())
 }
 
 // step runs one step of all drain agents and of the controllers, and schedules the next one.
-func (o *rollout) step() {
-	sinceStart := o.clock.Now().Sub(o.startedAt)
-	if sinceStart < o.Duration {
-		o.clock.AfterFunc(rolloutInterval, o.step)
+func (ro *rollout) step() {
+	sinceStart := ro.clock.Now().Sub(ro.startedAt)
+	if sinceStart < ro.Duration {
+		ro.clock.AfterFunc(rolloutInterval, ro.step)
 	}
-	members := o.observe()
+	members := ro.observe()
 	switch {
-	case sinceStart < o.At:
-		o.recordCanary(release.Release{TargetVersion: newVersion}, members)
-	case o.Strategy == FixedBatches:
-		o.stepBatches(sinceStart)
+	case sinceStart < ro.At:
+		ro.recordCanary(release.Release{TargetVersion: newVersion}, members)
+	case ro.Strategy == FixedBatches:
+		ro.stepBatches(sinceStart)
 	default:
-		o.stepWaves(sinceStart, members)
+		ro.stepWaves(sinceStart, members)
 	}
 }
 
 // observe returns the reports of all nodes, and counts the unavailable nodes and those on the new version.
-func (o *rollout) observe() (members []fleetstate.ObservedMember) {
-	now := o.clock.Now()
+func (ro *rollout) observe() (members []fleetstate.ObservedMember) {
+	now := ro.clock.Now()
 	unavailable, changed := 0, 0
-	for i, h := range o.nodes {
-		report := o.nodeReport(h, i%o.Zones)
+	for i, h := range ro.nodes {
+		report := ro.nodeReport(h, i%ro.Zones)
 		members = append(members, fleetstate.ObservedMember{Name: h.name, Report: report})
-		if h.down || h.version.outOfService || now.Sub(h.version.inServiceSince) < o.SlowStartDuration {
+		if h.down || h.version.outOfService || now.Sub(h.version.inServiceSince) < ro.SlowStartDuration {
 			unavailable++
 		}
 		if report.DeployedVersion == newVersion {
 			changed++
 		}
 	}
-	result := o.result.Release
+	result := ro.result.Release
 	result.MaxUnavailable = max(result.MaxUnavailable, unavailable)
 	result.NodesChanged = changed
 	return members
 }
 
 // stepWaves runs one step of a release in waves.
-func (o *rollout) stepWaves(sinceStart time.Duration, members []fleetstate.ObservedMember) {
-	if !o.releaseStarted {
-		o.releaseStarted = true
-		o.putRelease(members)
+func (ro *rollout) stepWaves(sinceStart time.Duration, members []fleetstate.ObservedMember) {
+	if !ro.releaseStarted {
+		ro.releaseStarted = true
+		ro.putRelease(members)
 	}
-	for _, h := range o.nodes {
+	for _, h := range ro.nodes {
 		if !h.down {
-			o.stepAgent(h)
+			ro.stepAgent(h)
 		}
 	}
-	view, versions := o.view(members)
-	o.apply(o.permits.Decide(view, o.now()).Transactions(view, versions, permitsTaskName, o.tokens[permitsTaskName], "keeper", o.transactionID))
-	view, versions = o.view(members)
-	current, err := release.Decode(o.store.Get(release.KeyPrefix + releaseName))
+	view, versions := ro.view(members)
+	ro.apply(ro.permits.Decide(view, ro.now()).Transactions(view, versions, permitsTaskName, ro.tokens[permitsTaskName], "keeper", ro.transactionID))
+	view, versions = ro.view(members)
+	current, err := release.Decode(ro.store.Get(release.KeyPrefix + releaseName))
 	if err != nil || current.State != release.Running || view.Halted[releaseName] {
 		return
 	}
-	o.recordCanary(current, members)
-	step := o.controller.Decide(current, view, canary.Analyze(canaryOptions, o.recorder.Nodes()), o.MinReady, o.now())
-	o.apply(step.Transactions(current, view, versions, o.tokens[release.TaskName], "owner", o.transactionID))
-	result := o.result.Release
+	ro.recordCanary(current, members)
+	step := ro.controller.Decide(current, view, canary.Analyze(canaryOptions, ro.recorder.Nodes()), ro.MinReady, ro.now())
+	ro.apply(step.Transactions(current, view, versions, ro.tokens[release.TaskName], "owner", ro.transactionID))
+	result := ro.result.Release
 	if step.HaltReason != "" {
-		result.HaltReason, result.Duration = step.HaltReason, sinceStart-o.At
+		result.HaltReason, result.Duration = step.HaltReason, sinceStart-ro.At
 	}
 	if step.Updated != nil && step.Updated.State == release.Completed {
-		result.Duration = sinceStart - o.At
+		result.Duration = sinceStart - ro.At
 	}
 }
 
 // putRelease writes the release's record as an operator's command does.
-func (o *rollout) putRelease(members []fleetstate.ObservedMember) {
+func (ro *rollout) putRelease(members []fleetstate.ObservedMember) {
 	r := release.Release{Name: releaseName, TargetVersion: newVersion, RequestedBy: operatorName, State: release.Running,
-		SoakMS: o.Soak.Milliseconds(), ReturnTimeoutMS: time.Hour.Milliseconds()}
+		SoakMS: ro.Soak.Milliseconds(), ReturnTimeoutMS: time.Hour.Milliseconds()}
 	r.Waves, r.PreviousVersions = release.PlanWaves(members, newVersion, releaseWaves)
-	o.put(release.KeyPrefix+releaseName, fleetstate.Encode(r))
+	ro.put(release.KeyPrefix+releaseName, fleetstate.Encode(r))
 }
 
 // recordCanary passes the load reports of all nodes to the canary analysis once every canaryInterval.
-func (o *rollout) recordCanary(r release.Release, members []fleetstate.ObservedMember) {
-	now := o.clock.Now()
-	if now.Sub(o.recordedAt) < canaryInterval {
+func (ro *rollout) recordCanary(r release.Release, members []fleetstate.ObservedMember) {
+	now := ro.clock.Now()
+	if now.Sub(ro.recordedAt) < canaryInterval {
 		return
 	}
-	o.recordedAt = now
-	for i, h := range o.nodes {
+	ro.recordedAt = now
+	for i, h := range ro.nodes {
 		if v := h.version; !h.down {
 			v.p99MS = float64(v.latencies.Quantile(0.99, now)) / float64(time.Millisecond)
 			members[i].Report.P99MS = v.p99MS
 		}
 	}
-	o.recorder.Record(r.CanaryReports(fleetstate.View{Members: members}, o.MinReady))
+	ro.recorder.Record(r.CanaryReports(fleetstate.View{Members: members}, ro.MinReady))
 }
 
-func (o *rollout) apply(transactions []document.Transaction) {
+func (ro *rollout) apply(transactions []document.Transaction) {
 	for _, t := range transactions {
-		o.store.Apply(t, o.now())
+		ro.store.Apply(t, ro.now())
 	}
 }
 
 // view decodes the store's contents and adds the reports of members.
-func (o *rollout) view(members []fleetstate.ObservedMember) (fleetstate.View, fleetstate.Versions) {
-	view, versions, err := fleetstate.DecodeView(o.store.List(""), fleetstate.DefaultDecoder, o.clock.Now().UnixMilli())
+func (ro *rollout) view(members []fleetstate.ObservedMember) (fleetstate.View, fleetstate.Versions) {
+	view, versions, err := fleetstate.DecodeView(ro.store.List(""), fleetstate.DefaultDecoder, ro.clock.Now().UnixMilli())
 	if err != nil {
 		panic(err) // only this package writes to the store
 	}
@@ -223,26 +223,26 @@
 }
 
 // stepBatches starts the next batch of FixedBatches once all nodes of the current one have restarted.
-func (o *rollout) stepBatches(sinceStart time.Duration) {
-	if !o.releaseStarted {
-		o.releaseStarted = true
-		o.pending = append(o.pending, o.nodes...)
+func (ro *rollout) stepBatches(sinceStart time.Duration) {
+	if !ro.releaseStarted {
+		ro.releaseStarted = true
+		ro.pending = append(ro.pending, ro.nodes...)
 	}
-	for _, h := range o.currentBatch {
+	for _, h := range ro.currentBatch {
 		if h.down || h.version.label != newVersion {
 			return
 		}
 	}
-	size := min(len(o.pending), max(1, int(o.BatchShare*float64(o.Nodes))))
-	o.currentBatch, o.pending = o.pending[:size], o.pending[size:]
+	size := min(len(ro.pending), max(1, int(ro.BatchShare*float64(ro.Nodes))))
+	ro.currentBatch, ro.pending = ro.pending[:size], ro.pending[size:]
 	if size == 0 {
-		if result := o.result.Release; result.Duration == 0 {
-			result.Duration = sinceStart - o.At
+		if result := ro.result.Release; result.Duration == 0 {
+			result.Duration = sinceStart - ro.At
 		}
 		return
 	}
-	for _, h := range o.currentBatch {
-		o.leaveService(h)
-		o.clock.AfterFunc(batchDrainDuration, func() { o.replaceProcess(h, newVersion) })
+	for _, h := range ro.currentBatch {
+		ro.leaveService(h)
+		ro.clock.AfterFunc(batchDrainDuration, func() { ro.replaceProcess(h, newVersion) })
 	}
 }
--- a/internal/emulator/rollout_node.go
+++ b/internal/emulator/rollout_node.go
@@ -30,39 +30,39 @@
 }
 
 // startVersion sets the version of a node's process, which has just started.
-func (o *rollout) startVersion(h *host, label string) {
-	now := o.clock.Now()
-	agent := drainpermit.NewAgent(drainpermit.AgentOptions{DeployedVersion: label, Terms: leaseTerms, MinReady: o.MinReady, MaxReplaceAttempts: maxReplaceAttempts})
+func (ro *rollout) startVersion(h *host, label string) {
+	now := ro.clock.Now()
+	agent := drainpermit.NewAgent(drainpermit.AgentOptions{DeployedVersion: label, Terms: leaseTerms, MinReady: ro.MinReady, MaxReplaceAttempts: maxReplaceAttempts})
 	h.version = &version{label: label, startedAt: now, inServiceSince: now, latencies: latency.New(now),
-		failureRandom: o.streams.Stream(fmt.Sprint("luck ", h.name, " ", h.incarnation)), agent: agent}
+		failureRandom: ro.streams.Stream(fmt.Sprint("luck ", h.name, " ", h.incarnation)), agent: agent}
 	h.speedFactor = 1
-	if label == newVersion && o.SpeedFactor > 0 {
-		h.speedFactor = o.SpeedFactor
+	if label == newVersion && ro.SpeedFactor > 0 {
+		h.speedFactor = ro.SpeedFactor
 	}
-	h.machine.SetSpeed(o.warmSpeed(h))
+	h.machine.SetSpeed(ro.warmSpeed(h))
 }
 
 // startNextVersion sets the version of a process that has just started: the one that the node was to change to or, if
 // there is none, the same as before.
-func (o *rollout) startNextVersion(h *host) {
+func (ro *rollout) startNextVersion(h *host) {
 	label := h.version.label
-	if next, ok := o.nextVersion[h]; ok {
+	if next, ok := ro.nextVersion[h]; ok {
 		label = next
-		delete(o.nextVersion, h)
+		delete(ro.nextVersion, h)
 	}
-	o.startVersion(h, label)
+	ro.startVersion(h, label)
 }
 
 // recordResponse counts a response. It turns a FailureShare of the new version's served responses into failures.
-func (o *rollout) recordResponse(h *host, a *Attempt, response *node.Response) {
+func (ro *rollout) recordResponse(h *host, a *Attempt, response *node.Response) {
 	v := h.version
-	if response.Status == node.StatusServed && v.label == newVersion && o.FailureShare > 0 && v.failureRandom.Float64() < o.FailureShare {
+	if response.Status == node.StatusServed && v.label == newVersion && ro.FailureShare > 0 && v.failureRandom.Float64() < ro.FailureShare {
 		response.Status = node.StatusFailed
 	}
 	switch response.Status {
 	case node.StatusServed:
 		v.served++
-		v.latencies.Add(o.clock.Now().Sub(a.ArrivedAt))
+		v.latencies.Add(ro.clock.Now().Sub(a.ArrivedAt))
 	case node.StatusRejected:
 		v.rejected++
 	default:
@@ -71,11 +71,11 @@
 }
 
 // nodeReport returns the report that a node publishes about itself.
-func (o *rollout) nodeReport(h *host, zone int) fleetstate.NodeReport {
+func (ro *rollout) nodeReport(h *host, zone int) fleetstate.NodeReport {
 	v := h.version
 	report := fleetstate.NodeReport{State: "ready", Healthy: true, Zone: fmt.Sprint("z", zone), DeployedVersion: v.label,
 		ProcessStartMS: v.startedAt.UnixMilli(), Served: v.served, Rejected: v.rejected, Failed: v.failed, P99MS: v.p99MS,
-		InServiceMS: o.clock.Now().Sub(v.inServiceSince).Milliseconds()}
+		InServiceMS: ro.clock.Now().Sub(v.inServiceSince).Milliseconds()}
 	switch {
 	case h.down:
 		report.State, report.InServiceMS = "starting", 0
@@ -86,44 +86,44 @@
 }
 
 // stepAgent runs one step of a node's drain agent.
-func (o *rollout) stepAgent(h *host) {
-	agent, now := h.version.agent, o.now()
-	observed := o.observeNode(h)
+func (ro *rollout) stepAgent(h *host) {
+	agent, now := h.version.agent, ro.now()
+	observed := ro.observeNode(h)
 	switch action := agent.NextAction(observed, now); action.Kind {
 	case drainpermit.ActionStart:
-		result := o.store.Apply(drainpermit.StartTransaction(h.name, observed, action.Permit, o.transactionID()), now)
+		result := ro.store.Apply(drainpermit.StartTransaction(h.name, observed, action.Permit, ro.transactionID()), now)
 		if agent.HandleStartResult(result.Committed, result.Revision, now) {
-			o.leaveService(h)
+			ro.leaveService(h)
 		}
 	case drainpermit.ActionLeaveService:
-		o.leaveService(h)
+		ro.leaveService(h)
 	case drainpermit.ActionEnterService:
 		agent.EnteredService()
-		h.version.outOfService, h.version.inServiceSince = false, o.clock.Now()
-		o.announce(h, true)
+		h.version.outOfService, h.version.inServiceSince = false, ro.clock.Now()
+		ro.announce(h, true)
 	case drainpermit.ActionReplaceProcess:
-		result := o.store.Apply(drainpermit.ActionTransaction(h.name, observed, action, o.transactionID()), now)
+		result := ro.store.Apply(drainpermit.ActionTransaction(h.name, observed, action, ro.transactionID()), now)
 		if result.Committed {
-			o.replaceProcess(h, observed.Request.TargetVersion)
+			ro.replaceProcess(h, observed.Request.TargetVersion)
 		} else {
 			agent.HandleWriteResult(false, 0)
 		}
 	case drainpermit.ActionUpdatePermit, drainpermit.ActionReturnPermit, drainpermit.ActionFailRequest:
-		result := o.store.Apply(drainpermit.ActionTransaction(h.name, observed, action, o.transactionID()), now)
+		result := ro.store.Apply(drainpermit.ActionTransaction(h.name, observed, action, ro.transactionID()), now)
 		agent.HandleWriteResult(result.Committed, result.Revision)
 	}
 }
 
 // observeNode returns the observation on which a node's drain agent decides.
-func (o *rollout) observeNode(h *host) drainpermit.Observation {
+func (ro *rollout) observeNode(h *host) drainpermit.Observation {
 	running, queued := h.invariants.InFlight()
-	observed := drainpermit.Observation{Revision: o.store.Revision(), InFlight: running + queued + len(h.reader.unread), Healthy: true}
-	if d := o.store.Get(fleetstate.RequestKey(h.name)); d.Version > 0 {
+	observed := drainpermit.Observation{Revision: ro.store.Revision(), InFlight: running + queued + len(h.reader.unread), Healthy: true}
+	if d := ro.store.Get(fleetstate.RequestKey(h.name)); d.Version > 0 {
 		if request, err := fleetstate.Decode[fleetstate.DrainRequest](d.Value); err == nil {
 			observed.Request, observed.RequestVersion = &request, d.Version
 		}
 	}
-	if d := o.store.Get(fleetstate.PermitKey(h.name)); d.Version > 0 {
+	if d := ro.store.Get(fleetstate.PermitKey(h.name)); d.Version > 0 {
 		if permit, err := fleetstate.Decode[fleetstate.Permit](d.Value); err == nil {
 			observed.Permit, observed.PermitVersion = &permit, d.Version
 		}
@@ -132,14 +132,14 @@
 }
 
 // leaveService removes a node from the balancers' endpoint list. Requests in flight on the node continue.
-func (o *rollout) leaveService(h *host) {
-	h.version.agent.LeftService(o.now())
+func (ro *rollout) leaveService(h *host) {
+	h.version.agent.LeftService(ro.now())
 	h.version.outOfService = true
-	o.announce(h, false)
+	ro.announce(h, false)
 }
 
 // replaceProcess ends a node's process and starts the next one, of the given version, after RestartDuration.
-func (o *rollout) replaceProcess(h *host, label string) {
-	o.nextVersion[h] = label
-	o.stopNode(h, o.RestartDuration)
+func (ro *rollout) replaceProcess(h *host, label string) {
+	ro.nextVersion[h] = label
+	ro.stopNode(h, ro.RestartDuration)
 }
