--- a/cmd/sloehitch/members_test.go
+++ b/cmd/sloehitch/members_test.go
@@ -93,8 +93,8 @@
 	}
 	run([]step{
 		{"folder", "store folder " + folder + " --name n0", "member n0 of the store ", ""},
-		{"another member's folder", "store folder " + folder + " --name n1", "", "the folder is member n0's"},
-		{"no member's folder", "store folder " + dir + " --name n0", "", "no member's folder"},
+		{"another member's folder", "store folder " + folder + " --name n1", "", "the data directory belongs to member n0, but this is member n1"},
+		{"no member's folder", "store folder " + dir + " --name n0", "", "not the data directory of a member"},
 		{"recover without --lose-the-rest", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress, "", "Nothing was done"},
 		{"recover", "store recover " + folder + " --name n0 --raft " + members[0].RaftAddress + " --lose-the-rest", "now: member n0 alone, of a new store", ""},
 		{"folder after recover", "store folder " + folder + " --name n0", "one of 1 voters", ""},
