--- a/cmd/sloehitch-lab/systemcallfaults.go
+++ b/cmd/sloehitch-lab/systemcallfaults.go
@@ -34,7 +34,7 @@
 			}
 		}()
 	}
-	status, counts, err := systemcalls.Run(c.Program, c.Args, systemcalls.NewChoice(c.Seed, c.Rate), passOn)
+	status, counts, err := systemcalls.Run(c.Program, c.Args, systemcalls.NewOutcomeSource(c.Seed, c.Rate), passOn)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/conformance/conformance_test.go
+++ b/internal/testing/conformance/conformance_test.go
@@ -52,7 +52,7 @@
 
 // TestReach: what is wrong before any case is told as that.
 func TestReach(t *testing.T) {
-	for _, mutant := range []string{"", "garbage for a head", "closes early"} {
+	for _, mutant := range []string{"", "malformed response head", "closes early"} {
 		e, err := endpoint.Parse(standin.NewEcho(t, mutant).Address)
 		if err != nil {
 			t.Fatal(err)
@@ -66,13 +66,15 @@
 // TestMutants: a speaker that is wrong in one way fails the case that is there for it, which the right one passes.
 func TestMutants(t *testing.T) {
 	caught := map[string]string{
-		"length too large": "length/10 bytes", "length too small": "length/10 bytes", "closes early": "length/10 bytes", "answers twice": "variables/as they are",
-		"swallows the body": "length/10 bytes", "takes names twice": "variables/twice: HTTP_HOST", "takes a length and chunks": "length/5 and chunks",
-		"takes signs in lengths": `length/as "\+5"`, "takes line feeds in chunks": "bad chunks/line feeds only", "takes no pings": "ping/whole",
-		"wrong answer to pings": "ping/whole", "takes all modifiers": "modifier/173", "takes line ends in values": "variables/a line end in a value",
-		"cuts bodies at 4096": "length/4097 bytes", "hangs on what is bad": "length/as \"five\"", "takes short bodies": "length/a body that is too short",
+		"length too large": "length/10 bytes", "length too small": "length/10 bytes", "closes early": "length/10 bytes",
+		"responds twice": "variables/as they are", "drops the body": "length/10 bytes",
+		"accepts duplicate names": "variables/twice: HTTP_HOST", "accepts a length and chunks": "length/5 and chunks",
+		"accepts signs in lengths": `length/as "\+5"`, "accepts bare line feeds in chunks": "bad chunks/line feeds only",
+		"rejects pings": "ping/whole", "wrong response to pings": "ping/whole", "accepts all modifiers": "modifier/173",
+		"accepts line ends in values": "variables/a line end in a value", "truncates bodies at 4096 bytes": "length/4097 bytes",
+		"hangs on malformed requests": "length/as \"five\"", "accepts short bodies": "length/a body that is too short",
 		"body to HEAD": "method/HEAD", "echoes the framing": "chunks/one", "reads past the body": "length/a body that is too long",
-		"garbage for a head": "variables/as they are", "takes any coding": `bad chunks/coding "xchunked"`,
+		"malformed response head": "variables/as they are", "accepts any coding": `bad chunks/coding "xchunked"`,
 	}
 	for _, m := range standin.Mutants {
 		name, known := caught[m]
--- a/internal/testing/faults/linkproxy/linkproxy.go
+++ b/internal/testing/faults/linkproxy/linkproxy.go
@@ -1,6 +1,6 @@
-// Package linkproxy is a TCP proxy that injects network faults between two processes: delay and jitter in each direction, fragmented writes,
-// stalls of one direction, resets that lose the bytes in flight, and lost bytes on an open connection. It is for tests and soak runs; the
-// daemon does not import it.
+// Package linkproxy is a TCP proxy that injects network faults between two processes: delay and jitter in each direction, fragmented
+// writes, stalls of one direction, resets that lose the bytes in flight, and bytes dropped on an open connection. Tests and soak runs use
+// it; the daemon does not import it.
 package linkproxy
 
 import (
@@ -17,24 +17,24 @@
 // The two directions.
 const (
 	ToServer Direction = iota // from the client of the proxy to the server
-	ToClient                  // and back
+	ToClient                  // from the server to the client of the proxy
 	directions
 )
 
 // Conditions are the network conditions of one direction. The zero value forwards everything immediately.
 type Conditions struct {
 	Delay   time.Duration // from the arrival of a byte to its delivery; the order of bytes is kept
-	Jitter  time.Duration // up to this much more, drawn for each chunk that arrives
+	Jitter  time.Duration // upper bound of a random extra delay, drawn for each chunk that arrives
 	Piece   int           // largest write in bytes; 0: chunks are written as they arrived
 	Stalled bool          // nothing is delivered; what arrives is queued until the stall or the connection ends
 	Lost    bool          // what arrives is read and discarded; the connection stays open
 }
 
 const (
-	dialTimeout = time.Second
-	chunkSize   = 16 << 10
-	queueLength = 1024 // chunks in flight in one direction; beyond it the sender is held back
-	stallLook   = 2 * time.Millisecond
+	dialTimeout       = time.Second
+	chunkSize         = 16 << 10
+	queueLength       = 1024 // chunks in flight in one direction; once it is full, the proxy stops reading from the sender
+	stallPollInterval = 2 * time.Millisecond
 )
 
 // Proxy listens on a loopback address and forwards each connection to a server. Its methods may be called from any
@@ -55,7 +55,7 @@
 // New listens on a free address and forwards connections to the server.
 func New(server string, seed uint64) (*Proxy, error) { return Listen("127.0.0.1:0", server, seed) }
 
-// Listen is New on a given address. The seed determines all jitter.
+// Listen listens on the given address and forwards connections to the server. The seed determines all jitter.
 func Listen(address, server string, seed uint64) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -69,7 +69,7 @@
 // Address returns the address that clients connect to.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the conditions of one direction, also of open connections.
+// Set changes the conditions of one direction, including those of open connections.
 func (p *Proxy) Set(d Direction, c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	p.refusing = refuse
 }
 
-// Redirect has new connections forwarded to another server.
+// Redirect forwards new connections to another server; open ones keep theirs.
 func (p *Proxy) Redirect(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,14 +136,14 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(stallLook)
+			time.Sleep(stallPollInterval)
 			continue
 		}
 		go p.connect(client)
 	}
 }
 
-// connect pairs a client's connection with a new one to the server.
+// connect opens a connection to the server for a client's connection and forwards between the two.
 func (p *Proxy) connect(client net.Conn) {
 	p.mu.Lock()
 	refusing, target := p.refusing || p.closed, p.server
@@ -186,17 +186,17 @@
 	return c, jitter
 }
 
-// pair is one client's connection and the one to the server that belongs to it.
+// pair is a client's connection and the connection to the server that it is forwarded to.
 type pair struct {
 	proxy          *Proxy
 	client, server net.Conn
 	flows          [directions]*flow
 	once           sync.Once
 	done           chan struct{}
-	ended          [directions]bool // guarded by proxy.mu: this direction has delivered its end
+	ended          [directions]bool // guarded by proxy.mu: the end of this direction has been delivered
 }
 
-// end closes both connections, with a reset on both where abort is set.
+// end closes both connections, with a TCP reset if abort is set.
 func (pr *pair) end(abort bool) {
 	pr.once.Do(func() {
 		close(pr.done)
@@ -213,7 +213,7 @@
 	})
 }
 
-// delivered records that a direction has delivered its end; after both the pair is closed.
+// delivered records that the end of a direction has been delivered, and closes the pair once this holds for both directions.
 func (pr *pair) delivered(d Direction) {
 	pr.proxy.mu.Lock()
 	pr.ended[d] = true
@@ -224,7 +224,7 @@
 	}
 }
 
-// chunk is bytes that arrived in one read. An empty one is the end of its direction, or a reset of the connection.
+// chunk holds the bytes of one read. A chunk without bytes marks the end of its direction or, if reset is set, a reset of the connection.
 type chunk struct {
 	bytes []byte
 	reset bool
@@ -239,14 +239,14 @@
 	queue     chan chunk
 
 	mu   sync.Mutex
-	last time.Time // when the newest chunk is due: later ones are not delivered before it
+	last time.Time // when the newest chunk is due; later chunks are not delivered before it
 }
 
 func newFlow(pr *pair, d Direction, from, to net.Conn) *flow {
 	return &flow{pair: pr, direction: d, from: from, to: to, queue: make(chan chunk, queueLength)}
 }
 
-// finish ends the direction once what has arrived so far is delivered.
+// finish ends the direction once the bytes that have arrived so far are delivered.
 func (f *flow) finish() { go f.enqueue(nil) }
 
 // receive queues what arrives, each chunk with its delivery time.
@@ -264,19 +264,20 @@
 	}
 }
 
-// receivedEnd queues the sender's end or reset behind the bytes in flight, as a network keeps the order of what one side sends.
+// receivedEnd queues the sender's end of stream or reset behind the bytes in flight, because a network keeps the order of what one side
+// sends.
 func (f *flow) receivedEnd(err error) {
 	if isEOF(err) {
 		f.enqueue(nil)
 		return
 	}
-	f.pass(chunk{reset: true})
+	f.schedule(chunk{reset: true})
 }
 
-func (f *flow) enqueue(bytes []byte) bool { return f.pass(chunk{bytes: bytes}) }
+func (f *flow) enqueue(bytes []byte) bool { return f.schedule(chunk{bytes: bytes}) }
 
 // pass queues a chunk for delivery after the direction's delay.
-func (f *flow) pass(next chunk) bool {
+func (f *flow) schedule(next chunk) bool {
 	c, jitter := f.pair.proxy.current(f.direction)
 	if c.Lost && len(next.bytes) > 0 {
 		return true
@@ -322,12 +323,12 @@
 	}
 }
 
-// waitUntil blocks until the time, and while the direction is stalled. It returns false where the connection has ended.
+// waitUntil blocks until the due time and for as long as the direction is stalled. It returns false if the connection has ended.
 func (f *flow) waitUntil(due time.Time) bool {
 	for {
 		wait := time.Until(due)
 		if c, _ := f.pair.proxy.current(f.direction); c.Stalled {
-			wait = max(wait, stallLook)
+			wait = max(wait, stallPollInterval)
 		}
 		if wait <= 0 {
 			return true
@@ -347,7 +348,7 @@
 			size = min(size, c.Piece)
 		}
 		if _, err := f.to.Write(bytes[:size]); err != nil {
-			// The other side has reset. The other direction meets that reset where it stands: behind all that was sent before it.
+			// The receiver has reset the connection. The opposite direction delivers that reset in order, after the bytes sent before it.
 			return false
 		}
 		bytes = bytes[size:]
--- a/internal/testing/faults/linkproxy/linkproxy_test.go
+++ b/internal/testing/faults/linkproxy/linkproxy_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// echo is a server that sends back what it reads, and ends when its peer does.
-func echo(t *testing.T) string {
+// echo starts a server that sends back what it reads, closes when its peer does, and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,9 +33,9 @@
 	return listener.Addr().String()
 }
 
-func dialled(t *testing.T) (*Proxy, *net.TCPConn) {
+func dialThroughProxy(t *testing.T) (*Proxy, *net.TCPConn) {
 	t.Helper()
-	p, err := New(echo(t), 1)
+	p, err := New(startEchoServer(t), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,26 +59,27 @@
 	}
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != text {
-		t.Fatalf("%q, %v, want %q", got, err, text)
+		t.Fatalf("echo: got %q, error %v, want %q", got, err, text)
 	}
 	return time.Since(began)
 }
 
-// TestDelayKeepsOrder: each byte takes at least the delay of both ways, and the bytes arrive in order whatever the jitter.
+// TestDelayKeepsOrder checks that a round trip takes at least the delays of both directions, and that jitter does not reorder bytes.
 func TestDelayKeepsOrder(t *testing.T) {
-	p, c := dialled(t)
+	p, c := dialThroughProxy(t)
 	p.Set(ToServer, Conditions{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond, Piece: 1})
 	p.Set(ToClient, Conditions{Delay: 10 * time.Millisecond, Jitter: 30 * time.Millisecond, Piece: 3})
 	for range 5 {
 		if took := exchange(t, c, "a message in pieces"); took < 30*time.Millisecond {
-			t.Errorf("there and back in %v, want 30ms or more", took)
+			t.Errorf("round trip took %v, want at least 30ms", took)
 		}
 	}
 }
 
-// TestStall: nothing arrives while a direction stands still, and all of it does after.
-func TestStall(t *testing.T) {
-	p, c := dialled(t)
+// TestStalledDirectionDeliversAfterStall checks that no bytes arrive while a direction is stalled, and that the queued bytes arrive after
+// the stall.
+func TestStalledDirectionDeliversAfterStall(t *testing.T) {
+	p, c := dialThroughProxy(t)
 	p.Set(ToClient, Conditions{Stalled: true})
 	if _, err := io.WriteString(c, "held"); err != nil {
 		t.Fatal(err)
@@ -87,7 +88,7 @@
 		t.Fatal(err)
 	}
 	if n, err := c.Read(make([]byte, 4)); err == nil {
-		t.Fatalf("%d bytes came through a stalled direction", n)
+		t.Fatalf("read %d bytes from a stalled direction, want a time-out", n)
 	}
 	p.Set(ToClient, Conditions{})
 	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
@@ -95,13 +96,14 @@
 	}
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "held" {
-		t.Errorf("%q, %v after the stall", got, err)
+		t.Errorf("after the stall: got %q, error %v, want \"held\"", got, err)
 	}
 }
 
-// TestReset: what is in flight is lost, the client meets a reset, and the next connection works.
-func TestReset(t *testing.T) {
-	p, c := dialled(t)
+// TestResetLosesBytesInFlight checks that a reset loses the bytes in flight, that the client's read fails with ECONNRESET, and that a new
+// connection works.
+func TestResetLosesBytesInFlight(t *testing.T) {
+	p, c := dialThroughProxy(t)
 	exchange(t, c, "up")
 	p.Set(ToClient, Conditions{Delay: time.Hour})
 	if _, err := io.WriteString(c, "lost"); err != nil {
@@ -111,7 +113,7 @@
 		t.Errorf("%d connections reset, want 1", n)
 	}
 	if rest, err := io.ReadAll(c); !errors.Is(err, syscall.ECONNRESET) || len(rest) > 0 {
-		t.Errorf("%q, %v, want a reset", rest, err)
+		t.Errorf("read %q, error %v, want no bytes and ECONNRESET", rest, err)
 	}
 	p.Set(ToClient, Conditions{})
 	again, err := net.Dial("tcp", p.Address())
@@ -121,13 +123,14 @@
 	defer again.Close()
 	exchange(t, again, "up again")
 	if p.Opened() != 2 {
-		t.Errorf("%d connections made, want 2", p.Opened())
+		t.Errorf("%d connections opened, want 2", p.Opened())
 	}
 }
 
-// TestHalfClose: a client that has ended its side reads all that was sent to it, and then the end.
-func TestHalfClose(t *testing.T) {
-	p, c := dialled(t)
+// TestHalfClosedClientReadsRemainingBytes checks that a client that has shut down its sending side still reads all bytes sent to it, and
+// then the end of the stream.
+func TestHalfClosedClientReadsRemainingBytes(t *testing.T) {
+	p, c := dialThroughProxy(t)
 	p.Set(ToClient, Conditions{Delay: 20 * time.Millisecond})
 	text := strings.Repeat("x", 100<<10)
 	go func() {
@@ -135,6 +138,6 @@
 		_ = c.CloseWrite()
 	}()
 	if got, err := io.ReadAll(c); err != nil || string(got) != text {
-		t.Errorf("%d bytes, %v, want %d", len(got), err, len(text))
+		t.Errorf("read %d bytes, error %v, want %d bytes", len(got), err, len(text))
 	}
 }
--- a/internal/testing/faults/linkproxy/socket.go
+++ b/internal/testing/faults/linkproxy/socket.go
@@ -9,7 +9,7 @@
 // reset closes a connection with a TCP reset instead of a FIN.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // it fails only where the connection has ended already
+		_ = t.SetLinger(0) // fails only if the connection has already ended
 	}
 	c.Close()
 }
@@ -17,7 +17,7 @@
 // closeWrite shuts down the sending side of a connection.
 func closeWrite(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.CloseWrite() // it fails only where the connection has ended already
+		_ = t.CloseWrite() // fails only if the connection has already ended
 	}
 }
 
--- a/internal/testing/faults/systemcalls/choose.go
+++ b/internal/testing/faults/systemcalls/choose.go
@@ -1,6 +1,6 @@
-// Package systemcalls injects faults into the system calls of a program, in the ways that Linux documents: the program runs as a traced child
-// (ptrace(2)), and calls on its sockets return errors or transfer fewer bytes than requested, as drawn by a seed. It is for soak tests on
-// Linux and amd64; the daemon does not import it.
+// Package systemcalls injects faults that Linux documents into the system calls of a program. The program runs as a traced child
+// (ptrace(2)), and calls on its sockets return errors or transfer fewer bytes than requested, as drawn from a seed. Soak tests on Linux and
+// amd64 use it; the daemon does not import it.
 package systemcalls
 
 import (
@@ -11,7 +11,7 @@
 // Call is a system call that can be made to fail.
 type Call int
 
-// The calls.
+// The system calls that can be made to fail.
 const (
 	Accept Call = iota
 	Socket
@@ -24,22 +24,22 @@
 // Peer is the kind of a socket's peer, by how the socket was created.
 type Peer int
 
-// The peers.
+// The kinds of peer.
 const (
 	NoSocket Peer = iota // not a socket whose creation was traced
-	Caller               // of an accepted connection
-	Server               // of a stream socket that the program connects
+	Caller               // the peer of an accepted connection
+	Server               // the peer of a stream socket that the program connects
 	Datagram
 )
 
-// Outcome is the result of a call.
+// Outcome is the fault injected into a call; the zero value injects none.
 type Outcome struct {
-	Errno syscall.Errno // 0: the call is made
+	Errno syscall.Errno // error that the call returns without being made; 0: the call is made
 	Bytes uint64        // limit of a read or write; 0: none
 }
 
-// errnos lists the errors that each call may return. On callers' connections only transient ones: any other ends the connection, and with it
-// what the protocol promises the caller.
+// errnos lists the errors that each call may return. Callers' connections get transient errors only: any other error ends the connection,
+// and the protocol's guarantees to the caller end with it.
 var errnos = map[Call]map[Peer][]syscall.Errno{
 	Accept: {NoSocket: {syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EPROTO, syscall.EHOSTUNREACH, syscall.ENETUNREACH}},
 	Socket: {NoSocket: {syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM}},
@@ -53,19 +53,20 @@
 	Wait: {NoSocket: {syscall.EINTR}},
 }
 
-// Choice draws the outcomes of calls. It is not safe for concurrent use.
-type Choice struct {
+// OutcomeSource draws the outcomes of calls from a seed. It is not safe for concurrent use.
+type OutcomeSource struct {
 	random *rand.Rand
 	rate   float64
 }
 
-// NewChoice returns a choice by seed in which calls fail at the given rate, from 0 to 1, and reads and writes are short at the same rate.
-func NewChoice(seed uint64, rate float64) *Choice {
-	return &Choice{random: rand.New(rand.NewPCG(seed, 0xca11)), rate: rate}
+// NewOutcomeSource returns an OutcomeSource that makes calls fail at the given rate, from 0 to 1, and reads and writes be short at the same
+// rate.
+func NewOutcomeSource(seed uint64, rate float64) *OutcomeSource {
+	return &OutcomeSource{random: rand.New(rand.NewPCG(seed, 0xca11)), rate: rate}
 }
 
-// Draw draws the outcome of a call on a socket that requests so many bytes.
-func (c *Choice) Draw(call Call, peer Peer, bytes uint64) Outcome {
+// Draw draws the outcome of a call on a socket; bytes is the number of bytes that the call requests.
+func (c *OutcomeSource) Draw(call Call, peer Peer, bytes uint64) Outcome {
 	possible := errnos[call][peer]
 	if len(possible) == 0 {
 		return Outcome{}
--- a/internal/testing/faults/systemcalls/systemcalls_test.go
+++ b/internal/testing/faults/systemcalls/systemcalls_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// asChild has the test's own binary be the traced program.
-const asChild = "SYSTEMCALLS_CHILD"
+// childVariable is the environment variable that makes the test binary run as the traced program.
+const childVariable = "SYSTEMCALLS_CHILD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asChild) == "" {
+	if os.Getenv(childVariable) == "" {
 		os.Exit(m.Run())
 	}
 	if err := exchange(); err != nil {
@@ -27,7 +27,8 @@
 	os.Exit(0)
 }
 
-// exchange sends bytes through a connection to itself, whatever errors come on the way.
+// exchange sends bytes over loopback connections to itself and ignores failed calls. It returns an error if other bytes arrive than were
+// sent.
 func exchange() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	for err != nil {
@@ -40,7 +41,7 @@
 			if err != nil {
 				continue
 			}
-			_, _ = conn.Write(sent) // what it comes to is seen at the other end
+			_, _ = conn.Write(sent) // the receiver checks what arrives; a failed write is expected
 			conn.Close()
 		}
 	}()
@@ -58,24 +59,25 @@
 		}
 		conn.Close()
 		if !bytes.HasPrefix(sent, got) {
-			return errors.New("other bytes arrived than were sent")
+			return errors.New("received bytes are not a prefix of the sent bytes")
 		}
 	}
 	return nil
 }
 
-// TestRun: calls of a traced program fail and come short, what it sends arrives all the same as far as it gets, and its exit status is told.
-func TestRun(t *testing.T) {
+// TestRunInjectsFaultsAndReturnsExitStatus checks that calls of a traced program fail and are short, that the bytes it transfers are not
+// corrupted, and that Run returns its exit status, 128 plus the signal where a signal ended it.
+func TestRunInjectsFaultsAndReturnsExitStatus(t *testing.T) {
 	if runtime.GOOS != "linux" || runtime.GOARCH != "amd64" {
-		if _, _, err := Run(os.Args[0], nil, NewChoice(1, 0), func(int) {}); err == nil {
-			t.Error("no error where programs can't be traced")
+		if _, _, err := Run(os.Args[0], nil, NewOutcomeSource(1, 0), func(int) {}); err == nil {
+			t.Error("Run returned no error on a platform without tracing")
 		}
 		return
 	}
-	t.Setenv(asChild, "1")
-	status, counts, err := Run(os.Args[0], nil, NewChoice(1, 0.05), func(int) {})
+	t.Setenv(childVariable, "1")
+	status, counts, err := Run(os.Args[0], nil, NewOutcomeSource(1, 0.05), func(int) {})
 	if err != nil || status != 0 || len(counts) < 5 || counts["short read"] == 0 {
-		t.Errorf("status %d, %v, %v", status, counts, err)
+		t.Errorf("status %d, failed calls %v, error %v; want status 0 and 5 or more kinds with short reads", status, counts, err)
 	}
 	signalled := func(pid int) {
 		go func() {
@@ -83,18 +85,19 @@
 			_ = syscall.Kill(pid, syscall.SIGTERM)
 		}()
 	}
-	if status, _, err := Run("/bin/sleep", []string{"60"}, NewChoice(1, 0), signalled); err != nil || status != 128+int(syscall.SIGTERM) {
-		t.Errorf("status %d, %v, want that of SIGTERM", status, err)
+	if status, _, err := Run("/bin/sleep", []string{"60"}, NewOutcomeSource(1, 0), signalled); err != nil || status != 128+int(syscall.SIGTERM) {
+		t.Errorf("status %d, error %v, want 128 + SIGTERM", status, err)
 	}
-	if _, _, err := Run("/nonexistent", nil, NewChoice(1, 0), func(int) {}); err == nil {
-		t.Error("no error for a program that does not exist")
+	if _, _, err := Run("/nonexistent", nil, NewOutcomeSource(1, 0), func(int) {}); err == nil {
+		t.Error("Run returned no error for a program that does not exist")
 	}
 }
 
-// TestDraw: calls fail at their rate, with errors of their own only, and callers' connections never break.
-func TestDraw(t *testing.T) {
+// TestDrawFailsCallsAtRate checks that calls fail at the given rate, that calls on callers' connections get transient errors only, and that
+// files never fail.
+func TestDrawFailsCallsAtRate(t *testing.T) {
 	const draws, rate = 20000, 0.1
-	c := NewChoice(1, rate)
+	c := NewOutcomeSource(1, rate)
 	failed := 0
 	for range draws {
 		o := c.Draw(Read, Caller, 100)
@@ -102,16 +105,16 @@
 			failed++
 		}
 		if o.Errno == syscall.ECONNRESET || o.Errno == syscall.ETIMEDOUT || o.Bytes >= 100 {
-			t.Fatalf("%+v on a caller's connection", o)
+			t.Fatalf("drew %+v for a read on a caller's connection, want a transient error or a short read", o)
 		}
 	}
 	if part := float64(failed) / draws; part < rate*0.8 || part > rate*1.2 {
-		t.Errorf("%.3f of the calls failed, want %.1f", part, rate)
+		t.Errorf("fraction of failed calls is %.3f, want %.1f within 20%%", part, rate)
 	}
-	if o := NewChoice(1, 1).Draw(Read, NoSocket, 100); o != (Outcome{}) {
-		t.Errorf("%+v on a file", o)
+	if o := NewOutcomeSource(1, 1).Draw(Read, NoSocket, 100); o != (Outcome{}) {
+		t.Errorf("drew %+v for a read on a file, want no fault", o)
 	}
-	if o := NewChoice(1, 0).Draw(Accept, NoSocket, 0); o != (Outcome{}) {
-		t.Errorf("%+v at a rate of 0", o)
+	if o := NewOutcomeSource(1, 0).Draw(Accept, NoSocket, 0); o != (Outcome{}) {
+		t.Errorf("drew %+v at a rate of 0, want no fault", o)
 	}
 }
--- a/internal/testing/standin/authority.go
+++ b/internal/testing/standin/authority.go
@@ -50,13 +50,14 @@
 	return key
 }
 
-// Issue writes a certificate for a name and 127.0.0.1, its key and the authority's certificate to files in dir, whose names begin with prefix.
-func (a *Authority) Issue(t testing.TB, dir, prefix, name string, ends time.Time) (cert, key, ca string) {
+// Issue writes a certificate for a name and 127.0.0.1, its key and the authority's certificate to files in dir, whose names begin with
+// prefix.
+func (a *Authority) Issue(t testing.TB, dir, prefix, name string, notAfter time.Time) (cert, key, ca string) {
 	t.Helper()
 	a.next++
 	k := a.newKey(t)
 	template := &x509.Certificate{SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: ends, KeyUsage: x509.KeyUsageDigitalSignature,
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: notAfter, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &k.PublicKey, a.key)
 	if err != nil {
--- a/internal/testing/standin/balancer.go
+++ b/internal/testing/standin/balancer.go
@@ -38,7 +38,7 @@
 	return string(b)
 }
 
-// Send writes bytes.
+// Send writes text to the connection.
 func (b *Balancer) Send(text string) {
 	b.t.Helper()
 	if _, err := io.WriteString(b, text); err != nil {
@@ -46,13 +46,13 @@
 	}
 }
 
-// Do sends a request that reached the machine at the given time; more are further fields.
+// Do sends a request that reached the machine at the given time; more is appended to its fields.
 func (b *Balancer) Do(tag int, class, req string, at time.Time, body, more string) {
 	b.t.Helper()
 	b.Send(Do(tag, class, req, at, body, more))
 }
 
-// Do formats such a request.
+// Do formats the request that Balancer.Do sends.
 func Do(tag int, class, req string, at time.Time, body, more string) string {
 	return Array("DO", fmt.Sprint(tag), class, fmt.Sprintf("req=%s,ts=%d,via=1,owner=acme,need=10,level=0.5%s", req, at.UnixMilli(), more), body)
 }
@@ -66,7 +66,7 @@
 	cmd, err := b.in.ReadCommand()
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		b.t.Fatal("no answer")
+		b.t.Fatal("the node sent no answer within the wait timeout")
 	}
 	if err != nil {
 		return nil
--- a/internal/testing/standin/catalogue.go
+++ b/internal/testing/standin/catalogue.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// NewCatalogue starts a stand-in for the catalogue that answers each fetch by reply, and returns its address.
+// NewCatalogue starts a stand-in for the catalogue that calls reply to answer each fetch, and returns its address.
 func NewCatalogue(t testing.TB, reply func(id string, c net.Conn)) string {
 	ln := Listen(t)
 	go func() {
--- a/internal/testing/standin/config.go
+++ b/internal/testing/standin/config.go
@@ -17,8 +17,8 @@
  "rules":{"cold":1000000,"fall":1500000,"grace-to-answer":80000,"overload-factor":5,"start-capacity":0.2,
   "stop-sending-within":1000000},"servers":1,"tick":4000}`
 
-// Config returns a platform configuration with these settings; peers with an empty address are not used. Tests that are not about deadlines
-// take a long one, so that a slow machine does not change their outcome.
+// Config returns a platform configuration with these settings and the given deadline; peers with an empty address are not used. Tests that
+// are not about deadlines pass a long one, so that a slow machine does not change their outcome.
 func Config(listen, runtime, catalog string, deadline time.Duration) string {
 	settings := strings.ReplaceAll(Settings, "600000", fmt.Sprint(deadline.Microseconds()))
 	settings = strings.ReplaceAll(settings, "400000", fmt.Sprint(deadline.Microseconds()*2/3))
--- a/internal/testing/standin/echo.go
+++ b/internal/testing/standin/echo.go
@@ -16,18 +16,19 @@
 	"sloehitch/internal/frontend/uwsgi/packet"
 )
 
-// Echo is a uwsgi server that answers with the request's body. A mutant violates the protocol in one way, for tests of the checks that must
-// detect it.
+// Echo is a uwsgi server that answers with the request's body. A mutant violates the protocol in one way, to test that the conformance
+// checks detect the violation.
 type Echo struct {
 	Address string
 	mutant  string
 }
 
 // Mutants lists the ways in which an Echo can violate the protocol.
-var Mutants = []string{"length too large", "length too small", "closes early", "answers twice", "swallows the body", "takes names twice",
-	"takes a length and chunks", "takes signs in lengths", "takes line feeds in chunks", "takes no pings", "wrong answer to pings", "takes all modifiers",
-	"takes line ends in values", "cuts bodies at 4096", "hangs on what is bad", "takes short bodies", "body to HEAD", "echoes the framing", "reads past the body",
-	"garbage for a head", "takes any coding"}
+var Mutants = []string{"length too large", "length too small", "closes early", "responds twice", "drops the body",
+	"accepts duplicate names", "accepts a length and chunks", "accepts signs in lengths", "accepts bare line feeds in chunks",
+	"rejects pings", "wrong response to pings", "accepts all modifiers", "accepts line ends in values", "truncates bodies at 4096 bytes",
+	"hangs on malformed requests", "accepts short bodies", "body to HEAD", "echoes the framing", "reads past the body",
+	"malformed response head", "accepts any coding"}
 
 // NewEcho starts an echo server; mutant is empty or one of Mutants.
 func NewEcho(t testing.TB, mutant string) *Echo {
@@ -53,20 +54,20 @@
 	in := bufio.NewReaderSize(c, 64<<10)
 	vars, body, err := e.read(in)
 	switch {
-	case errors.Is(err, errPing) && e.mutant == "wrong answer to pings":
+	case errors.Is(err, errPing) && e.mutant == "wrong response to pings":
 		_, _ = c.Write([]byte{packet.Ping, 0, 0, 0})
 	case errors.Is(err, errPing):
 		_, _ = c.Write(packet.Pong.Append(nil))
 	case err == nil:
 		e.answer(c, vars.Get("REQUEST_METHOD"), body)
-	case e.mutant == "hangs on what is bad":
+	case e.mutant == "hangs on malformed requests":
 		_, _ = io.Copy(io.Discard, in)
 		time.Sleep(WaitTimeout / 2)
 	case !errors.Is(err, io.EOF):
 		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 	}
-	if half, ok := c.(*net.TCPConn); ok {
-		_ = half.CloseWrite()
+	if tcp, ok := c.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
 		_, _ = io.Copy(io.Discard, in)
 	}
 }
@@ -78,20 +79,20 @@
 		return vars, nil, io.EOF
 	}
 	h := packet.ReadHeader(first)
-	if h.Modifier1 == packet.Ping && h.Modifier2 == 0 && h.Size == 0 && e.mutant != "takes no pings" {
+	if h.Modifier1 == packet.Ping && h.Modifier2 == 0 && h.Size == 0 && e.mutant != "rejects pings" {
 		return vars, nil, errPing
 	}
-	if h.Modifier1 != 0 && e.mutant != "takes all modifiers" {
+	if h.Modifier1 != 0 && e.mutant != "accepts all modifiers" {
 		return vars, nil, packet.ErrMalformed
 	}
 	block := make([]byte, h.Size)
 	if _, err := io.ReadFull(in, block); err != nil {
 		return vars, nil, err
 	}
-	if e.mutant == "takes line ends in values" {
+	if e.mutant == "accepts line ends in values" {
 		block = bytes.ReplaceAll(block, []byte("\r\n"), []byte("  "))
 	}
-	if e.mutant == "takes names twice" {
+	if e.mutant == "accepts duplicate names" {
 		block = renameDuplicates(block)
 	}
 	if vars, err = packet.ReadVars(block, 2000); err != nil {
@@ -134,7 +135,7 @@
 	}
 	body := make([]byte, framing.Length)
 	n, err := io.ReadFull(in, body)
-	if e.mutant == "takes short bodies" {
+	if e.mutant == "accepts short bodies" {
 		return body[:n], nil
 	}
 	if e.mutant == "reads past the body" && err == nil {
@@ -158,11 +159,11 @@
 	coding := vars.Get("HTTP_TRANSFER_ENCODING")
 	chunked := packet.Framing{Length: -1, Chunked: true}
 	switch {
-	case e.mutant == "takes a length and chunks" && length != "" && strings.EqualFold(coding, "chunked"):
+	case e.mutant == "accepts a length and chunks" && length != "" && strings.EqualFold(coding, "chunked"):
 		return chunked, nil
-	case e.mutant == "takes any coding" && coding != "" && length == "":
+	case e.mutant == "accepts any coding" && coding != "" && length == "":
 		return chunked, nil
-	case e.mutant == "takes signs in lengths":
+	case e.mutant == "accepts signs in lengths":
 		if n, numErr := strconv.Atoi(length); numErr == nil && n >= 0 {
 			return packet.Framing{Length: int64(n)}, nil
 		}
@@ -171,7 +172,7 @@
 }
 
 func (e *Echo) chunkedBody(in *bufio.Reader) ([]byte, error) {
-	if e.mutant != "takes line feeds in chunks" {
+	if e.mutant != "accepts bare line feeds in chunks" {
 		return e.chunks(in)
 	}
 	raw, err := io.ReadAll(in)
@@ -206,7 +207,7 @@
 	return io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(raw)))
 }
 
-// errPing reports that the request is a ping.
+// errPing is returned for a ping instead of a request.
 var errPing = errors.New("ping")
 
 func (e *Echo) answer(c net.Conn, method string, body []byte) {
@@ -217,12 +218,12 @@
 		n++
 	case "length too small":
 		n = max(0, n-1)
-	case "swallows the body":
+	case "drops the body":
 		body, n = nil, 0
-	case "cuts bodies at 4096":
+	case "truncates bodies at 4096 bytes":
 		body = body[:min(len(body), 4096)]
 		n = len(body)
-	case "garbage for a head":
+	case "malformed response head":
 		head = "200 OK"
 	}
 	text := fmt.Appendf(nil, "%s\r\nContent-Length: %d\r\n\r\n", head, n)
@@ -233,7 +234,7 @@
 		text = append(text, body...)
 	}
 	switch e.mutant {
-	case "answers twice":
+	case "responds twice":
 		text = append(text, text...)
 	case "closes early":
 		text = text[:len(text)/2]
--- a/internal/testing/standin/runtime.go
+++ b/internal/testing/standin/runtime.go
@@ -17,7 +17,7 @@
 	rt        *Runtime
 }
 
-// Call requests a downstream call and blocks until its reply.
+// Call requests a downstream call and blocks until the node sends the reply.
 func (j *Job) Call(body string) []byte {
 	j.rt.SendNotice(map[string]any{"action": "wants", "uid": j.UID, "content": base64.StdEncoding.EncodeToString([]byte(body))})
 	return <-j.Replies
@@ -26,7 +26,7 @@
 // Runtime is a stand-in for the application runtime.
 type Runtime struct {
 	Address string
-	Syncs   chan uint64 // the positions that connections resumed from
+	Syncs   chan uint64 // the position that each connection resumed from
 
 	mu         sync.Mutex
 	conn       net.Conn
@@ -36,20 +36,20 @@
 	runs       map[string]int
 	running    int
 	maxRunning int
-	dropping   bool // commands are read and dropped
+	dropping   bool // commands are read and dropped until the next connection
 	dropped    int  // how many commands were dropped
-	work       func(j *Job) (code, result string)
+	runJob     func(j *Job) (code, result string)
 }
 
 // NewRuntime starts a runtime whose runs do the given work and end with its code and result.
 func NewRuntime(t testing.TB, work func(j *Job) (code, result string)) *Runtime {
-	rt := &Runtime{Syncs: make(chan uint64, 16), jobs: map[string]*Job{}, runs: map[string]int{}, work: work}
+	rt := &Runtime{Syncs: make(chan uint64, 16), jobs: map[string]*Job{}, runs: map[string]int{}, runJob: work}
 	rt.Address = rt.ListenAgain(t)
 	t.Cleanup(rt.Disconnect)
 	return rt
 }
 
-// ListenAgain listens on a further address of the same runtime and returns it.
+// ListenAgain opens another listener of the same runtime and returns its address.
 func (rt *Runtime) ListenAgain(t testing.TB) string {
 	ln := Listen(t)
 	go func() {
@@ -58,7 +58,7 @@
 			if err != nil {
 				return
 			}
-			go rt.serve(conn, rt.work)
+			go rt.serve(conn, rt.runJob)
 		}
 	}()
 	return ln.Addr().String()
@@ -107,7 +107,7 @@
 	code, result := work(j)
 	rt.mu.Lock()
 	rt.running--
-	delete(rt.jobs, j.UID) // nothing of an ended run is retained: a second start runs it again
+	delete(rt.jobs, j.UID) // an ended run is not remembered: a second start runs it again
 	rt.mu.Unlock()
 	rt.SendNotice(map[string]any{"action": "end", "uid": j.UID, "code": code, "wall_ms": 1,
 		"content": base64.StdEncoding.EncodeToString([]byte(result))})
@@ -129,7 +129,7 @@
 	}
 }
 
-// DropCommands has the runtime drop all commands until the next connection, and returns how many it has dropped before.
+// DropCommands makes the runtime drop all commands until the next connection, and returns how many commands it has dropped so far.
 func (rt *Runtime) DropCommands() int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -137,7 +137,7 @@
 	return rt.dropped
 }
 
-// DroppedCommands returns how many commands were dropped.
+// DroppedCommands returns how many commands the runtime has dropped so far.
 func (rt *Runtime) DroppedCommands() int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
--- a/internal/testing/standin/scripted.go
+++ b/internal/testing/standin/scripted.go
@@ -11,23 +11,23 @@
 )
 
 type (
-	// Script is what a scripted peer does, in order.
+	// Script is a list of a scripted peer's actions, in order.
 	Script = scriptedpeer.Script
-	// Step is one thing that it does.
+	// Step is one action of a script.
 	Step = scriptedpeer.Step
 )
 
-// Scripted is a uwsgi server whose n-th connection plays the n-th script, and later ones the last.
+// Scripted is a uwsgi server that plays the n-th script on its n-th connection, and the last script on all further ones.
 type Scripted struct {
 	Address string
 
-	mu   sync.Mutex
-	n    int
-	open int
-	got  []string
+	mu          sync.Mutex
+	connections int
+	open        int
+	received    []string
 }
 
-// NewScripted starts a scripted server.
+// NewScripted starts a scripted server; it needs one script at least.
 func NewScripted(t testing.TB, scripts ...Script) *Scripted {
 	ln := Listen(t)
 	s := &Scripted{Address: ln.Addr().String()}
@@ -38,17 +38,17 @@
 				return
 			}
 			s.mu.Lock()
-			todo := scripts[min(s.n, len(scripts)-1)]
-			s.n++
+			script := scripts[min(s.connections, len(scripts)-1)]
+			s.connections++
 			s.open++
 			s.mu.Unlock()
 			go func() {
 				defer c.Close()
-				read, _ := todo.Play(c) // a script may be meant to fail
+				read, _ := script.Play(c) // some scripts are meant to fail
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				s.open--
-				s.got = append(s.got, string(read))
+				s.received = append(s.received, string(read))
 			}()
 		}
 	}()
@@ -59,28 +59,29 @@
 func (s *Scripted) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.n
+	return s.connections
 }
 
-// Received returns what each closed connection has read.
+// Received returns the bytes read on each closed connection.
 func (s *Scripted) Received() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.got...)
+	return append([]string(nil), s.received...)
 }
 
-// FaultyScript is a server's script by seed: it reads up to end, or less, and answers well or in one of the ways that servers fail.
+// FaultyScript draws a server's script from a seed: the server reads the request up to end, or only its beginning, and answers correctly or
+// fails in one of several ways.
 func FaultyScript(seed uint64, end, response string) Script {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	cut := rng.IntN(len(response))
 	pause := Step{Pause: time.Duration(rng.IntN(4)) * time.Millisecond}
 	first := Step{Until: end}
 	if rng.IntN(4) == 0 {
-		first = Step{Read: 1 + rng.IntN(40)} // it doesn't read on
+		first = Step{Read: 1 + rng.IntN(40)} // the server stops reading after a few bytes
 	}
 	switch rng.IntN(9) {
 	case 0:
-		return Script{first, pause, {Send: response[:cut]}} // breaks off
+		return Script{first, pause, {Send: response[:cut]}} // the answer is cut off
 	case 1:
 		return Script{first, {Send: response[:cut]}, {Reset: true}}
 	case 2:
@@ -92,14 +93,14 @@
 	case 5:
 		return Script{first, {Send: response[:cut]}, pause, {Send: response[cut:]}}
 	case 6:
-		return Script{first, {Send: response}, {Flood: 64 << 10}} // an endless answer
+		return Script{first, {Send: response}, {Flood: 64 << 10}} // 64 KiB of zero bytes follow the answer
 	case 7:
-		return Script{{Send: response}, pause} // an early answer
+		return Script{{Send: response}, pause} // the answer comes before the request is read
 	}
 	return Script{first, pause, {Send: response}, {Half: true}, {Until: "never"}}
 }
 
-// Packet is a uwsgi request's bytes.
+// Packet returns the encoded uwsgi request with the given variables and body.
 func Packet(t testing.TB, body string, vars ...[2]string) string {
 	t.Helper()
 	b, err := packet.AppendRequest(nil, 0, 0, vars)
@@ -109,12 +110,12 @@
 	return string(b) + body
 }
 
-// WaitFor polls a condition and fails the test where it does not hold in time.
+// WaitFor polls a condition and fails the test if it does not hold within WaitTimeout.
 func WaitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for until := time.Now().Add(WaitTimeout); !done(); time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatalf("it did not come about: %s", what)
+	for deadline := time.Now().Add(WaitTimeout); !done(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition did not hold within the wait timeout: %s", what)
 		}
 	}
 }
--- a/internal/testing/standin/server.go
+++ b/internal/testing/standin/server.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// Server is a uwsgi server that answers each request with what respond returns, and counts requests by body.
+// Server is a uwsgi server that answers each request with the result of a function, and counts requests by body.
 type Server struct {
 	Address string
 
@@ -18,7 +18,7 @@
 	runs map[string]int
 }
 
-// NewServer starts a uwsgi server.
+// NewServer starts a uwsgi server that answers a request with respond of its body.
 func NewServer(t testing.TB, respond func(body string) string) *Server {
 	ln := Listen(t)
 	s := &Server{Address: ln.Addr().String(), runs: map[string]int{}}
@@ -46,7 +46,7 @@
 	}
 	var n int
 	if _, after, found := strings.Cut(string(vars), "CONTENT_LENGTH"); found {
-		_, _ = fmt.Sscanf(after[2:], "%d", &n) // without a number there is no body
+		_, _ = fmt.Sscanf(after[2:], "%d", &n) // a request without a number has no body
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(conn, body); err != nil {
--- a/internal/testing/standin/standin.go
+++ b/internal/testing/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin has stand-ins for the peers of a node, for tests: a runtime, a catalogue, load balancers, uwsgi servers and clients, and a
-// configuration that names them. Each stand-in is closed at the end of its test.
+// Package standin has stand-ins for the peers of a node, for tests: a runtime, a catalogue, load balancers, uwsgi servers and clients, and
+// a configuration that names them. Each stand-in is closed at the end of its test.
 package standin
 
 import (
@@ -11,7 +11,7 @@
 	"sloehitch/internal/testing/loopback"
 )
 
-// WaitTimeout is the timeout of a test's waits; only a failing test waits that long.
+// WaitTimeout bounds each wait in a test; only a failing test waits that long.
 const WaitTimeout = 20 * time.Second
 
 // DiscardLogger is a logger that discards everything.
@@ -28,7 +28,8 @@
 	return ln
 }
 
-// FreeAddress returns a free address for a server that is started, or started again, later in the test; it is reserved until then.
+// FreeAddress returns a free address for a server that is started, or restarted, later in the test. The system does not assign its port to
+// other sockets meanwhile.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	found, err := loopback.Addresses(1)
