--- a/internal/testing/soak/catalogue.go
+++ b/internal/testing/soak/catalogue.go
@@ -54,7 +54,7 @@
 			if strings.HasPrefix(line, "QUIT ") {
 				continue
 			}
-			c.record.add("catalogue", "not a call", "", "", fmt.Sprintf("%.60q", line))
+			c.record.add("catalogue", "malformed call", "", "", fmt.Sprintf("%.60q", line))
 			return
 		}
 		body := make([]byte, length+2)
@@ -82,5 +82,5 @@
 	}
 	writing.Lock()
 	defer writing.Unlock()
-	_, _ = io.WriteString(conn, text) // a connection that broke proves nothing
+	_, _ = io.WriteString(conn, text) // a broken connection is not an error of the node
 }
--- a/internal/testing/soak/check_keys.go
+++ b/internal/testing/soak/check_keys.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// checkKeys checks that the attempts with one idempotency key run once within the key's window in one process, and that none is rejected
-// after that. Where processes replace one another in service, they count as one.
+// checkKeys checks that the attempts with an idempotency key run only once within the key's window in a process, and that none is rejected
+// after that run. Processes that replace one another in service count as one process.
 func (run *testRun) checkKeys(r *Report) {
 	keys := map[string][]*request{}
 	for _, q := range run.requests.list {
@@ -27,7 +27,7 @@
 			continue
 		}
 		run.checkRetriesOfKey(r, proc, ran, attempts)
-		if run.plan.Site.Shared { // processes that replace one another are one node, whichever of them an attempt reaches
+		if run.plan.Site.Shared { // processes that replace one another are one node, whichever of them receives an attempt
 			return
 		}
 	}
@@ -41,7 +41,7 @@
 				continue
 			}
 			if ran != nil && ran != q && q.written-ran.written < run.plan.Site.Window {
-				r.breach(RuleDuplicate, fmt.Sprintf("key %s ran as %s and as %s", key, ran.id, q.id), key)
+				r.addViolation(RuleDuplicate, fmt.Sprintf("idempotency key %s ran as request %s and again as request %s within its window", key, ran.id, q.id), key)
 			}
 			ran = q
 		}
@@ -49,7 +49,7 @@
 	return ran
 }
 
-// checkRetriesOfKey checks that no attempt was rejected that the process could have answered with the result of the one that ran.
+// checkRetriesOfKey checks that the process did not reject an attempt that it could have answered with the result of the attempt that ran.
 func (run *testRun) checkRetriesOfKey(r *Report, proc *process, ran *request, attempts []*request) {
 	ends := proc.endedAt
 	if ends == 0 || run.plan.Site.Shared {
@@ -60,7 +60,7 @@
 		reached := q.process == proc.number || run.plan.Site.Shared
 		rejected := len(q.answers) == 1 && q.answers[0].word == "NAK"
 		if q != ran && inWindow && reached && rejected {
-			r.breach(RuleDuplicate, fmt.Sprintf("key %s ran as %s, and its retry %s was rejected", q.key, ran.id, q.id), q.key)
+			r.addViolation(RuleDuplicate, fmt.Sprintf("idempotency key %s ran as request %s, but its retry %s was rejected", q.key, ran.id, q.id), q.key)
 		}
 	}
 }
--- a/internal/testing/soak/check_pauses.go
+++ b/internal/testing/soak/check_pauses.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pausedBetween returns for how long the node's process, or the machine, was paused between two times.
+// pausedBetween returns how long the node's process was stopped, or the machine did not schedule the rig, between two times.
 func (run *testRun) pausedBetween(from, to time.Duration) (sum time.Duration) {
 	for _, x := range slices.Concat(run.pauses, run.schedulingDelays) {
 		if x.to >= from && x.from <= to+sum+time.Second {
@@ -15,11 +15,11 @@
 	return sum
 }
 
-// minSchedulingTurn is the shortest time between two pauses in which a process on a busy machine has certainly run.
+// minSchedulingTurn is the shortest time between two pauses in which a process is sure to have run, even on a busy machine.
 const minSchedulingTurn = 5 * time.Millisecond
 
-// signalSeenAt returns when a process could first see its SIGTERM: a signal that arrives during a pause waits for its end, and for a further
-// pause that begins before the process has run.
+// signalSeenAt returns when a process could first handle its SIGTERM: a signal that arrives during a pause is handled after the pause, or
+// after a further pause that begins before the process has run.
 func (run *testRun) signalSeenAt(proc *process) time.Duration {
 	at, waits := proc.terminatedAt, false
 	for _, x := range run.pauses {
--- a/internal/testing/soak/check_processes.go
+++ b/internal/testing/soak/check_processes.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// checkProcesses checks that each process serves in time, exits only when asked to, stays within its memory (MB) and descriptor limits, and
-// sends load reports to the directory. Descriptors count against half the limit, as a process at rest holds.
+// checkProcesses checks that each process is ready in time, exits only when it is told to, stays within its memory (MB) and descriptor
+// limits, and sends load reports to the directory. A process at rest may have half the limit of descriptors open.
 func (run *testRun) checkProcesses(r *Report) {
 	for _, proc := range run.processes {
 		if proc.failure != "" {
-			r.breach(RuleProcess, fmt.Sprintf("process %d: %s\n%s", proc.number, proc.failure, lastLines(proc.log.String())))
+			r.addViolation(RuleProcess, fmt.Sprintf("process %d: %s\n%s", proc.number, proc.failure, lastLines(proc.log.String())))
 		}
 		if strings.Contains(proc.log.String(), "panic:") || strings.Contains(proc.log.String(), "DATA RACE") {
-			r.breach(RuleProcess, fmt.Sprintf("process %d: %s", proc.number, lastLines(proc.log.String())))
+			r.addViolation(RuleProcess, fmt.Sprintf("process %d: %s", proc.number, lastLines(proc.log.String())))
 		}
 		run.checkLoadReports(r, proc)
 		if proc.endedAt > 0 {
@@ -22,18 +22,18 @@
 		}
 		megabytes, descriptors, err := proc.usage()
 		if err != nil || megabytes > float64(run.plan.Site.MemoryMB) || descriptors > run.plan.Site.Sockets/2 {
-			r.breach(RuleProcess, fmt.Sprintf("process %d at rest: %.1f MB of %d, %d descriptors of %d, %v", proc.number, megabytes, run.plan.Site.MemoryMB, descriptors, run.plan.Site.Sockets, err))
+			r.addViolation(RuleProcess, fmt.Sprintf("process %d at rest: %.1f MB resident of %d MB, %d open descriptors of %d, error %v", proc.number, megabytes, run.plan.Site.MemoryMB, descriptors, run.plan.Site.Sockets, err))
 		}
 	}
 	for _, s := range run.unexpected {
-		if strings.Contains(s, "does not serve") {
-			r.breach(RuleProcess, s)
+		if strings.Contains(s, "did not become ready") {
+			r.addViolation(RuleProcess, s)
 		}
 	}
 }
 
-// checkLoadReports checks that a process that serves never leaves the directory's endpoint list: no gap between two load reports is longer
-// than maxReportGap, pauses and outages of the directory not counted.
+// checkLoadReports checks that a ready process stays in the directory's endpoint list: no gap between two load reports is longer than
+// maxReportGap, without pauses of the process and outages of the directory.
 func (run *testRun) checkLoadReports(r *Report, proc *process) {
 	if proc.readyAt == 0 {
 		return
@@ -59,11 +59,11 @@
 			}
 		}
 		if gap > maxReportGap {
-			r.breach(RuleProcess, fmt.Sprintf("process %d sent the directory no load report for %v up to %v", proc.number, gap, at))
+			r.addViolation(RuleProcess, fmt.Sprintf("process %d sent the directory no load report for %v up to %v", proc.number, gap, at))
 		}
 		last = at
 	}
 }
 
-// lastLines returns the end of a log.
+// lastLines returns the last 2000 bytes of a log.
 func lastLines(text string) string { return text[max(0, len(text)-2000):] }
--- a/internal/testing/soak/checker_test.go
+++ b/internal/testing/soak/checker_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// violatedRules returns the rules that the checker finds violated in a test run of one process that was up for 20 s and sent SIGTERM at 10 s, with these attempts.
+// violatedRules returns the rules that the checker reports as violated for these attempts, in a test run with one process that ran for 20 s
+// and was sent SIGTERM at 10 s.
 func violatedRules(t *testing.T, attempts ...*request) []string {
 	t.Helper()
 	run := &testRun{record: newRecord(), requests: newRequests(), counts: map[string]int{}, catalogue: &catalogue{calls: map[string]int{}}, directory: &directory{},
@@ -27,8 +28,8 @@
 	return rules
 }
 
-// TestChecker: what breaks a rule is found, and what does not is not.
-func TestChecker(t *testing.T) {
+// TestCheckReportsViolatedRules checks that the checker reports each violation and reports nothing for permitted histories.
+func TestCheckReportsViolatedRules(t *testing.T) {
 	const s = time.Second
 	served := func(at time.Duration, of string) []answer { return []answer{{at, "ACK", result(of)}} }
 	word := func(at time.Duration, w string) []answer { return []answer{{at, w, ""}} }
@@ -43,41 +44,41 @@
 		attempts []*request
 		want     []string
 	}{
-		{"served", []*request{{id: "a", class: "read", written: s, due: 3 * s, runs: starts(s), answers: served(2*s, "a")}}, nil},
-		{"refused unrun", []*request{{id: "a", class: "book", key: "k", written: s, due: 3 * s, answers: word(s, "NAK")}}, nil},
+		{"served after one run", []*request{{id: "a", class: "read", written: s, due: 3 * s, runs: starts(s), answers: served(2*s, "a")}}, nil},
+		{"rejected without a run", []*request{{id: "a", class: "book", key: "k", written: s, due: 3 * s, answers: word(s, "NAK")}}, nil},
 		{"never answered", []*request{{id: "a", class: "read", written: s, due: 3 * s}}, []string{RuleLost}},
-		{"answered too late", []*request{{id: "a", class: "read", written: s, due: 3 * s, answers: word(4*s, "FAIL")}}, []string{RuleLost}},
+		{"answered after the deadline and its slack", []*request{{id: "a", class: "read", written: s, due: 3 * s, answers: word(4*s, "FAIL")}}, []string{RuleLost}},
 		{"answered twice", []*request{{id: "a", class: "read", written: s, due: 3 * s, answers: append(word(2*s, "FAIL"), word(2*s, "NAK")...)}}, []string{RuleDuplicate}},
-		{"another's result", []*request{{id: "a", class: "read", written: s, due: 3 * s, runs: starts(s), answers: served(2*s, "b")}}, []string{RuleLost}},
-		{"the result of another try of its key", []*request{
+		{"served with the result of another request", []*request{{id: "a", class: "read", written: s, due: 3 * s, runs: starts(s), answers: served(2*s, "b")}}, []string{RuleLost}},
+		{"served with the result of another attempt with its key", []*request{
 			{id: "a", class: "book", key: "k", written: s, due: 3 * s, runs: starts(s), answers: served(2*s, "a")},
 			{id: "b", class: "book", key: "k", written: 2 * s, due: 4 * s, answers: served(3*s, "a")}}, nil},
-		{"a keyed run started twice", []*request{{id: "a", class: "book", key: "k", written: s, due: 3 * s, runs: starts(s, 2*s), answers: served(2*s, "a")}}, []string{RuleDuplicate}},
-		{"a read started twice", []*request{{id: "a", class: "read", written: s, due: 3 * s, runs: starts(s, 2*s), answers: served(2*s, "a")}}, nil},
-		{"a key run by two tries", []*request{
+		{"a keyed request is started twice", []*request{{id: "a", class: "book", key: "k", written: s, due: 3 * s, runs: starts(s, 2*s), answers: served(2*s, "a")}}, []string{RuleDuplicate}},
+		{"a read is started twice", []*request{{id: "a", class: "read", written: s, due: 3 * s, runs: starts(s, 2*s), answers: served(2*s, "a")}}, nil},
+		{"two attempts with a key run", []*request{
 			{id: "a", class: "book", key: "k", written: s, due: 3 * s, runs: starts(s), answers: word(2*s, "FAIL")},
 			{id: "b", class: "book", key: "k", written: 2 * s, due: 4 * s, runs: starts(2 * s), answers: served(3*s, "b")}}, []string{RuleDuplicate}},
-		{"refused though it ran", []*request{{id: "a", class: "move", written: s, due: 3 * s, runs: starts(s), answers: word(2*s, "NAK")}}, []string{RuleDuplicate}},
-		{"a try refused though its key ran", []*request{
+		{"rejected although it ran", []*request{{id: "a", class: "move", written: s, due: 3 * s, runs: starts(s), answers: word(2*s, "NAK")}}, []string{RuleDuplicate}},
+		{"an attempt is rejected although its key ran", []*request{
 			{id: "a", class: "book", key: "k", written: s, due: 3 * s, runs: starts(s), answers: word(2*s, "FAIL")},
 			{id: "b", class: "book", key: "k", written: 2 * s, due: 4 * s, answers: word(3*s, "NAK")}}, []string{RuleDuplicate}},
-		{"run after the grace", []*request{{id: "a", class: "read", written: 12 * s, due: 14 * s, runs: starts(12 * s), answers: served(13*s, "a")}}, []string{RuleDrain}},
-		{"run within the grace", []*request{{id: "a", class: "read", written: 11 * s, due: 13 * s, runs: starts(11 * s), answers: served(12*s, "a")}}, nil},
-		{"closed without an answer", []*request{{id: "a", class: "read", written: s, due: 3 * s, ended: endedByNode, endedAt: 2 * s}}, []string{RuleLost}},
-		{"crossed the close", []*request{{id: "a", class: "read", written: s, due: 3 * s, ended: endedByNode, endedAt: s + 20*time.Millisecond}}, nil},
-		{"its client left", []*request{{id: "a", class: "read", written: s, due: 3 * s, ended: endedByClient, endedAt: 2 * s}}, nil},
-		{"given up", []*request{{id: "a", class: "read", written: s, due: 3 * s, canceled: true}}, nil},
-		{"a wrong reply to its call", []*request{{id: "a", class: "read", written: s, due: 3 * s, runs: starts(s), wrongReply: true, answers: served(2*s, "a")}}, []string{RuleLost}},
+		{"written after the drain grace and run", []*request{{id: "a", class: "read", written: 12 * s, due: 14 * s, runs: starts(12 * s), answers: served(13*s, "a")}}, []string{RuleDrain}},
+		{"written within the drain grace and run", []*request{{id: "a", class: "read", written: 11 * s, due: 13 * s, runs: starts(11 * s), answers: served(12*s, "a")}}, nil},
+		{"connection closed by the node without an answer", []*request{{id: "a", class: "read", written: s, due: 3 * s, ended: endedByNode, endedAt: 2 * s}}, []string{RuleLost}},
+		{"written just before the node closed the connection", []*request{{id: "a", class: "read", written: s, due: 3 * s, ended: endedByNode, endedAt: s + 20*time.Millisecond}}, nil},
+		{"connection closed by its client", []*request{{id: "a", class: "read", written: s, due: 3 * s, ended: endedByClient, endedAt: 2 * s}}, nil},
+		{"canceled by its client", []*request{{id: "a", class: "read", written: s, due: 3 * s, canceled: true}}, nil},
+		{"its run received a wrong reply to a call", []*request{{id: "a", class: "read", written: s, due: 3 * s, runs: starts(s), wrongReply: true, answers: served(2*s, "a")}}, []string{RuleLost}},
 	} {
 		if got := violatedRules(t, c.attempts...); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: violated rules %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestSignalSeenAt: a process that is sent SIGTERM while it is paused notices as it goes on. One that is paused again before it can
-// have run notices after that.
-func TestSignalSeenAt(t *testing.T) {
+// TestSignalDuringPauseIsSeenAfterIt checks that a process that is sent SIGTERM while it is paused handles it after the pause, or after a
+// further pause that begins before the process can have run.
+func TestSignalDuringPauseIsSeenAfterIt(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name   string
@@ -85,11 +86,11 @@
 		want   time.Duration
 	}{
 		{"no pause", nil, 1000 * ms},
-		{"before", []pause{{500 * ms, 999 * ms}}, 1000 * ms},
-		{"within", []pause{{500 * ms, 1100 * ms}}, 1100 * ms},
-		{"and at once again", []pause{{500 * ms, 1100 * ms}, {1101 * ms, 1600 * ms}, {1601 * ms, 1700 * ms}}, 1700 * ms},
-		{"and again after a turn", []pause{{500 * ms, 1100 * ms}, {1100*ms + minSchedulingTurn, 1600 * ms}}, 1100 * ms},
-		{"a moment later", []pause{{1001 * ms, 1600 * ms}}, 1000 * ms},
+		{"a pause that ends before the signal", []pause{{500 * ms, 999 * ms}}, 1000 * ms},
+		{"a signal during a pause", []pause{{500 * ms, 1100 * ms}}, 1100 * ms},
+		{"further pauses before the process can run", []pause{{500 * ms, 1100 * ms}, {1101 * ms, 1600 * ms}, {1601 * ms, 1700 * ms}}, 1700 * ms},
+		{"a further pause after the process has run", []pause{{500 * ms, 1100 * ms}, {1100*ms + minSchedulingTurn, 1600 * ms}}, 1100 * ms},
+		{"a pause that begins after the signal", []pause{{1001 * ms, 1600 * ms}}, 1000 * ms},
 	} {
 		run := &testRun{pauses: c.pauses}
 		if got := run.signalSeenAt(&process{terminatedAt: 1000 * ms}); got != c.want {
--- a/internal/testing/soak/client.go
+++ b/internal/testing/soak/client.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// behavior is how a client uses its connections; the fields of Clients describe each.
+// behavior is how a client uses its connections; the fields of Clients describe each one.
 type behavior int
 
 const (
 	steady behavior = iota
-	stubborn
-	resting
+	ignoringClose
+	idling
 	slow
-	crowding
+	bursting
 )
 
 const (
 	maxAttempts     = 4                     // of one keyed request
-	cancelFraction  = 0.05                  // of requests are given up by their clients midway
-	closeRaceWindow = 50 * time.Millisecond // a request that crosses the close of its connection within this is sent again, once
-	maxRest         = 1500 * time.Millisecond
+	cancelFraction  = 0.05                  // fraction of requests that their clients cancel before the deadline
+	closeRaceWindow = 50 * time.Millisecond // a request written within this time before its connection ends is sent again, once
+	maxIdle         = 1500 * time.Millisecond
 	minPieceBytes   = 7
 	pieceInterval   = 3 * time.Millisecond // between the pieces that a slow client writes
 )
@@ -38,8 +38,9 @@
 	conn     *clientConn
 }
 
-// send writes a request on the client's connection, or a new one. Where neither is to be had it sends nothing.
-func (c *client) send(key, class string, retry bool, instead string) {
+// send writes a request on the client's connection, or on a new one if that cannot be used. If it cannot connect, it sends nothing. resentOf
+// is the id of the request that this one is a copy of, if that one's connection ended.
+func (c *client) send(key, class string, retry bool, resentOf string) {
 	k := c.connection()
 	if k == nil {
 		return
@@ -49,8 +50,8 @@
 	stamp := time.Now()
 	wait := run.plan.Site.deadline(class)
 	fields := fmt.Sprintf("req=%s,ts=%d,via=%d,owner=acme,need=10,level=0.5,ms=%.2f", q.id, stamp.UnixMilli(), c.number, float64(run.plan.Clients.Work)/1e6)
-	if run.plan.Site.TellsWait && c.random.IntN(2) == 0 {
-		wait = min(wait, time.Duration(1+c.random.IntN(2000))*time.Millisecond) // some have very little time left
+	if run.plan.Site.SendsTimeout && c.random.IntN(2) == 0 {
+		wait = min(wait, time.Duration(1+c.random.IntN(2000))*time.Millisecond) // some requests have very little time left
 		fields += fmt.Sprint(",timeout=", wait.Milliseconds())
 	}
 	if key != "" {
@@ -60,10 +61,10 @@
 		fields += ",resent=1"
 	}
 	run.requests.update(func() {
-		q.process, q.conn, q.resentOf = run.latestProcess(), k.number, instead
+		q.process, q.conn, q.resentOf = run.latestProcess(), k.number, resentOf
 		q.due = stamp.Sub(run.record.began) + wait
 	})
-	tag := k.register(q) // from here on the connection's reader may have it
+	tag := k.register(q) // from here on the connection's reader may access the request
 	run.record.add("client", "write", q.id, key, fmt.Sprint(class, " on ", k.number, " due ", q.due))
 	text := array("DO", tag, class, fields, q.body)
 	if err := c.write(k, text); err != nil {
@@ -85,7 +86,7 @@
 	c.testRun.record.add("client", "undo", q.id, q.key, "")
 	k.writing.Lock()
 	defer k.writing.Unlock()
-	_, _ = io.WriteString(k, array("UNDO", tag)) // where the connection is over nobody waits either
+	_, _ = io.WriteString(k, array("UNDO", tag)) // if the connection has ended, there is nothing to cancel
 }
 
 func (c *client) write(k *clientConn, text string) error {
@@ -107,7 +108,8 @@
 	return nil
 }
 
-// connection returns the connection to send on: the present one as long as the client's behavior allows, else a new one; nil: none.
+// connection returns the connection to send on: the current one if the client's behavior allows it, else a new one. It returns nil if it
+// cannot connect.
 func (c *client) connection() *clientConn {
 	if k := c.conn; k != nil && k.usable(c.behavior) {
 		return k
@@ -147,7 +149,7 @@
 	at := run.record.now()
 	if len(parts) >= 2 && parts[0] == "0" && parts[1] == "FIN" {
 		run.record.add("client", "asked to close", "", "", fmt.Sprint(k.number))
-		if c.behavior != stubborn && c.behavior != resting {
+		if c.behavior != ignoringClose && c.behavior != idling {
 			k.closeWhenDone()
 		}
 		return
@@ -159,7 +161,7 @@
 	done := k.draining && len(k.inFlight) == 0
 	k.mu.Unlock()
 	if q == nil {
-		run.record.add("client", "stray answer", "", "", fmt.Sprintf("%.80q on %d", parts, k.number))
+		run.record.add("client", "unexpected answer", "", "", fmt.Sprintf("%.80q on %d", parts, k.number))
 		run.addUnexpectedAnswer(k.number, parts[0])
 		return
 	}
@@ -173,7 +175,8 @@
 	}
 }
 
-// handleConnectionEnd records how a connection ended, and retries the requests that crossed its end.
+// handleConnectionEnd records how a connection ended, and retries its unanswered requests that have a key or were written just before the
+// end.
 func (c *client) handleConnectionEnd(k *clientConn, err error) {
 	run := c.testRun
 	at := run.record.now()
@@ -197,15 +200,15 @@
 			q.ended, q.endedAt = how, at
 			crossed = q.written == 0 || at-q.written <= closeRaceWindow+run.plan.Links["client"].delay()
 		})
-		run.record.add("client", "unanswered", q.id, q.key, fmt.Sprint("its connection has ended, crossed ", crossed))
+		run.record.add("client", "unanswered", q.id, q.key, fmt.Sprint("connection ended; written just before the end: ", crossed))
 		if crossed || q.key != "" {
 			c.retryLater(q, q.id)
 		}
 	}
 }
 
-// retryLater retries a keyed request, or one that crossed the end of its connection, after a random delay.
-func (c *client) retryLater(q *request, instead string) {
+// retryLater sends a request again after a random delay: a keyed one until its key has had maxAttempts attempts, another one once.
+func (c *client) retryLater(q *request, resentOf string) {
 	run := c.testRun
 	if q.key != "" && !run.mayRetry(q.key) || q.key == "" && q.resentOf != "" {
 		return
@@ -213,7 +216,7 @@
 	time.AfterFunc(time.Duration(10+rand.IntN(300))*time.Millisecond, func() {
 		if run.trafficOn() {
 			retry := &client{testRun: run, behavior: steady, random: rand.New(rand.NewPCG(run.plan.Seed, uint64(run.nextConnection()))), number: c.number}
-			retry.send(q.key, q.class, true, instead)
+			retry.send(q.key, q.class, true, resentOf)
 			retry.conn.closeIfOpen()
 		}
 	})
@@ -231,10 +234,10 @@
 			class = "move"
 		}
 		c.send(key, class, false, "")
-		rest := time.Duration(c.random.ExpFloat64() * float64(interval))
-		if c.behavior == resting {
-			rest = time.Duration(c.random.Int64N(int64(maxRest)))
+		idle := time.Duration(c.random.ExpFloat64() * float64(interval))
+		if c.behavior == idling {
+			idle = time.Duration(c.random.Int64N(int64(maxIdle)))
 		}
-		time.Sleep(min(rest, maxRest))
+		time.Sleep(min(idle, maxIdle))
 	}
 }
--- a/internal/testing/soak/client_connection.go
+++ b/internal/testing/soak/client_connection.go
@@ -10,13 +10,13 @@
 type clientConn struct {
 	net.Conn
 	number  int
-	writing sync.Mutex // held while a message is written: a slow client's comes in pieces
+	writing sync.Mutex // held while a message is written, since a slow client writes a message in pieces
 
 	mu       sync.Mutex
 	tag      int
 	inFlight map[string]*request
-	draining bool // it is not to be used any more: the node said FIN
-	closed   bool // by this side
+	draining bool // the node sent FIN: no more requests are to be written
+	closed   bool // closed by the client
 	ended    bool
 }
 
@@ -24,7 +24,7 @@
 func (k *clientConn) usable(h behavior) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return !k.ended && !k.closed && len(k.inFlight) < 32 && (!k.draining || h == stubborn || h == resting)
+	return !k.ended && !k.closed && len(k.inFlight) < 32 && (!k.draining || h == ignoringClose || h == idling)
 }
 
 func (k *clientConn) register(q *request) string {
@@ -36,7 +36,7 @@
 	return tag
 }
 
-// forget takes a request off the connection. It returns false where it is not open.
+// forget removes a request from those in flight. It returns false if the request is not in flight.
 func (k *clientConn) forget(tag string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +45,7 @@
 	return there
 }
 
-// closeWhenDone closes a connection that is not used any more, once all on it is answered.
+// closeWhenDone stops the use of a connection, and closes it once all its requests are answered.
 func (k *clientConn) closeWhenDone() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// closeIfOpen closes a client's connection once all on it is answered.
+// closeIfOpen closes a client's connection, if there is one, once all its requests are answered.
 func (k *clientConn) closeIfOpen() {
 	if k != nil {
 		k.closeWhenDone()
--- a/internal/testing/soak/directory.go
+++ b/internal/testing/soak/directory.go
@@ -12,7 +12,7 @@
 	record  *Record
 	mu      sync.Mutex
 	conn    *net.UDPConn
-	addr    *net.UDPAddr // fixed once the first socket is open
+	addr    *net.UDPAddr // does not change once the first socket is open
 	reports []time.Duration
 	outages []pause
 }
--- a/internal/testing/soak/faults.go
+++ b/internal/testing/soak/faults.go
@@ -28,8 +28,8 @@
 func (run *testRun) injectFault(f Fault) {
 	switch f.Kind {
 	case ResetRuntime:
-		for _, l := range run.runtimeProxies() {
-			l.Reset()
+		for _, proxy := range run.runtimeProxies() {
+			proxy.Reset()
 		}
 	case StallToRuntime:
 		run.stallRuntimeLinks(linkproxy.ToServer, f.For)
@@ -53,7 +53,7 @@
 	case Reload:
 		run.reload()
 	case StepWallClock:
-		// A file that is replaced whole: the process looks at it at any moment.
+		// The file is replaced atomically, because the process may read it at any moment.
 		path := filepath.Join(run.hookDir, "clock")
 		if os.WriteFile(path+".new", fmt.Appendf(nil, "%v 1", f.Step), 0o600) == nil {
 			_ = os.Rename(path+".new", path)
@@ -71,46 +71,46 @@
 	}
 	stalled := conditions
 	stalled.Stalled = true
-	held := run.runtimeProxies()
-	for _, l := range held {
-		l.Set(d, stalled)
+	proxies := run.runtimeProxies()
+	for _, proxy := range proxies {
+		proxy.Set(d, stalled)
 	}
 	time.Sleep(span)
-	for _, l := range held {
-		l.Set(d, conditions)
+	for _, proxy := range proxies {
+		proxy.Set(d, conditions)
 	}
 }
 
 // pause stops the process with SIGSTOP for a time.
 func (run *testRun) pause(span time.Duration) {
-	l := run.runningProcess()
-	if l == nil {
+	proc := run.runningProcess()
+	if proc == nil {
 		return
 	}
 	from := run.record.now()
 	run.mu.Lock()
 	index := len(run.pauses)
-	run.pauses = append(run.pauses, pause{from, from + span}) // known at once: a kill that comes due in it waits
+	run.pauses = append(run.pauses, pause{from, from + span}) // recorded at once, so that a kill that becomes due during the pause waits
 	run.mu.Unlock()
-	run.signal(l, syscall.SIGSTOP)
+	run.signal(proc, syscall.SIGSTOP)
 	time.Sleep(span)
-	run.signal(l, syscall.SIGCONT)
+	run.signal(proc, syscall.SIGCONT)
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.pauses[index].to = run.record.now()
 }
 
-// reload has the process reload its configuration, which names the other address of its runtime.
+// reload makes the process reload its configuration, which now names the other proxy of its runtime.
 func (run *testRun) reload() {
-	l := run.runningProcess()
-	if l == nil {
+	proc := run.runningProcess()
+	if proc == nil {
 		return
 	}
 	run.mu.Lock()
-	l.activeProxy = 1 - l.activeProxy
-	ready := l.readyAt > 0 // before that the signal would end it
+	proc.activeProxy = 1 - proc.activeProxy
+	ready := proc.readyAt > 0 // before it is ready, SIGHUP would end the process
 	run.mu.Unlock()
-	if run.configure(l) == nil && ready {
-		run.signal(l, syscall.SIGHUP)
+	if run.configure(proc) == nil && ready {
+		run.signal(proc, syscall.SIGHUP)
 	}
 }
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -8,13 +8,13 @@
 	"sloehitch/internal/testing/faults/linkproxy"
 )
 
-// Plan is one scenario, determined by its seed.
+// Plan is a test scenario, determined by its seed.
 type Plan struct {
 	Seed     uint64
 	Length   time.Duration // of traffic
 	Site     Site
 	Clients  Clients
-	Links    map[string]Link // by the name of what lies behind: client, runtime, catalogue
+	Links    map[string]Link // by the peer's name: client, runtime or catalogue
 	Faults   []Fault         // in the order of their times
 	Restarts []Restart
 }
@@ -24,14 +24,14 @@
 	Cores           int
 	ReadDeadline    time.Duration
 	BookDeadline    time.Duration
-	Window          time.Duration // of keys
+	Window          time.Duration // of idempotency keys
 	DrainGrace      time.Duration
-	TellsWait       bool
+	SendsTimeout    bool
 	StopMode        string
 	BookMayOmitCall bool
 	Sockets         int
 	MemoryMB        int
-	Shared          bool // clients come from a listener that all processes of the node inherit, and each process replaces the one before in service
+	Shared          bool // all processes of the node inherit one listener, and each process replaces its predecessor in service
 }
 
 // The time from SIGTERM to SIGKILL: the longest deadline, at most maxDeadlineBeforeKill, plus killMargin.
@@ -47,15 +47,15 @@
 
 // Clients is the number of clients of each behavior, and how often each sends.
 type Clients struct {
-	Steady   int // close a connection when asked to
-	Stubborn int // use a connection until it ends
-	Resting  int // send again after a rest
-	Slow     int // write and read in small pieces
-	Bad      int // send half lines, nonsense and nothing
-	Crowd    int // come all at once for a while
-	Interval time.Duration
-	Work     time.Duration // the mean of a run
-	CallPart float64       // of the runs make a call; half of them a second one
+	Steady       int // close a connection when asked to
+	IgnoreClose  int // ignore requests to close, and use a connection until it ends
+	Idling       int // send again after an idle time, on a connection that the node may have asked to close
+	Slow         int // write and read in small pieces
+	Malformed    int // send incomplete and malformed messages, or nothing
+	Burst        int // all start sending at the same time, halfway through the run
+	Interval     time.Duration
+	Work         time.Duration // mean duration of a run
+	CallFraction float64       // fraction of the runs that make a call; half of these make a second one
 }
 
 // Link is the network conditions of a connection's two directions.
@@ -86,7 +86,7 @@
 // Kinds lists all kinds of fault.
 var Kinds = []FaultKind{ResetRuntime, StallToRuntime, StallToNode, ResetClients, ResetCatalogue, CatalogueDown, Pause, Reload, StepWallClock, DirectorySilent}
 
-// Fault is one fault, since the start of the run. For is its length, and Step what it changes the wall clock by.
+// Fault is a fault at a time since the start of the run. For is its length, and Step the change of the wall clock.
 type Fault struct {
 	At   time.Duration
 	Kind FaultKind
@@ -97,12 +97,12 @@
 // Restart is the end of a process and the start of the next.
 type Restart struct {
 	At      time.Duration
-	Kill    bool // with SIGKILL and no SIGTERM before
-	Signals int  // SIGTERMs in a row, and SIGHUPs between them
+	Kill    bool // with SIGKILL, without a SIGTERM before
+	Signals int  // number of SIGTERMs, with a SIGHUP between each two
 }
 
-// Draw derives the plan of a seed; its traffic goes on for length. Only the given kinds of fault occur; none given: all. The order of the
-// draws is part of a seed's meaning.
+// Draw derives the plan of a seed, whose traffic lasts for length. Only the given kinds of fault occur, or all kinds if none is given. A
+// change of the order of the draws changes the plan of every seed.
 func Draw(seed uint64, length time.Duration, kinds []FaultKind) Plan {
 	r := rand.New(rand.NewPCG(seed, 0x5e0a))
 	if len(kinds) == 0 {
@@ -115,7 +115,7 @@
 	}
 	quiet := time.Duration(0)
 	if r.IntN(4) == 0 {
-		quiet = length / 3 // fault begins after a long quiet time
+		quiet = length / 3 // faults begin after a long time without any
 	}
 	for at := quiet + between(r, 100*time.Millisecond, time.Second); at < length; at += between(r, 50*time.Millisecond, 1500*time.Millisecond) {
 		f := Fault{At: at, Kind: kinds[r.IntN(len(kinds))], For: between(r, 20*time.Millisecond, 600*time.Millisecond)}
@@ -132,23 +132,23 @@
 func drawSite(r *rand.Rand) Site {
 	return Site{
 		Cores: 2 + r.IntN(7), ReadDeadline: between(r, 600*time.Millisecond, 5*time.Second), BookDeadline: between(r, 600*time.Millisecond, 5*time.Second),
-		Window: between(r, 2*time.Second, time.Minute), DrainGrace: between(r, 0, 2*time.Second), TellsWait: r.IntN(2) == 0,
+		Window: between(r, 2*time.Second, time.Minute), DrainGrace: between(r, 0, 2*time.Second), SendsTimeout: r.IntN(2) == 0,
 		StopMode: []string{"off", "freeze", "discard"}[r.IntN(3)], BookMayOmitCall: r.IntN(3) == 0,
 		Sockets: 96 + r.IntN(300), MemoryMB: 32 + r.IntN(97),
 	}
 }
 
 func drawClients(r *rand.Rand) Clients {
-	c := Clients{Steady: 1 + r.IntN(4), Stubborn: 1 + r.IntN(3), Resting: 1 + r.IntN(4), Slow: r.IntN(3), Bad: r.IntN(3),
-		Interval: between(r, 10*time.Millisecond, 120*time.Millisecond), Work: between(r, 5*time.Millisecond, 120*time.Millisecond), CallPart: r.Float64()}
+	c := Clients{Steady: 1 + r.IntN(4), IgnoreClose: 1 + r.IntN(3), Idling: 1 + r.IntN(4), Slow: r.IntN(3), Malformed: r.IntN(3),
+		Interval: between(r, 10*time.Millisecond, 120*time.Millisecond), Work: between(r, 5*time.Millisecond, 120*time.Millisecond), CallFraction: r.Float64()}
 	if r.IntN(3) == 0 {
-		c.Crowd = 20 + r.IntN(60)
+		c.Burst = 20 + r.IntN(60)
 	}
 	return c
 }
 
 func drawLink(r *rand.Rand) Link {
-	one := func() linkproxy.Conditions {
+	direction := func() linkproxy.Conditions {
 		c := linkproxy.Conditions{Delay: between(r, 0, 90*time.Millisecond), Jitter: between(r, 0, 40*time.Millisecond)}
 		switch r.IntN(6) {
 		case 0:
@@ -158,7 +158,7 @@
 		}
 		return c
 	}
-	return Link{one(), one()}
+	return Link{direction(), direction()}
 }
 
 func between(r *rand.Rand, least, most time.Duration) time.Duration {
@@ -182,7 +182,7 @@
  "rules":{"cold":1000000,"fall":1500000,"grace-to-answer":80000,"overload-factor":5,"start-capacity":0.2,
   "stop-sending-within":%d},"servers":1,"tick":4000}`, s.ReadDeadline.Microseconds()*2/3, s.ReadDeadline.Microseconds(),
 		s.BookDeadline.Microseconds()*2/3, s.BookDeadline.Microseconds(), s.Window.Microseconds(),
-		s.BookDeadline.Microseconds()*2/3, s.BookDeadline.Microseconds(), s.Cores, book, s.TellsWait, s.StopMode, s.DrainGrace.Microseconds())
+		s.BookDeadline.Microseconds()*2/3, s.BookDeadline.Microseconds(), s.Cores, book, s.SendsTimeout, s.StopMode, s.DrainGrace.Microseconds())
 }
 
 // deadline returns how long a request of a class may wait for its answer.
--- a/internal/testing/soak/process.go
+++ b/internal/testing/soak/process.go
@@ -16,22 +16,22 @@
 	"sloehitch/internal/testing/faults/linkproxy"
 )
 
-// process is a process of the node, with its runtime. Times are since the test run began.
+// process is a process of the node and its runtime. Times are since the test run began.
 type process struct {
 	number      int
 	command     *exec.Cmd
 	config      string
-	proxies     []*linkproxy.Proxy // ways to its runtime; the configuration names one of them
-	activeProxy int                // that one
+	proxies     []*linkproxy.Proxy // to its runtime; the configuration names one of them
+	activeProxy int                // index of the proxy that the configuration names
 	runtime     *runtime
 	log         processLog
 
 	startedAt    time.Duration
-	readyAt      time.Duration // when its link to the runtime was up; 0: never
-	terminatedAt time.Duration // when it was first sent SIGTERM; 0: it was not
-	killed       bool          // with SIGKILL and no SIGTERM before
-	endedAt      time.Duration // 0: it is up
-	failure      string        // how it ended where that was wrong
+	readyAt      time.Duration // when it was connected to its runtime and accepted clients; 0: never
+	terminatedAt time.Duration // when it was first sent SIGTERM; 0: never
+	killed       bool          // by SIGKILL, without a SIGTERM before
+	endedAt      time.Duration // 0: it is running
+	failure      string        // how it ended, if that was unexpected
 	done         chan struct{}
 }
 
@@ -54,7 +54,7 @@
 	return l.text.String()
 }
 
-// Command returns the command that serves with a configuration file; the rig adds to its environment.
+// Command returns the command that starts a node's process with a configuration file; the rig adds variables to its environment.
 type Command func(config string) *exec.Cmd
 
 // startProcess starts the node's next process.
@@ -106,7 +106,7 @@
 	proc.endedAt = at
 	asked := proc.terminatedAt > 0 || proc.killed
 	if err != nil && !asked {
-		proc.failure = fmt.Sprint("it ended by itself: ", err)
+		proc.failure = fmt.Sprint("it exited without a signal from the rig: ", err)
 	}
 	run.mu.Unlock()
 	close(proc.done)
@@ -133,8 +133,8 @@
 	proc.readyAt = at
 }
 
-// shutDown sends SIGTERM, repeated with SIGHUP in between where signals is more than 1, and kills a process that has not exited by then at
-// the earliest that the protocol allows. It blocks until the process has ended.
+// shutDown sends SIGTERM as often as signals says, with a SIGHUP before each repetition. It kills a process that is still running at the
+// earliest time that the protocol allows, and blocks until the process has ended.
 func (run *testRun) shutDown(proc *process, signals int) {
 	kill := run.plan.Site.Stop()
 	at := run.record.add("process", "SIGTERM", "", "", fmt.Sprint(proc.number))
@@ -148,7 +148,7 @@
 		run.signal(proc, syscall.SIGTERM)
 	}
 	for end := at + kill; ; {
-		left := end + run.pausedSince(at) - run.record.now() // time in which the machine is paused does not count
+		left := end + run.pausedSince(at) - run.record.now() // time in which the process is paused does not count
 		if left <= 0 {
 			break
 		}
@@ -161,13 +161,13 @@
 	select {
 	case <-proc.done:
 	default:
-		run.record.add("process", "SIGKILL", "", "", fmt.Sprint(proc.number, " at its time"))
+		run.record.add("process", "SIGKILL", "", "", fmt.Sprint(proc.number, " at the end of the shutdown time"))
 		run.signal(proc, syscall.SIGKILL)
 		<-proc.done
 	}
 }
 
-// pausedSince returns for how long the process was paused after a time.
+// pausedSince returns how long the process was paused after the given time.
 func (run *testRun) pausedSince(from time.Duration) (sum time.Duration) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -184,7 +184,7 @@
 	run.mu.Lock()
 	proc.killed = true
 	run.mu.Unlock()
-	run.record.add("process", "SIGKILL", "", "", fmt.Sprint(proc.number, " without notice"))
+	run.record.add("process", "SIGKILL", "", "", fmt.Sprint(proc.number, " without SIGTERM"))
 	run.signal(proc, syscall.SIGKILL)
 	<-proc.done
 }
--- a/internal/testing/soak/record.go
+++ b/internal/testing/soak/record.go
@@ -1,9 +1,9 @@
-// Package soak runs a node of the built program, as a real process, against stand-ins of everything that it talks to, with faults drawn by
-// seed, and checks by the stand-ins' records alone whether the protocol's rules held. Traffic stays on loopback; all processes that a run
-// starts are ended by it.
+// Package soak runs a node of the built program as a real process against stand-ins of all its peers, with faults drawn from a seed, and
+// checks from the stand-ins' records alone whether the node kept the protocol's rules. Traffic stays on loopback; a run ends all processes
+// that it starts.
 //
-// Draw derives a Plan from a seed; Run carries it out and returns a Report; Seeds runs many. Each rule is a check_*.go file. The stand-ins
-// are client.go, runtime.go, catalogue.go and directory.go.
+// Draw derives a Plan from a seed; Run executes it and returns a Report; Seeds runs many plans. Each check_*.go file checks one rule. The
+// stand-ins are in client.go, runtime.go, catalogue.go and directory.go.
 package soak
 
 import (
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// Event is something that a stand-in or the rig observed or did.
+// Event is an observation or action of a stand-in or the rig.
 type Event struct {
 	At      time.Duration // since the test run began, by the monotonic clock
 	Who     string        // client, runtime, catalogue, process or fault
 	What    string
-	Request string // the id of the attempt; empty where it is about none
+	Request string // the id of the attempt concerned; empty: none
 	Key     string
 	Detail  string
 }
@@ -45,7 +45,7 @@
 	return at
 }
 
-// Timeline writes the events that concern the given requests or keys, and all faults and signals between them.
+// Timeline writes the events that concern the given requests or keys, and all faults, process events and runtime connections.
 func (r *Record) Timeline(w io.Writer, names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/soak/report.go
+++ b/internal/testing/soak/report.go
@@ -9,26 +9,26 @@
 // The rules that a run can violate.
 const (
 	RuleLost      = "lost"      // no final answer by the deadline, or a wrong one
-	RuleDuplicate = "duplicate" // what may run once ran again, was rejected though it ran, or was answered twice
-	RuleDrain     = "drain"     // run though it was written after the drain grace
-	RuleProcess   = "process"   // crashed, late to serve, over a limit, silent to the directory
+	RuleDuplicate = "duplicate" // a request that may run once ran again, was rejected although it ran, or was answered twice
+	RuleDrain     = "drain"     // a request ran although it was written after the drain grace
+	RuleProcess   = "process"   // a process crashed, was not ready in time, exceeded a limit, or sent no load reports to the directory
 )
 
 const (
-	// answerGrace is the settings' grace-to-answer, protocolSlack what the protocol allows for sockets, and rigSlack how late the rig itself may be
-	// on a busy machine.
+	// answerGrace is the settings' grace-to-answer, protocolSlack the delay that the protocol allows for sockets, and rigSlack how late the
+	// rig itself may be on a busy machine.
 	answerGrace   = 80 * time.Millisecond
 	protocolSlack = 50 * time.Millisecond
 	rigSlack      = 120 * time.Millisecond
 	answerSlack   = answerGrace + protocolSlack + rigSlack
-	// maxReportGap is after how long without a load report the directory removes an endpoint from its list.
+	// maxReportGap is the time without a load report after which the directory removes an endpoint from its list.
 	maxReportGap = 3 * time.Second
 )
 
 // Violation is one violation of a rule.
 type Violation struct {
 	Rule, What string
-	Names      []string // of the requests and keys concerned
+	Names      []string // ids and keys of the requests concerned
 }
 
 // Report is the result of a run.
@@ -40,11 +40,11 @@
 	Answers    map[string]int // by word
 	Runs       int
 	Processes  int
-	// By the node's logs, after broken runtime links: starts and replies that could not be confirmed, and runs abandoned at their deadline
-	// without a reported end.
+	// From the node's logs, after broken connections to the runtime: starts and replies that could not be confirmed, and runs abandoned at
+	// their deadline without a reported end.
 	Unconfirmed, Abandoned int
-	SchedulingDelay        time.Duration // for how long the machine gave the rig no turn, in all
-	Crossed                int           // ended with their connection within the crossing time
+	SchedulingDelay        time.Duration // total time in which the machine did not schedule the rig
+	Crossed                int           // requests written just before their connection ended, which the node had not read
 	Record                 *Record
 	Logs                   []string // of the processes
 }
@@ -57,8 +57,8 @@
 	run.requests.mu.Lock()
 	defer run.requests.mu.Unlock()
 	read := map[string]bool{}
-	for _, l := range run.processes {
-		text := l.log.String()
+	for _, proc := range run.processes {
+		text := proc.log.String()
 		r.Logs = append(r.Logs, text)
 		r.Unconfirmed += strings.Count(text, "known_read=false action=await")
 		r.Abandoned += strings.Count(text, `msg="run abandoned"`)
@@ -89,6 +89,6 @@
 	return r
 }
 
-func (r *Report) breach(rule, what string, names ...string) {
+func (r *Report) addViolation(rule, what string, names ...string) {
 	r.Violations = append(r.Violations, Violation{rule, what, names})
 }
--- a/internal/testing/soak/requests.go
+++ b/internal/testing/soak/requests.go
@@ -9,24 +9,24 @@
 // request is one attempt as its client sees it. Times are since the test run began.
 type request struct {
 	id, key, class, body string
-	process              int // the process that was up as it was written
+	process              int // the process that was started last when it was written
 	conn                 int // the connection that it was written on
 
 	written    time.Duration // when its last byte was written; 0: it was not written completely
-	due        time.Duration // by when its final answer is owed
-	canceled   bool          // its client said that it waits no more
-	ended      connectionEnd // how its connection ended, if it did before the answer
+	due        time.Duration // deadline of its final answer
+	canceled   bool          // its client canceled it
+	ended      connectionEnd // how its connection ended, if that was before the answer
 	endedAt    time.Duration
 	answers    []answer
 	runs       []runStart
 	wrongReply bool   // a wrong reply reached its run
-	resentOf   string // the attempt that crossed the close of its connection
+	resentOf   string // id of the attempt of which this is a copy, because its connection ended
 }
 
 // runStart is the start of a run.
 type runStart struct {
 	at      time.Duration
-	process int // the process that asked for it
+	process int // the process that started it
 }
 
 // answer is one answer under a request's tag.
@@ -41,8 +41,8 @@
 // The ends of a connection.
 const (
 	notEnded      connectionEnd = iota
-	endedByNode                 // it ended, or was reset, by the node's side
-	endedByClient               // the client closed it, or a fault reset it on the way
+	endedByNode                 // the node closed or reset it
+	endedByClient               // the client closed it, or a fault reset it
 )
 
 // requestTable holds all attempts of a test run. Its methods may be called from any goroutine.
@@ -54,14 +54,14 @@
 
 func newRequests() *requestTable { return &requestTable{byID: map[string]*request{}} }
 
-// add adds an attempt; the caller fills it in with update.
+// add adds an attempt; the caller sets its further fields with update.
 func (q *requestTable) add(key, class string) *request {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	id := fmt.Sprintf("%016x", len(q.list)+1)
 	r := &request{id: id, key: key, class: class, body: "body of " + id}
 	if key != "" {
-		r.body = "body of " + key // all attempts carry the same
+		r.body = "body of " + key // all attempts with a key have the same body
 	}
 	q.byID[id] = r
 	q.list = append(q.list, r)
@@ -81,7 +81,7 @@
 	return q.byID[id]
 }
 
-// isSettled reports whether no client waits for an attempt any more.
+// isSettled reports whether no client waits for the attempt's answer any more.
 func (q *requestTable) isSettled(id string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/testing/soak/resp.go
+++ b/internal/testing/soak/resp.go
@@ -46,11 +46,11 @@
 	}
 	line = strings.TrimSuffix(line, "\r\n")
 	if len(line) < 2 || line[0] != kind {
-		return 0, fmt.Errorf("%.40q where %q and a count are wanted", line, kind)
+		return 0, fmt.Errorf("malformed RESP header: got %.40q, expected %q and a count", line, kind)
 	}
 	n, err := strconv.Atoi(line[1:])
 	if err != nil || n < 0 || n > 1<<20 {
-		return 0, fmt.Errorf("%.40q is no count", line)
+		return 0, fmt.Errorf("malformed RESP count in %.40q: expected a number from 0 to 1048576", line)
 	}
 	return n, nil
 }
--- a/internal/testing/soak/restarts.go
+++ b/internal/testing/soak/restarts.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// restartProcesses carries out the plan's restarts. Where processes share a listener, the next one is started before the present one drains.
+// restartProcesses executes the plan's restarts. If processes share a listener, the next process is started before the current one drains.
 func (run *testRun) restartProcesses() {
 	random := rand.New(rand.NewPCG(run.plan.Seed, 3))
 	for _, r := range run.plan.Restarts {
 		run.sleepUntil(r.At)
-		l := run.runningProcess()
-		if l == nil || !run.trafficOn() {
+		proc := run.runningProcess()
+		if proc == nil || !run.trafficOn() {
 			return
 		}
 		switch {
 		case run.plan.Site.Shared:
 		case r.Kill:
-			run.kill(l)
+			run.kill(proc)
 		default:
-			run.shutDown(l, r.Signals)
+			run.shutDown(proc, r.Signals)
 		}
 		time.Sleep(between(random, 0, 200*time.Millisecond))
 		next, err := run.startProcess()
@@ -32,8 +32,8 @@
 			run.mu.Unlock()
 			return
 		}
-		if run.plan.Site.Shared { // it is replaced in service
-			run.shutDown(l, r.Signals)
+		if run.plan.Site.Shared { // replaced in service: the old process drains once the new one is ready
+			run.shutDown(proc, r.Signals)
 		}
 	}
 }
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -22,7 +22,7 @@
 	dir      string
 	hookDir  string
 	listen   string
-	listener *os.File // that processes inherit; nil: each listens itself
+	listener *os.File // inherited by all processes; nil: each process listens itself
 
 	record         *Record
 	requests       *requestTable
@@ -35,19 +35,19 @@
 
 	mu               sync.Mutex
 	processes        []*process
-	resets           []time.Duration // of clients' connections, by a fault
+	resets           []time.Duration // times at which a fault reset the clients' connections
 	pauses           []pause
-	schedulingDelays []pause        // of the machine that the test run runs on
-	attempts         map[string]int // of each key
+	schedulingDelays []pause        // periods in which the machine did not schedule the rig
+	attempts         map[string]int // by idempotency key
 	unexpected       []string
-	counts           map[string]int // faults carried out, by kind
+	counts           map[string]int // injected faults, by kind
 }
 
 // pause is a period in which the process did not run.
 type pause struct{ from, to time.Duration }
 
-// Run carries out a plan with files in dir, checks it and returns the report. It blocks for the plan's length and more. An error means that
-// the rig itself failed; violations of rules are in the report.
+// Run executes a plan with files in dir, checks the records and returns the report. It blocks for longer than the plan's length. An error
+// means that the rig itself failed; violations of rules are in the report.
 func Run(plan Plan, command Command, dir string) (*Report, error) {
 	run := &testRun{plan: plan, command: command, dir: dir, hookDir: filepath.Join(dir, "trial"),
 		record: newRecord(), requests: newRequests(), attempts: map[string]int{}, counts: map[string]int{}}
@@ -69,7 +69,7 @@
 	return run.check(), nil
 }
 
-// open starts the stand-ins and the links to them.
+// open starts the stand-ins and the proxies in front of them.
 func (run *testRun) open() (err error) {
 	addresses, err := loopback.Addresses(1)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return err
 }
 
-// sharedListener listens on an address for processes to inherit. A process that is being forked at the same moment holds descriptors that
-// were just closed here until it execs, so the address may be busy for a moment: it is tried again.
+// sharedListener opens a listener for processes to inherit. It retries, because the address may be in use for a moment: a process that is
+// being forked keeps descriptors that were just closed here open until its exec.
 func sharedListener(address string) (*os.File, error) {
 	ln, err := net.Listen("tcp", address)
 	for attempt := 0; err != nil && attempt < 100; attempt++ {
@@ -105,34 +105,34 @@
 	if err != nil {
 		return nil, err
 	}
-	defer ln.Close() // the file is another descriptor of it
+	defer ln.Close() // File returns a duplicate of the descriptor
 	return ln.(*net.TCPListener).File()
 }
 
 func (run *testRun) newProxy(name, server string) (*linkproxy.Proxy, error) {
-	l, err := linkproxy.New(server, run.plan.Seed)
+	proxy, err := linkproxy.New(server, run.plan.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l.Set(linkproxy.ToServer, run.plan.Links[name].ToServer)
-	l.Set(linkproxy.ToClient, run.plan.Links[name].ToClient)
-	return l, nil
+	proxy.Set(linkproxy.ToServer, run.plan.Links[name].ToServer)
+	proxy.Set(linkproxy.ToClient, run.plan.Links[name].ToClient)
+	return proxy, nil
 }
 
-// close kills the processes that are left, and closes proxies and stand-ins.
+// close kills the processes that are still running, and closes proxies and stand-ins.
 func (run *testRun) close() {
 	run.stopped.Store(true)
 	run.mu.Lock()
-	lives := run.processes
+	processes := run.processes
 	run.mu.Unlock()
-	for _, l := range lives {
-		run.signal(l, syscall.SIGCONT)
-		run.signal(l, syscall.SIGKILL)
-		<-l.done
-	}
-	for _, l := range append(run.runtimeProxies(), run.clientProxy, run.catalogueProxy) {
-		if l != nil {
-			l.Close()
+	for _, proc := range processes {
+		run.signal(proc, syscall.SIGCONT)
+		run.signal(proc, syscall.SIGKILL)
+		<-proc.done
+	}
+	for _, proxy := range append(run.runtimeProxies(), run.clientProxy, run.catalogueProxy) {
+		if proxy != nil {
+			proxy.Close()
 		}
 	}
 	if run.catalogue != nil {
@@ -150,37 +150,37 @@
 func (run *testRun) runtimeProxies() (all []*linkproxy.Proxy) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	for _, l := range run.processes {
-		all = append(all, l.proxies...)
+	for _, proc := range run.processes {
+		all = append(all, proc.proxies...)
 	}
 	return all
 }
 
 // configure replaces a process's configuration file atomically.
-func (run *testRun) configure(l *process) error {
+func (run *testRun) configure(proc *process) error {
 	run.mu.Lock()
-	link := l.proxies[l.activeProxy]
+	proxy := proc.proxies[proc.activeProxy]
 	run.mu.Unlock()
-	config := map[string]any{"name": "n1", "listen": run.listen, "runtime": link.Address(), "catalog": run.catalogueProxy.Address(), "lookup": run.directory.address(),
+	config := map[string]any{"name": "n1", "listen": run.listen, "runtime": proxy.Address(), "catalog": run.catalogueProxy.Address(), "lookup": run.directory.address(),
 		"seed": fmt.Sprint(run.plan.Seed), "stop_ms": run.plan.Site.Stop().Milliseconds(),
 		"limits": map[string]any{"cores": 1, "memory_mb": run.plan.Site.MemoryMB, "sockets": run.plan.Site.Sockets}, "settings": json.RawMessage(run.plan.Site.settings())}
 	text, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(l.config+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(proc.config+".new", text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(l.config+".new", l.config)
+	return os.Rename(proc.config+".new", proc.config)
 }
 
-// readyTimeout is the longest that a process may take to serve.
+// readyTimeout bounds the time from a process's start until it is ready.
 const readyTimeout = 10 * time.Second
 
-func (run *testRun) untilReady(l *process) error {
+func (run *testRun) untilReady(proc *process) error {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		run.mu.Lock()
-		ready, ended := l.readyAt > 0, l.endedAt > 0
+		ready, ended := proc.readyAt > 0, proc.endedAt > 0
 		run.mu.Unlock()
 		if ready {
 			return nil
@@ -189,7 +189,7 @@
 			break
 		}
 	}
-	return fmt.Errorf("process %d does not serve:\n%s", l.number, l.log.String())
+	return fmt.Errorf("process %d did not become ready:\n%s", proc.number, proc.log.String())
 }
 
 func (run *testRun) sleepUntil(at time.Duration) { time.Sleep(at - run.record.now()) }
@@ -201,17 +201,17 @@
 
 func (run *testRun) nextConnection() int { return int(run.connections.Add(1)) }
 
-// runningProcess returns the process started last, or nil where it has ended.
+// runningProcess returns the process that was started last, or nil if it has ended.
 func (run *testRun) runningProcess() *process {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if l := run.processes[len(run.processes)-1]; l.endedAt == 0 {
-		return l
+	if proc := run.processes[len(run.processes)-1]; proc.endedAt == 0 {
+		return proc
 	}
 	return nil
 }
 
-// latestProcess returns the number of the process started last.
+// latestProcess returns the number of the process that was started last.
 func (run *testRun) latestProcess() int {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -233,7 +233,7 @@
 	run.unexpected = append(run.unexpected, fmt.Sprintf("conn %d tag %s", conn, tag))
 }
 
-// resetByFault reports whether a fault reset the clients' connections just before a time.
+// resetByFault reports whether a fault reset the clients' connections within 200 ms before the given time.
 func (run *testRun) resetByFault(at time.Duration) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
--- a/internal/testing/soak/runtime.go
+++ b/internal/testing/soak/runtime.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// runsPerHang: one run in so many hangs.
+// runsPerHang is the mean number of runs of which one hangs.
 const runsPerHang = 60
 
-// maxNotices is how many notices the runtime retains for a node that connects again.
+// maxNotices is the number of notices that the runtime retains for a node that reconnects.
 const maxNotices = 4000
 
-// runtime is a stand-in for the application runtime of one process of the node. It retains nothing of a run that has ended but its notices.
+// runtime is a stand-in for the application runtime of one process of the node. Of a run that has ended it retains only the notices.
 type runtime struct {
 	listener net.Listener
 	record   *Record
 	requests *requestTable
 	clients  Clients
-	process  int // the process that it works for
+	process  int // number of the node's process that it serves
 
 	mu      sync.Mutex
 	random  *rand.Rand
 	conn    net.Conn
 	notices []notice
-	first   uint64 // the number of the oldest notice kept
+	first   uint64 // position of the oldest notice retained
 	runs    map[string]*workRun
 	closed  bool
 }
 
-// notice is a numbered message to the node; its fields are those of the runtime's wire.
+// notice is a numbered message to the node, as encoded in the runtime protocol.
 type notice struct {
 	Action  string `json:"action"`
 	Pos     uint64 `json:"pos,omitempty"`
@@ -44,7 +44,7 @@
 	Content string `json:"content,omitempty"`
 }
 
-// workCommand is a command of the node; its fields are those of the runtime's wire.
+// workCommand is a command from the node, as encoded in the runtime protocol.
 type workCommand struct {
 	Action, UID, Lane, Echo string
 	Content                 []byte
@@ -53,12 +53,12 @@
 
 // workRun is a run in progress.
 type workRun struct {
-	id        string
-	began     time.Time
-	call      uint64 // the notice of the call that it stands at; 0: none
-	wantReply string // the reply to that call
-	replies   chan string
-	ended     chan struct{}
+	id            string
+	began         time.Time
+	call          uint64 // position of the notice of the call that the run waits for; 0: none
+	expectedReply string // expected reply to that call
+	replies       chan string
+	ended         chan struct{}
 }
 
 func newRuntime(record *Record, all *requestTable, clients Clients, seed uint64) (*runtime, error) {
@@ -79,7 +79,7 @@
 	return rt, nil
 }
 
-// close closes the runtime and ends its runs, as with the end of the node's process.
+// close closes the runtime and ends its runs, as happens when the node's process ends.
 func (rt *runtime) close() {
 	rt.listener.Close()
 	rt.mu.Lock()
@@ -101,7 +101,7 @@
 	for in.Scan() {
 		var m workCommand
 		if json.Unmarshal(in.Bytes(), &m) != nil {
-			rt.record.add("runtime", "not a command", "", "", fmt.Sprintf("%.60q", in.Bytes()))
+			rt.record.add("runtime", "malformed command", "", "", fmt.Sprintf("%.60q", in.Bytes()))
 			return
 		}
 		if !rt.handle(c, m) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// handle carries out a command. It returns false where c is no longer the current connection.
+// handle executes a command. It returns false if c is no longer the current connection.
 func (rt *runtime) handle(c net.Conn, m workCommand) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -140,7 +140,7 @@
 	return true
 }
 
-// sync makes c the current connection and sends the notices after read again; the caller holds mu.
+// sync makes c the current connection and resends the notices after position read; the caller holds mu.
 func (rt *runtime) sync(c net.Conn, read uint64) {
 	if rt.conn != nil && rt.conn != c {
 		rt.conn.Close()
@@ -155,9 +155,9 @@
 	}
 }
 
-// start starts a run unless it is in progress; the caller holds mu.
-func (rt *runtime) start(m workCommand, on *workRun) {
-	if on != nil {
+// start starts a run unless the request is running already (on is not nil); the caller holds mu.
+func (rt *runtime) start(m workCommand, running *workRun) {
+	if running != nil {
 		return
 	}
 	q := rt.requests.find(m.UID)
@@ -177,16 +177,16 @@
 	rt.runs[m.UID] = r
 	work := time.Duration(rt.random.ExpFloat64() * float64(rt.clients.Work))
 	if rt.random.IntN(runsPerHang) == 0 {
-		work += time.Minute // it hangs: its request is to be answered when it is due
+		work += time.Minute // the run hangs: the node must answer its request at the deadline
 	}
 	calls := 0
-	if rt.random.Float64() < rt.clients.CallPart {
+	if rt.random.Float64() < rt.clients.CallFraction {
 		calls = 1 + rt.random.IntN(2)
 	}
 	go rt.run(r, q, work, calls)
 }
 
-// run does the work of a request, with calls at even distances.
+// run does the work of a request, with its calls at equal intervals.
 func (rt *runtime) run(r *workRun, q *request, work time.Duration, calls int) {
 	part := work / time.Duration(calls+1)
 	for n := range calls {
@@ -202,7 +202,7 @@
 	rt.finish(r, "OK", result(q.id))
 }
 
-// work blocks for span. It returns false where the run ended before.
+// work blocks for span. It returns false if the run ended meanwhile.
 func (r *workRun) work(span time.Duration) bool {
 	select {
 	case <-r.ended:
@@ -212,7 +212,7 @@
 	}
 }
 
-// awaitReply requests a downstream call and blocks until its reply. It returns false where the run ended before.
+// awaitReply requests a downstream call and blocks until its reply. It returns false if the run ended meanwhile.
 func (rt *runtime) awaitReply(r *workRun, n int) bool {
 	rt.mu.Lock()
 	if rt.runs[r.id] != r {
@@ -220,20 +220,20 @@
 		return false
 	}
 	body := fmt.Sprintf("%s/%d", r.id, n)
-	r.wantReply = callReply(body)
+	r.expectedReply = callReply(body)
 	r.call = rt.nextNotice()
 	rt.record.add("runtime", "wants", r.id, "", body)
 	rt.sendNotice(notice{Action: "wants", UID: r.id, Content: base64.StdEncoding.EncodeToString([]byte(body))})
 	rt.mu.Unlock()
-	look := time.NewTicker(20 * time.Millisecond)
-	defer look.Stop()
+	poll := time.NewTicker(20 * time.Millisecond)
+	defer poll.Stop()
 	for {
 		select {
 		case <-r.ended:
 			return false
 		case <-r.replies:
 			return true
-		case <-look.C:
+		case <-poll.C:
 			if rt.requests.isSettled(r.id) {
 				rt.mu.Lock()
 				rt.finish(r, "STOPPED", "")
@@ -249,8 +249,8 @@
 	if r == nil || r.call == 0 {
 		return
 	}
-	if string(m.Content) != r.wantReply {
-		rt.record.add("runtime", "wrong reply", m.UID, "", fmt.Sprintf("%.60q, want %.60q", m.Content, r.wantReply))
+	if string(m.Content) != r.expectedReply {
+		rt.record.add("runtime", "wrong reply", m.UID, "", fmt.Sprintf("%.60q, want %.60q", m.Content, r.expectedReply))
 		rt.requests.addWrongReply(m.UID)
 	}
 	r.call = 0
@@ -292,7 +292,7 @@
 	}
 	_ = rt.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	if _, err := rt.conn.Write(append(line, '\n')); err != nil {
-		rt.conn.Close() // the next link has it
+		rt.conn.Close() // the notice is resent on the next connection
 	}
 }
 
--- a/internal/testing/soak/series.go
+++ b/internal/testing/soak/series.go
@@ -16,13 +16,13 @@
 type Seeds struct {
 	First, Last uint64
 	Length      time.Duration
-	Kinds       []FaultKind // none: all
-	Parallel    int         // plays at the same time
+	Kinds       []FaultKind // empty: all
+	Parallel    int         // number of concurrent test runs
 	Command     Command
-	Dir         string // for the files of each test run
+	Dir         string // parent of each test run's folder
 }
 
-// Run carries out the plans of all seeds and blocks until the last is done. It calls each with every report, one at a time. It returns the
+// Run executes the plans of all seeds and blocks until the last has ended. It calls each with every report, one at a time. It returns the
 // last error of the rig itself.
 func (s Seeds) Run(each func(*Report)) error {
 	seeds := make(chan uint64)
@@ -34,11 +34,11 @@
 	}()
 	var mu sync.Mutex
 	var failed error
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	for range max(1, s.Parallel) {
-		players.Add(1)
+		workers.Add(1)
 		go func() {
-			defer players.Done()
+			defer workers.Done()
 			for seed := range seeds {
 				dir := filepath.Join(s.Dir, fmt.Sprint("seed-", seed))
 				r, err := Run(Draw(seed, s.Length, s.Kinds), s.Command, dir)
@@ -49,37 +49,37 @@
 					each(r)
 				}
 				mu.Unlock()
-				_ = os.RemoveAll(dir) // what is worth keeping is in the report
+				_ = os.RemoveAll(dir) // the report has everything that is needed
 			}
 		}()
 	}
-	players.Wait()
+	workers.Wait()
 	return failed
 }
 
 // Table sums up the reports of many runs.
 type Table struct {
-	runsPlayed, clean int
-	requests          int
-	runs, processes   int
-	crossed           int
-	unconfirmed       int
-	abandoned         int
-	schedulingDelay   time.Duration
-	answers           map[string]int
-	faults            map[string]int
-	rules             map[string]int // test runs in which a rule was broken
-	broken            map[string]int // breaches, by rule
+	testRuns, clean int
+	requests        int
+	runs, processes int
+	crossed         int
+	unconfirmed     int
+	abandoned       int
+	schedulingDelay time.Duration
+	answers         map[string]int
+	faults          map[string]int
+	affectedRuns    map[string]int // test runs in which a rule was violated, by rule
+	violations      map[string]int // violations, by rule
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{answers: map[string]int{}, faults: map[string]int{}, rules: map[string]int{}, broken: map[string]int{}}
+	return &Table{answers: map[string]int{}, faults: map[string]int{}, affectedRuns: map[string]int{}, violations: map[string]int{}}
 }
 
 // Add adds a report.
 func (t *Table) Add(r *Report) {
-	t.runsPlayed++
+	t.testRuns++
 	t.requests += r.Requests
 	t.runs += r.Runs
 	t.processes += r.Processes
@@ -95,10 +95,10 @@
 	}
 	seen := map[string]bool{}
 	for _, b := range r.Violations {
-		t.broken[b.Rule]++
+		t.violations[b.Rule]++
 		if !seen[b.Rule] {
 			seen[b.Rule] = true
-			t.rules[b.Rule]++
+			t.affectedRuns[b.Rule]++
 		}
 	}
 	if len(r.Violations) == 0 {
@@ -108,11 +108,11 @@
 
 // Write prints the table.
 func (t *Table) Write(w io.Writer) {
-	fmt.Fprintf(w, "%d plays, %d without a breach; %d processes, %d requests, %d runs, %d requests that crossed an end; the rig itself got no turn for %v\n", t.runsPlayed, t.clean, t.processes, t.requests, t.runs, t.crossed, t.schedulingDelay.Round(time.Millisecond))
+	fmt.Fprintf(w, "%d test runs, %d without a violation; %d processes, %d requests, %d runs, %d requests written just before their connection ended; the rig was not scheduled for %v\n", t.testRuns, t.clean, t.processes, t.requests, t.runs, t.crossed, t.schedulingDelay.Round(time.Millisecond))
 	fmt.Fprintf(w, "answers: %s\nfaults: %s\n", counts(t.answers), counts(t.faults))
-	fmt.Fprintf(w, "starts and replies that nobody could confirm: %d; runs written off: %d\n", t.unconfirmed, t.abandoned)
+	fmt.Fprintf(w, "unconfirmed starts and replies: %d; abandoned runs: %d\n", t.unconfirmed, t.abandoned)
 	for _, rule := range []string{RuleLost, RuleDuplicate, RuleDrain, RuleProcess} {
-		fmt.Fprintf(w, "%-9s broken in %d plays, %d times\n", rule, t.rules[rule], t.broken[rule])
+		fmt.Fprintf(w, "%-9s violated in %d test runs, %d times\n", rule, t.affectedRuns[rule], t.violations[rule])
 	}
 }
 
--- a/internal/testing/soak/timeline.go
+++ b/internal/testing/soak/timeline.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// WriteTimelines writes up to most breaches, each with the events and log lines of the requests concerned.
+// WriteTimelines writes up to most violations, each with the events and log lines of the requests concerned.
 func (r *Report) WriteTimelines(w io.Writer, most int) {
 	for _, b := range r.Violations[:min(most, len(r.Violations))] {
 		fmt.Fprintf(w, "seed %d: %s: %s\n", r.Plan.Seed, b.Rule, b.What)
--- a/internal/testing/soak/traffic.go
+++ b/internal/testing/soak/traffic.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// runTraffic runs the clients, faults and restarts for the plan's length, and waits for the answers that are due after it.
+// runTraffic runs the clients, faults and restarts for the plan's length, and then waits until the last answer is due.
 func (run *testRun) runTraffic() {
 	var all sync.WaitGroup
 	run.startClients(&all)
@@ -20,13 +20,13 @@
 	time.Sleep(max(run.plan.Site.ReadDeadline, run.plan.Site.BookDeadline) + run.plan.Links["client"].delay() + answerSlack)
 }
 
-// A busy machine may not schedule the rig for a moment; a delay beyond the tolerance is credited to the node.
+// A busy machine may not schedule the rig for a moment. A delay beyond stallTolerance extends the node's deadlines.
 const (
 	stallCheckInterval = 10 * time.Millisecond
 	stallTolerance     = 15 * time.Millisecond
 )
 
-// watchSchedulingDelays records when this process, and so perhaps the node, was not scheduled.
+// watchSchedulingDelays records when the machine did not schedule this process, and so may not have scheduled the node either.
 func (run *testRun) watchSchedulingDelays() {
 	for run.trafficOn() {
 		from := run.record.now()
@@ -55,11 +55,11 @@
 		}
 	}
 	start(c.Steady, steady, 0, c.Interval)
-	start(c.Stubborn, stubborn, 0, c.Interval)
-	start(c.Resting, resting, 0, c.Interval)
+	start(c.IgnoreClose, ignoringClose, 0, c.Interval)
+	start(c.Idling, idling, 0, c.Interval)
 	start(c.Slow, slow, 0, c.Interval)
-	start(c.Crowd, crowding, run.plan.Length/2, c.Interval*time.Duration(max(1, c.Crowd/6)))
-	for i := range c.Bad {
+	start(c.Burst, bursting, run.plan.Length/2, c.Interval*time.Duration(max(1, c.Burst/6)))
+	for i := range c.Malformed {
 		all.Add(1)
 		go func() { defer all.Done(); run.runMalformedClient(rand.New(rand.NewPCG(run.plan.Seed, uint64(1000+i)))) }()
 	}
