--- a/internal/testing/faults/systemcalls/systemcalls_test.go
+++ b/internal/testing/faults/systemcalls/systemcalls_test.go
@@ -85,7 +85,8 @@
 			_ = syscall.Kill(pid, syscall.SIGTERM)
 		}()
 	}
-	if status, _, err := Run("/bin/sleep", []string{"60"}, NewOutcomeSource(1, 0), signalled); err != nil || status != 128+int(syscall.SIGTERM) {
+	if status, _, err := Run("/bin/sleep", []string{"60"}, NewOutcomeSource(1, 0),
+		signalled); err != nil || status != 128+int(syscall.SIGTERM) {
 		t.Errorf("status %d, error %v, want 128 + SIGTERM", status, err)
 	}
 	if _, _, err := Run("/nonexistent", nil, NewOutcomeSource(1, 0), func(int) {}); err == nil {
--- a/internal/testing/fleetrig/chart.go
+++ b/internal/testing/fleetrig/chart.go
@@ -10,20 +10,21 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Span is a period of a run, for charts.
+// Span is a period of a run, as drawn in a chart.
 type Span struct {
 	Row      string        `json:"row"`  // such as "n1 sweep" or "cut n0 n2"
 	Kind     string        `json:"kind"` // "duty", "lead", "fault", "out" (of service by a drain permit), "back" (in service, warming up) or "release"
 	From, To time.Duration // since the first event
 }
 
-// chart returns the periods in which nodes held leases, led or were out of service, and the faults, sorted by kind, row and start.
+// chart returns the periods in which nodes held leases, led the store or were out of service, and those of faults, sorted by kind, row and
+// start.
 func (f *testFleet) chart(all []processEvent) (list []Span) {
-	begun := lease.Instant(0)
+	firstEventAt := lease.Instant(0)
 	if len(all) > 0 {
-		begun = all[0].At
+		firstEventAt = all[0].At
 	}
-	since := func(i lease.Instant) time.Duration { return max(0, time.Duration(i-begun)) }
+	since := func(i lease.Instant) time.Duration { return max(0, time.Duration(i-firstEventAt)) }
 	for _, s := range spans(all) {
 		row, kind := fmt.Sprintf("n%d %s", s.Node, s.What), "duty"
 		if s.What == "store" {
@@ -46,8 +47,8 @@
 	return list
 }
 
-// outOfService returns the periods in which nodes were out of service by a drain permit or warming up after it, and each state and wave of
-// each release. From and To are instants of the events' clock; a period without an end reaches to the last event.
+// outOfService returns the periods in which nodes were out of service under a drain permit or warming up afterwards, and those of each
+// state and wave of each release. From and To are instants of the events' clock. A period without an end lasts until the last event.
 func outOfService(all []processEvent) (list []Span) {
 	open := map[string]int{}
 	end := func(row string, at lease.Instant) {
--- a/internal/testing/fleetrig/check_drains.go
+++ b/internal/testing/fleetrig/check_drains.go
@@ -7,42 +7,46 @@
 	"sloehitch/internal/control/fleetstate"
 )
 
-// checkDrains checks by the processes' events that at no instant more nodes were drained than the disruption budgets allow, counted from a
-// drain's start until the node has been healthy for settleTime, and that no drain began while an acknowledged halt was in force. It counts
-// into count.
-func checkDrains(all []processEvent, halts []halt, count *Drained) (wrong []string) {
-	out := map[int]bool{}
+// checkDrains checks from the processes' events that the number of drained nodes never exceeded the disruption budgets, and that no drain
+// began while an acknowledged halt was in force. A node counts as drained from its drain's start until it has been healthy for settleTime.
+// The drains are counted into count.
+func checkDrains(all []processEvent, halts []halt, count *Drained) (violations []string) {
+	drained := map[int]bool{}
 	for _, e := range all {
 		switch e.What {
 		case "begins out":
 			count.Begun++
-			out[e.Node] = true
+			drained[e.Node] = true
 			zones := map[string]int{}
-			for node := range out {
+			for node := range drained {
 				zones[zoneOf(node)]++
 			}
-			count.Most = max(count.Most, len(out))
+			count.Most = max(count.Most, len(drained))
 			for zone, n := range zones {
 				if n > maxUnavailablePerZone {
-					wrong = append(wrong, fmt.Sprintf("at %d %d nodes of zone %s are out by choice, n%d last", e.At, n, zone, e.Node))
+					violations = append(violations,
+						fmt.Sprintf("at %d: %d nodes of zone %s are drained, more than the disruption budget of the zone, n%d last", e.At, n, zone, e.Node))
 				}
 			}
-			if len(out) > maxUnavailable {
-				wrong = append(wrong, fmt.Sprintf("at %d %d nodes are out by choice, n%d last", e.At, len(out), e.Node))
+			if len(drained) > maxUnavailable {
+				violations = append(violations,
+					fmt.Sprintf("at %d: %d nodes are drained, more than the disruption budget of the fleet, n%d last", e.At,
+						len(drained), e.Node))
 			}
 			for _, h := range halts {
-				if (h.what == fleetstate.HaltAll || h.what == e.Duty) && e.At > h.from && (h.to == 0 || e.At < h.to) {
-					wrong = append(wrong, fmt.Sprintf("at %d n%d began to go out, %v after a halt of %s was acknowledged", e.At, e.Node, time.Duration(e.At-h.from), h.what))
+				if (h.scope == fleetstate.HaltAll || h.scope == e.Duty) && e.At > h.from && (h.to == 0 || e.At < h.to) {
+					violations = append(violations, fmt.Sprintf("at %d: the drain of n%d began %v after a halt of %s was acknowledged",
+						e.At, e.Node, time.Duration(e.At-h.from), h.scope))
 				}
 			}
 		case "warm":
-			delete(out, e.Node)
+			delete(drained, e.Node)
 		case "late":
 			count.Late++
 		case "replaced":
 			count.Replaced++
 		case "starts":
-			if out[e.Node] {
+			if drained[e.Node] {
 				count.Killed++
 			}
 		case "holds":
@@ -52,5 +56,5 @@
 		}
 	}
 	count.Halts += len(halts)
-	return wrong
+	return violations
 }
--- a/internal/testing/fleetrig/check_history.go
+++ b/internal/testing/fleetrig/check_history.go
@@ -14,7 +14,7 @@
 	"sloehitch/internal/store/document"
 )
 
-// checkHistory checks that the clients' operations are linearizable, and the store's history by Check.
+// checkHistory checks that the clients' operations are linearizable, and applies Check to the store's history.
 func (f *testFleet) checkHistory(r *Report, w *workload) {
 	if !porcupine.CheckOperations(registerModel, w.history) {
 		r.Violations = append(r.Violations, fmt.Sprintf("%d operations are not linearizable", len(w.history)))
@@ -28,16 +28,17 @@
 		changes, seen, forgotten, err = f.client(0).Changes("", 0, 0)
 		return err == nil && err1 == nil && !forgotten && seen.Revision >= now.Revision
 	}) {
-		r.Violations = append(r.Violations, "no history, or not all of it is remembered: play a shorter one")
+		r.Violations = append(r.Violations,
+			"the store's history is unavailable, or its first changes are no longer retained: use a shorter run")
 		return
 	}
 	r.Violations = append(r.Violations, Check(changes, w.acked, r)...)
 }
 
-// Check holds a store's history to its promises: tokens of a leased task only grow, its jobs and steps come in order, and what was
-// acknowledged is there once, under the acknowledged revision. acked has the revision of each write by its id. Grants, jobs and marks are
-// counted into the report; the result is sorted, and empty where all promises were kept.
-func Check(changes []document.Change, acked map[string]uint64, r *Report) (wrong []string) {
+// Check checks a store's history: the tokens of a leased task never decrease, its jobs and steps are in order, and each acknowledged write
+// was made once, at the acknowledged revision. acked has the revision of each write by its id. Check counts grants, jobs and marks into the
+// report, and returns the violations, sorted.
+func Check(changes []document.Change, acked map[string]uint64, r *Report) (violations []string) {
 	c := historyCheck{report: r, tasks: map[string]*taskHistory{}, written: map[string]uint64{}}
 	for _, x := range changes {
 		switch task, isJob := strings.CutPrefix(x.Key, "duty/"); {
@@ -48,30 +49,31 @@
 		case strings.HasPrefix(x.Key, "silent/") && !x.Deleted:
 			r.SilenceMarks++
 		case x.Key == "x":
-			if was, twice := c.written[x.Value]; twice {
-				c.fail("%s was made twice, as revisions %d and %d", x.Value, was, x.Revision)
+			if earlier, seen := c.written[x.Value]; seen {
+				c.fail("write %s was made twice, as revisions %d and %d", x.Value, earlier, x.Revision)
 			}
 			c.written[x.Value] = x.Revision
 		}
 	}
 	for id, revision := range acked {
 		if c.written[id] != revision {
-			c.fail("%s was acknowledged as revision %d and is there as %d", id, revision, c.written[id])
+			c.fail("write %s was acknowledged as revision %d, but the history has it as revision %d (0: not at all)", id, revision,
+				c.written[id])
 		}
 	}
-	slices.Sort(c.wrong)
-	return c.wrong
+	slices.Sort(c.violations)
+	return c.violations
 }
 
-// historyCheck is the state of a check after some of the changes.
+// historyCheck is the state of Check after the changes read so far.
 type historyCheck struct {
-	report  *Report
-	tasks   map[string]*taskHistory
-	written map[string]uint64 // the revision of each value of the clients' document
-	wrong   []string
+	report     *Report
+	tasks      map[string]*taskHistory
+	written    map[string]uint64 // the revision of each value of the clients' document
+	violations []string
 }
 
-// taskHistory is where a leased task stands.
+// taskHistory is the state of a leased task after the changes read so far.
 type taskHistory struct {
 	token uint64
 	owner string
@@ -79,7 +81,7 @@
 }
 
 func (c *historyCheck) fail(format string, args ...any) {
-	c.wrong = append(c.wrong, fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 func (c *historyCheck) task(name string) *taskHistory {
@@ -93,10 +95,10 @@
 func (c *historyCheck) grant(x document.Change) {
 	t := c.task(x.Lease.Task)
 	if x.Lease.Token < t.token {
-		c.fail("revision %d: duty %s: token %d after %d", x.Revision, x.Lease.Task, x.Lease.Token, t.token)
+		c.fail("revision %d: leased task %s: token %d follows token %d", x.Revision, x.Lease.Task, x.Lease.Token, t.token)
 	}
 	if x.Lease.Token == t.token && x.Lease.Holder != "" && x.Lease.Holder != t.owner {
-		c.fail("revision %d: duty %s: token %d is %s's and %s's", x.Revision, x.Lease.Task, t.token, t.owner, x.Lease.Holder)
+		c.fail("revision %d: leased task %s: token %d is held by %s and by %s", x.Revision, x.Lease.Task, t.token, t.owner, x.Lease.Holder)
 	}
 	if x.Lease.Token > t.token {
 		if t.owner != x.Lease.Holder {
@@ -107,11 +109,11 @@
 	t.token = x.Lease.Token
 }
 
-// job checks a job record that a task's owner wrote.
+// job checks a change of a task's job record.
 func (c *historyCheck) job(x document.Change, name string) {
 	var rec leasedtask.Record
 	if err := json.Unmarshal([]byte(x.Value), &rec); err != nil {
-		c.fail("revision %d: %v", x.Revision, err)
+		c.fail("revision %d: malformed job record: %v", x.Revision, err)
 		return
 	}
 	t := c.task(name)
@@ -119,13 +121,13 @@
 	t.job = rec
 	switch {
 	case x.Author != t.owner:
-		c.fail("revision %d: %s wrote the record of %s, which is %s's", x.Revision, x.Author, name, t.owner)
+		c.fail("revision %d: %s wrote the job record of %s, which is held by %s", x.Revision, x.Author, name, t.owner)
 	case rec.JobID < before.JobID || rec.JobID == before.JobID && rec.Step < before.Step:
-		c.fail("revision %d: duty %s: %+v after %+v", x.Revision, name, rec, before)
+		c.fail("revision %d: leased task %s: job record %+v follows a later one, %+v", x.Revision, name, rec, before)
 	case rec.JobID == before.JobID && before.Finished():
-		c.fail("revision %d: duty %s: %+v after its end", x.Revision, name, rec)
+		c.fail("revision %d: leased task %s: job record %+v follows the end of its job", x.Revision, name, rec)
 	case rec.JobID != before.JobID && before.JobID != "" && !before.Finished():
-		c.fail("revision %d: duty %s: %+v before the end of %+v", x.Revision, name, rec, before)
+		c.fail("revision %d: leased task %s: job record %+v precedes the end of the previous job, %+v", x.Revision, name, rec, before)
 	}
 	if rec.Finished() {
 		c.report.Jobs++
--- a/internal/testing/fleetrig/check_rollback.go
+++ b/internal/testing/fleetrig/check_rollback.go
@@ -10,7 +10,8 @@
 	"sloehitch/internal/store"
 )
 
-// copyStore kills a process, copies its store folder, and starts it again. It returns "" where the process has another fault already.
+// copyStore kills a process, copies its store folder, and starts the process again. It returns the copy's path, or "" if the process
+// already has another fault.
 func (f *testFleet) copyStore(i int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,14 +26,15 @@
 		err = f.start(i)
 	}
 	if err != nil {
-		f.wrong = append(f.wrong, err.Error())
+		f.failures = append(f.failures, err.Error())
 		return ""
 	}
 	return to
 }
 
-// restoreStore puts a process back on an older copy of its store folder. The store must exclude a member that has lost what it acknowledged;
-// once excluded the member is removed and added anew, as an operator would. The check goes on in the background: wait for f.repairs.
+// restoreStore restarts a process on an older copy of its store folder. The store must exclude a member that has lost writes that it
+// acknowledged; the rig then removes the member and adds it again, as an operator would. This happens in the background: wait for
+// f.repairs.
 func (f *testFleet) restoreStore(i int, copied string) {
 	if err := f.replaceStore(i, copied, false); err != nil {
 		f.addFailure("n%d: %v", i, err)
@@ -51,7 +53,7 @@
 	})
 }
 
-// replaceStore kills a process and starts it on another store folder; from is moved there, and empty for a new one.
+// replaceStore kills a process, replaces its store folder with the folder from, or with an empty one if from is "", and starts it again.
 func (f *testFleet) replaceStore(i int, from string, join bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,21 +72,21 @@
 	return f.start(i)
 }
 
-// excluded waits until a restored member is either in the store again or excluded from it, and reports whether it is excluded. It may go on
-// where it had acknowledged nothing since the copy.
+// excluded waits until a restored member is either accepted by the store or excluded from it, and reports whether it is excluded. The store
+// accepts a member that has acknowledged nothing since the copy.
 func (f *testFleet) excluded(i int, end time.Time) bool {
 	reason := ""
-	known := f.waitUntil(end, func() bool {
+	decided := f.waitUntil(end, func() bool {
 		m, err := f.client(i).Members(true)
 		reason = m.ExclusionReason
 		return err == nil && (m.ExclusionReason == "" || strings.Contains(m.ExclusionReason, "remove it"))
 	})
 	switch {
-	case !known:
-		f.addFailure("n%d is neither in the store nor excluded: %s", i, reason)
+	case !decided:
+		f.addFailure("n%d: the store neither accepts nor excludes the restored member within the recovery time: %s", i, reason)
 		return false
 	case reason == "":
-		f.logf("n%d goes on from the older copy: no member remembers more", i)
+		f.logf("n%d continues from the older copy: it acknowledged nothing after the copy", i)
 		return false
 	}
 	f.logf("n%d is excluded: %s", i, reason)
@@ -94,10 +96,10 @@
 	return true
 }
 
-// addAnew removes an excluded member and adds it again with an empty store.
+// addAnew removes an excluded member and adds it again with an empty store folder.
 func (f *testFleet) addAnew(i int, end time.Time) {
 	if !f.changeMembers(i, "remove", end) {
-		f.addFailure("n%d could not be removed", i)
+		f.addFailure("n%d: the excluded member was not removed within the recovery time", i)
 		return
 	}
 	if err := f.replaceStore(i, "", true); err != nil {
@@ -105,11 +107,11 @@
 		return
 	}
 	if !f.changeMembers(i, "add", end) || !f.changeMembers(i, "promote", end) {
-		f.addFailure("n%d could not be added anew", i)
+		f.addFailure("n%d: the excluded member was not added again and promoted within the recovery time", i)
 	}
 }
 
-// changeMembers asks the other members in turn for a membership change of node i, and reports whether one made it by the end.
+// changeMembers requests a membership change of node i from the other members in turn, and reports whether it was made by the end.
 func (f *testFleet) changeMembers(i int, action string, end time.Time) bool {
 	change := store.MembershipChange{Action: action, Name: fmt.Sprint("n", i), Author: "rig", Reason: "an older copy"}
 	if action == "add" {
--- a/internal/testing/fleetrig/eventlog.go
+++ b/internal/testing/fleetrig/eventlog.go
@@ -9,15 +9,15 @@
 	"sloehitch/internal/control/lease"
 )
 
-// eventLog formats the processes' events about drains, and the faults, a line each; times are in milliseconds since the first.
-func eventLog(all []processEvent, calls []injectedFault) string {
+// eventLog formats the processes' drain events and the faults, one per line, with times in milliseconds since the first.
+func eventLog(all []processEvent, faults []injectedFault) string {
 	type line struct {
 		at   lease.Instant
 		text string
 	}
 	var lines []line
-	for _, c := range calls {
-		lines = append(lines, line{c.from, "fault " + c.Fault.String()}, line{c.to, "over  " + c.Fault.String()})
+	for _, c := range faults {
+		lines = append(lines, line{c.from, "fault " + c.Fault.String()}, line{c.to, "end   " + c.Fault.String()})
 	}
 	for _, e := range all {
 		switch e.What {
--- a/internal/testing/fleetrig/events.go
+++ b/internal/testing/fleetrig/events.go
@@ -18,7 +18,7 @@
 	faulthooks.Event
 }
 
-// events reads the events of all processes, sorted by the machine's clock. An incomplete last line of a killed process is ignored.
+// events reads the events of all processes, sorted by the machine's clock. It ignores an incomplete line, which a killed process may leave.
 func (f *testFleet) events() (all []processEvent, err error) {
 	for i := range f.Nodes {
 		file, err := os.Open(filepath.Join(f.hookDir(i), "events"))
--- a/internal/testing/fleetrig/faults.go
+++ b/internal/testing/fleetrig/faults.go
@@ -9,12 +9,12 @@
 // Sizes of the injected faults.
 const (
 	linkDelay     = 100 * time.Millisecond // added to each direction of a slow link
-	clockJump     = time.Hour              // that a jumping clock goes ahead by
-	fastClockRate = 1.05                   // seconds that a fast clock counts in a second
+	clockJump     = time.Hour              // by which a jump sets a clock forward
+	fastClockRate = 1.05                   // rate of a fast clock relative to the machine's
 )
 
-// injectFault begins a fault and returns the function that ends it. A process fault on a node whose process is already down or stopped does
-// nothing.
+// injectFault begins a fault and returns the function that ends it. A process fault has no effect on a node whose process is already down
+// or stopped.
 func (f *testFleet) injectFault(x Fault) (end func()) {
 	f.logf("%v", x)
 	switch x.Kind {
@@ -39,7 +39,7 @@
 	begin, end func(l *link)
 }
 
-// linkFaults is what each kind of fault does to a link; an isolated node is one with all its links cut.
+// linkFaults maps each kind of link fault to its effect on a link. Isolating a node cuts all its links.
 var linkFaults = map[Kind]linkFault{
 	Cut:     {func(l *link) { l.cutFaults++ }, func(l *link) { l.cutFaults-- }},
 	Isolate: {func(l *link) { l.cutFaults++ }, func(l *link) { l.cutFaults-- }},
@@ -83,11 +83,11 @@
 	return func() {
 		f.setDisk(node, "")
 		f.addFullDisk(node, -1)
-		f.restart(node) // its ledger takes no writes since one failed
+		f.restart(node) // its ledger accepts no writes after a failed one
 	}
 }
 
-// injectClockFault has a clock run fast until the end of the fault, or jump ahead for good.
+// injectClockFault makes a clock run fast until the end of the fault, or jump ahead permanently.
 func (f *testFleet) injectClockFault(x Fault) (end func()) {
 	node := x.Nodes[0]
 	f.mu.Lock()
@@ -131,12 +131,12 @@
 		if x.Kind == Stop {
 			f.procs[node].signal(syscall.SIGCONT)
 		} else if err := f.start(node); err != nil {
-			f.wrong = append(f.wrong, err.Error())
+			f.failures = append(f.failures, err.Error())
 		}
 	}
 }
 
-// addFullDisk adds to the number of faults that have a node's disk full.
+// addFullDisk changes the number of active faults that fill a node's disk.
 func (f *testFleet) addFullDisk(i, more int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,7 +150,7 @@
 		rate = fastClockRate
 	}
 	if err := f.writeHook(i, "clock", fmt.Sprintf("%v %v", c.offset, rate)); err != nil {
-		f.wrong = append(f.wrong, err.Error())
+		f.failures = append(f.failures, err.Error())
 	}
 }
 
@@ -163,6 +163,6 @@
 	}
 	f.kill(i)
 	if err := f.start(i); err != nil {
-		f.wrong = append(f.wrong, err.Error())
+		f.failures = append(f.failures, err.Error())
 	}
 }
--- a/internal/testing/fleetrig/fleet.go
+++ b/internal/testing/fleetrig/fleet.go
@@ -24,15 +24,15 @@
 	Command          func(config, deploy string) *exec.Cmd // starts a daemon
 	Dir              string                                // for the processes' folders; must be empty
 	Nodes            int
-	Members          int  // the first so many nodes are members of the store: 3 or 5; 0: all
-	Drains           bool // drains and releases, drawn by Seed, go on during the faults
+	Members          int  // number of nodes, from the first one, that are members of the store: 3 or 5; 0: all
+	Drains           bool // whether drains and a release, drawn from Seed, take place during the faults
 	Seed             uint64
 	Lease            time.Duration
 	Schedule         Schedule
 	Length           time.Duration // of the clients' operations and the faults
-	Recovery         time.Duration // after the last fault, within which the fleet must be healthy again
-	Log              io.Writer     // gets the daemons' output
-	Progress         io.Writer     // gets progress lines; may be nil
+	Recovery         time.Duration // time after the last fault within which the fleet must be healthy again
+	Log              io.Writer     // receives the daemons' output
+	Progress         io.Writer     // receives progress lines; may be nil
 	UnconfirmedReads bool          // reads are local and not confirmed by a quorum: a mutant that the checks must detect
 }
 
@@ -40,8 +40,8 @@
 type testFleet struct {
 	Options
 	startedAt time.Time
-	admins    []string  // admin addresses, not through a link
-	rafts     []string  // raft addresses, not through a link
+	admins    []string  // admin addresses of the nodes, without a link
+	rafts     []string  // raft addresses of the nodes, without a link
 	links     [][]*link // by from*Nodes+to: one to the raft address and one to the admin address
 
 	mu          sync.Mutex
@@ -50,17 +50,17 @@
 	fullDisks   []int  // by node: active faults that fill its disk
 	clocks      []clock
 	writeDeploy []func(join bool) error // by node: writes its deploy file
-	wrong       []string
+	failures    []string
 	injected    []injectedFault // faults that have ended
-	exclusions  int             // of restored members, from the store
+	exclusions  int             // number of restored members that the store excluded
 	closed      bool            // replaced processes are no longer started again
 	repairs     sync.WaitGroup
 }
 
-// clock is the faults of a node's clocks.
+// clock is the state of the faults of a node's clocks.
 type clock struct {
 	offset     time.Duration
-	fastFaults int // active faults that have it run fast
+	fastFaults int // number of active faults that make it run fast
 }
 
 // injectedFault is a fault with its real start and end.
@@ -72,17 +72,17 @@
 // linksBetween returns the links from one node to another.
 func (f *testFleet) linksBetween(from, to int) []*link { return f.links[from*f.Nodes+to] }
 
-// open creates addresses, links and folders, and starts all processes. The caller calls close also after an error.
+// open creates addresses, links and folders, and starts all processes. The caller must call close, even after an error.
 func (f *testFleet) open() error {
 	if f.Members == 0 {
 		f.Members = f.Nodes
 	}
-	own, err := loopback.Addresses(3 * f.Nodes)
+	addresses, err := loopback.Addresses(3 * f.Nodes)
 	if err != nil {
 		return err
 	}
-	rafts, listens := own[f.Nodes:2*f.Nodes], own[2*f.Nodes:]
-	f.admins, f.rafts = own[:f.Nodes], rafts
+	rafts, listens := addresses[f.Nodes:2*f.Nodes], addresses[2*f.Nodes:]
+	f.admins, f.rafts = addresses[:f.Nodes], rafts
 	f.fullDisks = make([]int, f.Nodes)
 	f.links, f.procs, f.faulted, f.clocks = make([][]*link, f.Nodes*f.Nodes), make([]*process, f.Nodes), make([]bool, f.Nodes), make([]clock, f.Nodes)
 	f.writeDeploy = make([]func(bool) error, f.Nodes)
@@ -118,30 +118,31 @@
 // hookDir returns the folder of a process's fault hooks.
 func (f *testFleet) hookDir(i int) string { return filepath.Join(f.nodeDir(i), "trial") }
 
-// setDisk sets the fault of a process's disk; "" ends it.
-func (f *testFleet) setDisk(i int, word string) {
-	if err := f.writeHook(i, "disk", word); err != nil {
+// setDisk sets the fault of a process's disk; "" removes it.
+func (f *testFleet) setDisk(i int, content string) {
+	if err := f.writeHook(i, "disk", content); err != nil {
 		f.addFailure("%v", err)
 	}
 }
 
-func (f *testFleet) writeHook(i int, file, word string) error {
+func (f *testFleet) writeHook(i int, file, content string) error {
 	name := filepath.Join(f.hookDir(i), file)
-	if word == "" {
+	if content == "" {
 		_ = os.Remove(name) // it may not be there
 		return nil
 	}
-	return errors.Join(os.WriteFile(name+".new", []byte(word), 0o600), os.Rename(name+".new", name))
+	return errors.Join(os.WriteFile(name+".new", []byte(content), 0o600), os.Rename(name+".new", name))
 }
 
 // addFailure records a failure of the rig itself.
 func (f *testFleet) addFailure(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.wrong = append(f.wrong, fmt.Sprintf(format, args...))
+	f.failures = append(f.failures, fmt.Sprintf(format, args...))
 }
 
-// prepare writes a node's files: minimal settings, and a deploy file with its place in the store and the fleet.
+// prepare writes a node's files: a configuration with minimal settings, and a deploy file that describes its role in the store and the
+// fleet.
 func (f *testFleet) prepare(i int, listen, members, admins string) error {
 	config, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", i), "listen": listen, "runtime": "127.0.0.1:9", "stop_ms": 1000,
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
@@ -150,26 +151,27 @@
 	if err != nil {
 		return err
 	}
-	own := f.nodeDir(i)
+	dir := f.nodeDir(i)
 	f.writeDeploy[i] = func(join bool) error {
 		deploy := ""
 		if i < f.Members {
 			deploy = fmt.Sprintf("[store]\nadmin = %q\ndir = %q\njoin = %v\nlease = %q\n%s", f.admins[i], f.storeDir(i), join, f.Lease.String(), members)
 		}
 		deploy += fmt.Sprintf("[fleet]\nmembers = [%s]\ndir = %q\nreport = \"200ms\"\nsilent = \"1s\"\nlease = %q\nbackups = %q\nbackup_each = \"400ms\"\nbackup_keep = 2\n",
-			admins, filepath.Join(own, "wishes"), f.Lease.String(), filepath.Join(own, "backups"))
+			admins, filepath.Join(dir, "fleet"), f.Lease.String(), filepath.Join(dir, "backups"))
 		if f.Drains {
 			deploy += fmt.Sprintf("zone = %q\nsettle = %q\nrelease_file = %q\nreplace = [\"/bin/sh\", \"-c\", \"test $SLOEHITCH_RELEASE != broken && echo $SLOEHITCH_RELEASE > $0\", %q]\n", zoneOf(i), settleTime.String(), f.releaseFile(i), f.releaseFile(i))
 		}
-		return os.WriteFile(filepath.Join(own, "deploy.toml"), []byte(deploy), 0o600)
+		return os.WriteFile(filepath.Join(dir, "deploy.toml"), []byte(deploy), 0o600)
 	}
-	return errors.Join(os.MkdirAll(f.hookDir(i), 0o700), os.WriteFile(f.releaseFile(i), []byte("v0\n"), 0o600), os.WriteFile(filepath.Join(own, "config.json"), config, 0o600), f.writeDeploy[i](false))
+	return errors.Join(os.MkdirAll(f.hookDir(i), 0o700), os.WriteFile(f.releaseFile(i), []byte("v0\n"), 0o600),
+		os.WriteFile(filepath.Join(dir, "config.json"), config, 0o600), f.writeDeploy[i](false))
 }
 
 // storeDir returns the folder of a node's store.
 func (f *testFleet) storeDir(i int) string { return filepath.Join(f.nodeDir(i), "store") }
 
-// releaseFile returns the file with the version that is deployed on a node.
+// releaseFile returns the file that has the version deployed on a node.
 func (f *testFleet) releaseFile(i int) string { return filepath.Join(f.nodeDir(i), "release") }
 
 func (f *testFleet) start(i int) error {
@@ -194,16 +196,16 @@
 	}
 }
 
-// unexpectedExits returns a description of each process that exited by itself, with its last output.
-func (f *testFleet) unexpectedExits() (wrong []string) {
+// unexpectedExits describes each process that exited without a signal from the rig, with its last output.
+func (f *testFleet) unexpectedExits() (descriptions []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, p := range f.procs {
 		if p != nil && p.ended() && p.exitCode() != exitReplaced {
-			wrong = append(wrong, fmt.Sprintf("n%d exited unexpectedly: %v; its last output: %s", i, p.err, p.output))
+			descriptions = append(descriptions, fmt.Sprintf("n%d exited unexpectedly: %v; its last output: %s", i, p.err, p.output))
 		}
 	}
-	return wrong
+	return descriptions
 }
 
 // close kills all processes and closes the links.
@@ -221,14 +223,14 @@
 	}
 }
 
-// shutDown sends a process SIGTERM and waits for its exit. One that has not exited after the recovery time is killed, and that is a
-// failure. The caller holds mu.
+// shutDown sends a process SIGTERM and waits for its exit. A process that has not exited after the recovery time is killed, which is
+// recorded as a failure. The caller holds mu.
 func (f *testFleet) shutDown(i int) {
 	p := f.procs[i]
-	// A process started on a full disk has exited with ENOSPC; it is started again at the end of this fault.
+	// A process that was started on a full disk has exited with ENOSPC. It is started again at the end of this fault.
 	full := f.fullDisks[i] > 0 && p.ended() && strings.Contains(p.output.String(), syscall.ENOSPC.Error())
 	if err := p.shutDown(f.Recovery); err != nil && p.exitCode() != exitReplaced && !p.terminatedBeforeOutput() && !full {
-		f.wrong = append(f.wrong, fmt.Sprintf("n%d did not shut down: %v; its last output: %s", i, err, p.output))
+		f.failures = append(f.failures, fmt.Sprintf("n%d did not shut down: %v; its last output: %s", i, err, p.output))
 	}
 	f.procs[i] = nil
 }
@@ -239,7 +241,7 @@
 	}
 }
 
-// client returns a client of one member that connects to it directly, as an operator on its machine would.
+// client returns a client of one member that connects directly, without a link, as an operator on the member's machine would.
 func (f *testFleet) client(i int) store.Client {
 	return store.Client{Address: f.admins[i%f.Members], Timeout: f.Lease}
 }
--- a/internal/testing/fleetrig/link.go
+++ b/internal/testing/fleetrig/link.go
@@ -1,8 +1,9 @@
-// Package fleetrig runs the store members and nodes of a fleet as real processes of the built program, injects faults into processes, disks,
-// clocks and links, and checks the store's history, the clients' operations and the processes' events. Traffic stays on loopback; all
-// processes that a run starts are ended by it.
+// Package fleetrig runs the store members and nodes of a fleet as real processes of the built program, injects faults into processes,
+// disks, clocks and links, and checks the store's history, the clients' operations and the processes' events. Traffic stays on loopback; a
+// run ends all processes that it starts.
 //
-// Draw derives a Schedule of faults from a seed; Play runs a fleet under one and returns a Report. The checks are the check_*.go files.
+// Draw derives a Schedule of faults from a seed; Play runs a fleet under a schedule and returns a Report. The checks are in the check_*.go
+// files.
 package fleetrig
 
 import (
@@ -12,17 +13,17 @@
 	"time"
 )
 
-// link is a TCP proxy between one process and an address of another, with faults.
+// link is a TCP proxy between a process and an address of another one, with injected faults.
 type link struct {
 	ln net.Listener
 	to string
 
 	mu              sync.Mutex
 	cond            *sync.Cond
-	cutFaults       int // active faults that cut it: connections end, and new ones are closed at once
-	muteFaults      int // that hold back bytes to the server
-	deafFaults      int // that hold back bytes from the server
-	duplicateFaults int // that duplicate new connections
+	cutFaults       int // number of active faults that cut it: connections are reset, and new ones are closed at once
+	muteFaults      int // number that hold back bytes to the server
+	deafFaults      int // number that hold back bytes from the server
+	duplicateFaults int // number that duplicate new connections
 	delay           time.Duration
 	conns           map[net.Conn]bool
 	closed          bool
@@ -52,7 +53,7 @@
 	}
 }
 
-// track adds a connection to those that end with the link. It returns false where the link is cut or closed.
+// track adds a connection to those that are closed with the link. It returns false if the link is cut or closed.
 func (l *link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,14 +86,14 @@
 	}
 	to := net.Conn(out)
 	l.mu.Lock()
-	twice := l.duplicateFaults > 0
+	duplicate := l.duplicateFaults > 0
 	l.mu.Unlock()
-	if twice {
+	if duplicate {
 		second, err := net.DialTimeout("tcp", l.to, time.Second)
 		if err == nil {
 			defer l.closeConn(second)
 			if l.track(second) {
-				go func() { _, _ = io.Copy(io.Discard, second) }() // until it is closed
+				go func() { _, _ = io.Copy(io.Discard, second) }() // until the connection is closed
 				to = teeConn{out, second}
 			}
 		}
@@ -110,26 +111,26 @@
 	wg.Wait()
 }
 
-// teeConn is a connection that duplicates what is written to it on a second one, whose errors are ignored.
+// teeConn is a connection that also writes all data to a second one, whose errors are ignored.
 type teeConn struct {
 	net.Conn
 	second net.Conn
 }
 
-// Write writes to both.
+// Write writes to both connections and returns the result of the first.
 func (b teeConn) Write(p []byte) (int, error) {
 	_ = b.second.SetWriteDeadline(time.Now().Add(time.Second))
 	_, _ = b.second.Write(p)
 	return b.Conn.Write(p)
 }
 
-// Close closes both.
+// Close closes both connections.
 func (b teeConn) Close() error {
 	b.second.Close()
 	return b.Conn.Close()
 }
 
-// copy forwards one direction, waiting while it is held back, until either side ends; then it closes both.
+// copy forwards one direction until either side ends, and then closes both. It waits while the direction is held back.
 func (l *link) copy(to, from net.Conn, held *int) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -156,11 +157,11 @@
 	from.Close()
 }
 
-// change calls what, which may change the link's faults, with the link locked.
-func (l *link) change(what func()) {
+// change calls a function that may change the link's faults, with the link locked, and applies the change.
+func (l *link) change(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	what()
+	f()
 	if l.cutFaults > 0 {
 		l.reset()
 	}
@@ -171,7 +172,7 @@
 func (l *link) reset() {
 	for c := range l.conns {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // a reset, not an end
+			_ = t.SetLinger(0) // Close sends a reset instead of a FIN
 		}
 		c.Close()
 	}
--- a/internal/testing/fleetrig/link_test.go
+++ b/internal/testing/fleetrig/link_test.go
@@ -9,8 +9,9 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestLink: the effect of each fault on an open connection and on a new one.
-func TestLink(t *testing.T) {
+// TestLinkFaultsAffectOpenAndNewConnections checks the effect of faults that hold back bytes, reset or cut a link, on open connections and
+// on new ones.
+func TestLinkFaultsAffectOpenAndNewConnections(t *testing.T) {
 	ln := standin.Listen(t)
 	go func() {
 		for {
@@ -51,29 +52,29 @@
 	for _, held := range []*int{&l.muteFaults, &l.deafFaults} {
 		l.change(func() { *held++ })
 		if err := echo(c, 50*time.Millisecond); err == nil {
-			t.Error("what is held back came")
+			t.Error("read a byte from a held-back direction, want a time-out")
 		}
 		l.change(func() { *held-- })
 		if err := c.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
-			t.Errorf("what was held back did not come later: %v", err)
+			t.Errorf("held-back byte did not arrive after the fault: %v", err)
 		}
 	}
 	l.change(func() { l.reset() })
 	if err := echo(c, standin.WaitTimeout); err == nil {
-		t.Error("a connection outlived a reset")
+		t.Error("an open connection still works after a reset")
 	}
 	if err := echo(dial(), standin.WaitTimeout); err != nil {
-		t.Errorf("a new connection after a reset: %v", err)
+		t.Errorf("new connection after a reset failed: %v", err)
 	}
 	l.change(func() { l.cutFaults++ })
 	if err := echo(dial(), standin.WaitTimeout); err == nil {
-		t.Error("a new connection through a cut link")
+		t.Error("a new connection works through a cut link")
 	}
 	l.change(func() { l.cutFaults-- })
 	if err := echo(dial(), standin.WaitTimeout); err != nil {
-		t.Errorf("a new connection once the cut is over: %v", err)
+		t.Errorf("new connection after the end of the cut failed: %v", err)
 	}
 }
--- a/internal/testing/fleetrig/process.go
+++ b/internal/testing/fleetrig/process.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// process is a started process.
+// process is a process that the rig has started.
 type process struct {
 	cmd    *exec.Cmd
 	output *tailBuffer
 	done   chan struct{} // closed when it has ended
-	err    error         // of its exit, once done is closed
+	err    error         // result of Wait; valid once done is closed
 }
 
 // startProcess starts a command; its output also goes to log, which may be nil.
@@ -42,7 +42,7 @@
 	}
 }
 
-// exitCode returns the process's exit code; -1: it runs or was killed by a signal.
+// exitCode returns the process's exit code, or -1 if it is running or was killed by a signal.
 func (p *process) exitCode() int {
 	if !p.ended() {
 		return -1
@@ -50,14 +50,14 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// terminatedBeforeOutput reports whether SIGTERM ended the process before it had written any output: on a busy machine one that has just
-// started may not yet handle signals, and has acknowledged nothing.
+// terminatedBeforeOutput reports whether SIGTERM killed the process before it had written any output. On a busy machine a process that has
+// just started may not handle signals yet; it has acknowledged nothing.
 func (p *process) terminatedBeforeOutput() bool {
 	status, ok := p.cmd.ProcessState.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && status.Signal() == syscall.SIGTERM && p.output.String() == ""
 }
 
-func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // it may be over
+func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // it may have ended
 
 // kill kills the process and waits for its end.
 func (p *process) kill() {
@@ -65,17 +65,17 @@
 	<-p.done
 }
 
-// shutDown sends SIGTERM and waits for the exit. A process that takes longer than most is killed, which is an error.
-func (p *process) shutDown(most time.Duration) error {
+// shutDown sends SIGTERM and waits for the exit. It kills a process that takes longer than the timeout, and returns an error.
+func (p *process) shutDown(timeout time.Duration) error {
 	p.signal(syscall.SIGTERM)
-	late := time.NewTimer(most)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-p.done:
 		return p.err
-	case <-late.C:
+	case <-timer.C:
 		p.kill()
-		return fmt.Errorf("it was still there %v later", most)
+		return fmt.Errorf("process did not exit within %v after SIGTERM", timeout)
 	}
 }
 
@@ -91,18 +91,18 @@
 	return s.w.Write(p)
 }
 
-// maxTailBytes is how many bytes of a process's last output are retained.
+// maxTailBytes is the number of bytes that are retained of a process's last output.
 const maxTailBytes = 2 << 10
 
 // tailBuffer retains the end of what is written to it.
 type tailBuffer struct {
-	log io.Writer // gets all of it; may be nil
+	log io.Writer // receives all output; may be nil
 
 	mu   sync.Mutex
 	text []byte
 }
 
-// Write returns only errors of the log.
+// Write retains the end of the output and copies all of it to the log. It returns only errors of the log.
 func (w *tailBuffer) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	w.text = append(w.text, p...)
--- a/internal/testing/fleetrig/release.go
+++ b/internal/testing/fleetrig/release.go
@@ -12,56 +12,56 @@
 	"sloehitch/internal/store"
 )
 
-// startRelease starts a release to all nodes; one seed in four takes a version that can't be installed.
+// startRelease starts a release to all nodes; one seed in four draws a version that can't be installed.
 func (d *drainOperator) startRelease(by time.Time) bool {
 	to := "w1"
 	if d.random.IntN(4) == 0 {
 		to = "broken"
 	}
-	turn := 0
-	begun := d.waitUntil(by, func() bool {
-		turn++
-		docs, _, err := d.client(turn).Documents("node/", false)
+	attempt := 0
+	started := d.waitUntil(by, func() bool {
+		attempt++
+		docs, _, err := d.client(attempt).Documents("node/", false)
 		if err != nil {
 			return false
 		}
-		var seen []fleetstate.ObservedMember
+		var members []fleetstate.ObservedMember
 		for _, doc := range docs {
 			s := fleetstate.ObservedMember{Name: strings.TrimPrefix(doc.Key, "node/")}
 			s.Unreadable = json.Unmarshal([]byte(doc.Value), &s.Report) != nil
-			seen = append(seen, s)
+			members = append(members, s)
 		}
 		r := release.Release{Name: "s", TargetVersion: to, RequestedBy: "rig", Reason: "drains", State: release.Running, SoakMS: 100, ReturnTimeoutMS: d.Recovery.Milliseconds()}
-		r.Waves, r.PreviousVersions = release.PlanWaves(seen, to, 2)
-		err = fleet.StartRelease(d.client(turn), r)
+		r.Waves, r.PreviousVersions = release.PlanWaves(members, to, 2)
+		err = fleet.StartRelease(d.client(attempt), r)
 		return err == nil || errors.Is(err, store.ErrConflict)
 	})
-	if !begun {
-		d.addFailure("no release was started")
+	if !started {
+		d.addFailure("the release was not started within the recovery time")
 	}
-	return begun
+	return started
 }
 
-// rollBackRelease requests that release's rollback.
+// rollBackRelease requests the rollback of the release.
 func (d *drainOperator) rollBackRelease(by time.Time) {
-	turn := 0
+	attempt := 0
 	if !d.waitUntil(by, func() bool {
-		turn++
-		err := fleet.RollBackRelease(d.client(turn), "s", "rig", "drains")
+		attempt++
+		err := fleet.RollBackRelease(d.client(attempt), "s", "rig", "drains")
 		return err == nil || strings.Contains(err.Error(), "gone back already")
 	}) {
-		d.addFailure("a release could not be rolled back")
+		d.addFailure("the rollback of the release was not accepted within the recovery time")
 	}
 	d.report.Drains.Backs++
 }
 
-// awaitRelease waits until that release is completed or rolled back; it requests the rollback where the release has halted by itself.
+// awaitRelease waits until the release is completed or rolled back. It requests the rollback if the release has halted by itself.
 func (d *drainOperator) awaitRelease(by time.Time) {
-	last := "nothing was read"
-	turn := 0
+	last := "unknown: no member returned it"
+	attempt := 0
 	if !d.waitUntil(by, func() bool {
-		turn++
-		doc, _, err := d.client(turn).Document(release.KeyPrefix+"s", false)
+		attempt++
+		doc, _, err := d.client(attempt).Document(release.KeyPrefix+"s", false)
 		if err != nil {
 			last = err.Error()
 			return false
@@ -72,7 +72,7 @@
 			return false
 		}
 		last = doc.Value
-		halted, _, err := d.client(turn).Document(fleetstate.HaltKeyPrefix+"s", false)
+		halted, _, err := d.client(attempt).Document(fleetstate.HaltKeyPrefix+"s", false)
 		if err == nil && halted.Version > 0 {
 			d.logf("the release halted by itself: %s", r.Note)
 			d.report.Drains.ByItself++
@@ -89,6 +89,6 @@
 		}
 		return true
 	}) {
-		d.addFailure("%v after the last fault the release is %s", d.Recovery, last)
+		d.addFailure("%v after the last fault, the release has not ended: %s", d.Recovery, last)
 	}
 }
--- a/internal/testing/fleetrig/run.go
+++ b/internal/testing/fleetrig/run.go
@@ -13,24 +13,25 @@
 
 // Report is the result of a run.
 type Report struct {
-	Writes, Reads int           // answered
-	Attempts      int           // all attempts, those without an answer included
+	Writes, Reads int           // operations that were answered
+	Attempts      int           // attempts of operations, including those without an answer
 	Recovered     time.Duration // time from the last fault until the fleet was healthy again
-	OwnerChanges  int           // lease grants to another holder than before
-	Jobs          int           // leased tasks' jobs that ended
+	OwnerChanges  int           // lease grants to a holder other than the previous one
+	Jobs          int           // completed jobs of leased tasks
 	SilenceMarks  int           // set on nodes whose reports were missing
 	DesiredStates int           // desired states applied by nodes
 	Exclusions    int           // members excluded after a rollback of their store
 	Drains        Drained       // drains and releases
 	Spans         []Span        // for charts
-	Violations    []string      // violations and failures of the rig; empty: none
+	Violations    []string      // violations of checks, and failures of the rig
 }
 
-// Play runs a fleet under a schedule of faults, blocks until it has recovered, and checks it. It returns an error where the options are
-// invalid or the fleet did not start; violations are in the report.
+// Play runs a fleet under a schedule of faults, waits until the fleet has recovered, and checks the run. It returns an error if the options
+// are invalid or the fleet did not start; violations are in the report.
 func Play(o Options) (*Report, error) {
-	if keep := cmp.Or(o.Members, o.Nodes); keep != 3 && keep != 5 || keep > o.Nodes || o.Nodes > 16 || o.Length <= 0 || o.Length > Longest || o.Recovery <= 0 || o.Lease < 500*time.Millisecond {
-		return nil, errors.New("3 or 5 members of up to 16 nodes, a length of up to 10m, a recovery, and a lease of 500ms or more are wanted")
+	if members := cmp.Or(o.Members, o.Nodes); members != 3 && members != 5 || members > o.Nodes || o.Nodes > 16 ||
+		o.Length <= 0 || o.Length > Longest || o.Recovery <= 0 || o.Lease < 500*time.Millisecond {
+		return nil, errors.New("invalid options: expected 3 or 5 members of 16 nodes at most, a length of 10m at most, a recovery time, and a lease of 500ms or more")
 	}
 	if o.Log != nil {
 		o.Log = &lockedWriter{w: o.Log}
@@ -41,10 +42,10 @@
 		return nil, err
 	}
 	if !f.waitUntil(time.Now().Add(o.Recovery), func() bool { return f.healthy() || len(f.unexpectedExits()) > 0 }) {
-		return nil, fmt.Errorf("the fleet was not healthy %v after its start: %s", o.Recovery, f.unhealthyReason())
+		return nil, fmt.Errorf("the fleet was not healthy within %v after its start: %s", o.Recovery, f.unhealthyReason())
 	}
-	if fell := f.unexpectedExits(); len(fell) > 0 {
-		return nil, errors.New(strings.Join(fell, "\n"))
+	if exits := f.unexpectedExits(); len(exits) > 0 {
+		return nil, errors.New(strings.Join(exits, "\n"))
 	}
 	f.startedAt = time.Now()
 	r := &Report{}
@@ -56,20 +57,21 @@
 		w.wg.Go(func() { d.operate(w.end) })
 	}
 	f.injectFaults()
-	calm := time.Now()
+	faultsEndedAt := time.Now()
 	w.wg.Wait()
 	f.repairs.Wait()
 	if !f.waitUntil(time.Now().Add(o.Recovery), f.healthy) {
-		r.Violations = append(r.Violations, fmt.Sprintf("not healthy again %v after the last fault: %s", o.Recovery, f.unhealthyReason()))
+		r.Violations = append(r.Violations, fmt.Sprintf("the fleet was not healthy within %v after the last fault: %s", o.Recovery,
+			f.unhealthyReason()))
 	}
-	r.Recovered = time.Since(calm)
+	r.Recovered = time.Since(faultsEndedAt)
 	if d != nil {
 		d.finish()
 	}
 	f.checkHistory(r, w)
 	f.checkProcessEvents(r, w)
 	r.Exclusions = f.exclusions
-	r.Violations = append(append(r.Violations, f.wrong...), f.unexpectedExits()...)
+	r.Violations = append(append(r.Violations, f.failures...), f.unexpectedExits()...)
 	return r, nil
 }
 
@@ -79,11 +81,11 @@
 	for _, x := range f.Schedule {
 		time.Sleep(time.Until(f.startedAt.Add(x.At)))
 		from := lease.Now()
-		over := f.injectFault(x)
+		endFault := f.injectFault(x)
 		wg.Add(1)
 		time.AfterFunc(x.Length, func() {
 			defer wg.Done()
-			over()
+			endFault()
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.injected = append(f.injected, injectedFault{x, from, lease.Now()})
@@ -93,9 +95,9 @@
 	f.logf("all faults have ended")
 }
 
-// waitUntil polls a condition until it holds, and returns false where it does not by the end.
-func (f *testFleet) waitUntil(end time.Time, so func() bool) bool {
-	for !so() {
+// waitUntil polls a condition until it holds, and returns false if it does not hold by the end.
+func (f *testFleet) waitUntil(end time.Time, condition func() bool) bool {
+	for !condition() {
 		if time.Now().After(end) {
 			return false
 		}
@@ -104,10 +106,11 @@
 	return true
 }
 
-// healthy reports whether all members answer and vote, know all nodes, mark none as silent, and have a record of both leased tasks.
+// healthy reports whether all members answer and vote, know all nodes, have marked none as silent, and have the records of both leased
+// tasks.
 func (f *testFleet) healthy() bool { return f.unhealthyReason() == "" }
 
-// unhealthyReason describes what of that does not hold, by the first member that differs; empty: all holds.
+// unhealthyReason describes the first member or condition that keeps the fleet from being healthy; empty: none.
 func (f *testFleet) unhealthyReason() string {
 	for i := range f.Members {
 		docs, _, err := f.client(i).Documents("", false)
@@ -126,7 +129,8 @@
 			}
 		}
 		if nodes != f.Nodes || marks > 0 || duties != 2 {
-			return fmt.Sprintf("n%d knows %d of %d nodes, %d of them marked as silent, and the records of %d of 2 duties", i, nodes, f.Nodes, marks, duties)
+			return fmt.Sprintf("n%d knows %d of %d nodes, has marked %d of them as silent, and has the records of %d of 2 leased tasks",
+				i, nodes, f.Nodes, marks, duties)
 		}
 	}
 	m, err := f.client(0).Members(false)
@@ -135,11 +139,11 @@
 	}
 	for _, x := range m.Members {
 		if !x.Voter {
-			return x.Name + " has no vote"
+			return x.Name + " is not a voter"
 		}
 	}
 	if len(m.Members) != f.Members {
-		return fmt.Sprintf("%d of %d members", len(m.Members), f.Members)
+		return fmt.Sprintf("the store has %d of %d members", len(m.Members), f.Members)
 	}
 	return ""
 }
--- a/internal/testing/fleetrig/schedule.go
+++ b/internal/testing/fleetrig/schedule.go
@@ -12,37 +12,37 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The faults. Those of a link take two nodes, the one that makes the connections first.
+// The kinds of fault. Faults of a link take two nodes, first the one that opens the connections.
 const (
-	Cut     Kind = "cut"     // the link's connections end, and new ones are closed
+	Cut     Kind = "cut"     // the link's connections are reset, and new ones are closed
 	Deaf    Kind = "deaf"    // bytes to the first node are held back
 	Mute    Kind = "mute"    // bytes from the first node are held back
-	Slow    Kind = "slow"    // 0.1 s of delay in each direction
-	Reset   Kind = "reset"   // connections are reset; new ones are accepted
-	Isolate Kind = "isolate" // all links of one node are cut, both ways
+	Slow    Kind = "slow"    // 0.1 s of extra delay in each direction
+	Reset   Kind = "reset"   // connections are reset; new ones work
+	Isolate Kind = "isolate" // all links from and to a node are cut
 	Stop    Kind = "stop"    // a process is stopped by SIGSTOP, and continued
 	Kill    Kind = "kill"    // a process is killed, and started again
 	Leave   Kind = "leave"   // a process gets SIGTERM, exits, and is started again
-	Twice   Kind = "twice"   // new connections reach the second node twice; only the answers of one count
+	Twice   Kind = "twice"   // new connections to the second node are duplicated; the answers of the copy are discarded
 	Drag    Kind = "drag"    // each flush of a node's disk takes 50 ms longer
-	Full    Kind = "full"    // a node's disk is full; after that it is killed and started again
+	Full    Kind = "full"    // a node's disk is full; afterwards the node is killed and started again
 	Skew    Kind = "skew"    // a node's clocks run 5% fast
-	Jump    Kind = "jump"    // a node's clocks are an hour ahead from then on
-	Older   Kind = "older"   // a member is killed and started on an older copy of its store; once excluded it is added anew
+	Jump    Kind = "jump"    // a node's clocks are set an hour ahead permanently
+	Older   Kind = "older"   // a member is started on an older copy of its store; once excluded it is removed and added again
 )
 
-// kinds maps each kind of fault to the number of nodes that it takes.
+// kinds maps each kind of fault to the number of nodes that it names.
 var kinds = map[Kind]int{Cut: 2, Deaf: 2, Mute: 2, Slow: 2, Reset: 2, Isolate: 1, Stop: 1, Kill: 1, Leave: 1,
 	Twice: 2, Drag: 1, Full: 1, Skew: 1, Jump: 1, Older: 1}
 
-// Fault is one fault, at a time since the run's start. A link's Nodes are the one that connects and its peer.
+// Fault is a fault at a time since the run's start. The Nodes of a link fault are the node that connects and its peer.
 type Fault struct {
 	At, Length time.Duration
 	Kind       Kind
 	Nodes      []int
 }
 
-// String returns the fault as it is written in a schedule file: "1.2s stop n1 for 2s".
+// String returns the fault in the form of a schedule file, such as "1.2s stop n1 for 2s".
 func (f Fault) String() string {
 	s := fmt.Sprintf("%v %s", f.At, f.Kind)
 	for _, n := range f.Nodes {
@@ -62,11 +62,11 @@
 	return b.String()
 }
 
-// Longest is the longest run.
+// Longest is the longest permitted run.
 const Longest = 10 * time.Minute
 
-// ParseSchedule parses a schedule as String prints it, for the given number of nodes; lines that begin with # are comments. An error names
-// the line and the expected form.
+// ParseSchedule parses a schedule in the form that String returns, for the given number of nodes. Lines that begin with # are comments.
+// Errors name the line and the expected form.
 func ParseSchedule(text string, nodes int) (s Schedule, err error) {
 	lines := bufio.NewScanner(strings.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
@@ -76,7 +76,7 @@
 		}
 		f, err := parse(words, nodes)
 		if err != nil {
-			return nil, fmt.Errorf("line %d: %w; write such as \"1.2s stop n1 for 2s\" or \"500ms cut n0 n2 for 1s\"", n, err)
+			return nil, fmt.Errorf("line %d: %w; expected a form such as \"1.2s stop n1 for 2s\" or \"500ms cut n0 n2 for 1s\"", n, err)
 		}
 		s = append(s, f)
 	}
@@ -86,7 +86,7 @@
 
 func parse(words []string, nodes int) (f Fault, err error) {
 	if len(words) < 2 {
-		return f, fmt.Errorf("a time and a fault are wanted")
+		return f, fmt.Errorf("expected a time and a fault")
 	}
 	if f.At, err = time.ParseDuration(words[0]); err != nil {
 		return f, err
@@ -94,7 +94,7 @@
 	f.Kind = Kind(words[1])
 	takes, known := kinds[f.Kind]
 	if !known {
-		return f, fmt.Errorf("no fault %q", words[1])
+		return f, fmt.Errorf("unknown fault %q", words[1])
 	}
 	if len(words) != 2+takes+2 || words[2+takes] != "for" {
 		return f, fmt.Errorf("%s takes %d nodes, \"for\" and a time", f.Kind, takes)
@@ -102,18 +102,18 @@
 	for _, w := range words[2 : 2+takes] {
 		var n int
 		if _, err := fmt.Sscanf(w, "n%d", &n); err != nil || n < 0 || n >= nodes {
-			return f, fmt.Errorf("%q is none of n0 to n%d", w, nodes-1)
+			return f, fmt.Errorf("unknown node %q: expected n0 to n%d", w, nodes-1)
 		}
 		f.Nodes = append(f.Nodes, n)
 	}
 	if takes == 2 && f.Nodes[0] == f.Nodes[1] {
-		return f, fmt.Errorf("a link is between two nodes")
+		return f, fmt.Errorf("a link is between two different nodes")
 	}
 	if f.Length, err = time.ParseDuration(words[3+takes]); err != nil {
 		return f, err
 	}
 	if f.At < 0 || f.Length < 0 || f.At+f.Length > Longest {
-		return f, fmt.Errorf("0 to %v are wanted", Longest)
+		return f, fmt.Errorf("the start or the end of the fault is out of range: expected 0 to %v", Longest)
 	}
 	return f, nil
 }
@@ -123,9 +123,10 @@
 	return slices.ContainsFunc(s, func(f Fault) bool { return slices.Contains(k, f.Kind) })
 }
 
-// Draw derives a schedule from a seed: about two faults a second, some of them longer than a lease. The first nodes are the store's members.
-// One schedule in four rolls a member's store back to an older copy; no other process is killed in it, since no member would be left that
-// remembers (docs/design/fleet.md). The order of the draws is part of a seed's meaning.
+// Draw derives a schedule from a seed: about two faults per second, some of them longer than a lease. The first nodes are the store's
+// members. One schedule in four rolls a member's store back to an older copy. No other process is killed in such a schedule, because then
+// no member might be left that remembers the lost writes (docs/design/fleet.md). A change of the order of the draws changes the schedule of
+// every seed.
 func Draw(seed uint64, nodes, members int, length, lease time.Duration) (s Schedule) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	all := []Kind{Cut, Deaf, Mute, Slow, Reset, Isolate, Stop, Kill, Leave, Twice, Drag, Full, Skew, Jump}
--- a/internal/testing/fleetrig/spans.go
+++ b/internal/testing/fleetrig/spans.go
@@ -12,7 +12,7 @@
 	From, To lease.Instant
 }
 
-// spans returns the periods by the processes' events; one without an end reaches to the last event.
+// spans derives the periods from the processes' events. A period without an end lasts until the last event.
 func spans(all []processEvent) []span {
 	list := spanList{latest: map[spanKey]int{}}
 	var last lease.Instant
@@ -28,13 +28,13 @@
 	return list.spans
 }
 
-// spanKey is what a node does at most once at a time.
+// spanKey identifies an activity of which a node has at most one span at a time.
 type spanKey struct {
 	node int
 	duty string // empty: leading the store
 }
 
-// spanList builds spans from events in the order of their time.
+// spanList builds spans from events that are added in the order of their times.
 type spanList struct {
 	spans  []span
 	latest map[spanKey]int // index in spans
@@ -47,7 +47,7 @@
 	case "starts":
 		l.endAll(e)
 	case "holds":
-		if e.Until > e.At { // else the answer came after the lease's end: nothing is believed
+		if e.Until > e.At { // otherwise the answer came after the lease's end, and the node does not hold it
 			l.hold(key, e)
 		}
 	case "gives":
@@ -68,7 +68,7 @@
 	l.spans = append(l.spans, s)
 }
 
-// hold begins a span, or extends the latest one where its lease was renewed in time.
+// hold begins a span, or extends the latest one if its lease was renewed in time.
 func (l *spanList) hold(key spanKey, e processEvent) {
 	if at, known := l.latest[key]; known && l.spans[at].Token == e.N && l.spans[at].To >= e.At {
 		l.spans[at].To = max(l.spans[at].To, e.Until)
@@ -77,7 +77,7 @@
 	l.open(key, span{e.Node, e.Duty, e.N, e.At, e.Until})
 }
 
-// endAll ends what the node's process before this start believed.
+// endAll ends the spans of the node's previous process when a new one starts.
 func (l *spanList) endAll(start processEvent) {
 	for i := range l.spans {
 		if s := &l.spans[i]; s.Node == start.Node && (s.To == 0 || s.To > start.At) {
--- a/internal/testing/fleetrig/workload.go
+++ b/internal/testing/fleetrig/workload.go
@@ -21,8 +21,8 @@
 
 	mu      sync.Mutex
 	history []porcupine.Operation
-	acked   map[string]uint64    // the revision that each id was acknowledged with
-	desired map[int]desiredState // of each node, last
+	acked   map[string]uint64    // revision of each acknowledged write, by id
+	desired map[int]desiredState // last desired state written, by node
 }
 
 // operation is one operation on the document.
@@ -44,13 +44,13 @@
 
 const writers = 4
 
-// minOperations is how many operations each client completes at least, alternately writes and reads; it goes on after the faults where
-// too few completed during them.
+// minOperations is the least number of operations of each client, alternately writes and reads. A client that has done fewer by the end of
+// the faults continues until then.
 const minOperations = 4
 
 func (w *workload) begin() {
 	w.acked = map[string]uint64{}
-	if !w.Drains { // desired states take nodes out regardless of the budgets
+	if !w.Drains { // desired states take nodes out of service regardless of the disruption budgets
 		w.wg.Go(w.writeDesiredStates)
 	}
 	for c := range writers {
@@ -65,21 +65,22 @@
 	}
 }
 
-// operate carries out client c's i-th operation: it asks one member after another, a write under the same id, until one answers. An
-// operation without an answer by the end of the recovery time is a failure.
+// operate executes client c's i-th operation: it sends it to one member after another until one answers. All attempts of a write have the
+// same id. An operation without an answer by the end of the recovery time is a violation.
 func (w *workload) operate(c, i int) {
 	a := operation{write: i%2 == 0, value: fmt.Sprintf("c%d-%d", c, i)}
 	op := porcupine.Operation{ClientId: c, Input: a, Call: time.Since(w.startedAt).Nanoseconds()}
-	tries := 0
-	for ; ; tries++ {
+	attempts := 0
+	for ; ; attempts++ {
 		var err error
-		client := w.client(c + i + tries)
+		client := w.client(c + i + attempts)
 		if a.write {
 			var r document.Result
 			if r, err = client.Commit(document.Transaction{ID: a.value, Author: "rig", Operations: []document.Operation{{Key: "x", Value: a.value}}}); err == nil {
 				w.mu.Lock()
-				if was, before := w.acked[a.value]; before && was != r.Revision {
-					w.report.Violations = append(w.report.Violations, fmt.Sprintf("%s was made as revision %d and as %d", a.value, was, r.Revision))
+				if earlier, before := w.acked[a.value]; before && earlier != r.Revision {
+					w.report.Violations = append(w.report.Violations,
+						fmt.Sprintf("write %s was acknowledged as revision %d and as revision %d", a.value, earlier, r.Revision))
 				}
 				w.acked[a.value] = r.Revision
 				w.mu.Unlock()
@@ -88,7 +89,7 @@
 			var docs []document.Document
 			var seen store.ReadStatus
 			if docs, seen, err = client.Documents("x", w.UnconfirmedReads); err == nil && !seen.Confirmed && !w.UnconfirmedReads {
-				err = errors.New("not confirmed")
+				err = errors.New("the read was not confirmed by a quorum")
 			}
 			op.Output = ""
 			if len(docs) > 0 {
@@ -100,7 +101,7 @@
 		}
 		if errors.Is(err, store.ErrConflict) || time.Now().After(w.end.Add(w.Recovery)) {
 			w.mu.Lock()
-			w.report.Violations = append(w.report.Violations, fmt.Sprintf("%+v: %v", a, err))
+			w.report.Violations = append(w.report.Violations, fmt.Sprintf("operation %+v failed: %v", a, err))
 			w.mu.Unlock()
 			return
 		}
@@ -110,7 +111,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history = append(w.history, op)
-	if w.report.Attempts += tries + 1; a.write {
+	if w.report.Attempts += attempts + 1; a.write {
 		w.report.Writes++
 	} else {
 		w.report.Reads++
--- a/internal/testing/soak/check_answers.go
+++ b/internal/testing/soak/check_answers.go
@@ -19,10 +19,12 @@
 	case len(q.answers) == 1:
 		a := q.answers[0]
 		if a.at > latest {
-			r.addViolation(RuleLost, fmt.Sprintf("request %s was due at %v and answered at %v, %v after the latest permitted time", q.id, q.due, a.at, a.at-latest), q.id)
+			r.addViolation(RuleLost, fmt.Sprintf("request %s was due at %v and answered at %v, %v after the latest permitted time", q.id,
+				q.due, a.at, a.at-latest), q.id)
 		}
 		if a.word == "ACK" && !run.producedFor(q, a.body) {
-			r.addViolation(RuleLost, fmt.Sprintf("request %s was served with the result %.60q, which no run of it produced", q.id, a.body), q.id, q.key)
+			r.addViolation(RuleLost, fmt.Sprintf("request %s was served with the result %.60q, which no run of it produced", q.id,
+				a.body), q.id, q.key)
 		}
 		if a.word == "NAK" && len(q.runs) > 0 && q.class != "read" {
 			r.addViolation(RuleDuplicate, fmt.Sprintf("request %s was rejected although it ran", q.id), q.id, q.key)
@@ -31,9 +33,12 @@
 	case q.ended == endedByNode && run.racedWithEnd(q) && !read:
 		r.Crossed++
 	case q.ended == endedByNode:
-		r.addViolation(RuleLost, fmt.Sprintf("request %s was written at %v and its connection ended at %v without an answer (read by the node: %v)", q.id, q.written, q.endedAt, read), q.id, q.key)
+		r.addViolation(RuleLost,
+			fmt.Sprintf("request %s was written at %v and its connection ended at %v without an answer (read by the node: %v)", q.id,
+				q.written, q.endedAt, read), q.id, q.key)
 	default:
-		r.addViolation(RuleLost, fmt.Sprintf("request %s was due at %v and never answered (read by the node: %v)", q.id, q.due, read), q.id, q.key)
+		r.addViolation(RuleLost, fmt.Sprintf("request %s was due at %v and never answered (read by the node: %v)", q.id, q.due, read),
+			q.id, q.key)
 	}
 	if q.wrongReply {
 		r.addViolation(RuleLost, fmt.Sprintf("the run of request %s received the reply to another call", q.id), q.id)
--- a/internal/testing/soak/check_calls.go
+++ b/internal/testing/soak/check_calls.go
@@ -15,7 +15,8 @@
 	for _, body := range slices.Sorted(maps.Keys(run.catalogue.calls)) {
 		id, _, _ := strings.Cut(body, "/")
 		if q := run.requests.byID[id]; run.catalogue.calls[body] > 1 && q != nil && q.class != "read" {
-			r.addViolation(RuleDuplicate, fmt.Sprintf("call %s of a request of class %s was made %d times", body, q.class, run.catalogue.calls[body]), id)
+			r.addViolation(RuleDuplicate, fmt.Sprintf("call %s of a request of class %s was made %d times", body, q.class,
+				run.catalogue.calls[body]), id)
 		}
 	}
 }
--- a/internal/testing/soak/check_keys.go
+++ b/internal/testing/soak/check_keys.go
@@ -41,7 +41,8 @@
 				continue
 			}
 			if ran != nil && ran != q && q.written-ran.written < run.plan.Site.Window {
-				r.addViolation(RuleDuplicate, fmt.Sprintf("idempotency key %s ran as request %s and again as request %s within its window", key, ran.id, q.id), key)
+				r.addViolation(RuleDuplicate,
+					fmt.Sprintf("idempotency key %s ran as request %s and again as request %s within its window", key, ran.id, q.id), key)
 			}
 			ran = q
 		}
@@ -60,7 +61,8 @@
 		reached := q.process == proc.number || run.plan.Site.Shared
 		rejected := len(q.answers) == 1 && q.answers[0].word == "NAK"
 		if q != ran && inWindow && reached && rejected {
-			r.addViolation(RuleDuplicate, fmt.Sprintf("idempotency key %s ran as request %s, but its retry %s was rejected", q.key, ran.id, q.id), q.key)
+			r.addViolation(RuleDuplicate, fmt.Sprintf("idempotency key %s ran as request %s, but its retry %s was rejected", q.key,
+				ran.id, q.id), q.key)
 		}
 	}
 }
--- a/internal/testing/soak/check_processes.go
+++ b/internal/testing/soak/check_processes.go
@@ -22,7 +22,8 @@
 		}
 		megabytes, descriptors, err := proc.usage()
 		if err != nil || megabytes > float64(run.plan.Site.MemoryMB) || descriptors > run.plan.Site.Sockets/2 {
-			r.addViolation(RuleProcess, fmt.Sprintf("process %d at rest: %.1f MB resident of %d MB, %d open descriptors of %d, error %v", proc.number, megabytes, run.plan.Site.MemoryMB, descriptors, run.plan.Site.Sockets, err))
+			r.addViolation(RuleProcess, fmt.Sprintf("process %d at rest: %.1f MB resident of %d MB, %d open descriptors of %d, error %v",
+				proc.number, megabytes, run.plan.Site.MemoryMB, descriptors, run.plan.Site.Sockets, err))
 		}
 	}
 	for _, s := range run.unexpected {
--- a/internal/testing/soak/check_runs.go
+++ b/internal/testing/soak/check_runs.go
@@ -8,7 +8,8 @@
 // later than the drain grace, protocolSlack and rigSlack after the process could handle SIGTERM.
 func (run *testRun) checkRuns(r *Report, q *request) {
 	if len(q.runs) > 1 && q.class != "read" {
-		r.addViolation(RuleDuplicate, fmt.Sprintf("request %s (class %s) was started %d times: %v", q.id, q.class, len(q.runs), q.runs), q.id, q.key)
+		r.addViolation(RuleDuplicate, fmt.Sprintf("request %s (class %s) was started %d times: %v", q.id, q.class, len(q.runs), q.runs),
+			q.id, q.key)
 	}
 	for _, s := range q.runs {
 		for _, proc := range run.processes {
--- a/internal/testing/soak/client.go
+++ b/internal/testing/soak/client.go
@@ -38,8 +38,8 @@
 	conn     *clientConn
 }
 
-// send writes a request on the client's connection, or on a new one if that cannot be used. If it cannot connect, it sends nothing. resentOf
-// is the id of the request that this one is a copy of, if that one's connection ended.
+// send writes a request on the client's connection, or on a new one if that cannot be used. If it cannot connect, it sends nothing.
+// resentOf is the id of the request that this one is a copy of, if that one's connection ended.
 func (c *client) send(key, class string, retry bool, resentOf string) {
 	k := c.connection()
 	if k == nil {
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -140,7 +140,8 @@
 
 func drawClients(r *rand.Rand) Clients {
 	c := Clients{Steady: 1 + r.IntN(4), IgnoreClose: 1 + r.IntN(3), Idling: 1 + r.IntN(4), Slow: r.IntN(3), Malformed: r.IntN(3),
-		Interval: between(r, 10*time.Millisecond, 120*time.Millisecond), Work: between(r, 5*time.Millisecond, 120*time.Millisecond), CallFraction: r.Float64()}
+		Interval: between(r, 10*time.Millisecond, 120*time.Millisecond), Work: between(r, 5*time.Millisecond,
+			120*time.Millisecond), CallFraction: r.Float64()}
 	if r.IntN(3) == 0 {
 		c.Burst = 20 + r.IntN(60)
 	}
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -161,8 +161,9 @@
 	run.mu.Lock()
 	proxy := proc.proxies[proc.activeProxy]
 	run.mu.Unlock()
-	config := map[string]any{"name": "n1", "listen": run.listen, "runtime": proxy.Address(), "catalog": run.catalogueProxy.Address(), "lookup": run.directory.address(),
-		"seed": fmt.Sprint(run.plan.Seed), "stop_ms": run.plan.Site.Stop().Milliseconds(),
+	config := map[string]any{"name": "n1", "listen": run.listen, "runtime": proxy.Address(), "catalog": run.catalogueProxy.Address(),
+		"lookup": run.directory.address(),
+		"seed":   fmt.Sprint(run.plan.Seed), "stop_ms": run.plan.Site.Stop().Milliseconds(),
 		"limits": map[string]any{"cores": 1, "memory_mb": run.plan.Site.MemoryMB, "sockets": run.plan.Site.Sockets}, "settings": json.RawMessage(run.plan.Site.settings())}
 	text, err := json.Marshal(config)
 	if err != nil {
--- a/internal/testing/soak/series.go
+++ b/internal/testing/soak/series.go
@@ -108,7 +108,7 @@
 
 // Write prints the table.
 func (t *Table) Write(w io.Writer) {
-	fmt.Fprintf(w, "%d test runs, %d without a violation; %d processes, %d requests, %d runs, %d requests written just before their connection ended; the rig was not scheduled for %v\n", t.testRuns, t.clean, t.processes, t.requests, t.runs, t.crossed, t.schedulingDelay.Round(time.Millisecond))
+	fmt.Fprintf(w, "%d test runs, %d without a violation; %d processes, %d requests, %d runs, %d requests unanswered at a close; rig not scheduled for %v\n", t.testRuns, t.clean, t.processes, t.requests, t.runs, t.crossed, t.schedulingDelay.Round(time.Millisecond))
 	fmt.Fprintf(w, "answers: %s\nfaults: %s\n", counts(t.answers), counts(t.faults))
 	fmt.Fprintf(w, "unconfirmed starts and replies: %d; abandoned runs: %d\n", t.unconfirmed, t.abandoned)
 	for _, rule := range []string{RuleLost, RuleDuplicate, RuleDrain, RuleProcess} {
--- a/internal/testing/standin/authority.go
+++ b/internal/testing/standin/authority.go
@@ -57,7 +57,8 @@
 	a.next++
 	k := a.newKey(t)
 	template := &x509.Certificate{SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: notAfter, KeyUsage: x509.KeyUsageDigitalSignature,
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0,
+			1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: notAfter, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &k.PublicKey, a.key)
 	if err != nil {
