--- a/cmd/sloehitch-lab/experiment.go
+++ b/cmd/sloehitch-lab/experiment.go
@@ -22,11 +22,11 @@
 
 type runCmd struct {
 	File    string `arg:"" type:"existingfile" help:"The experiment, as TOML (docs/operators/lab.md)."`
-	Out     string `required:"" type:"path" help:"A folder for the results. One that holds a part of them is gone on with."`
-	Workers int    `help:"Runs at once; by default one for each core."`
+	Out     string `required:"" type:"path" help:"A folder for the results. A folder with partial results is continued."`
+	Workers int    `help:"Number of concurrent runs; default: one per core."`
 }
 
-// Run runs an experiment and reports it.
+// Run runs an experiment in the emulator and writes its report.
 func (c *runCmd) Run() error {
 	f, err := experiment.ReadFile(c.File)
 	if err != nil {
@@ -35,12 +35,12 @@
 	if c.Workers <= 0 {
 		c.Workers = runtime.GOMAXPROCS(0)
 	}
-	debug.SetGCPercent(400) // runs make much that is short-lived, and little that stays
+	debug.SetGCPercent(400) // runs allocate many short-lived objects and retain little
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	began, line := time.Now(), isatty.IsTerminal(os.Stderr.Fd())
+	began, isTerminal := time.Now(), isatty.IsTerminal(os.Stderr.Fd())
 	progress := func(done, all int) {
-		if !line {
+		if !isTerminal {
 			return
 		}
 		left := time.Since(began) / time.Duration(done) * time.Duration(all-done)
@@ -55,28 +55,28 @@
 	return (&reportCmd{Dir: c.Out}).Run()
 }
 
-// revision returns the revision that this program was built from: results of another one are not continued.
+// revision returns the revision that this program was built from. The results of another revision are not continued.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	out := info.Main.Version
+	description := info.Main.Version
 	for _, s := range info.Settings {
 		if s.Key == "vcs.revision" || s.Key == "vcs.modified" && s.Value == "true" {
-			out += " " + s.Value
+			description += " " + s.Value
 		}
 	}
-	return out
+	return description
 }
 
 type traceCmd struct {
 	File    string  `arg:"" type:"existingfile" help:"The experiment."`
-	Request string  `default:"r1000" help:"Whose life is told: r1, r2 and so on, as they come."`
-	Arm     string  `help:"Of which arm; by default the first."`
-	Load    float64 `help:"At which load of the sweep; by default the first."`
+	Request string  `default:"r1000" help:"The request whose trace is printed: r1, r2 and so on, in the order of arrival."`
+	Arm     string  `help:"The arm of the experiment; default: the first."`
+	Load    float64 `help:"The load of the sweep; default: the first."`
 	Seed    uint64  `default:"1"`
-	Out     string  `type:"path" help:"A file for all requests, in the Trace Event Format of trace viewers."`
+	Out     string  `type:"path" help:"A file for the traces of all requests, in the Trace Event Format."`
 }
 
 // Run runs one emulation and prints the trace of one of its requests.
@@ -100,13 +100,13 @@
 }
 
 type loadCmd struct {
-	File    string `arg:"" type:"existingfile" help:"The experiment; its worlds are played with the daemon's decisions, in the emulator and for real."`
+	File    string `arg:"" type:"existingfile" help:"The experiment; its worlds run with the daemon's decisions, both in the emulator and against real daemons."`
 	Out     string `required:"" type:"path" help:"A new folder for the results."`
-	Program string `default:"bin/sloehitch" type:"existingfile" help:"The daemon."`
-	Seeds   int    `default:"1" help:"1 to so many: each run takes its length in real time."`
+	Program string `default:"bin/sloehitch" type:"existingfile" help:"The daemon's program."`
+	Seeds   int    `default:"1" help:"Number of seeds, from 1; each run takes its length in real time."`
 }
 
-// Run runs the same load against the model and against real daemons on loopback.
+// Run runs the same load in the emulator and against real daemons on loopback, and compares the results.
 func (c *loadCmd) Run() error {
 	f, err := experiment.ReadFile(c.File)
 	if err != nil {
@@ -125,21 +125,21 @@
 	command := func(config, deploy string) *exec.Cmd {
 		return exec.Command(c.Program, "serve", "--config", config, "--deploy", deploy)
 	}
-	real := func(w emulator.World) (*emulator.Result, error) {
+	runDaemons := func(w emulator.World) (*emulator.Result, error) {
 		fmt.Fprintf(os.Stderr, "%d daemons at a load of %.3g, %v\n", w.Nodes, w.Load, w.Duration)
 		return loadrig.Play(w, loadrig.Options{Command: command, Dir: dir, Log: log})
 	}
-	told := 0
-	broken := func(b *emulator.Violation) {
-		if told++; told <= 5 {
+	violations := 0
+	onViolation := func(b *emulator.Violation) {
+		if violations++; violations <= 5 {
 			fmt.Fprintln(os.Stderr, b)
 		}
 	}
-	if err := f.Compare(c.Out, c.Seeds, real, broken); err != nil {
+	if err := f.Compare(c.Out, c.Seeds, runDaemons, onViolation); err != nil {
 		return err
 	}
-	if told > 0 {
-		fmt.Fprintf(os.Stderr, "%d times a rule was broken\n", told)
+	if violations > 0 {
+		fmt.Fprintf(os.Stderr, "%d violations of rules\n", violations)
 	}
 	return (&reportCmd{Dir: c.Out}).Run()
 }
@@ -163,10 +163,10 @@
 	B string `arg:"" type:"existingdir" help:"Results after."`
 }
 
-// errWorse reports that a result is worse beyond noise; the output has said which.
-var errWorse = errors.New("worse, beyond noise")
+// errWorse reports that a result is significantly worse; the details are already printed.
+var errWorse = errors.New("at least one result is significantly worse")
 
-// Run prints what changed from A to B; it returns errWorse where something is worse beyond noise.
+// Run prints the changes from A to B. It returns errWorse if a result is significantly worse.
 func (c *diffCmd) Run() error {
 	a, err := experiment.ReadRows(c.A)
 	if err != nil {
@@ -182,17 +182,17 @@
 	}
 	worse := false
 	for _, d := range changes {
-		word := "noise"
+		verdict := "noise"
 		switch {
 		case d.Difference.Mean == 0 && !d.Significant:
-			word = "the same"
+			verdict = "the same"
 		case d.Significant && d.Difference.Mean < 0:
-			word, worse = "WORSE", true
+			verdict, worse = "WORSE", true
 		case d.Significant:
-			word = "better"
+			verdict = "better"
 		}
 		fmt.Printf("load %.3g, %d nodes, %d retries, %s: goodput %.3f, by %+.3f [%+.3f, %+.3f]: %s\n", d.Cell.Load, d.Cell.Nodes, d.Cell.Retries, d.Cell.Arm,
-			d.Cell.Goodput.Mean, d.Difference.Mean, d.Difference.Low, d.Difference.High, word)
+			d.Cell.Goodput.Mean, d.Difference.Mean, d.Difference.Low, d.Difference.High, verdict)
 	}
 	if worse {
 		return errWorse
--- a/cmd/sloehitch-lab/fleet.go
+++ b/cmd/sloehitch-lab/fleet.go
@@ -10,41 +10,41 @@
 	"sloehitch/internal/testing/fleetrig"
 )
 
-// fleetCmd runs a fleet of real processes under faults.
+// fleetCmd runs a fleet of real processes with injected faults.
 type fleetCmd struct {
 	Daemon   string        `default:"bin/sloehitch" help:"The program to start." type:"existingfile"`
-	Nodes    int           `default:"3" help:"Processes, up to 16."`
-	Members  int           `help:"Of them, the first, that keep the store: 3 or 5; all where it is left out."`
-	Drains   bool          `help:"Nodes go out by permit and are replaced while the faults come; with --nodes 6 --members 3 or so."`
-	Seed     uint64        `default:"1" help:"The first seed; a schedule is drawn by each."`
-	Seeds    int           `default:"1" help:"How many."`
-	Schedule string        `help:"A file with the faults, instead of drawn ones: as they are printed, edited by hand." type:"existingfile"`
-	Length   time.Duration `default:"5s" help:"Of the writes, during which the faults come."`
-	Lease    time.Duration `default:"1s" help:"Of the duties."`
-	Recovery time.Duration `default:"60s" help:"By which the fleet has to be at work again after the last fault."`
-	Chart    string        `help:"A file (svg, png or pdf) for a time line of owners, leaders and faults of the last seed."`
-	Quiet    bool          `help:"Do not tell of each fault."`
+	Nodes    int           `default:"3" help:"Number of nodes, each a process; up to 16."`
+	Members  int           `help:"Number of nodes that are members of the store: 3 or 5; default: all."`
+	Drains   bool          `help:"Drain and replace nodes during the faults; use it with --nodes 6 --members 3, for example."`
+	Seed     uint64        `default:"1" help:"The first seed; a schedule of faults is drawn from each seed."`
+	Seeds    int           `default:"1" help:"Number of seeds."`
+	Schedule string        `help:"A file with a schedule of faults, in the printed form, to use instead of a drawn one." type:"existingfile"`
+	Length   time.Duration `default:"5s" help:"Duration of the clients' operations and the faults."`
+	Lease    time.Duration `default:"1s" help:"Duration of the leases."`
+	Recovery time.Duration `default:"60s" help:"Time after the last fault within which the fleet must be healthy again."`
+	Chart    string        `help:"A file (svg, png or pdf) for a timeline of the last seed's leaseholders, leaders and faults."`
+	Quiet    bool          `help:"Do not print each fault."`
 }
 
 func (c *fleetCmd) Run() error {
-	broken := 0
+	failedSeeds := 0
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds); seed++ {
-		wrong, err := c.play(seed)
+		failed, err := c.runSeed(seed)
 		if err != nil {
 			return err
 		}
-		if wrong {
-			broken++
+		if failed {
+			failedSeeds++
 		}
 	}
-	if broken > 0 {
-		fmt.Printf("%d of %d broken\n", broken, c.Seeds)
+	if failedSeeds > 0 {
+		fmt.Printf("%d of %d seeds with violations\n", failedSeeds, c.Seeds)
 		return errCheckFailed
 	}
 	return nil
 }
 
-func (c *fleetCmd) play(seed uint64) (wrong bool, err error) {
+func (c *fleetCmd) runSeed(seed uint64) (failed bool, err error) {
 	o := fleetrig.Options{Nodes: c.Nodes, Members: c.Members, Drains: c.Drains, Seed: seed, Lease: c.Lease, Length: c.Length, Recovery: c.Recovery, Schedule: fleetrig.Draw(seed, c.Nodes, cmp.Or(c.Members, c.Nodes), c.Length, c.Lease),
 		Command: daemonCommand(c.Daemon)}
 	if c.Schedule != "" {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return false, fmt.Errorf("seed %d: %w", seed, err)
 	}
-	fmt.Printf("seed %d: %d faults, %d writes, %d reads in %d tries, %d changes of owner, %d jobs, %d wishes applied, %d older copies kept out, at work again after %v\n",
+	fmt.Printf("seed %d: %d faults, %d writes, %d reads in %d attempts, %d lease owner changes, %d jobs, %d desired states applied, %d restored members excluded, healthy after %v\n",
 		seed, len(o.Schedule), r.Writes, r.Reads, r.Attempts, r.OwnerChanges, r.Jobs, r.DesiredStates, r.Exclusions, r.Recovered.Round(time.Millisecond))
 	if c.Drains {
 		fmt.Printf("drains: %+v\n", r.Drains)
@@ -81,7 +81,7 @@
 		fmt.Println("WRONG:", w)
 	}
 	if len(r.Violations) > 0 {
-		fmt.Printf("the schedule, to be kept in a file and shortened by hand:\n%s", o.Schedule)
+		fmt.Printf("the schedule of faults, for use with --schedule:\n%s", o.Schedule)
 	}
 	return len(r.Violations) > 0, nil
 }
--- a/cmd/sloehitch-lab/loadreports.go
+++ b/cmd/sloehitch-lab/loadreports.go
@@ -16,12 +16,12 @@
 	"sloehitch/internal/store"
 )
 
-// reportsCmd measures what many nodes' load reports cost the store, with members and nodes in this process, on loopback.
+// reportsCmd measures the load that the reports of many nodes put on the store, with members and nodes in this process, on loopback.
 type reportsCmd struct {
-	Nodes   int           `default:"100" help:"Nodes that report."`
-	Members int           `default:"3" help:"Members of the store."`
-	Every   time.Duration `default:"2s" help:"Between a node's reports."`
-	For     time.Duration `default:"10s" help:"How long it is measured."`
+	Nodes   int           `default:"100" help:"Number of nodes that report."`
+	Members int           `default:"3" help:"Number of members of the store."`
+	Every   time.Duration `default:"2s" help:"Interval between a node's reports."`
+	For     time.Duration `default:"10s" help:"Duration of the measurement."`
 }
 
 func (c *reportsCmd) Run() (err error) {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// startNode has a node report until the context is canceled. The nodes' first reports are spread over an interval, as those of nodes that start by themselves are.
+// startNode starts a node that reports until the context is canceled. The nodes' first reports are spread over an interval, as those of
+// independent nodes are.
 func (c *reportsCmd) startNode(ctx context.Context, nodes *sync.WaitGroup, i int, admins []string, m *reportMeter) error {
 	f, err := fleet.New(fleet.Options{Name: fmt.Sprint("n", i), StoreMembers: admins, ReportInterval: c.Every, SilentAfter: 5 * c.Every,
 		RequestTimeout: 2500 * time.Millisecond, RetryDelay: time.Second, LeaseTerms: store.DefaultLeaseTerms, Log: slog.New(slog.DiscardHandler), OnReport: m.observe})
@@ -70,25 +71,25 @@
 	return nil
 }
 
-// measure counts reports for a while and prints what they cost.
+// measure counts reports for the given time and prints their rate, latency and processor use.
 func (c *reportsCmd) measure(s *store.Store, m *reportMeter) {
 	time.Sleep(2 * c.Every)
-	before := used()
+	before := processorTime()
 	_, from, _ := s.Documents("", false)
 	m.count(true)
 	time.Sleep(c.For)
 	m.count(false)
-	cores := (used() - before).Seconds() / c.For.Seconds()
+	cores := (processorTime() - before).Seconds() / c.For.Seconds()
 	reports := float64(m.latency.TotalCount()) / c.For.Seconds()
 	p50 := time.Duration(m.latency.ValueAtQuantile(50)) * time.Microsecond
 	p99 := time.Duration(m.latency.ValueAtQuantile(99)) * time.Microsecond
-	fmt.Printf("%d nodes, %d members, a report each %v: %.0f reports a second, p50 %v, p99 %v, %d failed; %.2f cores of members and nodes together",
+	fmt.Printf("%d nodes, %d members, a report every %v: %.0f reports/s, p50 %v, p99 %v, %d failed; %.2f cores used by members and nodes together",
 		c.Nodes, c.Members, c.Every, reports, p50, p99, m.failed, cores)
 	_, to, _ := s.Documents("", false)
-	fmt.Printf("; %.1f revisions a second\n", float64(to.Revision-from.Revision)/c.For.Seconds())
+	fmt.Printf("; %.1f revisions/s\n", float64(to.Revision-from.Revision)/c.For.Seconds())
 }
 
-// reportMeter takes the latencies of reports while it counts.
+// reportMeter records the latencies of reports while counting is on.
 type reportMeter struct {
 	mu       sync.Mutex
 	counting bool
@@ -110,12 +111,12 @@
 	case err != nil:
 		m.failed++
 	default:
-		_ = m.latency.RecordValue(took.Microseconds()) // within a minute, as the client's timeout is
+		_ = m.latency.RecordValue(took.Microseconds()) // in range, since the client's timeout is below a minute
 	}
 }
 
-// used returns the processor time that this process has used.
-func used() time.Duration {
+// used returns the processor time of this process so far.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/cmd/sloehitch-lab/main.go
+++ b/cmd/sloehitch-lab/main.go
@@ -1,4 +1,4 @@
-// Command sloehitch-lab has tools for experiments, tests with faults, model checks and measurements that are not part of the daemon.
+// Command sloehitch-lab has tools for experiments, fault injection tests, model checks and measurements. They are not part of the daemon.
 package main
 
 import (
@@ -10,32 +10,32 @@
 )
 
 var cli struct {
-	Uwsgi   uwsgiCmd            `cmd:"" help:"Speak uwsgi."`
-	Run     runCmd              `cmd:"" help:"Play an experiment in the emulator, and report it."`
-	Load    loadCmd             `cmd:"" help:"Play an experiment's load against real daemons on loopback, and hold the emulator against them."`
-	Soak    soakCmd             `cmd:"" help:"Play the daemon under faults by seed, between stand-ins of all that it talks to, and judge by their records."`
-	Faulty  systemCallFaultsCmd `cmd:"" help:"Run a program whose system calls fail now and then, as Linux documents them."`
-	Fleet   fleetCmd            `cmd:"" help:"Put faults between real processes of a fleet on loopback, and check what held."`
-	Outage  outageCmd           `cmd:"" help:"Measure for how long a duty is at nobody's hands after its owner was killed, stopped, told to leave or cut off."`
-	Reports reportsCmd          `cmd:"" help:"Measure what the reports of many nodes cost the store; all in one process."`
-	Walk    modelCheckCmd       `cmd:"" help:"Play seeds of the models of leases or duties, in simulated time."`
-	Trace   traceCmd            `cmd:"" help:"Tell the life of one emulated request, and write all of them for a trace viewer."`
-	Report  reportCmd           `cmd:"" help:"Print and draw what a folder of results holds."`
-	Diff    diffCmd             `cmd:"" help:"Say what changed between two folders of results, and whether it is beyond noise."`
+	Uwsgi   uwsgiCmd            `cmd:"" help:"Test servers of the uwsgi protocol."`
+	Run     runCmd              `cmd:"" help:"Run an experiment in the emulator, and write a report."`
+	Load    loadCmd             `cmd:"" help:"Run an experiment's load against real daemons on loopback, and compare them with the emulator."`
+	Soak    soakCmd             `cmd:"" help:"Run the daemon against stand-ins of all its peers, with faults drawn from seeds, and check the stand-ins' records."`
+	Faulty  systemCallFaultsCmd `cmd:"" help:"Run a program and make some of its system calls fail, with errors that Linux documents."`
+	Fleet   fleetCmd            `cmd:"" help:"Run a fleet of real processes on loopback with injected faults, and check its guarantees."`
+	Outage  outageCmd           `cmd:"" help:"Measure how long a leased task has no holder after its holder was killed, stopped, shut down or isolated."`
+	Reports reportsCmd          `cmd:"" help:"Measure the load that the reports of many nodes put on the store, all in one process."`
+	Walk    modelCheckCmd       `cmd:"" help:"Run model checks of leases, leased tasks, members, permits or releases for many seeds, in simulated time."`
+	Trace   traceCmd            `cmd:"" help:"Print the trace of one emulated request, and write the traces of all requests for a trace viewer."`
+	Report  reportCmd           `cmd:"" help:"Print the table and draw the charts of a folder of results."`
+	Diff    diffCmd             `cmd:"" help:"Compare two folders of results, and tell significant changes from noise."`
 }
 
-// errCheckFailed reports that a check failed; the output has said which.
-var errCheckFailed = errors.New("cases failed")
+// errCheckFailed reports that a check failed; its details are already printed.
+var errCheckFailed = errors.New("a check failed")
 
 func main() {
-	ctx := kong.Parse(&cli, kong.Name("sloehitch-lab"), kong.Description("Experiments and checks round sloehitch."))
+	ctx := kong.Parse(&cli, kong.Name("sloehitch-lab"), kong.Description("Experiments, tests and measurements for sloehitch."))
 	err := ctx.Run()
 	if errors.Is(err, errCheckFailed) {
 		os.Exit(1)
 	}
-	var ended programExit
-	if errors.As(err, &ended) {
-		os.Exit(int(ended))
+	var exit programExit
+	if errors.As(err, &exit) {
+		os.Exit(int(exit))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sloehitch-lab:", err)
--- a/cmd/sloehitch-lab/modelcheck.go
+++ b/cmd/sloehitch-lab/modelcheck.go
@@ -17,23 +17,23 @@
 
 // modelCheckCmd runs the model checks of leases, leased tasks, the store's membership, drain permits and releases for many seeds.
 type modelCheckCmd struct {
-	What   string  `arg:"" enum:"leases,duties,members,permits,releases" help:"leases, duties, members, permits or releases."`
+	What   string  `arg:"" enum:"leases,duties,members,permits,releases" help:"The model: leases, duties, members, permits or releases."`
 	First  uint64  `default:"0" help:"The first seed."`
-	Seeds  uint64  `default:"100000" help:"How many."`
-	Mutant string  `help:"A fault of the program itself to be found; leave it out to play the program as it is."`
-	Nodes  int     `help:"Of permits: nodes of each fleet, up to 1000; left out, some."`
-	Drift  float64 `default:"0.05" help:"Of leases: how wrong clocks really go; 0.05 is allowed for."`
+	Seeds  uint64  `default:"100000" help:"Number of seeds."`
+	Mutant string  `help:"A deliberate fault of the program that the check must find; default: none."`
+	Nodes  int     `help:"Permits: number of nodes of each fleet, up to 1000; default: drawn from the seed."`
+	Drift  float64 `default:"0.05" help:"Leases: actual drift of the clocks; the leases allow for 0.05."`
 }
 
 func (c *modelCheckCmd) Run() error {
 	mutants, play := c.model()
 	if c.Mutant != "" && !slices.Contains(mutants, c.Mutant) {
-		return fmt.Errorf("--mutant %q: one of %q is wanted", c.Mutant, mutants)
+		return fmt.Errorf("--mutant %q is unknown: expected one of %q", c.Mutant, mutants)
 	}
 	if c.Nodes < 0 || c.Nodes > 1000 {
-		return fmt.Errorf("--nodes %d: 1 to 1000 are wanted", c.Nodes)
+		return fmt.Errorf("--nodes %d is out of range: expected 1 to 1000", c.Nodes)
 	}
-	run := &seedRun{play: play, start: c.First, end: c.First + c.Seeds}
+	run := &seedRun{runSeed: play, start: c.First, end: c.First + c.Seeds}
 	var workers sync.WaitGroup
 	for range runtime.NumCPU() {
 		workers.Go(run.work)
@@ -43,7 +43,7 @@
 		fmt.Printf("seed %d: %s\n", run.end, run.violation)
 		return errCheckFailed
 	}
-	fmt.Printf("%d seeds held\n", run.played.Load())
+	fmt.Printf("%d seeds without a violation\n", run.played.Load())
 	return nil
 }
 
@@ -72,25 +72,25 @@
 	return duties.Mutants, func(seed uint64) string { return duties.Run(seed, c.Mutant) }
 }
 
-// seedRun runs the seeds of a model on several workers, and keeps the first seed that breaks a rule.
+// seedRun runs the seeds of a model on several workers, and records the lowest seed that violates a rule.
 type seedRun struct {
-	play         func(seed uint64) string
+	runSeed      func(seed uint64) string
 	start        uint64
 	next, played atomic.Uint64
 
 	mu        sync.Mutex
-	end       uint64 // seeds from here on are not wanted: a later one than one that breaks a rule says nothing new
-	violation string // of seed end
+	end       uint64 // seeds from here on need not run: only the lowest seed that violates a rule is reported
+	violation string // violation of seed end
 }
 
-// work runs seeds until there are no more.
+// work runs seeds until none is left.
 func (r *seedRun) work() {
 	for {
 		seed := r.start + r.next.Add(1) - 1
-		if !r.wanted(seed) {
+		if !r.needed(seed) {
 			return
 		}
-		violation := r.play(seed)
+		violation := r.runSeed(seed)
 		r.played.Add(1)
 		if violation != "" {
 			r.record(seed, violation)
@@ -98,7 +98,7 @@
 	}
 }
 
-func (r *seedRun) wanted(seed uint64) bool {
+func (r *seedRun) needed(seed uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return seed < r.end
--- a/cmd/sloehitch-lab/soak.go
+++ b/cmd/sloehitch-lab/soak.go
@@ -10,17 +10,17 @@
 	"sloehitch/internal/testing/soak"
 )
 
-// soakCmd runs the daemon under faults by seed.
+// soakCmd runs the daemon with faults drawn from seeds.
 type soakCmd struct {
 	First   uint64        `default:"1" help:"The first seed."`
 	Last    uint64        `default:"50" help:"The last seed."`
-	For     time.Duration `default:"12s" help:"For how long the traffic of a play goes on."`
-	Jobs    int           `default:"4" help:"Plays beside one another."`
-	Faults  []string      `help:"Only these kinds of trouble: reset-runtime, stall-to-runtime, stall-from-runtime, reset-clients, reset-catalogue, catalogue-down, pause, reload, step-wall-clock, directory-silent."`
-	Calls   float64       `help:"The rate at which system calls on the daemon's sockets fail or come short, such as 0.003; 0: none."`
-	Show    int           `default:"1" help:"Breaches of a play whose timelines are printed."`
-	Logs    string        `help:"A folder for the logs of processes in plays with a breach."`
-	Program string        `default:"bin/sloehitch" type:"existingfile" help:"The daemon."`
+	For     time.Duration `default:"12s" help:"Duration of the traffic of a test run."`
+	Jobs    int           `default:"4" help:"Number of concurrent test runs."`
+	Faults  []string      `help:"Only these kinds of fault: reset-runtime, stall-to-runtime, stall-from-runtime, reset-clients, reset-catalogue, catalogue-down, pause, reload, step-wall-clock, directory-silent."`
+	Calls   float64       `help:"The rate at which system calls on the daemon's sockets fail or are short, such as 0.003; 0: none."`
+	Show    int           `default:"1" help:"Number of violations per test run whose timelines are printed."`
+	Logs    string        `help:"A folder for the process logs of test runs with violations."`
+	Program string        `default:"bin/sloehitch" type:"existingfile" help:"The daemon's program."`
 }
 
 func (c *soakCmd) Run() error {
@@ -38,29 +38,30 @@
 		return err
 	}
 	table := soak.NewTable()
-	broken := 0
+	failedRuns := 0
 	seeds := soak.Seeds{First: c.First, Last: c.Last, Length: c.For, Kinds: kinds, Parallel: c.Jobs, Dir: dir,
 		Command: func(config string) *exec.Cmd {
 			command := exec.Command(c.Program, "serve", "--config", config, "--deploy", filepath.Join(dir, "none.toml"))
 			if c.Calls > 0 {
-				faulty := []string{"faulty", "--seed", fmt.Sprint(c.First), "--rate", fmt.Sprint(c.Calls)}
-				command = exec.Command(self, append(faulty, command.Args...)...)
+				wrapper := []string{"faulty", "--seed", fmt.Sprint(c.First), "--rate", fmt.Sprint(c.Calls)}
+				command = exec.Command(self, append(wrapper, command.Args...)...)
 			}
 			command.Env = os.Environ()
 			return command
 		}}
 	err = seeds.Run(func(r *soak.Report) {
 		table.Add(r)
-		fmt.Printf("seed %d: %d requests, %d runs, %d processes, %d breaches\n", r.Plan.Seed, r.Requests, r.Runs, r.Processes, len(r.Violations))
+		fmt.Printf("seed %d: %d requests, %d runs, %d processes, %d violations\n", r.Plan.Seed, r.Requests, r.Runs, r.Processes,
+			len(r.Violations))
 		if len(r.Violations) == 0 {
 			return
 		}
-		broken++
+		failedRuns++
 		r.WriteTimelines(os.Stdout, c.Show)
 		c.keepLogs(r)
 	})
 	table.Write(os.Stdout)
-	if err == nil && broken > 0 {
+	if err == nil && failedRuns > 0 {
 		err = errCheckFailed
 	}
 	return err
--- a/cmd/sloehitch-lab/storegroup.go
+++ b/cmd/sloehitch-lab/storegroup.go
@@ -13,14 +13,14 @@
 	"sloehitch/internal/testing/loopback"
 )
 
-// storeGroup is the members of a store in this process, and their admin addresses.
+// storeGroup is a set of store members that run in this process, with their admin addresses.
 type storeGroup struct {
 	stores  []*store.Store
 	servers []*http.Server
 	admins  []string
 }
 
-// startStoreGroup starts members of a store with folders in dir. What it returns is to be closed also on an error.
+// startStoreGroup starts n members of a store with folders in dir. The caller must close the result, even after an error.
 func startStoreGroup(dir string, n int) (*storeGroup, error) {
 	g := &storeGroup{}
 	addresses, err := loopback.Addresses(2 * n)
@@ -45,12 +45,12 @@
 		}
 		server := &http.Server{Handler: s.Handler()}
 		g.servers = append(g.servers, server)
-		go func() { _ = server.Serve(ln) }() // until it is closed
+		go func() { _ = server.Serve(ln) }() // until the server is closed
 	}
 	return g, nil
 }
 
-// awaitLeader blocks until a leader is elected, for 30 s at most.
+// awaitLeader blocks until a leader is elected, and returns an error after 30 s without one.
 func (g *storeGroup) awaitLeader() error {
 	for end := time.Now().Add(30 * time.Second); g.stores[0].Members().Leader == ""; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/cmd/sloehitch-lab/systemcallfaults.go
+++ b/cmd/sloehitch-lab/systemcallfaults.go
@@ -13,28 +13,28 @@
 
 // systemCallFaultsCmd runs a program and injects faults into its system calls.
 type systemCallFaultsCmd struct {
-	Seed    uint64   `default:"1" help:"Determines which calls fail, as far as the program makes the same ones."`
-	Rate    float64  `default:"0.005" help:"Of the calls on sockets that fail, and of reads and writes that come to less than asked for."`
+	Seed    uint64   `default:"1" help:"Determines which calls fail, if the program makes the same calls."`
+	Rate    float64  `default:"0.005" help:"Fraction of the calls on sockets that fail, and of reads and writes that transfer fewer bytes than requested."`
 	Program string   `arg:"" type:"existingfile"`
 	Args    []string `arg:"" optional:"" passthrough:""`
 }
 
-// programExit is the exit status of the program.
+// programExit is the nonzero exit status of the program, as an error.
 type programExit int
 
-func (e programExit) Error() string { return fmt.Sprint("the program ended with status ", int(e)) }
+func (e programExit) Error() string { return fmt.Sprint("the program exited with status ", int(e)) }
 
 func (c *systemCallFaultsCmd) Run() error {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT)
-	passOn := func(pid int) {
+	forwardSignals := func(pid int) {
 		go func() {
 			for s := range signals {
 				_ = syscall.Kill(pid, s.(syscall.Signal)) // the process may have ended
 			}
 		}()
 	}
-	status, counts, err := systemcalls.Run(c.Program, c.Args, systemcalls.NewOutcomeSource(c.Seed, c.Rate), passOn)
+	status, counts, err := systemcalls.Run(c.Program, c.Args, systemcalls.NewOutcomeSource(c.Seed, c.Rate), forwardSignals)
 	if err != nil {
 		return err
 	}
--- a/cmd/sloehitch-lab/timeline.go
+++ b/cmd/sloehitch-lab/timeline.go
@@ -11,12 +11,13 @@
 	"sloehitch/internal/testing/fleetrig"
 )
 
-// timeline draws leases, leaders, drains and faults, a row each, to a file whose extension is the format (svg, png, pdf).
+// timeline draws the spans of leases, leaders, drains and faults, in one row for each name, to a file whose extension is the format (svg,
+// png, pdf).
 func timeline(spans []fleetrig.Span, title, file string) error {
 	colours := map[string]color.Color{"duty": color.RGBA{R: 31, G: 119, B: 180, A: 255}, "lead": color.RGBA{R: 44, G: 160, B: 44, A: 255}, "fault": color.RGBA{R: 214, G: 39, B: 40, A: 255},
 		"out": color.RGBA{R: 255, G: 127, B: 14, A: 255}, "back": color.RGBA{R: 255, G: 187, B: 120, A: 255}, "release": color.RGBA{R: 148, G: 103, B: 189, A: 255}}
 	var rows []string
-	for _, s := range slices.Backward(spans) { // the first row on top
+	for _, s := range slices.Backward(spans) { // from the last, so that the first row is on top
 		if !slices.Contains(rows, s.Row) {
 			rows = append(rows, s.Row)
 		}
--- a/cmd/sloehitch-lab/uwsgi.go
+++ b/cmd/sloehitch-lab/uwsgi.go
@@ -12,18 +12,18 @@
 )
 
 type uwsgiCmd struct {
-	Check checkCmd `cmd:"" help:"Check a speaker of the uwsgi protocol on this machine; exit with 1 if a case fails."`
-	List  listCmd  `cmd:"" help:"List the cases and where they come from."`
+	Check checkCmd `cmd:"" help:"Check a server of the uwsgi protocol on this machine; exit with 1 if a case fails."`
+	List  listCmd  `cmd:"" help:"List the cases and the parts of the specifications that require them."`
 }
 
 type checkCmd struct {
 	Address string        `required:"" help:"host:port or unix:/path, on this machine only."`
-	Path    string        `default:"/" help:"Of an application that answers 200 to GET and POST."`
-	Echo    bool          `help:"The application answers with the body that it got."`
-	Only    string        `name:"run" help:"Only cases whose name matches this expression."`
-	Timeout time.Duration `default:"10s" help:"For one case."`
-	AtOnce  int           `default:"4" help:"Cases played at once."`
-	Form    string        `default:"table" enum:"table,all,json,junit" help:"table: what failed; all: every case; json; junit."`
+	Path    string        `default:"/" help:"Path of an application that answers 200 to GET and POST."`
+	Echo    bool          `help:"The application answers with the request's body."`
+	Only    string        `name:"run" help:"Run only the cases whose names match this regular expression."`
+	Timeout time.Duration `default:"10s" help:"Timeout of a case."`
+	AtOnce  int           `default:"4" help:"Number of concurrent cases."`
+	Form    string        `default:"table" enum:"table,all,json,junit" help:"Output format: table (failed cases), all (all cases), json or junit."`
 }
 
 func (c *checkCmd) Run() error {
@@ -40,7 +40,7 @@
 		return 0, err
 	}
 	if e.TLS {
-		return 0, fmt.Errorf("address %s: the cases are sent byte by byte, without TLS", e)
+		return 0, fmt.Errorf("address %s: TLS is not supported, since the cases send raw bytes", e)
 	}
 	if err := e.Local(); err != nil {
 		return 0, err
@@ -75,8 +75,8 @@
 }
 
 func (c *listCmd) Run() error {
-	for _, k := range conformance.Cases(c.Path) {
-		if _, err := fmt.Printf("%s\t%s\t%s\n", k.Name, k.Want, k.From); err != nil {
+	for _, testCase := range conformance.Cases(c.Path) {
+		if _, err := fmt.Printf("%s\t%s\t%s\n", testCase.Name, testCase.Want, testCase.From); err != nil {
 			return err
 		}
 	}
--- a/internal/testing/conformance/cases.go
+++ b/internal/testing/conformance/cases.go
@@ -9,31 +9,31 @@
 	"sloehitch/internal/testing/scriptedpeer"
 )
 
-// Where cases come from.
+// The parts of the specifications that require the cases.
 const (
-	fromHeader   = "uwsgi protocol, packet header"
-	fromMods     = "uwsgi protocol, modifiers"
-	fromVars     = "uwsgi protocol, variables"
-	fromPing     = "uwsgi protocol, modifier 100"
-	fromMeta     = "RFC 3875 section 4.1 (request meta-variables)"
-	fromBody     = "RFC 3875 section 4.2 (request message-body)"
-	fromMethod   = "RFC 3875 section 4.3 (request methods)"
-	fromLength   = "RFC 9112 section 6.2 (Content-Length)"
-	fromChunks   = "RFC 9112 section 7.1 (chunked transfer coding)"
-	fromSmuggled = "RFC 9112 section 11.2 (request smuggling)"
-	fromLines    = "RFC 9110 section 5.5 (field values)"
-	fromTCP      = "RFC 9293 section 3.6 (half-closed connections)"
+	fromHeader    = "uwsgi protocol, packet header"
+	fromModifiers = "uwsgi protocol, modifiers"
+	fromVars      = "uwsgi protocol, variables"
+	fromPing      = "uwsgi protocol, modifier 100"
+	fromMeta      = "RFC 3875 section 4.1 (request meta-variables)"
+	fromBody      = "RFC 3875 section 4.2 (request message-body)"
+	fromMethod    = "RFC 3875 section 4.3 (request methods)"
+	fromLength    = "RFC 9112 section 6.2 (Content-Length)"
+	fromChunks    = "RFC 9112 section 7.1 (chunked transfer coding)"
+	fromSmuggling = "RFC 9112 section 11.2 (request smuggling)"
+	fromLines     = "RFC 9110 section 5.5 (field values)"
+	fromTCP       = "RFC 9293 section 3.6 (half-closed connections)"
 )
 
 type vars = [][2]string
 
-// cases gathers them.
+// cases collects the cases for an application's path.
 type cases struct {
 	path string
 	list []Case
 }
 
-// Cases are all cases for an application at this path.
+// Cases returns all cases for an application at the path.
 func Cases(path string) []Case {
 	c := &cases{path: path}
 	c.header()
@@ -52,25 +52,25 @@
 	c.list = append(c.list, Case{Name: name, From: from, Want: want, Echo: echo, Steps: steps})
 }
 
-// request is a packet for the path. Variables in more take the place of those there, or follow them.
+// request returns a packet for the path. Variables in more replace the default ones of the same name, or follow them.
 func (c *cases) request(method string, more ...[2]string) string {
 	list := vars{{"REQUEST_METHOD", method}, {"PATH_INFO", c.path}, {"REQUEST_URI", c.path}, {"SCRIPT_NAME", ""}, {"QUERY_STRING", ""},
 		{"SERVER_PROTOCOL", "HTTP/1.1"}, {"SERVER_NAME", "localhost"}, {"SERVER_PORT", "80"}, {"HTTP_HOST", "localhost"}, {"REMOTE_ADDR", "127.0.0.1"}}
 	for _, m := range more {
-		there := false
+		replaced := false
 		for i := range list {
 			if list[i][0] == m[0] {
-				list[i], there = m, true
+				list[i], replaced = m, true
 			}
 		}
-		if !there {
+		if !replaced {
 			list = append(list, m)
 		}
 	}
 	return pack(list)
 }
 
-// pack is a packet of these variables, in their order and however often they stand there.
+// pack returns a packet with these variables, in their order and with duplicates.
 func pack(list vars) string {
 	b, err := packet.AppendRequest(nil, 0, 0, list)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return string(b)
 }
 
-// block is a packet whose variables are these bytes.
+// block returns a packet whose block of variables is b.
 func block(b string) string {
 	return string(packet.Header{Size: len(b)}.Append(nil)) + b
 }
@@ -117,9 +117,9 @@
 func (c *cases) modifiers() {
 	get := c.request("GET")
 	for _, m := range []byte{1, 2, 3, 4, 17, 18, 22, 23, 26, 27, 31, 48, 72, 97, 98, 99, 101, 110, 111, 123, 173, 200, 224, 250, 255} {
-		c.add(fmt.Sprint("modifier/", m), fromMods, Quiet, "", send(string([]byte{m})+get[1:]), half)
+		c.add(fmt.Sprint("modifier/", m), fromModifiers, Quiet, "", send(string([]byte{m})+get[1:]), half)
 	}
-	c.add("modifier/second one", fromMods, Either, "", send(get[:3]+"\x01"+get[4:]))
+	c.add("modifier/second one", fromModifiers, Either, "", send(get[:3]+"\x01"+get[4:]))
 }
 
 func (c *cases) pings() {
@@ -157,9 +157,11 @@
 		{"SCRIPT_NAME", ""}, {"REQUEST_URI", c.path}, {"PATH_INFO", c.path}, {"REQUEST_METHOD", "GET"}}
 	c.add("variables/in another order", fromVars, Served, "", send(pack(backwards)))
 
-	for _, twice := range []struct{ name, a, b string }{{"REQUEST_METHOD", "GET", "POST"}, {"PATH_INFO", c.path, "/other"}, {"HTTP_HOST", "a", "b"},
+	for _, duplicate := range []struct{ name, a, b string }{{"REQUEST_METHOD", "GET", "POST"}, {"PATH_INFO", c.path, "/other"}, {"HTTP_HOST", "a", "b"},
 		{"CONTENT_LENGTH", "0", "5"}, {"HTTP_TRANSFER_ENCODING", "chunked", "identity"}, {"HTTP_IDEMPOTENCY_KEY", "a", "b"}} {
-		c.add("variables/twice: "+twice.name, fromSmuggled, Refused, "", send(pack(append(backwards[:7:7], [2]string{"X_LAST", "1"}, [2]string{twice.name, twice.a}, [2]string{twice.name, twice.b}))), half)
+		c.add("variables/twice: "+duplicate.name, fromSmuggling, Refused, "",
+			send(pack(append(backwards[:7:7], [2]string{"X_LAST", "1"}, [2]string{duplicate.name, duplicate.a},
+				[2]string{duplicate.name, duplicate.b}))), half)
 	}
 	for _, bad := range []struct{ name, value string }{{"a line end", "a\r\nX-Made: up"}, {"a line feed", "a\nX-Made: up"}, {"a carriage return", "a\rb"}, {"a zero byte", "a\x00b"}} {
 		c.add("variables/"+bad.name+" in a value", fromLines, Refused, "", send(c.request("GET", [2]string{"HTTP_X_BAD", bad.value})))
@@ -215,13 +217,16 @@
 	c.add("length/with zeros before it", fromLength, Either, "hello", send(c.request("POST", [2]string{"CONTENT_LENGTH", "0005"})+"hello"))
 	c.add("length/a body that is too short", fromBody, Quiet, "", send(c.request("POST", length(5))+"hell"), half)
 	c.add("length/a body that does not come", fromBody, Quiet, "", send(c.request("POST", length(5))), half)
-	c.add("length/a body that is too long", fromSmuggled, Either, "hello", send(c.request("POST", length(5))+"hello, world"), half)
-	c.add("length/a second request behind it", fromSmuggled, Either, "hello", send(c.request("POST", length(5))+"hello"+c.request("GET")), half)
-	c.add("length/a body that was not announced", fromSmuggled, Either, "", send(c.request("GET")+"hello"), half)
-	c.add("length/another one as a header", fromSmuggled, Refused, "", send(c.request("POST", length(5), [2]string{"HTTP_CONTENT_LENGTH", "6"})+"hello"), half)
+	c.add("length/a body that is too long", fromSmuggling, Either, "hello", send(c.request("POST", length(5))+"hello, world"), half)
+	c.add("length/a second request behind it", fromSmuggling, Either, "hello",
+		send(c.request("POST", length(5))+"hello"+c.request("GET")), half)
+	c.add("length/a body that was not announced", fromSmuggling, Either, "", send(c.request("GET")+"hello"), half)
+	c.add("length/another one as a header", fromSmuggling, Refused, "",
+		send(c.request("POST", length(5), [2]string{"HTTP_CONTENT_LENGTH", "6"})+"hello"), half)
 	c.add("length/the same one as a header", fromLength, Either, "hello", send(c.request("POST", length(5), [2]string{"HTTP_CONTENT_LENGTH", "5"})+"hello"))
 	for _, l := range []string{"0", "5", "16"} {
-		c.add("length/"+l+" and chunks", fromSmuggled, Refused, "", send(c.request("POST", [2]string{"CONTENT_LENGTH", l}, inChunks)+"5\r\nhello\r\n0\r\n\r\n"), half)
+		c.add("length/"+l+" and chunks", fromSmuggling, Refused, "",
+			send(c.request("POST", [2]string{"CONTENT_LENGTH", l}, inChunks)+"5\r\nhello\r\n0\r\n\r\n"), half)
 	}
 }
 
@@ -272,9 +277,11 @@
 		c.add("bad chunks/"+b.name, fromChunks, Quiet, "", send(head+b.sent), half)
 	}
 	for _, coding := range []string{"gzip", "gzip, chunked", "chunked, gzip", "chunked, chunked", "xchunked", "chunked;q=1", "identity", "\x0bchunked"} {
-		c.add(fmt.Sprintf("bad chunks/coding %q", coding), fromSmuggled, Quiet, "", send(c.request("POST", [2]string{"HTTP_TRANSFER_ENCODING", coding})+"5\r\nhello\r\n0\r\n\r\n"), half)
+		c.add(fmt.Sprintf("bad chunks/coding %q", coding), fromSmuggling, Quiet, "",
+			send(c.request("POST", [2]string{"HTTP_TRANSFER_ENCODING", coding})+"5\r\nhello\r\n0\r\n\r\n"), half)
 	}
-	c.add("bad chunks/a second request behind them", fromSmuggled, Either, "hello", send(head+"5\r\nhello\r\n0\r\n\r\n"+c.request("GET")), half)
+	c.add("bad chunks/a second request behind them", fromSmuggling, Either, "hello",
+		send(head+"5\r\nhello\r\n0\r\n\r\n"+c.request("GET")), half)
 }
 
 func (c *cases) timing() {
--- a/internal/testing/conformance/conformance.go
+++ b/internal/testing/conformance/conformance.go
@@ -1,5 +1,5 @@
-// Package conformance is a black-box test suite for servers of the uwsgi protocol. Each case is a script of bytes to send and the permitted
-// answers, and names the part of the published protocol, or of CGI, that requires it.
+// Package conformance is a black-box test suite for servers of the uwsgi protocol. Each case has a script of bytes to send and a class of
+// permitted answers, and names the part of the published protocol, of CGI, HTTP or TCP that requires it.
 package conformance
 
 import (
@@ -26,29 +26,29 @@
 
 // The classes of answers.
 const (
-	Served  Want = "served"  // a well-formed response with the application's status and, if it echoes, the body
-	Refused Want = "refused" // a well-formed response of 400 and above, or the end of the connection without a byte
-	Either  Want = "either"  // one of the two: the protocol leaves it open, or not all servers do what it requires
-	Pong    Want = "pong"    // the answer to a ping, or the end without a byte
-	Quiet   Want = "quiet"   // the end of the connection without a byte, or a refusal
+	Served  Want = "served"  // a well-formed response of a status below 400 and, from an application that echoes, the body
+	Refused Want = "refused" // a well-formed response of a status of 400 or above, or the end of the connection without a byte
+	Either  Want = "either"  // Served or Refused: the protocol leaves it open, or not all servers do what it requires
+	Pong    Want = "pong"    // the answer to a ping, or the end of the connection without a byte
+	Quiet   Want = "quiet"   // the end of the connection without a byte, or a response of a status of 400 or above
 )
 
 // Case is one test case.
 type Case struct {
-	Name  string              `json:"name"` // group/what
+	Name  string              `json:"name"` // group/name
 	From  string              `json:"from"` // the part of the specification
 	Steps scriptedpeer.Script `json:"-"`
 	Want  Want                `json:"want"`
-	Echo  string              `json:"-"` // the body that the application got, if it was served
+	Echo  string              `json:"-"` // the request's body as the application must receive it if the request is served
 	Head  bool                `json:"-"` // the request is a HEAD
-	Times int                 `json:"-"` // played so often at once; 0: once
+	Times int                 `json:"-"` // number of concurrent executions; 0: one
 }
 
 // Target is the server under test.
 type Target struct {
 	Address endpoint.Endpoint
-	Path    string        // of an application that answers 200 to all methods
-	Echo    bool          // it answers with the body that it got
+	Path    string        // path of an application that answers 200 to all methods
+	Echo    bool          // the application answers with the request's body
 	Timeout time.Duration // timeout of a case; a server that has not answered by then fails it
 }
 
@@ -61,7 +61,7 @@
 	Took   time.Duration `json:"took_ns"`
 }
 
-// Reach sends one ordinary request, so that a wrong address or path is reported as such, and not as two hundred failed cases.
+// Reach sends one ordinary request, so that a wrong address or path is reported as such, instead of as two hundred failed cases.
 func (t Target) Reach(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, t.Timeout)
 	defer cancel()
@@ -72,13 +72,14 @@
 	}
 	defer resp.Body.Close()
 	if resp.Status >= 400 {
-		return fmt.Errorf("the application at %s answers %d to GET; name one that answers 200 by --path", t.Path, resp.Status)
+		return fmt.Errorf("GET %s was answered with status %d; set --path to an application that answers 200", t.Path, resp.Status)
 	}
 	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, 4<<20))
 	return err
 }
 
-// Run runs the cases whose names match, atOnce concurrently, and returns the results in the cases' order; run may be nil: all.
+// Run runs the cases whose names match run, or all cases if run is nil, atOnce of them concurrently. It returns the results in the order of
+// the cases.
 func Run(t Target, run *regexp.Regexp, atOnce int) []Result {
 	var list []Case
 	for _, c := range Cases(t.Path) {
@@ -87,12 +88,12 @@
 		}
 	}
 	results := make([]Result, len(list))
-	gate := make(chan struct{}, max(1, atOnce))
+	semaphore := make(chan struct{}, max(1, atOnce))
 	var wait sync.WaitGroup
 	for i, c := range list {
 		wait.Go(func() {
-			gate <- struct{}{}
-			defer func() { <-gate }()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			results[i] = t.runCase(c)
 		})
 	}
@@ -139,13 +140,13 @@
 		return nil, err
 	}
 	done := make(chan struct{})
-	go func() { // a server may answer before all is sent
+	go func() { // concurrent, because a server may answer before everything is sent
 		defer close(done)
-		_, _ = c.Steps.Play(conn) // that it has hung up shows when its answer is read
+		_, _ = c.Steps.Play(conn) // an early close by the server shows when its answer is read
 	}()
 	got, readErr := io.ReadAll(io.LimitReader(conn, 4<<20))
 	if errors.Is(readErr, os.ErrDeadlineExceeded) {
-		return got, errors.New("it neither answers nor hangs up in time")
+		return got, errors.New("the server neither answered completely nor closed the connection before the timeout")
 	}
 	conn.Close()
 	<-done
@@ -160,13 +161,13 @@
 func (t Target) check(c Case, got []byte, reset bool) error {
 	if len(got) == 0 {
 		if c.Want == Served {
-			return errors.New("it hung up without an answer")
+			return errors.New("the server closed the connection without an answer")
 		}
 		return nil
 	}
 	if c.Want == Pong || got[0] == packet.Ping {
 		if c.Want != Pong || !bytes.Equal(got, packet.Pong.Append(nil)) {
-			return errors.New("not the answer to a ping, or not asked for")
+			return errors.New("the response is not the answer to a ping, or is one without a ping")
 		}
 		return nil
 	}
@@ -178,20 +179,20 @@
 	switch c.Want {
 	case Refused, Quiet:
 		if !refused {
-			return fmt.Errorf("it was served with status %d", head.Status)
+			return fmt.Errorf("the request was served with status %d, want a status of 400 or above", head.Status)
 		}
 	case Served:
 		if refused {
-			return fmt.Errorf("it was refused with status %d", head.Status)
+			return fmt.Errorf("the request was refused with status %d, want a status below 400", head.Status)
 		}
 	}
 	if t.Echo && !refused && !c.Head && string(body) != c.Echo {
-		return fmt.Errorf("the application got %d bytes, not the %d of the body", len(body), len(c.Echo))
+		return fmt.Errorf("the application echoed %d bytes that are not the request's body of %d bytes", len(body), len(c.Echo))
 	}
 	return nil
 }
 
-// readResponse parses one complete response and decodes its body. Bytes after it are an error.
+// readResponse parses one complete response and decodes its body. Bytes after the response are an error.
 func readResponse(b []byte, headOnly, reset bool) (head packet.ResponseHead, body []byte, err error) {
 	for {
 		if head, err = packet.ReadResponseHead(b, headOnly, 64<<10); err != nil {
@@ -208,11 +209,11 @@
 	case err != nil:
 		return head, nil, err
 	case !done && !rest.EndsAtClose():
-		return head, nil, fmt.Errorf("its body ends after %d bytes, before it is whole", n)
+		return head, nil, fmt.Errorf("the response's body is truncated after %d bytes", n)
 	case rest.EndsAtClose() && reset:
-		return head, nil, errors.New("the connection was reset within a body that its close ends")
+		return head, nil, errors.New("the connection was reset within a response body that ends at the close of the connection")
 	case n < len(b):
-		return head, nil, fmt.Errorf("%d bytes follow its answer", len(b)-n)
+		return head, nil, fmt.Errorf("%d bytes follow the response", len(b)-n)
 	}
 	if body = b[:n]; head.Body.Chunked {
 		body, err = decodeChunks(body)
--- a/internal/testing/conformance/conformance_test.go
+++ b/internal/testing/conformance/conformance_test.go
@@ -24,22 +24,23 @@
 	return conformance.Run(conformance.Target{Address: e, Path: "/", Echo: true, Timeout: standin.WaitTimeout}, nil, 8)
 }
 
-// TestCases: each has a name of its own and a source, and there are enough.
-func TestCases(t *testing.T) {
+// TestCasesAreUniqueAndComplete checks that each case has a unique name with a group, a source and a class of answers, and that there are
+// at least 150 cases.
+func TestCasesAreUniqueAndComplete(t *testing.T) {
 	names := map[string]bool{}
 	for _, c := range conformance.Cases("/") {
 		if names[c.Name] || c.From == "" || c.Want == "" || !strings.Contains(c.Name, "/") {
-			t.Errorf("%+v", c)
+			t.Errorf("duplicate or incomplete case: %+v", c)
 		}
 		names[c.Name] = true
 	}
 	if len(names) < 150 {
-		t.Errorf("%d cases", len(names))
+		t.Errorf("%d cases, want 150 or more", len(names))
 	}
 }
 
-// TestReference: a right speaker passes.
-func TestReference(t *testing.T) {
+// TestCorrectServerPassesAllCases checks that a correct server passes all cases.
+func TestCorrectServerPassesAllCases(t *testing.T) {
 	results := check(t, standin.NewEcho(t, "").Address)
 	if conformance.Failed(results) > 0 {
 		var b bytes.Buffer
@@ -50,22 +51,24 @@
 	}
 }
 
-// TestReach: what is wrong before any case is told as that.
-func TestReach(t *testing.T) {
+// TestReachFailsForBrokenServer checks that Reach fails for a server that answers an ordinary request with a malformed or truncated
+// response.
+func TestReachFailsForBrokenServer(t *testing.T) {
 	for _, mutant := range []string{"", "malformed response head", "closes early"} {
 		e, err := endpoint.Parse(standin.NewEcho(t, mutant).Address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := (conformance.Target{Address: e, Path: "/", Timeout: standin.WaitTimeout}).Reach(context.Background()); (err == nil) != (mutant == "") {
-			t.Errorf("%q: %v", mutant, err)
+			t.Errorf("Reach of a server with the fault %q: %v", mutant, err)
 		}
 	}
 }
 
-// TestMutants: a speaker that is wrong in one way fails the case that is there for it, which the right one passes.
-func TestMutants(t *testing.T) {
-	caught := map[string]string{
+// TestEachMutantFailsItsCase checks that a server that violates the protocol in one way fails the case for this violation, which a correct
+// server passes.
+func TestEachMutantFailsItsCase(t *testing.T) {
+	caseByMutant := map[string]string{
 		"length too large": "length/10 bytes", "length too small": "length/10 bytes", "closes early": "length/10 bytes",
 		"responds twice": "variables/as they are", "drops the body": "length/10 bytes",
 		"accepts duplicate names": "variables/twice: HTTP_HOST", "accepts a length and chunks": "length/5 and chunks",
@@ -77,9 +80,9 @@
 		"malformed response head": "variables/as they are", "accepts any coding": `bad chunks/coding "xchunked"`,
 	}
 	for _, m := range standin.Mutants {
-		name, known := caught[m]
+		name, known := caseByMutant[m]
 		if !known {
-			t.Errorf("no case is there for %q", m)
+			t.Errorf("no case is listed for the violation %q", m)
 		}
 		for _, mutant := range []string{"", m} {
 			e, err := endpoint.Parse(standin.NewEcho(t, mutant).Address)
@@ -92,14 +95,14 @@
 			}
 			results := conformance.Run(target, regexp.MustCompile("^"+name+"$"), 1)
 			if len(results) != 1 || results[0].Passed != (mutant == "") {
-				t.Errorf("%q on %s: %+v", mutant, name, results)
+				t.Errorf("server with the violation %q, case %s: results %+v, want one that passes only without a violation", mutant, name, results)
 			}
 		}
 	}
 }
 
-// TestReports: each form has all results and says which failed.
-func TestReports(t *testing.T) {
+// TestReportsMarkFailedCases checks that each output format has the results and marks the failed ones.
+func TestReportsMarkFailedCases(t *testing.T) {
 	results := []conformance.Result{{Case: conformance.Case{Name: "a/b", From: "here", Want: conformance.Served}, Passed: true, Took: time.Second},
 		{Case: conformance.Case{Name: "a/<c>", From: "there", Want: conformance.Refused}, Why: "it was served", Got: `"x"`}}
 	var table, all, list, unit bytes.Buffer
@@ -117,7 +120,7 @@
 	}
 	var back []map[string]any
 	if err := json.Unmarshal(list.Bytes(), &back); err != nil || len(back) != 2 || back[0]["passed"] != true || back[1]["why"] != "it was served" {
-		t.Errorf("%v, %v", back, err)
+		t.Errorf("JSON report: got %v, error %v", back, err)
 	}
 	var doc struct {
 		Failures int `xml:"failures,attr"`
@@ -127,6 +130,6 @@
 		} `xml:"testcase"`
 	}
 	if err := xml.Unmarshal(unit.Bytes(), &doc); err != nil || doc.Failures != 1 || len(doc.Cases) != 2 || doc.Cases[1].Name != "<c>" || doc.Cases[1].Failure == nil {
-		t.Errorf("%+v, %v", doc, err)
+		t.Errorf("JUnit report: got %+v, error %v", doc, err)
 	}
 }
--- a/internal/testing/conformance/report.go
+++ b/internal/testing/conformance/report.go
@@ -20,7 +20,7 @@
 	return n
 }
 
-// Table writes results for people: the failed ones, or all, and a line with the count.
+// Table writes the failed results, or all of them, as a table, and a line with the counts.
 func Table(w io.Writer, results []Result, all bool) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, r := range results {
@@ -71,7 +71,7 @@
 	Text    string `xml:",chardata"`
 }
 
-// JUnit writes results in the XML form that build servers read.
+// JUnit writes results as JUnit XML, which build servers read.
 func JUnit(w io.Writer, results []Result) error {
 	s := suite{Name: "uwsgi", Tests: len(results), Failures: Failed(results)}
 	for _, r := range results {
--- a/internal/testing/knownred/main.go
+++ b/internal/testing/knownred/main.go
@@ -1,10 +1,10 @@
-// Command knownred runs the tests, with those listed in KNOWN-RED.txt apart. A line there names a test that fails because of a real fault
-// which is not fixed yet, its cause and its issue:
+// Command knownred runs the tests, and those listed in KNOWN-RED.txt separately. A line there names a test that fails because of a real
+// fault that is not fixed yet, its cause and its issue:
 //
 //	cmd/sloehitch.TestDrains/seed_7 | a permit is given twice | 26
 //
-// It runs the given go test command without these tests, then each of them by itself, and prints how that went. It fails if
-// anything else fails, if a line can't be read, names a test that does not exist, or is the fourth.
+// It runs the given go test command without these tests, then runs each of them alone and prints its result. It fails if any other test
+// fails, if a line is malformed or names a test that does not exist, or if the list has more than three tests.
 //
 //	go run ./internal/testing/knownred KNOWN-RED.txt go test -race -timeout 5m ./...
 package main
@@ -22,12 +22,12 @@
 	"strings"
 )
 
-// maxKnownFailures is how many tests the list may have.
+// maxKnownFailures is the largest number of tests in the list.
 const maxKnownFailures = 3
 
 // knownFailure is a test that is known to fail.
 type knownFailure struct {
-	folder, test string // the package's folder in the module, and the test with the subtests under it, as go test prints it
+	folder, test string // the package's folder in the module, and the name of the test or subtest as go test prints it
 	cause, issue string
 }
 
@@ -36,13 +36,13 @@
 	issuePattern = regexp.MustCompile(`^[0-9]+$`)
 )
 
-// parse reads the list. Its error names the file, the line and what is wrong there.
+// parse parses the list. Its errors name the file and the line.
 func parse(file, text string) (list []knownFailure, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		wrong := func(format string, args ...any) error {
+		errorf := func(format string, args ...any) error {
 			return fmt.Errorf("%s:%d: %s", file, i+1, fmt.Sprintf(format, args...))
 		}
 		fields := strings.Split(line, "|")
@@ -50,27 +50,27 @@
 			fields[k] = strings.TrimSpace(fields[k])
 		}
 		if len(fields) != 3 {
-			return nil, wrong("%d fields, want 3: test | cause | issue", len(fields))
+			return nil, errorf("%d fields, want 3: test | cause | issue", len(fields))
 		}
 		m := testPattern.FindStringSubmatch(fields[0])
 		switch {
 		case m == nil:
-			return nil, wrong("test: %q is no test: want a package's folder, a point and a test, as in cmd/sloehitch.TestDrains/seed_7", fields[0])
+			return nil, errorf("test: %q is malformed: want a package's folder, a period and a test, as in cmd/sloehitch.TestDrains/seed_7", fields[0])
 		case fields[1] == "":
-			return nil, wrong("cause: missing")
+			return nil, errorf("cause: missing")
 		case !issuePattern.MatchString(fields[2]):
-			return nil, wrong("issue: %q is no number", fields[2])
+			return nil, errorf("issue: %q is not a number", fields[2])
 		case slices.ContainsFunc(list, func(r knownFailure) bool { return r.folder == m[1] && r.test == m[2] }):
-			return nil, wrong("test: %s is listed twice", fields[0])
+			return nil, errorf("test: %s is listed twice", fields[0])
 		case len(list) == maxKnownFailures:
-			return nil, wrong("%d tests are known to fail already, that is the most", maxKnownFailures)
+			return nil, errorf("%d tests are known to fail already, which is the maximum", maxKnownFailures)
 		}
 		list = append(list, knownFailure{m[1], m[2], fields[1], fields[2]})
 	}
 	return list, nil
 }
 
-// pattern returns the expression for -run and -skip that matches this test only.
+// pattern returns the regular expression for -run and -skip that matches only this test.
 func (f knownFailure) pattern() string {
 	parts := strings.Split(f.test, "/")
 	for i, p := range parts {
@@ -79,18 +79,18 @@
 	return strings.Join(parts, "/")
 }
 
-// goTest runs a go command with its output copied to out, and returns the output.
+// goTest runs a go command, copies its output to out, and returns the output.
 func goTest(out io.Writer, args ...string) (string, error) {
-	var printed bytes.Buffer
+	var output bytes.Buffer
 	c := exec.Command(args[0], args[1:]...)
-	both := io.MultiWriter(out, &printed)
+	both := io.MultiWriter(out, &output)
 	c.Stdout, c.Stderr = both, both
 	err := c.Run()
-	return printed.String(), err
+	return output.String(), err
 }
 
-// otherPackages returns the module's packages in which no test is known to fail.
-func otherPackages(list []knownFailure) (rest []string, err error) {
+// otherPackages returns the import paths of the module's packages without a test in the list.
+func otherPackages(list []knownFailure) (others []string, err error) {
 	listed, err := exec.Command("go", "list", "-f", "{{.ImportPath}} {{.Module.Path}}", "./...").Output()
 	if err != nil {
 		return nil, err
@@ -106,24 +106,24 @@
 			known[folder] = true
 			continue
 		}
-		rest = append(rest, path)
+		others = append(others, path)
 	}
 	for folder, found := range known {
 		if !found {
 			return nil, fmt.Errorf("KNOWN-RED.txt names the package %s, which does not exist", folder)
 		}
 	}
-	return rest, nil
+	return others, nil
 }
 
-// run runs the command, whose last argument is ./..., first without the listed tests, then each of them by itself.
+// run runs the command, whose last argument must be ./..., first without the listed tests, and then each of these alone.
 func run(out io.Writer, list []knownFailure, command []string) error {
 	if len(list) == 0 {
 		_, err := goTest(out, command...)
 		return err
 	}
 	if command[len(command)-1] != "./..." {
-		return errors.New("the command does not end in ./... as it must")
+		return errors.New("the last argument of the command must be ./... (all packages)")
 	}
 	flags := command[:len(command)-1]
 	rest, err := otherPackages(list)
@@ -151,16 +151,17 @@
 		failed = errors.Join(failed, err)
 	}
 	for _, r := range list {
-		var quiet bytes.Buffer
-		printed, err := goTest(&quiet, slices.Concat(flags, []string{"-v", "-run", r.pattern(), "./" + r.folder})...)
-		if !strings.Contains(printed, "=== RUN   "+r.test+"\n") {
-			return errors.Join(failed, fmt.Errorf("KNOWN-RED.txt names %s.%s, and there is no such test:\n%s", r.folder, r.test, quiet.String()))
+		var captured bytes.Buffer
+		output, err := goTest(&captured, slices.Concat(flags, []string{"-v", "-run", r.pattern(), "./" + r.folder})...)
+		if !strings.Contains(output, "=== RUN   "+r.test+"\n") {
+			return errors.Join(failed, fmt.Errorf("KNOWN-RED.txt names the test %s.%s, which does not exist:\n%s", r.folder, r.test,
+				captured.String()))
 		}
-		how := "fails, as is known"
+		outcome := "fails, as expected"
 		if err == nil {
-			how = "passed this time"
+			outcome = "passed this time"
 		}
-		fmt.Fprintf(out, "KNOWN RED: %s.%s %s (%s; issue %s)\n", r.folder, r.test, how, r.cause, r.issue)
+		fmt.Fprintf(out, "KNOWN RED: %s.%s %s (%s; issue %s)\n", r.folder, r.test, outcome, r.cause, r.issue)
 	}
 	return failed
 }
--- a/internal/testing/knownred/main_test.go
+++ b/internal/testing/knownred/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestParse(t *testing.T) {
+func TestParseRejectsMalformedLists(t *testing.T) {
 	const fine = "cmd/x.TestA/seed_7 | a permit is given twice | 26\n"
 	for _, c := range []struct{ text, wrong string }{
 		{"", ""},
@@ -26,17 +26,17 @@
 	} {
 		_, err := parse("list", c.text)
 		if (err == nil) != (c.wrong == "") || err != nil && !strings.HasPrefix(err.Error(), c.wrong) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.wrong)
+			t.Errorf("parse of %q: error %v, want %q", c.text, err, c.wrong)
 		}
 	}
 	list, err := parse("list", fine)
 	if err != nil || !slices.Equal(list, []knownFailure{{"cmd/x", "TestA/seed_7", "a permit is given twice", "26"}}) || list[0].pattern() != "^TestA$/^seed_7$" {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("parsed %+v, error %v, want one entry with its fields and pattern", list, err)
 	}
 }
 
-// TestRun: in a module of its own only what is listed may fail, and all that is listed must be there.
-func TestRun(t *testing.T) {
+// TestRunAcceptsOnlyListedFailures checks, in a temporary module, that only listed tests may fail and that each listed test must exist.
+func TestRunAcceptsOnlyListedFailures(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"go.mod":           "module m\n\ngo 1.24\n",
@@ -56,16 +56,17 @@
 	for _, c := range []struct {
 		name, text, wrong, printed string
 	}{
-		{"nothing is known", "", "exit status 1", "seed 2"},
-		{"what fails is known", "b.TestSeeds/2 | why | 1", "", "KNOWN RED: b.TestSeeds/2 fails, as is known (why; issue 1)"},
-		{"and so is one that passes", "b.TestSeeds/2 | why | 1\na.TestFine | why | 2", "", "KNOWN RED: a.TestFine passed this time"},
-		{"the whole test is known", "b.TestSeeds | why | 1", "", "KNOWN RED: b.TestSeeds fails"},
-		{"another one is known", "b.TestSeeds/1 | why | 1", "exit status 1", "seed 2"},
-		{"the same of another package", "nested.TestSeeds/2 | why | 1", "exit status 1", "seed 2"},
-		{"no such test", "b.TestNone | why | 1", "names b.TestNone, and there is no such test", ""},
-		{"no such subtest", "b.TestSeeds/2 | why | 1\nb.TestSeeds/3 | why | 1", "names b.TestSeeds/3, and there is no such test", ""},
-		{"no such package", "c.TestSeeds | why | 1", "names the package c, which does not exist", ""},
-		{"a bad line", "b.TestSeeds/2 why", "KNOWN-RED.txt:1: 1 fields", ""},
+		{"a failing test that is not listed", "", "exit status 1", "seed 2"},
+		{"a listed subtest that fails", "b.TestSeeds/2 | why | 1", "", "KNOWN RED: b.TestSeeds/2 fails, as expected (why; issue 1)"},
+		{"a listed test that passes", "b.TestSeeds/2 | why | 1\na.TestFine | why | 2", "", "KNOWN RED: a.TestFine passed this time"},
+		{"a listed test whose subtest fails", "b.TestSeeds | why | 1", "", "KNOWN RED: b.TestSeeds fails"},
+		{"another subtest is listed", "b.TestSeeds/1 | why | 1", "exit status 1", "seed 2"},
+		{"the same subtest of another package is listed", "nested.TestSeeds/2 | why | 1", "exit status 1", "seed 2"},
+		{"a test that does not exist", "b.TestNone | why | 1", "names the test b.TestNone, which does not exist", ""},
+		{"a subtest that does not exist", "b.TestSeeds/2 | why | 1\nb.TestSeeds/3 | why | 1",
+			"names the test b.TestSeeds/3, which does not exist", ""},
+		{"a package that does not exist", "c.TestSeeds | why | 1", "names the package c, which does not exist", ""},
+		{"a malformed line", "b.TestSeeds/2 why", "KNOWN-RED.txt:1: 1 fields", ""},
 	} {
 		if err := os.WriteFile("KNOWN-RED.txt", []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -73,7 +74,7 @@
 		var out bytes.Buffer
 		err := runMain(&out, []string{"KNOWN-RED.txt", "go", "test", "./..."})
 		if (err == nil) != (c.wrong == "") || err != nil && !strings.Contains(err.Error(), c.wrong) || !strings.Contains(out.String(), c.printed) {
-			t.Errorf("%s: %v, want %q; printed:\n%s", c.name, err, c.wrong, out.String())
+			t.Errorf("%s: error %v, want %q; printed:\n%s", c.name, err, c.wrong, out.String())
 		}
 	}
 }
--- a/internal/testing/loadrig/remote.go
+++ b/internal/testing/loadrig/remote.go
@@ -17,12 +17,12 @@
 
 // remote is a real daemon as an emulator.Server: it sends offered requests as a load balancer does.
 type remote struct {
-	in       inbox
-	site     emulator.Environment
-	address  string
-	classes  []string
-	failed   func(error)
-	shutDown func()
+	in          inbox
+	environment emulator.Environment
+	address     string
+	classes     []string
+	failed      func(error)
+	shutDown    func()
 
 	// Owned by the goroutine that advances the clock:
 	ids       int
@@ -64,7 +64,7 @@
 	o.conn, o.tag = c, c.lastTag
 	c.byTag[o.tag], r.byID[o.id], r.byAttempt[t] = o, o, o
 	fields := fmt.Sprintf("req=%s,ts=%d,via=%d,owner=lab,need=%.1f,level=0.5,ms=%.2f", o.id, time.Now().UnixMilli(), t.CallerID, t.MemoryKB, float64(t.WorkHint)/1e6)
-	if r.site.Settings.DeadlinePropagated {
+	if r.environment.Settings.DeadlinePropagated {
 		fields += fmt.Sprintf(",timeout=%d", max(1, time.Until(t.Deadline).Milliseconds()))
 	}
 	if t.IsRetry {
@@ -85,7 +85,7 @@
 	}
 }
 
-// forget removes an attempt that is over; its run may continue.
+// forget removes an attempt that was answered or canceled; its run may continue.
 func (r *remote) forget(o *inFlight) {
 	delete(o.conn.byTag, o.tag)
 	delete(r.byAttempt, o.attempt)
@@ -94,7 +94,7 @@
 	}
 }
 
-// find returns the attempt with a request id, or nil.
+// find returns the attempt with the given request id, or nil.
 func (r *remote) find(id string) *emulator.Attempt {
 	if o := r.byID[id]; o != nil {
 		return o.attempt
@@ -104,7 +104,9 @@
 
 func (r *remote) Drain(time.Duration) { r.shutDown() }
 
-func (r *remote) InFlight() (running, held int) { return r.site.Machine.Running(), len(r.byAttempt) }
+func (r *remote) InFlight() (running, held int) {
+	return r.environment.Machine.Running(), len(r.byAttempt)
+}
 
 // connection returns a connection of a load balancer with capacity for another request; it may dial.
 func (r *remote) connection(source int) (*conn, error) {
@@ -113,11 +115,11 @@
 			return c, nil
 		}
 	}
-	dialled, err := net.DialTimeout("tcp", r.address, time.Second)
+	netConn, err := net.DialTimeout("tcp", r.address, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{net: dialled, byTag: map[int]*inFlight{}}
+	c := &conn{net: netConn, byTag: map[int]*inFlight{}}
 	r.conns[source] = append(r.conns[source], c)
 	go r.read(c)
 	return c, nil
@@ -159,27 +161,27 @@
 		r.failed(errConnectionEnded)
 	}
 	clear(c.byTag)
-	var left []*conn
+	var remaining []*conn
 	for source, conns := range r.conns {
-		left = nil
+		remaining = nil
 		for _, other := range conns {
 			if other != c {
-				left = append(left, other)
+				remaining = append(remaining, other)
 			}
 		}
-		r.conns[source] = left
+		r.conns[source] = remaining
 	}
 }
 
 // handleAnswer handles one answer: tag, status word, fields, body.
 func (r *remote) handleAnswer(c *conn, parts []string) {
 	if len(parts) < 2 {
-		r.failed(fmt.Errorf("an answer of %d parts", len(parts)))
+		r.failed(fmt.Errorf("malformed answer from the daemon: %d parts, expected 2 or more", len(parts)))
 		return
 	}
 	tag, err := strconv.Atoi(parts[0])
 	if err != nil {
-		r.failed(fmt.Errorf("an answer to %q", parts[0]))
+		r.failed(fmt.Errorf("malformed answer from the daemon: tag %q is not a number", parts[0]))
 		return
 	}
 	if tag == 0 {
@@ -190,7 +192,7 @@
 	}
 	o := c.byTag[tag]
 	if o == nil {
-		return // canceled: one answer may still arrive
+		return // canceled: its answer may still arrive
 	}
 	a := node.Response{Status: node.StatusFailed}
 	switch parts[1] {
--- a/internal/testing/loadrig/rig.go
+++ b/internal/testing/loadrig/rig.go
@@ -18,14 +18,14 @@
 	"sloehitch/logic"
 )
 
-// Options say how daemons are started.
+// Options configure how daemons are started.
 type Options struct {
 	Command func(config, deploy string) *exec.Cmd // starts a daemon
 	Dir     string                                // for configuration files; must be empty
-	Log     io.Writer                             // gets the daemons' output
+	Log     io.Writer                             // receives the daemons' output
 }
 
-// MostNodes and Longest limit what a run may use of a machine.
+// MostNodes and Longest limit the resources and the time that a run uses.
 const (
 	MostNodes = 16
 	Longest   = 10 * time.Minute
@@ -39,15 +39,16 @@
 }
 
 // Play runs an experiment against daemons on this machine's loopback, in real time, and blocks until its end. The world's policy is not
-// used; its nodes can pause, slow down and shut down, but not die or lose messages. It returns an error where the world can't be run, a daemon
-// does not start, or a connection ends unexpectedly.
+// used. Its nodes can pause, slow down and shut down, but can't crash or lose messages. Play returns an error if the world can't be run, a
+// daemon does not start, or a connection ends unexpectedly.
 func Play(w emulator.World, o Options) (*emulator.Result, error) {
 	if w.Nodes > MostNodes || w.Duration > Longest {
-		return nil, fmt.Errorf("%d nodes for %v: %d and %v at most against real daemons", w.Nodes, w.Duration, MostNodes, Longest)
+		return nil, fmt.Errorf("the experiment has %d nodes for %v, more than the limit of %d and %v for real daemons", w.Nodes,
+			w.Duration, MostNodes, Longest)
 	}
 	for _, f := range w.Faults {
 		if f.Kind == emulator.FaultCrash || f.Kind == emulator.FaultMessageLoss || f.RestartDelay > 0 {
-			return nil, fmt.Errorf("a fault %q, or a node that returns, can't be played against real daemons", f.Kind)
+			return nil, fmt.Errorf("unsupported fault %q: a crash, lost messages or a restart can't be run against real daemons", f.Kind)
 		}
 	}
 	in := make(inbox, 1024)
@@ -65,7 +66,7 @@
 		for _, d := range daemons {
 			d.stop()
 		}
-		go func() { // readers that are left find somebody to tell
+		go func() { // receive from the connections' readers that are still running, so that they end
 			for range in {
 			}
 		}()
@@ -87,9 +88,10 @@
 	w.NewServer = func(s emulator.Environment) emulator.Server {
 		d := daemons[next]
 		next++
-		r := &remote{in: in, site: s, address: d.address, classes: classes, failed: failed, byID: map[string]*inFlight{}, byAttempt: map[*emulator.Attempt]*inFlight{}, conns: map[int][]*conn{},
+		r := &remote{in: in, environment: s, address: d.address, classes: classes, failed: failed, byID: map[string]*inFlight{},
+			byAttempt: map[*emulator.Attempt]*inFlight{}, conns: map[int][]*conn{},
 			shutDown: func() { _ = d.cmd.Process.Signal(syscall.SIGTERM) }}
-		d.runtime.site, d.runtime.find = s, r.find
+		d.runtime.environment, d.runtime.find = s, r.find
 		return r
 	}
 	w.StartTime, w.Drive = time.Now(), in.pace
@@ -127,7 +129,7 @@
 	select {
 	case <-rt.ready:
 	case <-time.After(10 * time.Second):
-		return d, fmt.Errorf("daemon %d made no link to its runtime within 10 s", i)
+		return d, fmt.Errorf("daemon %d did not connect to its runtime within 10 s", i)
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		conn, err := net.Dial("tcp", d.address)
@@ -136,12 +138,12 @@
 			return d, nil
 		}
 		if time.Now().After(until) {
-			return d, fmt.Errorf("daemon %d takes no callers: %w", i, err)
+			return d, fmt.Errorf("daemon %d did not accept connections within 10 s: %w", i, err)
 		}
 	}
 }
 
-// stop ends the daemon and its runtime.
+// stop kills the daemon and closes its runtime's listener.
 func (d *daemon) stop() {
 	if d.cmd != nil && d.cmd.Process != nil {
 		_ = d.cmd.Process.Kill()
@@ -150,7 +152,7 @@
 	d.runtime.ln.Close()
 }
 
-// configuration returns the platform's configuration file for a node with these settings.
+// configuration returns the platform configuration for a node with these settings.
 func configuration(name, listen, runtime string, s logic.Settings) map[string]any {
 	var classes []map[string]any
 	for _, c := range s.Classes {
--- a/internal/testing/loadrig/runtime.go
+++ b/internal/testing/loadrig/runtime.go
@@ -9,24 +9,24 @@
 	"sloehitch/internal/emulator"
 )
 
-// runtime is a stand-in for a node's application runtime, whose cores are an emulated machine. It implements what the protocol requires on
-// a connection that never breaks.
+// runtime is a stand-in for a node's application runtime, whose cores are an emulated machine. It implements the part of the protocol that
+// a connection without interruptions needs.
 type runtime struct {
 	in    inbox
 	ln    net.Listener
 	ready chan struct{} // closed at the first sync
 
 	// Owned by the goroutine that advances the clock:
-	site     emulator.Environment
-	find     func(id string) *emulator.Attempt
-	conn     net.Conn
-	position uint64
-	runs     map[string]*run
+	environment emulator.Environment
+	find        func(id string) *emulator.Attempt
+	conn        net.Conn
+	position    uint64
+	runs        map[string]*run
 }
 
 type run struct {
-	work  *emulator.Work
-	since time.Time
+	work      *emulator.Work
+	startedAt time.Time
 }
 
 func newRuntime(in inbox) (*runtime, error) {
@@ -59,7 +59,7 @@
 			return
 		}
 		if m.Action == "sync" && first {
-			// Before the clock moves: the node is being started.
+			// The node is being started, and the clock does not advance yet.
 			r.conn = conn
 			r.send(map[string]any{"action": "ready", "code": "WARM", "wall_ms": 1})
 			close(r.ready)
@@ -73,27 +73,28 @@
 func (r *runtime) handle(action, id, echo string) {
 	switch action {
 	case "gauges":
-		on := float64(r.site.Machine.Running())
-		r.send(map[string]any{"action": "load", "echo": echo, "meters": []float64{min(1, on/float64(r.site.Settings.Cores)), on, 0, 0}})
+		running := float64(r.environment.Machine.Running())
+		r.send(map[string]any{"action": "load", "echo": echo,
+			"meters": []float64{min(1, running/float64(r.environment.Settings.Cores)), running, 0, 0}})
 	case "start":
 		t := r.find(id)
 		if t == nil || r.runs[id] != nil {
 			return
 		}
-		r.site.OnRunStarted(t)
-		w := &run{since: r.site.Clock.Now()}
-		r.runs[id] = w
-		w.work = r.site.Machine.Add(t.Work, func() { r.end(id, "OK") })
+		r.environment.OnRunStarted(t)
+		started := &run{startedAt: r.environment.Clock.Now()}
+		r.runs[id] = started
+		started.work = r.environment.Machine.Add(t.Work, func() { r.end(id, "OK") })
 	case "stop":
 		if w := r.runs[id]; w != nil {
-			r.site.Machine.Remove(w.work)
+			r.environment.Machine.Remove(w.work)
 			r.end(id, "STOPPED")
 		}
 	}
 }
 
 func (r *runtime) end(id, code string) {
-	took := r.site.Clock.Now().Sub(r.runs[id].since)
+	took := r.environment.Clock.Now().Sub(r.runs[id].startedAt)
 	delete(r.runs, id)
 	r.position++
 	r.send(map[string]any{"action": "end", "pos": r.position, "uid": id, "code": code, "wall_ms": took.Seconds() * 1000, "content": "b2s="})
--- a/internal/testing/scriptedpeer/script.go
+++ b/internal/testing/scriptedpeer/script.go
@@ -1,4 +1,4 @@
-// Package scriptedpeer plays scripts of a peer's actions on a connection, for stand-ins and for the conformance suite.
+// Package scriptedpeer executes scripts of a peer's actions on a connection, for stand-ins and for the conformance suite.
 package scriptedpeer
 
 import (
@@ -11,23 +11,23 @@
 // Script is a peer's actions on one connection, in order.
 type Script []Step
 
-// Step is one action; the first of its fields that is set, of Wait, Pause, Half, Reset, Flood, Split, Send, Until and Read, says which.
+// Step is one action: that of the first field that is set, in the order Wait, Pause, Half, Reset, Flood, Split, Send, Until, Read.
 type Step struct {
 	Send  string        // sends these bytes
-	Split bool          // sends each byte of Send by a write of its own
-	Read  int           // reads so many bytes
-	Until string        // reads up to these bytes
+	Split bool          // sends each byte of Send in a separate write
+	Read  int           // reads this number of bytes
+	Until string        // reads until the bytes read so far end in this string
 	Wait  chan struct{} // waits until this is closed
 	Half  bool          // shuts down its sending side
-	Reset bool          // has the connection closed by a reset; ends the script
-	Flood int           // sends so many zero bytes
-	Pause time.Duration // waits for so long
+	Reset bool          // makes the close of the connection send a reset; ends the script
+	Flood int           // sends this number of zero bytes, rounded up to whole KiB
+	Pause time.Duration // waits for this time
 }
 
-// Play plays a script on a connection, and blocks until its end or the first error. It returns all bytes that were read.
+// Play executes a script on a connection, and blocks until its end or the first error. It returns all bytes that were read.
 func (s Script) Play(c net.Conn) (read []byte, err error) {
 	buf := make([]byte, 1)
-	take := func() error {
+	readByte := func() error {
 		_, err := io.ReadFull(c, buf)
 		if err == nil {
 			read = append(read, buf[0])
@@ -57,11 +57,11 @@
 			_, err = io.WriteString(c, step.Send)
 		case step.Until != "":
 			for err == nil && !bytes.HasSuffix(read, []byte(step.Until)) {
-				err = take()
+				err = readByte()
 			}
 		default:
 			for range step.Read {
-				if err = take(); err != nil {
+				if err = readByte(); err != nil {
 					break
 				}
 			}
