--- a/cmd/sloehitch-lab/modelcheck.go
+++ b/cmd/sloehitch-lab/modelcheck.go
@@ -26,14 +26,14 @@
 }
 
 func (c *modelCheckCmd) Run() error {
-	mutants, play := c.model()
+	mutants, runSeed := c.model()
 	if c.Mutant != "" && !slices.Contains(mutants, c.Mutant) {
 		return fmt.Errorf("--mutant %q is unknown: expected one of %q", c.Mutant, mutants)
 	}
 	if c.Nodes < 0 || c.Nodes > 1000 {
 		return fmt.Errorf("--nodes %d is out of range: expected 1 to 1000", c.Nodes)
 	}
-	run := &seedRun{runSeed: play, start: c.First, end: c.First + c.Seeds}
+	run := &seedRun{runSeed: runSeed, start: c.First, end: c.First + c.Seeds}
 	var workers sync.WaitGroup
 	for range runtime.NumCPU() {
 		workers.Go(run.work)
@@ -43,12 +43,12 @@
 		fmt.Printf("seed %d: %s\n", run.end, run.violation)
 		return errCheckFailed
 	}
-	fmt.Printf("%d seeds without a violation\n", run.played.Load())
+	fmt.Printf("%d seeds without a violation\n", run.completed.Load())
 	return nil
 }
 
 // model returns the mutants of the chosen model, and a function that runs one seed and returns the violated rule, or "".
-func (c *modelCheckCmd) model() (mutants []string, play func(seed uint64) string) {
+func (c *modelCheckCmd) model() (mutants []string, runSeed func(seed uint64) string) {
 	switch c.What {
 	case "members":
 		return members.Mutants, func(seed uint64) string {
@@ -74,9 +74,9 @@
 
 // seedRun runs the seeds of a model on several workers, and records the lowest seed that violates a rule.
 type seedRun struct {
-	runSeed      func(seed uint64) string
-	start        uint64
-	next, played atomic.Uint64
+	runSeed         func(seed uint64) string
+	start           uint64
+	next, completed atomic.Uint64
 
 	mu        sync.Mutex
 	end       uint64 // seeds from here on need not run: only the lowest seed that violates a rule is reported
@@ -91,7 +91,7 @@
 			return
 		}
 		violation := r.runSeed(seed)
-		r.played.Add(1)
+		r.completed.Add(1)
 		if violation != "" {
 			r.record(seed, violation)
 		}
--- a/internal/testing/faulthooks/hooks.go
+++ b/internal/testing/faulthooks/hooks.go
@@ -196,11 +196,11 @@
 func (f *faultyFS) Open(name string) (disk.File, error) { return f.wrap(name)(f.FS.Open(name)) }
 
 func (f *faultyFS) wrap(name string) func(disk.File, error) (disk.File, error) {
-	return func(below disk.File, err error) (disk.File, error) {
+	return func(file disk.File, err error) (disk.File, error) {
 		if err != nil {
 			return nil, err
 		}
-		return &faultyFile{below, name, f}, nil
+		return &faultyFile{file, name, f}, nil
 	}
 }
 
--- a/internal/testing/faults/systemcalls/systemcalls_test.go
+++ b/internal/testing/faults/systemcalls/systemcalls_test.go
@@ -66,7 +66,7 @@
 }
 
 // TestRunInjectsFaultsAndReturnsExitStatus checks that calls of a traced program fail and are short, that the bytes it transfers are not
-// corrupted, and that Run returns its exit status, 128 plus the signal where a signal ended it.
+// corrupted, and that Run returns its exit status, 128 plus the signal number if a signal ended it.
 func TestRunInjectsFaultsAndReturnsExitStatus(t *testing.T) {
 	if runtime.GOOS != "linux" || runtime.GOARCH != "amd64" {
 		if _, _, err := Run(os.Args[0], nil, NewOutcomeSource(1, 0), func(int) {}); err == nil {
--- a/internal/testing/fleetrig/chart.go
+++ b/internal/testing/fleetrig/chart.go
@@ -52,7 +52,7 @@
 func outOfService(all []processEvent) (list []Span) {
 	open := map[string]int{}
 	end := func(row string, at lease.Instant) {
-		if i, is := open[row]; is {
+		if i, isOpen := open[row]; isOpen {
 			list[i].To = time.Duration(at)
 			delete(open, row)
 		}
--- a/internal/testing/fleetrig/check_rollback.go
+++ b/internal/testing/fleetrig/check_rollback.go
@@ -48,7 +48,7 @@
 		}()
 		end := time.Now().Add(f.Recovery)
 		if f.excluded(i, end) {
-			f.addAnew(i, end)
+			f.addAgain(i, end)
 		}
 	})
 }
@@ -96,8 +96,8 @@
 	return true
 }
 
-// addAnew removes an excluded member and adds it again with an empty store folder.
-func (f *testFleet) addAnew(i int, end time.Time) {
+// addAgain removes an excluded member and adds it again with an empty store folder.
+func (f *testFleet) addAgain(i int, end time.Time) {
 	if !f.changeMembers(i, "remove", end) {
 		f.addFailure("n%d: the excluded member was not removed within the recovery time", i)
 		return
--- a/internal/testing/fleetrig/events_test.go
+++ b/internal/testing/fleetrig/events_test.go
@@ -17,7 +17,7 @@
 	applied := func(node int, at lease.Instant, version uint64) processEvent {
 		return processEvent{node, faulthooks.Event{At: at, What: "applied", N: version, Out: true}}
 	}
-	gives := processEvent{0, faulthooks.Event{At: 30, What: "gives", Duty: "sweep", N: 1}}
+	released := processEvent{0, faulthooks.Event{At: 30, What: "gives", Duty: "sweep", N: 1}}
 	for _, c := range []struct {
 		name  string
 		all   []processEvent
@@ -26,7 +26,7 @@
 	}{
 		{"second holder after the lease of the first", []processEvent{holds(0, 10, 50, 1), holds(1, 60, 90, 2)}, 0, ""},
 		{"second holder after a renewed lease", []processEvent{holds(0, 10, 50, 1), holds(0, 40, 80, 1), holds(1, 81, 90, 2)}, 0, ""},
-		{"second holder after the first released the lease", []processEvent{holds(0, 10, 50, 1), gives, holds(1, 31, 90, 2)}, 0, ""},
+		{"second holder after the first released the lease", []processEvent{holds(0, 10, 50, 1), released, holds(1, 31, 90, 2)}, 0, ""},
 		{"two holders at the same time",
 			[]processEvent{holds(0, 10, 50, 1), holds(1, 40, 90, 2)}, 0, "n0 believes that it holds sweep under token 1"},
 		{"second holder after the first process was restarted",
--- a/internal/testing/fleetrig/outage.go
+++ b/internal/testing/fleetrig/outage.go
@@ -40,8 +40,8 @@
 		})
 		endFault()
 		if !found {
-			return took, fmt.Errorf("no node took over the leased task of n%d within %v: %w", owner, o.Recovery, cmp.Or(err,
-				errors.New("no event of the task by another node")))
+			return took, fmt.Errorf("no node took over the leased task of n%d within %v: %w", owner, o.Recovery,
+				cmp.Or(err, errors.New("no event of the task by another node")))
 		}
 		took = append(took, time.Duration(at-from))
 		f.logf("%s n%d: another node ran the task after %v", kind, owner, took[len(took)-1].Round(time.Millisecond))
--- a/internal/testing/fleetrig/spans.go
+++ b/internal/testing/fleetrig/spans.go
@@ -7,7 +7,7 @@
 // span is a period in which a node believed that it held a lease or led the store.
 type span struct {
 	Node     int
-	What     string // the leased task, or "store" where it led
+	What     string // the leased task, or "store" if the node led it
 	Token    uint64
 	From, To lease.Instant
 }
--- a/internal/testing/soak/process.go
+++ b/internal/testing/soak/process.go
@@ -104,8 +104,8 @@
 	proc.runtime.close()
 	run.mu.Lock()
 	proc.endedAt = at
-	asked := proc.terminatedAt > 0 || proc.killed
-	if err != nil && !asked {
+	expected := proc.terminatedAt > 0 || proc.killed
+	if err != nil && !expected {
 		proc.failure = fmt.Sprint("it exited without a signal from the rig: ", err)
 	}
 	run.mu.Unlock()
@@ -133,8 +133,8 @@
 	proc.readyAt = at
 }
 
-// shutDown sends SIGTERM as often as signals says, with a SIGHUP before each repetition. It kills a process that is still running at the
-// earliest time that the protocol allows, and blocks until the process has ended.
+// shutDown sends SIGTERM and, if signals is more than 1, repeats it with a SIGHUP before each repetition. It kills a process that is still
+// running at the earliest time that the protocol allows, and blocks until the process has ended.
 func (run *testRun) shutDown(proc *process, signals int) {
 	kill := run.plan.Site.Stop()
 	at := run.record.add("process", "SIGTERM", "", "", fmt.Sprint(proc.number))
