--- a/internal/frontend/uwsgi/balancer/balancer.go
+++ b/internal/frontend/uwsgi/balancer/balancer.go
@@ -2,13 +2,13 @@
 //
 //   - selection.go: which server gets a request;
 //   - queue.go: which requests wait for a server, and in what order they are served;
-//   - concurrency.go: how many requests a server has in flight at most;
+//   - concurrency.go: the maximum number of requests in flight on a server;
 //   - ejection.go: which servers are ejected as outliers, and when they are probed and readmitted;
 //   - slowstart.go: how the load of a new or readmitted server grows (docs/design/slow-start.md);
 //   - retry.go: whether a failed attempt is followed by another one.
 //
-// The package does no I/O and has no clock: each call is given the time, which must not go back. The same calls with the
-// same seed give the same results. A Balancer is not safe for concurrent use, and none of its methods blocks.
+// The package does no I/O and reads no clock: callers pass the current time, which must not go backwards. The same sequence of
+// calls with the same seed gives the same results. A Balancer is not safe for concurrent use, and none of its methods block.
 package balancer
 
 import (
@@ -25,19 +25,19 @@
 	MaxLimit       int
 	InitialLimit   int
 
-	MaxQueued int // requests that wait for a server
+	MaxQueued int // limit on the number of requests waiting for a server
 
 	FailureThreshold   int           // consecutive failures after which a server is ejected
-	BaseEjectionTime   time.Duration // of the first ejection; doubles with each consecutive one
-	MaxEjectionTime    time.Duration // before jitter
-	MaxEjectedFraction float64       // of the servers, 0 to 1; one may always be ejected unless it is the last
+	BaseEjectionTime   time.Duration // length of the first ejection; doubles with each consecutive one
+	MaxEjectionTime    time.Duration // upper bound on an ejection's length, before jitter
+	MaxEjectedFraction float64       // fraction of the servers, 0 to 1; one server may always be ejected unless it is the last
 
-	SlowStart            time.Duration // in which a new or readmitted server grows to its full share
-	MinSlowStartFraction float64       // of a warm server's load that it gets at first, 0 to 1
+	SlowStart            time.Duration // time in which a new or readmitted server reaches its full share of the load
+	MinSlowStartFraction float64       // initial load in slow start, as a fraction of a warm server's load, 0 to 1
 
-	MaxAttempts         int     // per request, the first included
-	RetryRatio          float64 // retries that each first attempt allows
-	MinRetriesPerSecond float64 // retries per second that are allowed without any first attempt
+	MaxAttempts         int     // per request, including the first
+	RetryRatio          float64 // retries allowed per first attempt
+	MinRetriesPerSecond float64 // retries per second allowed regardless of first attempts
 }
 
 // DefaultConfig returns the parameters for a pool of application servers.
@@ -53,10 +53,10 @@
 // The results.
 const (
 	ResultOK            Result = iota // a complete response, whatever its status
-	ResultConnectFailed               // no connection: the request can't have run
+	ResultConnectFailed               // no connection was established, so the request can't have run
 	ResultBroken                      // the connection broke, or the response was malformed
 	ResultTimeout                     // the deadline passed
-	ResultCanceled                    // canceled on the client's side; it says nothing about the server
+	ResultCanceled                    // canceled on the client's side; not counted for or against the server
 )
 
 // State is the state of a server.
@@ -67,17 +67,17 @@
 	StateHealthy   State = iota
 	StateWarmingUp       // in slow start
 	StateEjected         // ejected after failures
-	StateProbing         // ejected, with a probe under way
-	StateDraining        // no longer listed; requests in flight go on
+	StateProbing         // ejected, with a probe in progress
+	StateDraining        // no longer listed; requests in flight are completed
 )
 
-// String returns the value of the metric label that shows the state. Dashboards name these values ("in" for StateHealthy, "out"
-// for StateEjected), so they keep their text.
+// String returns the state's value in metric labels. Dashboards match these values ("in" for StateHealthy, "out" for
+// StateEjected), so they must not change.
 func (s State) String() string {
 	return [...]string{"in", "warming", "out", "probing", "draining"}[s]
 }
 
-// server is what is known of one server.
+// server is the balancer's state for one server.
 type server struct {
 	name     string
 	inFlight int
@@ -90,19 +90,19 @@
 	probing              bool
 	ejectedUntil         time.Time
 
-	slowStartAt time.Time // zero: it never was in slow start
+	slowStartAt time.Time // start of the last slow start; zero if there was none
 	turns       turnSchedule
 }
 
-// Balancer distributes requests over servers. See the package's documentation for who may call it.
+// Balancer distributes requests over servers. It is not safe for concurrent use.
 type Balancer struct {
 	config   Config
 	rng      *rand.Rand
 	servers  []*server
-	next     int // index of the server that a selection begins with
+	next     int // index of the server at which the next selection starts
 	queue    []waiter
 	retries  retryBudget
-	sendRate movingRate // requests that were assigned
+	sendRate movingRate // rate of assigned requests
 }
 
 // New returns a balancer without servers.
@@ -110,8 +110,9 @@
 	return &Balancer{config: c, rng: rand.New(rand.NewPCG(seed, 0)), retries: retryBudget{tokens: initialRetryTokens}}
 }
 
-// SetServers replaces the list of servers. Servers that stay listed keep their state; those no longer listed drain; new ones
-// begin in slow start, unless they are the first of all. It returns what is assigned to queued requests.
+// SetServers replaces the list of servers. Servers that stay listed keep their state, servers no longer listed drain, and new
+// servers begin in slow start, unless the balancer had no servers before. It returns the assignments of queued requests that this
+// allows.
 func (b *Balancer) SetServers(now time.Time, names []string) []Assignment {
 	first := len(b.servers) == 0
 	for _, s := range b.servers {
@@ -131,7 +132,7 @@
 	return b.assignQueued(now)
 }
 
-// removeDrained drops draining servers without requests in flight.
+// removeDrained removes draining servers that have no requests in flight.
 func (b *Balancer) removeDrained() {
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.draining && s.inFlight == 0 })
 }
@@ -145,8 +146,8 @@
 	return nil
 }
 
-// Release reports how an attempt on an assigned server ended. latency is the time to the first byte of the response. It
-// returns what is assigned to queued requests.
+// Release reports the result of an attempt on an assigned server. latency is the time to the first byte of the response. It
+// returns the assignments of queued requests that the freed capacity allows.
 func (b *Balancer) Release(now time.Time, name string, r Result, latency time.Duration) []Assignment {
 	s := b.find(name)
 	if s == nil {
@@ -172,9 +173,9 @@
 	Name                string
 	State               State
 	InFlight            int
-	Capacity            int // requests that it may have in flight now
+	Capacity            int // maximum number of requests in flight at present
 	ConsecutiveFailures int
-	ProbeIn             time.Duration // until an ejected server is probed
+	ProbeIn             time.Duration // time until an ejected server is probed
 }
 
 // Servers returns the state of all servers, sorted by name.
--- a/internal/frontend/uwsgi/balancer/concurrency.go
+++ b/internal/frontend/uwsgi/balancer/concurrency.go
@@ -8,29 +8,30 @@
 // Rule: concurrency limit of a server (TCP Vegas: Brakmo, O'Malley and Peterson, "TCP Vegas: New Techniques for Congestion
 // Detection and Avoidance", SIGCOMM 1994).
 //
-// Inputs: the latency of each response (time to its first byte), the requests in flight when it came.
-// Formula: with the least latency of the last periods as that of an idle server, limit × (1 − least/latency) requests stand in
-// the server's queue. Below queueLow × √limit the limit rises by √limit/limit for each response, provided that at least half
-// of it is in use; above queueHigh × √limit it falls by as much. Each failure multiplies it by failureFactor.
+// Inputs: the latency of each response (time to its first byte) and the number of requests in flight when it arrived.
+// Formula: the minimum latency of the current and the previous period is taken as the latency of an idle server, so that
+// limit × (1 − minimum/latency) requests are queued in the server. While fewer than queueLow × √limit are queued, each response
+// raises the limit by √limit/limit, provided that at least half of the limit is in use; while more than queueHigh × √limit are
+// queued, each response lowers it by the same amount. Each failure multiplies the limit by failureFactor.
 
 const (
-	// minLatencyPeriod is the time for which a least latency holds.
+	// minLatencyPeriod is the length of the periods over which the minimum latency is measured.
 	minLatencyPeriod = 10 * time.Second
-	// queueLow and queueHigh are requests in the server's queue at a limit of 1; they grow with the limit's square root.
+	// queueLow and queueHigh are numbers of requests queued in the server at a limit of 1; they are scaled by the limit's square root.
 	queueLow  = 1.0
 	queueHigh = 2.0
-	// failureFactor multiplies the limit at each failure.
+	// failureFactor is applied to the limit at each failure.
 	failureFactor = 0.9
-	// periodFactor multiplies the limit at the end of a period. The latency of an idle server is only seen with few requests
-	// in flight; without the dip, queueing in one period would pass for the idle latency of the next.
+	// periodFactor is applied to the limit at the end of a period. The latency of an idle server can only be observed with few
+	// requests in flight; without the reduction, the queueing delay of one period would be taken for the idle latency of the next.
 	periodFactor = 0.5
 )
 
-// concurrencyLimit is the number of requests that a server may have in flight, following their latency.
+// concurrencyLimit is the number of requests that a server may have in flight. It adapts to their latency.
 type concurrencyLimit struct {
 	value            float64
-	minLatency       time.Duration // of this and the last period
-	periodMinLatency time.Duration // of this period
+	minLatency       time.Duration // of the current and the previous period
+	periodMinLatency time.Duration // of the current period
 	periodEndsAt     time.Time
 }
 
@@ -38,7 +39,8 @@
 	return concurrencyLimit{value: float64(c.InitialLimit)}
 }
 
-// recordLatency adjusts the limit by a response's latency; inFlight requests were on the server when it came.
+// recordLatency adjusts the limit to the latency of a response. inFlight is the number of requests on the server when the response
+// arrived.
 func (l *concurrencyLimit) recordLatency(now time.Time, latency time.Duration, inFlight int, c Config) {
 	if latency <= 0 {
 		return
@@ -49,13 +51,13 @@
 	switch {
 	case queue > queueHigh*scale:
 		l.value -= 1 / l.value * scale
-	case queue < queueLow*scale && 2*inFlight >= int(l.value): // else the limit isn't what holds requests back
+	case queue < queueLow*scale && 2*inFlight >= int(l.value): // with less in use, the limit is not what holds requests back
 		l.value += 1 / l.value * scale
 	}
 	l.value = min(max(l.value, float64(c.MinLimit)), float64(c.MaxLimit))
 }
 
-// observe takes a latency into the least ones, and begins a new period when one is over.
+// observe updates the minimum latencies, and starts a new period when the current one has ended.
 func (l *concurrencyLimit) observe(now time.Time, latency time.Duration) {
 	if now.After(l.periodEndsAt) {
 		l.minLatency, l.periodMinLatency, l.periodEndsAt = l.periodMinLatency, 0, now.Add(minLatencyPeriod)
--- a/internal/frontend/uwsgi/balancer/ejection.go
+++ b/internal/frontend/uwsgi/balancer/ejection.go
@@ -4,22 +4,22 @@
 
 // Rule: outlier ejection and readmission.
 //
-// Inputs: the results of attempts on a server, one after the other, and of probes.
+// Inputs: the sequence of results of attempts on a server, and the results of probes.
 // A server with Config.FailureThreshold consecutive failures is ejected, unless it is the last one in service or more than
-// Config.MaxEjectedFraction of the listed servers would then be ejected: when many fail at once, the cause is rarely theirs.
-// Its n-th consecutive ejection lasts min(BaseEjectionTime × 2^(n−1), MaxEjectionTime), lengthened at random by up to
-// ejectionJitter. Then it is probed: a probe that succeeds readmits it in slow start, one that fails ejects it again. A
-// request that succeeds on an ejected server readmits it too.
+// Config.MaxEjectedFraction of the listed servers would then be ejected: when many servers fail at once, the cause is rarely in
+// the servers. The n-th consecutive ejection lasts min(BaseEjectionTime × 2^(n−1), MaxEjectionTime), extended at random by up to
+// ejectionJitter. The server is then probed: a successful probe readmits it in slow start, a failed one ejects it again. A
+// request that succeeds on an ejected server also readmits it.
 
 const (
-	// ejectionJitter is the largest random addition to an ejection, as a fraction of it, so that servers that failed together
-	// are not probed together.
+	// ejectionJitter is the maximum random extension of an ejection, as a fraction of its length. It keeps servers that failed
+	// together from being probed together.
 	ejectionJitter = 0.2
-	// maxEjectionDoublings bounds the exponent, against overflow.
+	// maxEjectionDoublings bounds the exponent of the ejection time, to prevent overflow.
 	maxEjectionDoublings = 20
 )
 
-// recordSuccess notes that a server works, and readmits it if it was ejected.
+// recordSuccess resets a server's failure counts, and readmits the server if it was ejected.
 func (b *Balancer) recordSuccess(now time.Time, s *server) {
 	if s.ejected {
 		b.beginSlowStart(now, s)
@@ -27,7 +27,7 @@
 	s.consecutiveFailures, s.consecutiveEjections, s.ejected, s.probing = 0, 0, false, false
 }
 
-// recordFailure notes a failed attempt, and ejects the server if there were too many.
+// recordFailure counts a failed attempt, and ejects the server once the failure threshold is reached.
 func (b *Balancer) recordFailure(now time.Time, s *server) {
 	s.consecutiveFailures++
 	if s.ejected {
@@ -41,7 +41,7 @@
 	}
 }
 
-// mayEject says whether one more server may be ejected.
+// mayEject reports whether one more server may be ejected.
 func (b *Balancer) mayEject() bool {
 	inService, ejected := 0, 0
 	for _, s := range b.servers {
@@ -57,14 +57,15 @@
 }
 
 func (b *Balancer) eject(now time.Time, s *server) {
-	span := b.config.BaseEjectionTime << min(s.consecutiveEjections, maxEjectionDoublings)
-	span = min(span, b.config.MaxEjectionTime)
-	span += time.Duration(b.rng.Float64() * ejectionJitter * float64(span))
-	s.ejected, s.probing, s.ejectedUntil = true, false, now.Add(span)
+	length := b.config.BaseEjectionTime << min(s.consecutiveEjections, maxEjectionDoublings)
+	length = min(length, b.config.MaxEjectionTime)
+	length += time.Duration(b.rng.Float64() * ejectionJitter * float64(length))
+	s.ejected, s.probing, s.ejectedUntil = true, false, now.Add(length)
 	s.consecutiveEjections++
 }
 
-// DueProbes returns the servers whose ejection is over. Each must be probed and the result reported to ReportProbe.
+// DueProbes returns the servers whose ejection time has passed. The caller must probe each of them and report the result to
+// ReportProbe.
 func (b *Balancer) DueProbes(now time.Time) (names []string) {
 	for _, s := range b.servers {
 		if s.ejected && !s.probing && !s.draining && !now.Before(s.ejectedUntil) {
@@ -75,7 +76,7 @@
 	return names
 }
 
-// ReportProbe reports the result of a probe. It returns what is assigned to queued requests.
+// ReportProbe reports the result of a probe. It returns the assignments of queued requests that this allows.
 func (b *Balancer) ReportProbe(now time.Time, name string, ok bool) []Assignment {
 	s := b.find(name)
 	if s == nil || !s.ejected {
--- a/internal/frontend/uwsgi/balancer/queue.go
+++ b/internal/frontend/uwsgi/balancer/queue.go
@@ -7,20 +7,20 @@
 
 // Rule: queueing for a server.
 //
-// Inputs: the requests that wait (at most Config.MaxQueued), each with its deadline and the servers that it was sent to.
-// A request waits where candidates exist but none has capacity, and behind those that wait already. Queued requests are
-// served in order of arrival whenever capacity may have come free; the wait of one whose deadline has passed, or that has no
-// candidates left, ends without a server.
+// Inputs: the queued requests (at most Config.MaxQueued), each with its deadline and the servers that it was already sent to.
+// A request is queued if there are candidate servers but none has capacity, or if other requests are queued already. Queued
+// requests are served in order of arrival whenever capacity may have become available. A request whose deadline has passed, or
+// that has no candidates left, leaves the queue without a server.
 
-// Decision is the outcome of a request for a server.
+// Decision is the outcome of Acquire.
 type Decision int
 
 // The decisions.
 const (
-	Assigned  Decision = iota // to the server that is returned
-	Queued                    // an Assignment follows, unless the wait is canceled
-	QueueFull                 // MaxQueued requests wait already
-	NoServer                  // there is none, or all have been tried
+	Assigned  Decision = iota // a server was assigned, whose name is returned
+	Queued                    // the request waits for an Assignment, unless the wait is canceled
+	QueueFull                 // MaxQueued requests are queued already
+	NoServer                  // there are no servers, or the request was already sent to all of them
 )
 
 // String returns the decision in words.
@@ -32,17 +32,17 @@
 type waiter struct {
 	id        string
 	deadline  time.Time
-	attempted []string // servers that the request was sent to
+	attempted []string // servers that the request was already sent to
 }
 
-// Assignment ends the wait of a queued request.
+// Assignment is the result of a queued request's wait.
 type Assignment struct {
 	ID     string
-	Server string // empty: there is none for it
+	Server string // empty if the request gets no server
 }
 
-// Acquire asks for a server for a request that is of use until deadline. attempted names the servers that the request was sent
-// to. The request counts as in flight on the server until Release.
+// Acquire assigns a server to a request, or queues the request until its deadline. attempted lists the servers that the request
+// was already sent to. An assigned request counts as in flight on its server until Release.
 func (b *Balancer) Acquire(now time.Time, id string, deadline time.Time, attempted []string) (name string, d Decision) {
 	if len(attempted) == 0 {
 		b.retries.deposit(now, b.config)
@@ -61,29 +61,30 @@
 	return "", Queued
 }
 
-// CancelWait removes a queued request. It returns false if the request isn't queued.
+// CancelWait removes a request from the queue. It returns false if the request isn't queued.
 func (b *Balancer) CancelWait(id string) bool {
 	n := len(b.queue)
 	b.queue = slices.DeleteFunc(b.queue, func(w waiter) bool { return w.id == id })
 	return len(b.queue) < n
 }
 
-// Tick expires queued requests and assigns capacity that has come with time. It must be called at short intervals.
+// Tick expires queued requests and assigns capacity that has become available with the passing of time, as in slow start. It must
+// be called at short intervals.
 func (b *Balancer) Tick(now time.Time) []Assignment { return b.assignQueued(now) }
 
 // QueueLength returns the number of queued requests.
 func (b *Balancer) QueueLength() int { return len(b.queue) }
 
-// assignQueued serves queued requests in order.
+// assignQueued assigns servers to queued requests in order of arrival, and removes requests that can't get one.
 func (b *Balancer) assignQueued(now time.Time) (assignments []Assignment) {
-	rest := b.queue[:0]
-	full := false
+	remaining := b.queue[:0]
+	noCapacity := false
 	for _, w := range b.queue {
 		if !now.Before(w.deadline) {
 			assignments = append(assignments, Assignment{w.id, ""})
 			continue
 		}
-		if !full {
+		if !noCapacity {
 			s, candidates := b.pick(now, w.attempted)
 			if s != nil {
 				b.assign(now, s)
@@ -94,11 +95,11 @@
 				assignments = append(assignments, Assignment{w.id, ""})
 				continue
 			}
-			full = len(w.attempted) == 0 // one that may go to any server found none: nor would the rest
+			noCapacity = len(w.attempted) == 0 // a request that may go to any server got none, so the remaining ones can't either
 		}
-		rest = append(rest, w)
+		remaining = append(remaining, w)
 	}
-	clear(b.queue[len(rest):])
-	b.queue = rest
+	clear(b.queue[len(remaining):])
+	b.queue = remaining
 	return assignments
 }
--- a/internal/frontend/uwsgi/balancer/selection.go
+++ b/internal/frontend/uwsgi/balancer/selection.go
@@ -8,14 +8,14 @@
 
 // Rule: server selection (weighted least request, round robin among equals).
 //
-// Inputs: of each server the requests in flight and its capacity (requests), whether it is ejected or in slow start; the
-// servers that the request has been sent to.
-// Formula: of the servers with inFlight < capacity that were not tried, the one with the least inFlight / capacity, beginning
-// the scan behind the server chosen last. Two exceptions:
-//   - with all candidates ejected, ejected ones are chosen from too: a server that may be faulty is better than none;
-//   - while some server is warm, one in slow start is chosen when its turn schedule has a turn, and only then (slowstart.go).
+// Inputs: for each server its requests in flight, its capacity (in requests), and whether it is ejected or in slow start; the
+// servers that the request was already sent to.
+// Formula: among the servers with inFlight < capacity that the request was not sent to, the one with the lowest
+// inFlight / capacity, scanning from the server after the one chosen last. There are two exceptions:
+//   - if all candidates are ejected, ejected ones may be chosen: a server that may be faulty is better than none;
+//   - while any server is warm, a server in slow start is chosen exactly when its turn schedule has a turn (slowstart.go).
 
-// pick returns the server for a request, or nil if none has capacity now. candidates says whether there is any server that the
+// pick returns the server for a request, or nil if none has capacity now. candidates reports whether there is any server that the
 // request may be sent to, now or later.
 func (b *Balancer) pick(now time.Time, attempted []string) (best *server, candidates bool) {
 	var bestLoad float64
@@ -52,7 +52,7 @@
 	return best, candidates
 }
 
-// capacity returns how many requests a server may have in flight now, at least 1.
+// capacity returns the maximum number of requests that a server may have in flight at present, at least 1.
 func (b *Balancer) capacity(now time.Time, s *server) int {
 	capacity := b.config.MaxConcurrency
 	if capacity == 0 {
--- a/internal/frontend/uwsgi/balancer/slowstart.go
+++ b/internal/frontend/uwsgi/balancer/slowstart.go
@@ -8,36 +8,36 @@
 // Rule: slow start of a new or readmitted server (docs/design/slow-start.md has the derivation).
 //
 // Inputs: the time since the server's slow start began, the rate at which this process assigns requests (requests per second),
-// the number of servers in service.
-// The load on the server is the sum over all processes, which don't know of one another. Each process sends it, in turns that
-// are spread evenly from a random start, at the rate
+// and the number of servers in service.
+// The load on the server is the sum over all processes, which do not communicate. Each process sends requests to the server in
+// turns, which are evenly spaced from a random start, at the rate
 //
 //	turnRateFactor × fraction(t) × sendRate / servers,   fraction(t) = max(MinSlowStartFraction, t / SlowStart)
 //
-// A turn that is not used within turnValidSpans of a span expires, so that no process saves turns up for a burst.
-// Beside the turns, the server's capacity is ceil(limit × fraction(t)) requests in flight (selection.go, capacity). While no
-// server is warm, turns are not asked for and that bound stands alone.
+// A turn that is not used within turnValidSpans of a span expires, so that no process accumulates turns for a burst.
+// In addition to the turns, the server's capacity is limited to ceil(limit × fraction(t)) requests in flight (see capacity in
+// selection.go). While no server is warm, turns are not required and only that limit applies.
 
 const (
-	// turnRateFactor leaves room for turns that were begun before a span and are used within it.
+	// turnRateFactor is below 1 to allow for turns that became available before a span and are used within it.
 	turnRateFactor = 0.8
-	// slowStartSpans is the number of spans in Config.SlowStart; the load is bounded over each time as long as one of them.
+	// slowStartSpans is the number of spans in Config.SlowStart; the load is bounded over each interval of the length of one span.
 	slowStartSpans = 5
-	// turnValidSpans is the part of a span for which a turn may be used.
+	// turnValidSpans is the fraction of a span for which a turn remains valid.
 	turnValidSpans = 1.0 / 4
-	// rateWindowFraction is the part of Config.SlowStart over which the rate of requests is averaged.
+	// rateWindowFraction is the fraction of Config.SlowStart over which the request rate is averaged.
 	rateWindowFraction = 1.0 / 2
 )
 
-// turnSchedule says when a server in slow start gets a request. The zero value has no turns.
+// turnSchedule determines when a server in slow start gets a request. The zero value has no turns.
 type turnSchedule struct {
-	credit    float64 // of the next turn, 0 to 1
+	credit    float64 // accumulated fraction of the next turn, 0 to 1
 	updatedAt time.Time
-	since     time.Time // of the turn that may be used; zero: none
+	since     time.Time // when the current turn became available; zero if there is none
 	validFor  time.Duration
 }
 
-// available says whether there is a turn, at a rate of turns per second since the last call.
+// available reports whether there is a valid turn. perSecond is the rate of turns since the last call.
 func (t *turnSchedule) available(now time.Time, perSecond float64) bool {
 	t.credit += perSecond * now.Sub(t.updatedAt).Seconds()
 	t.updatedAt = now
@@ -48,8 +48,8 @@
 	return !t.since.IsZero() && now.Sub(t.since) <= t.validFor
 }
 
-// beginSlowStart has a server begin anew. Its concurrency limit begins no higher than the mean of the warm servers': load is
-// shared in proportion to the limits, and an untried server with the initial limit would get a multiple of theirs.
+// beginSlowStart puts a server into slow start. Its concurrency limit is capped at the mean limit of the warm servers: load is
+// shared in proportion to the limits, so a server that starts at the initial limit could get a multiple of the others' load.
 func (b *Balancer) beginSlowStart(now time.Time, s *server) {
 	sum, n := 0.0, 0
 	for _, other := range b.servers {
@@ -65,17 +65,17 @@
 	s.turns = turnSchedule{credit: b.rng.Float64(), updatedAt: now, validFor: validFor}
 }
 
-// warmingUp says whether a server is in slow start.
+// warmingUp reports whether a server is in slow start.
 func (b *Balancer) warmingUp(now time.Time, s *server) bool {
 	return !s.slowStartAt.IsZero() && now.Sub(s.slowStartAt) < b.config.SlowStart
 }
 
-// slowStartFraction returns the part of a warm server's load that a server in slow start gets.
+// slowStartFraction returns the load of a server in slow start as a fraction of a warm server's load.
 func (b *Balancer) slowStartFraction(now time.Time, s *server) float64 {
 	return math.Max(b.config.MinSlowStartFraction, float64(now.Sub(s.slowStartAt))/float64(b.config.SlowStart))
 }
 
-// turnRate returns how many requests per second a server in slow start gets from this process.
+// turnRate returns the rate, in requests per second, at which this process sends to a server in slow start.
 func (b *Balancer) turnRate(now time.Time, s *server) float64 {
 	inService := 0
 	for _, other := range b.servers {
@@ -86,7 +86,7 @@
 	return turnRateFactor * b.slowStartFraction(now, s) * b.sendRate.get(now, b.rateWindow()) / float64(max(1, inService))
 }
 
-// rateWindow returns the time over which the rate of requests is averaged.
+// rateWindow returns the time over which the request rate is averaged.
 func (b *Balancer) rateWindow() time.Duration {
 	return time.Duration(rateWindowFraction * float64(b.config.SlowStart))
 }
@@ -97,7 +97,7 @@
 	updatedAt time.Time
 }
 
-// get returns the rate; weights fall by e over a window.
+// get returns the rate. An event's weight decays by a factor of e per window.
 func (r *movingRate) get(now time.Time, window time.Duration) float64 {
 	if r.updatedAt.IsZero() || window <= 0 {
 		return 0
@@ -105,7 +105,7 @@
 	return r.value * math.Exp(-float64(now.Sub(r.updatedAt))/float64(window))
 }
 
-// add counts an event.
+// add records an event.
 func (r *movingRate) add(now time.Time, window time.Duration) {
 	r.value = r.get(now, window)
 	if r.updatedAt = now; window > 0 {
