--- a/internal/frontend/uwsgi/packet/body.go
+++ b/internal/frontend/uwsgi/packet/body.go
@@ -2,51 +2,51 @@
 
 import "bytes"
 
-// Framing says how a body's end is found.
+// Framing describes how the end of a body is determined.
 type Framing struct {
-	Length  int64 // bytes; -1: to the connection's close (responses only), or chunked
-	Chunked bool  // in chunks; Length is -1
+	Length  int64 // in bytes; -1 if the body is chunked, or (in responses only) ends when the connection is closed
+	Chunked bool  // the body is in chunked encoding; Length is -1
 }
 
-// RequestFraming returns the framing of a request's body by its variables. Contradicting variables are malformed: the server may
-// believe the other one (request smuggling, RFC 9112 section 11.2).
+// RequestFraming returns the framing of a request body, as given by the request's variables. Contradicting variables are malformed:
+// the server may use another one of them (request smuggling, RFC 9112 section 11.2).
 func RequestFraming(v Vars) (Framing, error) {
-	length, has := v.Find("CONTENT_LENGTH")
+	length, hasLength := v.Find("CONTENT_LENGTH")
 	n, err := contentLength(length)
 	if err != nil {
 		return Framing{}, err
 	}
-	if again, twice := v.Find("HTTP_CONTENT_LENGTH"); twice && (!has || !bytes.Equal(again, length)) {
-		return Framing{}, malformed("CONTENT_LENGTH %.20q and HTTP_CONTENT_LENGTH %.20q", length, again)
+	if headerLength, hasHeaderLength := v.Find("HTTP_CONTENT_LENGTH"); hasHeaderLength && (!hasLength || !bytes.Equal(headerLength, length)) {
+		return Framing{}, malformed("CONTENT_LENGTH %.20q differs from HTTP_CONTENT_LENGTH %.20q", length, headerLength)
 	}
-	coding, coded := v.Find("HTTP_TRANSFER_ENCODING")
-	if !coded || len(coding) == 0 {
+	coding, hasCoding := v.Find("HTTP_TRANSFER_ENCODING")
+	if !hasCoding || len(coding) == 0 {
 		return Framing{Length: n}, nil
 	}
 	if !equalFold(coding, "chunked") {
 		return Framing{}, malformed("HTTP_TRANSFER_ENCODING %.40q is not chunked", coding)
 	}
 	if len(length) > 0 {
-		return Framing{}, malformed("both CONTENT_LENGTH %.20q and chunks", length)
+		return Framing{}, malformed("both CONTENT_LENGTH %.20q and chunked encoding", length)
 	}
 	return Framing{Length: -1, Chunked: true}, nil
 }
 
-// contentLength reads a length. Only digits are valid, as servers differ in what else they accept; empty means 0.
+// contentLength parses a length. Only digits are valid, since servers differ in what else they accept. An empty length is 0.
 func contentLength(b []byte) (n int64, err error) {
 	if len(b) > 18 {
-		return 0, malformed("a length of %.20q", b)
+		return 0, malformed("the length %.20q has more than 18 digits", b)
 	}
 	for _, c := range b {
 		if c < '0' || c > '9' {
-			return 0, malformed("a length of %.20q", b)
+			return 0, malformed("the length %.20q is not a decimal number", b)
 		}
 		n = n*10 + int64(c-'0')
 	}
 	return n, nil
 }
 
-// equalFold compares b with s, ignoring the case of ASCII letters; s must be in lower case.
+// equalFold reports whether b equals s, ignoring the case of ASCII letters. s must be in lower case.
 func equalFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -62,15 +62,15 @@
 	return true
 }
 
-// ChunkScanner finds the end of a chunked body in bytes that come in any pieces (RFC 9112 section 7.1). It is strict: where two
-// readers disagree, requests can be smuggled. Its zero value is ready for use.
+// ChunkScanner finds the end of a chunked body in input of any fragmentation (RFC 9112 section 7.1). It is strict, because requests
+// can be smuggled where two parsers disagree. The zero value is ready for use.
 type ChunkScanner struct {
-	state        chunkState
-	size         int64 // of the chunk that is read, or what is left of it
-	digits       int
-	lineBytes    int   // of the chunk extension that is read
-	trailerBytes int   // so far
-	Data         int64 // bytes of content so far
+	state          chunkState
+	size           int64 // remaining bytes of the current chunk; while its size line is read, the size so far
+	digits         int   // of the current chunk's size
+	extensionBytes int   // of the current chunk extension
+	trailerBytes   int   // of the trailer section so far
+	Data           int64 // bytes of content so far
 }
 
 type chunkState uint8
@@ -89,17 +89,17 @@
 	chunkDone
 )
 
-// Bounds of what is not content, in bytes.
+// Limits on the parts of a chunked body that are not content.
 const (
 	maxChunkExtensionBytes = 256
-	maxChunkSizeDigits     = 15 // hexadecimal; a size fits in an int64
+	maxChunkSizeDigits     = 15 // hexadecimal, so that a size fits in an int64
 	maxTrailerBytes        = 8 << 10
 )
 
-// Scan takes the next bytes. It returns how many of them belong to the body, and whether the body is complete.
+// Scan consumes the next bytes. It returns how many of them belong to the body, and whether the body is complete.
 func (c *ChunkScanner) Scan(b []byte) (n int, done bool, err error) {
 	for n < len(b) {
-		if c.state == chunkData { // the common case, without a step for each byte
+		if c.state == chunkData { // fast path: content is skipped in bulk
 			k := min(int64(len(b)-n), c.size)
 			n += int(k)
 			c.Data += k
@@ -120,7 +120,7 @@
 	return n, c.state == chunkDone, nil
 }
 
-// step takes one byte that is not content, up to the last chunk's size line.
+// step consumes one byte that is not content.
 func (c *ChunkScanner) step(ch byte) error {
 	switch c.state {
 	case chunkSize:
@@ -130,16 +130,16 @@
 		case '\r':
 			c.state = chunkSizeLF
 		case '\n', 0:
-			return malformed("%q in a chunk's extension", ch)
+			return malformed("invalid byte %q in a chunk extension", ch)
 		default:
-			if c.lineBytes++; c.lineBytes > maxChunkExtensionBytes {
-				return oversize("a chunk's extension")
+			if c.extensionBytes++; c.extensionBytes > maxChunkExtensionBytes {
+				return oversize("chunk extension")
 			}
 		}
 		return nil
 	case chunkSizeLF:
 		if ch != '\n' {
-			return malformed("no line end behind a chunk's size")
+			return malformed("missing LF after a chunk size line")
 		}
 		c.digits = 0
 		if c.state = chunkData; c.size == 0 {
@@ -148,66 +148,66 @@
 		return nil
 	case chunkDataCR:
 		if c.state = chunkDataLF; ch != '\r' {
-			return malformed("a chunk is longer than its size")
+			return malformed("missing CR after the data of a chunk")
 		}
 		return nil
 	case chunkDataLF:
 		if c.state = chunkSize; ch != '\n' {
-			return malformed("a chunk is longer than its size")
+			return malformed("missing LF after the data of a chunk")
 		}
 		return nil
 	}
-	return c.trailer(ch)
+	return c.stepTrailer(ch)
 }
 
-// stepSize takes one byte of a chunk's size.
+// stepSize consumes one byte of a chunk size line.
 func (c *ChunkScanner) stepSize(ch byte) error {
 	d := hexDigit(ch)
 	switch {
 	case d >= 0:
 		if c.digits++; c.digits > maxChunkSizeDigits {
-			return malformed("a chunk's size of more than %d digits", maxChunkSizeDigits)
+			return malformed("a chunk size has more than %d digits", maxChunkSizeDigits)
 		}
 		c.size = c.size<<4 | int64(d)
 		return nil
 	case c.digits == 0:
-		return malformed("a chunk's size begins with %q", ch)
+		return malformed("a chunk size begins with %q, want a hexadecimal digit", ch)
 	case ch == '\r':
 		c.state = chunkSizeLF
 		return nil
 	case ch == ';':
-		c.state, c.lineBytes = chunkExt, 0
+		c.state, c.extensionBytes = chunkExt, 0
 		return nil
 	}
-	return malformed("%q in a chunk's size", ch)
+	return malformed("invalid byte %q in a chunk size", ch)
 }
 
-// trailer takes one byte after the last chunk.
-func (c *ChunkScanner) trailer(ch byte) error {
+// trailer consumes one byte of the trailer section.
+func (c *ChunkScanner) stepTrailer(ch byte) error {
 	if c.trailerBytes++; c.trailerBytes > maxTrailerBytes {
-		return oversize("trailers")
+		return oversize("trailer section")
 	}
 	switch c.state {
 	case trailerStart:
 		if c.state = trailerLine; ch == '\r' {
 			c.state = endLF
 		} else if ch == '\n' || ch == ' ' || ch == '\t' || ch == ':' {
-			return malformed("a trailer begins with %q", ch)
+			return malformed("a trailer line begins with %q", ch)
 		}
 	case trailerLine:
 		switch ch {
 		case '\r':
 			c.state = trailerLF
 		case '\n', 0:
-			return malformed("%q in a trailer", ch)
+			return malformed("invalid byte %q in a trailer line", ch)
 		}
 	case trailerLF:
 		if c.state = trailerStart; ch != '\n' {
-			return malformed("no line end behind a trailer")
+			return malformed("missing LF after a trailer line")
 		}
 	case endLF:
 		if c.state = chunkDone; ch != '\n' {
-			return malformed("no line end behind the last chunk")
+			return malformed("missing LF at the end of a chunked body")
 		}
 	}
 	return nil
--- a/internal/frontend/uwsgi/packet/packet.go
+++ b/internal/frontend/uwsgi/packet/packet.go
@@ -1,6 +1,6 @@
-// Package packet reads and writes the bytes of the uwsgi protocol and of the HTTP responses that it carries. It does no I/O, and
-// allocates nothing in the common path. The protocol is that of uWSGI's page "The uwsgi Protocol" (version 1); bodies and
-// responses follow RFC 3875 (CGI) and RFC 9112 (HTTP/1.1).
+// Package packet parses and encodes the packets of the uwsgi protocol, and parses the HTTP responses that it carries. It does no
+// I/O, and does not allocate in the common path. The protocol is specified in uWSGI's document "The uwsgi Protocol" (version 1);
+// bodies and responses follow RFC 3875 (CGI) and RFC 9112 (HTTP/1.1).
 package packet
 
 import (
@@ -14,7 +14,7 @@
 // The errors of this package wrap one of these.
 var (
 	ErrMalformed = errors.New("malformed")
-	ErrOversize  = errors.New("beyond the limits")
+	ErrOversize  = errors.New("size limit exceeded")
 )
 
 func malformed(format string, args ...any) error {
@@ -25,19 +25,19 @@
 	return fmt.Errorf("%w: %s", ErrOversize, fmt.Sprintf(format, args...))
 }
 
-// HeaderSize is the size of a packet's header in bytes: modifier1, the size of what follows in little-endian order, modifier2.
+// HeaderSize is the size of a packet header in bytes: modifier1, the size of the data that follows in little-endian order, modifier2.
 const HeaderSize = 4
 
-// Ping is the modifier1 of pings: a request with modifier2 0 and no data, answered by the same with modifier2 1.
+// Ping is the modifier1 of pings. A ping has modifier2 0 and no data; the response is the same packet with modifier2 1.
 const Ping = 100
 
-// Header is a packet's header.
+// Header is a packet header.
 type Header struct {
 	Modifier1, Modifier2 byte
 	Size                 int // bytes of the variables
 }
 
-// ReadHeader reads a header; b must have at least HeaderSize bytes.
+// ReadHeader parses a header. b must have at least HeaderSize bytes.
 func ReadHeader(b []byte) Header {
 	return Header{Modifier1: b[0], Size: int(binary.LittleEndian.Uint16(b[1:])), Modifier2: b[3]}
 }
@@ -52,35 +52,35 @@
 // Pong is the response to a ping.
 var Pong = Header{Modifier1: Ping, Modifier2: 1}
 
-// Vars is a packet's block of variables. It shares the bytes that it was read from.
+// Vars is a packet's block of variables. It shares memory with the block that it was parsed from.
 type Vars struct {
 	block []byte
 	n     int
 }
 
-// ReadVars checks a block of at most maxVars variables, each a length and its name, a length and its value. An empty or duplicate
-// name is malformed: the server may use the other one of two lengths, keys or hosts.
+// ReadVars parses and validates a block of at most maxVars variables. Each variable is a name and a value, both preceded by their
+// length. An empty or duplicate name is malformed: of two lengths, keys or hosts, the server may use the other one.
 func ReadVars(block []byte, maxVars int) (Vars, error) {
 	v := Vars{block: block}
 	for rest := block; len(rest) > 0; {
 		name, value, after, ok := cutVariable(rest)
 		switch {
 		case !ok:
-			return Vars{}, malformed("a variable goes past the end of the block")
+			return Vars{}, malformed("a variable extends past the end of the block")
 		case len(name) == 0:
-			return Vars{}, malformed("a variable without a name")
+			return Vars{}, malformed("a variable has an empty name")
 		}
-		for before := block; len(before) > len(rest); {
-			other, _, next, _ := cutVariable(before)
+		for earlier := block; len(earlier) > len(rest); {
+			other, _, next, _ := cutVariable(earlier)
 			if string(other) == string(name) {
-				return Vars{}, malformed("%.40q is duplicate", name)
+				return Vars{}, malformed("variable %.40q is duplicate", name)
 			}
-			before = next
+			earlier = next
 		}
 		for _, c := range value {
-			// A server may pass a value on as a header line: a line end in it would begin another one.
+			// A server may pass a value on as a header line, in which a line end would start another header line.
 			if c == 0 || c == '\r' || c == '\n' {
-				return Vars{}, malformed("the value of %.40q has a byte %#02x", name, c)
+				return Vars{}, malformed("the value of variable %.40q has an invalid byte %#02x", name, c)
 			}
 		}
 		if v.n++; v.n > maxVars {
@@ -100,7 +100,7 @@
 	return name, value, rest, ok
 }
 
-// cutString splits off a length and as many bytes.
+// cutString splits off a string that is preceded by its length.
 func cutString(b []byte) (s, rest []byte, ok bool) {
 	if len(b) < 2 {
 		return nil, nil, false
@@ -115,7 +115,7 @@
 // Len returns the number of variables.
 func (v Vars) Len() int { return v.n }
 
-// Find returns the value of a variable, which shares the packet's bytes, and whether there is such a variable.
+// Find returns the value of a variable, and whether the variable exists. The value shares memory with the packet.
 func (v Vars) Find(name string) ([]byte, bool) {
 	for b := v.block; len(b) > 0; {
 		n, value, rest, _ := cutVariable(b)
@@ -127,13 +127,13 @@
 	return nil, false
 }
 
-// Get returns the value of a variable, or "".
+// Get returns the value of a variable, or "" if it does not exist.
 func (v Vars) Get(name string) string {
 	value, _ := v.Find(name)
 	return string(value)
 }
 
-// All iterates over the variables in their order.
+// All iterates over the variables in packet order.
 func (v Vars) All() iter.Seq2[[]byte, []byte] {
 	return func(yield func(name, value []byte) bool) {
 		for b := v.block; len(b) > 0; {
@@ -146,18 +146,18 @@
 	}
 }
 
-// AppendRequest appends a request's header and variables, in their order. It returns an error that wraps ErrOversize where they don't
-// fit in a packet.
+// AppendRequest appends a request's header and its variables, in the given order, to b. It returns an error that wraps ErrOversize
+// if they don't fit in a packet.
 func AppendRequest(b []byte, mod1, mod2 byte, vars [][2]string) ([]byte, error) {
 	size := 0
 	for _, v := range vars {
 		if len(v[0]) > math.MaxUint16 || len(v[1]) > math.MaxUint16 {
-			return b, oversize("the variable %.40q", v[0])
+			return b, oversize("variable %.40q is longer than a 16-bit length allows", v[0])
 		}
 		size += 4 + len(v[0]) + len(v[1])
 	}
 	if size > math.MaxUint16 {
-		return b, oversize("%d bytes of variables", size)
+		return b, oversize("%d bytes of variables do not fit in a packet", size)
 	}
 	b = Header{Modifier1: mod1, Size: size, Modifier2: mod2}.Append(b)
 	for _, v := range vars {
--- a/internal/frontend/uwsgi/packet/packet_test.go
+++ b/internal/frontend/uwsgi/packet/packet_test.go
@@ -28,47 +28,47 @@
 		name, block string
 		want        error
 	}{
-		{"none", "", nil},
-		{"some", string(request(t, v("A", "1"), v("B", ""), v("AB", "2"))[HeaderSize:]), nil},
-		{"name past the block", "\x05\x00A", ErrMalformed},
-		{"value past the block", "\x01\x00A\x09\x00", ErrMalformed},
-		{"no value", "\x01\x00A", ErrMalformed},
-		{"half a length", "\x01\x00A\x00", ErrMalformed},
-		{"nameless", "\x00\x00\x00\x00", ErrMalformed},
-		{"twice", string(request(t, v("A", "1"), v("B", "1"), v("A", "1"))[HeaderSize:]), ErrMalformed},
-		{"a line end in a value", string(request(t, v("HTTP_A", "1\r\nX: y"))[HeaderSize:]), ErrMalformed},
-		{"a zero in a value", string(request(t, v("A", "\x00"))[HeaderSize:]), ErrMalformed},
-		{"too many", string(request(t, many...)[HeaderSize:]), ErrOversize},
+		{"no variables", "", nil},
+		{"several variables", string(request(t, v("A", "1"), v("B", ""), v("AB", "2"))[HeaderSize:]), nil},
+		{"name extends past the block", "\x05\x00A", ErrMalformed},
+		{"value extends past the block", "\x01\x00A\x09\x00", ErrMalformed},
+		{"value missing", "\x01\x00A", ErrMalformed},
+		{"truncated length", "\x01\x00A\x00", ErrMalformed},
+		{"empty name", "\x00\x00\x00\x00", ErrMalformed},
+		{"duplicate name", string(request(t, v("A", "1"), v("B", "1"), v("A", "1"))[HeaderSize:]), ErrMalformed},
+		{"line end in a value", string(request(t, v("HTTP_A", "1\r\nX: y"))[HeaderSize:]), ErrMalformed},
+		{"zero byte in a value", string(request(t, v("A", "\x00"))[HeaderSize:]), ErrMalformed},
+		{"too many variables", string(request(t, many...)[HeaderSize:]), ErrOversize},
 	} {
 		if _, err := ReadVars([]byte(c.block), 8); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
 	if _, err := AppendRequest(nil, 0, 0, [][2]string{v("A", strings.Repeat("x", 70000))}); !errors.Is(err, ErrOversize) {
-		t.Errorf("a variable beyond the packet: %v", err)
+		t.Errorf("variable of 70000 bytes: %v, want ErrOversize", err)
 	}
 }
 
-func TestRequestBody(t *testing.T) {
+func TestRequestFraming(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		vars [][2]string
 		want Framing
 		err  error
 	}{
-		{"none", nil, Framing{}, nil},
+		{"no variables", nil, Framing{}, nil},
 		{"empty length", [][2]string{v("CONTENT_LENGTH", "")}, Framing{}, nil},
-		{"length", [][2]string{v("CONTENT_LENGTH", "12"), v("HTTP_CONTENT_LENGTH", "12")}, Framing{Length: 12}, nil},
-		{"chunks", [][2]string{v("HTTP_TRANSFER_ENCODING", "Chunked")}, Framing{Length: -1, Chunked: true}, nil},
-		{"both", [][2]string{v("CONTENT_LENGTH", "0"), v("HTTP_TRANSFER_ENCODING", "chunked")}, Framing{}, ErrMalformed},
-		{"two codings", [][2]string{v("HTTP_TRANSFER_ENCODING", "gzip, chunked")}, Framing{}, ErrMalformed},
-		{"two lengths", [][2]string{v("CONTENT_LENGTH", "1"), v("HTTP_CONTENT_LENGTH", "2")}, Framing{}, ErrMalformed},
-		{"a length in the header only", [][2]string{v("HTTP_CONTENT_LENGTH", "2")}, Framing{}, ErrMalformed},
-		{"a sign", [][2]string{v("CONTENT_LENGTH", "+1")}, Framing{}, ErrMalformed},
-		{"negative", [][2]string{v("CONTENT_LENGTH", "-1")}, Framing{}, ErrMalformed},
-		{"blank", [][2]string{v("CONTENT_LENGTH", " 1")}, Framing{}, ErrMalformed},
-		{"hexadecimal", [][2]string{v("CONTENT_LENGTH", "0x1")}, Framing{}, ErrMalformed},
-		{"beyond counting", [][2]string{v("CONTENT_LENGTH", "9999999999999999999")}, Framing{}, ErrMalformed},
+		{"matching lengths", [][2]string{v("CONTENT_LENGTH", "12"), v("HTTP_CONTENT_LENGTH", "12")}, Framing{Length: 12}, nil},
+		{"chunked", [][2]string{v("HTTP_TRANSFER_ENCODING", "Chunked")}, Framing{Length: -1, Chunked: true}, nil},
+		{"length and chunked", [][2]string{v("CONTENT_LENGTH", "0"), v("HTTP_TRANSFER_ENCODING", "chunked")}, Framing{}, ErrMalformed},
+		{"two transfer codings", [][2]string{v("HTTP_TRANSFER_ENCODING", "gzip, chunked")}, Framing{}, ErrMalformed},
+		{"different lengths", [][2]string{v("CONTENT_LENGTH", "1"), v("HTTP_CONTENT_LENGTH", "2")}, Framing{}, ErrMalformed},
+		{"HTTP_CONTENT_LENGTH only", [][2]string{v("HTTP_CONTENT_LENGTH", "2")}, Framing{}, ErrMalformed},
+		{"sign before the length", [][2]string{v("CONTENT_LENGTH", "+1")}, Framing{}, ErrMalformed},
+		{"negative length", [][2]string{v("CONTENT_LENGTH", "-1")}, Framing{}, ErrMalformed},
+		{"space before the length", [][2]string{v("CONTENT_LENGTH", " 1")}, Framing{}, ErrMalformed},
+		{"hexadecimal length", [][2]string{v("CONTENT_LENGTH", "0x1")}, Framing{}, ErrMalformed},
+		{"length overflows int64", [][2]string{v("CONTENT_LENGTH", "9999999999999999999")}, Framing{}, ErrMalformed},
 	} {
 		vars, err := ReadVars(request(t, c.vars...)[HeaderSize:], 8)
 		if err != nil {
@@ -80,31 +80,31 @@
 	}
 }
 
-// TestChunks reads each body whole, byte by byte and cut in two at each place.
-func TestChunks(t *testing.T) {
+// TestChunkScannerWithAnyFragmentation scans each body byte by byte and split in two at each offset.
+func TestChunkScannerWithAnyFragmentation(t *testing.T) {
 	for _, c := range []struct {
 		name, in string
-		rest     int // bytes behind the body
+		rest     int // bytes after the body; -1 if the body is incomplete
 		err      error
 	}{
 		{"empty", "0\r\n\r\n", 0, nil},
 		{"two chunks", "3\r\nabc\r\n0a\r\n0123456789\r\n0\r\n\r\n", 0, nil},
-		{"an extension", "3;a=\"b\"\r\nabc\r\n0;x\r\n\r\n", 0, nil},
+		{"chunk extensions", "3;a=\"b\"\r\nabc\r\n0;x\r\n\r\n", 0, nil},
 		{"trailers", "0\r\nA: b\r\nC: d\r\n\r\n", 0, nil},
-		{"bytes behind it", "1\r\na\r\n0\r\n\r\nGET", 3, nil},
-		{"not whole", "3\r\nab", -1, nil},
-		{"no size", "\r\n", 0, ErrMalformed},
-		{"a sign", "+1\r\na\r\n0\r\n\r\n", 0, ErrMalformed},
-		{"0x", "0x1\r\na\r\n0\r\n\r\n", 0, ErrMalformed},
-		{"a blank", "1 \r\na\r\n0\r\n\r\n", 0, ErrMalformed},
-		{"a lone line feed", "1\na\n0\n\n", 0, ErrMalformed},
-		{"a size past counting", "1000000000000000\r\n", 0, ErrMalformed},
-		{"longer than its size", "1\r\nab\r\n0\r\n\r\n", 0, ErrMalformed},
-		{"shorter than its size", "3\r\na\r\n0\r\n\r\n", 0, ErrMalformed},
-		{"a line feed in an extension", "1;a\nb\r\na\r\n0\r\n\r\n", 0, ErrMalformed},
-		{"an endless extension", "1;" + strings.Repeat("x", 300), 0, ErrOversize},
-		{"endless trailers", "0\r\n" + strings.Repeat("A: bbbbbbbb\r\n", 1000), 0, ErrOversize},
-		{"a trailer without a name", "0\r\n: b\r\n\r\n", 0, ErrMalformed},
+		{"bytes after the body", "1\r\na\r\n0\r\n\r\nGET", 3, nil},
+		{"incomplete body", "3\r\nab", -1, nil},
+		{"missing size", "\r\n", 0, ErrMalformed},
+		{"sign before the size", "+1\r\na\r\n0\r\n\r\n", 0, ErrMalformed},
+		{"0x before the size", "0x1\r\na\r\n0\r\n\r\n", 0, ErrMalformed},
+		{"space after the size", "1 \r\na\r\n0\r\n\r\n", 0, ErrMalformed},
+		{"bare LF as line end", "1\na\n0\n\n", 0, ErrMalformed},
+		{"size of more than 15 digits", "1000000000000000\r\n", 0, ErrMalformed},
+		{"chunk longer than its size", "1\r\nab\r\n0\r\n\r\n", 0, ErrMalformed},
+		{"chunk shorter than its size", "3\r\na\r\n0\r\n\r\n", 0, ErrMalformed},
+		{"LF in an extension", "1;a\nb\r\na\r\n0\r\n\r\n", 0, ErrMalformed},
+		{"oversize extension", "1;" + strings.Repeat("x", 300), 0, ErrOversize},
+		{"oversize trailers", "0\r\n" + strings.Repeat("A: bbbbbbbb\r\n", 1000), 0, ErrOversize},
+		{"trailer without a name", "0\r\n: b\r\n\r\n", 0, ErrMalformed},
 	} {
 		for cut := -1; cut < len(c.in); cut++ {
 			pieces := strings.Split(c.in, "")
@@ -113,72 +113,72 @@
 			}
 			var s ChunkScanner
 			var err error
-			taken, done := 0, false
+			scanned, done := 0, false
 			for _, p := range pieces {
 				if done || err != nil {
 					break
 				}
 				var n int
 				n, done, err = s.Scan([]byte(p))
-				taken += n
+				scanned += n
 			}
-			if !errors.Is(err, c.err) || err == nil && done != (c.rest >= 0) || done && len(c.in)-taken != c.rest {
-				t.Errorf("%s, cut at %d: took %d of %d, done %v, %v", c.name, cut, taken, len(c.in), done, err)
+			if !errors.Is(err, c.err) || err == nil && done != (c.rest >= 0) || done && len(c.in)-scanned != c.rest {
+				t.Errorf("%s, split at %d: %d of %d bytes scanned, done %v, %v", c.name, cut, scanned, len(c.in), done, err)
 				break
 			}
 		}
 	}
 }
 
-func TestReadHead(t *testing.T) {
-	const most = 200
+func TestReadResponseHead(t *testing.T) {
+	const maxBytes = 200
 	for _, c := range []struct {
 		name, in string
 		headOnly bool
 		want     ResponseHead
 		err      error
 	}{
-		{"until the close", "HTTP/1.1 200 OK\r\n\r\nbody", false, ResponseHead{Status: 200, Body: Framing{Length: -1}, Size: 19}, nil},
-		{"no reason", "HTTP/1.0 204\r\n\r\n", false, ResponseHead{Status: 204, Size: 16}, nil},
-		{"a length", "HTTP/1.1 500 Oops\r\ncontent-length: 2\r\n\r\nhi", false, ResponseHead{Status: 500, Body: Framing{Length: 2}, Size: 40}, nil},
-		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, ResponseHead{Status: 200, Body: Framing{Length: -1, Chunked: true}, Size: 47}, nil},
+		{"body until the connection is closed", "HTTP/1.1 200 OK\r\n\r\nbody", false, ResponseHead{Status: 200, Body: Framing{Length: -1}, Size: 19}, nil},
+		{"no reason phrase", "HTTP/1.0 204\r\n\r\n", false, ResponseHead{Status: 204, Size: 16}, nil},
+		{"Content-Length", "HTTP/1.1 500 Oops\r\ncontent-length: 2\r\n\r\nhi", false, ResponseHead{Status: 500, Body: Framing{Length: 2}, Size: 40}, nil},
+		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, ResponseHead{Status: 200, Body: Framing{Length: -1, Chunked: true}, Size: 47}, nil},
 		{"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n", true, ResponseHead{Status: 200, Size: 39}, nil},
-		{"interim", "HTTP/1.1 100 Continue\r\n\r\n", false, ResponseHead{Status: 100, Size: 25}, nil},
+		{"interim response", "HTTP/1.1 100 Continue\r\n\r\n", false, ResponseHead{Status: 100, Size: 25}, nil},
 		{"not modified", "HTTP/1.1 304 Not Modified\r\nContent-Length: 10\r\n\r\n", false, ResponseHead{Status: 304, Size: 49}, nil},
 		{"CGI", "Status: 404 Not Found\r\nContent-Length: 0\r\n\r\n", false, ResponseHead{Status: 404, CGI: true, Size: 44}, nil},
-		{"CGI with line feeds", "Content-Type: text/plain\nStatus: 201\n\nx", false, ResponseHead{Status: 201, CGI: true, Body: Framing{Length: -1}, Size: 38}, nil},
+		{"CGI with bare LFs", "Content-Type: text/plain\nStatus: 201\n\nx", false, ResponseHead{Status: 201, CGI: true, Body: Framing{Length: -1}, Size: 38}, nil},
 		{"CGI without a status", "Content-Type: text/plain\r\n\r\n", false, ResponseHead{Status: 200, CGI: true, Body: Framing{Length: -1}, Size: 28}, nil},
-		{"the same length twice", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n", false, ResponseHead{Status: 200, Body: Framing{Length: 2}, Size: 57}, nil},
-		{"nothing yet", "", false, ResponseHead{}, ErrIncomplete},
-		{"half a head", "HTTP/1.1 200 OK\r\nA: b\r\n", false, ResponseHead{}, ErrIncomplete},
-		{"an endless head", strings.Repeat("A: b\r\n", 50), false, ResponseHead{}, ErrOversize},
-		{"too long a head", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 200) + "\r\n\r\n", false, ResponseHead{}, ErrOversize},
-		{"an empty head", "\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a length that is none", "HTTP/1.1 200 OK\r\nContent-Length: two\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"an empty length", "HTTP/1.1 200 OK\r\nContent-Length:\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a folded line", "HTTP/1.1 200 OK\r\nA: b\r\n c\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a blank before the colon", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"no colon", "HTTP/1.1 200 OK\r\ngarbage\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a lone carriage return", "HTTP/1.1 200 OK\r\nA: b\rContent-Length: 2\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"equal lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n", false, ResponseHead{Status: 200, Body: Framing{Length: 2}, Size: 57}, nil},
+		{"empty input", "", false, ResponseHead{}, ErrIncomplete},
+		{"incomplete head", "HTTP/1.1 200 OK\r\nA: b\r\n", false, ResponseHead{}, ErrIncomplete},
+		{"incomplete head over the limit", strings.Repeat("A: b\r\n", 50), false, ResponseHead{}, ErrOversize},
+		{"complete head over the limit", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 200) + "\r\n\r\n", false, ResponseHead{}, ErrOversize},
+		{"empty head", "\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"different lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"length and chunked", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"length that is not a number", "HTTP/1.1 200 OK\r\nContent-Length: two\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"empty length", "HTTP/1.1 200 OK\r\nContent-Length:\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"unsupported transfer coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"folded header line", "HTTP/1.1 200 OK\r\nA: b\r\n c\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"space before the colon", "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"header line without a colon", "HTTP/1.1 200 OK\r\ngarbage\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"bare CR in a value", "HTTP/1.1 200 OK\r\nA: b\rContent-Length: 2\r\n\r\n", false, ResponseHead{}, ErrMalformed},
 		{"HTTP/2", "HTTP/2.0 200 OK\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a low status", "HTTP/1.1 099 Low\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a high status", "HTTP/1.1 600 High\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a long status", "HTTP/1.1 2000 OK\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"CGI with a bad status", "Status: fine\r\n\r\n", false, ResponseHead{}, ErrMalformed},
-		{"a request", "GET / HTTP/1.1\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"status below 100", "HTTP/1.1 099 Low\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"status above 599", "HTTP/1.1 600 High\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"status of four digits", "HTTP/1.1 2000 OK\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"CGI with an invalid status", "Status: fine\r\n\r\n", false, ResponseHead{}, ErrMalformed},
+		{"request instead of a response", "GET / HTTP/1.1\r\n\r\n", false, ResponseHead{}, ErrMalformed},
 	} {
-		got, err := ReadResponseHead([]byte(c.in), c.headOnly, most)
-		if !errors.Is(err, c.err) || (c.err == ErrIncomplete) != (err == ErrIncomplete) || got != c.want { //nolint:errorlint // callers compare with ErrShort itself
+		got, err := ReadResponseHead([]byte(c.in), c.headOnly, maxBytes)
+		if !errors.Is(err, c.err) || (c.err == ErrIncomplete) != (err == ErrIncomplete) || got != c.want { //nolint:errorlint // callers compare with ErrIncomplete itself
 			t.Errorf("%s: %+v, %v; want %+v, %v", c.name, got, err, c.want, c.err)
 		}
 	}
 }
 
-// TestNoAllocations: the common path of reading makes no garbage.
-func TestNoAllocations(t *testing.T) {
+// TestParsingDoesNotAllocate checks that parsing in the common path does not allocate.
+func TestParsingDoesNotAllocate(t *testing.T) {
 	b := request(t, v("REQUEST_METHOD", "POST"), v("PATH_INFO", "/book"), v("CONTENT_LENGTH", "5"), v("HTTP_HOST", "a"))
 	head := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\nhello")
 	if n := testing.AllocsPerRun(100, func() {
@@ -194,7 +194,7 @@
 			t.Fatal(r, err)
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations, want 0", n)
 	}
 }
 
@@ -213,14 +213,14 @@
 		for name, value := range vars.All() {
 			list = append(list, v(string(name), string(value)))
 			if got, ok := vars.Find(string(name)); !ok || !bytes.Equal(got, value) {
-				t.Errorf("%q is %q, found as %q", name, value, got)
+				t.Errorf("All returns %q as %q, Find as %q", name, value, got)
 			}
 		}
-		if again, err := AppendRequest(nil, 0, 0, list); err == nil && !bytes.Equal(again[HeaderSize:], b[HeaderSize:]) {
-			t.Errorf("%x is written as %x", b[HeaderSize:], again[HeaderSize:])
+		if encoded, err := AppendRequest(nil, 0, 0, list); err == nil && !bytes.Equal(encoded[HeaderSize:], b[HeaderSize:]) {
+			t.Errorf("%x is encoded again as %x", b[HeaderSize:], encoded[HeaderSize:])
 		}
 		if body, err := RequestFraming(vars); err == nil && (body.Length < 0) != body.Chunked {
-			t.Errorf("%+v", body)
+			t.Errorf("Length and Chunked are inconsistent: %+v", body)
 		}
 	})
 }
@@ -234,11 +234,11 @@
 			return
 		}
 		if h.Size > len(b) || h.Status < 100 || h.Status > 599 {
-			t.Fatalf("%+v of %d bytes", h, len(b))
+			t.Fatalf("invalid head %+v in %d bytes", h, len(b))
 		}
 		body := b[h.Size:]
-		whole, done, err := h.BodyScanner().Scan(body)
-		// In two pieces it ends at the same place.
+		unsplit, done, err := h.BodyScanner().Scan(body)
+		// Split in two, the body must end at the same offset.
 		at := 0
 		if len(body) > 0 {
 			at = int(uint(cut) % uint(len(body)+1))
@@ -250,8 +250,8 @@
 			m, d, e = r.Scan(body[at:])
 			n += m
 		}
-		if n != whole || d != done || (e == nil) != (err == nil) {
-			t.Errorf("whole: %d %v %v; cut at %d: %d %v %v", whole, done, err, at, n, d, e)
+		if n != unsplit || d != done || (e == nil) != (err == nil) {
+			t.Errorf("unsplit: %d %v %v; split at %d: %d %v %v", unsplit, done, err, at, n, d, e)
 		}
 	})
 }
