--- a/internal/frontend/uwsgi/attempt.go
+++ b/internal/frontend/uwsgi/attempt.go
@@ -21,32 +21,32 @@
 	run    *run
 	server string
 
-	sent             bool            // the server may have got some of the request
+	sent             bool            // the server may have received part of the request
 	responseStarted  bool            // part of the response was sent to the client
-	result           balancer.Result // what the attempt says of the server
-	firstByteLatency time.Duration   // from the start to the first byte of the response; 0: none came
+	result           balancer.Result // what the balancer is told about the server
+	firstByteLatency time.Duration   // from the start to the first byte of the response; 0 if none arrived
 	times            AttemptTimes
 }
 
-// copyBufferSize is the size of the buffers for responses, in bytes; a response's head must fit in one.
+// copyBufferSize is the size of a response buffer, in bytes. A response head must fit in one buffer.
 const copyBufferSize = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
 var (
-	// errClientWrite says that the response can't be written to the client, which is not the server's fault.
-	errClientWrite = errors.New("the client takes no more of the response")
-	// errResponseTruncated says that the server closed the connection within the response's body.
-	errResponseTruncated = errors.New("the server closed the connection within the response")
+	// errClientWrite says that the response could not be written to the client. It does not count against the server.
+	errClientWrite = errors.New("cannot write the response to the client")
+	// errResponseTruncated says that the server closed the connection before the end of the response body.
+	errResponseTruncated = errors.New("the server closed the connection before the end of the response")
 )
 
-// bodyError says that the request's body could not be read from the client.
+// bodyError says that the request body could not be read from the client.
 type bodyError struct{ error }
 
 // Unwrap returns the cause.
 func (e *bodyError) Unwrap() error { return e.error }
 
-// do sends the request and streams the response to the client, or returns it where it is buffered. It sets a.result.
+// do sends the request and streams the response to the client, or returns the response if it is buffered. It sets a.result.
 func (a *attempt) do(ctx context.Context) (result []byte, err error) {
 	startedAt := time.Now()
 	conn, err := a.dial(ctx)
@@ -55,14 +55,14 @@
 	}
 	defer conn.Close()
 	a.times.ConnectedAt = time.Now()
-	cancelClose := context.AfterFunc(ctx, func() { conn.Close() }) // stopped, or past its deadline
+	cancelClose := context.AfterFunc(ctx, func() { conn.Close() }) // the run was stopped, or its deadline has passed
 	defer cancelClose()
 
 	stop := make(chan struct{})
 	sent := make(chan error, 1)
 	go func() { sent <- a.send(conn, stop) }()
 	result, err = a.receive(conn, startedAt)
-	close(stop) // a server that has responded needs no more of the body
+	close(stop) // a server that has responded needs no more of the request body
 	if err != nil {
 		conn.Close()
 	} else if deadlineErr := conn.SetWriteDeadline(time.Now()); deadlineErr != nil {
@@ -84,15 +84,15 @@
 		return conn, nil
 	}
 	a.result = balancer.ResultConnectFailed
-	// Our own lack of descriptors, or of time, says nothing about the server.
+	// A lack of descriptors in this process, or an expired deadline, must not count against the server.
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || ctx.Err() != nil {
 		a.result = balancer.ResultCanceled
 	}
 	return nil, err
 }
 
-// classify sets what the attempt says of the server, and returns the error that caused its end: err is that of the response,
-// sendErr that of the request.
+// classify sets a.result and returns the error that ended the attempt. err is the error from receiving the response, sendErr the
+// one from sending the request.
 func (a *attempt) classify(ctx context.Context, err, sendErr error) error {
 	var clientErr *bodyError
 	switch {
@@ -106,7 +106,7 @@
 	case errors.Is(ctx.Err(), context.Canceled) && (a.firstByteLatency > 0 || a.run.request.body.clientFailed()):
 		a.result = balancer.ResultCanceled
 	case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded):
-		// Also where the client still waited as the run was stopped, without a byte from the server.
+		// This includes a run that was stopped before the server sent a byte, while its client was still waiting.
 		a.result = balancer.ResultTimeout
 	default:
 		a.result = balancer.ResultBroken
@@ -114,7 +114,7 @@
 	return err
 }
 
-// send writes the request: its head, then the body as it comes from the client, until stop is closed.
+// send writes the request's head, and then its body as it arrives from the client, until stop is closed.
 func (a *attempt) send(conn net.Conn, stop <-chan struct{}) error {
 	writeTimeout, request := a.pool.opts.Limits.WriteTimeout, a.run.request
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -135,7 +135,7 @@
 	return err
 }
 
-// receive reads the response. One that is not streamed to the client is returned.
+// receive reads the response. It streams the response to the client or returns it.
 func (a *attempt) receive(conn net.Conn, startedAt time.Time) ([]byte, error) {
 	request := a.run.request
 	buf := copyBuffers.Get().(*[]byte)
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	if extra := len(got) - head.Size - n; extra > 0 {
-		return nil, fmt.Errorf("%w: %d bytes after the response's body", packet.ErrMalformed, extra)
+		return nil, fmt.Errorf("%w: %d bytes after the response body", packet.ErrMalformed, extra)
 	}
 	switch {
 	case done:
@@ -161,8 +161,8 @@
 	return a.readBuffered(conn, append([]byte(nil), got...), rest, a.pool.opts.Limits.BufferedResponseBytes)
 }
 
-// readHead reads the response's head. Interim (1xx) heads are dropped: the client may not expect any. got begins with the head, and
-// may have some of the body.
+// readHead reads the response head. Interim (1xx) heads are dropped, because the client may not expect them. got begins with the
+// head, and may contain the start of the body.
 func (a *attempt) readHead(conn net.Conn, buf []byte, startedAt time.Time) (got []byte, head packet.ResponseHead, err error) {
 	lim := a.pool.opts.Limits
 	if err := conn.SetReadDeadline(time.Now().Add(lim.UpstreamTimeout)); err != nil {
@@ -198,7 +198,7 @@
 	}
 }
 
-// readBuffered reads the rest of a response that is buffered, up to maxBytes of it.
+// readBuffered reads the rest of a buffered response, which may have at most maxBytes.
 func (a *attempt) readBuffered(conn net.Conn, got []byte, rest *packet.BodyScanner, maxBytes int) ([]byte, error) {
 	buf := make([]byte, 4<<10)
 	for {
@@ -209,9 +209,9 @@
 		case err != nil:
 			return nil, err
 		case len(got) > maxBytes:
-			return nil, fmt.Errorf("%w: a response of more than %d bytes", packet.ErrOversize, maxBytes)
+			return nil, fmt.Errorf("%w: the response is longer than %d bytes", packet.ErrOversize, maxBytes)
 		case k < n:
-			return nil, fmt.Errorf("%w: %d bytes after the response's body", packet.ErrMalformed, n-k)
+			return nil, fmt.Errorf("%w: %d bytes after the response body", packet.ErrMalformed, n-k)
 		}
 		if ended, err := bodyEnded(rest, done, readErr); err != nil {
 			return nil, err
@@ -221,7 +221,7 @@
 	}
 }
 
-// bodyEnded says whether a response's body has ended: by its framing (done), by the server's close, or by an error.
+// bodyEnded reports whether a response body has ended: by its framing (done), by the server closing the connection, or by an error.
 func bodyEnded(rest *packet.BodyScanner, done bool, readErr error) (ended bool, err error) {
 	switch {
 	case done:
@@ -236,10 +236,10 @@
 	return false, nil
 }
 
-// streamResponse writes a response to the client as it comes. A slow client slows the server down and takes no memory.
+// streamResponse writes a response to the client as it arrives. A slow client slows down the server instead of taking memory.
 func (a *attempt) streamResponse(conn net.Conn, got []byte, rest *packet.BodyScanner) error {
 	if !a.run.request.startResponse() {
-		return errClientWrite // it has been answered meanwhile
+		return errClientWrite // the node has answered the request meanwhile
 	}
 	a.responseStarted = true
 	if err := a.writeToClient(got); err != nil {
@@ -264,7 +264,7 @@
 	}
 }
 
-// writeToClient writes a part of the response.
+// writeToClient writes part of the response to the client.
 func (a *attempt) writeToClient(b []byte) error {
 	if len(b) == 0 {
 		return nil
--- a/internal/frontend/uwsgi/bench_test.go
+++ b/internal/frontend/uwsgi/bench_test.go
@@ -16,7 +16,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// exchange sends a request and reads the complete response.
+// exchange sends a request, reads the complete response and returns its size.
 func exchange(address, request string) (int64, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -35,40 +35,40 @@
 	return n, <-sent
 }
 
-// BenchmarkExchange sends requests by 8 clients through the front and straight to the server, which echoes the body.
+// BenchmarkExchange sends requests from 8 concurrent clients, through the front and directly to the server, which echoes the body.
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []int{10, 1 << 20} {
 		body := strings.Repeat("x", size)
-		for _, through := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d bytes both ways/through=%v", size, through), func(b *testing.B) {
+		for _, viaFront := range []bool{false, true} {
+			b.Run(fmt.Sprintf("%d bytes both ways/through=%v", size, viaFront), func(b *testing.B) {
 				e := standin.NewEcho(b, "")
 				address := e.Address
-				if through {
+				if viaFront {
 					address = newHarness(b, []string{address}, nil).address
 				}
-				request := standin.Packet(b, body, at("/", length(size))...)
+				request := standin.Packet(b, body, requestVars("/", contentLength(size))...)
 				h := hdrhistogram.New(1, int64(time.Minute), 3)
 				var mu sync.Mutex
-				var left atomic.Int64
-				left.Store(int64(b.N))
+				var remaining atomic.Int64
+				remaining.Store(int64(b.N))
 				var wait sync.WaitGroup
 				b.ResetTimer()
 				for range 8 {
 					wait.Go(func() {
-						own := hdrhistogram.New(1, int64(time.Minute), 3)
-						for left.Add(-1) >= 0 {
-							began := time.Now()
+						histogram := hdrhistogram.New(1, int64(time.Minute), 3)
+						for remaining.Add(-1) >= 0 {
+							startedAt := time.Now()
 							if n, err := exchange(address, request); err != nil || n < int64(size) {
-								b.Errorf("%d bytes, %v", n, err)
+								b.Errorf("response of %d bytes, error %v", n, err)
 								return
 							}
-							if err := own.RecordValue(int64(time.Since(began))); err != nil {
+							if err := histogram.RecordValue(int64(time.Since(startedAt))); err != nil {
 								b.Error(err)
 							}
 						}
 						mu.Lock()
 						defer mu.Unlock()
-						h.Merge(own)
+						h.Merge(histogram)
 					})
 				}
 				wait.Wait()
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkMemory measures the heap and stacks that requests take while they are queued, and while their responses are streamed. The
-// stand-ins' part is included.
+// BenchmarkMemory measures the heap and stack memory per request, for queued requests and for streamed responses. It includes the
+// memory of the test servers.
 func BenchmarkMemory(b *testing.B) {
 	heap := func() int64 {
 		var m runtime.MemStats
@@ -95,10 +95,10 @@
 	for _, kind := range []string{"held", "streaming"} {
 		for _, n := range []int{10, 100, 1000} {
 			b.Run(fmt.Sprintf("%s/%d", kind, n), func(b *testing.B) {
-				hold := make(chan struct{})
-				script := standin.Script{{Until: "/"}, {Wait: hold}}
+				release := make(chan struct{})
+				script := standin.Script{{Until: "/"}, {Wait: release}}
 				if kind == "streaming" {
-					script = standin.Script{{Until: "/"}, {Send: "HTTP/1.1 200 OK\r\n\r\n"}, {Send: "x"}, {Wait: hold}}
+					script = standin.Script{{Until: "/"}, {Send: "HTTP/1.1 200 OK\r\n\r\n"}, {Send: "x"}, {Wait: release}}
 				}
 				s := standin.NewScripted(b, script)
 				cores := 1
@@ -112,12 +112,12 @@
 				var conns []net.Conn
 				for range n {
 					c := r.dial(b)
-					if _, err := io.WriteString(c, standin.Packet(b, "", at("/")...)); err != nil {
+					if _, err := io.WriteString(c, standin.Packet(b, "", requestVars("/")...)); err != nil {
 						b.Fatal(err)
 					}
 					conns = append(conns, c)
 				}
-				standin.WaitFor(b, "all are in", func() bool { return r.Totals().Read == n })
+				standin.WaitFor(b, "all requests are read", func() bool { return r.Totals().Read == n })
 				if kind == "streaming" {
 					for _, c := range conns {
 						if _, err := io.ReadFull(c, make([]byte, 20)); err != nil {
@@ -127,7 +127,7 @@
 				}
 				b.ReportMetric(float64(heap()-before)/float64(n), "B/request")
 				b.ReportMetric(0, "ns/op")
-				close(hold)
+				close(release)
 				for _, c := range conns {
 					c.Close()
 				}
--- a/internal/frontend/uwsgi/bodyreader.go
+++ b/internal/frontend/uwsgi/bodyreader.go
@@ -12,14 +12,14 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// errBodyTruncated says that the client ended its side within the body that it announced.
-var errBodyTruncated = errors.New("the client ended within its request's body")
+// errBodyTruncated says that the client ended its sending side before the end of the body.
+var errBodyTruncated = errors.New("the client closed its sending side before the end of the request body")
 
-// readBufferSize is the size of the buffer that a body is read with, in bytes.
+// readBufferSize is the size of the buffer into which a body is read, in bytes.
 const readBufferSize = 4 << 10
 
-// bodyReader reads a request's body from its client into a bounded window, from which another goroutine takes it. While the window
-// is full, the rest stays with the client.
+// bodyReader reads a request body from the client into a bounded window, from which another goroutine takes it. While the window
+// is full, nothing more is read from the client.
 type bodyReader struct {
 	conn             net.Conn
 	framing          packet.Framing
@@ -27,21 +27,21 @@
 	idleTimeout      time.Duration
 	windowSize       int  // bytes
 	halfCloseCancels bool // a client that ends its sending side counts as disconnected
-	reading          bool // start was called; used by the front's goroutine only
-	buffered         bool // the body was handed over apart from this; set before the pool gets the request
+	started          bool // start was called; accessed by the front's goroutine only
+	buffered         bool // the body is passed to the pool separately; set before the pool gets the request
 
 	mu         sync.Mutex
 	changed    *sync.Cond
-	window     []byte // received and not taken
-	replay     []byte // taken, as long as all of it fits in windowSize: a retry sends it again
-	replayLost bool   // replay no longer has all that was taken
-	received   int64  // bytes of the body so far, framing included
+	window     []byte // received and not taken yet
+	replay     []byte // taken and kept for a retry, as long as all of it fits in windowSize
+	replayLost bool   // replay no longer holds everything that was taken
+	received   int64  // bytes of the body so far, including its framing
 	chunks     packet.ChunkScanner
 	complete   bool
 	err        error
 
 	ended        chan struct{} // closed when the client has failed or stop was called: err is set
-	trailing     chan struct{} // closed when bytes came after the body
+	trailing     chan struct{} // closed when bytes arrived after the body
 	trailingOnce sync.Once
 	readerDone   chan struct{} // closed when the reading goroutine has ended
 }
@@ -54,13 +54,13 @@
 	return b
 }
 
-// start begins to read the body in a goroutine of its own.
+// start starts a goroutine that reads the body.
 func (b *bodyReader) start() {
-	b.reading = true
+	b.started = true
 	go b.readLoop()
 }
 
-// readLoop reads until the client has failed or stop is called. It is the only reader of the connection.
+// readLoop reads until the client fails or stop is called. It is the only reader of the connection.
 func (b *bodyReader) readLoop() {
 	defer close(b.readerDone)
 	buf := make([]byte, readBufferSize)
@@ -95,8 +95,8 @@
 	}
 }
 
-// waitForWindow blocks until the window has room, and sets the deadline of the next read. It returns how many bytes may be read, at
-// most maxRead, and whether the body is complete.
+// waitForWindow blocks until the window has room, and sets the deadline for the next read. It returns the number of bytes that may
+// be read, at most maxRead, and whether the body is complete.
 func (b *bodyReader) waitForWindow(maxRead int) (n int, complete bool, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,16 +106,16 @@
 	if b.err != nil {
 		return 0, false, b.err
 	}
-	deadline := time.Time{} // after the body a client may be silent until it is answered
+	deadline := time.Time{} // after the body, a client may be silent until it gets its response
 	if !b.complete {
 		maxRead = min(maxRead, max(1, b.windowSize-len(b.window)))
 		deadline = time.Now().Add(b.idleTimeout)
 	}
-	// With the lock held: the deadline that stop sets must not be undone.
+	// The lock must be held here, so that the deadline set by stop is not overwritten.
 	return maxRead, b.complete, b.conn.SetReadDeadline(deadline)
 }
 
-// append takes received bytes into the window. It returns how many of them belong to the body; the caller holds mu.
+// append adds received bytes to the window and returns how many of them belong to the body. The caller must hold mu.
 func (b *bodyReader) append(received []byte) (n int, err error) {
 	n = len(received)
 	if b.framing.Chunked {
@@ -135,12 +135,12 @@
 	return n, nil
 }
 
-// reportTrailing notes that bytes came after the body: others on the way may take them for another request.
+// reportTrailing records that bytes arrived after the body. An intermediary may take them for another request.
 func (b *bodyReader) reportTrailing() {
 	b.trailingOnce.Do(func() { close(b.trailing) })
 }
 
-// readEnded notes that nothing more will come from the client.
+// readEnded handles the end of the client's input.
 func (b *bodyReader) readEnded(err error, complete bool) {
 	b.mu.Lock()
 	complete = complete || b.complete
@@ -149,13 +149,13 @@
 	case !complete && errors.Is(err, io.EOF):
 		b.fail(errBodyTruncated)
 	case complete && errors.Is(err, io.EOF) && !b.halfCloseCancels:
-		// It has ended its sending side, and may still read the response.
+		// The client has ended its sending side, and may still read the response.
 	default:
 		b.fail(err)
 	}
 }
 
-// fail ends the body with an error. Only the first one counts.
+// fail ends the body with an error. Only the first error is kept.
 func (b *bodyReader) fail(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -167,21 +167,21 @@
 	close(b.ended)
 }
 
-// failure returns the error that ended the body; nil while none has.
+// failure returns the error that ended the body, or nil if there was none.
 func (b *bodyReader) failure() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.err
 }
 
-// clientFailed says whether the client has disconnected, or sent a malformed or oversize body; that the front has called stop is
-// neither.
+// clientFailed reports whether the client has disconnected, or has sent a malformed or oversize body. A call of stop does not
+// count.
 func (b *bodyReader) clientFailed() bool {
 	err := b.failure()
 	return err != nil && !errors.Is(err, net.ErrClosed)
 }
 
-// readAll waits for the complete body and returns it.
+// readAll waits for the complete body and returns it. It fails after the timeout.
 func (b *bodyReader) readAll(timeout time.Duration) ([]byte, error) {
 	timer := time.AfterFunc(timeout, func() { b.fail(os.ErrDeadlineExceeded) })
 	defer timer.Stop()
@@ -196,7 +196,7 @@
 	return b.window, nil
 }
 
-// rewind puts what was taken back into the window. It returns false where some of it is no longer buffered.
+// rewind puts all bytes that were taken back into the window. It returns false if some of them are no longer buffered.
 func (b *bodyReader) rewind() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -208,15 +208,15 @@
 	return true
 }
 
-// replayable says whether a retry could send all of the body.
+// replayable reports whether a retry could send the whole body.
 func (b *bodyReader) replayable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.replayLost
 }
 
-// copyTo writes the body to a server as it comes, until it is complete or stop is closed. A slow server slows the client down and
-// takes no memory.
+// copyTo writes the body to a server as it arrives, until it is complete or stop is closed. A slow server slows down the client
+// instead of taking memory.
 func (b *bodyReader) copyTo(server net.Conn, writeTimeout time.Duration, stop <-chan struct{}) error {
 	done := make(chan struct{})
 	defer close(done)
@@ -248,7 +248,7 @@
 	}
 }
 
-// take waits until there is something in the window, the body has ended or stop is closed, and empties the window.
+// take waits until the window is not empty, the body has ended or stop is closed, and then empties the window.
 func (b *bodyReader) take(stop <-chan struct{}) (data []byte, complete bool, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -267,16 +267,16 @@
 	return data, b.complete, b.err
 }
 
-// stop ends the reading, and says whether the client may have sent bytes that were not read.
+// stop stops reading, and reports whether the client may have sent bytes that were not read.
 func (b *bodyReader) stop() (unread bool) {
-	if !b.reading {
+	if !b.started {
 		return !b.complete
 	}
 	b.mu.Lock()
 	unread = !b.complete
 	b.mu.Unlock()
 	b.fail(net.ErrClosed)
-	_ = b.conn.SetReadDeadline(time.Now()) // where that fails the connection is closed already
+	_ = b.conn.SetReadDeadline(time.Now()) // an error means that the connection is closed already
 	<-b.readerDone
 	return unread || isClosed(b.trailing)
 }
--- a/internal/frontend/uwsgi/clientconn.go
+++ b/internal/frontend/uwsgi/clientconn.go
@@ -10,27 +10,27 @@
 	"sloehitch/internal/frontend/gracefulclose"
 )
 
-// evictedCloseDivisor divides limits.CloseTimeout for a connection that was evicted from its slot.
+// evictedCloseDivisor divides limits.CloseTimeout for connections that were evicted from their slots.
 const evictedCloseDivisor = 10
 
-// clientConn is a client's connection until its request has been read. What arrives while the process stands still past a
+// clientConn is a client's connection until its request has been read. Data that arrived while the process was paused past a
 // deadline is still read.
 type clientConn struct {
 	net.Conn
 
 	mu      sync.Mutex
-	evicted bool // its slot was given to another connection
+	evicted bool // the slot was given to another connection
 }
 
-// evict ends the reading of the request with what has arrived. It may be called from any goroutine.
+// evict ends the reading of the request, apart from data that has already arrived. It may be called from any goroutine.
 func (c *clientConn) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.evicted = true
-	_ = c.SetReadDeadline(time.Now()) // wakes the reader; one whose connection is closed is awake
+	_ = c.SetReadDeadline(time.Now()) // wakes the reader; an error means that the connection is closed, which wakes it too
 }
 
-// setReadDeadline sets the time by which the request must have come; an evicted connection has none left.
+// setReadDeadline sets the time by which the request must have arrived. On an evicted connection that is the current time.
 func (c *clientConn) setReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +46,7 @@
 	return c.evicted
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. After the deadline it still returns data that has already arrived.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/frontend/uwsgi/clientconn_test.go
+++ b/internal/frontend/uwsgi/clientconn_test.go
@@ -12,18 +12,19 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestEvictedConnection: a client's request arrives while the process stands still, and its connection is evicted before the request is read. A
-// complete request is rejected with 503; a client that has sent nothing or half a request gets no response.
-func TestEvictedConnection(t *testing.T) {
-	request, err := packet.AppendRequest(nil, 0, 0, at("/", length(0)))
+// TestEvictedConnectionWithCompleteRequestGets503 checks connections that are evicted before their request is read, as happens if
+// the request arrives while the process is paused. A complete request is rejected with 503; an incomplete or empty one gets no
+// response.
+func TestEvictedConnectionWithCompleteRequestGets503(t *testing.T) {
+	request, err := packet.AppendRequest(nil, 0, 0, requestVars("/", contentLength(0)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := string(request)
+	packetBytes := string(request)
 	for _, c := range []struct{ name, sent, want string }{
-		{"a whole request", whole, "HTTP/1.1 503"},
-		{"half of one", whole[:len(whole)/2], ""},
-		{"nothing", "", ""},
+		{"complete request", packetBytes, "HTTP/1.1 503"},
+		{"half a request", packetBytes[:len(packetBytes)/2], ""},
+		{"no data", "", ""},
 	} {
 		r := newHarness(t, nil, func(o *Options, p *PoolOptions) { o.Limits.MessageTimeout = standin.WaitTimeout })
 		ln := standin.Listen(t)
@@ -32,22 +33,22 @@
 			t.Fatal(err)
 		}
 		defer client.Close()
-		ours, err := ln.Accept()
+		accepted, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &clientConn{Conn: ours}
-		seat := r.slots.Acquire(k.evict)
+		conn := &clientConn{Conn: accepted}
+		slot := r.slots.Acquire(conn.evict)
 		if _, err := io.WriteString(client, c.sent); err != nil {
 			t.Fatal(err)
 		}
-		seat.Release()
-		k.evict()
+		slot.Release()
+		conn.evict()
 		served := make(chan struct{})
 		go func() {
 			defer close(served)
-			defer ours.Close()
-			r.serveConnection(k, seat, "")
+			defer accepted.Close()
+			r.serveConnection(conn, slot, "")
 		}()
 		if err := client.SetReadDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 			t.Fatal(err)
@@ -61,19 +62,19 @@
 	}
 }
 
-// TestIdleConnectionsAreEvicted: idle connections are evicted for new ones, and closed.
+// TestIdleConnectionsAreEvicted checks that idle connections are evicted to make room for new ones, and closed.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	r := newHarness(t, nil, func(o *Options, p *PoolOptions) {
 		o.Limits = limits.For(64, 256)
 		o.Limits.UwsgiConnections, o.Limits.NewConnectionGrace = 2, time.Millisecond
 	})
-	var callers []net.Conn
+	var clients []net.Conn
 	for range 20 {
-		callers = append(callers, r.dial(t))
+		clients = append(clients, r.dial(t))
 	}
-	for i, c := range callers[:18] {
+	for i, c := range clients[:18] {
 		if got, _ := io.ReadAll(c); len(got) > 0 {
-			t.Errorf("caller %d, that said nothing, got %q", i, got)
+			t.Errorf("idle client %d got %q, want no data", i, got)
 		}
 	}
 }
--- a/internal/frontend/uwsgi/conformance_test.go
+++ b/internal/frontend/uwsgi/conformance_test.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/testing/standin"
 )
 
-// TestConformance: the front passes the suite, with a right server below it.
+// TestConformance runs the conformance suite against the front, with a correct server behind it.
 func TestConformance(t *testing.T) {
 	r := newHarness(t, []string{standin.NewEcho(t, "").Address}, nil)
 	e, err := endpoint.Parse(r.address)
@@ -22,8 +22,8 @@
 		if err := conformance.Table(&b, results, false); err != nil {
 			t.Fatal(err)
 		}
-		counts, hand, keys := r.node.Totals()
-		t.Errorf("%s\ncore %+v, %d in hand, %d keys; front %+v; servers %+v", b.String(), counts, hand, keys, r.Totals(), r.pool.Servers())
+		counts, inFlight, keys := r.node.Totals()
+		t.Errorf("%s\nnode %+v, %d in flight, %d keys; front %+v; servers %+v", b.String(), counts, inFlight, keys, r.Totals(), r.pool.Servers())
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 })
+	standin.WaitFor(t, "all connections and requests have ended", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 })
 }
--- a/internal/frontend/uwsgi/front.go
+++ b/internal/frontend/uwsgi/front.go
@@ -1,8 +1,9 @@
-// Package uwsgi speaks the uwsgi protocol on both sides: Front serves clients, Pool sends their requests to uwsgi servers. Package
-// packet reads and writes the protocol's bytes, package balancer decides which server gets a request and whether it is retried.
+// Package uwsgi implements both sides of the uwsgi protocol: Front serves clients, and Pool sends their requests to uwsgi servers.
+// Package packet parses and encodes the protocol's packets; package balancer decides which server gets a request and whether the
+// request is retried.
 //
-// A connection carries one request. serve.go reads it, submit.go has the node answer it; the node starts it on the pool (run.go),
-// which makes one or more attempts (attempt.go). docs/uwsgi.md describes the protocol as it is spoken here.
+// A connection carries one request. serve.go reads the request and submit.go submits it to the node, which runs it on the pool
+// (run.go) in one or more attempts (attempt.go). docs/uwsgi.md describes how the protocol is implemented here.
 package uwsgi
 
 import (
@@ -21,15 +22,15 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Core is what the front needs of the node.
+// Core is the part of the node that the front uses.
 type Core interface {
 	Submit(q node.Request, reply func(node.Response))
 	Cancel(id string)
 	BeginResponse(id string) bool
 }
 
-// Mapper classifies a request by its variables. It fills in class, tenant, key and hints, and returns 0, or the HTTP status with
-// which the request is rejected before it reaches the node.
+// Mapper classifies a request by its variables. It sets the class, tenant, key and hints, and returns 0, or the HTTP status with
+// which the request is rejected without being submitted to the node.
 type Mapper interface {
 	Map(get func(name string) string, q *node.Request) (status int)
 }
@@ -39,32 +40,32 @@
 	Core                  Core
 	Mapper                Mapper
 	Pool                  *Pool
-	Idempotent            func(class int) bool // whether requests of the class may run twice
-	Healthy               func() bool          // whether pings are answered; nil: always
-	Modifiers             []byte               // modifier1 of the requests that are served; nil: 0 only
-	DeadlineVariable      string               // in which a client says how many milliseconds it waits; empty: none
-	HalfCloseCancels      bool                 // a client that ends its sending side counts as disconnected
-	MaxConnectionsPerHost int                  // 0: no limit but that of all connections
-	MaxBodyBytes          int64                // of a body that is streamed
-	OnRequestDone         func(RequestTimes)   // called after each request that was submitted; nil: not called. It must not block
+	Idempotent            func(class int) bool // whether requests of the class may run more than once
+	Healthy               func() bool          // whether to answer pings; nil: always
+	Modifiers             []byte               // values of modifier1 that are served; nil: only 0
+	DeadlineVariable      string               // variable with the client's timeout in milliseconds; empty: none
+	HalfCloseCancels      bool                 // treat a client that ends its sending side as disconnected
+	MaxConnectionsPerHost int                  // 0: limited only by the total number of connections
+	MaxBodyBytes          int64                // of a streamed request body
+	OnRequestDone         func(RequestTimes)   // called after each submitted request unless nil; must not block
 	Limits                limits.Limits
 	Log                   *slog.Logger
 }
 
-// Counts are totals since the start. The log shows them under these names.
+// Counts are totals since the start. They are logged under these names, which must not change.
 type Counts struct {
 	Read      int // requests that were read
 	Malformed int // requests rejected as malformed
 	Oversize  int // requests rejected as too large
-	Slow      int // requests that were not complete in time
-	Left      int // clients that disconnected before their response
+	Slow      int // requests that were not received completely in time
+	Left      int // clients that disconnected before they got a response
 	Crowded   int // connections and requests rejected for lack of capacity
 	Pings     int
-	Streamed  int // responses that were streamed to their end
-	Broken    int // responses that ended in a reset
+	Streamed  int // responses that were streamed completely
+	Broken    int // responses that were truncated by a reset
 }
 
-// Front serves uwsgi clients, one request on each connection. Its methods are safe for concurrent use.
+// Front serves uwsgi clients, one request per connection. Its methods are safe for concurrent use.
 type Front struct {
 	opts     Options
 	log      *lograte.Logger
@@ -78,7 +79,7 @@
 	reservedBodyBytes int
 }
 
-// New returns a front that serves nothing yet.
+// New returns a front. Serve starts serving.
 func New(o Options) *Front {
 	if o.Modifiers == nil {
 		o.Modifiers = []byte{0}
@@ -95,8 +96,8 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors for a moment
-			f.log.Warn("accept failed", err)
+		if err != nil { // usually a temporary lack of descriptors
+			f.log.Warn("cannot accept uwsgi connection", err)
 			time.Sleep(f.opts.Limits.MinBackoff)
 			continue
 		}
@@ -104,7 +105,7 @@
 	}
 }
 
-// admitConnection serves a connection in a goroutine of its own, or closes it where there are too many.
+// admitConnection serves a connection in a new goroutine, or closes it if there are too many.
 func (f *Front) admitConnection(conn net.Conn) {
 	host := hostOf(conn)
 	if !f.addConnection(host) {
@@ -127,7 +128,7 @@
 	}()
 }
 
-// addConnection counts a connection of a host, unless it has too many.
+// addConnection counts a connection of a host. It returns false if the host has too many connections.
 func (f *Front) addConnection(host string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +164,7 @@
 	add(&f.counts)
 }
 
-// nextRequestID returns an id that no other request of any process has.
+// nextRequestID returns an id that is unique across processes.
 func (f *Front) nextRequestID() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,7 +172,8 @@
 	return f.idPrefix + strconv.FormatUint(f.lastID, 10)
 }
 
-// reserveBody takes n bytes of the budget for bodies, and says whether there were so many; a negative n gives bytes back.
+// reserveBody reserves n bytes of the budget for request bodies, and reports whether they were available. A negative n releases
+// bytes.
 func (f *Front) reserveBody(n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,13 +184,13 @@
 	return true
 }
 
-// clientTimeout returns how long the client waits, or 0 where it doesn't say.
+// clientTimeout returns the client's timeout, or 0 if the request has none.
 func (f *Front) clientTimeout(vars packet.Vars) time.Duration {
 	if f.opts.DeadlineVariable == "" {
 		return 0
 	}
 	ms, err := strconv.ParseInt(vars.Get(f.opts.DeadlineVariable), 10, 32)
-	if err != nil || ms <= 0 { // a hint that can't be read is ignored
+	if err != nil || ms <= 0 { // an invalid timeout is ignored
 		return 0
 	}
 	return time.Duration(ms) * time.Millisecond
--- a/internal/frontend/uwsgi/harness_test.go
+++ b/internal/frontend/uwsgi/harness_test.go
@@ -18,7 +18,7 @@
 	"sloehitch/logic"
 )
 
-// mapper knows three paths: one for reads, one for keyed requests, one for writes that are neither.
+// mapper maps three paths to classes: idempotent reads, keyed requests, and writes that are not idempotent.
 type mapper struct{}
 
 const (
@@ -50,13 +50,13 @@
 	limits  limits.Limits
 }
 
-// newHarness starts one. Changes are made before.
+// newHarness starts a harness whose node has 16 cores. change, if not nil, adjusts the options first.
 func newHarness(t testing.TB, servers []string, change func(o *Options, p *PoolOptions)) *harness {
 	t.Helper()
 	return newHarnessOn(t, 16, servers, change)
 }
 
-// newHarnessOn starts one whose node has so many cores.
+// newHarnessOn starts a harness whose node has the given number of cores.
 func newHarnessOn(t testing.TB, cores int, servers []string, change func(o *Options, p *PoolOptions)) *harness {
 	t.Helper()
 	lim := limits.For(64, 256)
@@ -70,13 +70,13 @@
 	if change != nil {
 		change(&o, &po)
 	}
-	g, err := admission.New(cfg, admission.Options{Clock: clock.System{}})
+	controller, err := admission.New(cfg, admission.Options{Clock: clock.System{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := node.New(node.Options{Settings: cfg, Admission: g, Clock: clock.System{}, Limits: o.Limits, Log: standin.DiscardLogger})
+	n := node.New(node.Options{Settings: cfg, Admission: controller, Clock: clock.System{}, Limits: o.Limits, Log: standin.DiscardLogger})
 	go n.Run()
-	t.Cleanup(g.Close)
+	t.Cleanup(controller.Close)
 	po.Limits = o.Limits
 	p := NewPool(po)
 	if err := p.SetServers(servers); err != nil {
@@ -104,30 +104,30 @@
 	return c
 }
 
-// request plays a client and returns all that it gets, and how it ended.
+// request runs a script as a client. It returns everything that the client received, and the error that ended the connection.
 func (r *harness) request(t testing.TB, s standin.Script) (string, error) {
 	t.Helper()
 	c := r.dial(t)
-	before, err := s.Play(c)
+	head, err := s.Play(c)
 	if err != nil {
-		return string(before), err
+		return string(head), err
 	}
 	rest, err := io.ReadAll(c)
-	return string(before) + string(rest), err
+	return string(head) + string(rest), err
 }
 
-func at(path string, more ...[2]string) [][2]string {
-	return append([][2]string{{"REQUEST_METHOD", "POST"}, {"PATH_INFO", path}}, more...)
+func requestVars(path string, extra ...[2]string) [][2]string {
+	return append([][2]string{{"REQUEST_METHOD", "POST"}, {"PATH_INFO", path}}, extra...)
 }
 
-func length(n int) [2]string { return [2]string{"CONTENT_LENGTH", fmt.Sprint(n)} }
+func contentLength(n int) [2]string { return [2]string{"CONTENT_LENGTH", fmt.Sprint(n)} }
 
-var chunked = [2]string{"HTTP_TRANSFER_ENCODING", "chunked"}
+var chunkedEncoding = [2]string{"HTTP_TRANSFER_ENCODING", "chunked"}
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// reply is a server that reads a request to its end and answers.
-func reply(end, response string) standin.Script {
+// reply returns a server's script that reads up to the given end of a request and responds.
+func replyAfter(end, response string) standin.Script {
 	return standin.Script{{Until: end}, {Send: response}}
 }
 
--- a/internal/frontend/uwsgi/pool.go
+++ b/internal/frontend/uwsgi/pool.go
@@ -15,7 +15,7 @@
 	"sloehitch/logic"
 )
 
-// Events receives the ends of runs.
+// Events is notified of the end of each run.
 type Events interface {
 	RunEnded(id string, o admission.Outcome, took time.Duration, result []byte)
 }
@@ -23,16 +23,16 @@
 // PoolOptions configure a pool.
 type PoolOptions struct {
 	Balancer   balancer.Config
-	Seed       uint64         // of the balancer's random numbers
-	Keys       *tlskeys.Keys  // for servers with TLS; nil: the system's authorities, no certificate of our own
-	ServerName string         // that the servers' certificates must have; empty: the address's host
-	OnRunDone  func(RunTimes) // called after each run; nil: not called. It must not block
+	Seed       uint64         // for the balancer's random numbers
+	Keys       *tlskeys.Keys  // for TLS to servers; nil: the system's certificate authorities, and no client certificate
+	ServerName string         // expected in the servers' certificates; empty: the host of the address
+	OnRunDone  func(RunTimes) // called after each run unless nil; must not block
 	Limits     limits.Limits
 	Log        *slog.Logger
 }
 
-// Pool runs requests on uwsgi servers. It is a runner for the node; package balancer decides which server gets a request. Its
-// methods are safe for concurrent use and don't block on the network.
+// Pool runs requests on uwsgi servers, on behalf of the node. Package balancer decides which server gets a request. Its methods are
+// safe for concurrent use and don't block on the network.
 type Pool struct {
 	opts   PoolOptions
 	log    *lograte.Logger
@@ -40,31 +40,32 @@
 
 	mu        sync.Mutex
 	balancer  *balancer.Balancer
-	endpoints map[string]endpoint.Endpoint // by name, draining servers included
-	requests  map[string]*clientRequest    // read by the front, not started yet
+	endpoints map[string]endpoint.Endpoint // by name, including draining servers
+	requests  map[string]*clientRequest    // submitted by the front and not started yet
 	runs      map[string]*run
-	waiters   map[string]chan string // receive the server that a queued run gets, or "" for none
+	waiters   map[string]chan string // by run; each receives the server assigned to a queued run, or "" for none
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// NewPool returns a pool without servers. Serve must be called before it gets work.
+// NewPool returns a pool without servers. Serve must be called before Start.
 func NewPool(o PoolOptions) *Pool {
 	return &Pool{opts: o, log: lograte.New(o.Log, o.Limits.LogInterval), balancer: balancer.New(o.Balancer, o.Seed),
 		endpoints: map[string]endpoint.Endpoint{}, requests: map[string]*clientRequest{}, runs: map[string]*run{},
 		waiters: map[string]chan string{}, closed: make(chan struct{})}
 }
 
-// Serve sets the receiver of the ends of runs, and begins to maintain the queue and probe ejected servers until Close.
+// Serve sets the receiver of events, and starts to maintain the queue and to probe ejected servers until Close.
 func (p *Pool) Serve(events Events) {
 	p.events = events
 	go p.maintain()
 }
 
-// Close ends what Serve began. Runs go on.
+// Close stops the maintenance that Serve started. Runs in progress continue.
 func (p *Pool) Close() { p.closeOnce.Do(func() { close(p.closed) }) }
 
-// SetServers replaces the list of servers. Runs on servers no longer listed go on. With an invalid address nothing changes.
+// SetServers replaces the list of servers. Runs on servers that are no longer listed continue. If an address is invalid, the list
+// stays unchanged.
 func (p *Pool) SetServers(addresses []string) error {
 	names := make([]string, 0, len(addresses))
 	endpoints := map[string]endpoint.Endpoint{}
@@ -96,27 +97,28 @@
 	return p.balancer.Servers(time.Now())
 }
 
-// expect takes a request before it is submitted to the node, which may start it at once.
-func (p *Pool) expect(id string, request *clientRequest) {
+// expect registers a request. It must be called before the request is submitted to the node, which may start it immediately.
+func (p *Pool) addRequest(id string, request *clientRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests[id] = request
 }
 
-// forget drops a request that was not started.
-func (p *Pool) forget(id string) {
+// forget removes a request that was not started.
+func (p *Pool) removeRequest(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.requests, id)
 }
 
-// Start runs a request. body is all that follows the packet's head where the request is buffered.
+// Start starts a run of a request. If the request is buffered, body is everything that follows the packet's head, including chunk
+// framing.
 func (p *Pool) Start(id, _ string, body []byte, _ bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	request := p.requests[id]
 	delete(p.requests, id)
-	if request == nil { // its client has just disconnected, and it isn't buffered
+	if request == nil { // the client has just disconnected, and the request isn't buffered
 		go p.events.RunEnded(id, logic.OutcomeNotStarted, 0, nil)
 		return
 	}
@@ -127,7 +129,7 @@
 	go p.run(ctx, r)
 }
 
-// Stop cancels a run whose response is no longer wanted.
+// Stop cancels a run whose response is no longer needed.
 func (p *Pool) Stop(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,11 +138,11 @@
 	}
 }
 
-// Resume does nothing: uwsgi runs neither pause nor make calls of their own.
+// Resume does nothing, because uwsgi runs neither pause nor make calls.
 func (p *Pool) Resume(string) {}
 
-// DeliverReply does nothing, as Resume.
+// DeliverReply does nothing, because uwsgi runs make no calls.
 func (p *Pool) DeliverReply(string, []byte) {}
 
-// SkipCall does nothing, as Resume.
+// SkipCall does nothing, because uwsgi runs make no calls.
 func (p *Pool) SkipCall(string, uint64) {}
--- a/internal/frontend/uwsgi/probe.go
+++ b/internal/frontend/uwsgi/probe.go
@@ -46,8 +46,8 @@
 	p.deliver(p.balancer.ReportProbe(time.Now(), server, err == nil))
 }
 
-// ping returns nil if a server answers a ping. A server that takes the connection and closes it may not implement pings, but is
-// up; one that takes it and sends nothing is not.
+// ping returns nil if a server answers a ping, or closes the connection without an answer: such a server may not implement pings,
+// but is up. A server that accepts the connection and sends nothing fails the ping.
 func (p *Pool) ping(ctx context.Context, e endpoint.Endpoint) error {
 	conn, err := e.Dial(ctx, p.opts.Keys, p.opts.ServerName)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return err
 }
 
-// closedByServer says whether an error means that the other end closed the connection.
+// closedByServer reports whether an error means that the server closed the connection.
 func closedByServer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/frontend/uwsgi/reject.go
+++ b/internal/frontend/uwsgi/reject.go
@@ -9,7 +9,7 @@
 	"sloehitch/internal/frontend/uwsgi/packet"
 )
 
-// rejectInput answers what could not be read as a request, counts it and logs it at a limited rate.
+// rejectInput responds to input that is not a valid request, counts it, and logs it at a limited rate.
 func (f *Front) rejectInput(conn net.Conn, err error) {
 	status := 0
 	f.count(func(n *Counts) {
@@ -24,7 +24,7 @@
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			status = http.StatusRequestTimeout
 			n.Slow++
-		default: // the client disconnected before its request was complete: it needs no response
+		default: // the client disconnected before its request was complete, and needs no response
 			n.Left++
 		}
 	})
@@ -36,13 +36,13 @@
 	gracefulClose(conn, f.opts.Limits.CloseTimeout)
 }
 
-// rejectBody is rejectInput for what was found while the body was read.
+// rejectBody is like rejectInput, for an error that was found while the body was read.
 func (f *Front) rejectBody(conn net.Conn, body *bodyReader, err error) {
 	body.stop()
 	f.rejectInput(conn, err)
 }
 
-// rejectEvicted answers a request whose connection has lost its slot.
+// rejectEvicted responds to a request whose connection was evicted from its slot.
 func (f *Front) rejectEvicted(conn net.Conn) {
 	f.count(func(n *Counts) { n.Crowded++ })
 	f.write(conn, statusResponse(http.StatusServiceUnavailable, f.opts.Limits.RejectedRetryAfter))
--- a/internal/frontend/uwsgi/request.go
+++ b/internal/frontend/uwsgi/request.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// clientRequest is a request between the front that read it and the pool that sends it to a server. The front fills it in, hands
-// it over and waits for the node's response; the pool reads the body out of it and may write the response to the client.
+// clientRequest is a request that the front passes to the pool. The front initializes it and waits for the node's response; the
+// pool reads the body from it, and may write the response to the client.
 type clientRequest struct {
-	head          []byte // the packet's header and variables, as they came
-	headOnly      bool   // HEAD: the response has no body
+	head          []byte // the packet's header and variables, as received
+	headOnly      bool   // the method is HEAD, so the response has no body
 	idempotent    bool
-	streamable    bool // its response need not be buffered
+	streamable    bool // the response need not be buffered
 	deadline      time.Time
 	body          *bodyReader
 	client        net.Conn
-	beginResponse func() bool // asks the node whether the response may be sent to the client now
+	beginResponse func() bool // asks the node whether sending the response to the client may begin
 
 	mu              sync.Mutex
 	responseStarted bool
-	runTimes        RunTimes // once the run has ended
+	runTimes        RunTimes // set when the run has ended
 }
 
 func (r *clientRequest) setRunTimes(t RunTimes) {
@@ -35,7 +35,7 @@
 	return r.runTimes
 }
 
-// startResponse says whether the response may be sent to the client from now on.
+// startResponse asks the node for permission to send the response to the client, and reports whether it was given.
 func (r *clientRequest) startResponse() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,8 +43,8 @@
 	return r.responseStarted
 }
 
-// hasStartedResponse says whether part of the response may have been sent to the client. Once the node has answered the request,
-// that can't change.
+// hasStartedResponse reports whether part of the response may have been sent to the client. The result no longer changes once the
+// node has answered the request.
 func (r *clientRequest) hasStartedResponse() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/frontend/uwsgi/response.go
+++ b/internal/frontend/uwsgi/response.go
@@ -11,63 +11,63 @@
 	"sloehitch/internal/node"
 )
 
-// maxDiscardedBytes bounds what gracefulClose reads and discards.
+// maxDiscardedBytes limits the number of bytes that gracefulClose reads and discards.
 const maxDiscardedBytes = 16 << 20
 
-// writeResponse writes a complete response and ends the connection. body is nil where the request's body was not read.
+// writeResponse writes a complete response and ends the connection. body is nil if the request body was not read.
 func (f *Front) writeResponse(conn net.Conn, body *bodyReader, response []byte) {
 	if !f.write(conn, response) {
 		return
 	}
 	if body == nil {
-		gracefulClose(conn, f.opts.Limits.CloseTimeout) // the body may be on its way
+		gracefulClose(conn, f.opts.Limits.CloseTimeout) // the body may still be in transit
 		return
 	}
 	f.closeAfterResponse(conn, body)
 }
 
-// closeAfterResponse ends a connection whose response is complete. A client that is still sending must be able to read it first.
+// closeAfterResponse ends a connection whose response is complete. A client that is still sending gets time to read the response.
 func (f *Front) closeAfterResponse(conn net.Conn, body *bodyReader) {
 	if body.stop() {
 		gracefulClose(conn, f.opts.Limits.CloseTimeout)
 	}
 }
 
-// write writes to a client, and says whether that worked.
+// write writes to a client, and reports whether that succeeded.
 func (f *Front) write(conn net.Conn, b []byte) bool {
 	if err := conn.SetWriteDeadline(time.Now().Add(f.opts.Limits.WriteTimeout)); err != nil {
 		return false
 	}
 	if _, err := conn.Write(b); err != nil {
-		f.opts.Log.Debug("could not write the uwsgi response", "error", err)
+		f.opts.Log.Debug("cannot write uwsgi response to client", "error", err)
 		return false
 	}
 	return true
 }
 
-// gracefulClose ends the sending side and discards what the client still sends, for at most a timeout: a connection that is closed
-// with bytes unread is reset, and the reset may overtake the response. The caller still has to close the connection.
+// gracefulClose ends the sending side and discards what the client still sends, until the timeout. Closing a connection with unread
+// bytes resets it, and the reset may overtake the response. The caller must still close the connection.
 func gracefulClose(conn net.Conn, timeout time.Duration) {
 	half, ok := conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil || conn.SetReadDeadline(time.Now().Add(timeout)) != nil {
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxDiscardedBytes)) // how it ends makes no difference
+	_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxDiscardedBytes)) // the error is irrelevant, since the connection is closed next
 }
 
-// reset closes a connection so that its client can tell that the response is not complete: with a reset where a regular close would
-// mark its end. A Unix socket has no reset; there a response that ends at the close can't be told from a complete one.
+// reset closes a connection with a TCP reset, so that the client can tell that the response is not complete: a regular close may
+// mark the end of a response. A Unix socket has no reset, so there a truncated response that ends at the close looks complete.
 func reset(conn net.Conn) {
 	if t, ok := conn.(*tls.Conn); ok {
-		conn = t.NetConn() // without TLS's close_notify
+		conn = t.NetConn() // bypasses TLS, which would send close_notify
 	}
 	if t, ok := conn.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // where that fails the connection is closed already
+		_ = t.SetLinger(0) // an error means that the connection is closed already
 	}
 	conn.Close()
 }
 
-// responseBytes turns the node's answer into the bytes of a response.
+// responseBytes encodes the node's answer as an HTTP response.
 func responseBytes(a node.Response) []byte {
 	switch {
 	case a.Status == node.StatusServed:
@@ -82,7 +82,8 @@
 	return statusResponse(http.StatusBadGateway, 0)
 }
 
-// statusResponse returns a short response of our own. A 503 carries Retry-After in whole seconds, at least 1.
+// statusResponse returns an HTTP response with only a status text as its body. A 503 has a Retry-After in whole seconds, at least
+// 1.
 func statusResponse(status int, retryAfter time.Duration) []byte {
 	text := http.StatusText(status) + "\n"
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n",
--- a/internal/frontend/uwsgi/run.go
+++ b/internal/frontend/uwsgi/run.go
@@ -10,28 +10,28 @@
 	"sloehitch/logic"
 )
 
-// The reasons for which a run gets no server.
+// Errors for runs that get no server.
 var (
 	errNoServer   = errors.New("no server is available")
 	errQueueFull  = errors.New("the queue for servers is full")
 	errNoCapacity = errors.New("no server had capacity in time")
 )
 
-// run is a request that was started.
+// run is a request that the node has started on the pool.
 type run struct {
 	id      string
 	request *clientRequest
-	body    []byte // of a buffered request: all that follows the head
+	body    []byte // of a buffered request: everything that follows the head
 	cancel  context.CancelFunc
-	sent    bool     // a server may have got some of it
-	times   RunTimes // used by the run's goroutine only
+	sent    bool     // a server may have received part of the request
+	times   RunTimes // accessed by the run's goroutine only
 }
 
-// run sends a request to one server after the other, until one has responded or no retry is allowed, and reports how it ended.
+// run sends a request to one server after another, until one has responded or no retry is allowed, and reports the outcome.
 func (p *Pool) run(ctx context.Context, r *run) {
 	defer r.cancel()
 	startedAt := time.Now()
-	result, err := p.attemptInTurn(ctx, r)
+	result, err := p.runAttempts(ctx, r)
 	p.mu.Lock()
 	delete(p.runs, r.id)
 	p.mu.Unlock()
@@ -43,8 +43,8 @@
 	p.events.RunEnded(r.id, outcome, time.Since(startedAt), result)
 }
 
-// attemptInTurn makes the attempts of a run. It returns the response of one that was buffered, or the last attempt's error.
-func (p *Pool) attemptInTurn(ctx context.Context, r *run) (result []byte, err error) {
+// runAttempts makes the attempts of a run. It returns the response if it was buffered, or the error of the last attempt.
+func (p *Pool) runAttempts(ctx context.Context, r *run) (result []byte, err error) {
 	var attempted []string
 	for {
 		server, acquireErr := p.acquire(ctx, r, attempted)
@@ -61,14 +61,14 @@
 		if err == nil || !retry {
 			return result, err
 		}
-		p.log.Warn("a uwsgi server failed the request; trying the next one", err)
+		p.log.Warn("uwsgi attempt failed, retrying on another server", err)
 		if !r.request.body.rewind() {
 			return result, err
 		}
 	}
 }
 
-// attemptEnded records an attempt, releases its server, and says whether a retry is allowed.
+// attemptEnded records an attempt, releases its server, and reports whether a retry is allowed.
 func (p *Pool) attemptEnded(ctx context.Context, a *attempt, attempts int, err error) (retry bool) {
 	now := time.Now()
 	if a.times.EndedAt = now; err != nil {
@@ -88,7 +88,7 @@
 		TimeLeft: r.request.deadline.Sub(now)}) == nil
 }
 
-// outcome is what the node is told of a run that ended with err, which is logged where a server is to blame.
+// outcome returns the outcome to report to the node for a run that ended with err. It logs err unless the client caused it.
 func (p *Pool) outcome(ctx context.Context, r *run, err error) admission.Outcome {
 	switch {
 	case err == nil:
@@ -97,16 +97,16 @@
 		p.log.Warn("uwsgi request not sent to any server", err)
 		return logic.OutcomeNotStarted
 	case errors.Is(ctx.Err(), context.Canceled), errors.As(err, new(*bodyError)), errors.Is(err, errClientWrite):
-		// A fault on the client's side says nothing about the servers: counted as a failure, a few bad clients would have the
-		// node shed everybody's requests.
+		// A failure on the client's side does not count against the servers: otherwise a few faulty clients would make the node
+		// shed the requests of all clients.
 		return logic.OutcomeCanceled
-	default: // it may have run
+	default: // the request may have run
 		p.log.Warn("uwsgi request failed", err)
 		return logic.OutcomeFailed
 	}
 }
 
-// acquire gets a server for a run, and waits for one if need be.
+// acquire returns a server for a run, after waiting in the queue if necessary.
 func (p *Pool) acquire(ctx context.Context, r *run, attempted []string) (server string, err error) {
 	p.mu.Lock()
 	server, decision := p.balancer.Acquire(time.Now(), r.id, r.request.deadline, attempted)
@@ -136,7 +136,7 @@
 	}
 }
 
-// cancelWait takes a run out of the queue. A server that was assigned to it just now is released.
+// cancelWait removes a run from the queue, and releases a server that was assigned to the run in the meantime.
 func (p *Pool) cancelWait(id string, wait <-chan string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,12 +149,12 @@
 	}
 }
 
-// deliver hands assigned servers to the runs that wait for them; the caller holds mu.
+// deliver passes assigned servers to the runs that wait for them. The caller must hold mu.
 func (p *Pool) deliver(assignments []balancer.Assignment) {
 	for _, a := range assignments {
 		if wait := p.waiters[a.ID]; wait != nil {
 			delete(p.waiters, a.ID)
-			wait <- a.Server // it has room for the only one that is ever sent
+			wait <- a.Server // does not block: the channel has room for the only value ever sent
 		}
 	}
 }
--- a/internal/frontend/uwsgi/serve.go
+++ b/internal/frontend/uwsgi/serve.go
@@ -17,29 +17,29 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// chunkFramingBytes is room for the chunk framing of a buffered body.
+// chunkFramingBytes is the allowance for chunk framing in the window of a buffered body.
 const chunkFramingBytes = 64 << 10
 
-// errPingAnswered says that the connection carried a ping, which was answered.
+// errPingAnswered says that the connection carried a ping, which needs no further response.
 var errPingAnswered = errors.New("ping")
 
-// message is a packet as it was read, up to its body.
+// message is a packet without its body.
 type message struct {
-	head      []byte // header and variables, as they came
+	head      []byte // header and variables, as received
 	vars      packet.Vars
 	framing   packet.Framing // of the body
 	readAt    time.Time
 	arrivedAt time.Time // by the node's clock
 }
 
-// serveConnection reads one request, has it answered and closes the connection.
+// serveConnection reads one request and serves it.
 func (f *Front) serveConnection(c *clientConn, slot *connlimit.Slot, host string) {
 	conn := c.Conn
 	m, err := f.readMessage(c)
 	if err != nil {
 		return
 	}
-	if !slot.SetState(connlimit.StateActive) { // it was evicted after its request had arrived
+	if !slot.SetState(connlimit.StateActive) { // the connection was evicted after its request had arrived
 		f.rejectEvicted(conn)
 		return
 	}
@@ -54,14 +54,14 @@
 	f.serveRequest(conn, &m, &q)
 }
 
-// readMessage reads a packet up to its body. What can't be served is rejected here.
+// readMessage reads a packet up to its body. It also rejects invalid packets.
 func (f *Front) readMessage(c *clientConn) (m message, err error) {
 	if err := c.setReadDeadline(time.Now().Add(f.opts.Limits.MessageTimeout)); err != nil {
 		return m, err
 	}
 	m.head, m.vars, err = f.readHead(c)
 	if err != nil {
-		if !c.isEvicted() { // else its request is not complete, and needs no response
+		if !c.isEvicted() { // the request of an evicted connection is incomplete here, and needs no response
 			f.rejectInput(c.Conn, err)
 		}
 		return m, err
@@ -74,7 +74,7 @@
 	return m, err
 }
 
-// readHead reads a packet's header and variables. A ping is answered here.
+// readHead reads a packet's header and variables. It also answers pings.
 func (f *Front) readHead(c net.Conn) (head []byte, vars packet.Vars, err error) {
 	var first [packet.HeaderSize]byte
 	if _, err := io.ReadFull(c, first[:]); err != nil {
@@ -84,14 +84,14 @@
 	switch {
 	case h.Modifier1 == packet.Ping && h.Modifier2 == 0 && h.Size == 0:
 		f.count(func(n *Counts) { n.Pings++ })
-		if f.opts.Healthy == nil || f.opts.Healthy() { // else the connection is closed without a byte
+		if f.opts.Healthy == nil || f.opts.Healthy() { // otherwise the connection is closed without a response
 			f.write(c, packet.Pong.Append(nil))
 		}
 		return nil, vars, errPingAnswered
 	case !bytes.Contains(f.opts.Modifiers, []byte{h.Modifier1}):
-		return nil, vars, fmt.Errorf("%w: modifier %d is not served here", packet.ErrMalformed, h.Modifier1)
+		return nil, vars, fmt.Errorf("%w: modifier1 %d is not served", packet.ErrMalformed, h.Modifier1)
 	case h.Size > f.opts.Limits.UwsgiVarBytes:
-		return nil, vars, fmt.Errorf("%w: %d bytes of variables", packet.ErrOversize, h.Size)
+		return nil, vars, fmt.Errorf("%w: the packet has %d bytes of variables", packet.ErrOversize, h.Size)
 	}
 	head = make([]byte, packet.HeaderSize+h.Size)
 	copy(head, first[:])
@@ -105,7 +105,7 @@
 	return head, vars, err
 }
 
-// serveRequest reads the request's body, as far as it must be read before it is submitted, and submits it.
+// serveRequest submits a request to the node. The body of a keyed request is read completely first.
 func (f *Front) serveRequest(conn net.Conn, m *message, q *node.Request) {
 	keyed := q.IdempotencyKey != ""
 	lim, maxBody := f.bodyLimits(keyed)
@@ -119,14 +119,14 @@
 	if m.framing.Length >= 0 {
 		reserved = int(min(m.framing.Length, int64(reserved)))
 	}
-	if !f.reserveBody(reserved) { // rejected while the body is still with the client
+	if !f.reserveBody(reserved) { // rejected before the body is read
 		f.count(func(n *Counts) { n.Crowded++ })
 		f.writeResponse(conn, nil, statusResponse(http.StatusServiceUnavailable, lim.RejectedRetryAfter))
 		return
 	}
 	defer f.reserveBody(-reserved)
 	r.body.start()
-	if keyed { // all attempts with a key must have the same body, so it is compared as a whole
+	if keyed { // requests with the same key must have the same body, so the whole body is needed for comparison
 		body, err := r.body.readAll(lim.MessageTimeout + lim.BodyIdleTimeout)
 		if err != nil {
 			f.rejectBody(conn, r.body, err)
@@ -145,8 +145,8 @@
 		Outcome: outcome, Streamed: r.hasStartedResponse(), Run: r.getRunTimes()})
 }
 
-// bodyLimits returns the limits for a request's body and how many bytes of content it may have. The body of a keyed request is
-// buffered, so its window holds all of it.
+// bodyLimits returns the limits for a request body and its maximum content in bytes. The body of a keyed request is buffered, so
+// its window must hold the whole body.
 func (f *Front) bodyLimits(keyed bool) (lim limits.Limits, maxBody int64) {
 	lim = f.opts.Limits
 	if !keyed {
@@ -165,7 +165,7 @@
 	return host
 }
 
-// callerID numbers a client by its host.
+// callerID derives a caller's number from its host.
 func callerID(host string) int {
 	h := fnv.New32a()
 	h.Write([]byte(host))
--- a/internal/frontend/uwsgi/stream_test.go
+++ b/internal/frontend/uwsgi/stream_test.go
@@ -15,91 +15,98 @@
 
 var closedChan = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// TestBackPressure: while a server takes nothing, no more of a body than the window and the sockets' buffers leaves the client; while a client
-// takes nothing, no more than that of a response leaves the server.
-func TestBackPressure(t *testing.T) {
+// TestSlowServerBoundsBufferedBody checks that while a server reads nothing, no more of a request body than fits in the window
+// and the socket buffers leaves the client.
+func TestSlowServerBoundsBufferedBody(t *testing.T) {
 	const size = 64 << 20
-	hold := make(chan struct{})
-	slow := standin.NewScripted(t, standin.Script{{Wait: hold}})
+	release := make(chan struct{})
+	slow := standin.NewScripted(t, standin.Script{{Wait: release}})
 	r := newHarness(t, []string{slow.Address}, func(o *Options, _ *PoolOptions) {
 		o.MaxBodyBytes = size
 		o.Limits.WriteTimeout, o.Limits.BodyIdleTimeout = time.Hour, time.Hour
 	})
 	c := r.dial(t)
-	if _, err := io.WriteString(c, standin.Packet(t, "", at("/write", length(size))...)); err != nil {
+	if _, err := io.WriteString(c, standin.Packet(t, "", requestVars("/write", contentLength(size))...)); err != nil {
 		t.Fatal(err)
 	}
-	piece := make([]byte, 64<<10) // made here: one for each write would count as heap that the body takes
+	chunk := make([]byte, 64<<10) // allocated once: an allocation per write would count as heap taken by the body
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	sent := 0
-	for sent < size { // until the kernel takes no more for a while: not a proof, but the bound below is one
+	for sent < size { // until the kernel accepts no more for a while, which proves nothing by itself; the heap bound below does
 		if err := c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		n, err := c.Write(piece)
+		n, err := c.Write(chunk)
 		if sent += n; err != nil {
 			break
 		}
 	}
 	runtime.ReadMemStats(&after)
 	if sent == size {
-		t.Error("all of the body left the client")
+		t.Error("the whole body left the client although the server reads nothing")
 	}
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 8<<20 {
-		t.Errorf("%d bytes of heap for a body of which %d were sent", grown, sent)
+	if growth := int64(after.HeapAlloc) - int64(before.HeapAlloc); growth > 8<<20 {
+		t.Errorf("the heap grew by %d bytes for a body of which %d bytes were sent", growth, sent)
 	}
-	close(hold)
+	close(release)
 	c.Close()
-	standin.WaitFor(t, "the connection is over", func() bool { return r.OpenConnections() == 0 })
+	standin.WaitFor(t, "the connection has ended", func() bool { return r.OpenConnections() == 0 })
 }
 
-// TestUploadAndDownload: large bodies are forwarded completely in both directions.
-func TestUploadAndDownload(t *testing.T) {
+// TestLargeBodiesAreForwardedCompletely checks that large bodies are forwarded completely in both directions.
+func TestLargeBodiesAreForwardedCompletely(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 50<<10/16)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
 	for _, c := range []struct{ name, sent, end string }{
-		{"length", standin.Packet(t, body, at("/write", length(len(body)))...), body},
-		{"chunks", standin.Packet(t, fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body), at("/write", chunked)...), body + "\r\n0\r\n\r\n"},
+		{"length", standin.Packet(t, body, requestVars("/write", contentLength(len(body)))...), body},
+		{"chunks", standin.Packet(t, fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body), requestVars("/write", chunkedEncoding)...),
+			body + "\r\n0\r\n\r\n"},
 	} {
-		s := standin.NewScripted(t, reply(c.end, head+body))
+		s := standin.NewScripted(t, replyAfter(c.end, head+body))
 		r := newHarness(t, []string{s.Address}, nil)
 		got, err := r.request(t, standin.Script{{Send: c.sent}})
 		if err != nil || got != head+body {
-			t.Errorf("%s: %d bytes, %v", c.name, len(got), err)
+			t.Errorf("%s: the client got %d bytes, %v", c.name, len(got), err)
 		}
-		standin.WaitFor(t, "the server is done", func() bool { return len(s.Received()) == 1 })
+		standin.WaitFor(t, "the server's connection has ended", func() bool { return len(s.Received()) == 1 })
 		if got := s.Received()[0]; got != c.sent {
 			t.Errorf("%s: the server got %d bytes, want %d", c.name, len(got), len(c.sent))
 		}
 	}
 }
 
-// TestTrickle: a server that sends a byte at a time and never ends is cut off at the deadline, and its client can tell.
-func TestTrickle(t *testing.T) {
+// TestSlowResponseIsResetAtDeadline checks that a server that sends its response byte by byte, too slowly, is cut off at the
+// deadline, and that the client's connection is reset.
+func TestSlowResponseIsResetAtDeadline(t *testing.T) {
 	trickle := standin.Script{{Until: "/write"}, {Send: "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"}}
 	for range 2000 {
 		trickle = append(trickle, standin.Step{Pause: 5 * time.Millisecond}, standin.Step{Send: "x"})
 	}
 	s := standin.NewScripted(t, trickle)
 	r := newHarness(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.DeadlineVariable = "HTTP_X_DEADLINE_MS" })
-	got, err := r.request(t, standin.Script{{Send: standin.Packet(t, "", at("/write", [2]string{"HTTP_X_DEADLINE_MS", "200"})...)}})
+	got, err := r.request(t, standin.Script{{Send: standin.Packet(t, "", requestVars("/write", [2]string{"HTTP_X_DEADLINE_MS", "200"})...)}})
 	if !errors.Is(err, syscall.ECONNRESET) || !strings.HasPrefix(got, "HTTP/1.1 200 ") || r.Totals().Broken != 1 {
-		t.Errorf("%d bytes, %v; %+v", len(got), err, r.Totals())
+		t.Errorf("got %d bytes, %v, want a reset; %+v", len(got), err, r.Totals())
 	}
-	standin.WaitFor(t, "all is over", func() bool { return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && len(s.Received()) == 1 })
+	standin.WaitFor(t, "all connections and requests have ended", func() bool {
+		return r.OpenConnections() == 0 && r.node.Unanswered() == 0 && len(s.Received()) == 1
+	})
 }
 
-// TestSlowReader: a client that reads nothing of a large response is reset in time, and its server is released.
-func TestSlowReader(t *testing.T) {
+// TestClientThatReadsNothingIsReset checks that a client that reads nothing of a large response is reset after the write timeout,
+// and that the server is released.
+func TestClientThatReadsNothingIsReset(t *testing.T) {
 	s := standin.NewScripted(t, standin.Script{{Until: "/"}, {Send: "HTTP/1.1 200 OK\r\n\r\n"}, {Flood: 64 << 20}})
 	r := newHarness(t, []string{s.Address}, func(o *Options, _ *PoolOptions) { o.Limits.WriteTimeout = 50 * time.Millisecond })
 	c := r.dial(t)
-	if _, err := io.WriteString(c, standin.Packet(t, "", at("/")...)); err != nil {
+	if _, err := io.WriteString(c, standin.Packet(t, "", requestVars("/")...)); err != nil {
 		t.Fatal(err)
 	}
-	standin.WaitFor(t, "it is broken off", func() bool { return r.Totals().Broken == 1 && r.OpenConnections() == 0 && len(s.Received()) == 1 })
+	standin.WaitFor(t, "the response is reset", func() bool {
+		return r.Totals().Broken == 1 && r.OpenConnections() == 0 && len(s.Received()) == 1
+	})
 	if e := r.pool.Servers()[0]; e.ConsecutiveFailures != 0 || e.InFlight != 0 {
-		t.Errorf("counted against the server: %+v", e)
+		t.Errorf("the slow client counted against the server, or the server was not released: %+v", e)
 	}
 }
--- a/internal/frontend/uwsgi/submit.go
+++ b/internal/frontend/uwsgi/submit.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/platform/clock"
 )
 
-// The outcomes of a request, as traces show them.
+// Outcomes of a request. Traces show these values, so they must not change.
 const (
 	outcomeServed   = "served"
 	outcomeRejected = "refused"
@@ -20,35 +20,35 @@
 	outcomeCanceled = "left"
 )
 
-// submit has the node answer a request, writes the response, and returns the request's outcome.
+// submit submits a request to the node, writes the response, and returns the request's outcome.
 func (f *Front) submit(conn net.Conn, q *node.Request, r *clientRequest) (outcome string) {
 	r.beginResponse = func() bool { return f.opts.Core.BeginResponse(q.ID) }
-	r.deadline = time.Now().Add(clock.System{}.Until(f.runDeadline(q))) // with a monotonic reading, as the pool compares it
+	r.deadline = time.Now().Add(clock.System{}.Until(f.runDeadline(q))) // with a monotonic reading, for the pool
 	answers := make(chan node.Response, 1)
-	f.opts.Pool.expect(q.ID, r)
-	defer f.opts.Pool.forget(q.ID)
+	f.opts.Pool.addRequest(q.ID, r)
+	defer f.opts.Pool.removeRequest(q.ID)
 	f.opts.Core.Submit(*q, func(a node.Response) { answers <- a })
 	select {
 	case answer := <-answers:
 		return f.respond(conn, r, answer)
 	case <-r.body.ended:
 		f.opts.Core.Cancel(q.ID)
-		select { // the answer may just have been made
+		select { // the node may have answered in the meantime
 		case answer := <-answers:
 			return f.respond(conn, r, answer)
 		default:
-			f.clientGone(conn, r)
+			f.endFailedClient(conn, r)
 			return outcomeCanceled
 		}
 	case <-r.body.trailing:
-		// Others on the way may take what follows a body for another request: neither gets a regular response.
+		// An intermediary may take the bytes after the body for another request, so the request gets no regular response.
 		f.opts.Core.Cancel(q.ID)
 		f.rejectBodyAfterSubmit(conn, r, fmt.Errorf("%w: bytes after the body", packet.ErrMalformed))
 		return outcomeCanceled
 	}
 }
 
-// respond writes the node's answer, as far as the pool has not written it, and returns the request's outcome.
+// respond writes the node's answer unless the pool has streamed the response, and returns the request's outcome.
 func (f *Front) respond(conn net.Conn, r *clientRequest, answer node.Response) (outcome string) {
 	switch {
 	case answer.ResponseStarted && answer.Status == node.StatusServed:
@@ -57,8 +57,8 @@
 	case answer.ResponseStarted:
 		f.count(func(n *Counts) { n.Broken++ })
 		reset(conn)
-	case answer.Status == node.StatusFailed && r.body.clientFailed(): // the client's fault is why the request failed
-		f.clientGone(conn, r)
+	case answer.Status == node.StatusFailed && r.body.clientFailed(): // the request failed because the client did
+		f.endFailedClient(conn, r)
 		return outcomeCanceled
 	default:
 		f.writeResponse(conn, r.body, responseBytes(answer))
@@ -75,7 +75,7 @@
 	}
 }
 
-// runDeadline returns when the node will have answered at the latest.
+// runDeadline returns the time by which the node answers a request.
 func (f *Front) runDeadline(q *node.Request) time.Time {
 	if q.AttemptTimeout > 0 {
 		return q.ArrivedAt.Add(q.AttemptTimeout)
@@ -83,8 +83,8 @@
 	return q.ArrivedAt.Add(f.opts.Limits.UpstreamTimeout + f.opts.Limits.OrphanTimeout)
 }
 
-// clientGone ends a request whose client has disconnected, or whose body is malformed, oversize or late.
-func (f *Front) clientGone(conn net.Conn, r *clientRequest) {
+// endFailedClient ends a request whose client has disconnected, or whose body is malformed, oversize or timed out.
+func (f *Front) endFailedClient(conn net.Conn, r *clientRequest) {
 	err := r.body.failure()
 	if errors.Is(err, packet.ErrMalformed) || errors.Is(err, packet.ErrOversize) || errors.Is(err, os.ErrDeadlineExceeded) {
 		f.rejectBodyAfterSubmit(conn, r, err)
@@ -93,8 +93,8 @@
 	f.count(func(n *Counts) { n.Left++ })
 }
 
-// rejectBodyAfterSubmit ends a request whose body turned out bad after it was submitted. The node has canceled the request, so
-// nothing else writes to the connection from here on.
+// rejectBodyAfterSubmit ends a request whose body was found invalid after the request was submitted. The request must be canceled
+// at the node already, so that nothing else writes to the connection.
 func (f *Front) rejectBodyAfterSubmit(conn net.Conn, r *clientRequest, err error) {
 	if r.hasStartedResponse() {
 		f.count(func(n *Counts) { n.Broken++ })
--- a/internal/frontend/uwsgi/times.go
+++ b/internal/frontend/uwsgi/times.go
@@ -9,17 +9,17 @@
 	"sloehitch/logic"
 )
 
-// RequestTimes says when what happened to a request that was submitted to the node.
+// RequestTimes holds the timeline of a request that was submitted to the node.
 type RequestTimes struct {
 	ID                 string
 	TraceParent        string // the client's traceparent header
 	ReadAt, AnsweredAt time.Time
 	Outcome            string // served, refused, failed or left
 	Streamed           bool
-	Run                RunTimes // of one that ran and has ended
+	Run                RunTimes // zero unless the request ran and its run has ended
 }
 
-// RunTimes says when what happened to a run. Times of what did not happen are zero.
+// RunTimes holds the timeline of a run. Times of events that did not happen are zero.
 type RunTimes struct {
 	StartedAt, DoneAt time.Time
 	Attempts          []AttemptTimes
@@ -27,7 +27,7 @@
 	Failure           string // the error of a run that failed
 }
 
-// AttemptTimes says when what happened to an attempt on a server. Times of what did not happen are zero.
+// AttemptTimes holds the timeline of an attempt on a server. Times of events that did not happen are zero.
 type AttemptTimes struct {
 	Server                                       string
 	StartedAt, ConnectedAt, FirstByteAt, EndedAt time.Time
@@ -42,7 +42,7 @@
 	return r.Attempts[len(r.Attempts)-1], true
 }
 
-// outcomeName is an outcome's name in metrics and traces.
+// outcomeName returns an outcome's name in metrics and traces.
 func outcomeName(o admission.Outcome) string {
 	switch o {
 	case logic.OutcomeOK:
@@ -58,7 +58,7 @@
 	}
 }
 
-// reportRun hands a run's times to its request and to OnRunDone, and logs them at debug level.
+// reportRun passes a run's timeline to its request and to OnRunDone, and logs it at debug level.
 func (p *Pool) reportRun(r *run, o admission.Outcome) {
 	t := &r.times
 	t.Outcome = outcomeName(o)
