--- a/client/uwsgi/body.go
+++ b/client/uwsgi/body.go
@@ -6,7 +6,7 @@
 	"net"
 )
 
-// errorRecorder is a reader that records its source's error, to tell it from one of the connection.
+// errorRecorder is a reader that records the error of its source, to distinguish it from an error of the connection.
 type errorRecorder struct {
 	source io.Reader
 	err    error
@@ -21,25 +21,25 @@
 	return n, err
 }
 
-// lengthReader reads a body of known length; an earlier end is io.ErrUnexpectedEOF.
+// lengthReader reads a body of known length. If the input ends earlier, it returns io.ErrUnexpectedEOF.
 type lengthReader struct {
-	in   io.Reader
-	left int64
+	in        io.Reader
+	remaining int64 // bytes
 }
 
 // Read implements io.Reader.
 func (l *lengthReader) Read(b []byte) (int, error) {
-	if l.left == 0 {
+	if l.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := l.in.Read(b[:min(int64(len(b)), l.left)])
-	if l.left -= int64(n); errors.Is(err, io.EOF) && l.left > 0 {
+	n, err := l.in.Read(b[:min(int64(len(b)), l.remaining)])
+	if l.remaining -= int64(n); errors.Is(err, io.EOF) && l.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// connBody is a response's body that closes its connection.
+// connBody is a response body that closes its connection when it is closed.
 type connBody struct {
 	io.ReadCloser
 	conn net.Conn
--- a/client/uwsgi/client.go
+++ b/client/uwsgi/client.go
@@ -1,7 +1,8 @@
-// Package uwsgi is a client for applications behind the uwsgi protocol, such as a sloehitch daemon. Bodies and responses are streams.
-// Requests with an idempotency key are retried when the server asks for it or can't be reached.
+// Package uwsgi is a client for servers that speak the uwsgi protocol, such as a sloehitch daemon. It streams the bodies of
+// requests and responses. Requests with an idempotency key are retried if the server answers 503 or the exchange fails.
 //
-// The protocol is that of uWSGI's page "The uwsgi Protocol"; requests carry CGI variables (RFC 3875), responses are HTTP's.
+// The protocol is specified in uWSGI's document "The uwsgi Protocol". Requests carry CGI variables (RFC 3875); responses are HTTP
+// responses.
 package uwsgi
 
 import (
@@ -18,7 +19,7 @@
 	"sloehitch/internal/platform/endpoint"
 )
 
-// Defaults of Client.
+// Default values of Client's fields.
 const (
 	defaultDialTimeout   = 2 * time.Second
 	defaultMaxAttempts   = 4
@@ -27,55 +28,56 @@
 	defaultMaxHeadBytes  = 64 << 10
 )
 
-// Client sends requests to one address. Its zero value with an Address is ready for use. It is safe for concurrent use, and must not
-// be changed once it is used.
+// Client sends requests to one address. Only Address must be set. A Client is safe for concurrent use, and must not be changed once
+// it is in use.
 type Client struct {
 	Address string      // host:port, suwsgi://host:port (TLS) or unix:/path
-	TLS     *tls.Config // for suwsgi://; nil: the system's authorities
+	TLS     *tls.Config // for suwsgi://; nil: the system's certificate authorities
 
 	DialTimeout      time.Duration // of one connection attempt; 0: 2 s
-	MaxAttempts      int           // per request, the first included; 0: 4
-	Backoff          time.Duration // before a retry without Retry-After, doubling, with jitter; 0: 100 ms
-	MaxRetryAfter    time.Duration // longest Retry-After that is waited for; beyond it the response is returned; 0: 30 s
-	MaxHeadBytes     int           // of a response's head; 0: 64 KiB
-	DeadlineVariable string        // in which the remaining milliseconds are sent, such as HTTP_X_DEADLINE_MS; empty: none
+	MaxAttempts      int           // per request, including the first; 0: 4
+	Backoff          time.Duration // delay before the first retry without Retry-After, doubled for each further retry, plus jitter; 0: 100 ms
+	MaxRetryAfter    time.Duration // longest Retry-After to wait for; a response with a longer one is returned; 0: 30 s
+	MaxHeadBytes     int           // limit on the size of a response head; 0: 64 KiB
+	DeadlineVariable string        // variable for the remaining time in milliseconds, such as HTTP_X_DEADLINE_MS; empty: none
 	Modifier         byte          // modifier1; 0 for WSGI
 }
 
-// Request is one request.
+// Request is a request to a uwsgi server.
 type Request struct {
 	Method string // empty: GET
 	Path   string // decoded, such as /book
 	Query  string // encoded, without "?"
 	Host   string
 	Header http.Header
-	Vars   map[string]string // further CGI variables; they replace those that follow from the other fields
+	Vars   map[string]string // additional CGI variables; they override those derived from the other fields
 
-	// IdempotencyKey is the same for all attempts of one request that must not run twice; it is sent as Idempotency-Key. A request
-	// without a key is retried only if no connection was established.
+	// IdempotencyKey identifies a request that must not run twice, and is the same for all its attempts. It is sent as
+	// Idempotency-Key. A request without a key is retried only if no connection was established.
 	IdempotencyKey string
-	// Body returns the body anew for each attempt; nil: none. Length is its length in bytes, or -1 if it isn't known: then it is
-	// sent in chunks.
+	// Body returns a new reader of the body for each attempt; nil: no body. Length is the body's length in bytes, or -1 if it isn't
+	// known: then the body is sent in chunked encoding.
 	Body   func() (io.Reader, error)
 	Length int64
 }
 
-// TextBody returns a body of these bytes, for Request.Body and Request.Length.
+// TextBody returns values for Request.Body and Request.Length that send s as the body.
 func TextBody(s string) (func() (io.Reader, error), int64) {
 	return func() (io.Reader, error) { return strings.NewReader(s), nil }, int64(len(s))
 }
 
 // Response is the response to a request. Its Body must be closed. Reading a truncated body returns io.ErrUnexpectedEOF or the
-// connection's error, never io.EOF; only where the body ends at the connection's close, truncation without a reset can't be told.
+// connection's error, and not io.EOF. The exception is a body that ends when the connection is closed: it can be truncated without
+// an error unless the connection is reset.
 type Response struct {
 	Status   int
 	Header   http.Header
 	Body     io.ReadCloser
-	Length   int64 // of the body in bytes; -1: not known
+	Length   int64 // of the body in bytes; -1 if not known
 	Attempts int
 }
 
-// RetryAfter returns the response's Retry-After, or 0 if there is none. Only the form in seconds is read.
+// RetryAfter returns the response's Retry-After, or 0 if there is none. It supports only the form in seconds.
 func (r *Response) RetryAfter() time.Duration {
 	n, err := strconv.ParseInt(r.Header.Get("Retry-After"), 10, 32)
 	if err != nil || n < 0 {
@@ -84,7 +86,7 @@
 	return time.Duration(n) * time.Second
 }
 
-// orDefault returns v, or the default value if v is 0.
+// orDefault returns v, or defaultValue if v is 0.
 func orDefault[T int | time.Duration](v, defaultValue T) T {
 	if v == 0 {
 		return defaultValue
@@ -92,8 +94,8 @@
 	return v
 }
 
-// Do sends a request and returns when the response's head has come. The context bounds the whole exchange, the reading of the
-// body included. Where it has a deadline, no retry is made that would have to wait past it.
+// Do sends a request, with retries, and returns when the response head has been received. The context applies to the whole
+// exchange, including reading the response body. No retry is made whose delay would exceed the context's deadline.
 func (c *Client) Do(ctx context.Context, r *Request) (*Response, error) {
 	e, err := endpoint.Parse(c.Address)
 	if err != nil {
@@ -124,11 +126,11 @@
 	}
 }
 
-// retryDelay says whether a request may be sent once more, and after which time.
+// retryDelay returns the delay before the next attempt, and whether another attempt may be made.
 //
 // A request is retried if no connection was established, or if it has an idempotency key and the server answered 503 or the
-// exchange broke, unless the request's own body failed. The delay is the server's Retry-After up to MaxRetryAfter, else
-// Backoff × 2^(attempts−1), lengthened at random by up to a half, so that callers that failed together don't retry together.
+// exchange failed, unless the request's own body failed. The delay is the server's Retry-After up to MaxRetryAfter, or else
+// Backoff × 2^(attempts−1), extended at random by up to a half, so that clients that failed together don't retry together.
 func (c *Client) retryDelay(r *Request, attempts int, resp *Response, err error) (time.Duration, bool) {
 	if attempts >= orDefault(c.MaxAttempts, defaultMaxAttempts) {
 		return 0, false
@@ -151,20 +153,20 @@
 	return backoff, r.IdempotencyKey != "" && !errors.As(err, &bodyErr)
 }
 
-// DialError says that no connection was established: nothing was sent.
+// DialError says that no connection was established, so that nothing was sent.
 type DialError struct{ Err error }
 
 // Error implements error.
-func (e *DialError) Error() string { return "uwsgi: no connection: " + e.Err.Error() }
+func (e *DialError) Error() string { return "uwsgi: cannot connect: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// BodyError says that the request's body could not be read.
+// BodyError says that the request body could not be read.
 type BodyError struct{ Err error }
 
 // Error implements error.
-func (e *BodyError) Error() string { return "uwsgi: the request's body: " + e.Err.Error() }
+func (e *BodyError) Error() string { return "uwsgi: cannot read the request body: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *BodyError) Unwrap() error { return e.Err }
--- a/client/uwsgi/client_test.go
+++ b/client/uwsgi/client_test.go
@@ -15,28 +15,28 @@
 	"sloehitch/internal/testing/standin"
 )
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// answer reads a request up to these bytes and answers it.
-func answer(end, response string) standin.Script {
+// replyAfter returns a server's script that reads a request up to the given end and responds.
+func replyAfter(end, response string) standin.Script {
 	return standin.Script{{Until: end}, {Send: response}}
 }
 
-func TestDo(t *testing.T) {
+func TestDoRetriesAndReadsResponses(t *testing.T) {
 	hello, n := uwsgi.TextBody("hello")
 	post := uwsgi.Request{Method: "POST", Path: "/book", Body: hello, Length: n}
-	keyed := post
-	keyed.IdempotencyKey = "k1"
-	stream := post
-	stream.Length = -1
-	short := post
-	short.Length = 9
-	failing := post
-	failing.Body = func() (io.Reader, error) {
+	keyedPost := post
+	keyedPost.IdempotencyKey = "k1"
+	chunkedPost := post
+	chunkedPost.Length = -1
+	shortBody := post
+	shortBody.Length = 9
+	failingBody := post
+	failingBody.Body = func() (io.Reader, error) {
 		return io.MultiReader(strings.NewReader("he"), iotest.ErrReader(errors.New("gone"))), nil
 	}
-	busy := "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0\r\n\r\n"
-	var bad *uwsgi.BodyError
+	rejected := "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0\r\n\r\n"
+	var bodyErr *uwsgi.BodyError
 	for _, c := range []struct {
 		name    string
 		r       uwsgi.Request
@@ -44,24 +44,33 @@
 		want    string // status, body, attempts
 		err     func(err error) bool
 	}{
-		{"a length", post, []standin.Script{answer("hello", fine)}, "200 ok 1", nil},
-		{"chunks", stream, []standin.Script{answer("0\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")}, "200 ok 1", nil},
-		{"until the close", post, []standin.Script{answer("hello", "Status: 201 Made\n\nok")}, "201 ok 1", nil},
-		{"interim heads", post, []standin.Script{answer("hello", "HTTP/1.1 100 Continue\r\n\r\n"+fine)}, "200 ok 1", nil},
-		{"HEAD", uwsgi.Request{Method: "HEAD"}, []standin.Script{answer("HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n")}, "200  1", nil},
-		{"an early answer", post, []standin.Script{{{Send: fine}}}, "200 ok 1", nil},
-		{"refused, then served", keyed, []standin.Script{answer("hello", busy), answer("hello", busy), answer("hello", fine)}, "200 ok 3", nil},
-		{"refused without a key", post, []standin.Script{answer("hello", busy)}, "503  1", nil},
-		{"refused for too long", keyed, []standin.Script{answer("hello", strings.Replace(busy, "After: 0", "After: 3600", 1))}, "503  1", nil},
-		{"rejected at each attempt", keyed, []standin.Script{answer("hello", busy)}, "503  4", nil},
-		{"broken off with a key", keyed, []standin.Script{answer("hello", ""), answer("hello", fine)}, "200 ok 2", nil},
-		{"broken off without one", post, []standin.Script{answer("hello", ""), answer("hello", fine)}, "", func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
-		{"a body cut short", post, []standin.Script{answer("hello", fine[:len(fine)-1])}, "", func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
-		{"chunks cut short", post, []standin.Script{answer("hello", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok")}, "", func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
-		{"garbage", post, []standin.Script{answer("hello", "garbage\r\n\r\n")}, "", func(err error) bool { return err != nil }},
-		{"its own body too short", short, []standin.Script{answer("never", "")}, "", func(err error) bool { return errors.As(err, &bad) }},
-		{"its own body fails", failing, []standin.Script{answer("never", "")}, "", func(err error) bool { return errors.As(err, &bad) }},
-		{"a line end in a header", uwsgi.Request{Vars: map[string]string{"HTTP_A": "b\r\nC: d"}}, []standin.Script{answer("never", "")}, "", func(err error) bool { return strings.Contains(err.Error(), "HTTP_A") }},
+		{"body with a length", post, []standin.Script{replyAfter("hello", okResponse)}, "200 ok 1", nil},
+		{"chunked bodies", chunkedPost, []standin.Script{replyAfter("0\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")}, "200 ok 1", nil},
+		{"body until the connection is closed", post, []standin.Script{replyAfter("hello", "Status: 201 Made\n\nok")}, "201 ok 1", nil},
+		{"interim response", post, []standin.Script{replyAfter("hello", "HTTP/1.1 100 Continue\r\n\r\n"+okResponse)}, "200 ok 1", nil},
+		{"HEAD request", uwsgi.Request{Method: "HEAD"},
+			[]standin.Script{replyAfter("HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n")}, "200  1", nil},
+		{"response before the request is read", post, []standin.Script{{{Send: okResponse}}}, "200 ok 1", nil},
+		{"rejected, then served", keyedPost,
+			[]standin.Script{replyAfter("hello", rejected), replyAfter("hello", rejected), replyAfter("hello", okResponse)}, "200 ok 3", nil},
+		{"rejected without a key", post, []standin.Script{replyAfter("hello", rejected)}, "503  1", nil},
+		{"rejected with Retry-After above the maximum", keyedPost,
+			[]standin.Script{replyAfter("hello", strings.Replace(rejected, "After: 0", "After: 3600", 1))}, "503  1", nil},
+		{"rejected at each attempt", keyedPost, []standin.Script{replyAfter("hello", rejected)}, "503  4", nil},
+		{"connection closed, with a key", keyedPost, []standin.Script{replyAfter("hello", ""), replyAfter("hello", okResponse)}, "200 ok 2", nil},
+		{"connection closed, without a key", post, []standin.Script{replyAfter("hello", ""), replyAfter("hello", okResponse)}, "", func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
+		{"truncated body", post, []standin.Script{replyAfter("hello", okResponse[:len(okResponse)-1])}, "",
+			func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
+		{"truncated chunked body", post,
+			[]standin.Script{replyAfter("hello", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok")}, "",
+			func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
+		{"malformed response", post, []standin.Script{replyAfter("hello", "garbage\r\n\r\n")}, "", func(err error) bool { return err != nil }},
+		{"request body shorter than Length", shortBody, []standin.Script{replyAfter("never", "")}, "",
+			func(err error) bool { return errors.As(err, &bodyErr) }},
+		{"request body fails", failingBody, []standin.Script{replyAfter("never", "")}, "",
+			func(err error) bool { return errors.As(err, &bodyErr) }},
+		{"line end in a variable", uwsgi.Request{Vars: map[string]string{"HTTP_A": "b\r\nC: d"}},
+			[]standin.Script{replyAfter("never", "")}, "", func(err error) bool { return strings.Contains(err.Error(), "HTTP_A") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := standin.NewScripted(t, c.scripts...)
@@ -78,17 +87,18 @@
 			}
 			if c.err != nil {
 				if err == nil || !c.err(err) {
-					t.Errorf("%q, %v", got, err)
+					t.Errorf("got %q, unexpected error %v", got, err)
 				}
 			} else if got != c.want || err != nil {
-				t.Errorf("%q, %v; want %q", got, err, c.want)
+				t.Errorf("got %q, %v; want %q", got, err, c.want)
 			}
 		})
 	}
 }
 
-// TestDeadline: a hanging server costs no more than the context allows, the time left is sent, and no retry waits past it.
-func TestDeadline(t *testing.T) {
+// TestContextEndsRequestAndRetries checks that the context ends a request to a hanging server, that the remaining time is sent,
+// and that no retry waits past the deadline.
+func TestContextEndsRequestAndRetries(t *testing.T) {
 	s := standin.NewScripted(t, standin.Script{{Until: "HTTP_X_DEADLINE_MS"}, {Until: "never"}})
 	client := uwsgi.Client{Address: s.Address, DeadlineVariable: "HTTP_X_DEADLINE_MS"}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -99,29 +109,29 @@
 		cancel()
 	}()
 	if _, err := client.Do(ctx, &uwsgi.Request{}); !errors.Is(err, context.Canceled) {
-		t.Errorf("cancelled: %v", err)
+		t.Errorf("canceled context: %v, want context.Canceled", err)
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := client.Do(ctx, &uwsgi.Request{}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("out of time: %v", err)
+		t.Errorf("expired context: %v, want context.DeadlineExceeded", err)
 	}
-	down, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	down.Close()
-	client = uwsgi.Client{Address: down.Addr().String(), Backoff: time.Hour}
+	ln.Close()
+	client = uwsgi.Client{Address: ln.Addr().String(), Backoff: time.Hour}
 	ctx, cancel = context.WithTimeout(context.Background(), standin.WaitTimeout)
 	defer cancel()
 	var d *uwsgi.DialError
 	if _, err := client.Do(ctx, &uwsgi.Request{}); !errors.As(err, &d) {
-		t.Errorf("down, with no time for a retry: %v", err)
+		t.Errorf("server down and no time for a retry: %v, want a DialError", err)
 	}
 }
 
-// example is a server for the examples: the first attempt at a booking is rejected.
-func example() (address string, end func()) {
+// example starts a server for the examples, which rejects the first attempt of a booking.
+func example() (address string, stop func()) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -148,8 +158,8 @@
 }
 
 func Example() {
-	address, end := example()
-	defer end()
+	address, stop := example()
+	defer stop()
 	client := &uwsgi.Client{Address: address}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -166,7 +176,7 @@
 		fmt.Println(err)
 	}
 
-	// A booking has a key: it may be sent again, and is when the server is too busy.
+	// A booking has an idempotency key, so it is retried when the server is overloaded.
 	body, length := uwsgi.TextBody("chair 3")
 	resp, err = client.Do(ctx, &uwsgi.Request{Method: "POST", Path: "/book", IdempotencyKey: "5c0f6e1a", Body: body, Length: length})
 	if err != nil {
--- a/client/uwsgi/exchange.go
+++ b/client/uwsgi/exchange.go
@@ -21,7 +21,7 @@
 	"sloehitch/internal/platform/endpoint"
 )
 
-// attempt makes one attempt.
+// attempt sends a request once and returns the response.
 func (c *Client) attempt(ctx context.Context, e endpoint.Endpoint, r *Request) (*Response, error) {
 	head, err := c.packetHead(ctx, r)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		conn.Close()
 		stop()
-		// A fault of the body is the cause; that the server then closed the connection is not.
+		// If reading the request body failed, that error is the cause of the closed connection, and is returned.
 		var bodyErr *BodyError
 		if sendErr := <-sent; errors.As(sendErr, &bodyErr) {
 			return nil, sendErr
@@ -54,7 +54,7 @@
 	return resp, nil
 }
 
-// connect dials the server, with TLS where the address says so.
+// connect dials the server, with TLS if the address requires it.
 func (c *Client) connect(ctx context.Context, e endpoint.Endpoint) (net.Conn, error) {
 	plain := e
 	plain.TLS = false
@@ -89,14 +89,14 @@
 	list := make([][2]string, 0, len(vars))
 	for name, value := range vars {
 		if strings.ContainsAny(value, "\x00\r\n") {
-			return nil, fmt.Errorf("uwsgi: the value of %s has a line end or zero byte", name)
+			return nil, fmt.Errorf("uwsgi: the value of variable %s contains a line end or zero byte", name)
 		}
 		list = append(list, [2]string{name, value})
 	}
 	return packet.AppendRequest(nil, c.Modifier, 0, list)
 }
 
-// variables returns the CGI variables that follow from the request's fields.
+// variables returns the CGI variables derived from the request's fields.
 func (r *Request) variables() map[string]string {
 	path := cmp.Or(r.Path, "/")
 	vars := map[string]string{"REQUEST_METHOD": cmp.Or(r.Method, http.MethodGet), "PATH_INFO": path, "QUERY_STRING": r.Query,
@@ -124,7 +124,7 @@
 	return vars
 }
 
-// variableName returns the CGI variable of a header field.
+// variableName returns the name of a header field's CGI variable.
 func variableName(name string) string {
 	name = strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 	if name == "CONTENT_TYPE" || name == "CONTENT_LENGTH" {
@@ -133,22 +133,22 @@
 	return "HTTP_" + name
 }
 
-// send writes a request. A body that can't be read to its end closes the connection: the server must not take a truncated body for a
-// complete one.
+// send writes a request. If the body can't be read completely, it closes the connection, so that the server does not take a
+// truncated body for a complete one.
 func (c *Client) send(conn net.Conn, head []byte, r *Request) error {
 	if _, err := conn.Write(head); err != nil || r.Body == nil {
 		return err
 	}
-	from, err := r.Body()
+	body, err := r.Body()
 	if err != nil {
 		conn.Close()
 		return &BodyError{err}
 	}
-	source := &errorRecorder{source: from}
+	source := &errorRecorder{source: body}
 	if r.Length >= 0 {
 		n, err := io.Copy(conn, io.LimitReader(source, r.Length))
 		if source.err == nil && err == nil && n < r.Length {
-			source.err = fmt.Errorf("%d bytes of %d", n, r.Length)
+			source.err = fmt.Errorf("the body has %d bytes, want %d", n, r.Length)
 		}
 		if source.err != nil {
 			conn.Close()
@@ -171,7 +171,7 @@
 	return err
 }
 
-// receive reads a response's head.
+// receive reads a response head and returns the response, whose body is read from the connection on demand.
 func (c *Client) receive(conn net.Conn, r *Request) (*Response, error) {
 	maxHead := orDefault(c.MaxHeadBytes, defaultMaxHeadBytes)
 	in := bufio.NewReaderSize(conn, maxHead+1)
@@ -207,7 +207,7 @@
 	}
 }
 
-// peekHead returns the head at the start of in without consuming it, and the bytes that it was read from.
+// peekHead parses the head at the start of in without consuming it. It returns the buffered bytes and the head.
 func peekHead(in *bufio.Reader, headOnly bool, maxBytes int) ([]byte, packet.ResponseHead, error) {
 	for {
 		b, _ := in.Peek(in.Buffered())
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs servers of the admission controller under the simulator, which speaks its line protocol on
-// standard input and output (package simadapter).
+// Command wirehost runs servers of the admission controller for the simulator. It speaks the simulator's line protocol on standard
+// input and output (package simadapter).
 package main
 
 import (
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,4 +1,5 @@
-// Command toy is a uwsgi server that books chair times in memory, and a client to ask it or a sloehitch before it.
+// Command toy is an example uwsgi server that books chair times in memory, and a client that sends requests to it, directly or
+// through sloehitch.
 package main
 
 import (
@@ -25,7 +26,7 @@
 
 type serveCmd struct {
 	Listen string        `default:"127.0.0.1:3031" help:"Address to serve on."`
-	Work   time.Duration `default:"200ms" help:"How long each request takes."`
+	Work   time.Duration `default:"200ms" help:"Duration of each request."`
 }
 
 func (c *serveCmd) Run() error {
@@ -50,7 +51,7 @@
 		_, err = conn.Write(packet.Pong.Append(nil))
 	}
 	if err != nil {
-		slog.Warn("bad request", "error", err)
+		slog.Warn("cannot read request", "error", err)
 	}
 	if vars.Len() == 0 || err != nil {
 		return
@@ -62,14 +63,14 @@
 		text = fmt.Sprintf("booked at %s\n", time.Now().Format(time.TimeOnly+".000"))
 	}
 	if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s", len(text), text); err != nil {
-		slog.Warn("response not written", "error", err)
+		slog.Warn("cannot write response", "error", err)
 	}
 }
 
 // errPing says that the request was a ping.
 var errPing = errors.New("ping")
 
-// read reads a request's head and counts the bytes of its body.
+// read reads a request, and returns its variables and the number of bytes in its body. It returns errPing for a ping.
 func read(conn net.Conn) (vars packet.Vars, body int64, err error) {
 	first := make([]byte, packet.HeaderSize)
 	if _, err := io.ReadFull(conn, first); err != nil {
@@ -80,7 +81,7 @@
 		return vars, 0, errPing
 	}
 	if h.Modifier1 != 0 {
-		return vars, 0, fmt.Errorf("modifier %d", h.Modifier1)
+		return vars, 0, fmt.Errorf("modifier1 %d is not supported", h.Modifier1)
 	}
 	block := make([]byte, h.Size)
 	if _, err := io.ReadFull(conn, block); err != nil {
@@ -89,14 +90,14 @@
 	if vars, err = packet.ReadVars(block, 256); err != nil {
 		return vars, 0, err
 	}
-	kind, err := packet.RequestFraming(vars)
-	if err != nil || kind.Chunked {
+	framing, err := packet.RequestFraming(vars)
+	if err != nil || framing.Chunked {
 		if err == nil {
-			err = errors.New("chunks are more than this toy reads")
+			err = errors.New("chunked request bodies are not supported")
 		}
 		return vars, 0, err
 	}
-	body, err = io.CopyN(io.Discard, conn, kind.Length)
+	body, err = io.CopyN(io.Discard, conn, framing.Length)
 	return vars, body, err
 }
 
@@ -105,9 +106,9 @@
 	Path   string        `arg:""`
 	Key    string        `help:"Idempotency-Key of a booking."`
 	Body   string        `help:"Body of the request."`
-	To     string        `default:"127.0.0.1:3030" help:"Address to ask."`
-	Wait   time.Duration `default:"10s" help:"How long to wait; the daemon is told."`
-	Tries  int           `default:"1" help:"Of a booking, when it is refused."`
+	To     string        `default:"127.0.0.1:3030" help:"Address to send the request to."`
+	Wait   time.Duration `default:"10s" help:"Timeout, which is also sent to the daemon."`
+	Tries  int           `default:"1" help:"Maximum attempts of a booking that is rejected."`
 }
 
 func (c *askCmd) Run() error {
