--- a/internal/frontend/resp/closing.go
+++ b/internal/frontend/resp/closing.go
@@ -13,12 +13,12 @@
 //  1. The peer is asked first to close the connection: when it has no open requests and was not used for the
 //     node's idle timeout, or while the node drains. The peer then sends no new requests, and closes the
 //     connection once all are answered.
-//  2. If the peer does not close a connection without open requests within limits.PeerCloseTimeout, it is no
-//     longer read (framedConn.stopReading); data that has arrived by then is still answered. The same applies
-//     to evicted connections, and to all connections at shutdown.
+//  2. If the peer does not close a connection without open requests within limits.PeerCloseTimeout, the
+//     connection is no longer read (framedConn.stopReading); data that has arrived by then is still answered.
+//     The same applies to evicted connections, and to all connections at shutdown.
 //  3. A connection that is no longer read is closed once every request on it is answered and the answers are
 //     written. It is closed at once if its peer is gone or has left too many answers unread (output.go), as
-//     nobody would receive the answers.
+//     the answers could not be delivered.
 //  4. Closing shuts down the sending side first; the peer has limits.CloseTimeout to shut down its side, and a
 //     tenth of that if the connection has no slot.
 
@@ -30,7 +30,7 @@
 type endCause int
 
 const (
-	endedByPeer     endCause = iota // the peer closed the connection, or it broke: nobody waits for open requests
+	endedByPeer     endCause = iota // the peer closed the connection, or it broke: no caller waits for open requests
 	endedLocally                    // this side is closing the connection: requests read so far are still answered
 	endedByBadInput                 // malformed data was received, or a message was not complete in time
 )
@@ -109,7 +109,7 @@
 	}
 }
 
-// requestClose asks the balancer to close the connection; the caller holds mu.
+// requestClose asks the peer to close the connection; the caller holds mu.
 func (c *conn) requestClose(now time.Time) {
 	c.closeRequestedAt = now
 	c.front.opts.Log.Debug("asking the peer to close its connection", "peer", c.socket.RemoteAddr())
--- a/internal/frontend/resp/closing_test.go
+++ b/internal/frontend/resp/closing_test.go
@@ -15,7 +15,7 @@
 // TestRequestDuringCloseOfIdleConnectionIsNotRead checks that a request that arrives while its idle connection is being
 // closed is left unread, and that earlier answers which the peer has not read yet are not lost to a reset.
 func TestRequestDuringCloseOfIdleConnectionIsNotRead(t *testing.T) {
-	f, d, ln := startFront(t, expiredIdleStatus{}, func(l *limits.Limits) { l.PeerCloseTimeout, l.CloseTimeout = 0, time.Hour })
+	f, core, ln := startFront(t, expiredIdleStatus{}, func(l *limits.Limits) { l.PeerCloseTimeout, l.CloseTimeout = 0, time.Hour })
 	b := standin.Dial(t, ln.Addr().String())
 	b.Send(standin.Array("PING", "1"))
 	waitFor(t, "the health check is answered", func() bool { k := f.onlyConn(); return k != nil && k.isIdle() })
@@ -31,8 +31,8 @@
 	b.Send(standin.Array("PING", "8")) // fails if the connection was reset
 	_ = b.Close()
 	waitFor(t, "the connection is closed", func() bool { return f.OpenConnections() == 0 })
-	if len(d.submitted) > 0 || len(d.canceled) > 0 {
-		t.Errorf("%d requests were submitted, %v canceled; want none", len(d.submitted), d.canceled)
+	if len(core.submitted) > 0 || len(core.canceled) > 0 {
+		t.Errorf("%d requests were submitted, %v canceled; want none", len(core.submitted), core.canceled)
 	}
 }
 
@@ -41,14 +41,14 @@
 // the end.
 func TestEveryRequestReadIsAnswered(t *testing.T) {
 	for attempt := range 200 {
-		f, d, ln := startFront(t, fakeStatus{}, nil)
+		f, core, ln := startFront(t, fakeStatus{}, nil)
 		fresh, idleConn := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
 		idleConn.Send(standin.Array("PING", "1"))
 		idleConn.Read()
 		waitFor(t, "both connections are open", func() bool { return f.OpenConnections() == 2 })
 		go func() {
-			for id := range d.submitted {
-				d.answer(id, node.Response{Status: node.StatusServed, Result: []byte(id)})
+			for id := range core.submitted {
+				core.answer(id, node.Response{Status: node.StatusServed, Result: []byte(id)})
 			}
 		}()
 		finished := make(chan struct{})
@@ -67,24 +67,24 @@
 			_ = b.Close()
 		}
 		<-finished
-		d.mu.Lock()
-		read := len(d.replies)
-		d.mu.Unlock()
+		core.mu.Lock()
+		read := len(core.replies)
+		core.mu.Unlock()
 		if answers != read {
 			t.Fatalf("attempt %d: %d requests were read, %d answered", attempt, read, answers)
 		}
-		close(d.submitted)
+		close(core.submitted)
 	}
 }
 
 // TestMalformedInputLosesNoAnswer checks that messages received before malformed input are answered and that
 // the answers arrive, however much data follows.
 func TestMalformedInputLosesNoAnswer(t *testing.T) {
-	f, d, ln := startFront(t, fakeStatus{}, nil)
+	f, core, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
 	b.Send(standin.Array("PING", "1"))
 	b.Do(7, "book", testRequestID, time.Now(), "body", "")
-	<-d.submitted
+	<-core.submitted
 	b.Send("nonsense")
 	waitFor(t, "reading has ended", func() bool { k := f.onlyConn(); k.mu.Lock(); defer k.mu.Unlock(); return k.readEnded })
 	b.Send(strings.Repeat("more of it\r\n", 4000))
@@ -99,12 +99,12 @@
 // one with a partial message, one with a late answer and one without any message. Shutdown returns when all have
 // ended, or after its timeout.
 func TestShutdownDeliversAllAnswers(t *testing.T) {
-	f, d, ln := startFront(t, fakeStatus{}, nil)
+	f, core, ln := startFront(t, fakeStatus{}, nil)
 	idleConn, partial, late, silent := standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String()), standin.Dial(t, ln.Addr().String())
 	idleConn.Send(standin.Array("PING", "1"))
 	partial.Send(standin.Array("PING", "1") + partialRequest)
 	late.Do(7, "book", testRequestID, time.Now(), "body", "")
-	<-d.submitted
+	<-core.submitted
 	waitFor(t, "four connections are open", func() bool { return f.OpenConnections() == 4 })
 	waitFor(t, "both health checks are answered", func() bool {
 		f.mu.Lock()
@@ -117,7 +117,7 @@
 		}
 		return n == 2
 	})
-	d.answer(testRequestID, node.Response{Status: node.StatusServed, Result: bytes.Repeat([]byte("r"), 4096)})
+	core.answer(testRequestID, node.Response{Status: node.StatusServed, Result: bytes.Repeat([]byte("r"), 4096)})
 	f.Shutdown(0) // no peer has closed its side yet
 	if f.OpenConnections() == 0 {
 		t.Error("no connection is open before the peers have closed them")
@@ -139,28 +139,28 @@
 		_ = b.Close()
 	}
 	<-ended
-	if f.OpenConnections() != 0 || len(d.submitted) > 0 {
-		t.Errorf("%d connections are open, %d requests were submitted", f.OpenConnections(), len(d.submitted))
+	if f.OpenConnections() != 0 || len(core.submitted) > 0 {
+		t.Errorf("%d connections are open, %d requests were submitted", f.OpenConnections(), len(core.submitted))
 	}
 }
 
 // TestRequestOnClosingConnectionIsAnswered checks that a request that arrives on a closing connection is read and answered
 // while the answer to an earlier request is still due.
 func TestRequestOnClosingConnectionIsAnswered(t *testing.T) {
-	f, d, ln := startFront(t, fakeStatus{}, nil)
+	f, core, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
 	b.Do(7, "book", "9b1f03aa5c7e2d41", time.Now(), "body", "")
-	<-d.submitted
+	<-core.submitted
 	go f.Shutdown(standin.WaitTimeout)
 	time.Sleep(50 * time.Millisecond)
 	b.Do(8, "book", "9b1f03aa5c7e2d42", time.Now(), "body", "")
 	select {
-	case <-d.submitted:
+	case <-core.submitted:
 	case <-time.After(standin.WaitTimeout):
 		t.Fatal("the second request was not read in time")
 	}
 	for _, id := range []string{"9b1f03aa5c7e2d42", "9b1f03aa5c7e2d41"} {
-		d.answer(id, node.Response{Status: node.StatusRejected})
+		core.answer(id, node.Response{Status: node.StatusRejected})
 	}
 	for _, tag := range []string{"8", "7"} {
 		if got := b.Read(); len(got) < 2 || got[0] != tag || got[1] != "NAK" {
--- a/internal/frontend/resp/conn.go
+++ b/internal/frontend/resp/conn.go
@@ -33,7 +33,7 @@
 	closing          bool      // the socket is closed or about to be
 }
 
-// Errors after which no further message is read from a connection. A message with errDuplicateTag or
+// Errors after which no further message is read from a connection. A message that causes errDuplicateTag or
 // errTooManyOpen gets no answer of its own; the connection's open requests are answered at once, without
 // waiting for their runs, and the connection is closed (endReading).
 var (
@@ -86,7 +86,7 @@
 func (c *conn) recordMessage(tag string, submit *submitMessage) (hasSlot bool, err error) {
 	c.mu.Lock()
 	if c.writeEnded {
-		// No answer can be sent, so the request must not run. The close tells the caller that it did not.
+		// No answer can be sent, so the request must not run. The closed connection tells the caller that it did not.
 		c.mu.Unlock()
 		return false, errAborted
 	}
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// reject answers a request that was read and can't be submitted. The core knows whether an earlier attempt with
-// the same idempotency key ran.
+// reject answers a request that was read and can't be submitted. The core chooses the status, as it knows whether
+// an earlier attempt with the same idempotency key ran.
 func (c *conn) reject(m *submitMessage) {
 	c.sendAnswer(m.messageTag(), node.Response{Status: c.front.opts.Core.RejectionStatus(m.class, m.idempotencyKey)})
 }
--- a/internal/frontend/resp/conn_test.go
+++ b/internal/frontend/resp/conn_test.go
@@ -13,7 +13,7 @@
 // TestRequestOnAbortedConnectionIsNotSubmitted checks that a request read just before its connection was aborted is not
 // submitted, since it can't be answered.
 func TestRequestOnAbortedConnectionIsNotSubmitted(t *testing.T) {
-	f, d, ln := startFront(t, fakeStatus{}, nil)
+	f, core, ln := startFront(t, fakeStatus{}, nil)
 	b := standin.Dial(t, ln.Addr().String())
 	b.Send(standin.Array("PING", "1"))
 	b.Read()
@@ -22,8 +22,8 @@
 	k.mu.Lock()
 	k.abort()
 	k.mu.Unlock()
-	if err := k.handleMessage([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(validFields), nil}); !errors.Is(err, errAborted) || len(d.submitted) > 0 {
-		t.Errorf("error %v, %d requests submitted; want errAborted and none", err, len(d.submitted))
+	if err := k.handleMessage([][]byte{[]byte("DO"), []byte("7"), []byte("book"), []byte(validFields), nil}); !errors.Is(err, errAborted) || len(core.submitted) > 0 {
+		t.Errorf("error %v, %d requests submitted; want errAborted and none", err, len(core.submitted))
 	}
 }
 
--- a/internal/frontend/resp/eviction_test.go
+++ b/internal/frontend/resp/eviction_test.go
@@ -14,7 +14,7 @@
 // and without reading what the peer sends afterwards, and that the oldest eviction is closed when more than
 // EvictedConnections wait for their peers.
 func TestEvictionLosesNoAnswer(t *testing.T) {
-	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
+	f, core, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
 		l.MaxConnections, l.IdleConnectionGrace, l.NewConnectionGrace, l.EvictedConnections, l.CloseTimeout = 1, 0, 0, 2, time.Hour
 	})
 	var peers []*standin.Balancer
@@ -40,7 +40,7 @@
 		t.Errorf("read %q, want the answer and the end of the stream", got)
 	}
 	b.Send(standin.Array("PING", "8")) // fails if the connection was reset
-	if len(d.submitted) > 0 {
+	if len(core.submitted) > 0 {
 		t.Error("a request of an evicted connection was submitted")
 	}
 	waitFor(t, "the first evicted connection is closed", func() bool { _, err := peers[0].Write([]byte("x")); return err != nil })
@@ -84,7 +84,7 @@
 // are rejected before it ends, including those that may already be in the reader's buffer.
 func TestPipelinedRequestsOfEvictedConnectionAreRejected(t *testing.T) {
 	for range 20 {
-		f, d, ln := startFront(t, fakeStatus{}, nil)
+		f, core, ln := startFront(t, fakeStatus{}, nil)
 		peers, conns := idleConnections(t, f, ln.Addr().String(), 1)
 		conns[0].slot.Release() // as an eviction does
 		var burst strings.Builder
@@ -94,7 +94,7 @@
 		peers[0].Send(burst.String())
 		f.evict(conns[0].socket)
 		wantRejections(t, peers[0], "7", "8", "9")
-		if len(d.submitted) > 0 {
+		if len(core.submitted) > 0 {
 			t.Fatal("a request without a slot was submitted")
 		}
 		if t.Failed() {
--- a/internal/frontend/resp/frame_validator_test.go
+++ b/internal/frontend/resp/frame_validator_test.go
@@ -43,8 +43,8 @@
 func TestFrameValidator(t *testing.T) {
 	for _, c := range framingCases {
 		for _, size := range []int{1, 7, 1 << 20} { // in fragments and in one read
-			g := &framedConn{Conn: chunkedConn{strings.NewReader(c.in), size}, validator: frameValidator{maxParts: 8, maxBulkBytes: 8 << 10, maxFrameBytes: 8 << 10}}
-			got, err := io.ReadAll(g)
+			fc := &framedConn{Conn: chunkedConn{strings.NewReader(c.in), size}, validator: frameValidator{maxParts: 8, maxBulkBytes: 8 << 10, maxFrameBytes: 8 << 10}}
+			got, err := io.ReadAll(fc)
 			if !strings.HasPrefix(c.in, string(got)) || len(got) != len(c.pass) || errors.Is(err, errFraming) != c.bad {
 				t.Errorf("%s in reads of %d bytes: passed %.40q, %v; want %.40q, framing error %v", c.name, size, got, err, c.pass, c.bad)
 			}
@@ -93,8 +93,8 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		lim := limits.For(64, 256)
 		read := func(r io.Reader) (commands int, framed bool) {
-			g := &framedConn{Conn: chunkedConn{r, 1 << 20}, validator: newFrameValidator(&lim)}
-			in := redcon.NewReader(g)
+			fc := &framedConn{Conn: chunkedConn{r, 1 << 20}, validator: newFrameValidator(&lim)}
+			in := redcon.NewReader(fc)
 			for {
 				cmd, err := in.ReadCommand()
 				if err != nil {
--- a/internal/frontend/resp/front.go
+++ b/internal/frontend/resp/front.go
@@ -100,7 +100,8 @@
 	return f
 }
 
-// SetClasses replaces the classes by name for requests read from now on. The core must know them before.
+// SetClasses replaces the map from class names to class indices, for requests that are read from now on. The
+// core must have these classes before the call.
 func (f *Front) SetClasses(classes map[string]int) { f.classes.Store(&classes) }
 
 // SetMaxConnections sets the number of connection slots. Connections beyond it are not closed at once.
--- a/internal/frontend/resp/helpers_test.go
+++ b/internal/frontend/resp/helpers_test.go
@@ -23,32 +23,32 @@
 	return &fakeCore{replies: map[string]func(node.Response){}, submitted: make(chan string, 4096)}
 }
 
-func (d *fakeCore) Submit(q node.Request, reply func(node.Response)) {
-	d.mu.Lock()
-	d.replies[q.ID] = reply
-	d.mu.Unlock()
-	d.submitted <- q.ID
+func (c *fakeCore) Submit(q node.Request, reply func(node.Response)) {
+	c.mu.Lock()
+	c.replies[q.ID] = reply
+	c.mu.Unlock()
+	c.submitted <- q.ID
 }
 
-func (d *fakeCore) Cancel(id string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.canceled = append(d.canceled, id)
+func (c *fakeCore) Cancel(id string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.canceled = append(c.canceled, id)
 }
 
-func (d *fakeCore) RejectionStatus(_, key string) node.Status {
+func (c *fakeCore) RejectionStatus(_, key string) node.Status {
 	if key == "ran" {
 		return node.StatusFailed
 	}
 	return node.StatusRejected
 }
 
-func (d *fakeCore) Abort(id string) { d.answer(id, node.Response{Status: node.StatusRejected}) }
+func (c *fakeCore) Abort(id string) { c.answer(id, node.Response{Status: node.StatusRejected}) }
 
-func (d *fakeCore) answer(id string, a node.Response) {
-	d.mu.Lock()
-	reply := d.replies[id]
-	d.mu.Unlock()
+func (c *fakeCore) answer(id string, a node.Response) {
+	c.mu.Lock()
+	reply := c.replies[id]
+	c.mu.Unlock()
 	reply(a)
 }
 
@@ -64,13 +64,13 @@
 	if change != nil {
 		change(&lim)
 	}
-	d := newFakeCore()
-	f := New(Options{Core: d, Status: s, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.DiscardLogger})
+	core := newFakeCore()
+	f := New(Options{Core: core, Status: s, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.DiscardLogger})
 	ln := f.Listen(standin.Listen(t), false)
 	go func() { _ = f.Serve(ln) }()
 	t.Cleanup(f.Close)
 	t.Cleanup(func() { _ = ln.Close() })
-	return f, d, ln
+	return f, core, ln
 }
 
 // readToEnd reads from the connection until its end; the test fails if it ends with a reset.
@@ -111,10 +111,10 @@
 )
 
 // isIdle reports whether messages were read, no request is open and all answers are written.
-func (k *conn) isIdle() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.messagesRead > 0 && len(k.openRequests) == 0 && len(k.output) == 0 && !k.flushing
+func (c *conn) isIdle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.messagesRead > 0 && len(c.openRequests) == 0 && len(c.output) == 0 && !c.flushing
 }
 
 const testRequestID = "9b1f03aa5c7e2d41"
@@ -168,7 +168,7 @@
 	set    bool
 }
 
-func (m fakeStatus) LoadSignal() (float64, bool) { return m.signal, m.set }
+func (s fakeStatus) LoadSignal() (float64, bool) { return s.signal, s.set }
 
 func (fakeStatus) Healthy() bool { return true }
 
--- a/internal/frontend/resp/listener.go
+++ b/internal/frontend/resp/listener.go
@@ -112,7 +112,7 @@
 	// The connection counts as open until Serve has added it to conns. Otherwise a process that checked in
 	// between would exit and close a connection that a client may have written to. Connections accepted while
 	// draining are served and asked to close like all others: if the listener is shared with the next process,
-	// the client can't know that it reached this one.
+	// a client can't choose which of the two accepts its connection.
 	f.pending.Add(1)
 	return c
 }
--- a/internal/frontend/resp/listener_test.go
+++ b/internal/frontend/resp/listener_test.go
@@ -16,16 +16,16 @@
 	gate chan struct{}
 }
 
-func (g *gatedListener) Accept() (net.Conn, error) {
-	<-g.gate
-	return g.TCPListener.Accept()
+func (l *gatedListener) Accept() (net.Conn, error) {
+	<-l.gate
+	return l.TCPListener.Accept()
 }
 
 // TestListenerServesAcceptQueueBeforeClosing checks that connections in the accept queue are served before a
 // listener closes, and that the front end reports open connections until then.
 func TestListenerServesAcceptQueueBeforeClosing(t *testing.T) {
-	d := newFakeCore()
-	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
+	core := newFakeCore()
+	f := New(Options{Core: core, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	gate := make(chan struct{})
 	under := standin.Listen(t).(*net.TCPListener)
 	ln := f.Listen(&gatedListener{under, gate}, false)
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := net.FileListener(own) // stands for the listener of another process
+	other, err := net.FileListener(own) // acts as the listener of another process
 	_ = own.Close()
 	if err != nil {
 		t.Fatal(err)
@@ -95,17 +95,17 @@
 // pausedListener pauses for longer than quietPeriod before each accept.
 type pausedListener struct{ *net.TCPListener }
 
-func (s pausedListener) Accept() (net.Conn, error) {
+func (l pausedListener) Accept() (net.Conn, error) {
 	time.Sleep(2 * quietPeriod)
-	return s.TCPListener.Accept()
+	return l.TCPListener.Accept()
 }
 
 // TestListenerClosesOnlyWithEmptyQueue: the process is paused before each accept while its listener is closing
 // and connections with requests wait in the accept queue. If the listener closed only because the quiet period
 // is over, without checking the queue, those connections would be reset.
 func TestListenerClosesOnlyWithEmptyQueue(t *testing.T) {
-	d := newFakeCore()
-	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
+	core := newFakeCore()
+	f := New(Options{Core: core, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: limits.For(64, 256), Log: standin.DiscardLogger})
 	ln := f.Listen(pausedListener{standin.Listen(t).(*net.TCPListener)}, false)
 	go func() { _ = f.Serve(ln) }()
 	t.Cleanup(f.Close)
--- a/internal/frontend/resp/output.go
+++ b/internal/frontend/resp/output.go
@@ -10,7 +10,7 @@
 
 // enqueueAnswer queues an answer. closesRequest marks it as the final answer to the open request with its tag;
 // it is dropped if that request was canceled meanwhile. enqueueAnswer never blocks, so that a peer that does
-// not read delays nobody else; a connection with too many unread bytes is aborted.
+// not read delays no other peer; a connection with too many unread bytes is aborted.
 func (c *conn) enqueueAnswer(tag, word string, fields, body []byte, closesRequest bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/resp/output_test.go
+++ b/internal/frontend/resp/output_test.go
@@ -20,14 +20,14 @@
 	blocked int // the peer accepts nothing while this is above 0
 }
 
-func (s *slowPeer) SetWriteDeadline(time.Time) error { return nil }
+func (p *slowPeer) SetWriteDeadline(time.Time) error { return nil }
 
-func (s *slowPeer) Write(b []byte) (int, error) {
+func (p *slowPeer) Write(b []byte) (int, error) {
 	n := min(3, len(b))
-	if s.blocked > 0 {
+	if p.blocked > 0 {
 		n = 0
 	}
-	s.got = append(s.got, b[:n]...)
+	p.got = append(p.got, b[:n]...)
 	if n < len(b) {
 		return n, os.ErrDeadlineExceeded
 	}
@@ -85,8 +85,8 @@
 // smallBufferListener accepts connections with a small send buffer.
 type smallBufferListener struct{ *net.TCPListener }
 
-func (n smallBufferListener) Accept() (net.Conn, error) {
-	c, err := n.AcceptTCP()
+func (l smallBufferListener) Accept() (net.Conn, error) {
+	c, err := l.AcceptTCP()
 	if err == nil {
 		err = c.SetWriteBuffer(4 << 10)
 	}
@@ -98,8 +98,8 @@
 func TestUnreadAnswersOfManyPeersStayBounded(t *testing.T) {
 	lim := limits.For(64, 256)
 	lim.TotalUnreadAnswerBytes, lim.WriteTimeout = 128<<10, time.Hour
-	d := newFakeCore()
-	f := New(Options{Core: d, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.DiscardLogger})
+	core := newFakeCore()
+	f := New(Options{Core: core, Status: fakeStatus{}, Classes: map[string]int{"book": 0}, Tenants: map[string]int{"acme": 0}, Limits: lim, Log: standin.DiscardLogger})
 	ln := f.Listen(smallBufferListener{standin.Listen(t).(*net.TCPListener)}, false)
 	go func() { _ = f.Serve(ln) }()
 	t.Cleanup(f.Close)
@@ -128,8 +128,8 @@
 	flooding.Wait()
 	waitFor(t, "the total limit holds", func() bool { return f.unreadBytes.Load() <= limit })
 	readingPeer.Do(7, "book", testRequestID, time.Now(), "body", "")
-	<-d.submitted
-	d.answer(testRequestID, node.Response{Status: node.StatusServed, Result: []byte("r")})
+	<-core.submitted
+	core.answer(testRequestID, node.Response{Status: node.StatusServed, Result: []byte("r")})
 	if got := readingPeer.Read(); len(got) < 2 || got[1] != "ACK" {
 		t.Errorf("answer %q to a peer that reads, want ACK", got)
 	}
--- a/internal/frontend/resp/unadmitted.go
+++ b/internal/frontend/resp/unadmitted.go
@@ -10,7 +10,7 @@
 //   - After its first message, the connection waits for a slot for limits.IdleConnectionGrace, by when a
 //     connection that was just used can be evicted. If the caller gives a timeout, it waits for at most an
 //     eighth of that.
-//   - If it has no slot by then, the request and all messages that have arrived after it are rejected, and the
+//   - If the connection has no slot by then, the request and all messages that have arrived after it are rejected, and the
 //     connection is closed.
 
 // slotWaitDivisor sets the share of the caller's timeout for which a request may wait for a slot:
--- a/internal/frontend/resp/unadmitted_test.go
+++ b/internal/frontend/resp/unadmitted_test.go
@@ -15,13 +15,13 @@
 // request arrive than may be open without a slot. Every request must be answered: rejected, or failed if an
 // attempt with its key has run. A connection that sends nothing is closed, and those with slots are served.
 func TestRequestsOnConnectionsWithoutSlotAreAnswered(t *testing.T) {
-	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections, l.UnadmittedConnections = 2, 2 })
+	f, core, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections, l.UnadmittedConnections = 2, 2 })
 	var busy []*standin.Balancer
 	for i := range 2 {
 		b := standin.Dial(t, ln.Addr().String())
 		b.Do(7, "book", fmt.Sprintf("%016x", i), time.Now(), "body", ",opkey=k")
 		busy = append(busy, b)
-		<-d.submitted
+		<-core.submitted
 	}
 	silent := standin.Dial(t, ln.Addr().String())
 	var answers sync.WaitGroup
@@ -48,11 +48,11 @@
 		t.Errorf("a connection that sent nothing received %q, want its end", got)
 	}
 	answers.Wait()
-	if len(d.submitted) > 0 {
-		t.Errorf("%d requests without a slot were submitted", len(d.submitted))
+	if len(core.submitted) > 0 {
+		t.Errorf("%d requests without a slot were submitted", len(core.submitted))
 	}
 	for i, b := range busy {
-		d.answer(fmt.Sprintf("%016x", i), node.Response{Status: node.StatusServed})
+		core.answer(fmt.Sprintf("%016x", i), node.Response{Status: node.StatusServed})
 		if got := b.Read(); len(got) < 2 || got[1] != "ACK" {
 			t.Errorf("answer %q on a connection with a slot, want ACK", got)
 		}
@@ -64,7 +64,7 @@
 // for a long time. Requests on new connections are rejected in time if their callers give a short timeout; one
 // whose caller gives none gets the first slot that becomes free.
 func TestWaitForSlotIsBoundedByCallerTimeout(t *testing.T) {
-	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
+	f, core, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) {
 		l.MaxConnections, l.UnadmittedConnections, l.IdleConnectionGrace = 2, 2, time.Hour
 	})
 	var idle []*standin.Balancer
@@ -85,17 +85,17 @@
 		}
 		_ = b.Close()
 	}
-	if len(d.submitted) > 0 {
+	if len(core.submitted) > 0 {
 		t.Fatal("a request without a slot was submitted")
 	}
 	waitFor(t, "only the connection without a timeout waits", func() bool { return len(f.unadmitted) == 1 })
 	_ = idle[0].Close()
 	select {
-	case <-d.submitted:
+	case <-core.submitted:
 	case <-time.After(standin.WaitTimeout):
 		t.Fatal("the waiting request was not submitted though a slot is free")
 	}
-	d.answer(testRequestID, node.Response{Status: node.StatusServed})
+	core.answer(testRequestID, node.Response{Status: node.StatusServed})
 	if got := withoutTimeout.Read(); len(got) < 2 || got[1] != "ACK" {
 		t.Errorf("answer %q, want ACK", got)
 	}
@@ -105,10 +105,10 @@
 // TestPipelinedRequestsWithoutSlotAreAnswered checks that all messages that have arrived on a connection without a slot by
 // the time its first request is rejected are answered.
 func TestPipelinedRequestsWithoutSlotAreAnswered(t *testing.T) {
-	f, d, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections = 1 })
+	f, core, ln := startFront(t, fakeStatus{}, func(l *limits.Limits) { l.MaxConnections = 1 })
 	busy := standin.Dial(t, ln.Addr().String())
 	busy.Do(7, "book", testRequestID, time.Now(), "body", "")
-	<-d.submitted
+	<-core.submitted
 	b := standin.Dial(t, ln.Addr().String())
 	b.Send(standin.Array("DO", "7", "book", validFields, "body") + standin.Array("PING", "8") + standin.Array("DO", "9", "book", validFields, "body"))
 	words := map[string]string{}
--- a/internal/frontend/uwsgi/attempt.go
+++ b/internal/frontend/uwsgi/attempt.go
@@ -23,7 +23,7 @@
 
 	sent             bool            // the server may have received part of the request
 	responseStarted  bool            // part of the response was sent to the client
-	result           balancer.Result // what the balancer is told about the server
+	result           balancer.Result // reported to the balancer for the server
 	firstByteLatency time.Duration   // from the start to the first byte of the response; 0 if none arrived
 	times            AttemptTimes
 }
@@ -34,13 +34,13 @@
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
 var (
-	// errClientWrite says that the response could not be written to the client. It does not count against the server.
+	// errClientWrite is returned if the response could not be written to the client. It does not count against the server.
 	errClientWrite = errors.New("cannot write the response to the client")
-	// errResponseTruncated says that the server closed the connection before the end of the response body.
+	// errResponseTruncated is returned if the server closed the connection before the end of the response body.
 	errResponseTruncated = errors.New("the server closed the connection before the end of the response")
 )
 
-// bodyError says that the request body could not be read from the client.
+// bodyError wraps the error because of which the request body could not be read from the client.
 type bodyError struct{ error }
 
 // Unwrap returns the cause.
--- a/internal/frontend/uwsgi/balancer/slowstart.go
+++ b/internal/frontend/uwsgi/balancer/slowstart.go
@@ -14,7 +14,8 @@
 //
 //	turnRateFactor × fraction(t) × sendRate / servers,   fraction(t) = max(MinSlowStartFraction, t / SlowStart)
 //
-// A turn that is not used within turnValidSpans of a span expires, so that no process accumulates turns for a burst.
+// Slow start is divided into slowStartSpans spans of equal length. A turn that is not used within turnValidSpans of a span expires,
+// so that no process accumulates turns for a burst.
 // In addition to the turns, the server's capacity is limited to ceil(limit × fraction(t)) requests in flight (see capacity in
 // selection.go). While no server is warm, turns are not required and only that limit applies.
 
--- a/internal/frontend/uwsgi/bodyreader.go
+++ b/internal/frontend/uwsgi/bodyreader.go
@@ -12,7 +12,7 @@
 	"sloehitch/internal/platform/limits"
 )
 
-// errBodyTruncated says that the client ended its sending side before the end of the body.
+// errBodyTruncated is returned if the client ended its sending side before the end of the body.
 var errBodyTruncated = errors.New("the client closed its sending side before the end of the request body")
 
 // readBufferSize is the size of the buffer into which a body is read, in bytes.
@@ -77,14 +77,14 @@
 		}
 		if n > 0 {
 			b.mu.Lock()
-			taken, malformed := b.append(buf[:n])
+			bodyBytes, bodyErr := b.append(buf[:n])
 			b.changed.Broadcast()
 			b.mu.Unlock()
-			if malformed != nil {
-				b.fail(malformed)
+			if bodyErr != nil {
+				b.fail(bodyErr)
 				return
 			}
-			if taken < n {
+			if bodyBytes < n {
 				b.reportTrailing()
 			}
 		}
--- a/internal/frontend/uwsgi/harness_test.go
+++ b/internal/frontend/uwsgi/harness_test.go
@@ -126,7 +126,7 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// reply returns a server's script that reads up to the given end of a request and responds.
+// replyAfter returns a server's script that reads up to the given end of a request and responds.
 func replyAfter(end, response string) standin.Script {
 	return standin.Script{{Until: end}, {Send: response}}
 }
--- a/internal/frontend/uwsgi/packet/body.go
+++ b/internal/frontend/uwsgi/packet/body.go
@@ -8,8 +8,8 @@
 	Chunked bool  // the body is in chunked encoding; Length is -1
 }
 
-// RequestFraming returns the framing of a request body, as given by the request's variables. Contradicting variables are malformed:
-// the server may use another one of them (request smuggling, RFC 9112 section 11.2).
+// RequestFraming returns the framing of a request body, as given by the request's variables. Contradictory variables are malformed,
+// because the server might use another one of them than the front does (request smuggling, RFC 9112 section 11.2).
 func RequestFraming(v Vars) (Framing, error) {
 	length, hasLength := v.Find("CONTENT_LENGTH")
 	n, err := contentLength(length)
@@ -182,7 +182,7 @@
 	return malformed("invalid byte %q in a chunk size", ch)
 }
 
-// trailer consumes one byte of the trailer section.
+// stepTrailer consumes one byte of the trailer section.
 func (c *ChunkScanner) stepTrailer(ch byte) error {
 	if c.trailerBytes++; c.trailerBytes > maxTrailerBytes {
 		return oversize("trailer section")
--- a/internal/frontend/uwsgi/packet/packet.go
+++ b/internal/frontend/uwsgi/packet/packet.go
@@ -59,7 +59,8 @@
 }
 
 // ReadVars parses and validates a block of at most maxVars variables. Each variable is a name and a value, both preceded by their
-// length. An empty or duplicate name is malformed: of two lengths, keys or hosts, the server may use the other one.
+// length. An empty or duplicate name is malformed: if a request had two lengths, keys or hosts, the server might use another one
+// of them than the front does.
 func ReadVars(block []byte, maxVars int) (Vars, error) {
 	v := Vars{block: block}
 	for rest := block; len(rest) > 0; {
--- a/internal/frontend/uwsgi/packet/response.go
+++ b/internal/frontend/uwsgi/packet/response.go
@@ -11,7 +11,7 @@
 }
 
 // ReadResponseHead parses the head of at most maxBytes at the start of b. It returns ErrIncomplete while the head is not complete,
-// and an error that wraps ErrMalformed or ErrOversize if the head is not valid. headOnly says that the request method was HEAD.
+// and an error that wraps ErrMalformed or ErrOversize if the head is not valid. headOnly must be set if the request method was HEAD.
 func ReadResponseHead(b []byte, headOnly bool, maxBytes int) (ResponseHead, error) {
 	size := headEnd(b)
 	if size < 0 {
@@ -44,8 +44,8 @@
 	return h, nil
 }
 
-// ErrIncomplete says that more input is needed. It wraps ErrMalformed, because a head that is incomplete when the connection ends is
-// malformed.
+// ErrIncomplete is returned if more input is needed. It wraps ErrMalformed, because a head that is incomplete when the connection
+// ends is malformed.
 var ErrIncomplete = malformed("the response ended within its head")
 
 // headEnd returns the length of the head at the start of b, including the empty line, or -1 if the head is not complete. Lines may end
--- a/internal/frontend/uwsgi/pool.go
+++ b/internal/frontend/uwsgi/pool.go
@@ -97,14 +97,14 @@
 	return p.balancer.Servers(time.Now())
 }
 
-// expect registers a request. It must be called before the request is submitted to the node, which may start it immediately.
+// addRequest registers a request. It must be called before the request is submitted to the node, which may start it immediately.
 func (p *Pool) addRequest(id string, request *clientRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests[id] = request
 }
 
-// forget removes a request that was not started.
+// removeRequest removes a request that was not started.
 func (p *Pool) removeRequest(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/frontend/uwsgi/serve.go
+++ b/internal/frontend/uwsgi/serve.go
@@ -20,7 +20,7 @@
 // chunkFramingBytes is the allowance for chunk framing in the window of a buffered body.
 const chunkFramingBytes = 64 << 10
 
-// errPingAnswered says that the connection carried a ping, which needs no further response.
+// errPingAnswered is returned if the connection carried a ping, which needs no further response.
 var errPingAnswered = errors.New("ping")
 
 // message is a packet without its body.
--- a/internal/frontend/uwsgi/stream_test.go
+++ b/internal/frontend/uwsgi/stream_test.go
@@ -33,7 +33,7 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	sent := 0
-	for sent < size { // until the kernel accepts no more for a while, which proves nothing by itself; the heap bound below does
+	for sent < size { // until a write times out, which alone proves nothing; the heap bound below does
 		if err := c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
