--- a/internal/backend/catalogue/conn.go
+++ b/internal/backend/catalogue/conn.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// run opens the connection and reads replies until it ends.
+// run opens the connection, and reads replies until the connection ends.
 func (cn *conn) run() {
 	c := cn.client
 	socket, err := net.DialTimeout("tcp", cn.address, c.limits.DialTimeout)
--- a/internal/backend/directory/reporter_test.go
+++ b/internal/backend/directory/reporter_test.go
@@ -36,9 +36,9 @@
 	if err := conn.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	p := newTestReporter(conn.LocalAddr().String())
+	reporter := newTestReporter(conn.LocalAddr().String())
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	go func() { p.Run(stop); close(stopped) }()
+	go func() { reporter.Run(stop); close(stopped) }()
 	read := func() string {
 		b := make([]byte, 100)
 		n, _, err := conn.ReadFrom(b)
@@ -52,7 +52,7 @@
 			t.Errorf("report %q, want it open", got)
 		}
 	}
-	p.SetClosed(true)
+	reporter.SetClosed(true)
 	for got := read(); got != "PULSE n3 closed"; got = read() {
 		if got != "PULSE n3 open" {
 			t.Fatalf("report %q, want it open or closed", got)
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = next.Close() }()
-	p.SetAddress(next.LocalAddr().String())
+	reporter.SetAddress(next.LocalAddr().String())
 	if err := next.SetDeadline(time.Now().Add(standin.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -82,9 +82,9 @@
 	}
 	address := conn.LocalAddr().String()
 	_ = conn.Close()
-	p := newTestReporter(address)
+	reporter := newTestReporter(address)
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	go func() { p.Run(stop); close(stopped) }()
+	go func() { reporter.Run(stop); close(stopped) }()
 	time.Sleep(20 * time.Millisecond)
 	again, err := net.ListenPacket("udp", address)
 	if err != nil {
--- a/internal/backend/runtime/commands.go
+++ b/internal/backend/runtime/commands.go
@@ -52,7 +52,7 @@
 }
 
 // Stop pauses a run, or ends it if its request is over. While the runtime is not ready, the command is dropped:
-// the module sends it again, and the queue would otherwise grow for as long as the runtime is unavailable.
+// package logic repeats it, and the queue would otherwise grow for as long as the runtime is unavailable.
 func (l *Link) Stop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/backend/runtime/link.go
+++ b/internal/backend/runtime/link.go
@@ -176,7 +176,7 @@
 		_ = conn.Close()
 	default:
 		l.switching = true
-		l.enqueue(encodeGaugesRequest(echoHandover))
+		l.enqueue(encodeGaugesRequest(echoAddressChanged))
 		time.AfterFunc(l.opts.Limits.LinkSwitchTimeout, func() { _ = conn.Close() })
 	}
 }
--- a/internal/backend/runtime/notices.go
+++ b/internal/backend/runtime/notices.go
@@ -76,7 +76,7 @@
 	switch m.echo {
 	case echoResumed:
 		l.reportResume(l.decideRedelivery())
-	case echoHandover:
+	case echoAddressChanged:
 		return errAddressChanged
 	case echoKeepalive:
 	default:
--- a/internal/backend/runtime/wire.go
+++ b/internal/backend/runtime/wire.go
@@ -19,9 +19,9 @@
 // runtime has read all commands before the request, and all notices that it had until then have been received.
 // Requests made by RequestGauges have a number as their echo.
 const (
-	echoResumed   = "resumed" // the link is resumed
-	echoHandover  = "moved"   // the connection may end: the address has changed
-	echoKeepalive = "alive"   // the runtime is alive
+	echoResumed        = "resumed" // the link is resumed
+	echoAddressChanged = "moved"   // the connection may end: the address has changed
+	echoKeepalive      = "alive"   // the runtime is alive
 )
 
 // Commands, one type for each set of fields.
