--- a/client/uwsgi/client.go
+++ b/client/uwsgi/client.go
@@ -153,7 +153,7 @@
 	return backoff, r.IdempotencyKey != "" && !errors.As(err, &bodyErr)
 }
 
-// DialError says that no connection was established, so that nothing was sent.
+// DialError is returned if no connection was established, so that nothing was sent.
 type DialError struct{ Err error }
 
 // Error implements error.
@@ -162,7 +162,7 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// BodyError says that the request body could not be read.
+// BodyError is returned if the request body could not be read.
 type BodyError struct{ Err error }
 
 // Error implements error.
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -56,7 +56,7 @@
 	if vars.Len() == 0 || err != nil {
 		return
 	}
-	slog.Info("run", "method", vars.Get("REQUEST_METHOD"), "path", vars.Get("PATH_INFO"), "key", vars.Get("HTTP_IDEMPOTENCY_KEY"), "bytes", body)
+	slog.Info("running request", "method", vars.Get("REQUEST_METHOD"), "path", vars.Get("PATH_INFO"), "key", vars.Get("HTTP_IDEMPOTENCY_KEY"), "bytes", body)
 	time.Sleep(c.Work)
 	text := "free: 09:00 10:30 14:00\n"
 	if vars.Get("REQUEST_METHOD") == "POST" {
@@ -67,7 +67,7 @@
 	}
 }
 
-// errPing says that the request was a ping.
+// errPing is returned if the request was a ping.
 var errPing = errors.New("ping")
 
 // read reads a request, and returns its variables and the number of bytes in its body. It returns errPing for a ping.
--- a/internal/handover/shutdown.go
+++ b/internal/handover/shutdown.go
@@ -33,7 +33,8 @@
 // requests that they send until then are served. A process that is replaced closes its listener at once: its clients'
 // next connections wait in the listener's queue for the other process. If callers were sent to other nodes, the whole
 // node would be drained instead of the process, and its cores would be idle until callers use it again. If the listener
-// is inherited and no other process is alive, nobody would accept connections any more, so the node is shut down.
+// is inherited and no other process is alive, no process would accept connections any more, so the whole node
+// shuts down.
 func PlanShutdown(c ShutdownConditions) ShutdownPlan {
 	if c.InheritedListener && c.OtherProcesses > 0 {
 		return ShutdownPlan{KeepAdvertised: true}
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -94,7 +94,7 @@
 	return s, nil
 }
 
-// Errors that say why a snapshot is not used.
+// Reasons for which a snapshot is not used.
 var (
 	ErrCorrupt       = errors.New("snapshot is truncated or damaged")
 	ErrVersion       = errors.New("snapshot has another format version")
--- a/internal/handover/validate.go
+++ b/internal/handover/validate.go
@@ -18,7 +18,7 @@
 	MaxClockSkew time.Duration // maximum time by which a snapshot may be ahead of Now
 }
 
-// Validate returns nil if a snapshot may be used, and otherwise an error that says why not. The snapshot must be from this
+// Validate returns nil if a snapshot may be used, and otherwise an error with the reason. The snapshot must be from this
 // node and these settings, its age must be from -MaxClockSkew to MaxAge, and each value must be plausible. A snapshot that
 // was made under overload is used like any other: averages adapt to the new server's measurements, and Discount limits
 // their weight.
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -9,7 +9,7 @@
 )
 
 // Ask makes one call at address and returns the whole answer. It blocks until the node closes the connection or the timeout
-// expires. It returns an error if the call is unknown, if the node cannot be reached, and if the answer does not begin with
+// expires. It returns an error if the call is unknown, if the node cannot be reached, or if the answer does not begin with
 // ACK; in the last case it returns the answer too.
 func Ask(address, call string, timeout time.Duration) (string, error) {
 	if _, err := Parse(call); err != nil {
--- a/internal/operatorapi/server_test.go
+++ b/internal/operatorapi/server_test.go
@@ -38,10 +38,10 @@
 }
 
 func TestReportAppend(t *testing.T) {
-	f := Report{Classes: []Class{{Name: "book", OK: 812, Shed: 3, Errors: 1, Attempts: 815}}, InFlight: 14, ConfigApplied: 2, ConfigRejected: 1}
+	r := Report{Classes: []Class{{Name: "book", OK: 812, Shed: 3, Errors: 1, Attempts: 815}}, InFlight: 14, ConfigApplied: 2, ConfigRejected: 1}
 	want := "app.responses.book.ok:812|c\napp.responses.book.shed:3|c\napp.responses.book.errors:1|c\napp.responses.book.tries:815|c\n" +
 		"app.active:14|g\napp.config_applied:2|c\napp.config_rejected:1|c\n"
-	if got := string(f.Append(nil)); got != want {
+	if got := string(r.Append(nil)); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
@@ -52,13 +52,13 @@
 	evacuated bool
 }
 
-func (n *fakeHandler) Ready() bool { return true }
-func (n *fakeHandler) Report() Report {
+func (h *fakeHandler) Ready() bool { return true }
+func (h *fakeHandler) Report() Report {
 	return Report{Classes: []Class{{Name: "search", OK: 1}}, InFlight: 2}
 }
-func (n *fakeHandler) Evacuate()         { n.mu.Lock(); n.evacuated = true; n.mu.Unlock() }
-func (n *fakeHandler) Activate()         { n.mu.Lock(); n.evacuated = false; n.mu.Unlock() }
-func (n *fakeHandler) isEvacuated() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.evacuated }
+func (h *fakeHandler) Evacuate()         { h.mu.Lock(); h.evacuated = true; h.mu.Unlock() }
+func (h *fakeHandler) Activate()         { h.mu.Lock(); h.evacuated = false; h.mu.Unlock() }
+func (h *fakeHandler) isEvacuated() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.evacuated }
 
 func serve(t *testing.T, lim limits.Limits) (*fakeHandler, string) {
 	t.Helper()
