--- a/logic/api.go
+++ b/logic/api.go
@@ -51,7 +51,7 @@
 	Idempotency         Idempotency // whether a request may run again
 	IdempotencyWindow   Micros      // IdempotentByKey: time after the arrival in which repeats can arrive
 	CallsDependency     bool        // runs may call the dependency
-	DegradedWeightShare float64     // the same if a call was skipped; 0 forbids ActionSkipCall
+	DegradedWeightShare float64     // share of the weight if a call was skipped; 0 forbids ActionSkipCall
 }
 
 // Tenant describes one tenant.
--- a/logic/attempts_test.go
+++ b/logic/attempts_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// A request without an attempt timeout is taken for a first attempt, even if other requests have timeouts.
+// TestMissingAttemptTimeoutMeansFirstAttempt checks that a request without an attempt timeout counts as a first
+// attempt, even if other requests have timeouts.
 func TestMissingAttemptTimeoutMeansFirstAttempt(t *testing.T) {
 	d := newDriver(t, testSettings())
 	for id := RequestID(1); id <= 40; id++ {
--- a/logic/callbudget.go
+++ b/logic/callbudget.go
@@ -27,7 +27,7 @@
 	minCallPaceShare        = 0.25 // lower bound of P as a share of L, however slow calls are
 	callBurst               = 10   // maximum credit after an idle period, in mean call times
 	callBurstObjectiveShare = 0.2  // or this share of the mean objective at concurrency P, if more
-	callObjectiveShare      = 0.3  // share of an objective that a call may take or spend
+	callObjectiveShare      = 0.3  // share of an objective that a call may last, and is charged for at most
 	reservedCalls           = 4    // mean call times that the lowest weight leaves to the highest
 	callWaitFactor          = 6    // maximum wait of a call that may be skipped, in call times
 	callOverdraftDivisor    = 4    // the credit does not fall below -P·mean objective/callOverdraftDivisor
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -104,8 +104,8 @@
 	d.step(0)
 	failed := false
 	for id := RequestID(1); id <= 30; id++ {
-		if on, sent := sentHealth(d.step(50*ms, lateArrival(id, 900*ms))); sent {
-			failed = !on
+		if healthy, sent := sentHealth(d.step(50*ms, lateArrival(id, 900*ms))); sent {
+			failed = !healthy
 		}
 	}
 	if !failed {
@@ -114,7 +114,7 @@
 	idle := timerEvent()
 	idle.Gauges.RunQueueLength = 0
 	for range 400 {
-		if on, sent := sentHealth(d.step(30*ms, idle)); sent && on {
+		if healthy, sent := sentHealth(d.step(30*ms, idle)); sent && healthy {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 	d := newDriver(t, testSettings())
 	d.step(0)
 	for id := RequestID(1); id <= 30; id++ {
-		if on, sent := sentHealth(d.step(50*ms, lateArrival(id, 100*ms))); sent && !on {
+		if healthy, sent := sentHealth(d.step(50*ms, lateArrival(id, 100*ms))); sent && !healthy {
 			t.Fatal("the server is unhealthy although requests are read after 0.1 s")
 		}
 		d.step(10*ms, runEnded(id, OutcomeOK, 10*ms))
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -27,8 +27,8 @@
 }
 
 type timer struct {
-	at  Micros
-	tag uint64
+	at Micros
+	id uint64
 }
 
 type keyEntry struct {
@@ -77,8 +77,8 @@
 	if c.Idempotency == IdempotentByKey {
 		r.key = uint64(gen.rng.IntN(40))
 		if e, ok := gen.entries[r.key]; ok && e.expires > r.arrived {
-			f := gen.inFlight[e.id]
-			if f == nil && len(gen.runArrivals[r.key]) > 0 || f != nil && !f.answered || f != nil && f.started {
+			original := gen.inFlight[e.id]
+			if original == nil && len(gen.runArrivals[r.key]) > 0 || original != nil && !original.answered || original != nil && original.started {
 				a.OriginalID = e.id
 			}
 		}
@@ -109,13 +109,13 @@
 	case r.callInFlight && draw < 0.2:
 		gen.endCall(id, r)
 	case r.atCall && r.answered:
-		gen.done(id, OutcomeCanceled)
+		gen.endRun(id, OutcomeCanceled)
 	case (onCore || r.coalesced && !r.atCall) && draw < 0.05:
 		out := OutcomeOK
 		if gen.rng.IntN(10) == 0 {
 			out = OutcomeFailed
 		}
-		gen.done(id, out)
+		gen.endRun(id, out)
 	case onCore && !r.callInFlight && draw < 0.08 && gen.cfg.Classes[r.class].CallsDependency:
 		r.atCall = true
 		gen.pending = append(gen.pending, Event{Kind: EventCallNeeded, ID: id})
@@ -140,7 +140,7 @@
 	gen.pending = append(gen.pending, Event{Kind: EventCallEnded, ID: id, Outcome: out, Elapsed: 90000})
 }
 
-func (gen *eventGenerator) done(id RequestID, out Outcome) {
+func (gen *eventGenerator) endRun(id RequestID, out Outcome) {
 	if out == OutcomeOK || out == OutcomeFailed {
 		gen.answered++
 	}
@@ -153,7 +153,7 @@
 	for _, t := range gen.timers {
 		if t.at <= gen.now {
 			g := Gauges{CPUUtilization: gen.rng.Float64(), RunQueueLength: 20 * gen.rng.Float64(), MemoryUtilization: 0.5, Connections: 9}
-			gen.pending = append(gen.pending, Event{Kind: EventTimer, TimerID: t.tag, Gauges: g})
+			gen.pending = append(gen.pending, Event{Kind: EventTimer, TimerID: t.id, Gauges: g})
 			continue
 		}
 		waiting = append(waiting, t)
@@ -161,14 +161,14 @@
 	gen.timers = waiting
 	if len(gen.pending) > 0 {
 		for _, a := range gen.s.Step(gen.now, gen.pending) {
-			gen.action(a)
+			gen.applyAction(a)
 		}
 		gen.pending = gen.pending[:0]
 	}
 	gen.check()
 }
 
-func (gen *eventGenerator) action(a Action) {
+func (gen *eventGenerator) applyAction(a Action) {
 	r := gen.inFlight[a.ID]
 	switch a.Kind {
 	case ActionSetTimer:
@@ -182,7 +182,7 @@
 			gen.t.Fatal("run stopped although the settings allow no stop")
 		}
 		if r != nil && r.running && r.answered && !r.atCall {
-			gen.done(a.ID, OutcomeCanceled)
+			gen.endRun(a.ID, OutcomeCanceled)
 		}
 	case ActionSkipCall:
 		if gen.cfg.Classes[r.class].DegradedWeightShare == 0 {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -37,7 +37,7 @@
 		ends := []Event{{Kind: EventRunEnded, ID: 3, Outcome: o}, {Kind: EventRunEnded, ID: 3, Outcome: o}}
 		s.Step(1_000_000, ends)
 		if len(s.byID) != 2 || len(s.queue) != 1 || s.requestMemoryKB != 20*2 {
-			t.Errorf("outcome %d: %d in flight, %d queued, %v KB", o, len(s.byID), len(s.queue), s.requestMemoryKB)
+			t.Errorf("outcome %d: %d in flight, %d queued, %v KB; want 2, 1 and 40", o, len(s.byID), len(s.queue), s.requestMemoryKB)
 		}
 	}
 }
--- a/logic/reading_test.go
+++ b/logic/reading_test.go
@@ -27,7 +27,7 @@
 	}{
 		{"reading takes 0.6 s on a core of its own", 600 * ms, 1, true},
 		{"reading takes 0.02 s", 20 * ms, 1, false},
-		{"six share the cores", 30 * ms, 6, false}, // 0.18 s, 0.06 s with only a part of the 2 cores
+		{"six share the cores", 30 * ms, 6, false}, // 6·30 ms = 0.18 s, times a core share of at most 2/6: 0.06 s
 		{"nothing is being read", 600 * ms, 0, false},
 	} {
 		d := newDriver(t, testSettings())
--- a/logic/signal.go
+++ b/logic/signal.go
@@ -108,8 +108,8 @@
 func (s *Server) updatePriorityFloor() {
 	s.priorityFloor *= 1 - 1.0/recentArrivalCount
 	rejected := int(max(0, s.rejectedShare.Mean-futileRejectedShare) * float64(len(s.recentArrivals)))
-	callsShort := s.callCredit < reservedCalls*s.callTime.Mean
-	if s.cfg.SignalMode == SignalPriorityFloor && rejected > 0 && !callsShort {
+	callBudgetLow := s.callCredit < reservedCalls*s.callTime.Mean
+	if s.cfg.SignalMode == SignalPriorityFloor && rejected > 0 && !callBudgetLow {
 		ranked := slices.Clone(s.recentArrivals)
 		slices.SortFunc(ranked, func(a, b Arrival) int { return cmp.Compare(a.PriorityRank, b.PriorityRank) })
 		s.priorityFloor = max(s.priorityFloor, min(maxDivertedShare, ranked[rejected].PriorityRank))
--- a/logic/signal_test.go
+++ b/logic/signal_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPriorityFloorIsNotRaisedWhileCallsAreShort(t *testing.T) {
+func TestPriorityFloorIsNotRaisedWhileCallBudgetIsLow(t *testing.T) {
 	d := newDriver(t, rankedSettings())
 	d.s.callTime.add(float64(500*ms), 1)
 	for id := RequestID(1); id <= 40; id++ {
@@ -63,10 +63,10 @@
 }
 
 func TestSlowServerOffersLessConcurrency(t *testing.T) {
-	loadSignal := func(run Micros) float64 {
+	loadSignal := func(runTime Micros) float64 {
 		d := newDriver(t, testSettings())
 		for id := RequestID(1); id <= 3; id++ {
-			d.completeRun(id, int(id)-1, run)
+			d.completeRun(id, int(id)-1, runTime)
 		}
 		return d.s.loadSignal()
 	}
@@ -76,12 +76,12 @@
 }
 
 func TestUnevenCallersShareLimitByTraffic(t *testing.T) {
-	loadSignal := func(sources []int) float64 {
+	loadSignal := func(callerIDs []int) float64 {
 		d := newDriver(t, testSettings())
 		for id := RequestID(1); id <= 3; id++ {
 			d.completeRun(id, int(id)-1, 100*ms)
 		}
-		for i, callerID := range sources {
+		for i, callerID := range callerIDs {
 			ev := arrival(RequestID(100+i), 0, 3000*ms)
 			ev.Arrival.CallerID = callerID
 			d.step(100*ms, ev, runEnded(RequestID(99+i), OutcomeOK, 100*ms))
