--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -52,7 +52,7 @@
 	timer           clock.Timer
 	timerNumber     uint64 // number of the latest timer; earlier ones are ignored
 	timerID         uint64 // TimerID that the logic.Server gave its timer
-	stepScheduled   bool   // with OnDecision: a step is scheduled by a clock callback
+	stepScheduled   bool   // with OnDecision: a clock callback that runs a step is scheduled
 	done            chan struct{}
 	gaugesRequested bool // the timer has expired and waits for gauges
 	lastStepAt      logic.Micros
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -49,7 +49,7 @@
 	return !n.drainStartedAt.IsZero() && r.readAt.After(n.drainStartedAt.Add(duration(n.opts.Settings.DrainGrace)))
 }
 
-// answeredBeforeKill reports whether answerAllBeforeKill is due, so that it would not answer requests read from now on.
-func (n *Node) answeredBeforeKill(now time.Time) bool {
+// withinKillMargin reports whether answerAllBeforeKill is due, so that it would not answer requests read from now on.
+func (n *Node) withinKillMargin(now time.Time) bool {
 	return !n.drainStartedAt.IsZero() && !now.Before(n.killAt.Add(-n.opts.Limits.KillMargin))
 }
--- a/internal/node/elsewhere_test.go
+++ b/internal/node/elsewhere_test.go
@@ -106,7 +106,7 @@
 		s.held["k"] = servedRecord
 		s.done["a"](ErrKeyHeld)
 	}, "record start a", "[served r] [] []"},
-	{"no response if canceled before the start was refused for the other process", func(h *harness, s *sharedJournal) {
+	{"no response if canceled before the record of the start fails because the other process holds the key", func(h *harness, s *sharedJournal) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.Cancel("a")
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -182,7 +182,7 @@
 	var reused bool
 	h.Submit(Request{ID: "c", Class: 1, IdempotencyKey: "k", Content: []byte("other"), ArrivedAt: h.clock.now, Runner: h.runner}, func(a Response) { reused = a.KeyReused })
 	if got := fmt.Sprint(h.responses["a"], h.responses["b"], reused, h.runner); got != "[failed ] [failed ] true " {
-		t.Errorf("responses of a and b, reuse of c's key, commands: %s", got)
+		t.Errorf("responses of a and b, reuse of c's key, commands: %s; want [failed ] [failed ] true and no commands", got)
 	}
 	h.clock.now = h.clock.now.Add(6300 * time.Millisecond)
 	h.submit("d", classBook, "k", 0)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,7 +22,7 @@
 	after := h.RejectionStatus("book", "k")
 	h.clock.now = h.clock.now.Add(11 * time.Second)
 	if past := h.RejectionStatus("book", "k"); before != StatusRejected || during != StatusFailed || after != StatusFailed || past != StatusRejected || h.RejectionStatus("book", "") != StatusRejected {
-		t.Errorf("before the run %v, during it %v, after it %v, past its window %v", before, during, after, past)
+		t.Errorf("statuses before the run %v, during it %v, after it %v, past its window %v; want rejected, failed, failed, rejected, and rejected without a key", before, during, after, past)
 	}
 }
 
--- a/internal/node/outcomes_test.go
+++ b/internal/node/outcomes_test.go
@@ -163,7 +163,7 @@
 		h.submit("c", classBook, "k", 0)
 		h.decide("c", admission.Run)
 	}, "start a, start c", "[served r] [served r] []"},
-	{"attempt read after the window but arrived within it is coalesced", func(h *harness) {
+	{"attempt that arrived within the window but was read after it is coalesced", func(h *harness) {
 		h.submit("a", classBook, "k", 0)
 		h.decide("a", admission.Run)
 		h.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
@@ -193,7 +193,7 @@
 		h.decide("b", admission.Coalesce)
 		h.RunEnded("a", logic.OutcomeOK, 0, []byte("r"))
 	}, "start a", "[served r] [served r] [rejected ]"},
-	{"request read after the final answers before the kill is rejected at once", func(h *harness) {
+	{"request read within the kill margin is rejected at once", func(h *harness) {
 		h.Drain(h.clock.now.Add(-time.Second), 1100*time.Millisecond, true) // not reported to admission
 		h.submit("a", classRead, "", 0)
 		h.submit("b", classBook, "k", 0)
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -24,7 +24,7 @@
 		return
 	}
 	// After the drain grace, a repeat of a request that may have run is still answered from that run.
-	tooLate := n.answeredBeforeKill(now) || (n.pastDrainGrace(r) && !n.keyMayHaveRun(r))
+	tooLate := n.withinKillMargin(now) || (n.pastDrainGrace(r) && !n.keyMayHaveRun(r))
 	if tooLate {
 		n.respond(r, Response{Status: StatusRejected, RetryAfter: duration(n.opts.Settings.MaxRetryAfter)})
 		return
