--- a/internal/control/canary/analysis_test.go
+++ b/internal/control/canary/analysis_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestFalseAlarmsWithinProbability: of 100 releases of good versions, no more are found worse than the false alarm
-// probability explains.
+// TestFalseAlarmsWithinProbability checks that the number of false alarms in 100 releases of good versions can be
+// explained by the false alarm probability.
 func TestFalseAlarmsWithinProbability(t *testing.T) {
 	alarms := 0
 	for seed := range uint64(100) {
@@ -90,7 +90,7 @@
 func TestInconclusiveWithoutPeers(t *testing.T) {
 	one := NodeSeries{Name: "n0", Zone: "a", Intervals: make([]Interval, 40), Known: make([]bool, 40), UpdatedFrom: 10, InService: true}
 	if verdict := Analyze(Options{FalseAlarmProbability: 0.01, MaxAnalyses: 10, MinIntervals: 5}, []NodeSeries{one}); verdict.Worse || verdict.Conclusive || !strings.Contains(verdict.Reason, "nobody of their zone") {
-		t.Errorf("%+v", verdict)
+		t.Errorf("verdict %+v, want neither worse nor conclusive, for lack of peers", verdict)
 	}
 }
 
--- a/internal/control/disruption/budget.go
+++ b/internal/control/disruption/budget.go
@@ -38,8 +38,8 @@
 var scopes = []string{scopeFleet, scopeZone, scopeKind, scopeService}
 
 var (
-	errNegativeCount   = errors.New("most_out and least_in must be 0 or more")
-	errFractionOutside = errors.New("most_out_share and least_in_share must be from 0 to 1")
+	errNegativeCount      = errors.New("most_out and least_in must be 0 or more")
+	errFractionOutOfRange = errors.New("most_out_share and least_in_share must be from 0 to 1")
 )
 
 // Budget bounds how many members of each group of a scope may be unavailable at once. Exactly one of the four
@@ -91,7 +91,7 @@
 		}
 		set++
 		if inRange := *fraction >= 0 && *fraction <= 1; !inRange { // NaN is out of range
-			err = errFractionOutside
+			err = errFractionOutOfRange
 		}
 	}
 	return set, err
--- a/internal/control/disruption/doc.go
+++ b/internal/control/disruption/doc.go
@@ -11,7 +11,7 @@
 //
 // A member that is not known to be in service counts as unavailable, so silent and unhealthy members count
 // against a budget. A node also goes out of service without a permit by SIGTERM, by evacuation, by its desired
-// state, or when operators close it; this is counted but not prevented.
+// state, or when operators set it closed (sloehitch state set closed); this is counted but not prevented.
 //
 // All functions may be called concurrently. None blocks. The design is in docs/design/drains.md.
 package disruption
--- a/internal/control/drainpermit/agent.go
+++ b/internal/control/drainpermit/agent.go
@@ -89,9 +89,9 @@
 
 // HandleStartResult records the result of an ActionStart: whether it is known to be committed, and at which
 // revision. It returns whether the node must go out of service now, that is whether the permit was started and
-// the answer arrived within the start window. Otherwise the permit may still turn out to have been started, by
-// this process, whose answer was late, or by the previous one. The process then stays in service, and returns
-// the permit in the same way as a node that has come back into service.
+// the answer arrived within the start window. Otherwise the permit may still turn out to have been started: by
+// this process, if its transaction was committed but the answer was late or lost, or by the previous one. The
+// process then stays in service, and returns the permit in the same way as a node that has come back into service.
 func (a *Agent) HandleStartResult(committed bool, revision uint64, now lease.Instant) (leave bool) {
 	a.HandleWriteResult(committed, revision)
 	a.startedLate = !committed || now >= a.startRequestedAt.Add(a.options.Terms.HolderDuration())
--- a/internal/control/drainpermit/controller.go
+++ b/internal/control/drainpermit/controller.go
@@ -11,8 +11,8 @@
 )
 
 // Controller decides on the permits of the whole fleet. One process decides at a time, under a lease. Another
-// process may take over at any moment: the only state of a controller is since when it has observed the permits
-// that it may remove. It is not safe for concurrent use.
+// process may take over at any moment: the only state of a controller is when it first observed each permit that
+// it may remove. It is not safe for concurrent use.
 type Controller struct {
 	Terms    lease.Terms   // of the start window
 	MinReady time.Duration // for which a node must be in service and healthy before it counts as available
--- a/internal/control/drainpermit/modelcheck/checks.go
+++ b/internal/control/drainpermit/modelcheck/checks.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/store/document"
 )
 
-// checkBudgets checks that no more members of a group are out of service voluntarily than its budget allows.
+// checkBudgets checks that the number of voluntarily unavailable members of each group is within its budget.
 // A node counts from when it goes out until it has been back and healthy for most of the minimum ready time.
 func (w *world) checkBudgets() {
 	const backAfter = minReady * 9 / 10 // less than minReady, because the node measures on its own clock, which may run fast
--- a/internal/control/drainpermit/modelcheck/node.go
+++ b/internal/control/drainpermit/modelcheck/node.go
@@ -45,7 +45,7 @@
 	voluntary    bool                  // it went out of service under a permit, and has not been back for the minimum ready time
 }
 
-// whenRunning calls do once the node is no longer stalled, or never if the process has been replaced by then.
+// whenRunning calls do as soon as the node is not stalled, or never if the process is replaced before.
 func (w *world) whenRunning(n *node, incarnation int, do func()) {
 	var run func()
 	run = func() {
@@ -60,7 +60,7 @@
 	run()
 }
 
-// observe reads a node's request and permit from one member of the store. They may be stale on arrival.
+// observe reads a node's request and permit from one member of the store. They may be stale when they reach the node.
 func (w *world) observe(n *node) {
 	o := drainpermit.Observation{Revision: w.store.Revision()}
 	if d := w.store.Get(fleetstate.RequestKey(n.name)); d.Version > 0 {
@@ -102,8 +102,8 @@
 	}
 }
 
-// startPermit sends the transaction that starts the permit. The node goes out of service if the agent says so on
-// the answer.
+// startPermit sends the transaction that starts the permit. The node goes out of service if the agent decides so
+// when the answer arrives.
 func (w *world) startPermit(n *node, o drainpermit.Observation, a drainpermit.Action) {
 	incarnation := n.incarnation
 	t := drainpermit.StartTransaction(n.name, o, a.Permit, w.newID())
@@ -133,7 +133,7 @@
 			w.counts[countReplaced]++
 			n.nextVersion = o.Request.TargetVersion
 			if !w.faultsOver && w.random.IntN(8) == 0 {
-				n.nextVersion = "a third" // a version that nobody asked for
+				n.nextVersion = "a third" // neither the current nor the target version
 			}
 			w.kill(n, replacementDowntime)
 		})
--- a/internal/control/drainpermit/modelcheck/rollout.go
+++ b/internal/control/drainpermit/modelcheck/rollout.go
@@ -26,7 +26,7 @@
 	requestsPerTick       = 20
 	failureRate           = 0.005
 	upstreamFaultRate     = 0.15 // failure rate during an upstream fault
-	badVersionFailureRate = 0.3  // in addition
+	badVersionFailureRate = 0.3  // added to the rate of a good version
 	upstreamFaults        = 3
 	upstreamFaultDuration = 15 * time.Second
 )
--- a/internal/control/drainpermit/modelcheck/run_test.go
+++ b/internal/control/drainpermit/modelcheck/run_test.go
@@ -7,8 +7,8 @@
 
 var seeds = flag.Int("walk.seeds", 60, "how many fleets are simulated")
 
-// expectCounted checks that each event has happened in at least one of every so many runs. Without the events the
-// runs would not exercise the checks.
+// expectCounted checks that each event has happened in at least 1/every of the runs. Without the events the runs
+// would not exercise the checks.
 func expectCounted(t *testing.T, runsWith map[string]int, runs, every int, events ...string) {
 	t.Helper()
 	for _, event := range events {
@@ -18,8 +18,9 @@
 	}
 }
 
-// TestDrainsKeepBudgetsAndEnd: under faults, no more nodes are voluntarily out of service than the budgets allow,
-// and no node goes out of service after a halt was acknowledged. After the faults every request ends.
+// TestDrainsKeepBudgetsAndEnd checks that, under faults, the number of nodes voluntarily out of service stays within
+// the budgets and no node goes out of service after a halt was acknowledged, and that every request ends after the
+// faults.
 func TestDrainsKeepBudgetsAndEnd(t *testing.T) {
 	runsWith, total := map[string]int{}, map[string]int{}
 	for seed := range uint64(*seeds) {
--- a/internal/control/drainpermit/modelcheck/world.go
+++ b/internal/control/drainpermit/modelcheck/world.go
@@ -54,7 +54,7 @@
 	rollout  *rollout // nil if only operators drain nodes
 	budgets  disruption.Budgets
 	mutant   string
-	// faultsOver is set once there are no more faults, so that every request must end.
+	// faultsOver is set at the end of the faults. From then on every request must end.
 	faultsOver bool
 	lastID     int
 	haltedAt   map[string]time.Duration // by halt: when it was acknowledged
--- a/internal/control/drainpermit/remove.go
+++ b/internal/control/drainpermit/remove.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// observedFor returns for how long the controller has observed the permit without a break in the state of the
-// caller (granted and not started, or its upstream server in use again), and records this observation. A pass
-// that finds the permit in another state restarts the measurement.
+// observedFor returns for how long every pass has found the permit in the same state, either granted and not
+// started, or returning with its upstream server in use again. It must be called in each pass that finds the
+// permit in that state; a pass without a call restarts the measurement.
 func (r permitReview) observedFor(permit fleetstate.Permit) time.Duration {
 	first, seen := r.Controller.firstSeen[permit.ID]
 	if !seen {
--- a/internal/control/drainpermit/upstream_test.go
+++ b/internal/control/drainpermit/upstream_test.go
@@ -125,7 +125,7 @@
 		}
 		d := f.decide(second)
 		if removed := len(d.Remove) == 1; removed != (second > 1) || len(d.Grant) != 0 {
-			t.Errorf("after %ds: %+v", second, d)
+			t.Errorf("after %ds: %+v, want the permit removed from second 2 on and no grant", second, d)
 		}
 	}
 }
--- a/internal/control/fencing/guard.go
+++ b/internal/control/fencing/guard.go
@@ -25,7 +25,7 @@
 }
 
 func (e *StaleTokenError) Error() string {
-	return fmt.Sprintf("duty %s: token %d comes after token %d: another owner has taken over", e.Task, e.Token, e.HighestSeen)
+	return fmt.Sprintf("duty %s: token %d is lower than token %d, the highest seen: another owner has taken over", e.Task, e.Token, e.HighestSeen)
 }
 
 // TokenStore keeps the highest tokens across restarts of the process.
--- a/internal/control/fleet/drain.go
+++ b/internal/control/fleet/drain.go
@@ -42,7 +42,7 @@
 	ReplaceProcess func(ctx context.Context, version string) error
 }
 
-var errNoReplacement = errors.New("nothing is set up by which this node could be replaced: [fleet] replace")
+var errNoReplacement = errors.New("no command to replace this node's process is configured: [fleet] replace")
 
 // drainAgent drives the drainpermit.Agent of this node.
 type drainAgent struct {
--- a/internal/control/fleet/failure_detector.go
+++ b/internal/control/fleet/failure_detector.go
@@ -47,7 +47,7 @@
 	return &FailureDetector{timeout: timeout, reports: map[string]lastReport{}}
 }
 
-// Observe records all reports as they are read now. It forgets nodes without a report.
+// Observe records all reports that a reading at now returned. It forgets nodes without a report.
 func (d *FailureDetector) Observe(reports []document.Document, now lease.Instant) {
 	present := map[string]bool{}
 	for _, report := range reports {
--- a/internal/control/fleet/job_runner.go
+++ b/internal/control/fleet/job_runner.go
@@ -23,7 +23,7 @@
 	ended   chan struct{}
 }
 
-// runJob runs a job, as far as this node holds its lease, until the runner stops.
+// runJob acquires the task's lease and runs the job's steps while this node holds it, until the runner stops.
 func (p *Participant) runJob(ctx context.Context, task PeriodicTask, job leasedtask.Job) {
 	runner, err := leasedtask.NewRunner(job, p.options.LeaseTerms)
 	if err != nil {
--- a/internal/control/fleet/options.go
+++ b/internal/control/fleet/options.go
@@ -19,7 +19,7 @@
 
 	StoreMembers   []string      // operator addresses of the store's members
 	ReportInterval time.Duration // between reports of the node
-	SilentAfter    time.Duration // without a new report, after which a node counts as silent
+	SilentAfter    time.Duration // time without a new report after which a node counts as silent
 	RequestTimeout time.Duration // of one request to a member of the store
 	RetryDelay     time.Duration // after a failed request, and between turns of a task
 	LeaseTerms     lease.Terms   // of the tasks' leases, and of the start window of drain permits
--- a/internal/control/fleet/periodic_task.go
+++ b/internal/control/fleet/periodic_task.go
@@ -28,8 +28,8 @@
 	RunStep func(ctx context.Context, a leasedtask.Action) error
 }
 
-// runPeriodicTask runs the task's jobs when they are due, as far as this node holds the lease, until the context
-// ends.
+// runPeriodicTask runs the task's jobs when they are due, each only while this node holds the task's lease, until
+// the context ends.
 func (p *Participant) runPeriodicTask(ctx context.Context, task PeriodicTask) {
 	for ctx.Err() == nil {
 		record, _, err := p.readTaskRecord(task.Name, true) // may be stale: the runner reads it again, confirmed
--- a/internal/control/fleet/release_requests.go
+++ b/internal/control/fleet/release_requests.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	if r.State == release.RolledBack {
-		return fmt.Errorf("release %s has gone back already", name)
+		return fmt.Errorf("release %s is already rolled back", name)
 	}
 	r.State, r.Note = release.RollingBack, "back, by "+by+": "+reason
 	t := document.Transaction{ID: rand.Text(), Author: by, Reason: "release " + name + " goes back: " + reason,
--- a/internal/control/fleet/state_applier_test.go
+++ b/internal/control/fleet/state_applier_test.go
@@ -40,7 +40,7 @@
 		{`{"out":true,"by":"ann"}`, 3, true, ""},
 		{`{"out":false,"by":"ann"}`, 2, false, ""}, // from a member of the store that lags behind
 		{`{"out":false,"duty":"drain","token":5}`, 4, true, ""},
-		{`{"out":true,"duty":"drain","token":4}`, 5, false, "token 4 comes after token 5"},
+		{`{"out":true,"duty":"drain","token":4}`, 5, false, "duty drain: token 4 is lower than token 5, the highest seen: another owner has taken over"},
 		{`{"out":true,"duty":"drain","token":4}`, 5, false, ""}, // reported only once
 		{`{"out":maybe}`, 6, false, "cannot decode the desired state: invalid character 'm'"},
 		{`{"out":true,"duty":"drain","token":5}`, 7, true, ""},
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestStaleTokenIsAcceptedWithoutDurableTokens: a node that loses its fencing tokens in a power failure accepts a
-// stale token. This mutant shows that TestStaleTokenIsRejectedAfterPowerFailure depends on durable tokens.
+// TestStaleTokenIsAcceptedWithoutDurableTokens shows that a node that loses its fencing tokens in a power failure
+// accepts a stale token, so that TestStaleTokenIsRejectedAfterPowerFailure would fail without durable tokens.
 func TestStaleTokenIsAcceptedWithoutDurableTokens(t *testing.T) {
 	disk := simdisk.New(1)
 	for i, token := range []int{5, 4} {
@@ -89,7 +89,7 @@
 		}
 		ok, err := applier.observe(fmt.Sprintf(`{"out":true,"duty":"drain","token":%d}`, token), uint64(10+i), uint64(10+i))
 		if !ok || err != nil {
-			t.Errorf("token %d after a power failure: applied %v, error %v; want it accepted by the mutant", token, ok, err)
+			t.Errorf("token %d after a power failure: applied %v, error %v; want it accepted, because the ledger was not flushed", token, ok, err)
 		}
 		disk = disk.LosePower(1)
 		_ = l.Close() // fails: its disk has lost power
--- a/internal/control/fleet/stats.go
+++ b/internal/control/fleet/stats.go
@@ -26,7 +26,8 @@
 	DrainOverdue bool // this node is out of service and still has requests after its drain timeout
 	// Reports counts reports to the store: "made", "failed".
 	Reports map[string]uint64
-	// Permits counts permits. Of this node: "begun", "late", "replaced"; granted or removed by it: "granted", "freed".
+	// Permits counts this node's own permits as "begun", "late" and "replaced", and the permits that it granted or
+	// removed as "granted" and "freed".
 	Permits map[string]uint64
 	// Grants is nil unless this node grants permits.
 	Grants *GrantStats
--- a/internal/control/fleetstate/documents_test.go
+++ b/internal/control/fleetstate/documents_test.go
@@ -51,12 +51,12 @@
 		{Key: "node/n1", Value: `{}`, Version: 8},
 	}, DefaultDecoder, 9)
 	if err == nil || !strings.Contains(err.Error(), "out/n2/ask") || !strings.Contains(err.Error(), "out/n2/permit") {
-		t.Errorf("error: %v", err)
+		t.Errorf("error %v, want both documents of n2 named", err)
 	}
 	if len(view.Requests) != 1 || view.Requests["n1"].ID != "a" || view.RequestOrder["n1"] != 3 || view.Permits["n2"].State != PermitOutOfService {
-		t.Errorf("requests %v, permits %v", view.Requests, view.Permits)
+		t.Errorf("requests %v, permits %v; want one request, of n1, and the permit of n2 out of service", view.Requests, view.Permits)
 	}
 	if !view.IsHalted(DrainRequest{ReleaseName: "r"}) || view.IsHalted(DrainRequest{}) || len(view.Budgets) != 1 || versions["node/n1"] != 8 {
-		t.Errorf("halted %v, budgets %v, versions %v", view.Halted, view.Budgets, versions)
+		t.Errorf("halted %v, budgets %v, versions %v; want only r halted, one budget and version 8 of node/n1", view.Halted, view.Budgets, versions)
 	}
 }
--- a/internal/control/leasedtask/leasedtask.go
+++ b/internal/control/leasedtask/leasedtask.go
@@ -21,7 +21,7 @@
 	"sloehitch/internal/control/lease"
 )
 
-// Job is a piece of work.
+// Job is a sequence of steps that the fleet carries out once.
 type Job struct {
 	ID          string // unique to the job; the ids of its steps are derived from it
 	Predecessor string // the job that must be on record as finished before; empty: none
--- a/internal/control/leasedtask/modelcheck/world.go
+++ b/internal/control/leasedtask/modelcheck/world.go
@@ -29,7 +29,7 @@
 	store      *document.State
 	receiver   *receiver
 	candidates []*candidate
-	faultFree  bool // no more faults occur
+	faultFree  bool // the faults have ended
 	openJob    int  // number of the job on record when the faults ended
 	mutant     string
 	violation  string // violated invariant; empty: none
@@ -79,8 +79,8 @@
 	return time.Duration(x * x * x * float64(maximum))
 }
 
-// message returns the delay of a message, and whether it arrives.
-func (w *simulation) message() (delay time.Duration, arrives bool) {
+// messageDelay returns the delay of a message, and whether it arrives.
+func (w *simulation) messageDelay() (delay time.Duration, arrives bool) {
 	if w.faultFree {
 		return time.Millisecond, true
 	}
@@ -108,14 +108,14 @@
 		}
 	}
 	w.after(LeaseTerms.Duration, func() { deliver(onTimeout) }) // the request may still arrive later
-	delay, arrives := w.message()
+	delay, arrives := w.messageDelay()
 	if !arrives {
 		return
 	}
 	w.after(delay, func() {
 		result := serve()
-		if back, arrives := w.message(); arrives {
-			w.after(back, func() { deliver(func() { onResponse(result) }) })
+		if responseDelay, arrives := w.messageDelay(); arrives {
+			w.after(responseDelay, func() { deliver(func() { onResponse(result) }) })
 		}
 	})
 }
--- a/internal/control/release/controller.go
+++ b/internal/control/release/controller.go
@@ -27,7 +27,7 @@
 	Withdraw      bool // delete the existing request
 }
 
-// Controller decides on one release. Its state is since when it has observed conditions, on the clock of its
+// Controller decides on one release. Its state is when it first observed certain conditions, on the clock of its
 // process. Another process that takes over starts these measurements again. It is not safe for concurrent use.
 type Controller struct {
 	watching      bool
--- a/internal/testing/fleetrig/release.go
+++ b/internal/testing/fleetrig/release.go
@@ -48,7 +48,7 @@
 	if !d.waitUntil(by, func() bool {
 		attempt++
 		err := fleet.RollBackRelease(d.client(attempt), "s", "rig", "drains")
-		return err == nil || strings.Contains(err.Error(), "gone back already")
+		return err == nil || strings.Contains(err.Error(), "is already rolled back")
 	}) {
 		d.addFailure("the rollback of the release was not accepted within the recovery time")
 	}
