--- a/internal/idempotency/compositejournal/compositejournal.go
+++ b/internal/idempotency/compositejournal/compositejournal.go
@@ -17,7 +17,7 @@
 	"sloehitch/internal/platform/lograte"
 )
 
-// Journal is a node.SharedJournal that writes to both. It is safe for concurrent use, and its methods do not wait
+// Journal is a node.SharedJournal that writes to both journals. It is safe for concurrent use, and its methods do not wait
 // for the disk.
 type Journal struct {
 	shared node.SharedJournal
@@ -142,7 +142,7 @@
 	}
 }
 
-// forget drops a key's record from the backlog and its start in flight. The caller holds mu.
+// forget removes a key from backlog and startsInFlight. The caller holds mu.
 func (j *Journal) forget(key string) {
 	delete(j.backlog, key)
 	delete(j.startsInFlight, key)
--- a/internal/idempotency/compositejournal/compositejournal_test.go
+++ b/internal/idempotency/compositejournal/compositejournal_test.go
@@ -21,24 +21,24 @@
 	callbacks []func()                  // done callbacks of starts
 }
 
-func (f *fakeJournal) record(what string, b node.RunRecord) {
-	*f.calls = append(*f.calls, f.name+" "+what+" "+b.Key)
+func (f *fakeJournal) record(what string, r node.RunRecord) {
+	*f.calls = append(*f.calls, f.name+" "+what+" "+r.Key)
 }
 
-func (f *fakeJournal) RecordStart(b node.RunRecord, done func(error)) error {
+func (f *fakeJournal) RecordStart(r node.RunRecord, done func(error)) error {
 	if f.startErr != nil {
 		return f.startErr
 	}
-	f.record("start", b)
+	f.record("start", r)
 	err := f.result
 	f.callbacks = append(f.callbacks, func() { done(err) })
 	return nil
 }
-func (f *fakeJournal) RecordEnd(b node.RunRecord)                   { f.record("end", b) }
-func (f *fakeJournal) Withdraw(b node.RunRecord)                    { f.record("withdraw", b) }
+func (f *fakeJournal) RecordEnd(r node.RunRecord)                   { f.record("end", r) }
+func (f *fakeJournal) Withdraw(r node.RunRecord)                    { f.record("withdraw", r) }
 func (f *fakeJournal) NotifyOnChange(_ node.RunRecord, done func()) { go done() }
-func (f *fakeJournal) Lookup(b node.RunRecord) (node.RunRecord, bool) {
-	held, ok := f.held[b.Key]
+func (f *fakeJournal) Lookup(r node.RunRecord) (node.RunRecord, bool) {
+	held, ok := f.held[r.Key]
 	return held, ok
 }
 
@@ -57,11 +57,11 @@
 	ended     = node.RunRecord{Key: "k", Ended: true}
 )
 
-// journalCase is a sequence of calls and its expected effect. The start passed to play records the start of the run
+// journalCase is a sequence of calls and its expected effect. The start passed to run records the start of the run
 // and calls all callbacks.
 type journalCase struct {
 	name    string
-	play    func(j *Journal, shared, log *fakeJournal, start func())
+	run     func(j *Journal, shared, log *fakeJournal, start func())
 	calls   string // calls to the shared journal s and the run log r, in order
 	result  string // result of the start
 	backlog int
@@ -114,7 +114,7 @@
 		shared, log := &fakeJournal{name: "s", calls: &calls}, &fakeJournal{name: "r", calls: &calls}
 		j := New(shared, time.Second, standin.DiscardLogger)
 		result := ""
-		c.play(j, shared, log, func() {
+		c.run(j, shared, log, func() {
 			if err := j.RecordStart(started, func(err error) { result = fmt.Sprint(err) }); err != nil {
 				t.Fatal(err)
 			}
@@ -134,7 +134,7 @@
 	j := New(&fakeJournal{calls: &calls, held: map[string]node.RunRecord{"runs": {}, "served": {Ended: true, Succeeded: true}, "lost": {Ended: true}}}, time.Second, standin.DiscardLogger)
 	for key, want := range map[string]bool{"runs": false, "served": false, "lost": true, "unknown": true} {
 		if got := j.ShouldRestore(node.RunRecord{Key: key}); got != want {
-			t.Errorf("%s: %v", key, got)
+			t.Errorf("key %s: ShouldRestore returned %v", key, got)
 		}
 	}
 }
--- a/internal/idempotency/keystore/claim.go
+++ b/internal/idempotency/keystore/claim.go
@@ -135,13 +135,13 @@
 	}
 }
 
-// flush writes all queued records under the folder's lock. If also is not nil, it then calls also with both locks
-// held.
-func (s *Store) writeQueue(also func()) {
+// writeQueue writes all queued records under the folder's lock. If underLocks is not nil, writeQueue then calls it with
+// the folder's lock and mu held.
+func (s *Store) writeQueue(underLocks func()) {
 	s.mu.Lock()
 	empty := len(s.queue) == 0
 	s.mu.Unlock()
-	if empty && also == nil {
+	if empty && underLocks == nil {
 		return
 	}
 	err := s.folder.acquireLock()
@@ -154,8 +154,8 @@
 		if err = s.readPeers(s.folder.generationChanged()); err == nil {
 			results = s.appendWrites(queue)
 		}
-		if also != nil {
-			also()
+		if underLocks != nil {
+			underLocks()
 		}
 	}
 	s.mu.Unlock()
--- a/internal/idempotency/keystore/folder.go
+++ b/internal/idempotency/keystore/folder.go
@@ -16,7 +16,7 @@
 )
 
 // folder is the directory shared by the processes of one node. It contains a lock file whose lock orders all
-// records, a file per process that the process keeps locked while it lives, and the segments of each process.
+// records, a file per process that the process keeps locked while it is alive, and the segments of each process.
 type folder struct {
 	dir        string
 	owner      string   // name of this process
@@ -120,7 +120,7 @@
 	return &segment{owner: f.owner, order: order, path: path, file: file, size: format.HeaderSize, salt: salt}, nil
 }
 
-// list returns the segments and the names of the other processes.
+// listPeers returns the segments and the names of the other processes.
 func (f *folder) listPeers() (found []*segment, owners []string, err error) {
 	entries, err := os.ReadDir(f.dir)
 	if err != nil {
--- a/internal/idempotency/keystore/inspect.go
+++ b/internal/idempotency/keystore/inspect.go
@@ -13,9 +13,9 @@
 	"sloehitch/internal/idempotency/keystore/keystate"
 )
 
-// Inspect returns one line of text for each process that has joined dir or has records in it: whether the process
-// lives, the number and size of its segments, the keys that it holds as of now, and how many of them run. It waits
-// for the folder's lock and changes nothing. It is for operators only.
+// Inspect returns one line of text for each process that has joined dir or has records in it: whether the process is
+// alive, the number and size of its segments, the keys that it holds as of now, and how many of those have runs without
+// a recorded end. It waits for the folder's lock and changes nothing. It is for operators only.
 func Inspect(dir string, now time.Time) ([]string, error) {
 	f := &folder{dir: dir}
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
--- a/internal/idempotency/keystore/keystore.go
+++ b/internal/idempotency/keystore/keystore.go
@@ -5,9 +5,9 @@
 //
 // Each process appends records to its own segment files (package format) and reads those of the others. A file lock
 // orders the records of all processes, so that the first process to record a start holds the key (package keystate;
-// claim.go has the rules). A Store is a node.SharedJournal for the time of a hand-over. It is not a record that
-// survives a failure of the machine: nothing is flushed to disk, and the folder is meant to be in $TMPDIR, which the
-// platform shares between the processes and does not empty.
+// claim.go has the rules). A Store is a node.SharedJournal for the time of a hand-over. Its records do not survive
+// a failure of the machine: nothing is flushed to disk, and the folder is meant to be in $TMPDIR, which the platform
+// shares between the processes and does not empty.
 package keystore
 
 import (
--- a/internal/idempotency/keystore/keystore_test.go
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -38,23 +38,23 @@
 	if change != nil {
 		change(&lim)
 	}
-	c, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: lim, Log: standin.DiscardLogger})
+	s, err := Open(Options{Dir: dir, RetentionMargin: time.Second, Now: now, Limits: lim, Log: standin.DiscardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	return c
+	t.Cleanup(func() { _ = s.Close() })
+	return s
 }
 
 func runRecord(key string) node.RunRecord {
 	return node.RunRecord{Key: key, Class: "book", ArrivedAt: start, Window: 10 * time.Second, Fingerprint: [32]byte{1}, Protocol: "resp"}
 }
 
-// begin records a start and waits for its result.
-func recordStart(t testing.TB, c *Store, b node.RunRecord) error {
+// recordStart records a start and waits for its result.
+func recordStart(t testing.TB, s *Store, record node.RunRecord) error {
 	t.Helper()
 	done := make(chan error, 1)
-	if err := c.RecordStart(b, func(err error) { done <- err }); err != nil {
+	if err := s.RecordStart(record, func(err error) { done <- err }); err != nil {
 		return err
 	}
 	return receive(t, done)
@@ -71,19 +71,19 @@
 	}
 }
 
-// end records a result and waits until it is written. Waiting for a sweep is enough, since records are written in
+// recordEnd records a result and waits until it is written. Waiting for a sweep is enough, since records are written in
 // order.
-func recordEnd(t testing.TB, c *Store, b node.RunRecord, result string) {
+func recordEnd(t testing.TB, s *Store, record node.RunRecord, result string) {
 	t.Helper()
-	b.Ended, b.Succeeded, b.ResultStored, b.Result = true, true, true, []byte(result)
-	c.RecordEnd(b)
-	awaitSweep(t, c)
+	record.Ended, record.Succeeded, record.ResultStored, record.Result = true, true, true, []byte(result)
+	s.RecordEnd(record)
+	awaitSweep(t, s)
 }
 
-func awaitSweep(t testing.TB, c *Store) {
+func awaitSweep(t testing.TB, s *Store) {
 	t.Helper()
 	swept := make(chan struct{})
-	c.sweeps <- swept
+	s.sweeps <- swept
 	receive(t, swept)
 }
 
--- a/internal/idempotency/keystore/processes.go
+++ b/internal/idempotency/keystore/processes.go
@@ -7,8 +7,8 @@
 )
 
 // ExchangeNotes stores a note of at most limits.KeyStore.NoteBytes bytes for the other processes, and returns the
-// notes of those that live. The note of a process that has not stored one yet is empty. It costs one write, and one
-// read for each other process.
+// notes of those that are alive. The note of a process that has not stored one yet is empty. A call costs one
+// write, and one read for each other process.
 func (s *Store) ExchangeNotes(note []byte) (others [][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/idempotency/keystore/sweep.go
+++ b/internal/idempotency/keystore/sweep.go
@@ -6,7 +6,7 @@
 )
 
 // Sweep requests that segments whose records have all expired are dropped, and that exited processes are detected.
-// Its cost grows with the number of segments and of dropped records. It does not wait.
+// The cost of a sweep grows with the number of segments and of dropped records. It does not wait.
 func (s *Store) Sweep() {
 	select {
 	case s.sweeps <- make(chan struct{}):
--- a/internal/idempotency/runlog/runlog_test.go
+++ b/internal/idempotency/runlog/runlog_test.go
@@ -50,13 +50,13 @@
 // readAll returns the records as text, and checks the fields that are the same in all records.
 func readAll(t *testing.T, l *Log) (list string) {
 	t.Helper()
-	if err := l.ForEach(func(b node.RunRecord) {
-		want := runRecord(b.Key)
-		want.Ended, want.Succeeded, want.ResultStored, want.Result = b.Ended, b.Succeeded, b.ResultStored, b.Result
-		if !reflect.DeepEqual(b, want) {
-			t.Errorf("%+v, want %+v", b, want)
+	if err := l.ForEach(func(record node.RunRecord) {
+		want := runRecord(record.Key)
+		want.Ended, want.Succeeded, want.ResultStored, want.Result = record.Ended, record.Succeeded, record.ResultStored, record.Result
+		if !reflect.DeepEqual(record, want) {
+			t.Errorf("record %+v, want %+v", record, want)
 		}
-		list += fmt.Sprintf("%q %v %v %v %q, ", b.Key, b.Ended, b.Succeeded, b.ResultStored, b.Result)
+		list += fmt.Sprintf("%q %v %v %v %q, ", record.Key, record.Ended, record.Succeeded, record.ResultStored, record.Result)
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	_, l = open(t, fs.LosePower(1))
 	const want = `"a" true true true "\x00r\xff", "b\x00\xff" false false false "", "d" true false false "", `
 	if got := readAll(t, l); got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("records after the power cut: %s, want %s", got, want)
 	}
 }
 
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	if got := readAll(t, l); got != `"b" false false false "", ` {
-		t.Errorf("%s", got)
+		t.Errorf("records after the retry: %s", got)
 	}
 }
 
@@ -156,7 +156,7 @@
 			t.Fatal(err)
 		}
 		if err := l.ForEach(func(node.RunRecord) {}); err == nil || !strings.Contains(err.Error(), `"k"`) {
-			t.Errorf("%q: %v", value, err)
+			t.Errorf("value %q: ForEach returned %v", value, err)
 		}
 	}
 }
@@ -183,6 +183,6 @@
 		"booking/b 08021204626f6f6b1a20010000000000000000000000000000000000000000000000000000000000000220c0c4aaedf59b91032a02ff62300138808ece1c40014a0172520472657370",
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("stored records %s, want %s", got, want)
 	}
 }
