--- a/internal/ledger/bench_test.go
+++ b/internal/ledger/bench_test.go
@@ -28,7 +28,7 @@
 	return disk.Dir(dir)
 }
 
-const benchValue = 120 // bytes, about the size of a booking record
+const benchValue = 120 // bytes, about the size of a run record
 
 func benchKey(i int) []byte { return fmt.Appendf(nil, "%032x", uint64(i)*0x9e3779b97f4a7c15) }
 
--- a/internal/ledger/expire.go
+++ b/internal/ledger/expire.go
@@ -9,7 +9,7 @@
 // A key has expired once the store's clock mark, which never steps back, reaches its expiry. Reads check this, so removing
 // expired keys from the index only frees memory.
 
-// sweepChunk is how many keys are removed while the lock is held once, so that readers and writers do not wait long.
+// sweepChunk is how many keys are removed each time the lock is taken, so that readers and writers do not wait long.
 const sweepChunk = 64
 
 // expired reports whether a record has expired by the given clock mark in Unix milliseconds.
--- a/internal/ledger/format/format.go
+++ b/internal/ledger/format/format.go
@@ -22,7 +22,7 @@
 type VersionError struct{ Found uint16 }
 
 func (e VersionError) Error() string {
-	return fmt.Sprintf("unsupported format version %d: this program reads versions up to %d; use a later program", e.Found, Version)
+	return fmt.Sprintf("unsupported format version %d: this program reads versions up to %d; use a newer version of it", e.Found, Version)
 }
 
 var (
--- a/internal/ledger/install.go
+++ b/internal/ledger/install.go
@@ -8,7 +8,7 @@
 	"sloehitch/internal/ledger/format"
 )
 
-// repointChunk is how many index entries are changed while the lock is held once. Each chunk is followed by a pause of
+// repointChunk is how many index entries are changed each time the lock is taken. Each chunk is followed by a pause of
 // CompactionPause/repointChunk.
 const repointChunk = 64
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -109,7 +109,7 @@
 	requestedBytes                                       int64 // bytes of the records in acknowledged batches
 }
 
-// isNotExist reports whether err says that a file does not exist.
+// isNotExist reports whether err means that a file does not exist.
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
 // newID returns a random identity for a new store.
@@ -119,8 +119,8 @@
 }
 
 // Open opens the folder and recovers the store in it. Store.Recovery returns what was found. Open blocks while it reads all
-// segments. The error is a *DamageError if the files are in a state that a crash cannot explain. It wraps disk.ErrLocked if
-// another process has locked the folder.
+// segments. The error is a *DamageError if the files are in a state that a crash cannot have left behind. It wraps
+// disk.ErrLocked if another process has locked the folder.
 func Open(fsys disk.FS, o Options) (*Store, error) {
 	if o.Now == nil {
 		o.Now = time.Now
--- a/internal/ledger/plan/plan_test.go
+++ b/internal/ledger/plan/plan_test.go
@@ -86,7 +86,7 @@
 	if w := g.RemainingWait(1, 100, 0, time.Millisecond); w != time.Millisecond {
 		t.Errorf("RemainingWait = %v, want the maximum wait of 1ms", w)
 	}
-	waits := 0 // that miss their target and must become ever rarer
+	waits := 0 // waits that miss their target, which must become rarer
 	for range 1000 {
 		if g.RemainingWait(1, 100, 0, time.Second) > 0 {
 			waits++
--- a/internal/ledger/simdisk/power_loss.go
+++ b/internal/ledger/simdisk/power_loss.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// survival is which of the pending writes of a file survive a power loss.
+// survival determines which of the pending writes of a file survive a power loss.
 type survival int
 
 const (
--- a/internal/ledger/simdisk/simdisk.go
+++ b/internal/ledger/simdisk/simdisk.go
@@ -71,7 +71,8 @@
 	node     *inode
 }
 
-// FS is a folder on a simulated disk. Its methods may be called from any goroutine. Its exported fields must be set before.
+// FS is a folder on a simulated disk. Its methods may be called from any goroutine. Its exported fields must not be
+// set during a call.
 type FS struct {
 	mu         sync.Mutex
 	names      map[string]*inode
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -23,7 +23,7 @@
 // Snapshot takes a snapshot in constant time. After that, writers copy the parts of the index that they change. The error is
 // ErrClosed.
 func (s *Store) Snapshot() (*Snapshot, error) {
-	s.manifestMu.Lock() // prevents that segments are released meanwhile
+	s.manifestMu.Lock() // so that no segment is released meanwhile
 	defer s.manifestMu.Unlock()
 	if s.active == nil && s.sealed == nil && s.isClosed() {
 		return nil, ErrClosed
