--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -21,7 +21,7 @@
 	restorePartBytes = 1 << 20  // bytes of a backup in one log entry
 )
 
-var errNoDocuments = errors.New("it contains no documents")
+var errNoDocuments = errors.New("documents are missing")
 
 // restorePart is a part of a backup that is replicated to all members. The backup takes effect with the last part.
 type restorePart struct {
--- a/internal/store/backup_test.go
+++ b/internal/store/backup_test.go
@@ -26,7 +26,7 @@
 	cluster.set(KeyClosedNodes, "n8")
 	second, err := cluster.requestLease("d", LeaseRequest{Action: LeaseAcquire, Holder: "A"})
 	if err != nil || second.Token <= first.Token {
-		t.Fatalf("%+v, %v", second, err)
+		t.Fatalf("second lease: %+v, %v", second, err)
 	}
 	before := s.Members()
 	rejectMalformedBackups(t, client, backup)
--- a/internal/store/document/document_test.go
+++ b/internal/store/document/document_test.go
@@ -150,6 +150,6 @@
 		}
 	}
 	if got := s.LeaseRecords(); len(got) != 1 || got[0].Holder != "n1" || got[0].Token != 1 {
-		t.Errorf("owners %+v", got)
+		t.Errorf("lease records %+v", got)
 	}
 }
--- a/internal/store/document/model_test.go
+++ b/internal/store/document/model_test.go
@@ -12,8 +12,8 @@
 	"sloehitch/internal/control/lease"
 )
 
-// TestStateMatchesModel applies random transactions to a state and compares it with a map: each id counts once, no
-// token goes back, and a member that loads a snapshot at any point arrives at the same bytes.
+// TestStateMatchesModel applies random transactions to a state and compares it with a map: each id is committed once,
+// tokens only increase, and a member that loads a snapshot at any point arrives at the same bytes.
 func TestStateMatchesModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := newModel(t)
--- a/internal/store/documents.go
+++ b/internal/store/documents.go
@@ -17,7 +17,7 @@
 type ReadStatus struct {
 	Revision     uint64 `json:"revision"`
 	Confirmed    bool   `json:"confirmed"`        // a majority confirmed the leader during the read: no earlier acknowledged change is missing
-	AgeMS        int64  `json:"age_ms,omitempty"` // otherwise milliseconds since this member's last contact with the leader; -1: none yet
+	AgeMS        int64  `json:"age_ms,omitempty"` // if not confirmed: how old the member's copy may be, in milliseconds; -1: no contact with a leader yet
 	HistoryStart uint64 `json:"from"`             // all changes after this revision are remembered
 }
 
@@ -53,7 +53,7 @@
 	if r == nil {
 		return ageUnknown
 	}
-	if r.State() == raft.Leader { // it may have been deposed, and not know it for up to its leader lease
+	if r.State() == raft.Leader { // a deposed leader may take up to its leader lease to notice
 		return s.leaderLease().Milliseconds()
 	}
 	last := r.LastContact()
--- a/internal/store/documents_test.go
+++ b/internal/store/documents_test.go
@@ -113,7 +113,7 @@
 		return err == nil && again.Duplicate && again.Revision == committed.Revision
 	})
 	if leases, _ := s.Leases(); len(leases) != 1 || leases[0].Token != a.Token {
-		t.Errorf("owners %+v", leases)
+		t.Errorf("leases %+v", leases)
 	}
 	// A snapshot written before documents existed.
 	if err := (*stateMachine)(s).Restore(io.NopCloser(bytes.NewReader([]byte(`{"closed":"n7"}`)))); err != nil || s.Get(KeyClosedNodes) != "n7" {
--- a/internal/store/identity.go
+++ b/internal/store/identity.go
@@ -12,7 +12,7 @@
 )
 
 // errWrongPeer means that the process at a member's address was not verified to be that member.
-var errWrongPeer = errors.New("peer verification failed, not connected")
+var errWrongPeer = errors.New("not connected: peer verification failed")
 
 func wrongPeerError(address raft.ServerAddress, format string, args ...any) error {
 	return fmt.Errorf("%w at %s: %s", errWrongPeer, address, fmt.Sprintf(format, args...))
--- a/internal/store/members_test.go
+++ b/internal/store/members_test.go
@@ -20,7 +20,7 @@
 	cluster.expectDocument("n3", "a", "1")
 	m, err := operator(cluster.members[0]).Members(false)
 	if err != nil || len(m.Members) != 4 || m.Members[3].Voter || m.StoreID == "" || m.Members[3].AdminAddress != n3.AdminAddress {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("members after n3 was added: %+v, %v", m, err)
 	}
 	cluster.changeMembers(MemberPromote, "n3", n3)
 	cluster.changeMembers(MemberLead, "n3", n3)
--- a/internal/store/quorum/memberchange.go
+++ b/internal/store/quorum/memberchange.go
@@ -30,7 +30,7 @@
 	ErrUnresponsive   = errors.New("unresponsive member")
 	ErrLagging        = errors.New("lagging member")
 	ErrNotVoter       = errors.New("member without a vote")
-	ErrIsLeader       = errors.New("member leads")
+	ErrIsLeader       = errors.New("member is the leader")
 	ErrNoMajority     = errors.New("no majority")
 )
 
@@ -116,7 +116,7 @@
 		return rejectf(ErrIsLeader, "%s is the leader: transfer the leadership to another member first", name)
 	}
 	if err := g.checkMajority(g.votersExcept(name)); err != nil {
-		return fmt.Errorf("without %s %w", name, err)
+		return fmt.Errorf("without %s, %w", name, err)
 	}
 	return nil
 }
--- a/internal/store/quorum/memberchange_test.go
+++ b/internal/store/quorum/memberchange_test.go
@@ -52,7 +52,7 @@
 		{"a:L", "remove", "a", "transfer the leadership"},
 		{"a:L b:v c:v", "remove", "b", ""},
 		{"a:L b:v c:v", "remove", "d", ""}, // not a member
-		{"a:L b:v c:v!", "remove", "b", "without b 1 of 2 voters would be available, but a majority of 2 is required: c has not answered for 1m0s"},
+		{"a:L b:v c:v!", "remove", "b", "without b, 1 of 2 voters would be available, but a majority of 2 is required: c has not answered for 1m0s"},
 		{"a:L b:v c:v!", "remove", "c", ""},
 		{"a:L b:v! c:v! d:l", "remove", "d", ""},
 		{"a:L b:v", "remove", "b", ""},
--- a/internal/store/quorum/modelcheck/faults.go
+++ b/internal/store/quorum/modelcheck/faults.go
@@ -62,7 +62,7 @@
 	return answers
 }
 
-// fault injects a random fault.
+// injectFault injects a random fault.
 func (w *world) injectFault() {
 	m := w.randomMember()
 	switch w.rng.IntN(8) {
--- a/internal/store/quorum/modelcheck/modelcheck.go
+++ b/internal/store/quorum/modelcheck/modelcheck.go
@@ -57,7 +57,7 @@
 
 // Run runs the simulation of a seed, first with faults and then without. It returns the first violation, or "" if there
 // is none: an acknowledged write is lost, two members lead in one term, a change leaves no responsive majority, a token
-// or a revision goes back, or at the end the store does not commit writes or lacks a member. events counts what
+// or a revision decreases, or at the end the store does not commit writes or lacks a member. events counts what
 // happened, to show what the simulation covered. mutant is one of Mutants, or empty.
 func Run(seed uint64, mutant string) (violation string, events map[string]int) {
 	w, err := newWorld(seed, mutant)
@@ -140,7 +140,7 @@
 	w.runOperators()
 }
 
-// unfinished describes what has not recovered in the steps without faults, or returns "" if everything has.
+// unrecovered describes what has not recovered in the steps without faults, or returns "" if everything has.
 func (w *world) unrecovered() string {
 	if w.acknowledgedWrites <= w.events[eventWrites] {
 		return fmt.Sprintf("nothing was committed in the last %d steps without faults", faultFreeSteps/2)
--- a/internal/store/quorum/modelcheck/modelcheck_test.go
+++ b/internal/store/quorum/modelcheck/modelcheck_test.go
@@ -8,7 +8,7 @@
 var seeds = flag.Int("walk.seeds", 100, "how many seeds are simulated")
 
 // TestRulesHoldUnderFaults checks that in simulations with faults no acknowledged write is lost, no change leaves the
-// store without a majority, and tokens and revisions never go back. It also checks that each kind of event occurs in at
+// store without a majority, and tokens and revisions never decrease. It also checks that each kind of event occurs in at
 // least 1 % of the seeds.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	seedsWith := map[string]int{}
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestDetectsMutants checks that the simulation detects each mutant. For each it starts shortly before the first seed
-// at which it is found, counted from 0 (docs/design/fleet.md).
+// TestDetectsMutants checks that the simulation detects each mutant. Each search starts shortly before the first
+// seed that detects the mutant, counted from 0 (docs/design/fleet.md).
 func TestDetectsMutants(t *testing.T) {
 	for mutant, first := range map[string]uint64{mutantOlderCopies: 0, mutantProgressInRAM: 130, mutantMajorityIgnored: 0, mutantVoteAtOnce: 0, mutantNoTokenFloor: 0} {
 		found := false
--- a/internal/store/quorum/modelcheck/operators.go
+++ b/internal/store/quorum/modelcheck/operators.go
@@ -11,10 +11,10 @@
 const (
 	maxMembers      = 6       // operators add members only below this number
 	minMembers      = 3       // operators remove healthy members only above this number
-	recoveryAdvance = 1 << 20 // by which a recovery advances revisions and tokens
+	recoveryAdvance = 1 << 20 // amount by which a recovery advances revisions and tokens
 )
 
-// operate follows the operators' procedures: it starts processes, removes excluded members and adds them again, and
+// runOperators follows the operators' procedures: it starts processes, removes excluded members and adds them again, and
 // occasionally adds or removes a healthy member.
 func (w *world) runOperators() {
 	w.startProcesses()
--- a/internal/store/quorum/modelcheck/raft.go
+++ b/internal/store/quorum/modelcheck/raft.go
@@ -115,7 +115,7 @@
 	return false
 }
 
-// answering returns the number of voters that answer a leader, itself included.
+// answeringVoters returns the number of voters that answer a leader, itself included.
 func (w *world) answeringVoters(m *member) int {
 	servers, _ := m.servers()
 	n := 1
--- a/internal/store/quorum/modelcheck/world.go
+++ b/internal/store/quorum/modelcheck/world.go
@@ -72,7 +72,7 @@
 
 func (w *world) reaches(a, b string) bool { return a == b || !w.partitioned[linkOf(a, b)] }
 
-// exchange returns whether a request arrives, and whether its response does.
+// exchange decides whether a request from one member to another arrives, and whether its response does.
 func (w *world) exchange(from, to *member) (request, response bool) {
 	if !to.running || !w.reaches(from.name, to.name) {
 		return false, false
--- a/internal/store/quorum/rejoin.go
+++ b/internal/store/quorum/rejoin.go
@@ -179,8 +179,8 @@
 	return latest
 }
 
-// rememberedProgress describes the progress that another member remembers for this one, or returns "" if none does. Of
-// several it uses the last.
+// rememberedProgress describes the progress that another member remembers for this one, or returns "" if none does. If
+// several do, it describes what the last of them remembers.
 func rememberedProgress(local LocalState, answers []PeerAnswer) (remembered string) {
 	for _, a := range answers {
 		if !a.Unsupported && a.Progress != (Progress{}) {
--- a/internal/store/raftlog/raftlog_test.go
+++ b/internal/store/raftlog/raftlog_test.go
@@ -128,7 +128,7 @@
 	l = open(t, fs)
 	metas, err := l.Snapshots().List()
 	if err != nil || len(metas) != 2 || metas[0].Index != 9 || metas[1].Index != 4 || metas[1].Size != 1332 || metas[0].Configuration.Servers[0].ID != "n1" {
-		t.Fatalf("%+v, %v", metas, err)
+		t.Fatalf("snapshots after a restart: %+v, %v", metas, err)
 	}
 	for _, m := range metas {
 		text, err := readSnapshot(t, l, m.ID)
@@ -137,7 +137,7 @@
 		}
 	}
 	if n := l.Ledger().Stats().Keys; n != 2+3+14 { // descriptions and parts of the kept snapshots; nothing remains of the others
-		t.Errorf("%d keys", n)
+		t.Errorf("%d keys in the ledger, want 19", n)
 	}
 	if err := l.Ledger().Put(partKey(metas[0].ID, 1), make([]byte, 100), time.Time{}); err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 	}
 }
 
-// begin begins a snapshot and writes size bytes to it, all equal to its index.
+// writeSnapshot begins a snapshot and writes size bytes to it, all equal to its index.
 func writeSnapshot(t *testing.T, l *Log, index uint64, size int) raft.SnapshotSink {
 	t.Helper()
 	s, err := l.Snapshots().Create(1, index, 2, raft.Configuration{Servers: []raft.Server{{ID: "n1"}}}, 1, nil)
@@ -174,7 +174,7 @@
 }
 
 // TestPowerLossKeepsAcknowledgedChanges cuts the power at random file operations of a random workload. It checks that
-// acknowledged changes are present, that entries have no gap, and that the term does not go back.
+// acknowledged changes are present, that entries have no gap, and that the term does not decrease.
 func TestPowerLossKeepsAcknowledgedChanges(t *testing.T) {
 	for seed := range uint64(300) {
 		if violation := simulatePowerLoss(t, seed, options); violation != "" {
@@ -197,7 +197,7 @@
 	t.Error("acknowledged before durable: not detected within 20 seeds")
 }
 
-// cuts runs the workload of a seed with a power cut, and returns the first violation, or "" if there is none.
+// simulatePowerLoss runs the workload of a seed with a power cut, and returns the first violation, or "" if there is none.
 func simulatePowerLoss(t *testing.T, seed uint64, o ledger.Options) string {
 	r := rand.New(rand.NewPCG(seed, 5))
 	fs := simdisk.New(seed)
@@ -213,7 +213,7 @@
 	pendingFirst, pendingLast, pendingTerm := uint64(0), uint64(0), uint64(0)
 	for range 40 {
 		var err error
-		pendingFirst, pendingLast, pendingTerm = first, last, term // state that is allowed if this change is cut
+		pendingFirst, pendingLast, pendingTerm = first, last, term // state that is allowed if the power fails during this change
 		switch k := r.IntN(4); {
 		case k < 2:
 			var logs []*raft.Log
--- a/internal/store/raftlog/source.go
+++ b/internal/store/raftlog/source.go
@@ -36,7 +36,7 @@
 	return n, nil
 }
 
-// end returns io.EOF if the checksum matches, and ErrCorruptSnapshot otherwise.
+// verifyChecksum returns io.EOF if the checksum matches, and ErrCorruptSnapshot otherwise.
 func (s *source) verifyChecksum() error {
 	if s.checksum != s.description.Checksum {
 		return fmt.Errorf("raftlog: snapshot %s: %w", s.description.ID, ErrCorruptSnapshot)
--- a/internal/store/recover_test.go
+++ b/internal/store/recover_test.go
@@ -32,14 +32,14 @@
 	waitFor(t, "n0 to lead alone", func() bool { return s.Barrier() == nil })
 	cluster.expectDocument("n0", "b", "1")
 	if m := s.Members(); m.StoreID == storeID || len(m.Members) != 1 {
-		t.Errorf("%+v", m)
+		t.Errorf("members after the recovery: %+v", m)
 	}
 	if next := cluster.write("c", "1"); next.Revision <= revision+limits.LostChanges {
 		t.Errorf("revision %d after %d", next.Revision, revision)
 	}
 	other, err := cluster.requestLease("e", LeaseRequest{Action: LeaseAcquire, Holder: "B"})
 	if err != nil || other.Token <= lease.Token+1<<32 {
-		t.Errorf("%+v after %+v, %v", other, lease, err)
+		t.Errorf("lease %+v after %+v, %v", other, lease, err)
 	}
 	cluster.checkLostMember(s)
 }
@@ -56,11 +56,11 @@
 		t.Errorf("another member's directory was recovered: %v", err)
 	}
 	if d, err := InspectDataDir(dir, "n0", standin.DiscardLogger); err != nil || d.Name != "n0" || d.StoreID != storeID || d.Voters != 3 || d.Progress.Index == 0 {
-		t.Errorf("%+v, %v", d, err)
+		t.Errorf("InspectDataDir before the recovery: %+v, %v", d, err)
 	}
 	before, err := Recover(dir, cluster.members[0], standin.DiscardLogger)
 	if err != nil || before.StoreID != storeID {
-		t.Fatalf("%+v, %v", before, err)
+		t.Fatalf("Recover returned %+v, %v", before, err)
 	}
 }
 
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// refusal returns the negative response to a vote request while votes are withheld, and nil otherwise.
+// rejectedVote returns the negative response to a vote request while votes are withheld, and nil otherwise.
 func (t *transport) rejectedVote(command any) any {
 	switch command.(type) {
 	case *raft.RequestVoteRequest:
