--- a/cmd/sloehitch-lab/experiment.go
+++ b/cmd/sloehitch-lab/experiment.go
@@ -159,8 +159,8 @@
 }
 
 type diffCmd struct {
-	A string `arg:"" type:"existingdir" help:"Results before."`
-	B string `arg:"" type:"existingdir" help:"Results after."`
+	A string `arg:"" type:"existingdir" help:"Folder of the earlier results."`
+	B string `arg:"" type:"existingdir" help:"Folder of the later results."`
 }
 
 // errWorse reports that a result is significantly worse; the details are already printed.
--- a/cmd/sloehitch-lab/systemcallfaults.go
+++ b/cmd/sloehitch-lab/systemcallfaults.go
@@ -13,7 +13,7 @@
 
 // systemCallFaultsCmd runs a program and injects faults into its system calls.
 type systemCallFaultsCmd struct {
-	Seed    uint64   `default:"1" help:"Determines which calls fail, if the program makes the same calls."`
+	Seed    uint64   `default:"1" help:"The seed; the same seed makes the same calls fail if the program makes the same calls."`
 	Rate    float64  `default:"0.005" help:"Fraction of the calls on sockets that fail, and of reads and writes that transfer fewer bytes than requested."`
 	Program string   `arg:"" type:"existingfile"`
 	Args    []string `arg:"" optional:"" passthrough:""`
--- a/cmd/sloehitch/drain.go
+++ b/cmd/sloehitch/drain.go
@@ -63,9 +63,9 @@
 }
 
 type fleetBudgetCmd struct {
-	File string `help:"Set the budgets that this file has, as [[budget]] sections; without it they are shown." type:"existingfile"`
-	By   string `help:"Who sets them." env:"USER"`
-	Why  string `help:"Why; kept in the history."`
+	File string `help:"Set the budgets to the [[budget]] sections of this file; without it the current budgets are shown." type:"existingfile"`
+	By   string `help:"Who sets the budgets." env:"USER"`
+	Why  string `help:"Reason for the change; kept in the history."`
 }
 
 func (c *fleetBudgetCmd) Run(_ *slog.Logger) error {
@@ -125,10 +125,10 @@
 }
 
 type fleetDrainCmd struct {
-	Nodes  []string      `arg:"" help:"The nodes' names, zone=Z for all nodes of a zone, or server=ADDRESS for a server below."`
-	Until  time.Duration `help:"From now, after which they come back by themselves; 0: until undrain."`
-	Within time.Duration `help:"In which each should be empty; one that is not says so."`
-	Urgent bool          `help:"Before what is planned."`
+	Nodes  []string      `arg:"" help:"Names of nodes, zone=Z for all nodes of a zone, or server=ADDRESS for an upstream server."`
+	Until  time.Duration `help:"Time from now after which the nodes return to service on their own; 0: not before undrain."`
+	Within time.Duration `help:"Time within which each node must have no requests left; a node that exceeds it reports its drain as overdue."`
+	Urgent bool          `help:"Grant this drain before drains that are not urgent."`
 	author
 }
 
@@ -185,7 +185,7 @@
 }
 
 type fleetUndrainCmd struct {
-	Nodes []string `arg:"" help:"The nodes' names, zone=Z for all nodes of a zone, or server=ADDRESS for a server below."`
+	Nodes []string `arg:"" help:"Names of nodes, zone=Z for all nodes of a zone, or server=ADDRESS for an upstream server."`
 	author
 }
 
@@ -214,7 +214,7 @@
 }
 
 type fleetHaltCmd struct {
-	Release string `help:"Halt only what this release does; without it, everything voluntary."`
+	Release string `help:"Halt only the drains of this release; without it, all voluntary drains."`
 	author
 }
 
@@ -231,12 +231,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("halted: no more drains of it start. Permits: %d; nodes that are out of service stay out until their drain requests are withdrawn\n", open)
+	fmt.Printf("halted: no further drain that the halt covers can start. Open permits: %d; nodes that are out of service stay out until their drain requests are withdrawn\n", open)
 	return nil
 }
 
 type fleetResumeCmd struct {
-	Release string `help:"Let this release go on; without it, everything."`
+	Release string `help:"Resume only the drains of this release; without it, lift the halt of all voluntary drains."`
 	author
 }
 
@@ -250,7 +250,7 @@
 		return err
 	}
 	if current.Version == 0 {
-		fmt.Println("nothing to resume: it is not halted")
+		fmt.Println("nothing to resume: no halt is in force")
 		return nil
 	}
 	r.Why = "resume " + scope + ": " + r.Why
--- a/cmd/sloehitch/fleet.go
+++ b/cmd/sloehitch/fleet.go
@@ -21,22 +21,22 @@
 
 // fleetCmd contains the commands that read and change the fleet's state in the store.
 type fleetCmd struct {
-	Admin   string          `help:"Address that a member of the store has for operators." required:""`
-	Status  fleetStatusCmd  `cmd:"" help:"What is wrong in the fleet, and what to do next; exits with 1 if anything is."`
-	Owners  fleetOwnersCmd  `cmd:"" help:"Who holds which duty, under which token, and for how long."`
-	History fleetHistoryCmd `cmd:"" help:"What changed last: when, by whom, why."`
+	Admin   string          `help:"Address of a store member's HTTP interface for operators." required:""`
+	Status  fleetStatusCmd  `cmd:"" help:"Show the problems in the fleet, each with the action to take; exits with 1 if there are any."`
+	Owners  fleetOwnersCmd  `cmd:"" help:"Show the holder of each duty, with its fencing token and the time left on its lease."`
+	History fleetHistoryCmd `cmd:"" help:"Show the latest changes: when, by whom and why."`
 	Show    fleetShowCmd    `cmd:"" help:"Print documents with their versions."`
-	Put     fleetPutCmd     `cmd:"" help:"Set or delete a document, if it still has the version that was seen."`
-	Want    fleetWantCmd    `cmd:"" help:"Say that a node is to be out of service, or in it; the node pulls that by itself."`
-	Budget  fleetBudgetCmd  `cmd:"" help:"Show or set how many may be out at once."`
-	Drain   fleetDrainCmd   `cmd:"" help:"Ask that nodes go out of service as soon as the budgets permit it."`
-	Undrain fleetUndrainCmd `cmd:"" help:"Take that back: they come into service again."`
-	Outs    fleetOutsCmd    `cmd:"" help:"Who is out or waits to go out, and for what."`
-	Halt    fleetHaltCmd    `cmd:"" help:"Have nothing go out by choice any more; returns once that holds everywhere."`
-	Resume  fleetResumeCmd  `cmd:"" help:"Let it go on."`
-	Members membersCmd      `cmd:"" help:"Who keeps the store; add, promote, remove, lead."`
-	Backup  fleetBackupCmd  `cmd:"" help:"Write all that the store keeps to a file, confirmed by a majority."`
-	Restore fleetRestoreCmd `cmd:"" help:"Have all members go back to a backup."`
+	Put     fleetPutCmd     `cmd:"" help:"Set or delete a document if it still has the given version."`
+	Want    fleetWantCmd    `cmd:"" help:"Set whether a node should be in or out of service; the node fetches this desired state itself."`
+	Budget  fleetBudgetCmd  `cmd:"" help:"Show or set the budgets: how many nodes may be out of service at once."`
+	Drain   fleetDrainCmd   `cmd:"" help:"Request that nodes go out of service as soon as the budgets permit it."`
+	Undrain fleetUndrainCmd `cmd:"" help:"Withdraw drain requests; the nodes return to service."`
+	Outs    fleetOutsCmd    `cmd:"" help:"List the nodes that are out of service or wait for a permit, and what they wait for."`
+	Halt    fleetHaltCmd    `cmd:"" help:"Halt voluntary drains; returns once none can start on any node."`
+	Resume  fleetResumeCmd  `cmd:"" help:"Lift a halt, so that drains can start again."`
+	Members membersCmd      `cmd:"" help:"List the members of the store; add, promote or remove one, or transfer the leadership."`
+	Backup  fleetBackupCmd  `cmd:"" help:"Write the store's whole content, confirmed by a majority, to a file."`
+	Restore fleetRestoreCmd `cmd:"" help:"Restore a backup on all members."`
 }
 
 func (c *fleetCmd) client() store.Client {
@@ -103,7 +103,7 @@
 				Since int64  `json:"since"`
 			}
 			if err := json.Unmarshal([]byte(d.Value), &m); err == nil {
-				problems = append(problems, fmt.Sprintf("node %s is silent since %s (marked by %s): check whether its process runs and reaches the store. It may still be serving", name, time.UnixMilli(m.Since).UTC().Format(time.RFC3339), m.By))
+				problems = append(problems, fmt.Sprintf("node %s has been silent since %s (marked by %s): check whether its process runs and reaches the store. It may still be serving", name, time.UnixMilli(m.Since).UTC().Format(time.RFC3339), m.By))
 			}
 		case "duty":
 			var r leasedtask.Record
@@ -189,7 +189,7 @@
 }
 
 type fleetHistoryCmd struct {
-	After uint64 `help:"Only what changed after this revision."`
+	After uint64 `help:"Show only changes after this revision."`
 }
 
 func (c *fleetHistoryCmd) Run(_ *slog.Logger) error {
@@ -222,8 +222,8 @@
 }
 
 type fleetShowCmd struct {
-	Prefix string `arg:"" optional:"" help:"Only documents whose keys begin so."`
-	Local  bool   `help:"As the member asked has them, without asking the others: works without a majority."`
+	Prefix string `arg:"" optional:"" help:"Show only documents whose keys begin with this prefix."`
+	Local  bool   `help:"Show the documents as this member has them, without confirmation by the others; works without a majority."`
 }
 
 func (c *fleetShowCmd) Run(_ *slog.Logger) error {
@@ -240,12 +240,12 @@
 
 type fleetPutCmd struct {
 	Key     string `arg:"" help:"The document's key."`
-	Value   string `arg:"" optional:"" help:"Its new value."`
-	Delete  bool   `help:"Delete it."`
-	Version uint64 `help:"The version that it must still have; 0: it must not be there." required:""`
-	By      string `help:"Who changes it." env:"USER" required:""`
-	Why     string `help:"Why; kept in the history." required:""`
-	ID      string `help:"Of this request: asked again under the same one, it is made once."`
+	Value   string `arg:"" optional:"" help:"The document's new value."`
+	Delete  bool   `help:"Delete the document."`
+	Version uint64 `help:"The version that the document must still have; 0: it must not exist." required:""`
+	By      string `help:"Who makes the change." env:"USER" required:""`
+	Why     string `help:"Reason for the change; kept in the history." required:""`
+	ID      string `help:"Id of this request: a request repeated with the same id is applied only once."`
 }
 
 func (c *fleetPutCmd) Run(_ *slog.Logger) error {
@@ -275,7 +275,7 @@
 
 type fleetWantCmd struct {
 	Node  string `arg:"" help:"The node's name."`
-	State string `arg:"" enum:"in,out" help:"in or out (of service)."`
+	State string `arg:"" enum:"in,out" help:"Desired state: in or out of service."`
 	author
 }
 
--- a/cmd/sloehitch/fleet_test.go
+++ b/cmd/sloehitch/fleet_test.go
@@ -33,7 +33,7 @@
 		{"show", "show rel", "release\t3\tv2", ""},
 		{"status", "status", "nothing is wrong", ""},
 		{"mark a node silent", "put silent/n9 {\"by\":\"n7\",\"since\":1764576000000} --version 0 --by n7 --why sweep", "revision", ""},
-		{"status with a silent node", "status", "node n9 is silent since 2025-12-01T08:00:00Z (marked by n7): check whether", "exit"},
+		{"status with a silent node", "status", "node n9 has been silent since 2025-12-01T08:00:00Z (marked by n7): check whether", "exit"},
 		{"record a failed job", "put duty/backup {\"job\":\"b1\",\"state\":\"failed\",\"step\":1,\"tries\":5,\"why\":\"disk-full\"} --version 0 --by n7 --why test", "revision", ""},
 		{"status with a failed job", "status", "job b1 failed at step 1, 5 times: disk-full", "exit"},
 		{"delete the silence mark", "put silent/n9 --delete --version 4 --by n7 --why back", "revision", ""},
--- a/cmd/sloehitch/handover.go
+++ b/cmd/sloehitch/handover.go
@@ -8,12 +8,12 @@
 )
 
 type handoverCmd struct {
-	Show handoverShowCmd `cmd:"" help:"Print what a process left for the one that replaces it, and whether that one would take it."`
+	Show handoverShowCmd `cmd:"" help:"Print the snapshot that a process left for the one that replaces it, and whether that one would use it."`
 }
 
 type handoverShowCmd struct {
-	Config string `help:"The platform's configuration, as JSON." env:"GW_CONFIG" required:"" type:"path"`
-	Dir    string `help:"The folder that the node's processes share; by default $TMPDIR." type:"path"`
+	Config string `help:"The platform's configuration file (JSON)." env:"GW_CONFIG" required:"" type:"path"`
+	Dir    string `help:"The folder that the node's processes share; default: $TMPDIR." type:"path"`
 }
 
 func (c *handoverShowCmd) Run() error {
--- a/cmd/sloehitch/ledger.go
+++ b/cmd/sloehitch/ledger.go
@@ -25,17 +25,17 @@
 type ledgerCmd struct {
 	Put     ledgerPutCmd     `cmd:"" help:"Write KEY<TAB>VALUE lines from standard input; print each key once it is durable."`
 	Dump    ledgerDumpCmd    `cmd:"" help:"Print KEY<TAB>VALUE lines, sorted by key. The folder may be in use."`
-	Stat    ledgerStatCmd    `cmd:"" help:"Print figures. The folder may be in use."`
-	Verify  ledgerVerifyCmd  `cmd:"" help:"Read all; exit with 0 if whole, 1 with a torn tail, 2 if damaged, 3 if it can't be looked at."`
-	Compact ledgerCompactCmd `cmd:"" help:"Rewrite the files so that only what counts is left."`
-	Backup  ledgerBackupCmd  `cmd:"" help:"Copy the store as it is now to another folder. The folder may be in use."`
-	Repair  ledgerRepairCmd  `cmd:"" help:"Save what can be read of a damaged folder into a new one."`
+	Stat    ledgerStatCmd    `cmd:"" help:"Print the ledger's statistics. The folder may be in use."`
+	Verify  ledgerVerifyCmd  `cmd:"" help:"Read and check all records; exit with 0 if the ledger is whole, 1 if its tail is torn, 2 if it is damaged, 3 if it can't be read."`
+	Compact ledgerCompactCmd `cmd:"" help:"Rewrite the files without overwritten, deleted and expired records."`
+	Backup  ledgerBackupCmd  `cmd:"" help:"Copy the ledger as it is now to another folder. The folder may be in use."`
+	Repair  ledgerRepairCmd  `cmd:"" help:"Copy all readable records of a damaged folder to a new one."`
 }
 
 // ledgerFlags are the arguments and flags of all ledger commands.
 type ledgerFlags struct {
 	Dir      string `arg:"" help:"The ledger's folder." type:"path"`
-	JSON     bool   `help:"Speak JSON, one object a line; bytes that are no text as key64 and value64."`
+	JSON     bool   `help:"Use JSON, one object per line; bytes that are not valid text are base64 in key64 and value64."`
 	MemoryMB int    `help:"Memory for the keys, in MB." default:"1024"`
 
 	compacts bool // the ledger is compacted automatically while it is open
@@ -347,7 +347,7 @@
 
 type ledgerRepairCmd struct {
 	ledgerFlags
-	To string `arg:"" help:"An empty or new folder for what can be saved." type:"path"`
+	To string `arg:"" help:"An empty or new folder for the readable records." type:"path"`
 }
 
 func (c *ledgerRepairCmd) Run(log *slog.Logger) error {
--- a/cmd/sloehitch/main.go
+++ b/cmd/sloehitch/main.go
@@ -29,28 +29,28 @@
 
 // grammar is the command line.
 var grammar struct {
-	Serve    serveCmd    `cmd:"" help:"Serve until told to stop."`
-	Check    checkCmd    `cmd:"" help:"Check a configuration and say what it would do."`
+	Serve    serveCmd    `cmd:"" help:"Serve until a shutdown signal."`
+	Check    checkCmd    `cmd:"" help:"Check a configuration and print a summary of it."`
 	Describe describeCmd `cmd:"" help:"Print the AsyncAPI description of the platform's messages."`
 	State    stateCmd    `cmd:"" help:"Show or change the operators' state, on all members of the store."`
-	Ledger   ledgerCmd   `cmd:"" help:"Look into a ledger's folder, check it, copy it, mend it."`
+	Ledger   ledgerCmd   `cmd:"" help:"Inspect, check, copy or repair a ledger's folder."`
 	Ops      opsCmd      `cmd:"" help:"Make an operators' call to a running daemon: readyz, telemetry, evacuate or activate."`
-	Fleet    fleetCmd    `cmd:"" help:"Look at and change what the whole fleet agrees on: duties and their owners, documents, history."`
-	Release  releaseCmd  `cmd:"" help:"Take another release through the fleet in steps, with a halt and a way back."`
-	Store    storeCmd    `cmd:"" help:"Look into the folder of a member of the store that does not run; go on from it after a majority was lost."`
-	Handover handoverCmd `cmd:"" help:"Look at what a process leaves for the one that replaces it."`
+	Fleet    fleetCmd    `cmd:"" help:"Show and change the fleet's replicated state: duties and their owners, documents, history."`
+	Release  releaseCmd  `cmd:"" help:"Roll out a release to the fleet in waves; halt it, resume it or roll it back."`
+	Store    storeCmd    `cmd:"" help:"Inspect the folder of a store member that is not running, or recover the store from it after a majority was lost."`
+	Handover handoverCmd `cmd:"" help:"Inspect the snapshot that a process leaves for the one that replaces it."`
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
 // serveGrammar is the command line of serve alone. serve keeps running, and the grammar of all commands would stay in its memory.
 var serveGrammar struct {
-	Serve serveCmd `cmd:"" help:"Serve until told to stop."`
+	Serve serveCmd `cmd:"" help:"Serve until a shutdown signal."`
 }
 
 type opsCmd struct {
-	Address string        `help:"The daemon's ops address." env:"GW_OPS" required:""`
+	Address string        `help:"The daemon's address for operators' calls (ops)." env:"GW_OPS" required:""`
 	Timeout time.Duration `help:"How long to wait for the whole answer." default:"2s"`
-	Call    string        `arg:"" help:"readyz, telemetry, evacuate or activate."`
+	Call    string        `arg:"" help:"The call: readyz, telemetry, evacuate or activate."`
 }
 
 func (c *opsCmd) Run() error {
@@ -61,8 +61,8 @@
 
 // files are the flags that name configuration files.
 type files struct {
-	Config string `help:"The platform's configuration, as JSON." env:"GW_CONFIG" required:"" type:"path"`
-	Deploy string `help:"Our own deployment settings; without this file all in it is off." default:"deploy/sloehitch.toml" type:"path"`
+	Config string `help:"The platform's configuration file (JSON)." env:"GW_CONFIG" required:"" type:"path"`
+	Deploy string `help:"The deployment file (TOML); if it does not exist, everything that it configures is off." default:"deploy/sloehitch.toml" type:"path"`
 }
 
 func (f *files) load() (*daemon.Config, error) { return daemon.Load(f.Config, f.Deploy) }
@@ -94,7 +94,7 @@
 	}
 	flush := "each start flushed before the run begins"
 	if interval > 0 {
-		flush = fmt.Sprintf("flushed every %v: a power failure may lose bookings that started in the last %v", interval, interval)
+		flush = fmt.Sprintf("flushed every %v: a power failure may lose the records of keyed runs that started in the last %v", interval, interval)
 	}
 	state := "a new store"
 	if _, err := os.Stat(filepath.Join(l.Dir, "MANIFEST")); err == nil {
@@ -118,8 +118,8 @@
 }
 
 type stateCmd struct {
-	Admin string       `help:"Address that a daemon has for operators." required:""`
-	Show  stateShowCmd `cmd:"" help:"Print all that is set."`
+	Admin string       `help:"Address of a daemon's HTTP interface for operators." required:""`
+	Show  stateShowCmd `cmd:"" help:"Print all keys that are set."`
 	Set   stateSetCmd  `cmd:"" help:"Set a key; an empty value clears it."`
 }
 
@@ -141,7 +141,7 @@
 }
 
 type stateSetCmd struct {
-	Key   string `arg:"" help:"closed (names of nodes out of service) or uwsgi-servers (addresses)."`
+	Key   string `arg:"" help:"The key: closed (names of nodes out of service) or uwsgi-servers (addresses)."`
 	Value string `arg:"" optional:""`
 }
 
--- a/cmd/sloehitch/members.go
+++ b/cmd/sloehitch/members.go
@@ -14,15 +14,15 @@
 
 // membersCmd contains the commands that show and change the members of the store.
 type membersCmd struct {
-	List    membersListCmd   `cmd:"" default:"withargs" help:"Who keeps the store, as its leader sees them."`
-	Add     membersAddCmd    `cmd:"" help:"Have a member learn: it gets all that is kept, and has no vote yet. Its own settings say join = true."`
-	Promote membersChangeCmd `cmd:"" help:"Give a member that has caught up a vote."`
-	Remove  membersChangeCmd `cmd:"" help:"Take a member out; refused where the others would have no majority."`
-	Lead    membersChangeCmd `cmd:"" help:"Give a member the lead."`
+	List    membersListCmd   `cmd:"" default:"withargs" help:"List the members of the store as its leader sees them."`
+	Add     membersAddCmd    `cmd:"" help:"Add a member as a learner: it receives the store's content and has no vote yet. Its own settings must have join = true."`
+	Promote membersChangeCmd `cmd:"" help:"Give a vote to a learner that has caught up."`
+	Remove  membersChangeCmd `cmd:"" help:"Remove a member; rejected if the others would have no majority."`
+	Lead    membersChangeCmd `cmd:"" help:"Transfer the leadership to a member."`
 }
 
 type membersListCmd struct {
-	Local bool `help:"As the member asked sees them; it also says why it takes no part, if so."`
+	Local bool `help:"Show the members as this member sees them, and why it takes no part in the store if it is excluded."`
 }
 
 func (c *membersListCmd) Run(_ *slog.Logger) error {
@@ -82,14 +82,14 @@
 
 // author holds the flags for who makes a change, and why. They are kept in the history.
 type author struct {
-	By  string `help:"Who asks." env:"USER" required:""`
-	Why string `help:"Why; kept in the history." required:""`
+	By  string `help:"Who makes the change." env:"USER" required:""`
+	Why string `help:"Reason for the change; kept in the history." required:""`
 }
 
 type membersAddCmd struct {
-	Name        string `arg:"" help:"The member's name, as its own configuration has it."`
-	Raft        string `help:"Where the other members reach it." required:""`
-	MemberAdmin string `help:"Where operators reach it." required:""`
+	Name        string `arg:"" help:"The member's name, as in its own configuration."`
+	Raft        string `help:"Address at which the other members reach it." required:""`
+	MemberAdmin string `help:"Address at which operators reach it." required:""`
 	author
 }
 
@@ -102,8 +102,8 @@
 	author
 }
 
-func (c *membersChangeCmd) run(do string) error {
-	return changeMembers(store.MembershipChange{Action: do, Name: c.Name, Author: c.By, Reason: c.Why})
+func (c *membersChangeCmd) run(action string) error {
+	return changeMembers(store.MembershipChange{Action: action, Name: c.Name, Author: c.By, Reason: c.Why})
 }
 
 // Run makes the change of the command that c belongs to: promote, remove or lead.
@@ -130,7 +130,7 @@
 }
 
 type fleetBackupCmd struct {
-	File string `arg:"" help:"Where the backup goes; it must not be there yet." type:"path"`
+	File string `arg:"" help:"The file to write; it must not exist yet." type:"path"`
 }
 
 func (c *fleetBackupCmd) Run(_ *slog.Logger) (err error) {
@@ -145,7 +145,7 @@
 }
 
 type fleetRestoreCmd struct {
-	File string `arg:"" help:"A backup." type:"existingfile"`
+	File string `arg:"" help:"The backup file." type:"existingfile"`
 	author
 }
 
@@ -164,8 +164,8 @@
 
 // storeCmd contains the commands for the folder of a member that does not run.
 type storeCmd struct {
-	Folder  storeFolderCmd  `cmd:"" help:"Whose folder it is, and how far it goes."`
-	Recover storeRecoverCmd `cmd:"" help:"A majority of members is lost for good: have this member go on alone from its folder. Read docs/operators/fleet.md first."`
+	Folder  storeFolderCmd  `cmd:"" help:"Show which member a folder belongs to, and its last entry."`
+	Recover storeRecoverCmd `cmd:"" help:"Recover from the permanent loss of a majority: continue with this member alone, from its folder. Read docs/operators/fleet.md first."`
 }
 
 type storeFolderCmd struct {
@@ -193,8 +193,8 @@
 type storeRecoverCmd struct {
 	Dir         string `arg:"" help:"The member's folder (dir)." type:"existingdir"`
 	Name        string `help:"The member's name." required:""`
-	Raft        string `help:"Where other members will reach it." required:""`
-	LoseTheRest bool   `help:"Say that you know: what only the lost members had is lost, and none of them may come back with its folder."`
+	Raft        string `help:"Address at which other members will reach it." required:""`
+	LoseTheRest bool   `help:"Confirm that changes held only by the lost members are lost, and that none of these members may come back with its folder."`
 }
 
 func (c *storeRecoverCmd) Run(log *slog.Logger) error {
--- a/cmd/sloehitch/release.go
+++ b/cmd/sloehitch/release.go
@@ -17,13 +17,13 @@
 
 // releaseCmd contains the commands that roll out a release in waves.
 type releaseCmd struct {
-	Admin  string           `help:"Address that a member of the store has for operators." required:""`
-	Plan   releasePlanCmd   `cmd:"" help:"Show the waves that a release would go in, and what binds them; nothing is changed."`
-	Start  releaseStartCmd  `cmd:"" help:"Have it go through the fleet."`
-	Watch  releaseWatchCmd  `cmd:"" help:"How far releases are, until they are over or halted."`
-	Halt   releaseHaltCmd   `cmd:"" help:"Have nothing of it begin any more; returns once that holds everywhere."`
-	Resume releaseResumeCmd `cmd:"" help:"Let it go on."`
-	Back   releaseBackCmd   `cmd:"" help:"Have those changed go back to what they were, newest first, by the same budgets."`
+	Admin  string           `help:"Address of a store member's HTTP interface for operators." required:""`
+	Plan   releasePlanCmd   `cmd:"" help:"Show the waves of a release and the budgets that limit them, without changing anything."`
+	Start  releaseStartCmd  `cmd:"" help:"Start rolling out a release to the fleet."`
+	Watch  releaseWatchCmd  `cmd:"" help:"Show the progress of releases until all are completed or halted."`
+	Halt   releaseHaltCmd   `cmd:"" help:"Halt a release; returns once none of its drains can start on any node."`
+	Resume releaseResumeCmd `cmd:"" help:"Resume a halted release."`
+	Back   releaseBackCmd   `cmd:"" help:"Roll back the nodes already changed to their previous release, the last changed first, within the same budgets."`
 }
 
 func (c *releaseCmd) client() store.Client {
@@ -33,12 +33,12 @@
 
 // plannedRelease holds the arguments and flags from which a release is planned.
 type plannedRelease struct {
-	Name   string        `arg:"" help:"The release's name."`
-	To     string        `help:"What nodes are to report as deployed." required:""`
-	Growth float64       `default:"2" help:"By which waves grow."`
-	Soak   time.Duration `default:"1m" help:"For which a wave is watched once all of it is back."`
-	Late   time.Duration `default:"10m" help:"In which a node should be back, from when it went out."`
-	Within time.Duration `default:"1m" help:"In which a node should be empty, once out."`
+	Name   string        `arg:"" help:"Name of the release."`
+	To     string        `help:"The release that nodes must report once they are updated." required:""`
+	Growth float64       `default:"2" help:"Factor by which each wave is larger than the one before."`
+	Soak   time.Duration `default:"1m" help:"Time for which a wave is observed once all its nodes are back in service."`
+	Late   time.Duration `default:"10m" help:"Time within which a node must be back in service after it went out."`
+	Within time.Duration `default:"1m" help:"Time within which a node must have no requests left once it is out of service."`
 }
 
 func (c *plannedRelease) plan(client store.Client) (r release.Release, v drainView, err error) {
@@ -106,7 +106,7 @@
 }
 
 type releaseWatchCmd struct {
-	Once bool `help:"Look once."`
+	Once bool `help:"Show the progress once and exit."`
 }
 
 func (c *releaseWatchCmd) Run(_ *slog.Logger) error {
@@ -151,7 +151,7 @@
 }
 
 type releaseHaltCmd struct {
-	Name string `arg:"" help:"The release's name."`
+	Name string `arg:"" help:"Name of the release."`
 	author
 }
 
@@ -160,7 +160,7 @@
 }
 
 type releaseResumeCmd struct {
-	Name string `arg:"" help:"The release's name."`
+	Name string `arg:"" help:"Name of the release."`
 	author
 }
 
@@ -169,7 +169,7 @@
 }
 
 type releaseBackCmd struct {
-	Name string `arg:"" help:"The release's name."`
+	Name string `arg:"" help:"Name of the release."`
 	author
 }
 
--- a/cmd/sloehitch/serve.go
+++ b/cmd/sloehitch/serve.go
@@ -13,7 +13,7 @@
 
 type serveCmd struct {
 	files
-	LogLevel slog.Level `help:"The least level that is logged: debug has each step of each request, and why each connection was closed." default:"info" env:"SLOEHITCH_LOG_LEVEL"`
+	LogLevel slog.Level `help:"The lowest level that is logged; debug logs each step of each request, and why each connection was closed." default:"info" env:"SLOEHITCH_LOG_LEVEL"`
 }
 
 func (c *serveCmd) Run(log *slog.Logger, level *slog.LevelVar) error {
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -94,7 +94,7 @@
 			t.Errorf("response while the first server is drained: %q", got)
 		}
 	}
-	if out, errs := run(fleet + "halt --by me --why test"); !strings.Contains(out, "halted: no more drains of it start. Permits: 1") {
+	if out, errs := run(fleet + "halt --by me --why test"); !strings.Contains(out, "halted: no further drain that the halt covers can start. Open permits: 1") {
 		t.Errorf("%s%s", out, errs)
 	}
 	run(fleet + "drain n1 --by me --why test")
