--- a/cmd/sloehitch-lab/fleet.go
+++ b/cmd/sloehitch-lab/fleet.go
@@ -77,8 +77,8 @@
 			return false, err
 		}
 	}
-	for _, w := range r.Violations {
-		fmt.Println("WRONG:", w)
+	for _, violation := range r.Violations {
+		fmt.Println("WRONG:", violation)
 	}
 	if len(r.Violations) > 0 {
 		fmt.Printf("the schedule of faults, for use with --schedule:\n%s", o.Schedule)
--- a/cmd/sloehitch-lab/loadreports.go
+++ b/cmd/sloehitch-lab/loadreports.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// used returns the processor time of this process so far.
+// processorTime returns the processor time of this process so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/cmd/sloehitch/incident_test.go
+++ b/cmd/sloehitch/incident_test.go
@@ -44,7 +44,7 @@
 // TestKeyedRunStartsOnceAfterLinkReset guards against a second start of keyed runs, 0.11 to 0.17 s after the notice of their end was
 // written. After a reset of the link the node took the echo of the gauges as proof that it had read all notices, and repeated every start
 // without a notice. A run that ended between the writing of the echo and the arrival of the repeated start ran twice, because the runtime
-// forgets runs that have ended. It takes delay on the link, since the window is one round trip: here runs end 10 ms apart, the link is
+// forgets runs that have ended. The fault occurs only with delay on the link, since the window is one round trip: here runs end 10 ms apart, the link is
 // reset while all of them run, and the delay is 50 ms each way. Without delay no run started twice.
 func TestKeyedRunStartsOnceAfterLinkReset(t *testing.T) {
 	const runs, delay = 40, 50 * time.Millisecond
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -99,16 +99,16 @@
 		{"compact", "", "compact DIR", "5 records kept", "", 0},
 		{"stat", "", "stat --json DIR", `"keys":5`, "", 0},
 		{"verify a missing folder", "", "verify " + dir + ".none", "", "no such file", 3},
-		{"a torn one", "", "verify " + torn, "torn: ", "", 1},
-		{"a damaged one", "", "verify --json " + damaged, `"state":"damaged","file":"MANIFEST"`, "", 2},
-		{"put into a damaged one", "a\t1\n", "put " + damaged, "", "ledger repair", 1},
+		{"verify a folder with a torn tail", "", "verify " + torn, "torn: ", "", 1},
+		{"verify a damaged folder", "", "verify --json " + damaged, `"state":"damaged","file":"MANIFEST"`, "", 2},
+		{"put into a damaged folder", "a\t1\n", "put " + damaged, "", "ledger repair", 1},
 		{"repair", "", "repair " + damaged + " " + dir + ".saved", "lost: MANIFEST", "", 0},
 		{"dump the repaired folder", "", "dump --prefix a " + dir + ".saved", "a\t1\n", "", 0},
 	} {
 		switch c.name {
-		case "a torn one":
+		case "verify a folder with a torn tail":
 			tearTail(t, torn)
-		case "a damaged one":
+		case "verify a damaged folder":
 			if err := os.CopyFS(damaged, os.DirFS(dir)); err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/sloehitch/torture_test.go
+++ b/cmd/sloehitch/torture_test.go
@@ -53,8 +53,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, w := range r.Violations {
-		t.Error(w)
+	for _, violation := range r.Violations {
+		t.Error(violation)
 	}
 	if r.SilenceMarks < 2 || r.OwnerChanges < 2 || r.Jobs < 2 || r.DesiredStates < 10 || r.Exclusions != 1 {
 		t.Errorf("%d marks of silent nodes, %d changes of owner, %d jobs, %d desired states applied, %d older copies excluded; want at least 2, 2, 2, 10, and 1", r.SilenceMarks, r.OwnerChanges, r.Jobs, r.DesiredStates, r.Exclusions)
@@ -79,8 +79,8 @@
 				t.Fatal(err)
 			}
 			t.Logf("%d faults: %d writes, %d reads, %d attempts; %d changes of owner, %d jobs, %d desired states, %d older copies excluded; recovered after %v", len(o.Schedule), r.Writes, r.Reads, r.Attempts, r.OwnerChanges, r.Jobs, r.DesiredStates, r.Exclusions, r.Recovered.Round(time.Millisecond))
-			for _, w := range r.Violations {
-				t.Error(w)
+			for _, violation := range r.Violations {
+				t.Error(violation)
 			}
 			if r.Writes == 0 || r.Reads == 0 {
 				t.Error("no writes or no reads were answered: too few for a meaningful test")
@@ -106,8 +106,8 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d faults: %+v; recovered after %v", len(o.Schedule), r.Drains, r.Recovered.Round(time.Millisecond))
-	for _, w := range r.Violations {
-		t.Error(w)
+	for _, violation := range r.Violations {
+		t.Error(violation)
 	}
 	if t.Failed() {
 		t.Fatalf("the schedule:\n%s", o.Schedule)
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestHandOverRunsKeyOnce runs two processes that accept from one inherited listener and share $TMPDIR, as when one replaces the
-// other: the old one keeps its connections and accepts no more, so that new ones go to the new process. Requests with
+// other: the old one keeps its connections and accepts no new ones, which go to the new process. Requests with
 // the same key reach both. The key must run once, and each request must get its result, whichever process received it.
 func TestHandOverRunsKeyOnce(t *testing.T) {
 	ln := standin.Listen(t)
@@ -60,7 +60,7 @@
 		if d.resp.OpenConnections() != 3 {
 			t.Fatalf("the process has %d open connections, want 3", d.resp.OpenConnections())
 		}
-		d.listeners.closeAll() // it accepts no more, so the next connections go to the next process
+		d.listeners.closeAll() // it accepts no more connections, so new ones go to the next process
 	}
 	conns[0].Do(2, "book", standin.RequestID(2), time.Now(), "a", ",opkey=k1") // the old process runs it
 	if got := conns[0].Read(); len(got) < 2 || got[1] != "ACK" {
@@ -85,7 +85,7 @@
 	if n := runtimes[0].Runs("a") + runtimes[1].Runs("a"); n != 1 || served != len(conns) {
 		t.Errorf("ran %d times, %d of %d requests served; want one run and all served", n, served, len(conns))
 	}
-	// The next process would use the snapshot of this one and sees the keys of each process.
+	// The next process would use the snapshot of this one, and sees the keys of all processes.
 	daemons[0].saveSnapshot(false)
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(standin.Config("127.0.0.1:1", runtimes[0].Address, "", longDeadline)), 0o600); err != nil {
--- a/internal/daemon/mixed_test.go
+++ b/internal/daemon/mixed_test.go
@@ -14,9 +14,9 @@
 
 // mixedResult is the result of one run of both protocols on cores that they share.
 type mixedResult struct {
-	offered, kept [2]float64 // weight of the requests sent, and of those served within the objective; by front: RESP, uwsgi
-	unanswered    int
-	ranTwice      int // keys that ran more than once
+	offered, withinObjective [2]float64 // weights of the requests sent, and of those served within the objective; by front: RESP, uwsgi
+	unanswered               int
+	ranTwice                 int // keys that ran more than once
 }
 
 // runMixedLoad sends requests for 4 s at a share of the capacity of two cores, half by each front. A third are bookings, with three times
@@ -52,7 +52,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if ok && time.Since(a.at) <= objective {
-			m.kept[front] += a.weight
+			m.withinObjective[front] += a.weight
 		}
 	}
 	balancers := make([]*standin.Balancer, 8)
@@ -180,7 +180,7 @@
 					b.Errorf("seed %d: %d unanswered, %d ran twice", seed+1, m.unanswered, m.ranTwice)
 				}
 				for f := range sum {
-					kept := m.kept[f] / m.offered[f]
+					kept := m.withinObjective[f] / m.offered[f]
 					sum[f] += kept / 5
 					worst[f] = min(worst[f], kept)
 				}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -27,7 +27,7 @@
 	p := next.Platform
 	d.warnRestartRequired(next)
 	for _, k := range d.tlsKeys {
-		_ = k.Reload() // on an error it logs it and keeps the current keys
+		_ = k.Reload() // Reload logs its error and keeps the current keys
 	}
 	if d.runtime != nil && p.Runtime != "" {
 		d.runtime.SetAddress(p.Runtime)
--- a/internal/daemon/upstreams.go
+++ b/internal/daemon/upstreams.go
@@ -89,7 +89,7 @@
 	return k, err
 }
 
-// openTraces opens the file for spans if the deployment file configures one, and returns the function that records the times of done requests.
+// openTraces opens the file for spans if the deployment file configures one, and returns the function that records the times of completed requests.
 func (d *Daemon) openTraces() (func(uwsgi.RequestTimes), error) {
 	c := d.deploy.Load().Traces
 	if c.File == "" {
@@ -103,8 +103,8 @@
 	return t.RecordRequest, nil
 }
 
-// setUpstreams sets the pool's servers to those in named, the operators' state, or else to the configured ones, without those that
-// hold a drain permit.
+// setUpstreams sets the pool's servers to those in named (from the operators' state) or, if it is empty, to the configured ones. Servers
+// that hold a drain permit are left out.
 func (d *Daemon) setUpstreams(named string) {
 	u := &d.upstreams
 	if u.pool == nil {
--- a/internal/daemon/uwsgi_test.go
+++ b/internal/daemon/uwsgi_test.go
@@ -60,7 +60,7 @@
 		want string
 	}{
 		{"server removed", func(s *testNode, hold chan struct{}) {
-			s.applyStoredValue(store.KeyUwsgiServers, "127.0.0.1:1") // as a reload calls it
+			s.applyStoredValue(store.KeyUwsgiServers, "127.0.0.1:1") // called as by a reload
 			close(hold)
 		}, "whole"},
 		{"SIGTERM", func(s *testNode, hold chan struct{}) {
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -133,5 +133,5 @@
 	}
 }
 
-// SetIndex implements the item interface of package heap.
+// SetIndex implements heap.Element.
 func (w *Work) SetIndex(at int) { w.index = at }
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -123,7 +123,7 @@
 func (p *Platform) KillAfter() time.Duration { return time.Duration(p.StopMS) * time.Millisecond }
 
 // KillAfterReplaced returns the time from the shutdown signal to the kill when a new process replaces this one: the longest client
-// timeout of the classes, at most 3 s, plus 0.7 s, but no more than KillAfter (the operators' page of days, "Replacing the process").
+// timeout of the classes, at most 3 s, plus 0.7 s, but no more than KillAfter.
 func (p *Platform) KillAfterReplaced() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range p.Logic.Classes {
--- a/internal/platform/config/deploy.go
+++ b/internal/platform/config/deploy.go
@@ -234,10 +234,10 @@
 	return err
 }
 
-// Ledger configures the ledger, which keeps the records of bookings across restarts.
+// Ledger configures the ledger, which keeps the records of keyed runs across restarts.
 type Ledger struct {
 	Dir      string `toml:"dir"`       // folder on a persistent disk; empty: off
-	Flush    string `toml:"flush"`     // "each": flush before a booking's start is acknowledged as recorded; or an interval such as "20ms"
+	Flush    string `toml:"flush"`     // "each": flush before the start of a keyed run is acknowledged as recorded; or an interval such as "20ms"
 	MemoryMB int    `toml:"memory_mb"` // maximum memory for the keys
 }
 
--- a/internal/platform/endpoint/endpoint.go
+++ b/internal/platform/endpoint/endpoint.go
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Dial connects, with TLS where the address says so: the server must then present a certificate for name, or if name is empty for the
-// address's host. The context bounds the connection and the handshake. A failed handshake is a *HandshakeError.
+// Dial connects to the address. If the address requires TLS, the server must present a certificate for name or, if name is empty, for
+// the address's host. The context bounds the connection and the handshake. A failed handshake is a *HandshakeError.
 func (e Endpoint) Dial(ctx context.Context, keys *tlskeys.Keys, name string) (net.Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, e.Network, e.Address)
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings parses the settings object that the platform gives a server at its start into logic.Settings. It
 // accepts values by path, such as "domain.cores", or nested JSON, and reports all invalid values together.
 //
-// Only this file knows the platform's keys and its names of enumerated values.
+// The platform's keys and its names of enumerated values appear in this file only.
 package settings
 
 import (
--- a/internal/testing/faults/linkproxy/linkproxy.go
+++ b/internal/testing/faults/linkproxy/linkproxy.go
@@ -276,7 +276,7 @@
 
 func (f *flow) enqueue(bytes []byte) bool { return f.schedule(chunk{bytes: bytes}) }
 
-// pass queues a chunk for delivery after the direction's delay.
+// schedule queues a chunk for delivery after the direction's delay.
 func (f *flow) schedule(next chunk) bool {
 	c, jitter := f.pair.proxy.current(f.direction)
 	if c.Lost && len(next.bytes) > 0 {
--- a/internal/testing/faults/linkproxy/linkproxy_test.go
+++ b/internal/testing/faults/linkproxy/linkproxy_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// echo starts a server that sends back what it reads, closes when its peer does, and returns its address.
+// startEchoServer starts a server that sends back what it reads and closes when its peer does. It returns the server's address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testing/faults/systemcalls/trace_linux_amd64.go
+++ b/internal/testing/faults/systemcalls/trace_linux_amd64.go
@@ -97,7 +97,7 @@
 	return ws.ExitStatus()
 }
 
-// stopped handles one stop of a thread and returns the signal to deliver to it; 0: none.
+// handleStop handles one stop of a thread and returns the signal to deliver to it; 0: none.
 func (t *tracer) handleStop(id int, ws syscall.WaitStatus) syscall.Signal {
 	th, known := t.threads[id]
 	if !known {
@@ -136,7 +136,7 @@
 	}
 }
 
-// begin draws the outcome of a call at its entry. It returns true if it changed the registers.
+// enterCall draws the outcome of a call at its entry. It returns true if it changed the registers.
 func (t *tracer) enterCall(th *thread, regs *syscall.PtraceRegs) bool {
 	th.nr, th.fd, th.errno = regs.Orig_rax, regs.Rdi, 0
 	call, peer, name := Call(0), t.peers[regs.Rdi], ""
@@ -174,7 +174,7 @@
 	return true
 }
 
-// end sets the drawn error of a call at its exit, and tracks opened and closed sockets. It returns true if it changed the registers.
+// exitCall sets the drawn error of a call at its exit, and tracks opened and closed sockets. It returns true if it changed the registers.
 func (t *tracer) exitCall(th *thread, regs *syscall.PtraceRegs) bool {
 	if th.errno != 0 {
 		regs.Rax = uint64(-int64(th.errno))
--- a/internal/testing/fleetrig/drains.go
+++ b/internal/testing/fleetrig/drains.go
@@ -25,6 +25,7 @@
 
 // Drained counts the drains, halts and releases of a run, and the critical cases that occurred in it.
 type Drained struct {
+	// Drains requested and started, nodes replaced, halts, and "holds" events of the lease for granting permits.
 	Asked, Begun, Replaced, Halts, Keepers int
 	Killed                                 int            // processes started again while their nodes were drained
 	Late                                   int            // permits that expired, or were returned, before their node drained
--- a/internal/testing/loopback/loopback.go
+++ b/internal/testing/loopback/loopback.go
@@ -35,7 +35,7 @@
 	return found, nil
 }
 
-// on finds n free ports of a host, starting at a random one.
+// freePorts finds n free ports of a host, starting at a random one.
 func freePorts(host string, n int) (found []string, err error) {
 	port := rand.IntN(ports)
 	for try := range min(n+mostTaken, ports) {
--- a/internal/testing/loopback/loopback_test.go
+++ b/internal/testing/loopback/loopback_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if _, err := freePorts("192.0.2.1", 1); err == nil { // RFC 5737: reserved for documentation
-		t.Error("on returned free ports of a host that is not this machine")
+		t.Error("freePorts returned free ports of a host that is not this machine")
 	}
 	if _, err := Addresses(ports + 1); err == nil {
 		t.Error("Addresses returned more addresses than there are ports")
--- a/internal/testing/soak/runtime.go
+++ b/internal/testing/soak/runtime.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// start starts a run unless the request is running already (on is not nil); the caller holds mu.
+// start starts a run unless the request is running already (running is not nil); the caller holds mu.
 func (rt *runtime) start(m workCommand, running *workRun) {
 	if running != nil {
 		return
