--- a/cmd/sloehitch/handover_test.go
+++ b/cmd/sloehitch/handover_test.go
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	if err := old.Wait(); err != nil {
-		t.Fatalf("%v:\n%s", err, old.log.String())
+		t.Fatalf("the old process ended with %v; log:\n%s", err, old.log.String())
 	}
 	results["after"] = ask("after")
 	for until := time.Now().Add(standin.WaitTimeout); ; time.Sleep(time.Millisecond) { // the new process listens once the old one has released the address
--- a/cmd/sloehitch/ledger_test.go
+++ b/cmd/sloehitch/ledger_test.go
@@ -158,7 +158,7 @@
 	}
 	v, err := ledger.Verify(left, ledger.Options{Limits: limits.ForLedger(1 << 20)})
 	if err != nil || v.State != ledger.StateTorn || v.File != active || v.Offset != 36 {
-		t.Fatalf("%+v, %v", v, err)
+		t.Fatalf("ledger with a torn tail: verified as %+v, error %v", v, err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
--- a/cmd/sloehitch/soak_test.go
+++ b/cmd/sloehitch/soak_test.go
@@ -43,7 +43,7 @@
 func TestSoakWithFailingCalls(t *testing.T) {
 	program, tracer := buildProgram(t), filepath.Join(t.TempDir(), "sloehitch-lab")
 	if out, err := exec.Command("go", "build", "-o", tracer, "../sloehitch-lab").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build of sloehitch-lab: %v: %s", err, out)
 	}
 	for _, seed := range []uint64{2108} {
 		t.Run(fmt.Sprint("seed_", seed), func(t *testing.T) {
--- a/cmd/sloehitch/torture_test.go
+++ b/cmd/sloehitch/torture_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "sloehitch")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build of sloehitch: %v: %s", err, out)
 	}
 	return path
 }
--- a/internal/daemon/crowd_test.go
+++ b/internal/daemon/crowd_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("%d concurrent runs on 2 cores that sustain at most 10", concurrent)
 	}
 	if got := s.resp.OpenConnections(); got > conns {
-		t.Errorf("%d connections open", got)
+		t.Errorf("%d connections are open, more than the clients opened", got)
 	}
 }
 
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -18,7 +18,7 @@
 func TestOperatorsDrainNodeAndServer(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "sloehitch")
 	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/sloehitch").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build of sloehitch: %v: %s", err, out)
 	}
 	rt := standin.NewRuntime(t, func(*standin.Job) (string, string) { return "OK", "r" })
 	first := standin.NewServer(t, func(string) string { return "HTTP/1.1 200 OK\r\n\r\nfirst" })
@@ -79,7 +79,7 @@
 	waitOuts("out ")
 	run(fleet + "undrain n1 --by me --why test")
 	waitHealth("GREEN")
-	standin.WaitFor(t, "the permit to go back", func() bool {
+	standin.WaitFor(t, "the return of the permit", func() bool {
 		out, _ := run(fleet + "show out/")
 		return !strings.Contains(out, "out/")
 	})
@@ -95,7 +95,7 @@
 		}
 	}
 	if out, errs := run(fleet + "halt --by me --why test"); !strings.Contains(out, "halted: no further drain that the halt covers can start. Open permits: 1") {
-		t.Errorf("%s%s", out, errs)
+		t.Errorf("fleet halt: %s%s", out, errs)
 	}
 	run(fleet + "drain n1 --by me --why test")
 	waitOuts("HALTED: all")
@@ -106,9 +106,9 @@
 		return strings.Contains(out, fmt.Sprintf(`%q:{"uses":true`, first.Address))
 	})
 	if out, errs := run("release --admin " + admin + " plan r --to v2"); !strings.Contains(out, "wave 1: n1\n") || strings.Contains(out, "server:") {
-		t.Errorf("%s%s", out, errs)
+		t.Errorf("release plan: %s%s", out, errs)
 	}
 	if out, errs := run("release --admin " + admin + " watch"); !strings.Contains(errs, "there is no release") {
-		t.Errorf("%s%s", out, errs)
+		t.Errorf("release watch: %s%s", out, errs)
 	}
 }
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -30,10 +30,10 @@
 		}
 		b.Send(standin.Array("PING", "1", ""))
 		if got := b.Read(); len(got) < 2 || got[1] != c.health {
-			t.Errorf("closed %q: health %q", c.closed, got)
+			t.Errorf("closed nodes %q: unexpected health %q", c.closed, got)
 		}
 		if got := sendUwsgi(t, s.uwsgi, "", getVars("/slots")...); !strings.HasSuffix(got, c.response) {
-			t.Errorf("servers %q: response %q", c.servers, got)
+			t.Errorf("servers %q: unexpected response %q", c.servers, got)
 		}
 	}
 }
--- a/internal/daemon/uwsgi_test.go
+++ b/internal/daemon/uwsgi_test.go
@@ -37,7 +37,7 @@
 	}
 	short := serveNode(t, 300*time.Millisecond, rt, server.Address)
 	if got := sendUwsgi(t, short.uwsgi, "hang", postVars("3")...); !strings.HasPrefix(got, "HTTP/1.1 504 Gateway Timeout\r\n") {
-		t.Errorf("response past the deadline: %q", got)
+		t.Errorf("response past the deadline: %q, want 504", got)
 	}
 	for _, body := range []string{"fine", "cut", "hang"} {
 		if n := server.Runs(body); n != 1 {
@@ -85,7 +85,7 @@
 			}
 			got, err := standin.Script{{Send: standin.Packet(t, "", getVars("/slots")...)}, {Until: "first"}}.Play(conn)
 			if err != nil {
-				t.Fatalf("%q, %v", got, err)
+				t.Fatalf("start of the streamed response: %q, %v", got, err)
 			}
 			c.act(s, hold)
 			rest, err := io.ReadAll(conn)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -132,7 +132,7 @@
 	_, unbounded, _ := run(overload)
 	_, bounded, _ := run(func(w *World) { overload(w); w.RetryBudget = 0.1 })
 	if unbounded < 1.3 || bounded > 1.12 {
-		t.Errorf("%.2f attempts per request without a retry budget, %.2f with a budget of 0.1", unbounded, bounded)
+		t.Errorf("attempts per request: %.2f without a retry budget, %.2f with a budget of 0.1", unbounded, bounded)
 	}
 }
 
--- a/internal/emulator/experiment/experiment_test.go
+++ b/internal/emulator/experiment/experiment_test.go
@@ -144,7 +144,7 @@
 		}
 		for _, name := range []string{"goodput.png", "p99.svg", "summary.json"} {
 			if s, err := os.Stat(filepath.Join(dir, name)); err != nil || s.Size() == 0 {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("%s is missing or empty: %v", name, err)
 			}
 		}
 	}
--- a/internal/platform/clock/sources_test.go
+++ b/internal/platform/clock/sources_test.go
@@ -25,7 +25,7 @@
 	} {
 		files, err := filepath.Glob(filepath.Join(moduleRoot, folder, "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatalf("%s: %d files, %v", folder, len(files), err)
+			t.Fatalf("folder %s: found %d files, error %v", folder, len(files), err)
 		}
 		for _, file := range files {
 			if strings.HasSuffix(file, "_test.go") || strings.HasSuffix(file, "cmd/sloehitch/drain.go") { // drain.go is an operator's command, not part of the daemon
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -37,7 +37,7 @@
 			t.Errorf("%s: %v, want an error on %q", c.name, err, c.wrong)
 		}
 		if err == nil && (p.KillAfter() != 3*time.Second || p.Limits.Sockets != 256 || len(p.Logic.Classes) != 2) {
-			t.Errorf("%s: %+v", c.name, p)
+			t.Errorf("%s: unexpected configuration %+v", c.name, p)
 		}
 	}
 }
@@ -96,11 +96,11 @@
 		t.Fatal(err)
 	}
 	if d, err := LoadDeploy(path); err != nil || string(d.OpenAPI) != "openapi" {
-		t.Errorf("%+v, %v", d, err)
+		t.Errorf("deployment file with an OpenAPI document: %+v, %v", d, err)
 	}
 	// The deployment file in the repository must keep the uwsgi front off on the platform.
 	if d, err := LoadDeploy("../../../deploy/sloehitch.toml"); err != nil || d.Uwsgi.Listen != "" {
-		t.Errorf("deploy/sloehitch.toml: %+v, %v", d, err)
+		t.Errorf("deploy/sloehitch.toml: %+v, %v; want uwsgi off", d, err)
 	}
 }
 
--- a/internal/platform/endpoint/endpoint_test.go
+++ b/internal/platform/endpoint/endpoint_test.go
@@ -52,10 +52,10 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o640 {
-		t.Errorf("%v, %v", info.Mode(), err)
+		t.Errorf("mode of the socket: %v, error %v; want 0640", info.Mode(), err)
 	}
 	if _, err := e.Listen(0o600, nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("listening on a socket in use: %v", err)
+		t.Errorf("listening on a socket in use: error %v, want one on another process", err)
 	}
 	ln.(*unixListener).UnixListener.Close() // leaves the file, as a killed process does
 	if _, err := os.Stat(path); err != nil {
@@ -193,7 +193,7 @@
 	for _, f := range []tlskeys.Files{{Cert: cert}, {Cert: cert, Key: filepath.Join(dir, "c1.key")}, {CA: key}, {CA: filepath.Join(dir, "none")},
 		{Cert: filepath.Join(dir, "dead.pem"), Key: filepath.Join(dir, "dead.key")}} {
 		if _, err := tlskeys.Load(f, standin.DiscardLogger); err == nil || !strings.Contains(err.Error(), "tls") {
-			t.Errorf("%s: %v", fmt.Sprint(f), err)
+			t.Errorf("key files %s: error %v, want one with \"tls\"", fmt.Sprint(f), err)
 		}
 	}
 }
--- a/internal/platform/metrics/metrics_test.go
+++ b/internal/platform/metrics/metrics_test.go
@@ -36,7 +36,7 @@
 		defer resp.Body.Close()
 		text, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("%s, %v: %s", resp.Status, err, text)
+			t.Fatalf("GET /metrics: status %s, error %v: %s", resp.Status, err, text)
 		}
 		return string(text)
 	}
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -26,14 +26,14 @@
 		t.Fatal(err)
 	}
 	if v.Classes["book"] != 1 || v.Tenants["acme"] != 0 || len(v.GaugeNames) != 4 || v.GaugeNames[1] != "on_cores" {
-		t.Errorf("names %+v", v)
+		t.Errorf("unexpected names %+v", v)
 	}
 	b := s.Classes[1]
 	if b.Idempotency != logic.IdempotentByKey || b.IdempotencyWindow != 90000000 || b.PriorityWeight != 3 || !b.CallsDependency || b.DegradedWeightShare != 0 || s.Classes[0].DegradedWeightShare != 0.6 {
-		t.Errorf("classes %+v", s.Classes)
+		t.Errorf("unexpected classes %+v", s.Classes)
 	}
 	if s.Cores != 2 || s.StopMode != logic.StopPause || s.SignalMode != logic.SignalPriorityFloor || s.MaxRetryAfter != 1000000 || s.ResponseGrace != 80000 {
-		t.Errorf("settings %+v", s)
+		t.Errorf("unexpected settings %+v", s)
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 	if s.RunMemoryFactor != 1 || s.StepInterval != 4000 || s.MaxConcurrencyPerCore != 1000 || s.FleetSize != 1 || s.Classes[0].PriorityWeight != 1 || s.OverQuotaWeightShare != 1 ||
 		s.MaxRetryAfter != 0 || s.DeadlinePropagated || s.StopMode != logic.StopOff || s.SignalMode != logic.SignalOff || len(v.GaugeNames) != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected defaults %+v", s)
 	}
 	if _, err := logic.New(s, 1); err != nil {
 		t.Error(err)
@@ -131,7 +131,7 @@
 	}
 	many := make(FieldErrors, 50)
 	if text := many.Error(); !strings.HasSuffix(text, "and 30 more") {
-		t.Errorf("text of fifty errors: %q", text)
+		t.Errorf("text of fifty errors: %q, want \"and 30 more\" at its end", text)
 	}
 }
 
@@ -144,7 +144,7 @@
 	} {
 		s, _, err := parseJSON(t, text)
 		if err != nil || len(s.Classes) != 1 || s.Classes[0].ClientTimeout != 3000000 || s.Cores != 2 {
-			t.Errorf("%s: %+v, %v", name, s, err)
+			t.Errorf("form %q: settings %+v, error %v", name, s, err)
 		}
 	}
 }
