--- a/internal/frontend/resp/output_test.go
+++ b/internal/frontend/resp/output_test.go
@@ -134,10 +134,12 @@
 		t.Errorf("answer %q to a peer that reads, want ACK", got)
 	}
 	f.Shutdown(0)
-	f.mu.Lock()
-	for k := range f.conns {
-		_ = k.socket.Close()
-	}
-	f.mu.Unlock()
-	waitFor(t, "no bytes are unread and no connection is open", func() bool { return f.unreadBytes.Load() == 0 && f.OpenConnections() == 0 })
+	waitFor(t, "no bytes are unread and no connection is open", func() bool {
+		f.mu.Lock()
+		for k := range f.conns { // a peer's connection may be accepted only now
+			_ = k.socket.Close()
+		}
+		f.mu.Unlock()
+		return f.unreadBytes.Load() == 0 && f.OpenConnections() == 0
+	})
 }
